--- a/balance/api.go
+++ b/balance/api.go
@@ -1,32 +1,32 @@
-// Package balance decides where long-lived connections go. It implements least ratio routing: each new
+// Package balance chooses servers for long-lived connections. It implements least ratio routing: each new
 // connection is placed on the ready server with the lowest ratio of load to capacity.
 //
-// A Balancer is driven by events and answers each with the actions to carry out. It reads no clock, starts
-// no goroutine and draws all chance from its seed, so equal events give equal actions.
+// A Balancer is driven by events and returns for each event the actions to carry out. It reads no clock,
+// starts no goroutine and derives all randomness from its seed, so equal events give equal actions.
 package balance
 
 import "time"
 
-// ServerID names a server. It is opaque.
+// ServerID identifies a server. It is opaque.
 type ServerID string
 
-// RequestID names one try of a client. It is never reused.
+// RequestID identifies one try of a client. It is never reused.
 type RequestID uint64
 
-// Effect says what repeating a request may do.
+// Effect says whether a request may safely be repeated.
 type Effect int
 
 // The effects of a request class.
 const (
 	Safe   Effect = iota // may be repeated at will
-	Keyed                // repeats are dropped inside a group of servers for some time
+	Keyed                // idempotent: repeats are dropped inside a group of servers for some time
 	Unsafe               // must not run twice
 )
 
-// Group says which servers drop the repeats of a keyed request.
+// Group is the set of servers within which repeats of a keyed request are dropped.
 type Group int
 
-// The groups of a keyed class.
+// The groups of a keyed request class.
 const (
 	GroupAll  Group = iota // every server
 	GroupZone              // the servers of one zone
@@ -35,36 +35,36 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name       string
-	Aim        time.Duration // an answer within Aim is worth the most
-	Deadline   time.Duration // how long a client waits, over all its tries
-	Effect     Effect
-	Group      Group         // of a keyed class
-	Window     time.Duration // of a keyed class: how long its repeats are remembered
-	Streamed   bool
-	MessageAim time.Duration // wanted time of a message on an open connection; 0 where there is none
-	Worth      float64
+	Name                 string
+	LatencyTarget        time.Duration // answers within this time have the highest value
+	Deadline             time.Duration // how long a client waits, over all its tries
+	Effect               Effect
+	Group                Group         // of a keyed class
+	Window               time.Duration // of a keyed class: how long servers remember a request to drop its repeats
+	Streamed             bool
+	MessageLatencyTarget time.Duration // for a message on an open connection; 0 if the class has none
+	Value                float64
 }
 
-// Tenant has a share of the service.
+// Tenant is entitled to a share of the service.
 type Tenant struct {
 	Name  string
 	Share float64
-	Quota float64 // connections within its share, open through all balancers together; 0: not told
+	Quota float64 // connections within its share, open through all balancers together; 0: unknown
 }
 
-// Safety holds the figures of the rules that every balancer keeps by itself.
+// Safety holds the parameters of the rules that every balancer enforces on its own.
 type Safety struct {
-	AnswerSlack    time.Duration // a final answer may come this much after the deadline
-	DrainGrace     time.Duration // new work must stop this long after a drain was told
-	AskWithin      time.Duration // without a subscription, the list must be asked for this often
-	ColdFrom       float64       // a started server has at least this part of its capacity
-	ColdFor        time.Duration // and all of it after this time
-	OverloadFactor float64       // sent more than this multiple of its present capacity
-	TipAfter       time.Duration // for this long, a cold server falls over
+	AnswerSlack         time.Duration // a final answer may come this much after the deadline
+	DrainGrace          time.Duration // new work must stop within this time after the announcement of a drain
+	ListRefreshInterval time.Duration // without a subscription, the server list must be fetched at least this often
+	ColdCapacity        float64       // fraction of its capacity that a server has right after its start, at least
+	WarmUp              time.Duration // a server has its full capacity this long after its start
+	OverloadFactor      float64       // a cold server is overloaded by more than this multiple of its present capacity
+	OverloadWindow      time.Duration // a cold server fails when it is overloaded for this long
 }
 
-// Prices are deducted from the value of the service, each times its rate for each first try.
+// Prices are deducted from the value of the service, each times its rate per first try.
 type Prices struct {
 	CrossZone float64
 	Probe     float64
@@ -72,28 +72,28 @@
 	Peer      float64 // for PeerUnit bytes delivered
 }
 
-// Settings is what a balancer is told at its start. The zero value of a field means not told.
+// Settings configures a balancer. The zero value of a field means that it is not set.
 type Settings struct {
-	Self           int // which of the balancers this is, from 0
-	Balancers      int // how many serve the same servers
+	Self           int // index of this balancer, from 0
+	Balancers      int // number of balancers that use the same servers
 	Zone           string
 	Classes        []Class
 	Tenants        []Tenant
-	ListOnRequest  bool // the server list comes only when subscribed to or fetched
-	WeightsNominal bool // listed weights compare the servers' capacities
+	ListOnRequest  bool // the server list is delivered only after a subscription or a fetch
+	WeightsNominal bool // listed weights are proportional to the servers' capacities
 	Probes         bool // probing is permitted
 	Peers          bool // messages to other balancers are permitted
-	SecondCopies   bool // two attempts of one request may be pending at once
+	Hedging        bool // two attempts of one request may be pending at once
 	MaxAttempts    int
-	MaxRetryAfter  time.Duration // the longest advice that clients heed; 0 where they heed none
-	Tick           time.Duration // events are handed in no more often than this
-	ConnectTimeout time.Duration // a connection that is not made by then is given up
+	MaxRetryAfter  time.Duration // longest retry-after that clients honor; 0 if they ignore it
+	Tick           time.Duration // minimum interval between events
+	ConnectTimeout time.Duration // a connection that is not established within this time is abandoned
 	PassThrough    bool          // packets pass through: connections outlive the balancer
 	Safety         Safety
 	Prices         Prices
 }
 
-// Metric is a set of the values in a report.
+// Metric is a bit set of the values present in a Report.
 type Metric uint8
 
 // The values that a report may hold.
@@ -108,48 +108,48 @@
 	HasErrors
 )
 
-// Report is what a server said of its load. Two equal reports are one: it was not refreshed in between.
+// Report is the load that a server reported. Two equal reports count as one: the server did not refresh it.
 type Report struct {
 	Known   Metric
-	Ratio   float64 // load asked over what the server can do
+	Ratio   float64 // requested load over capacity
 	Held    float64 // connections or requests held
-	Busy    float64 // part of its processor time in use
-	Backlog float64 // seconds of work piled up
+	Busy    float64 // fraction of processor time in use
+	Backlog float64 // seconds of queued work
 	Queue   float64 // requests waiting
 	Latency float64 // recent service time, milliseconds
-	Served  float64 // requests served a second
-	Errors  float64 // errors a second
+	Served  float64 // requests served per second
+	Errors  float64 // errors per second
 }
 
-// State is the listed state of a server.
+// State is the state of a server in the server list.
 type State int
 
 // The states of a server.
 const (
 	Ready    State = iota
-	Draining       // finishes its work; nothing new
+	Draining       // finishes its present work and accepts no new work
 	Gone
 )
 
-// Listing is one server in a list.
+// Listing is the entry of one server in a server list.
 type Listing struct {
 	Server  ServerID
 	Zone    string
-	Kind    string // of machine; no decision here depends on it
+	Kind    string // machine type; not used for decisions
 	Cell    int
 	Weight  float64
 	Started time.Duration // clock time of its last start; 0: long ago
 	State   State
 }
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome int
 
 // The outcomes. Full, Unreachable and Unsent prove that the request never ran.
 const (
 	OK          Outcome = iota
 	Errored             // the server answered with an error
-	Full                // turned away unseen
+	Full                // rejected by the server before it was processed
 	TimedOut            // no answer in time
 	Unreachable         // no connection to the server
 	Reset               // the connection broke
@@ -157,73 +157,73 @@
 	Unsent              // never sent
 )
 
-// Event is something that happened to a balancer.
+// Event is an input of a balancer.
 type Event interface{ event() }
 
-// ListKind says how the entries of a list event are meant.
+// ListKind says how to interpret the entries of a ServerList.
 type ListKind int
 
-// The kinds of list events.
+// The kinds of server lists.
 const (
-	ListChanges ListKind = iota // only what changed
-	ListWhole                   // everything; what is missing is gone
-	ListSaved                   // as this balancer last held it in an earlier life
-	ListFailed                  // a call failed or a subscription broke; no entries
+	ListChanges ListKind = iota // only the entries that changed
+	ListFull                    // the full list; servers that are missing are gone
+	ListSaved                   // the list that an earlier process of this balancer saved last
+	ListFailed                  // a fetch failed or a subscription broke; no entries
 )
 
 type (
-	// ServerList brings news of the servers.
+	// ServerList updates the list of servers.
 	ServerList struct {
 		Kind    ListKind
 		Entries []Listing
 	}
-	// Arrival is a new try of a client. One final answer is owed within TimeLeft.
+	// Arrival is a new try of a client. Exactly one final answer is due within TimeLeft.
 	Arrival struct {
 		Request   RequestID
 		Class     string
 		Tenant    string
-		Key       string // ties related requests together; may be empty
+		Key       string // identifies related requests; may be empty
 		Group     string // connections of one group share work on a server; may be empty
 		TimeLeft  time.Duration
-		Load      float64 // expected load, in any one unit; 0: not told
+		Load      float64 // expected load, in any unit, the same for all; 0: unknown
 		MidFlow   bool    // packets of a connection that some server may still hold
-		Returning bool    // the client comes back after a break or a move
-		Repeat    bool    // the client tries again, where clients tell
+		Returning bool    // the client reconnects after a broken connection or a move
+		Repeat    bool    // the client retries, if clients say so
 	}
-	// Inherited is a connection that runs through this balancer already; nothing is owed for it.
+	// Inherited is an open connection taken over from an earlier process; no answer is due for it.
 	Inherited struct {
 		Arrival
 		Server ServerID
 	}
-	// Established says that an attempt's connection stands.
+	// Established says that the connection of an attempt is established.
 	Established struct {
 		Request RequestID
 		Attempt int
 		Took    time.Duration
 	}
-	// LoadChanged tells the present load of an open connection, in microseconds of work a second.
+	// LoadChanged reports the present load of an open connection, in microseconds of work per second.
 	LoadChanged struct {
 		Request RequestID
 		Load    float64
 	}
-	// MessagesSlow tells how long a message on an open connection takes now.
+	// MessagesSlow reports the present latency of messages on an open connection.
 	MessagesSlow struct {
 		Request RequestID
 		Took    time.Duration
 	}
-	// Ended is the one outcome of an attempt.
+	// Ended is the outcome of an attempt, reported once.
 	Ended struct {
 		Request RequestID
 		Attempt int
 		Outcome Outcome
 		Took    time.Duration
-		Final   bool // the request is over; nothing is owed
+		Final   bool // the request is over; no answer is due
 		Report  Report
 	}
-	// Departed says that the client is gone; nothing is owed.
+	// Departed says that the client is gone; no answer is due.
 	Departed struct{ Request RequestID }
-	// Woken is a timer that came due.
-	Woken struct{ Token uint64 }
+	// TimerFired says that a timer set by SetTimer has expired.
+	TimerFired struct{ Token uint64 }
 	// Probed is the outcome of a probe.
 	Probed struct {
 		Server  ServerID
@@ -231,16 +231,16 @@
 		Took    time.Duration
 		Report  Report
 	}
-	// Suspend takes a server out by hand: nothing new goes to it until Resume, whatever the lists say and whether they
-	// name it or not. Twice is once.
+	// Suspend takes a server out of service for an operator: it gets no new work until Resume, whatever the lists say
+	// and whether or not they name it. It is idempotent.
 	Suspend struct{ Server ServerID }
-	// Resume takes a Suspend back. The server counts as just started, unless a start was told meanwhile.
+	// Resume undoes a Suspend. The server is treated as just started, unless the list has announced a start since.
 	Resume struct{ Server ServerID }
-	// Retuned brings new settings. Requests that have come keep those they came under.
-	Retuned struct{ Settings Settings }
-	// Fellows tells how many other processes decide for the same proxy, as while a new one takes over from an old one.
-	// What a cold server may be sent by the proxy is shared among them.
-	Fellows struct{ Processes int }
+	// SettingsChanged replaces the settings. Requests that have arrived keep the settings in force at their arrival.
+	SettingsChanged struct{ Settings Settings }
+	// SiblingProcesses is the number of other processes that balance for the same proxy, as during a handover from an
+	// old process to a new one. They share the proxy's part of the budgets of cold servers.
+	SiblingProcesses struct{ Processes int }
 	// PeerMessage is a message from another balancer.
 	PeerMessage struct {
 		From int
@@ -248,23 +248,23 @@
 	}
 )
 
-func (ServerList) event()   {}
-func (Arrival) event()      {}
-func (Inherited) event()    {}
-func (Established) event()  {}
-func (LoadChanged) event()  {}
-func (MessagesSlow) event() {}
-func (Ended) event()        {}
-func (Departed) event()     {}
-func (Woken) event()        {}
-func (Probed) event()       {}
-func (Suspend) event()      {}
-func (Resume) event()       {}
-func (Retuned) event()      {}
-func (Fellows) event()      {}
-func (PeerMessage) event()  {}
+func (ServerList) event()       {}
+func (Arrival) event()          {}
+func (Inherited) event()        {}
+func (Established) event()      {}
+func (LoadChanged) event()      {}
+func (MessagesSlow) event()     {}
+func (Ended) event()            {}
+func (Departed) event()         {}
+func (TimerFired) event()       {}
+func (Probed) event()           {}
+func (Suspend) event()          {}
+func (Resume) event()           {}
+func (SettingsChanged) event()  {}
+func (SiblingProcesses) event() {}
+func (PeerMessage) event()      {}
 
-// Action is something to carry out for a balancer. Actions are carried out in order.
+// Action is an output of a balancer, to be carried out by its caller. Actions are carried out in order.
 type Action interface{ action() }
 
 // PeerUnit is the size of a full message to a peer, in bytes.
@@ -274,30 +274,30 @@
 const AllPeers = -1
 
 type (
-	// Place makes an attempt. Attempts of a request are numbered from 0 in this order.
+	// Place starts an attempt. Attempts of a request are numbered from 0 in the order of these actions.
 	Place struct {
 		Request RequestID
 		Server  ServerID
 		Timeout time.Duration
-		SendBy  time.Duration // the clock time from which it may not be sent any more; 0: none
+		SendBy  time.Duration // the clock time after which it must not be sent; 0: none
 	}
-	// Refuse is a final answer: trying again is harmless.
+	// Refuse is a final answer which says that the client may safely retry.
 	Refuse struct {
 		Request    RequestID
-		RetryAfter time.Duration // 0: no advice
+		RetryAfter time.Duration // 0: none
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer which does not say whether the request has run.
 	Fail struct{ Request RequestID }
-	// Move ends an open connection politely; its client comes again.
+	// Move closes an open connection gracefully; its client reconnects.
 	Move struct{ Request RequestID }
-	// Wake asks for a Woken after a delay.
-	Wake struct {
+	// SetTimer requests a TimerFired event with the same token after a delay.
+	SetTimer struct {
 		After time.Duration
 		Token uint64
 	}
-	// Probe asks a server for its report.
+	// Probe requests a load report from a server.
 	Probe struct{ Server ServerID }
-	// Subscribe asks for changes of the server list from now on.
+	// Subscribe requests updates of the server list from now on.
 	Subscribe struct{}
 	// Tell sends at most PeerUnit bytes to a peer.
 	Tell struct {
@@ -310,7 +310,7 @@
 func (Refuse) action()    {}
 func (Fail) action()      {}
 func (Move) action()      {}
-func (Wake) action()      {}
+func (SetTimer) action()  {}
 func (Probe) action()     {}
 func (Subscribe) action() {}
 func (Tell) action()      {}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,13 +1,13 @@
 package balance
 
-// This file holds every decision; the interface (settings, events, actions) is in api.go.
+// This file holds all decisions. The interface (settings, events, actions) is in api.go; the state of a
+// balancer and its bookkeeping are in state.go.
 //
-// What a balancer remembers, and the book-keeping of it, is in state.go.
-//
-// The ordinary path is least ratio routing: place ranks all ready servers by the estimate of load over
-// capacity and takes the lowest, ties at random; a placed connection stays put; after a refusal the next
-// lowest is tried. The parts, in order: entry, membership, ratio estimate, probes, ranking, attempts and
-// answers, health, moves, cold servers, discovery, admission.
+// The main path is least ratio routing: place ranks all ready servers by their estimated ratio of load to
+// capacity and takes the lowest, ties at random. An established connection stays on its server; after a
+// refusal, the server with the next lowest ratio is tried. The sections, in order: entry, membership,
+// ratio estimate, probes, ranking, attempts and answers, health, moves, set-up, cold servers, discovery,
+// admission.
 
 import (
 	"cmp"
@@ -18,82 +18,88 @@
 )
 
 const (
-	// neutralCapacity is how many connections fill a server until reports tell: a few dozen, as
-	// for most servers of long-lived connections. It matters for the first moments only.
-	neutralCapacity = 20
-	// probeSpend bounds what probes may cost, as a part of the value of the service: a percent or two is
-	// worth a choice made on fresh reports, whatever the fleet.
-	probeSpend = 0.01
-	// maxProbes bounds the probes for one arrival: beyond some eight candidates the lowest of a random
-	// handful hardly gets any lower.
+	// defaultCapacity is how many connections fill a server whose capacity is not known yet: a few dozen,
+	// as for most servers of long-lived connections. It matters only until the first reports.
+	defaultCapacity = 20
+	// probeCostShare limits the cost of probes to a fraction of the value of the service: one or two
+	// percent is a fair price for choices made on fresh reports, whatever the size of the fleet.
+	probeCostShare = 0.01
+	// maxProbes limits the probes per arrival: beyond about eight candidates, the lowest of a random
+	// sample hardly gets any lower.
 	maxProbes = 8
-	// reportLife is how old a report may be taken for until the balancer knows better: load reports are
-	// commonly refreshed about once a second.
-	reportLife = time.Second
-	// holdPart is the part of a class's aim for which an arrival may wait for probes. Small, so that most of
-	// the aim is left for a second attempt.
-	holdPart = 8
-	// ceiling is the ratio up to which servers are filled. Load is uneven and changes, and reports are late
-	// and noisy, so a server filled to 1 is beyond it half of the time, and then serves nobody.
-	ceiling = 0.8
-	// crossingRatio turns the price of crossing zones into a ratio, in units of the room that the fleet has:
-	// a price of a few hundredths is a modest step while there is room, and nothing near the ceiling.
-	crossingRatio = 6
-	// groupRatio is what sharing a server with its group is worth to a connection, as a ratio, in units of
-	// the room that the fleet has; groupHomes, or one server in groupPart where that is more, is over how
-	// many of a zone a group spreads first: what all send to one unseen grows with the fleet.
-	groupRatio = 1.0
-	groupHomes = 3
-	groupPart  = 7
-	dozen      = 12
-	// moveLeast is the part of its connections that a balancer moves off a slow server at a time when no
-	// report tells the excess.
-	moveLeast = 0.2
-	// spacious is the mean ratio up to which room is made for what has piled up on a server: in a fuller
-	// fleet, what moves only jams the next server.
-	spacious = 0.6
-	// throttleFor is over what time failed attempts are weighed against those that stand: a few rounds of
-	// attempts, so that a single burst does not decide.
-	throttleFor = 3 * reportLife
-	// fewSetUps is how many connections may wait to be set up at a server in any case.
-	fewSetUps = 8
-	// erringMost is the part of its attempts that a server may answer with an error before it is set aside,
-	// and erringStep how much each one counts: half a dozen in a row.
-	erringMost = 0.75
-	erringStep = 0.2
-	// overShare is the part of the ceiling up to which traffic beyond a tenant's share is let in, or what
-	// brings hardly any worth for its load: the rest is kept for what is worth more.
-	overShare = 0.75
-	// coldCaution is the part of a cold server's budget that is used. The other half covers what is
-	// estimated: how many connections fill the server, how heavy they are, the spread of machines.
-	coldCaution = 0.5
+	// reportTTL is the age up to which a report is considered current: servers commonly refresh their
+	// load reports about once a second.
+	reportTTL = time.Second
+	// probeWaitDivisor sets how long an arrival may wait for probes: the latency target of its class
+	// divided by this number. Most of the latency target is left for a second attempt.
+	probeWaitDivisor = 8
+	// targetUtilization is the ratio up to which servers are filled. Load is uneven and varies, and
+	// reports are late and noisy, so a server filled to 1 is overloaded half of the time, and then serves
+	// no one.
+	targetUtilization = 0.8
+	// zoneCrossingPenalty converts the price of crossing zones into a ratio, in units of the fleet's
+	// headroom: a price of a few hundredths is a modest penalty while there is headroom, and none near
+	// the target.
+	zoneCrossingPenalty = 6
+	// groupAffinityBonus is the advantage of sharing a server with the own group, as a ratio, in units of
+	// the fleet's headroom. A group first spreads over minPreferredServers of a zone, or over one server
+	// in preferredServersDivisor if that is more: the number of connections that all balancers place on
+	// one server before reports show them grows with the fleet.
+	groupAffinityBonus      = 1.0
+	minPreferredServers     = 3
+	preferredServersDivisor = 7
+	groupOddsServers        = 12
+	// minMoveFraction is the fraction of its connections that a balancer moves off a slow server at a
+	// time when no report shows the excess.
+	minMoveFraction = 0.2
+	// backlogMoveMaxRatio is the mean ratio of the fleet up to which more connections are moved to drain
+	// a server's backlog: in a fuller fleet, they would only overload the next server.
+	backlogMoveMaxRatio = 0.6
+	// throttleWindow is the time over which failed and established attempts are compared: several rounds
+	// of attempts, so that a single burst does not decide.
+	throttleWindow = 3 * reportTTL
+	// defaultSetUpLimit is how many connections may wait for their set-up at a server of unknown speed.
+	defaultSetUpLimit = 8
+	// ejectionErrorRate is the fraction of its attempts that a server may answer with an error before it
+	// is ejected; each attempt counts for errorRateStep of it, so that six errors in a row eject a
+	// server.
+	ejectionErrorRate = 0.75
+	errorRateStep     = 0.2
+	// lowPriorityFraction is the fraction of targetUtilization up to which traffic beyond a tenant's
+	// share, or with hardly any value for its load, is admitted: the rest is reserved for traffic of a
+	// higher value.
+	lowPriorityFraction = 0.75
+	// coldBudgetFraction is the fraction of a cold server's budget that is used. The other half covers
+	// errors in the estimates: how many connections fill the server, their load, the variation between
+	// machines.
+	coldBudgetFraction = 0.5
 )
 
-// New returns a balancer with the given settings. All its chance comes from seed.
-func New(set Settings, seed uint64) *Balancer {
+// New returns a balancer with the given settings. All its randomness is derived from seed.
+func New(settings Settings, seed uint64) *Balancer {
 	b := &Balancer{
-		rng:      rand.New(rand.NewPCG(seed, seed)),
-		byID:     make(map[ServerID]*server),
-		bans:     make(map[ServerID]time.Duration),
-		back:     make(map[ServerID]time.Duration),
-		requests: make(map[RequestID]*request),
-		tenants:  make(map[string]*tenant),
-		told:     make(map[string]load),
-	}
-	b.adopt(set)
+		rng:        rand.New(rand.NewPCG(seed, seed)),
+		byID:       make(map[ServerID]*server),
+		bans:       make(map[ServerID]time.Duration),
+		resumedAt:  make(map[ServerID]time.Duration),
+		requests:   make(map[RequestID]*request),
+		tenants:    make(map[string]*tenant),
+		classLoads: make(map[string]loadSum),
+	}
+	b.applySettings(settings)
 	return b
 }
 
-// adopt takes settings up for all that comes from now on. What a tenant has open stays counted.
-func (b *Balancer) adopt(set Settings) {
-	set.Balancers = max(1, set.Balancers)
-	set.MaxAttempts = max(1, set.MaxAttempts)
-	b.set, b.classes = &set, make(map[string]Class, len(set.Classes))
-	b.quotas, b.setUpAim, b.aim = 0, 0, 0
+// applySettings replaces the settings for all later events. The open connections of tenants stay counted.
+func (b *Balancer) applySettings(settings Settings) {
+	settings.Balancers = max(1, settings.Balancers)
+	settings.MaxAttempts = max(1, settings.MaxAttempts)
+	b.settings, b.classes = &settings, make(map[string]Class, len(settings.Classes))
+	b.quotaSum, b.shortestLatencyTarget, b.shortestMessageTarget = 0, 0, 0
 	before := b.tenants
 	b.tenants = make(map[string]*tenant)
-	for _, t := range set.Tenants {
-		if b.quotas += max(0, t.Quota); t.Quota > 0 {
+	for _, t := range settings.Tenants {
+		if b.quotaSum += max(0, t.Quota); t.Quota > 0 {
 			b.tenants[t.Name] = &tenant{}
 			if before[t.Name] != nil {
 				b.tenants[t.Name] = before[t.Name]
@@ -101,21 +107,22 @@
 			b.tenants[t.Name].quota = t.Quota
 		}
 	}
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		b.classes[c.Name] = c
-		if b.setUpAim == 0 || c.Aim > 0 && c.Aim < b.setUpAim {
-			b.setUpAim = c.Aim
+		if b.shortestLatencyTarget == 0 || c.LatencyTarget > 0 && c.LatencyTarget < b.shortestLatencyTarget {
+			b.shortestLatencyTarget = c.LatencyTarget
 		}
-		if c.MessageAim > 0 && (b.aim == 0 || c.MessageAim < b.aim) {
-			b.aim = c.MessageAim
+		if c.MessageLatencyTarget > 0 &&
+			(b.shortestMessageTarget == 0 || c.MessageLatencyTarget < b.shortestMessageTarget) {
+			b.shortestMessageTarget = c.MessageLatencyTarget
 		}
 	}
-	if b.started && set.Probes {
-		b.look()
+	if b.started && settings.Probes {
+		b.startServerChecks()
 	}
 }
 
-// Handle takes one event that happened at now and returns the actions that answer it. The slice is valid
+// Handle processes an event that happened at now and returns the resulting actions. The slice is valid
 // until the next call.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.now = max(b.now, now)
@@ -130,10 +137,10 @@
 		b.onSuspend(e.Server)
 	case Resume:
 		b.onResume(e.Server)
-	case Retuned:
-		b.adopt(e.Settings)
-	case Fellows:
-		b.fellows = max(0, e.Processes)
+	case SettingsChanged:
+		b.applySettings(e.Settings)
+	case SiblingProcesses:
+		b.siblings = max(0, e.Processes)
 	case Arrival:
 		b.onArrival(e)
 	case Inherited:
@@ -146,8 +153,8 @@
 		if r := b.requests[e.Request]; r != nil {
 			b.close(r)
 		}
-	case Woken:
-		b.onWoken(e)
+	case TimerFired:
+		b.onTimerFired(e)
 	case Probed:
 		b.onProbed(e)
 	case MessagesSlow:
@@ -160,24 +167,24 @@
 
 func (b *Balancer) start() {
 	b.started = true
-	if b.set.Probes {
-		b.look()
+	if b.settings.Probes {
+		b.startServerChecks()
 	}
-	if b.set.ListOnRequest {
-		b.wake(b.jitter(b.set.Safety.AskWithin/32), 0, wakeSubscribe)
+	if b.settings.ListOnRequest {
+		b.setTimer(b.jitter(b.settings.Safety.ListRefreshInterval/32), 0, timerSubscribe)
 	}
 }
 
-func (b *Balancer) onWoken(e Woken) {
-	switch e.Token & (1<<wakeBits - 1) {
-	case wakeHold:
-		if r := b.requests[RequestID(e.Token>>wakeBits)]; r != nil && r.held {
+func (b *Balancer) onTimerFired(e TimerFired) {
+	switch e.Token & (1<<timerKindBits - 1) {
+	case timerHold:
+		if r := b.requests[RequestID(e.Token>>timerKindBits)]; r != nil && r.held {
 			b.place(r)
 		}
-	case wakeSubscribe:
+	case timerSubscribe:
 		b.checkSubscription()
-	case wakeLook:
-		b.lookAfter()
+	case timerServerCheck:
+		b.checkServers()
 	}
 }
 
@@ -194,16 +201,16 @@
 		}
 	}
 	for _, entry := range e.Entries {
-		b.learn(entry)
+		b.updateServer(entry)
 	}
-	b.sweep()
-	b.surveyAt = 0
+	b.removeUnlisted()
+	b.fleetStatsAt = 0
 	b.retryWaiting()
 }
 
-// learn takes one entry of a list. A server that started again is a new one under the old name: what was
-// known of its load, health and capacity is forgotten.
-func (b *Balancer) learn(entry Listing) {
+// updateServer applies one entry of a list. A server with a new start time is a new one under the old
+// name: what was known of its load, health and capacity is dropped.
+func (b *Balancer) updateServer(entry Listing) {
 	if !(entry.Weight > 0) || math.IsInf(entry.Weight, 0) {
 		entry.Weight = 1
 	}
@@ -215,47 +222,47 @@
 		}
 		return
 	case s == nil:
-		s = &server{hash: hashOf(string(entry.Server)), fedAt: b.now}
+		s = &server{hash: hashOf(string(entry.Server)), budgetUpdatedAt: b.now}
 		b.byID[entry.Server] = s
 		b.servers = append(b.servers, s)
-	case s.told.Started != entry.Started:
-		*s = server{probing: s.probing, hash: s.hash, fedAt: b.now}
+	case s.asListed.Started != entry.Started:
+		*s = server{probing: s.probing, hash: s.hash, budgetUpdatedAt: b.now}
 	}
-	s.told, s.listed = entry, true
-	b.present(s)
+	s.asListed, s.listed = entry, true
+	b.applyListing(s)
 }
 
-// present has a server count as what the list says, less what operators say by hand: one that is out drains,
-// and one that came back is cold from then on.
-func (b *Balancer) present(s *server) {
+// applyListing combines a server's listing with the operators' bans: a suspended server counts as
+// draining, and a resumed one as started at its resumption.
+func (b *Balancer) applyListing(s *server) {
 	was := s.State
-	s.Listing = s.told
+	s.Listing = s.asListed
 	if _, out := b.bans[s.Server]; out && s.State == Ready {
 		s.State = Draining
 	}
-	s.Started = max(s.Started, b.back[s.Server])
+	s.Started = max(s.Started, b.resumedAt[s.Server])
 	if s.State == Draining && was != Draining {
-		s.drainFrom = b.now
-		b.look()
+		s.drainingSince = b.now
+		b.startServerChecks()
 	}
 }
 
-// onSuspend takes a server out by hand. The ban is kept apart from the list, which may drop the server and
-// name it again meanwhile.
+// onSuspend bans a server for an operator. The ban is stored apart from the list, which may drop the
+// server and name it again in the meantime.
 func (b *Balancer) onSuspend(id ServerID) {
 	if _, out := b.bans[id]; out {
 		return
 	}
 	b.bans[id] = b.now
-	delete(b.back, id)
+	delete(b.resumedAt, id)
 	if s := b.byID[id]; s != nil {
-		b.present(s)
-		b.surveyAt = 0
+		b.applyListing(s)
+		b.fleetStatsAt = 0
 	}
 }
 
-// onResume takes a ban back. The server was most likely started anew while it was out, so that nothing known
-// of it holds any more; if it may be used, it is probed at once.
+// onResume lifts a ban. The server was most likely restarted while it was banned, so that all knowledge
+// of it is dropped; if it may be used, it is probed at once.
 func (b *Balancer) onResume(id ServerID) {
 	since, out := b.bans[id]
 	if !out {
@@ -263,39 +270,40 @@
 	}
 	delete(b.bans, id)
 	s := b.byID[id]
-	if s == nil || s.told.Started <= since {
-		b.back[id] = b.now
+	if s == nil || s.asListed.Started <= since {
+		b.resumedAt[id] = b.now
 	}
 	if s == nil {
 		return
 	}
-	*s = server{told: s.told, listed: true, probing: s.probing, hash: s.hash, conns: s.conns, fedAt: b.now}
-	if b.present(s); b.set.Probes && s.State == Ready && !s.probing {
+	*s = server{asListed: s.asListed, listed: true, probing: s.probing, hash: s.hash, conns: s.conns,
+		budgetUpdatedAt: b.now}
+	if b.applyListing(s); b.settings.Probes && s.State == Ready && !s.probing {
 		b.probe(s)
 	}
-	b.surveyAt = 0
+	b.fleetStatsAt = 0
 	b.retryWaiting()
 }
 
 // ---- Ratio estimate ----
 
-// survey computes the figures of the whole fleet and every estimate, unless that was done a moment ago: what
-// changes in between is kept up to date server by server.
-func (b *Balancer) survey() {
-	if b.surveyAt > 0 && b.now-b.surveyAt < reportLife/50 {
+// updateFleetStats computes the statistics of the whole fleet and all estimates, unless that was done
+// within the last fiftieth of reportTTL: changes in between update the estimate of their own server.
+func (b *Balancer) updateFleetStats() {
+	if b.fleetStatsAt > 0 && b.now-b.fleetStatsAt < reportTTL/50 {
 		return
 	}
-	b.surveyAt = b.now
+	b.fleetStatsAt = b.now
 	var ratio, fresh, capacity, known, weight float64
-	b.ready, b.sick = 0, 0
+	b.ready, b.ejectedServers = 0, 0
 	for _, s := range b.servers {
 		if s.State != Ready {
 			continue
 		}
 		b.ready++
 		weight += s.Weight
-		if b.aside(s) {
-			b.sick++
+		if b.isEjected(s) {
+			b.ejectedServers++
 		}
 		if s.reported {
 			w := b.decay(b.now - s.takenAt)
@@ -308,65 +316,68 @@
 		}
 	}
 	n := float64(max(1, b.ready))
-	b.meanWeight, b.meanCap = weight/n, b.expectedCapacity(n)
+	b.meanWeight, b.meanCapacity = weight/n, b.expectedCapacity(n)
 	if fresh > 0 {
-		b.mean = ratio / fresh
+		b.meanRatio = ratio / fresh
 	}
 	if known > 0 {
-		b.meanCap = capacity / known
-	} else if b.mean > 0 && b.quotas == 0 {
-		// Reports without a count: the tier's connections, taken as ours times the balancers, make the ratio.
-		// A balancer that has just started holds few of many.
-		b.meanCap = max(b.meanCap/2, b.open*float64(b.set.Balancers)/(n*b.mean))
-	}
-	b.room = 0
+		b.meanCapacity = capacity / known
+	} else if b.meanRatio > 0 && b.quotaSum == 0 {
+		// The reports hold no connection counts: the fleet's connections, estimated as our own times the
+		// number of balancers, account for the mean ratio. A balancer that has just started holds only a
+		// few of them, hence the lower limit.
+		b.meanCapacity = max(b.meanCapacity/2, b.openWeight*float64(b.settings.Balancers)/(n*b.meanRatio))
+	}
+	b.spareCapacity = 0
 	for _, s := range b.servers {
-		b.assess(s)
-		if s.State == Ready && !b.aside(s) {
-			b.room += max(0, ceiling-s.estimate) * b.capacityOf(s)
+		b.updateEstimate(s)
+		if s.State == Ready && !b.isEjected(s) {
+			b.spareCapacity += max(0, targetUtilization-s.estimate) * b.capacityOf(s)
 		}
 	}
 }
 
-// assess estimates the ratio of load to capacity that a server has now: its last report, which counts for
-// less the older it is, plus what this balancer placed and lost since the report was taken. A server without
-// a report is not empty: it counts as the mean of its peers, up to which one that has just started fills.
-func (b *Balancer) assess(s *server) {
-	ratio := b.mean
-	if age := b.now - s.Started; s.Started > 0 && age < b.settle() {
-		ratio *= max(0, float64(age)/float64(b.settle()))
+// updateEstimate estimates the present ratio of load to capacity of a server: its last report, which
+// counts less the older it is, plus what this balancer placed and lost since the report was taken. A
+// server without a report is not assumed to be empty: it counts as the mean of its peers, and just after
+// its start as a part of that mean that grows with its age.
+func (b *Balancer) updateEstimate(s *server) {
+	ratio := b.meanRatio
+	if age := b.now - s.Started; s.Started > 0 && age < b.turnoverTime() {
+		ratio *= max(0, float64(age)/float64(b.turnoverTime()))
 	}
 	if s.reported {
 		ratio += (s.ratio - ratio) * b.decay(b.now-s.takenAt)
 	}
-	s.estimate = max(0, ratio+s.own/b.capacityOf(s))
-	if s.slowFrom > 0 && b.now-s.slowAt < 2*reportLife {
-		s.estimate = max(s.estimate, ceiling) // its messages say that it is full, whatever an old report says
+	s.estimate = max(0, ratio+s.ownChange/b.capacityOf(s))
+	if s.slowSince > 0 && b.now-s.slowReportedAt < 2*reportTTL {
+		// Slow messages show that it is full, whatever an old report says.
+		s.estimate = max(s.estimate, targetUtilization)
 	}
 	s.rank = s.estimate
-	if s.Zone != b.set.Zone {
-		s.rank += crossingRatio * b.set.Prices.CrossZone * max(0, ceiling-b.mean)
+	if s.Zone != b.settings.Zone {
+		s.rank += zoneCrossingPenalty * b.settings.Prices.CrossZone * max(0, targetUtilization-b.meanRatio)
 	}
 }
 
-// onReport takes a load report. An unchanged report is the old one seen again: it was not taken anew.
+// onReport applies a load report. An unchanged report is the same one, not refreshed since.
 func (b *Balancer) onReport(s *server, rep Report) {
 	ratio, ok := b.reportedRatio(s, rep)
 	if !ok {
 		return
 	}
-	last := s.heardAt
-	s.heardAt = b.now
+	last := s.confirmedAt
+	s.confirmedAt = b.now
 	if s.reported && rep == s.report {
 		return
 	}
-	taken := b.now - reportLife
+	taken := b.now - reportTTL
 	if s.reported && last > taken {
-		taken = last - reportLife/2 // it was not there yet when last asked
+		taken = last - reportTTL/2 // it did not exist yet at the previous query
 	}
 	s.takenAt = max(s.takenAt, taken, 0)
 	s.reported, s.report, s.ratio = true, rep, ratio
-	b.forget(s, s.takenAt)
+	b.dropChanges(s, s.takenAt)
 	if rep.Known&HasHeld != 0 && rep.Known&HasRatio != 0 && rep.Held >= 3 && rep.Ratio > 0 {
 		seen := rep.Held / rep.Ratio
 		if s.capacity == 0 {
@@ -374,52 +385,53 @@
 		}
 		s.capacity += (seen - s.capacity) / 4
 	}
-	b.assess(s)
-	if rep.Known&HasLatency != 0 && b.aim > 0 && !b.noted {
-		if s.slowFrom == 0 && ratio >= ceiling {
-			s.slowFrom = b.now - reportLife // it is full as well: no pause that passes by itself
+	b.updateEstimate(s)
+	if rep.Known&HasLatency != 0 && b.shortestMessageTarget > 0 && !b.messagesReported {
+		if s.slowSince == 0 && ratio >= targetUtilization {
+			s.slowSince = b.now - reportTTL // it is also full: this is no transient pause
 		}
-		b.onDelay(s, time.Duration(rep.Latency*float64(time.Millisecond)), b.aim)
+		b.onMessageDelay(s, time.Duration(rep.Latency*float64(time.Millisecond)), b.shortestMessageTarget)
 	}
 }
 
 // ---- Probes ----
 
-// probesPerArrival is the probe budget: it follows the instance's own traffic, so that the tier's probes
-// do not grow with balancers times servers.
+// probesPerArrival is the probe budget. It is proportional to the balancer's own traffic, so that the
+// fleet's probes do not grow with the number of balancers times the number of servers.
 func (b *Balancer) probesPerArrival() float64 {
-	if !b.set.Probes {
+	if !b.settings.Probes {
 		return 0
 	}
-	return min(maxProbes, max(1, probeSpend/max(0, b.set.Prices.Probe))) // where they are free, infinite
+	return min(maxProbes, max(1, probeCostShare/max(0, b.settings.Prices.Probe))) // infinite if probes are free
 }
 
-// refresh probes the servers most likely to be chosen whose reports are old, and the one that was not
-// probed for longest, so that none is stale for ever. It returns the servers that the arrival waits for.
-// Only these probes are paid from arrivals: looking after what is open would overdraw their budget.
-func (b *Balancer) refresh(homes []*server, firstTry bool) []*server {
+// probeForArrival probes the servers with old reports that are most likely to be chosen, and the one
+// probed longest ago, so that no report stays stale forever. It returns the servers that the arrival
+// waits for. Only these probes are charged to the budget: checks of servers with open connections would
+// exhaust it.
+func (b *Balancer) probeForArrival(preferred []*server, firstTry bool) []*server {
 	per := b.probesPerArrival()
 	income := per
-	if !firstTry && !b.starves() {
-		income = min(per, 1) // clients that come again and again must not drive up the cost
+	if !firstTry && !b.mustAdmitNext() {
+		income = min(per, 1) // clients that retry again and again must not drive up the cost
 	}
 	b.probeTokens = min(b.probeTokens+income, 2*per)
 	n := int(b.probeTokens)
 	if n > 1 {
 		n--
 	}
-	asked := b.likely(n, homes)
-	for _, s := range asked {
+	probed := b.probeCandidates(n, preferred)
+	for _, s := range probed {
 		b.probe(s)
 	}
-	if b.probeTokens -= float64(len(asked)); b.probeTokens >= 1 {
+	if b.probeTokens -= float64(len(probed)); b.probeTokens >= 1 {
 		since := func(s *server) (float64, bool) { return float64(s.probedAt), b.stale(s) }
-		if oldest := b.pick(b.servers, since); oldest != nil {
+		if oldest := b.pickMin(b.servers, since); oldest != nil {
 			b.probe(oldest)
 			b.probeTokens--
 		}
 	}
-	return asked
+	return probed
 }
 
 func (b *Balancer) probe(s *server) {
@@ -427,19 +439,20 @@
 	b.act(Probe{Server: s.Server})
 }
 
-// lookAfter probes the servers that hold connections of ours and were not asked for some time, unless notes
-// tell how long messages take, and empties those that drain. It guards against a server that slows down while
-// no arrivals have it probed.
-func (b *Balancer) lookAfter() {
-	b.wake(reportLife/2, 0, wakeLook)
+// checkServers probes the servers that hold connections of this balancer and were not probed for
+// reportTTL, unless MessagesSlow events report the latency of messages, and moves connections off
+// draining servers. It guards against a server that slows down while no arrivals have it probed.
+func (b *Balancer) checkServers() {
+	b.setTimer(reportTTL/2, 0, timerServerCheck)
 	for _, s := range b.servers {
 		switch {
 		case s.State == Draining:
-			b.empty(s)
-		case s.unproven && s.State == Ready && b.now >= s.asideTo && !s.probing:
-			b.probe(s) // with little traffic its turn would be long in coming
-		case !b.set.Probes || b.noted || b.aim == 0 || len(s.conns) == 0 || s.probing:
-		case b.now-s.probedAt >= reportLife:
+			b.moveOffDraining(s)
+		case s.unverified && s.State == Ready && b.now >= s.ejectedUntil && !s.probing:
+			b.probe(s) // with little traffic, an arrival would probe it only much later
+		case !b.settings.Probes || b.messagesReported || b.shortestMessageTarget == 0 || len(s.conns) == 0 ||
+			s.probing:
+		case b.now-s.probedAt >= reportTTL:
 			b.probe(s)
 		}
 	}
@@ -453,112 +466,118 @@
 	s.probing = false
 	switch e.Outcome {
 	case OK:
-		s.unproven, s.silent = false, false
+		s.unverified, s.unresponsive = false, false
 		b.onReport(s, e.Report)
 	case Full, Cancelled, Unsent:
 	default:
-		b.strike(s, e.Outcome == Errored)
+		b.eject(s, e.Outcome == Errored)
 	}
 	b.retryWaiting()
 }
 
 // ---- Ranking ----
 
-// choose ranks all ready servers for a request and returns the one with the lowest ratio, or nil.
+// choose returns the server with the lowest ratio among all that are eligible for a request, or nil.
 func (b *Balancer) choose(r *request) *server {
-	b.survey()
-	trust := 4*b.sick <= 3*b.ready // when nearly all look sick, the verdict is doubted, not the fleet
+	b.updateFleetStats()
+	trustEjections := 4*b.ejectedServers <= 3*b.ready // with over 3/4 ejected, ejections are ignored
 	b.fit = b.fit[:0]
 	for _, s := range b.servers {
-		sound := !(trust && b.aside(s)) && !s.probing
-		if b.permitted(r, s) && sound && b.setUpRoom(s) && b.coldRoom(s, r.weight) {
+		usable := !(trustEjections && b.isEjected(s)) && !s.probing
+		if b.eligible(r, s) && usable && b.canSetUp(s) && b.coldServerAdmits(s, r.weight) {
 			b.fit = append(b.fit, s)
 		}
 	}
 	if len(b.fit) == 0 {
-		return b.pick(b.servers, func(s *server) (float64, bool) {
-			return s.rank, b.permitted(r, s) && b.setUpRoom(s) && b.coldRoom(s, r.weight)
+		return b.pickMin(b.servers, func(s *server) (float64, bool) {
+			return s.rank, b.eligible(r, s) && b.canSetUp(s) && b.coldServerAdmits(s, r.weight)
 		})
 	}
-	return b.lowest(b.fit, r.homes)
+	return b.chooseLowest(b.fit, r.preferred)
 }
 
-// homesOf returns the servers of our zone where connections of a group gather, the same at every balancer of
-// the zone: those with the lowest hash of group and server. It guards against a group spread over the whole
-// fleet, where every server that holds any of it pays for it.
-func (b *Balancer) homesOf(group string) (homes []*server) {
+// preferredServers returns the ready servers of our zone on which connections of a group are
+// concentrated, the same at every balancer of the zone: those with the lowest hash of group and server.
+// It guards against a group spread over the whole fleet, where each server that holds any of it bears the
+// cost of the group.
+func (b *Balancer) preferredServers(group string) (preferred []*server) {
 	if group == "" {
 		return nil
 	}
 	for _, s := range b.servers {
-		if s.State == Ready && s.Zone == b.set.Zone {
-			homes = append(homes, s)
+		if s.State == Ready && s.Zone == b.settings.Zone {
+			preferred = append(preferred, s)
 		}
 	}
 	key := hashOf(group)
-	slices.SortFunc(homes, func(s, t *server) int { return cmp.Compare(mix(key+s.hash), mix(key+t.hash)) })
-	return homes[:min(len(homes), max(groupHomes, len(homes)/groupPart))]
+	slices.SortFunc(preferred, func(s, t *server) int { return cmp.Compare(mix(key+s.hash), mix(key+t.hash)) })
+	return preferred[:min(len(preferred), max(minPreferredServers, len(preferred)/preferredServersDivisor))]
 }
 
-// homeStep is how much fuller than the rest a home of a group may be, the first the most. As the cost of
-// crossing, it fades as the fleet fills, so that a truly lower server still wins.
-func (b *Balancer) homeStep(homes []*server, s *server) float64 {
-	if i, n := slices.Index(homes, s), len(homes); i >= 0 {
-		return groupRatio * float64(n-i) / float64(n) * max(0, ceiling-b.mean)
+// preferenceBonus is how much fuller than others a server preferred by a group may be; the first choice
+// has the highest bonus. Like the zone-crossing penalty it shrinks as the fleet fills, so that a server
+// with a truly lower ratio still wins.
+func (b *Balancer) preferenceBonus(preferred []*server, s *server) float64 {
+	if i, n := slices.Index(preferred, s), len(preferred); i >= 0 {
+		return groupAffinityBonus * float64(n-i) / float64(n) * max(0, targetUtilization-b.meanRatio)
 	}
 	return 0
 }
 
-// lowest returns the server with the lowest estimate, where servers count as tied when they differ by less
-// than what the other balancers place on them before reports can show it. The tied are drawn in proportion to
-// what each takes until all stand at one level, as water fills a basin. It guards against many balancers that
-// read one late report and flood the same server. A group's homes are lower by their step. Among many tied
-// they would lose to the number, and a group be spread over the fleet: their odds stay those among a dozen. A
-// cold server that few balancers may use at a time has the odds that it lacks at the others. Those of which
-// only old reports tell are left out where there are probes: the lowest of many has changed the most. What is
-// sent on whatever room there is goes to the lowest, and is paid as many probes as a first try.
-func (b *Balancer) lowest(fit, homes []*server) *server {
-	for _, s := range homes {
-		s.rank -= b.homeStep(homes, s)
-	}
-	level, odds := b.level(fit), max(1, float64(len(fit))/dozen)
-	best := b.draw(fit, func(s *server) float64 {
-		w := max(0, level-s.rank) * b.capacityOf(s) / s.admitted
+// chooseLowest returns the server with the lowest rank. Servers count as tied if they differ by less than
+// what the other balancers place on them before reports can show it; among these, one is drawn at random
+// in proportion to the load that raises each to the common level of fillLevel. It guards against many
+// balancers that read the same late report and flood the same server.
+//
+// The ranks of servers preferred by the group are reduced by their bonus. Among many tied servers, they
+// would still be drawn rarely and the group would spread over the fleet, so their odds stay those among
+// groupOddsServers servers. A cold server that only a fraction of the balancers may use at a time gets
+// higher odds at these. Where probes are permitted, servers with only old reports are left out: the
+// lowest of many old reports is the one most likely to have changed. An arrival that must be admitted
+// whether or not there is room (mustAdmitNext) goes to the lowest rank, and its probe budget is that of a
+// first try.
+func (b *Balancer) chooseLowest(candidates, preferred []*server) *server {
+	for _, s := range preferred {
+		s.rank -= b.preferenceBonus(preferred, s)
+	}
+	level, odds := b.fillLevel(candidates), max(1, float64(len(candidates))/groupOddsServers)
+	best := b.pickWeighted(candidates, func(s *server) float64 {
+		w := max(0, level-s.rank) * b.capacityOf(s) / s.senderFraction
 		switch {
-		case b.set.Probes && !b.fresh(s) && s.admitted == 1:
+		case b.settings.Probes && !b.fresh(s) && s.senderFraction == 1:
 			return 0
-		case slices.Contains(homes, s):
+		case slices.Contains(preferred, s):
 			return w * odds
 		}
 		return w
 	})
-	if best == nil || b.starves() {
+	if best == nil || b.mustAdmitNext() {
 		rank := func(s *server) (float64, bool) { return s.rank, best == nil || s == best || b.fresh(s) }
-		best = b.pick(fit, rank)
+		best = b.pickMin(candidates, rank)
 	}
-	for _, s := range homes {
-		s.rank += b.homeStep(homes, s)
+	for _, s := range preferred {
+		s.rank += b.preferenceBonus(preferred, s)
 	}
 	return best
 }
 
-// level is the common ratio to which the others' coming arrivals fill the servers. Only servers with a fresh
-// report set it, with the part of the arrivals that falls to them: of the others nobody knows that they are
-// low.
-func (b *Balancer) level(fit []*server) float64 {
+// fillLevel is the common ratio to which the expected arrivals at other balancers fill the servers,
+// computed by water-filling. Only servers with a fresh report are included, with their part of the
+// arrivals by capacity: the others are not known to be low.
+func (b *Balancer) fillLevel(candidates []*server) float64 {
 	var fresh, all float64
-	for _, s := range fit {
+	for _, s := range candidates {
 		c := b.capacityOf(s)
 		all += c
 		if b.fresh(s) {
 			fresh += c
 		}
 	}
-	coming := b.coming() * fresh / max(all, 1)
+	arrivals := b.othersArrivals() * fresh / max(all, 1)
 	level := math.Inf(1)
-	for n := len(fit) + 1; ; {
-		below, room, water := 0, 0.0, coming
-		for _, s := range fit {
+	for n := len(candidates) + 1; ; {
+		below, room, water := 0, 0.0, arrivals
+		for _, s := range candidates {
 			if b.fresh(s) && s.rank < level {
 				c := b.capacityOf(s)
 				below++
@@ -576,9 +595,9 @@
 	}
 }
 
-// permitted says whether a request may go to a server at all: it is ready, was not tried, and a repeat of
-// what may have run is dropped there.
-func (b *Balancer) permitted(r *request, s *server) bool {
+// eligible reports whether a request may be sent to a server at all: the server is ready, was not tried
+// yet, and drops the repeat of a request that may have run.
+func (b *Balancer) eligible(r *request, s *server) bool {
 	if s.State != Ready {
 		return false
 	}
@@ -587,13 +606,13 @@
 			return false
 		}
 	}
-	if r.mayRun < 0 || r.class.Effect == Safe {
+	if r.firstMayHaveRun < 0 || r.class.Effect == Safe {
 		return true
 	}
 	if r.class.Effect == Unsafe || b.now >= r.repeatUntil() {
 		return false
 	}
-	first := r.attempts[r.mayRun].server
+	first := r.attempts[r.firstMayHaveRun].server
 	switch r.class.Group {
 	case GroupZone:
 		return s.Zone == first.Zone
@@ -607,75 +626,79 @@
 
 func (b *Balancer) onArrival(e Arrival) {
 	class := b.classes[e.Class]
-	r := &request{Arrival: e, set: b.set, class: class, deadline: b.now + e.TimeLeft, mayRun: -1}
-	r.weight = b.weigh(e.Load)
+	r := &request{Arrival: e, settings: b.settings, class: class, deadline: b.now + e.TimeLeft,
+		firstMayHaveRun: -1}
+	r.weight = b.relativeLoad(e.Load)
 	r.tenant = b.tenants[e.Tenant]
 	b.requests[e.Request] = r
-	b.recent.add(1, b.now, b.span())
+	b.recentArrivals.add(1, b.now, b.arrivalWindow())
 	firstTry := !e.MidFlow && !e.Returning && !e.Repeat
-	b.survey()
-	r.homes = b.homesOf(e.Group)
-	r.asked = b.refresh(r.homes, firstTry)
-	if len(r.asked) > 0 {
-		r.holdTo = b.now + min(class.Aim, e.TimeLeft)/holdPart
-		b.hold(r, r.holdTo)
+	b.updateFleetStats()
+	r.preferred = b.preferredServers(e.Group)
+	r.probed = b.probeForArrival(r.preferred, firstTry)
+	if len(r.probed) > 0 {
+		r.probeWaitUntil = b.now + min(class.LatencyTarget, e.TimeLeft)/probeWaitDivisor
+		b.hold(r, r.probeWaitUntil)
 		return
 	}
 	b.place(r)
 }
 
-// hold keeps a request until a time at the latest.
+// hold delays a request until the given time at the latest.
 func (b *Balancer) hold(r *request, until time.Duration) {
 	if !r.held {
 		r.held = true
 		b.waiting = append(b.waiting, r)
 	}
-	b.wake(until-b.now, r.Request, wakeHold)
+	b.setTimer(until-b.now, r.Request, timerHold)
 }
 
-// place sends a request to the best server, holds it while there is none, or answers it.
+// place sends a request to the best server, holds it while there is none, or rejects it.
 func (b *Balancer) place(r *request) {
 	left := r.deadline - b.now
-	if left <= b.set.Tick || len(r.attempts) >= r.set.MaxAttempts {
-		b.answer(r)
+	if left <= b.settings.Tick || len(r.attempts) >= r.settings.MaxAttempts {
+		b.reject(r)
 		return
 	}
 	s := b.choose(r)
-	if s != nil && s.estimate >= ceiling && b.roomLater(r) {
+	if s != nil && s.estimate >= targetUtilization && b.roomExpected(r) {
 		s = nil
 	}
-	if s != nil && (b.crowdedOut(r, s) && !b.starves() || b.throttled() || left < b.standsWithin()) {
-		b.answer(r)
+	if s != nil && (b.mustReject(r, s) && !b.mustAdmitNext() || b.throttled() || left < b.expectedSetUpTime()) {
+		b.reject(r)
 		return
 	}
 	if s == nil {
-		more := slices.ContainsFunc(b.servers, func(s *server) bool { return b.permitted(r, s) })
+		more := slices.ContainsFunc(b.servers, func(s *server) bool { return b.eligible(r, s) })
 		if len(r.attempts) > 0 && !more || b.queueTime() > left/2 {
-			b.answer(r)
+			b.reject(r)
 			return
 		}
-		b.hold(r, min(left-b.set.Tick, reportLife/4)+b.now)
+		b.hold(r, min(left-b.settings.Tick, reportTTL/4)+b.now)
 		return
 	}
 	b.release(r)
-	timeout := left // cut so that another attempt has time, unless it would be the last
-	if len(r.attempts)+1 < r.set.MaxAttempts && r.class.Effect != Unsafe {
-		timeout = min(left, max(r.class.Aim, min(left/2, 2*r.class.Aim), 2*b.standsWithin()))
-	}
-	b.turnedAway, b.triedAt = 0, b.now
-	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, ahead: s.settingUp, pending: true})
+	timeout := left // shortened to leave time for another attempt, unless this one must be the last
+	if len(r.attempts)+1 < r.settings.MaxAttempts && r.class.Effect != Unsafe {
+		timeout = min(left,
+			max(r.class.LatencyTarget, min(left/2, 2*r.class.LatencyTarget), 2*b.expectedSetUpTime()))
+	}
+	b.rejectedInRow, b.lastAttemptAt = 0, b.now
+	r.attempts = append(r.attempts,
+		attempt{server: s, sentAt: b.now, settingUpBefore: s.settingUp, pending: true})
 	s.budget -= max(1, r.weight)
 	s.settingUp++
-	b.opened(r)
-	b.note(s, r.weight)
+	b.countOpened(r)
+	b.recordChange(s, r.weight)
 	b.act(Place{Request: r.Request, Server: s.Server, Timeout: timeout, SendBy: r.repeatUntil()})
 }
 
-// answer ends a request unserved: a refusal where that is harmless, else a failure.
-func (b *Balancer) answer(r *request) {
-	b.turnAway(r)
+// reject ends a request unserved: with a refusal where a retry is harmless, else with a failure.
+func (b *Balancer) reject(r *request) {
+	b.countRejection(r)
 	if b.mayRefuse(r) {
-		b.act(Refuse{Request: r.Request, RetryAfter: r.set.MaxRetryAfter/2 + b.jitter(r.set.MaxRetryAfter/2)})
+		b.act(Refuse{Request: r.Request,
+			RetryAfter: r.settings.MaxRetryAfter/2 + b.jitter(r.settings.MaxRetryAfter/2)})
 	} else {
 		b.act(Fail{Request: r.Request})
 	}
@@ -684,7 +707,7 @@
 
 func (b *Balancer) mayRefuse(r *request) bool {
 	switch {
-	case r.mayRun < 0 || r.class.Effect == Safe:
+	case r.firstMayHaveRun < 0 || r.class.Effect == Safe:
 		return true
 	case r.class.Effect == Keyed:
 		return r.class.Group == GroupAll
@@ -694,15 +717,15 @@
 
 func (b *Balancer) onEstablished(e Established) {
 	if r, a := b.lookup(e.Request, e.Attempt); a != nil {
-		b.wasSetUp(a, true)
-		b.setUp.add(float64(b.now-a.sentAt-b.standsWithin())/4, b.now, throttleFor)
+		b.countSetUp(a, true)
+		b.recentSetUpTime.add(float64(b.now-a.sentAt-b.expectedSetUpTime())/4, b.now, throttleWindow)
 		a.established = true
-		b.stood.add(1, b.now, throttleFor)
-		a.server.enlist(r)
-		a.server.strikes /= 2
-		a.server.erring -= a.server.erring * erringStep
-		a.server.unproven, a.server.silent = false, false
-		b.admit()
+		b.establishedAttempts.add(1, b.now, throttleWindow)
+		a.server.addConn(r)
+		a.server.ejections /= 2
+		a.server.errorRate -= a.server.errorRate * errorRateStep
+		a.server.unverified, a.server.unresponsive = false, false
+		b.placeWaiting()
 	}
 }
 
@@ -712,26 +735,26 @@
 		return
 	}
 	if a.pending = false; !a.established {
-		b.wasSetUp(a, e.Outcome == TimedOut)
-		defer b.admit()
+		b.countSetUp(a, e.Outcome == TimedOut)
+		defer b.placeWaiting()
 	}
-	a.server.delist(r)
-	b.closed(r)
-	b.note(a.server, -r.weight)
+	a.server.removeConn(r)
+	b.countClosed(r)
+	b.recordChange(a.server, -r.weight)
 	b.onReport(a.server, e.Report)
-	b.judge(r, a, e.Outcome)
+	b.recordOutcome(r, a, e.Outcome)
 	switch e.Outcome {
 	case Full, Unreachable, Unsent:
 	default:
-		if r.mayRun < 0 || e.Attempt < r.mayRun {
-			r.mayRun = e.Attempt
+		if r.firstMayHaveRun < 0 || e.Attempt < r.firstMayHaveRun {
+			r.firstMayHaveRun = e.Attempt
 		}
 	}
 	switch {
 	case e.Final || r.over:
 		b.close(r)
-	case r.mayRun >= 0 && r.class.Effect == Unsafe:
-		b.answer(r)
+	case r.firstMayHaveRun >= 0 && r.class.Effect == Unsafe:
+		b.reject(r)
 	default:
 		b.place(r)
 	}
@@ -739,118 +762,122 @@
 
 // ---- Health ----
 
-// judge draws evidence on a server's health from how an attempt ended.
-func (b *Balancer) judge(r *request, a *attempt, o Outcome) {
-	if !a.established && (o == TimedOut || o == Errored && !r.erred) {
-		b.failed.add(1, b.now, throttleFor)
+// recordOutcome updates a server's health by how an attempt ended.
+func (b *Balancer) recordOutcome(r *request, a *attempt, o Outcome) {
+	if !a.established && (o == TimedOut || o == Errored && !r.errorCounted) {
+		b.failedAttempts.add(1, b.now, throttleWindow)
 	}
 	switch o {
 	case Errored:
-		b.blame(r, a.server)
+		b.countError(r, a.server)
 	case Unreachable, Reset:
-		b.strike(a.server, false)
+		b.eject(a.server, false)
 	case TimedOut:
 		if !a.established {
-			b.strike(a.server, false)
+			b.eject(a.server, false)
 		}
 	case Full:
-		b.setAside(a.server, reportLife/2)
+		b.ejectFor(a.server, reportTTL/2)
 	}
 }
 
-// blame takes the first error that a request meets as evidence against the server, which is set aside once
-// nearly all end so. One that errs now and then costs a moment and an attempt, and its room is needed; and a
-// bad request, which every server answers with an error, must not set aside one after the other.
-func (b *Balancer) blame(r *request, s *server) {
-	if r.erred {
+// countError counts the first error that a request meets against the server, which is ejected once nearly
+// all its requests end so. A server with occasional errors costs a moment and an attempt, and its
+// capacity is needed. Later errors do not count: a bad request, which every server answers with an error,
+// must not eject one server after the other.
+func (b *Balancer) countError(r *request, s *server) {
+	if r.errorCounted {
 		return
 	}
-	r.erred = true
-	if s.erring += (1 - s.erring) * erringStep; s.erring > erringMost {
-		b.strike(s, true)
+	r.errorCounted = true
+	if s.errorRate += (1 - s.errorRate) * errorRateStep; s.errorRate > ejectionErrorRate {
+		b.eject(s, true)
 	}
 }
 
-// strike sets a server aside for longer each time. It guards against a server that fails fast: its ratio
-// stays low and it would swallow every arrival. Further failures while it is aside are the same event. One
-// that does not answer, while notes tell that its messages stay out, serves nobody: it is emptied at once.
-func (b *Balancer) strike(s *server, answers bool) {
-	if b.now < s.asideTo {
+// eject takes a server out of the choice, longer each time. It guards against a server that fails fast:
+// its ratio stays low, so that it would attract every arrival. Further failures while it is ejected count
+// as the same event. A server that does not respond, while MessagesSlow events show that its messages are
+// overdue, serves no one: all connections are moved off at once.
+func (b *Balancer) eject(s *server, responded bool) {
+	if b.now < s.ejectedUntil {
 		return
 	}
-	s.strikes = min(s.strikes+1, 8)
-	s.unproven, s.silent = b.set.Probes, !answers && b.noted
-	b.setAside(s, min(reportLife<<(s.strikes-1), b.settle()))
-	if s.silent && s.slowFrom > 0 {
-		b.relieve(s)
+	s.ejections = min(s.ejections+1, 8)
+	s.unverified, s.unresponsive = b.settings.Probes, !responded && b.messagesReported
+	b.ejectFor(s, min(reportTTL<<(s.ejections-1), b.turnoverTime()))
+	if s.unresponsive && s.slowSince > 0 {
+		b.moveOffSlow(s)
 	}
 }
 
-func (b *Balancer) setAside(s *server, d time.Duration) {
-	s.asideTo = max(s.asideTo, b.now+d*3/4+b.jitter(d/2))
+func (b *Balancer) ejectFor(s *server, d time.Duration) {
+	s.ejectedUntil = max(s.ejectedUntil, b.now+d*3/4+b.jitter(d/2))
 }
 
-// aside says whether a server is not to be chosen: for the time set, and then until it answers a probe, so
-// that a server that is dead but listed costs probes and no attempts.
-func (b *Balancer) aside(s *server) bool { return b.now < s.asideTo || s.unproven }
+// isEjected reports whether a server must not be chosen: for the ejection time, and then until it answers
+// a probe, so that a server that is dead but listed costs probes and no attempts.
+func (b *Balancer) isEjected(s *server) bool { return b.now < s.ejectedUntil || s.unverified }
 
 // ---- Moves ----
 
-// onMessagesSlow takes note of a server whose messages take long.
+// onMessagesSlow applies the reported latency of messages at a server.
 func (b *Balancer) onMessagesSlow(e MessagesSlow) {
 	r := b.requests[e.Request]
 	if r == nil || len(r.attempts) == 0 {
 		return
 	}
-	b.noted = true
-	b.onDelay(r.attempts[len(r.attempts)-1].server, e.Took, r.class.MessageAim)
+	b.messagesReported = true
+	b.onMessageDelay(r.attempts[len(r.attempts)-1].server, e.Took, r.class.MessageLatencyTarget)
 }
 
-// onDelay takes how long a message takes at a server.
-func (b *Balancer) onDelay(s *server, took, aim time.Duration) {
-	if took < aim {
-		s.slowFrom = 0
-		b.assess(s)
+// onMessageDelay compares the time that a message takes at a server with its target.
+func (b *Balancer) onMessageDelay(s *server, took, target time.Duration) {
+	if took < target {
+		s.slowSince = 0
+		b.updateEstimate(s)
 		return
 	}
-	s.delay = took
-	if s.slowAt = b.now; s.slowFrom == 0 {
-		s.slowFrom = b.now
+	s.messageDelay = took
+	if s.slowReportedAt = b.now; s.slowSince == 0 {
+		s.slowSince = b.now
 	}
-	b.assess(s)
-	if took >= reportLife && b.set.Probes && s.State == Ready && !s.probing &&
-		b.now-s.probedAt >= reportLife/2 {
-		b.probe(s) // it may be slow, or answer nothing at all
+	b.updateEstimate(s)
+	if took >= reportTTL && b.settings.Probes && s.State == Ready && !s.probing &&
+		b.now-s.probedAt >= reportTTL/2 {
+		b.probe(s) // to distinguish a slow server from one that does not respond
 	}
-	if (s.silent || b.now-s.slowFrom >= reportLife) && b.now-s.eased >= reportLife {
-		s.eased = b.now
-		b.relieve(s)
+	if (s.unresponsive || b.now-s.slowSince >= reportTTL) && b.now-s.movedOffAt >= reportTTL {
+		s.movedOffAt = b.now
+		b.moveOffSlow(s)
 	}
 }
 
-// relieve moves some of our connections off a server whose messages stay beyond their aim while others have
-// room. It guards against a server that lost capacity, or whose connections grew: it serves nobody until they
-// leave by themselves, which may take minutes. What has piled up, as the delay of its messages tells, is to
-// drain within about a second, so that much room is made besides. Every balancer moves its part of the excess
-// and then waits to see the effect.
-func (b *Balancer) relieve(s *server) {
-	b.survey()
+// moveOffSlow moves some of our connections off a server whose messages stay above their latency target
+// while others have room. It guards against a server that lost capacity, or whose connections grew: it
+// serves no one until clients leave on their own, which may take minutes. Its backlog, estimated by the
+// delay of messages, is to drain within about a second, so enough connections are moved for that. Every
+// balancer moves its part of the excess and then waits to see the effect.
+func (b *Balancer) moveOffSlow(s *server) {
+	b.updateFleetStats()
 	own := 0.0
 	for _, r := range s.conns {
 		own += r.weight
 	}
-	excess := moveLeast
-	if b.fresh(s) && s.estimate > ceiling {
-		excess = max(excess, (s.estimate-ceiling)/s.estimate)
+	excess := minMoveFraction
+	if b.fresh(s) && s.estimate > targetUtilization {
+		excess = max(excess, (s.estimate-targetUtilization)/s.estimate)
 	}
-	if piledUp := max(ceiling/3, ceiling-s.delay.Seconds()); b.fresh(s) && b.mean < spacious {
-		excess = max(excess, (s.estimate-piledUp)/s.estimate)
+	if backlogTarget := max(targetUtilization/3, targetUtilization-s.messageDelay.Seconds()); b.fresh(s) &&
+		b.meanRatio < backlogMoveMaxRatio {
+		excess = max(excess, (s.estimate-backlogTarget)/s.estimate)
 	}
-	if s.silent {
-		excess = 1 // whatever room there is: nobody is served where they are
+	if s.unresponsive {
+		excess = 1 // regardless of room elsewhere: this server serves no one
 	}
 	want := excess * own
-	if !s.silent && b.room < 2*excess*min(own*float64(b.set.Balancers), s.estimate*b.capacityOf(s)) {
+	if !s.unresponsive &&
+		b.spareCapacity < 2*excess*min(own*float64(b.settings.Balancers), s.estimate*b.capacityOf(s)) {
 		return
 	}
 	for _, i := range b.rng.Perm(len(s.conns)) {
@@ -864,11 +891,11 @@
 	}
 }
 
-// empty moves our connections off a draining server, evenly over the time that a server takes to warm up. It
-// guards against being cut off there when the server stops, and against all coming again at once; by chance
-// where each of many balancers holds but one.
-func (b *Balancer) empty(s *server) {
-	rounds := max(1, float64(s.drainFrom+b.settle()-b.now)/float64(reportLife/2))
+// moveOffDraining moves our connections off a draining server, evenly over turnoverTime. It guards
+// against connections that break when the server stops, and against clients that reconnect all at once.
+// Fractions are rounded at random, for the case of many balancers with one connection each.
+func (b *Balancer) moveOffDraining(s *server) {
+	rounds := max(1, float64(s.drainingSince+b.turnoverTime()-b.now)/float64(reportTTL/2))
 	n := int(float64(len(s.conns))/rounds + b.rng.Float64())
 	for _, r := range s.conns[:min(n, len(s.conns))] {
 		b.act(Move{Request: r.Request})
@@ -877,76 +904,81 @@
 
 // ---- Setting up ----
 
-// setUpRoom says whether a server may be sent one more connection to set up: as many wait there as it sets
-// up within twice the shortest aim. It guards against clients that come all at once, as after a restart: what
-// waits for longer times out and is sent to the next server, and the work of the first is lost, until none
-// comes up at all.
-func (b *Balancer) setUpRoom(s *server) bool {
-	if s.pace == 0 {
-		return s.settingUp < fewSetUps
+// canSetUp reports whether a server may get one more connection to set up: at most as many wait there as
+// it sets up within twice the shortest latency target. It guards against clients that arrive all at once,
+// as after a restart: connections that wait longer time out and are sent to the next server, and the work
+// of the first is lost, until no connection is established at all.
+func (b *Balancer) canSetUp(s *server) bool {
+	if s.setUpTime == 0 {
+		return s.settingUp < defaultSetUpLimit
 	}
-	return s.settingUp < max(2, int(2*b.setUpAim/s.pace))
+	return s.settingUp < max(2, int(2*b.shortestLatencyTarget/s.setUpTime))
 }
 
-// roomLater says whether a server that is not full only lacks the answer to a probe or room to set up.
-func (b *Balancer) roomLater(r *request) bool {
+// roomExpected reports whether some server with room only awaits a probe's answer or cannot set up more
+// yet.
+func (b *Balancer) roomExpected(r *request) bool {
 	return slices.ContainsFunc(b.servers, func(s *server) bool {
-		return b.permitted(r, s) && !b.aside(s) && s.estimate < ceiling && (s.probing || !b.setUpRoom(s))
+		return b.eligible(r, s) && !b.isEjected(s) && s.estimate < targetUtilization &&
+			(s.probing || !b.canSetUp(s))
 	})
 }
 
 // ---- Cold servers ----
 
-// coldRoom says whether a server that has just started may take one more connection of such weight from this
-// balancer. It guards against all balancers together pushing it over: each keeps to its share of a cautious
-// budget. It is saved up from the moment of being told, with nothing for before, and from a start by chance
-// until it holds a connection, so that the sum over balancers is right however many come to each; one that
-// was not used for a window lapses. One that is heavier than what all may send goes elsewhere.
-func (b *Balancer) coldRoom(s *server, weight float64) bool {
-	age, first := b.now-s.Started, s.admitted == 0
-	if s.admitted = 1; s.Started <= 0 || age >= b.set.Safety.ColdFor {
+// coldServerAdmits reports whether a server that has just started may get one more connection of the
+// given weight from this balancer. It guards against all balancers together overloading it: each keeps to
+// its share of a cautious budget. The budget accrues from the time the server became known, with nothing
+// for the time before, and starts at a random value; it is spent once it covers a connection. So the sum
+// over all balancers is right, however many arrivals each has. Budget not used within a window lapses. A
+// connection heavier than the budget of all balancers goes elsewhere.
+func (b *Balancer) coldServerAdmits(s *server, weight float64) bool {
+	age, first := b.now-s.Started, s.senderFraction == 0
+	if s.senderFraction = 1; s.Started <= 0 || age >= b.settings.Safety.WarmUp {
 		return true
 	}
-	all, window := float64(b.set.Balancers*(1+b.fellows)), b.coldBudget(s, age)
+	all, window := float64(b.settings.Balancers*(1+b.siblings)), b.coldBudget(s, age)
 	if first {
 		s.budget = b.rng.Float64() + 1/all
 	}
-	s.budget += window / all * float64(b.now-s.fedAt) / float64(max(b.set.Safety.TipAfter, 1))
+	s.budget += window / all * float64(b.now-s.budgetUpdatedAt) /
+		float64(max(b.settings.Safety.OverloadWindow, 1))
 	s.budget -= math.Ceil(max(0, s.budget-window/all-1))
-	s.admitted, s.fedAt = min(1, window/all), b.now
+	s.senderFraction, s.budgetUpdatedAt = min(1, window/all), b.now
 	return s.budget >= 1 && weight <= max(1, window)
 }
 
-// coldBudget is what all together may send a cold server in one window, in connections: a cautious part of
-// what the rule allows on the pace that would just fill it over its warm-up. Of the climb only the slowest is
-// certain.
+// coldBudget is what all balancers together may send to a cold server in one window, in connections: a
+// cautious fraction of the allowed multiple of the rate that would just fill the server over its warm-up.
+// The slowest possible increase of its capacity is assumed.
 func (b *Balancer) coldBudget(s *server, age time.Duration) float64 {
-	safe := b.set.Safety
-	warm := safe.ColdFrom + (1-safe.ColdFrom)*float64(max(age, 0))/float64(safe.ColdFor)
-	pace := b.capacityOf(s) / max(safe.ColdFor, reportLife).Seconds()
-	return coldCaution * safe.OverloadFactor * warm * pace * safe.TipAfter.Seconds()
+	safe := b.settings.Safety
+	warm := safe.ColdCapacity + (1-safe.ColdCapacity)*float64(max(age, 0))/float64(safe.WarmUp)
+	pace := b.capacityOf(s) / max(safe.WarmUp, reportTTL).Seconds()
+	return coldBudgetFraction * safe.OverloadFactor * warm * pace * safe.OverloadWindow.Seconds()
 }
 
 // ---- Discovery ----
 
-// onDiscovery follows the state of the subscription.
+// onDiscovery tracks the state of the subscription to the server list.
 func (b *Balancer) onDiscovery(kind ListKind) {
-	if !b.set.ListOnRequest || kind == ListSaved {
+	if !b.settings.ListOnRequest || kind == ListSaved {
 		return
 	}
 	b.subscribed = kind != ListFailed
 	if b.subscribed {
-		b.askFails = 0
+		b.subscribeFailures = 0
 		return
 	}
-	b.askFails++
-	b.wake(b.askAgain()/2+b.jitter(b.askAgain()/2), 0, wakeSubscribe)
+	b.subscribeFailures++
+	b.setTimer(b.subscribeBackoff()/2+b.jitter(b.subscribeBackoff()/2), 0, timerSubscribe)
 }
 
-// askAgain is the back-off after failed calls, always well within the time in which the list must be asked
-// for. It grows so that many balancers do not keep a weak list service down.
-func (b *Balancer) askAgain() time.Duration {
-	return min(b.set.Safety.AskWithin/16<<min(b.askFails, 3), b.set.Safety.AskWithin/2)
+// subscribeBackoff is the delay after failed calls, always well below the interval in which the list must
+// be fetched. It grows so that many balancers do not keep an overloaded discovery service down.
+func (b *Balancer) subscribeBackoff() time.Duration {
+	return min(b.settings.Safety.ListRefreshInterval/16<<min(b.subscribeFailures, 3),
+		b.settings.Safety.ListRefreshInterval/2)
 }
 
 func (b *Balancer) checkSubscription() {
@@ -957,37 +989,42 @@
 
 // ---- Admission ----
 
-// crowdedOut says whether a request that would go to s must be refused: s is full, or the other balancers
-// place more, before reports can show it, than fits below the ceiling; as much as fits is let in by chance.
-// What this one placed is in its estimates.
-// It guards against a jam that feeds itself: full servers serve nobody, drop their clients, and these come
-// again. Where room is short, what a tenant sends beyond its share is the first to go, and so is a class that
-// brings less worth for its load than all do: one heavy connection takes the room of many.
-// A balancer that has turned away too many on end sends the next one on all the same (starves): it sees few
-// of many servers, and that none of these has room may be chance.
-func (b *Balancer) crowdedOut(r *request, s *server) bool {
-	coming := b.coming()
-	limit := ceiling
-	if t := r.tenant; t != nil && t.beyondShare(b.set.Balancers) {
-		coming, limit = 2*coming, overShare*ceiling
-	}
-	limit *= overShare + (1-overShare)*min(1, b.yield(r.class))
+// mustReject reports whether a request that would go to s must be refused: s is full, or the other
+// balancers place more, before reports can show it, than fits below the target; what fits is then
+// admitted at random. The estimates already contain what this balancer placed.
+//
+// It guards against an overload that sustains itself: full servers serve no one and drop their clients,
+// which come again. Where room is short, a tenant's traffic beyond its share is the first to be refused,
+// and so is a class with less value for its load than the mean: one heavy connection takes the room of
+// many.
+//
+// A balancer that has rejected too many arrivals in a row admits the next one nevertheless
+// (mustAdmitNext): it sees few of many servers, and it may be chance that none of these has room.
+func (b *Balancer) mustReject(r *request, s *server) bool {
+	arrivals := b.othersArrivals()
+	limit := targetUtilization
+	if t := r.tenant; t != nil && t.beyondShare(b.settings.Balancers) {
+		arrivals, limit = 2*arrivals, lowPriorityFraction*targetUtilization
+	}
+	limit *= lowPriorityFraction + (1-lowPriorityFraction)*min(1, b.valuePerLoad(r.class))
 	if s.estimate >= limit {
 		return true
 	}
-	return len(r.attempts) == 0 && b.room < coming && b.rng.Float64()*coming > b.room
+	return len(r.attempts) == 0 && b.spareCapacity < arrivals && b.rng.Float64()*arrivals > b.spareCapacity
 }
 
-// throttled turns away, by chance, part of the attempts while more of them fail slowly than stand, so that at
-// most about twice as many are made as succeed. It guards against something behind all servers that is
-// overloaded: setting aside one server after the other does not help there, and every further attempt adds to
-// the load that makes the others fail.
+// throttled rejects a random part of the attempts while more of them fail slowly than are established, so
+// that at most about twice as many are made as succeed. It guards against the overload of something
+// behind all servers: ejecting one server after the other does not help there, and every further attempt
+// adds to the load that makes the others fail.
 func (b *Balancer) throttled() bool {
-	failed, stood := b.failed.over(b.now, throttleFor), b.stood.over(b.now, throttleFor)
-	return b.rng.Float64()*(failed+stood+1) < failed-stood
+	failed, established := b.failedAttempts.value(b.now, throttleWindow),
+		b.establishedAttempts.value(b.now, throttleWindow)
+	return b.rng.Float64()*(failed+established+1) < failed-established
 }
 
-// beyondShare judges by this balancer's part of the tenant's connections, less what chance adds to the part.
+// beyondShare compares this balancer's part of the tenant's connections, less one standard deviation of
+// it.
 func (t *tenant) beyondShare(balancers int) bool {
 	n, part := float64(t.open), 1/float64(balancers)
 	return n-math.Sqrt(n*(1-part)) >= t.quota*part
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -22,16 +22,16 @@
 		MaxAttempts: 3,
 		Tick:        ms,
 		Classes: []balance.Class{
-			{Name: "safe", Aim: 500 * ms, Effect: balance.Safe, MessageAim: 100 * ms},
-			{Name: "unsafe", Aim: 500 * ms, Effect: balance.Unsafe},
-			{Name: "keyed-all", Aim: 500 * ms, Effect: balance.Keyed, Group: balance.GroupAll, Window: 5 * sec},
-			{Name: "keyed-zone", Aim: 500 * ms, Effect: balance.Keyed, Group: balance.GroupZone, Window: 5 * sec},
-			{Name: "keyed-cell", Aim: 500 * ms, Effect: balance.Keyed, Group: balance.GroupCell, Window: 5 * sec},
-			{Name: "keyed-short", Aim: 500 * ms, Effect: balance.Keyed, Group: balance.GroupAll, Window: 100 * ms},
+			{Name: "safe", LatencyTarget: 500 * ms, Effect: balance.Safe, MessageLatencyTarget: 100 * ms},
+			{Name: "unsafe", LatencyTarget: 500 * ms, Effect: balance.Unsafe},
+			{Name: "keyed-all", LatencyTarget: 500 * ms, Effect: balance.Keyed, Group: balance.GroupAll, Window: 5 * sec},
+			{Name: "keyed-zone", LatencyTarget: 500 * ms, Effect: balance.Keyed, Group: balance.GroupZone, Window: 5 * sec},
+			{Name: "keyed-cell", LatencyTarget: 500 * ms, Effect: balance.Keyed, Group: balance.GroupCell, Window: 5 * sec},
+			{Name: "keyed-short", LatencyTarget: 500 * ms, Effect: balance.Keyed, Group: balance.GroupAll, Window: 100 * ms},
 		},
 		Safety: balance.Safety{
-			AnswerSlack: 8 * ms, DrainGrace: 250 * ms, AskWithin: 10 * sec,
-			ColdFrom: 0.3, ColdFor: 8 * sec, OverloadFactor: 2.5, TipAfter: sec,
+			AnswerSlack: 8 * ms, DrainGrace: 250 * ms, ListRefreshInterval: 10 * sec,
+			ColdCapacity: 0.3, WarmUp: 8 * sec, OverloadFactor: 2.5, OverloadWindow: sec,
 		},
 	}
 }
@@ -60,8 +60,8 @@
 	d.now += by
 	var out []balance.Action
 	for _, a := range pending {
-		if w, ok := a.(balance.Wake); ok && w.After <= by {
-			out = append(out, d.do(balance.Woken{Token: w.Token})...)
+		if w, ok := a.(balance.SetTimer); ok && w.After <= by {
+			out = append(out, d.do(balance.TimerFired{Token: w.Token})...)
 		}
 	}
 	return out
@@ -72,7 +72,7 @@
 }
 
 func (d *driver) list(entries ...balance.Listing) []balance.Action {
-	return d.do(balance.ServerList{Kind: balance.ListWhole, Entries: entries})
+	return d.do(balance.ServerList{Kind: balance.ListFull, Entries: entries})
 }
 
 // fleet lists servers a, b, c ... in one zone and reports their ratios.
@@ -331,7 +331,7 @@
 	d := drive(t, settings(), 1)
 	d.fleet(0.3, 0.4)
 	d.arrive(1, "safe", 2*sec)
-	for _, ev := range []balance.Event{balance.Woken{Token: 1<<2 | 1}, balance.Woken{Token: 77},
+	for _, ev := range []balance.Event{balance.TimerFired{Token: 1<<2 | 1}, balance.TimerFired{Token: 77},
 		balance.Probed{Server: "b", Outcome: balance.OK}} {
 		if got := placed(d.do(ev)); got != "" {
 			t.Errorf("%#v: second attempt on %q while the first is pending", ev, got)
@@ -343,7 +343,7 @@
 	for name, news := range map[string]balance.ServerList{
 		"draining": {Kind: balance.ListChanges, Entries: []balance.Listing{{Server: "a", State: balance.Draining}}},
 		"gone":     {Kind: balance.ListChanges, Entries: []balance.Listing{{Server: "a", State: balance.Gone}}},
-		"missing":  {Kind: balance.ListWhole, Entries: []balance.Listing{listing("b", "here", 0)}},
+		"missing":  {Kind: balance.ListFull, Entries: []balance.Listing{listing("b", "here", 0)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := drive(t, settings(), 1)
@@ -372,11 +372,11 @@
 		}
 		pending = d.do(balance.ServerList{Kind: balance.ListFailed})
 		last = wakeAfter(t, pending)
-		if last > set.Safety.AskWithin/2 {
-			t.Fatalf("asks again after %v, too late for %v", last, set.Safety.AskWithin)
+		if last > set.Safety.ListRefreshInterval/2 {
+			t.Fatalf("asks again after %v, too late for %v", last, set.Safety.ListRefreshInterval)
 		}
 	}
-	if last < set.Safety.AskWithin/8 {
+	if last < set.Safety.ListRefreshInterval/8 {
 		t.Errorf("still asks after %v in the eighth try: no back-off", last)
 	}
 	d.list(listing("a", "here", 0))
@@ -388,7 +388,7 @@
 func wakeAfter(t *testing.T, acts []balance.Action) time.Duration {
 	t.Helper()
 	for _, a := range acts {
-		if w, ok := a.(balance.Wake); ok {
+		if w, ok := a.(balance.SetTimer); ok {
 			return w.After
 		}
 	}
@@ -684,7 +684,7 @@
 	}
 	report := balance.Report{Known: balance.HasRatio | balance.HasLatency, Latency: 700}
 	moves, probes := 0, 0
-	pending := []balance.Action{balance.Wake{After: sec, Token: 3}}
+	pending := []balance.Action{balance.SetTimer{After: sec, Token: 3}}
 	for range 8 {
 		pending = d.wait(sec, pending)
 		for _, a := range pending {
@@ -745,7 +745,7 @@
 	draining.State = balance.Draining
 	d.do(balance.ServerList{Entries: []balance.Listing{draining}})
 	moved, most := 0, 0
-	pending := []balance.Action{balance.Wake{After: 500 * ms, Token: 3}}
+	pending := []balance.Action{balance.SetTimer{After: 500 * ms, Token: 3}}
 	for range 16 { // over the 8 s of warming up
 		pending = d.wait(500*ms, pending)
 		now := 0
@@ -805,8 +805,8 @@
 			take(d.do(balance.Established{Request: id}))
 		}
 		for _, a := range d.all {
-			if w, ok := a.(balance.Wake); ok && w.Token&3 == 1 {
-				take(d.do(balance.Woken{Token: w.Token}))
+			if w, ok := a.(balance.SetTimer); ok && w.Token&3 == 1 {
+				take(d.do(balance.TimerFired{Token: w.Token}))
 			}
 		}
 	}
@@ -837,7 +837,7 @@
 // Where servers warm up within a second, one that drains is still not emptied at a stroke.
 func TestAShortWarmUpDoesNotHurryADrain(t *testing.T) {
 	set := settings()
-	set.Probes, set.Safety.ColdFor = true, sec
+	set.Probes, set.Safety.WarmUp = true, sec
 	d := drive(t, set, 1)
 	d.fleet(0.3, 0.6, 0.6)
 	for id := balance.RequestID(1); id <= 8; id++ {
@@ -951,8 +951,8 @@
 	nan := 0.0
 	nan /= nan
 	for _, ev := range []balance.Event{
-		balance.ServerList{Kind: balance.ListWhole},
-		balance.ServerList{Kind: balance.ListWhole, Entries: []balance.Listing{
+		balance.ServerList{Kind: balance.ListFull},
+		balance.ServerList{Kind: balance.ListFull, Entries: []balance.Listing{
 			{Server: "a", Weight: nan}, {Server: "b", Weight: -3}, {Server: "b", Weight: 1}}},
 		balance.Probed{Server: "nobody"},
 		balance.Probed{Server: "a", Report: balance.Report{Known: balance.HasRatio, Ratio: nan}},
@@ -960,7 +960,7 @@
 		balance.Arrival{Request: 1, Class: "no such class", TimeLeft: sec, Load: nan},
 		balance.Arrival{Request: 2, Load: -5, TimeLeft: -sec},
 		balance.Ended{Request: 1, Attempt: 5}, balance.Ended{Request: 1, Attempt: -1},
-		balance.Established{Request: 99}, balance.Departed{Request: 99}, balance.Woken{Token: 1 << 62},
+		balance.Established{Request: 99}, balance.Departed{Request: 99}, balance.TimerFired{Token: 1 << 62},
 		balance.MessagesSlow{Request: 1, Took: -sec}, balance.LoadChanged{Request: 1, Load: nan},
 		balance.PeerMessage{From: -4, Data: "\xff\x00"},
 		balance.Inherited{Server: "gone", Arrival: balance.Arrival{Request: 50}},
@@ -1013,7 +1013,7 @@
 // any other.
 func TestAServerThatStartedAgainIsNotHeldToItsPast(t *testing.T) {
 	set := settings()
-	set.Safety.ColdFor = 0
+	set.Safety.WarmUp = 0
 	d := drive(t, set, 1)
 	d.fleet(0.1, 0.2)
 	if at := placed(d.arrive(1, "safe", sec)); at != "a" {
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -105,7 +105,7 @@
 		sent: map[balance.ServerID][]sending{}}
 	w.set.Balancers, w.set.MaxRetryAfter = processes, sec
 	w.set.Tenants = []balance.Tenant{{Name: "t", Share: 1, Quota: (coldWarm + coldHosts) * coldFull}}
-	w.set.Safety.ColdFrom, w.set.Safety.OverloadFactor, w.set.Safety.TipAfter = 0.37, 3, 1500*ms
+	w.set.Safety.ColdCapacity, w.set.Safety.OverloadFactor, w.set.Safety.OverloadWindow = 0.37, 3, 1500*ms
 	if p.again {
 		w.starts = append(w.starts, coldStart+2*sec+w.upTo(3*sec))
 	}
@@ -114,7 +114,7 @@
 		w.from = coldStart - coldKnown
 	}
 	w.begin(processes, seed)
-	end := w.starts[len(w.starts)-1] + w.set.Safety.ColdFor
+	end := w.starts[len(w.starts)-1] + w.set.Safety.WarmUp
 	for now := w.from; now < end; now += time.Duration(w.rng.ExpFloat64() / w.rate(now) * float64(sec)) {
 		w.arrive(now)
 	}
@@ -187,11 +187,11 @@
 			p.lists = p.lists[1:]
 		}
 		p.lists[0].at = min(p.lists[0].at, up)
-		p.b.Handle(up, balance.ServerList{Kind: balance.ListWhole, Entries: p.lists[0].entries})
+		p.b.Handle(up, balance.ServerList{Kind: balance.ListFull, Entries: p.lists[0].entries})
 	}
 	for len(p.lists) > 1 && p.lists[1].at <= now {
 		p.lists = p.lists[1:]
-		p.b.Handle(p.lists[0].at, balance.ServerList{Kind: balance.ListWhole, Entries: p.lists[0].entries})
+		p.b.Handle(p.lists[0].at, balance.ServerList{Kind: balance.ListFull, Entries: p.lists[0].entries})
 	}
 	return true
 }
@@ -231,25 +231,25 @@
 // pace is what a host bears of new connections in a window, so long after its start.
 func (w *coldWorld) pace(age time.Duration) float64 {
 	safe := w.set.Safety
-	warm := safe.ColdFrom + (1-safe.ColdFrom)*float64(age)/float64(safe.ColdFor)
-	return safe.OverloadFactor * warm * coldFull * float64(safe.TipAfter) / float64(safe.ColdFor)
+	warm := safe.ColdCapacity + (1-safe.ColdCapacity)*float64(age)/float64(safe.WarmUp)
+	return safe.OverloadFactor * warm * coldFull * float64(safe.OverloadWindow) / float64(safe.WarmUp)
 }
 
 func (w *coldWorld) outcome() (out coldOutcome) {
 	total, budget := 0.0, 0.0
 	for i, start := range w.starts {
-		end := start + w.set.Safety.ColdFor
+		end := start + w.set.Safety.WarmUp
 		if i+1 < len(w.starts) {
 			end = w.starts[i+1]
 		}
-		windows := float64(end-start) / float64(w.set.Safety.TipAfter)
+		windows := float64(end-start) / float64(w.set.Safety.OverloadWindow)
 		budget += coldHosts * windows * w.pace((end-start)/2) / 2
 		for _, sent := range w.sent {
 			sent = slices.DeleteFunc(slices.Clone(sent), func(s sending) bool { return s.at < start || s.at >= end })
 			for j, first := range sent {
 				sum := 0.0
 				for _, s := range sent[j:] {
-					if s.at < first.at+w.set.Safety.TipAfter {
+					if s.at < first.at+w.set.Safety.OverloadWindow {
 						sum += s.weight
 					}
 				}
--- a/balance/deployments_test.go
+++ b/balance/deployments_test.go
@@ -13,10 +13,10 @@
 // can send a part of. Nodes that each count on being alone, as one of another deployment may be, have to be found.
 func TestAFewNodesShareAColdHostsBudget(t *testing.T) {
 	figures := map[string]balance.Safety{
-		"one building": {ColdFrom: 0.37, ColdFor: 8 * sec, OverloadFactor: 3, TipAfter: 1500 * ms},
-		"two centres":  {ColdFrom: 0.33, ColdFor: 7100 * ms, OverloadFactor: 2.5, TipAfter: 1500 * ms},
-		"between":      {ColdFrom: 0.35, ColdFor: 7500 * ms, OverloadFactor: 2.75, TipAfter: 1200 * ms},
-		"beyond":       {ColdFrom: 0.3, ColdFor: 12 * sec, OverloadFactor: 2, TipAfter: 2 * sec},
+		"one building": {ColdCapacity: 0.37, WarmUp: 8 * sec, OverloadFactor: 3, OverloadWindow: 1500 * ms},
+		"two centres":  {ColdCapacity: 0.33, WarmUp: 7100 * ms, OverloadFactor: 2.5, OverloadWindow: 1500 * ms},
+		"between":      {ColdCapacity: 0.35, WarmUp: 7500 * ms, OverloadFactor: 2.75, OverloadWindow: 1200 * ms},
+		"beyond":       {ColdCapacity: 0.3, WarmUp: 12 * sec, OverloadFactor: 2, OverloadWindow: 2 * sec},
 	}
 	for name, safe := range figures {
 		t.Run(name, func(t *testing.T) {
@@ -39,13 +39,13 @@
 	set := settings()
 	set.Balancers, set.MaxRetryAfter = told, sec
 	set.Tenants = []balance.Tenant{{Name: "t", Share: 1, Quota: 5 * full}}
-	safe.DrainGrace, safe.AskWithin = set.Safety.DrainGrace, set.Safety.AskWithin
+	safe.DrainGrace, safe.ListRefreshInterval = set.Safety.DrainGrace, set.Safety.ListRefreshInterval
 	set.Safety = safe
 	fleet, entries := partlyCold(t, set, nodes, 3, 2, start, 0)
 	rng := rand.New(rand.NewPCG(uint64(nodes), 1))
 	sent := map[string][]time.Duration{}
 	id := balance.RequestID(0)
-	for now := start; now < start+safe.ColdFor; now += 25 * ms {
+	for now := start; now < start+safe.WarmUp; now += 25 * ms {
 		d := fleet[rng.IntN(nodes)]
 		d.now, id = now, id+1
 		for _, e := range entries[:3] {
@@ -63,12 +63,12 @@
 		for i, at := range times {
 			n := 0
 			for _, other := range times[i:] {
-				if other < at+safe.TipAfter {
+				if other < at+safe.OverloadWindow {
 					n++
 				}
 			}
-			warm := safe.ColdFrom + (1-safe.ColdFrom)*float64(at+safe.TipAfter/2-start)/float64(safe.ColdFor)
-			allowed := safe.OverloadFactor * warm * full * float64(safe.TipAfter) / float64(safe.ColdFor)
+			warm := safe.ColdCapacity + (1-safe.ColdCapacity)*float64(at+safe.OverloadWindow/2-start)/float64(safe.WarmUp)
+			allowed := safe.OverloadFactor * warm * full * float64(safe.OverloadWindow) / float64(safe.WarmUp)
 			beyond = max(beyond, float64(n)-allowed)
 		}
 	}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -11,9 +11,9 @@
 	b := balance.New(balance.Settings{
 		Balancers:   1,
 		MaxAttempts: 3,
-		Classes:     []balance.Class{{Name: "feed", Aim: 500 * time.Millisecond, Effect: balance.Safe}},
+		Classes:     []balance.Class{{Name: "feed", LatencyTarget: 500 * time.Millisecond, Effect: balance.Safe}},
 	}, 42)
-	b.Handle(0, balance.ServerList{Kind: balance.ListWhole, Entries: []balance.Listing{
+	b.Handle(0, balance.ServerList{Kind: balance.ListFull, Entries: []balance.Listing{
 		{Server: "a", Weight: 1}, {Server: "b", Weight: 1},
 	}})
 	b.Handle(0, balance.Probed{Server: "a", Report: balance.Report{Known: balance.HasRatio, Ratio: 0.7}})
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -76,12 +76,12 @@
 	set := settings()
 	set.Balancers, set.MaxRetryAfter = nodes, sec
 	set.Tenants = []balance.Tenant{{Name: "t", Share: 1, Quota: 5 * full}}
-	set.Safety.TipAfter, set.Safety.OverloadFactor = 1500*ms, 3
+	set.Safety.OverloadWindow, set.Safety.OverloadFactor = 1500*ms, 3
 	fleet, entries := partlyCold(t, set, nodes, 5, 8, start, seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	sent := map[string][]time.Duration{}
 	id := balance.RequestID(0)
-	for now := start; now < start+set.Safety.ColdFor; now += 1500 * ms / nodes {
+	for now := start; now < start+set.Safety.WarmUp; now += 1500 * ms / nodes {
 		d := fleet[rng.IntN(nodes)]
 		d.now, id = now, id+1
 		for _, e := range entries[:5] {
@@ -95,22 +95,22 @@
 		}
 	}
 	warm := func(at time.Duration) float64 {
-		return set.Safety.ColdFrom + (1-set.Safety.ColdFrom)*float64(at-start)/float64(set.Safety.ColdFor)
+		return set.Safety.ColdCapacity + (1-set.Safety.ColdCapacity)*float64(at-start)/float64(set.Safety.WarmUp)
 	}
 	allowed := func(at time.Duration) float64 { // in the window from at on
-		return set.Safety.OverloadFactor * warm(at) * full * float64(set.Safety.TipAfter) / float64(set.Safety.ColdFor)
+		return set.Safety.OverloadFactor * warm(at) * full * float64(set.Safety.OverloadWindow) / float64(set.Safety.WarmUp)
 	}
 	for host, times := range sent {
 		for i, at := range times {
 			n := 0
 			for _, other := range times[i:] {
-				if other < at+set.Safety.TipAfter {
+				if other < at+set.Safety.OverloadWindow {
 					n++
 				}
 			}
 			kept = kept && float64(n) <= allowed(at)
 			if float64(n) > allowed(at)+2*math.Sqrt(allowed(at))+2 {
-				t.Errorf("%s: %d sent within %v from %v on, %.1f allowed", host, n, set.Safety.TipAfter, at-start, allowed(at))
+				t.Errorf("%s: %d sent within %v from %v on, %.1f allowed", host, n, set.Safety.OverloadWindow, at-start, allowed(at))
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 	set := settings()
 	set.Balancers, set.MaxRetryAfter = nodes, sec
 	set.Tenants = []balance.Tenant{{Name: "t", Share: 1, Quota: (old + young) * full}}
-	set.Safety.TipAfter, set.Safety.OverloadFactor = 1500*ms, 3
+	set.Safety.OverloadWindow, set.Safety.OverloadFactor = 1500*ms, 3
 	fleet, entries := partlyCold(t, set, nodes, old, young, start, 0)
 	rng := rand.New(rand.NewPCG(1, 1))
 	sent := map[string][]time.Duration{}
@@ -244,14 +244,14 @@
 		d.do(balance.Established{Request: id})
 	}
 	allowed := func(at time.Duration) float64 { // in the window from at on
-		warm := set.Safety.ColdFrom + (1-set.Safety.ColdFrom)*float64(at-start)/float64(set.Safety.ColdFor)
-		return set.Safety.OverloadFactor * warm * full * float64(set.Safety.TipAfter) / float64(set.Safety.ColdFor)
+		warm := set.Safety.ColdCapacity + (1-set.Safety.ColdCapacity)*float64(at-start)/float64(set.Safety.WarmUp)
+		return set.Safety.OverloadFactor * warm * full * float64(set.Safety.OverloadWindow) / float64(set.Safety.WarmUp)
 	}
 	for _, e := range entries[old:] {
 		times := sent[string(e.Server)]
 		for i, at := range times {
 			n := 0
-			for n < len(times)-i && times[i+n] < at+set.Safety.TipAfter {
+			for n < len(times)-i && times[i+n] < at+set.Safety.OverloadWindow {
 				n++
 			}
 			if limit := allowed(at) + 3*math.Sqrt(allowed(at)) + 3; float64(n) > limit {
--- a/balance/herd_test.go
+++ b/balance/herd_test.go
@@ -26,10 +26,10 @@
 		take := func(acts []balance.Action) {
 			for _, a := range acts {
 				switch a := a.(type) {
-				case balance.Wake:
+				case balance.SetTimer:
 					timers = append(timers, timer{d.now + a.After, a.Token})
 				case balance.Subscribe:
-					if d.now-last > set.Safety.AskWithin {
+					if d.now-last > set.Safety.ListRefreshInterval {
 						t.Fatalf("node %d asked after %v only", node, d.now-last)
 					}
 					calls, last = calls+1, d.now
@@ -51,7 +51,7 @@
 				break
 			}
 			before := calls
-			take(d.do(balance.Woken{Token: due.token}))
+			take(d.do(balance.TimerFired{Token: due.token}))
 			if calls > before {
 				take(d.do(balance.ServerList{Kind: balance.ListFailed}))
 			}
--- a/balance/look_test.go
+++ b/balance/look_test.go
@@ -22,7 +22,7 @@
 	take := func(acts []balance.Action) (probes int) {
 		for _, a := range acts {
 			switch a := a.(type) {
-			case balance.Wake:
+			case balance.SetTimer:
 				timers = append(timers, a)
 			case balance.Probe:
 				probes++
--- a/balance/homes_test.go
+++ b/balance/preferred_test.go
@@ -19,13 +19,13 @@
 		entries = append(entries, listing(fmt.Sprint("h", i), "here", i), listing(fmt.Sprint("far", i), "there", i))
 	}
 	d.list(entries...)
-	homes := d.b.Homes("g")
+	homes := d.b.PreferredServers("g")
 	assert.Len(t, homes, 3)
-	assert.NotEqual(t, homes, d.b.Homes("another"))
+	assert.NotEqual(t, homes, d.b.PreferredServers("another"))
 	d.do(balance.Suspend{Server: homes[0]})
-	assert.Equal(t, homes, d.b.Homes("g"))
+	assert.Equal(t, homes, d.b.PreferredServers("g"))
 	d.do(balance.ServerList{Entries: []balance.Listing{{Server: homes[0], State: balance.Gone}}})
-	assert.Equal(t, homes[1:], d.b.Homes("g")[:2])
+	assert.Equal(t, homes[1:], d.b.PreferredServers("g")[:2])
 
 	placed := map[balance.ServerID]bool{} // an empty fleet keeps to them
 	for i := range 2 {
@@ -36,7 +36,7 @@
 		}
 	}
 	for server := range placed {
-		assert.Contains(t, d.b.Homes("g"), server)
+		assert.Contains(t, d.b.PreferredServers("g"), server)
 	}
 	assert.NotEmpty(t, placed)
 }
--- a/balance/retune_test.go
+++ b/balance/retune_test.go
@@ -27,8 +27,8 @@
 	d.end(1, 0, balance.Reset, false) // the second attempt is out
 	set := settings()
 	set.MaxAttempts = 1
-	set.Classes = []balance.Class{{Name: "safe", Aim: 500 * ms, Effect: balance.Unsafe}, {Name: "new", Aim: 500 * ms}}
-	if acts := d.do(balance.Retuned{Settings: set}); len(acts) > 0 {
+	set.Classes = []balance.Class{{Name: "safe", LatencyTarget: 500 * ms, Effect: balance.Unsafe}, {Name: "new", LatencyTarget: 500 * ms}}
+	if acts := d.do(balance.SettingsChanged{Settings: set}); len(acts) > 0 {
 		t.Fatalf("new settings alone ask for %v", acts)
 	}
 	if got := placed(d.end(1, 1, balance.Reset, false)); got == "" {
@@ -69,12 +69,12 @@
 		}
 		d.do(balance.Established{Request: id})
 	}
-	d.do(balance.Retuned{Settings: set})
+	d.do(balance.SettingsChanged{Settings: set})
 	if got := arrive(3); got != "" {
 		t.Fatalf("beyond the share and with servers nearly full, a request went to %q", got)
 	}
 	set.Tenants[0].Quota = 50
-	d.do(balance.Retuned{Settings: set})
+	d.do(balance.SettingsChanged{Settings: set})
 	if arrive(4) == "" {
 		t.Fatal("within the new share, a request is turned away")
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -80,7 +80,7 @@
 		}
 	case balance.Fail:
 		w.answer(a.Request)
-	case balance.Wake:
+	case balance.SetTimer:
 		w.timers = append(w.timers, timer{w.now + a.After, a.Token})
 	case balance.Probe:
 		if !w.set.Probes {
@@ -209,7 +209,7 @@
 			w.now = at
 			token := w.timers[next].token
 			w.timers = append(w.timers[:next], w.timers[next+1:]...)
-			w.send(balance.Woken{Token: token})
+			w.send(balance.TimerFired{Token: token})
 		default:
 			w.now = end
 			return
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file holds what a balancer remembers and the book-keeping of it. Nothing is decided here.
+// This file holds the state of a balancer and its bookkeeping. It makes no decisions.
 
 import (
 	"math"
@@ -9,126 +9,128 @@
 	"time"
 )
 
-// Timer tokens carry the request's number above these kinds.
+// The kinds of timers, in the lowest bits of a timer token. The request ID is in the bits above.
 const (
-	wakeHold      = 1 // an arrival has waited long enough for probes, or its deadline is near
-	wakeSubscribe = 2 // the subscription is to be checked
-	wakeLook      = 3 // servers with connections are to be looked at
-	wakeBits      = 2
+	timerHold        = 1 // an arrival has waited long enough for probes, or its deadline is near
+	timerSubscribe   = 2 // time to renew the subscription
+	timerServerCheck = 3 // time to check the servers that hold connections
+	timerKindBits    = 2
 )
 
-// Balancer decides for one proxy. It is not safe for concurrent use.
+// Balancer makes the decisions for one proxy. It is not safe for concurrent use.
 type Balancer struct {
-	set      *Settings // never changed, only replaced
-	classes  map[string]Class
-	tenants  map[string]*tenant
-	quotas   float64 // sum of the tenants' quotas
-	rng      *rand.Rand
-	now      time.Duration
-	started  bool
-	out      []Action
-	fellows  int       // other processes that decide for this proxy
-	servers  []*server // listed, in the order of their first listing
-	byID     map[ServerID]*server
-	bans     map[ServerID]time.Duration // servers out by hand, since when
-	back     map[ServerID]time.Duration // servers that were, and when they came back
-	requests map[RequestID]*request
-	waiting  []*request // arrivals held, oldest first
-	fit      []*server  // scratch of choose
-
-	surveyAt    time.Duration // when all estimates were last computed
-	ready       int           // servers that are ready, and those of them set aside
-	sick        int
-	room        float64 // connections that fit below the ceiling
-	mean        float64 // mean ratio of the ready servers
-	meanCap     float64 // mean capacity in connections
-	meanWeight  float64 // mean listed weight
-	meanLoad    float64 // mean expected load of arrivals
-	loadsSeen   float64
-	told        map[string]load // of the connections of each class
-	recent      rate            // all arrivals, over the life of a report
-	open        float64         // connections of our own
-	failed      rate            // attempts that ended with an error or no answer
-	stood       rate            // attempts whose connection stood
-	setUp       rate            // how long the latest connections took to stand, in nanoseconds
-	probeTokens float64
-	turnedAway  int           // arrivals that were since the last attempt
-	triedAt     time.Duration // when that was
-	subscribed  bool
-	askFails    int
-	looking     bool
-	noted       bool          // notes tell how long messages take
-	setUpAim    time.Duration // the shortest aim of a class
-	aim         time.Duration // the shortest in which messages are wanted; 0: not told
+	settings  *Settings // never modified, only replaced
+	classes   map[string]Class
+	tenants   map[string]*tenant
+	quotaSum  float64 // sum of the tenants' quotas
+	rng       *rand.Rand
+	now       time.Duration
+	started   bool
+	out       []Action
+	siblings  int       // number of sibling processes of the same proxy
+	servers   []*server // listed, in the order of their first listing
+	byID      map[ServerID]*server
+	bans      map[ServerID]time.Duration // servers banned by operators, and the time of the ban
+	resumedAt map[ServerID]time.Duration // servers whose ban was lifted, and the time of that
+	requests  map[RequestID]*request
+	waiting   []*request // requests held, oldest first
+	fit       []*server  // scratch of choose
+
+	fleetStatsAt          time.Duration // when all estimates were last computed
+	ready                 int           // number of ready servers, and of those ejected
+	ejectedServers        int
+	spareCapacity         float64 // connections that fit below the target on all ready servers together
+	meanRatio             float64 // mean ratio of the ready servers
+	meanCapacity          float64 // mean capacity in connections
+	meanWeight            float64 // mean listed weight
+	meanLoad              float64 // mean expected load of arrivals
+	loadsSeen             float64
+	classLoads            map[string]loadSum // reported loads of the connections of each class
+	recentArrivals        decayingSum        // all arrivals, over arrivalWindow
+	openWeight            float64            // summed weight of our own connections
+	failedAttempts        decayingSum        // attempts that ended with an error or no answer
+	establishedAttempts   decayingSum        // attempts whose connection was established
+	recentSetUpTime       decayingSum        // how long the latest connections took to be established, in nanoseconds
+	probeTokens           float64
+	rejectedInRow         int           // arrivals rejected since the last attempt
+	lastAttemptAt         time.Duration // time of the last attempt
+	subscribed            bool
+	subscribeFailures     int
+	checkingServers       bool
+	messagesReported      bool          // MessagesSlow events report the latency of messages
+	shortestLatencyTarget time.Duration // shortest latency target of all classes
+	shortestMessageTarget time.Duration // shortest message latency target of all classes; 0: unknown
 }
 
 type server struct {
-	Listing           // as it counts
-	told      Listing // as the lists have it
-	listed    bool
-	hash      uint64 // of the name
-	reported  bool
-	report    Report
-	ratio     float64
-	takenAt   time.Duration // when the report was taken, as far as known
-	heardAt   time.Duration // when it was last confirmed
-	probing   bool
-	probedAt  time.Duration
-	capacity  float64 // connections of mean load that fill it; 0: unknown
-	changes   []change
-	own       float64    // sum of changes
-	estimate  float64    // of the ratio of load to capacity
-	rank      float64    // estimate plus the cost of crossing to another zone, as a ratio
-	conns     []*request // our own open connections there, in the order of their standing
-	strikes   int
-	asideTo   time.Duration
-	unproven  bool          // after a strike: no probe was answered yet
-	silent    bool          // after a strike: it did not even answer
-	erring    float64       // the part of the latest attempts that it answered with an error
-	slowFrom  time.Duration // messages take too long since then; 0: they do not
-	slowAt    time.Duration // when that was last told
-	delay     time.Duration // how long a message took then
-	drainFrom time.Duration // when it was told to drain
-	eased     time.Duration // when connections were last moved off
-	settingUp int           // attempts of ours that are not up yet
-	pace      time.Duration // how long it takes to set one up; 0: unknown
-	budget    float64       // connections that it may be sent while it is cold, by this balancer
-	fedAt     time.Duration // when that was last added to
-	admitted  float64       // the part of balancers that may send it one at a time, at most 1
-}
-
-// load sums up what servers told of connections, each counted once.
-type load struct {
+	Listing                 // the effective listing, with bans applied
+	asListed        Listing // the entry of the server list
+	listed          bool
+	hash            uint64 // of the server ID
+	reported        bool
+	report          Report
+	ratio           float64
+	takenAt         time.Duration // estimated time at which the report was taken
+	confirmedAt     time.Duration // when the report was last received, changed or not
+	probing         bool
+	probedAt        time.Duration
+	capacity        float64 // connections of mean load that fill it; 0: unknown
+	changes         []change
+	ownChange       float64    // sum of changes
+	estimate        float64    // estimated ratio of load to capacity
+	rank            float64    // estimate plus the penalty for crossing to another zone, as a ratio
+	conns           []*request // our own open connections, in the order of their establishment
+	ejections       int
+	ejectedUntil    time.Duration
+	unverified      bool          // after an ejection: no probe was answered yet
+	unresponsive    bool          // after an ejection: it did not respond at all
+	errorRate       float64       // the moving average of errors among its attempts
+	slowSince       time.Duration // since when messages take too long; 0: they do not
+	slowReportedAt  time.Duration // when that was last reported
+	messageDelay    time.Duration // how long a message took then
+	drainingSince   time.Duration // since when it is draining
+	movedOffAt      time.Duration // when connections were last moved off
+	settingUp       int           // our own attempts that are not established yet
+	setUpTime       time.Duration // how long the set-up of one connection takes; 0: unknown
+	budget          float64       // connections that this balancer may send while the server is cold
+	budgetUpdatedAt time.Duration // when the budget was last updated
+	senderFraction  float64       // the fraction of balancers that may send one connection at a time, at most 1
+}
+
+// loadSum sums up the reported loads of connections, each counted once.
+type loadSum struct {
 	count float64
-	sum   float64 // microseconds of work a second
+	sum   float64 // microseconds of work per second
 }
 
-// rate is a count that fades.
-type rate struct {
+// decayingSum is a sum that decays exponentially.
+type decayingSum struct {
 	count float64
 	at    time.Duration
 }
 
-// add counts n at now; per is the time over which the count fades.
-func (r *rate) add(n float64, now, per time.Duration) { r.count, r.at = r.over(now, per)+n, now }
+// add adds n at now; per is the time constant of the decay.
+func (r *decayingSum) add(n float64, now, per time.Duration) {
+	r.count, r.at = r.value(now, per)+n, now
+}
 
-// over returns how many were counted in the last stretch of length per.
-func (r *rate) over(now, per time.Duration) float64 {
+// value returns the sum over about the last per.
+func (r *decayingSum) value(now, per time.Duration) float64 {
 	return r.count * math.Exp(-float64(now-r.at)/float64(per))
 }
 
-// change is a connection of our own placed on a server (positive) or lost from it.
+// change is a connection of our own, placed on a server (positive weight) or ended (negative).
 type change struct {
 	at     time.Duration
 	weight float64
 }
 
 type attempt struct {
-	server      *server
-	sentAt      time.Duration
-	ahead       int // connections that the server was setting up then
-	pending     bool
-	established bool
+	server          *server
+	sentAt          time.Duration
+	settingUpBefore int // connections that were being set up on the server at that time
+	pending         bool
+	established     bool
 }
 
 // tenant counts the open connections of one tenant.
@@ -139,26 +141,26 @@
 
 type request struct {
 	Arrival
-	set      *Settings // that it came under
-	class    Class
-	tenant   *tenant // nil where there are no shares
-	weight   float64
-	deadline time.Duration
-	holdTo   time.Duration
-	homes    []*server // where connections of its group gather, the first choice first
-	asked    []*server
-	attempts []attempt
-	erred    bool // a server answered it with an error
-	mayRun   int  // first attempt that may have run, or -1
-	over     bool // answered or told to be over
-	held     bool
-	told     bool // what load it brings
-}
-
-// Aside returns the listed servers that are set aside for their failures now, in the order in which they were first listed.
-func (b *Balancer) Aside() (all []ServerID) {
+	settings        *Settings // in force at its arrival
+	class           Class
+	tenant          *tenant // nil if the tenant has no quota
+	weight          float64
+	deadline        time.Duration
+	probeWaitUntil  time.Duration
+	preferred       []*server // servers preferred by its group, the first choice first
+	probed          []*server
+	attempts        []attempt
+	errorCounted    bool // an error was counted against a server
+	firstMayHaveRun int  // first attempt that may have run, or -1
+	over            bool // answered, or reported as over
+	held            bool
+	loadCounted     bool // its reported load is counted in its class
+}
+
+// Ejected returns the listed servers that are ejected for their failures now, in the order of their first listing.
+func (b *Balancer) Ejected() (all []ServerID) {
 	for _, s := range b.servers {
-		if s.listed && b.aside(s) {
+		if s.listed && b.isEjected(s) {
 			all = append(all, s.Server)
 		}
 	}
@@ -167,53 +169,53 @@
 
 func (b *Balancer) act(a Action) { b.out = append(b.out, a) }
 
-func (b *Balancer) wake(after time.Duration, id RequestID, kind uint64) {
-	b.act(Wake{After: max(after, 0), Token: uint64(id)<<wakeBits | kind})
+func (b *Balancer) setTimer(after time.Duration, id RequestID, kind uint64) {
+	b.act(SetTimer{After: max(after, 0), Token: uint64(id)<<timerKindBits | kind})
 }
 
-// look begins to look after the servers at a steady pace.
-func (b *Balancer) look() {
-	if !b.looking {
-		b.looking = true
-		b.wake(reportLife/2, 0, wakeLook)
+// startServerChecks starts the periodic checks of servers, unless they are running.
+func (b *Balancer) startServerChecks() {
+	if !b.checkingServers {
+		b.checkingServers = true
+		b.setTimer(reportTTL/2, 0, timerServerCheck)
 	}
 }
 
-// jitter returns a random time below d.
+// jitter returns a random duration below d.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(d))
 }
 
-// note records a connection of our own placed or lost.
-func (b *Balancer) note(s *server, weight float64) {
-	b.forget(s, b.now-b.settle())
+// recordChange records a connection of our own that was placed or ended.
+func (b *Balancer) recordChange(s *server, weight float64) {
+	b.dropChanges(s, b.now-b.turnoverTime())
 	s.changes = append(s.changes, change{b.now, weight})
-	s.own += weight
-	b.assess(s)
+	s.ownChange += weight
+	b.updateEstimate(s)
 }
 
-// forget drops the changes up to a time: a later report holds them.
-func (b *Balancer) forget(s *server, upTo time.Duration) {
+// dropChanges drops the changes up to a time: the report taken then contains them.
+func (b *Balancer) dropChanges(s *server, upTo time.Duration) {
 	n := 0
 	for n < len(s.changes) && s.changes[n].at <= upTo {
-		s.own -= s.changes[n].weight
+		s.ownChange -= s.changes[n].weight
 		n++
 	}
 	if s.changes = append(s.changes[:0], s.changes[n:]...); len(s.changes) == 0 {
-		s.own = 0
+		s.ownChange = 0
 	}
 }
 
-// repeatUntil returns until when a request may be sent once more, or 0 where no time tells: what may have run of a keyed class
-// is dropped by the servers within a window that counts from the first such attempt.
+// repeatUntil returns the time until which a request may be repeated, or 0 if there is no limit: servers drop repeats
+// of a keyed request only within a window that starts with the first attempt that may have run.
 func (r *request) repeatUntil() time.Duration {
-	if r.mayRun < 0 || r.class.Effect != Keyed {
+	if r.firstMayHaveRun < 0 || r.class.Effect != Keyed {
 		return 0
 	}
-	return r.attempts[r.mayRun].sentAt + r.class.Window
+	return r.attempts[r.firstMayHaveRun].sentAt + r.class.Window
 }
 
-// release takes a request off the waiting list.
+// release removes a request from the waiting list.
 func (b *Balancer) release(r *request) {
 	if !r.held {
 		return
@@ -227,7 +229,7 @@
 	}
 }
 
-// close marks a request as over and frees it once no attempt is pending.
+// close marks a request as over and drops it once no attempt is pending.
 func (b *Balancer) close(r *request) {
 	r.over = true
 	b.release(r)
@@ -239,7 +241,7 @@
 	delete(b.requests, r.Request)
 }
 
-// lookup returns a pending attempt, or nil for news of what is not held.
+// lookup returns a pending attempt, or nil if an event names an attempt that is unknown or not pending.
 func (b *Balancer) lookup(id RequestID, n int) (*request, *attempt) {
 	r := b.requests[id]
 	if r == nil || n < 0 || n >= len(r.attempts) || !r.attempts[n].pending {
@@ -248,31 +250,31 @@
 	return r, &r.attempts[n]
 }
 
-// enlist and delist keep the list of open connections of a server.
-func (s *server) enlist(r *request) { s.conns = append(s.conns, r) }
+// addConn and removeConn maintain the list of open connections of a server.
+func (s *server) addConn(r *request) { s.conns = append(s.conns, r) }
 
-func (s *server) delist(r *request) {
+func (s *server) removeConn(r *request) {
 	if i := slices.Index(s.conns, r); i >= 0 {
 		s.conns = slices.Delete(s.conns, i, i+1)
 	}
 }
 
-// opened and closed count a connection of our own.
-func (b *Balancer) opened(r *request) {
-	b.open += r.weight
+// countOpened and countClosed count a connection of our own.
+func (b *Balancer) countOpened(r *request) {
+	b.openWeight += r.weight
 	if r.tenant != nil {
 		r.tenant.open++
 	}
 }
 
-func (b *Balancer) closed(r *request) {
-	b.open -= r.weight
+func (b *Balancer) countClosed(r *request) {
+	b.openWeight -= r.weight
 	if r.tenant != nil {
 		r.tenant.open--
 	}
 }
 
-// hashOf is FNV-1a, the same in every balancer.
+// hashOf computes FNV-1a, the same in every balancer.
 func hashOf(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(s) {
@@ -288,22 +290,23 @@
 	return x ^ x>>31
 }
 
-// onInherited takes on a connection that stands already.
+// onInherited registers a connection that is already established.
 func (b *Balancer) onInherited(e Inherited) {
 	s := b.byID[e.Server]
 	if s == nil {
 		s = &server{Listing: Listing{Server: e.Server, State: Gone}}
 	}
-	r := &request{Arrival: e.Arrival, set: b.set, class: b.classes[e.Class], mayRun: 0, weight: b.weigh(e.Load)}
+	r := &request{Arrival: e.Arrival, settings: b.settings, class: b.classes[e.Class], firstMayHaveRun: 0,
+		weight: b.relativeLoad(e.Load)}
 	r.tenant = b.tenants[e.Tenant]
 	r.attempts = []attempt{{server: s, sentAt: b.now, pending: true, established: true}}
 	b.requests[e.Request] = r
-	s.enlist(r)
-	b.opened(r)
+	s.addConn(r)
+	b.countOpened(r)
 }
 
-// weigh turns an expected load into a multiple of the mean load of arrivals.
-func (b *Balancer) weigh(load float64) float64 {
+// relativeLoad converts an expected load into a multiple of the mean load of arrivals.
+func (b *Balancer) relativeLoad(load float64) float64 {
 	if !(load > 0) || math.IsInf(load, 0) {
 		return 1
 	}
@@ -312,8 +315,8 @@
 	return load / b.meanLoad
 }
 
-// pick returns the server with the lowest value among those that are fit, ties at random.
-func (b *Balancer) pick(from []*server, value func(*server) (float64, bool)) *server {
+// pickMin returns the server with the lowest value among those for which value returns true, ties at random.
+func (b *Balancer) pickMin(from []*server, value func(*server) (float64, bool)) *server {
 	var best *server
 	lowest, ties := math.Inf(1), 0
 	for _, s := range from {
@@ -331,31 +334,31 @@
 	return best
 }
 
-// draw picks a server by chance, in proportion to its weight.
-func (b *Balancer) draw(from []*server, weight func(*server) float64) (drawn *server) {
+// pickWeighted picks a server at random, in proportion to its weight.
+func (b *Balancer) pickWeighted(from []*server, weight func(*server) float64) (picked *server) {
 	total := 0.0
 	for _, s := range from {
 		if w := weight(s); w > 0 {
 			if total += w; b.rng.Float64()*total < w {
-				drawn = s
+				picked = s
 			}
 		}
 	}
-	return drawn
+	return picked
 }
 
-// likely returns up to n servers with the lowest estimates among those worth a probe, for a group with such homes. A
-// cold server that may be sent nothing now is not.
-func (b *Balancer) likely(n int, homes []*server) []*server {
+// probeCandidates returns up to n servers with the lowest ranks among those with stale reports, for a group with the
+// given preferred servers. It leaves out cold servers that may get no connection now.
+func (b *Balancer) probeCandidates(n int, preferred []*server) []*server {
 	if n < 1 || len(b.servers) == 0 {
 		return nil
 	}
 	lowest := make([]*server, 0, n+1)
-	rank := func(s *server) float64 { return s.rank - b.homeStep(homes, s) }
+	rank := func(s *server) float64 { return s.rank - b.preferenceBonus(preferred, s) }
 	from := b.rng.IntN(len(b.servers)) // so that equal ones take turns
 	for i := range b.servers {
 		s := b.servers[(from+i)%len(b.servers)]
-		if !b.stale(s) || b.aside(s) || len(lowest) == n && rank(s) >= rank(lowest[n-1]) || !b.coldRoom(s, 0) {
+		if !b.stale(s) || b.isEjected(s) || len(lowest) == n && rank(s) >= rank(lowest[n-1]) || !b.coldServerAdmits(s, 0) {
 			continue
 		}
 		at := len(lowest)
@@ -368,51 +371,52 @@
 	return lowest
 }
 
-// wasSetUp takes note that an attempt no longer waits to be set up, and of how long each one before it took, where
-// that can be told.
-func (b *Balancer) wasSetUp(a *attempt, told bool) {
+// countSetUp records that an attempt no longer waits for its set-up, and, if timed, updates the set-up time of one
+// connection: the attempt also waited for those that were being set up before it.
+func (b *Balancer) countSetUp(a *attempt, timed bool) {
 	s := a.server
 	s.settingUp = max(0, s.settingUp-1)
-	if !told {
+	if !timed {
 		return
 	}
-	took := (b.now - a.sentAt) / time.Duration(a.ahead+1)
-	if s.pace == 0 {
-		s.pace = took
+	took := (b.now - a.sentAt) / time.Duration(a.settingUpBefore+1)
+	if s.setUpTime == 0 {
+		s.setUpTime = took
 	}
-	s.pace = max(s.pace+(took-s.pace)/4, time.Microsecond)
+	s.setUpTime = max(s.setUpTime+(took-s.setUpTime)/4, time.Microsecond)
 }
 
-// standsWithin is how long an attempt takes to stand, as the latest that stand tell. It fades, so that it is tried again.
-func (b *Balancer) standsWithin() time.Duration {
-	return time.Duration(b.setUp.over(b.now, throttleFor))
+// expectedSetUpTime is the moving average of recent set-up times. It decays, so that attempts are made again after a
+// while without any.
+func (b *Balancer) expectedSetUpTime() time.Duration {
+	return time.Duration(b.recentSetUpTime.value(b.now, throttleWindow))
 }
 
-// Operators want no node to turn away all that it gets for mostFor, mostOf arrivals or more.
+// Operators require that no node rejects all its arrivals for maxRejectionTime, if these are maxRejectedInRow or more.
 const (
-	mostOf  = 15
-	mostFor = 4 * time.Second
+	maxRejectedInRow = 15
+	maxRejectionTime = 4 * time.Second
 )
 
-// turnAway counts an arrival that is answered with no attempt.
-func (b *Balancer) turnAway(r *request) {
+// countRejection counts an arrival that is answered without any attempt.
+func (b *Balancer) countRejection(r *request) {
 	if len(r.attempts) == 0 {
-		b.turnedAway++
+		b.rejectedInRow++
 	}
 }
 
-// starves says whether the next arrival has to be sent on, since too many have been turned away on end otherwise. What comes
-// within the life of a report is left for it to come in.
-func (b *Balancer) starves() bool {
-	return b.turnedAway >= mostOf-1 && b.now-b.triedAt >= mostFor-reportLife
+// mustAdmitNext reports whether the next arrival has to be admitted because too many in a row were rejected. It does so
+// one reportTTL early, to leave time for that arrival to come.
+func (b *Balancer) mustAdmitNext() bool {
+	return b.rejectedInRow >= maxRejectedInRow-1 && b.now-b.lastAttemptAt >= maxRejectionTime-reportTTL
 }
 
 // queueTime is how long an arrival that is held now would wait for its turn.
 func (b *Balancer) queueTime() time.Duration {
 	perSecond := 0.0
 	for _, s := range b.servers {
-		if s.State == Ready && s.pace > 0 && !b.aside(s) {
-			perSecond += float64(time.Second) / float64(s.pace)
+		if s.State == Ready && s.setUpTime > 0 && !b.isEjected(s) {
+			perSecond += float64(time.Second) / float64(s.setUpTime)
 		}
 	}
 	if perSecond == 0 {
@@ -421,19 +425,19 @@
 	return time.Duration(float64(len(b.waiting)) / perSecond * float64(time.Second))
 }
 
-// span is over what time arrivals are counted: the life of a report, or several where so many balancers
-// share the traffic that one of them sees few in that time: the one just being placed would count for all.
-func (b *Balancer) span() time.Duration {
-	return reportLife * time.Duration(min(max(1, b.set.Balancers/8), 4))
+// arrivalWindow is the time over which arrivals are counted: reportTTL, or a few times that if so many balancers share
+// the traffic that one of them sees few arrivals in that time, and the one being placed would dominate the count.
+func (b *Balancer) arrivalWindow() time.Duration {
+	return reportTTL * time.Duration(min(max(1, b.settings.Balancers/8), 4))
 }
 
-// coming is how many arrivals come to the other balancers over the life of a report.
-func (b *Balancer) coming() float64 {
-	own := b.recent.over(b.now, b.span()) * float64(reportLife) / float64(b.span())
-	return own * float64(b.set.Balancers-1)
+// othersArrivals is the expected number of arrivals at the other balancers within reportTTL.
+func (b *Balancer) othersArrivals() float64 {
+	own := b.recentArrivals.value(b.now, b.arrivalWindow()) * float64(reportTTL) / float64(b.arrivalWindow())
+	return own * float64(b.settings.Balancers-1)
 }
 
-// retryWaiting places held requests whose wait is over.
+// retryWaiting places held requests that no longer wait for probes.
 func (b *Balancer) retryWaiting() {
 	for _, r := range append([]*request(nil), b.waiting...) {
 		if r.held && !b.awaitsProbes(r) {
@@ -443,10 +447,10 @@
 }
 
 func (b *Balancer) awaitsProbes(r *request) bool {
-	if b.now >= r.holdTo {
+	if b.now >= r.probeWaitUntil {
 		return false
 	}
-	for _, s := range r.asked {
+	for _, s := range r.probed {
 		if s.probing && s.listed {
 			return true
 		}
@@ -454,8 +458,8 @@
 	return false
 }
 
-// admit places what waits, the oldest first, as long as there is room.
-func (b *Balancer) admit() {
+// placeWaiting places held requests, the oldest first, as long as there is room.
+func (b *Balancer) placeWaiting() {
 	for len(b.waiting) > 0 {
 		r := b.waiting[0]
 		if b.awaitsProbes(r) {
@@ -467,7 +471,7 @@
 	}
 }
 
-// reportedRatio reads load over capacity out of a report, from the best value that it holds.
+// reportedRatio derives the ratio of load to capacity from a report, using the most direct metric that it holds.
 func (b *Balancer) reportedRatio(s *server, rep Report) (float64, bool) {
 	ratio := -1.0
 	switch {
@@ -481,22 +485,22 @@
 	return ratio, ratio >= 0 && !math.IsInf(ratio, 0)
 }
 
-// settle is the time over which a server's load can change wholly: that of several reports, or the warm-up time
-// that the settings give where it is longer. Where servers warm up within a second, what they hold does not turn
-// over any faster.
-func (b *Balancer) settle() time.Duration { return max(b.set.Safety.ColdFor, 8*reportLife) }
+// turnoverTime is the time within which a server's load can change completely: that of several reports, or the warm-up
+// time of the settings if that is longer. A warm-up of less than a second does not mean a faster turnover of
+// connections.
+func (b *Balancer) turnoverTime() time.Duration { return max(b.settings.Safety.WarmUp, 8*reportTTL) }
 
 func (b *Balancer) decay(age time.Duration) float64 {
-	return math.Exp(-float64(max(age, 0)) / float64(b.settle()))
+	return math.Exp(-float64(max(age, 0)) / float64(b.turnoverTime()))
 }
 
-// expectedCapacity is how many connections fill one of n servers before reports tell: what the tenants' quotas,
-// which share out the fleet, come to, or a few dozen.
+// expectedCapacity is how many connections fill one of n servers before reports are known: its part of the tenants'
+// quotas, which add up to the fleet's capacity, or a few dozen.
 func (b *Balancer) expectedCapacity(n float64) float64 {
-	if b.quotas > 0 {
-		return b.quotas / n
+	if b.quotaSum > 0 {
+		return b.quotaSum / n
 	}
-	return neutralCapacity
+	return defaultCapacity
 }
 
 // capacityOf returns how many connections of mean load fill a server.
@@ -504,22 +508,22 @@
 	switch {
 	case s.capacity > 0:
 		return s.capacity
-	case b.meanCap == 0:
-		return neutralCapacity
-	case b.set.WeightsNominal && b.meanWeight > 0:
-		return b.meanCap * s.Weight / b.meanWeight
+	case b.meanCapacity == 0:
+		return defaultCapacity
+	case b.settings.WeightsNominal && b.meanWeight > 0:
+		return b.meanCapacity * s.Weight / b.meanWeight
 	}
-	return b.meanCap
+	return b.meanCapacity
 }
 
 func (b *Balancer) stale(s *server) bool {
-	return s.State == Ready && !s.probing && (!s.reported || b.now-s.heardAt >= reportLife/2)
+	return s.State == Ready && !s.probing && (!s.reported || b.now-s.confirmedAt >= reportTTL/2)
 }
 
-func (b *Balancer) fresh(s *server) bool { return s.reported && b.now-s.heardAt < 2*reportLife }
+func (b *Balancer) fresh(s *server) bool { return s.reported && b.now-s.confirmedAt < 2*reportTTL }
 
-// sweep frees the servers that are no longer listed.
-func (b *Balancer) sweep() {
+// removeUnlisted drops the servers that are no longer listed.
+func (b *Balancer) removeUnlisted() {
 	kept := b.servers[:0]
 	for _, s := range b.servers {
 		if s.listed {
@@ -533,33 +537,33 @@
 	b.servers = kept
 }
 
-// fewTold is how many connections of a class tell nothing of the class yet: loads differ several-fold from one to the
-// next.
-const fewTold = 8
+// minLoadSamples is the number of connections of a class below which their loads are not representative of the class:
+// loads differ several-fold between connections.
+const minLoadSamples = 8
 
-// onLoadChanged takes note of the load that the connections of a class bring. What they bring later on is not counted:
-// it tells of those that last.
+// onLoadChanged counts the first reported load of a connection for its class. Later reports are not counted: they would
+// bias the mean towards long connections.
 func (b *Balancer) onLoadChanged(e LoadChanged) {
 	r := b.requests[e.Request]
-	if r == nil || r.told || !(e.Load > 0) || math.IsInf(e.Load, 0) {
+	if r == nil || r.loadCounted || !(e.Load > 0) || math.IsInf(e.Load, 0) {
 		return
 	}
-	r.told = true
-	of := b.told[r.Class]
-	b.told[r.Class] = load{of.count + 1, of.sum + e.Load}
+	r.loadCounted = true
+	of := b.classLoads[r.Class]
+	b.classLoads[r.Class] = loadSum{of.count + 1, of.sum + e.Load}
 }
 
-// yield is the worth that connections of a class bring for their load, as a multiple of what all together bring for
-// theirs; 1 where that is not known.
-func (b *Balancer) yield(c Class) float64 {
-	var worth, sum float64
-	for _, each := range b.set.Classes {
-		of := b.told[each.Name]
-		worth, sum = worth+of.count*each.Worth, sum+of.sum
+// valuePerLoad is the value of a class's connections relative to their load, as a multiple of the same for all classes
+// together; 1 if unknown.
+func (b *Balancer) valuePerLoad(c Class) float64 {
+	var value, sum float64
+	for _, each := range b.settings.Classes {
+		of := b.classLoads[each.Name]
+		value, sum = value+of.count*each.Value, sum+of.sum
 	}
-	of := b.told[c.Name]
-	if of.count < fewTold || worth == 0 {
+	of := b.classLoads[c.Name]
+	if of.count < minLoadSamples || value == 0 {
 		return 1
 	}
-	return of.count * c.Worth / of.sum * sum / worth
+	return of.count * c.Value / of.sum * sum / value
 }
--- a/balance/yield_test.go
+++ b/balance/yield_test.go
@@ -21,7 +21,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := settings()
-			set.Classes = []balance.Class{{Name: "light", Aim: sec, Worth: 5}, {Name: "heavy", Aim: sec, Worth: 2}}
+			set.Classes = []balance.Class{{Name: "light", LatencyTarget: sec, Value: 5}, {Name: "heavy", LatencyTarget: sec, Value: 2}}
 			d := drive(t, set, 1)
 			d.fleet(0.1, 0.9, 0.9)
 			id := balance.RequestID(0)
--- a/cmd/lichenhitch/affairs.go
+++ b/cmd/lichenhitch/affairs.go
@@ -124,7 +124,7 @@
 	r := control.Report{Taken: n.core.Verdict(), Clear: n.core.Clear(), Under: n.tuning.under, Asked: n.tuning.asked, Retuned: n.tuning.changes}
 	taken := func() {}
 	if n.reports%lookEvery == 0 {
-		r.Look = n.core.Look(n.tuning.set.Safety.ColdFor, n.weight(), n.discovery.Stale())
+		r.Look = n.core.Look(n.tuning.set.Safety.WarmUp, n.weight(), n.discovery.Stale())
 	}
 	if n.reports%lookEvery == 0 || len(n.tuning.told) > 0 || n.core.Fired() {
 		taken = n.evidence(&r)
@@ -138,7 +138,7 @@
 
 // weight tells what a connection of a class counts for where hosts are compared: its worth, or 1 where the settings tell none.
 func (n *node) weight() func(class string) float64 {
-	if !slices.ContainsFunc(n.cfg.Settings.Classes, func(c balance.Class) bool { return c.Worth > 0 }) {
+	if !slices.ContainsFunc(n.cfg.Settings.Classes, func(c balance.Class) bool { return c.Value > 0 }) {
 		return func(string) float64 { return 1 }
 	}
 	return n.worth()
--- a/cmd/lichenhitch/affairs_test.go
+++ b/cmd/lichenhitch/affairs_test.go
@@ -97,7 +97,7 @@
 func TestAVerdictBeforeTheStartIsOverHoldsNothingUp(t *testing.T) {
 	cfg := testConfig(t, newDiscovery(t), list(1, true))
 	cfg.Name = "n"
-	cfg.Settings.ListOnRequest, cfg.Settings.Safety.AskWithin = true, time.Second // asked within 31 ms
+	cfg.Settings.ListOnRequest, cfg.Settings.Safety.ListRefreshInterval = true, time.Second // asked within 31 ms
 	cfg.Site = alone(t, cfg.Name, 300)
 	s, _, err := store.Open(filepath.Join(filepath.Dir(cfg.Site), "council.db"), store.Identity{Site: "b", Node: "n"})
 	require.NoError(t, err)
--- a/cmd/lichenhitch/operate.go
+++ b/cmd/lichenhitch/operate.go
@@ -67,7 +67,7 @@
 	}
 	within := knownEnough
 	for _, c := range set.Classes {
-		within = min(within, c.Aim)
+		within = min(within, c.LatencyTarget)
 	}
 	told := make(chan struct{})
 	n.loop.Call(func() { n.discovery.AfterFirst(within, func() { close(told) }) })
--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -175,7 +175,7 @@
 func (n *node) worth() func(class string) float64 {
 	worth := map[string]float64{}
 	for _, c := range n.cfg.Settings.Classes {
-		worth[c.Name] = c.Worth
+		worth[c.Name] = c.Value
 	}
 	return func(class string) float64 { return worth[class] }
 }
--- a/cmd/lichenhitch/policies_test.go
+++ b/cmd/lichenhitch/policies_test.go
@@ -107,7 +107,7 @@
 	assert.Equal(t, uint64(1), changes, "the second changed nothing")
 	n.loop.Call(func() {
 		assert.Equal(t, 4*time.Second, n.tuning.set.Classes[0].Deadline)
-		assert.Equal(t, 7.0, n.tuning.set.Classes[0].Worth)
+		assert.Equal(t, 7.0, n.tuning.set.Classes[0].Value)
 		assert.True(t, n.tuning.set.PassThrough)
 	})
 
--- a/internal/choice/rollout/overlay_test.go
+++ b/internal/choice/rollout/overlay_test.go
@@ -25,8 +25,8 @@
 	require.NoError(t, err)
 	want, err := settings.Decode([]byte(plain))
 	require.NoError(t, err)
-	want.MaxAttempts, want.Safety.ColdFrom, want.Tenants[1].Quota = 2, 0.25, 7
-	want.Classes[1].Aim, want.Classes[1].MessageAim = 250*time.Millisecond, 60*time.Millisecond
+	want.MaxAttempts, want.Safety.ColdCapacity, want.Tenants[1].Quota = 2, 0.25, 7
+	want.Classes[1].LatencyTarget, want.Classes[1].MessageLatencyTarget = 250*time.Millisecond, 60*time.Millisecond
 	assert.Equal(t, want, set)
 }
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -54,7 +54,7 @@
 }
 
 func termsOf(set balance.Settings) watch.Terms {
-	return watch.Terms{Push: !set.ListOnRequest, AskWithin: set.Safety.AskWithin, Grace: set.Safety.DrainGrace}
+	return watch.Terms{Push: !set.ListOnRequest, AskWithin: set.Safety.ListRefreshInterval, Grace: set.Safety.DrainGrace}
 }
 
 // Retune takes new settings up, from the next call on.
@@ -204,7 +204,7 @@
 	c.answered, c.silent = true, false
 	kind := balance.ListChanges
 	if list.All {
-		kind = balance.ListWhole
+		kind = balance.ListFull
 	}
 	c.take(list, kind)
 	c.tellFirst()
--- a/internal/query/bench_test.go
+++ b/internal/query/bench_test.go
@@ -52,7 +52,7 @@
 func benchmarkQuery(b *testing.B, counting bool) {
 	w := &still{now: time.Hour}
 	c := New(slog.New(slog.NewTextHandler(io.Discard, nil)), w, balance.Settings{MaxAttempts: 4, Tick: time.Millisecond,
-		Classes: []balance.Class{{Name: "chat", Aim: 300 * time.Millisecond}}}, 1)
+		Classes: []balance.Class{{Name: "chat", LatencyTarget: 300 * time.Millisecond}}}, 1)
 	c.Connect(w, w)
 	c.Count(counting)
 	var entries []balance.Listing
--- a/internal/query/bound.go
+++ b/internal/query/bound.go
@@ -138,7 +138,7 @@
 // gathering returns the groups that are worth the most with their homes, as many as a council may be told of.
 func (c *Core) gathering(worth map[string]float64) (all []census.Group) {
 	b, tells := c.balancer.(interface {
-		Homes(group string) []balance.ServerID
+		PreferredServers(group string) []balance.ServerID
 	})
 	if !tells {
 		return nil
@@ -149,7 +149,7 @@
 	slices.SortStableFunc(all, func(x, y census.Group) int { return cmp.Compare(y.Worth, x.Worth) })
 	all = all[:min(len(all), 2*census.MostGroups)]
 	for i := range all {
-		for _, server := range b.Homes(all[i].Name) {
+		for _, server := range b.PreferredServers(all[i].Name) {
 			all[i].Homes = append(all[i].Homes, string(server))
 		}
 	}
@@ -158,8 +158,8 @@
 
 // failing returns the hosts that the balancer has set aside for their failures, sorted.
 func (c *Core) failing() (all []string) {
-	if b, tells := c.balancer.(interface{ Aside() []balance.ServerID }); tells {
-		for _, server := range b.Aside() {
+	if b, tells := c.balancer.(interface{ Ejected() []balance.ServerID }); tells {
+		for _, server := range b.Ejected() {
 			all = append(all, string(server))
 		}
 	}
--- a/internal/query/count_test.go
+++ b/internal/query/count_test.go
@@ -282,7 +282,7 @@
 		r := rand.New(rand.NewPCG(seed, 7))
 		base, c := newCore("a", "b", "c", "d", "e")
 		c.Retune(balance.Settings{MaxAttempts: 4, Tick: time.Millisecond, Classes: []balance.Class{
-			{Name: "chat", Aim: 300 * time.Millisecond}, {Name: "once", Aim: 300 * time.Millisecond, Effect: balance.Unsafe}}})
+			{Name: "chat", LatencyTarget: 300 * time.Millisecond}, {Name: "once", LatencyTarget: 300 * time.Millisecond, Effect: balance.Unsafe}}})
 		c.Count(true)
 		w := &walk{world: base, setUps: map[string]rollout.SetUps{}}
 		var sum rollout.Counts
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -173,7 +173,7 @@
 // Retune takes new settings up for what comes from now on. Queries that have come keep the rules they came under.
 func (c *Core) Retune(set balance.Settings) {
 	c.adopt(set)
-	c.feed(balance.Retuned{Settings: set})
+	c.feed(balance.SettingsChanged{Settings: set})
 }
 
 // Connect gives the core its servers and its host group, and starts it.
@@ -320,7 +320,7 @@
 }
 
 // Fellows tells how many other processes of this node place queries too.
-func (c *Core) Fellows(n int) { c.feed(balance.Fellows{Processes: n}) }
+func (c *Core) Fellows(n int) { c.feed(balance.SiblingProcesses{Processes: n}) }
 
 // drained says whether nothing may be sent to a host any more.
 func (c *Core) drained(server balance.ServerID) bool {
@@ -340,7 +340,7 @@
 func (c *Core) Fire(d Due) {
 	switch d.Kind {
 	case DueWake:
-		c.feed(balance.Woken{Token: d.Token})
+		c.feed(balance.TimerFired{Token: d.Token})
 	case DueSweep:
 		c.sweep()
 	default:
@@ -388,7 +388,7 @@
 		if q := c.queries[a.Request]; q != nil {
 			q.step(life.Event{Kind: life.Move}, &news{outcome: balance.Cancelled})
 		}
-	case balance.Wake:
+	case balance.SetTimer:
 		c.clock.After(a.After, Due{Kind: DueWake, Token: a.Token})
 	case balance.Probe:
 		c.servers.Probe(a.Server)
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -97,7 +97,7 @@
 func newCore(hosts ...balance.ServerID) (*world, *Core) {
 	w := &world{now: time.Hour}
 	c := New(slog.New(slog.NewTextHandler(io.Discard, nil)), w, balance.Settings{MaxAttempts: 4, Tick: time.Millisecond,
-		Classes: []balance.Class{{Name: "chat", Aim: 300 * time.Millisecond}}}, seed)
+		Classes: []balance.Class{{Name: "chat", LatencyTarget: 300 * time.Millisecond}}}, seed)
 	w.core = c
 	c.Connect(w, w)
 	var entries []balance.Listing
@@ -165,7 +165,7 @@
 // reusing is a decider that, as the real one, answers in one buffer, which the next call overwrites.
 type reusing struct {
 	out  []balance.Action
-	say  []balance.Action // on the next Woken
+	say  []balance.Action // on the next TimerFired
 	seen []string
 }
 
@@ -174,11 +174,11 @@
 	switch e := ev.(type) {
 	case balance.Arrival:
 		r.out = append(r.out, balance.Place{Request: e.Request, Server: "a", Timeout: time.Second})
-	case balance.Woken:
+	case balance.TimerFired:
 		r.out = append(r.out, r.say...)
 	case balance.Ended:
 		r.seen = append(r.seen, "ended")
-		r.out = append(r.out, balance.Wake{After: time.Hour, Token: 1}, balance.Wake{After: time.Hour, Token: 2})
+		r.out = append(r.out, balance.SetTimer{After: time.Hour, Token: 1}, balance.SetTimer{After: time.Hour, Token: 2})
 	}
 	return r.out
 }
@@ -201,7 +201,7 @@
 	assert.Zero(t, c.Standing())
 }
 
-// told is a decider that keeps what it hears and says what it is told to on the next Woken.
+// told is a decider that keeps what it hears and says what it is told to on the next TimerFired.
 type told struct {
 	heard []balance.Event
 	say   []balance.Action
@@ -212,7 +212,7 @@
 	if e, ok := ev.(balance.Arrival); ok {
 		return []balance.Action{balance.Place{Request: e.Request, Server: "a", Timeout: time.Second}}
 	}
-	if _, ok := ev.(balance.Woken); ok {
+	if _, ok := ev.(balance.TimerFired); ok {
 		return d.say
 	}
 	return nil
@@ -345,7 +345,7 @@
 	assert.True(t, c.drained("a"), "a call that failed tells nothing")
 	change(entry(balance.Ready, 0))
 	assert.False(t, c.drained("a"), "taken back")
-	c.List(balance.ListWhole, nil) // it is missing
+	c.List(balance.ListFull, nil) // it is missing
 	w.now += grace
 	assert.True(t, c.drained("a"))
 	change(entry(balance.Draining, 5)) // another life of it
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,16 +37,16 @@
 		WeightsNominal: in.text("weight_source") == "nominal" || in.text("weight_source") == "rough",
 		Probes:         in.truth("permissions.probes"),
 		Peers:          in.truth("permissions.peers"),
-		SecondCopies:   in.truth("permissions.second_copies"),
+		Hedging:        in.truth("permissions.second_copies"),
 		MaxAttempts:    in.count("permissions.max_attempts"),
 		ConnectTimeout: in.micros("permissions.connect_timeout_us"),
 		PassThrough:    in.text("extra.mode") == "pass",
 		Tick:           in.micros("round_us"),
 		Safety: balance.Safety{
 			AnswerSlack: in.micros("safety.answer_slack_us"), DrainGrace: in.micros("safety.drain_grace_us"),
-			AskWithin: in.micros("safety.ask_within_us"), ColdFrom: in.number("safety.cold_from"),
-			ColdFor: in.micros("safety.cold_us"), OverloadFactor: in.number("safety.overload_factor"),
-			TipAfter: in.micros("safety.tip_after_us"),
+			ListRefreshInterval: in.micros("safety.ask_within_us"), ColdCapacity: in.number("safety.cold_from"),
+			WarmUp: in.micros("safety.cold_us"), OverloadFactor: in.number("safety.overload_factor"),
+			OverloadWindow: in.micros("safety.tip_after_us"),
 		},
 		Prices: balance.Prices{CrossZone: in.number("tariffs.cross_zone"), Probe: in.number("tariffs.probe"),
 			Move: in.number("tariffs.moves"), Peer: in.number("tariffs.peer")},
@@ -70,9 +70,9 @@
 func (in *reader) class(i int) balance.Class {
 	at := func(name string) string { return key("request_classes", i, name) }
 	c := balance.Class{
-		Name: in.text(at("name")), Aim: in.micros(at("aim_us")), Deadline: in.micros(at("deadline_us")),
-		Window: in.micros(at("window_us")), Streamed: in.truth(at("streamed")), Worth: in.number(at("points")),
-		MessageAim: in.micros(key("extra.message_aim_us", i, "")),
+		Name: in.text(at("name")), LatencyTarget: in.micros(at("aim_us")), Deadline: in.micros(at("deadline_us")),
+		Window: in.micros(at("window_us")), Streamed: in.truth(at("streamed")), Value: in.number(at("points")),
+		MessageLatencyTarget: in.micros(key("extra.message_aim_us", i, "")),
 	}
 	var ok bool
 	if c.Effect, ok = effects[in.text(at("semantics"))]; !ok {
@@ -102,7 +102,7 @@
 			return &KeyError{Key: key("request_classes", i, "name"), Fault: fmt.Sprintf("%q stands there twice", c.Name)}
 		case c.Deadline <= 0:
 			return &KeyError{Key: key("request_classes", i, "deadline_us"), Fault: notPositive}
-		case c.Aim <= 0:
+		case c.LatencyTarget <= 0:
 			return &KeyError{Key: key("request_classes", i, "aim_us"), Fault: notPositive}
 		}
 		seen[c.Name] = true
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -129,7 +129,7 @@
 }
 
 var listKinds = map[string]balance.ListKind{
-	"update": balance.ListChanges, "replace": balance.ListWhole, "restored": balance.ListSaved,
+	"update": balance.ListChanges, "replace": balance.ListFull, "restored": balance.ListSaved,
 	"unavailable": balance.ListFailed,
 }
 
@@ -371,7 +371,7 @@
 	if f.Token == nil {
 		return missing("label")
 	}
-	m.Event = balance.Woken{Token: *f.Token}
+	m.Event = balance.TimerFired{Token: *f.Token}
 	return nil
 }
 
@@ -415,7 +415,7 @@
 		name, body = "fail", requestBody{instance, uint64(a.Request)}
 	case balance.Move:
 		name, body = "transfer", requestBody{instance, uint64(a.Request)}
-	case balance.Wake:
+	case balance.SetTimer:
 		name, body = "sleep", struct {
 			I string `json:"proxy_id"`
 			W int64  `json:"wait_us"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,7 +50,7 @@
 			Name: "completed", Instance: "p", Event: balance.Ended{Request: 1, Final: true, Report: report}},
 		`{"lapsed":{"proxy_id":"p","corr":1}}`: {Name: "lapsed", Instance: "p", Event: balance.Departed{Request: 1}},
 		`{"tick_due":{"proxy_id":"p","label":9223372036854775807}}`: {Name: "tick_due", Instance: "p",
-			Event: balance.Woken{Token: 1<<63 - 1}},
+			Event: balance.TimerFired{Token: 1<<63 - 1}},
 		`{"pong":{"proxy_id":"p","server":"s","reason":0,"time_taken_us":7,"feedback":{"x0":0.5,"inflight":12}}}`: {
 			Name: "pong", Instance: "p", Event: balance.Probed{Server: "s", Took: 7 * us, Report: report}},
 		`{"datagram":{"proxy_id":"p","who":3,"data":"hi 7"}}`: {Name: "datagram", Instance: "p",
@@ -80,15 +80,15 @@
 		t.Fatal(err)
 	}
 	want := balance.Settings{Self: 1, Balancers: 2, Zone: "z1", ListOnRequest: true, WeightsNominal: true,
-		Probes: true, Peers: true, SecondCopies: true, MaxAttempts: 4, MaxRetryAfter: 1500 * time.Millisecond,
+		Probes: true, Peers: true, Hedging: true, MaxAttempts: 4, MaxRetryAfter: 1500 * time.Millisecond,
 		Tick:    2 * time.Millisecond,
 		Tenants: []balance.Tenant{{Name: "t", Share: 0.5, Quota: 35}},
-		Classes: []balance.Class{{Name: "c", Aim: 500 * time.Millisecond, Effect: balance.Keyed,
-			Group: balance.GroupCell, Window: 5 * time.Second, Streamed: true, Worth: 3,
-			MessageAim: 100 * time.Millisecond}},
+		Classes: []balance.Class{{Name: "c", LatencyTarget: 500 * time.Millisecond, Effect: balance.Keyed,
+			Group: balance.GroupCell, Window: 5 * time.Second, Streamed: true, Value: 3,
+			MessageLatencyTarget: 100 * time.Millisecond}},
 		Safety: balance.Safety{AnswerSlack: 8 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-			AskWithin: 10 * time.Second, ColdFrom: 0.3, ColdFor: 8900 * time.Millisecond, OverloadFactor: 2.5,
-			TipAfter: time.Second},
+			ListRefreshInterval: 10 * time.Second, ColdCapacity: 0.3, WarmUp: 8900 * time.Millisecond, OverloadFactor: 2.5,
+			OverloadWindow: time.Second},
 		Prices: balance.Prices{CrossZone: 0.03, Probe: 0.004, Move: 0.02, Peer: 0.01},
 	}
 	if m.Kind != Start || m.Seed != 9 || m.Instance != "proxy/1" || !reflect.DeepEqual(m.Settings, want) {
@@ -107,7 +107,7 @@
 		{balance.Refuse{Request: 7}, `{"decline":{"proxy_id":"p","corr":7}}`},
 		{balance.Fail{Request: 7}, `{"fail":{"proxy_id":"p","corr":7}}`},
 		{balance.Move{Request: 7}, `{"transfer":{"proxy_id":"p","corr":7}}`},
-		{balance.Wake{After: time.Second, Token: 3}, `{"sleep":{"proxy_id":"p","wait_us":1000000,"label":3}}`},
+		{balance.SetTimer{After: time.Second, Token: 3}, `{"sleep":{"proxy_id":"p","wait_us":1000000,"label":3}}`},
 		{balance.Probe{Server: "s"}, `{"poll":{"proxy_id":"p","server":"s"}}`},
 		{balance.Subscribe{}, `{"tail":{"proxy_id":"p","enable":true}}`},
 		{balance.Tell{Peer: balance.AllPeers, Data: "hi"}, `{"publish":{"proxy_id":"p","peer":"*","data":"hi"}}`},
--- a/rehearsal/coremodel/model.go
+++ b/rehearsal/coremodel/model.go
@@ -48,13 +48,13 @@
 	return balance.Settings{
 		Balancers: 1, Zone: "z0", MaxAttempts: c.Attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second,
 		Classes: []balance.Class{
-			{Name: "safe", Aim: aim, Deadline: wait, Effect: balance.Safe},
-			{Name: "unsafe", Aim: aim, Deadline: wait, Effect: balance.Unsafe},
-			{Name: "keyed", Aim: aim, Deadline: wait, Effect: balance.Keyed, Group: balance.GroupAll, Window: time.Minute},
-			{Name: "grouped", Aim: aim, Deadline: wait, Effect: balance.Keyed, Group: balance.GroupZone, Window: time.Minute},
+			{Name: "safe", LatencyTarget: aim, Deadline: wait, Effect: balance.Safe},
+			{Name: "unsafe", LatencyTarget: aim, Deadline: wait, Effect: balance.Unsafe},
+			{Name: "keyed", LatencyTarget: aim, Deadline: wait, Effect: balance.Keyed, Group: balance.GroupAll, Window: time.Minute},
+			{Name: "grouped", LatencyTarget: aim, Deadline: wait, Effect: balance.Keyed, Group: balance.GroupZone, Window: time.Minute},
 		},
-		Safety: balance.Safety{DrainGrace: grace, AnswerSlack: 50 * time.Millisecond, AskWithin: 10 * time.Second,
-			ColdFrom: 0.3, ColdFor: 8 * time.Second, OverloadFactor: 2.5, TipAfter: time.Second},
+		Safety: balance.Safety{DrainGrace: grace, AnswerSlack: 50 * time.Millisecond, ListRefreshInterval: 10 * time.Second,
+			ColdCapacity: 0.3, WarmUp: 8 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second},
 	}
 }
 
--- a/rehearsal/crowd/crowd.go
+++ b/rehearsal/crowd/crowd.go
@@ -198,7 +198,7 @@
 func (w *world) fleet() {
 	const ms = time.Millisecond
 	class := func(name string, worth float64, aim, deadline, message time.Duration) balance.Class {
-		return balance.Class{Name: name, Aim: aim, Deadline: deadline, Streamed: true, MessageAim: message, Worth: worth}
+		return balance.Class{Name: name, LatencyTarget: aim, Deadline: deadline, Streamed: true, MessageLatencyTarget: message, Value: worth}
 	}
 	w.kinds = []kind{
 		{class("a", 3, 300*ms, 1200*ms, 250*ms), 0.31, 1, 1},
@@ -213,8 +213,8 @@
 	}
 	set := balance.Settings{Balancers: w.plan.Nodes, Zone: "here", MaxAttempts: 4, Tick: 5 * ms, Probes: true,
 		MaxRetryAfter: 1500 * ms, WeightsNominal: true, ConnectTimeout: 250 * ms,
-		Safety: balance.Safety{AnswerSlack: 50 * ms, DrainGrace: 2 * time.Second, AskWithin: 10 * time.Second, ColdFrom: 0.37,
-			ColdFor: 8 * time.Second, OverloadFactor: 3, TipAfter: 1500 * ms},
+		Safety: balance.Safety{AnswerSlack: 50 * ms, DrainGrace: 2 * time.Second, ListRefreshInterval: 10 * time.Second, ColdCapacity: 0.37,
+			WarmUp: 8 * time.Second, OverloadFactor: 3, OverloadWindow: 1500 * ms},
 		Prices: balance.Prices{Probe: 0.0019, Move: 0.022}}
 	for i := range w.kinds {
 		w.kinds[i].life /= lives // so that those open have a load of one, and live for as long as is said, on average
@@ -240,7 +240,7 @@
 		set.Self = i
 		n := &node{b: balance.New(set, w.plan.Seed*1000+uint64(i)), clients: map[balance.RequestID]*client{}, slowAt: map[*host]time.Duration{}}
 		w.nodes = append(w.nodes, n)
-		w.tell(n, balance.ServerList{Kind: balance.ListWhole, Entries: list})
+		w.tell(n, balance.ServerList{Kind: balance.ListFull, Entries: list})
 	}
 	w.in(0, w.pass)
 }
@@ -350,8 +350,8 @@
 func (w *world) tell(n *node, ev balance.Event) {
 	for _, a := range slices.Clone(n.b.Handle(w.now+time.Second, ev)) {
 		switch a := a.(type) {
-		case balance.Wake:
-			w.in(a.After, func() { w.tell(n, balance.Woken{Token: a.Token}) })
+		case balance.SetTimer:
+			w.in(a.After, func() { w.tell(n, balance.TimerFired{Token: a.Token}) })
 		case balance.Probe:
 			w.out.Probes++
 			h := w.byID[a.Server]
@@ -471,10 +471,10 @@
 	w.alive = slices.DeleteFunc(w.alive, func(c *client) bool { return w.now >= c.until })
 	for _, c := range w.alive {
 		k := &w.kinds[c.kind]
-		worth := k.class.Worth * step.Seconds()
+		worth := k.class.Value * step.Seconds()
 		got := 0.0
-		if h := c.host; h != nil && h.piled < k.class.MessageAim.Seconds() {
-			got = worth * (1 - min(1, h.ratio())*math.Exp(-max(0, 1-h.ratio())*float64(k.class.MessageAim)/float64(message)))
+		if h := c.host; h != nil && h.piled < k.class.MessageLatencyTarget.Seconds() {
+			got = worth * (1 - min(1, h.ratio())*math.Exp(-max(0, 1-h.ratio())*float64(k.class.MessageLatencyTarget)/float64(message)))
 		}
 		w.wish, w.want[c.kind] = w.wish+worth, w.want[c.kind]+worth
 		w.served, w.got[c.kind] = w.served+got, w.got[c.kind]+got
--- a/rehearsal/script/do.go
+++ b/rehearsal/script/do.go
@@ -388,7 +388,7 @@
 		return nil
 	}
 	if arg == Whole {
-		w.Core.List(balance.ListWhole, w.whole())
+		w.Core.List(balance.ListFull, w.whole())
 	} else {
 		w.Core.List(balance.ListChanges, []balance.Listing{h.Listing})
 	}
--- a/rehearsal/walk/deployments_test.go
+++ b/rehearsal/walk/deployments_test.go
@@ -22,26 +22,26 @@
 	"one building": {
 		Balancers: 2, Zone: "z0", MaxAttempts: 4, MaxRetryAfter: 1500 * ms,
 		Classes: []balance.Class{
-			{Name: "job-status", Aim: 300 * ms, Deadline: 1200 * ms, MessageAim: 250 * ms, Worth: 3},
-			{Name: "queue-view", Aim: 500 * ms, Deadline: 3000 * ms, MessageAim: 60 * ms, Worth: 2},
-			{Name: "proof-fetch", Aim: 800 * ms, Deadline: 3200 * ms, MessageAim: 60 * ms, Worth: 3},
-			{Name: "template-list", Aim: 800 * ms, Deadline: 3200 * ms, MessageAim: 50 * ms, Worth: 1},
+			{Name: "job-status", LatencyTarget: 300 * ms, Deadline: 1200 * ms, MessageLatencyTarget: 250 * ms, Value: 3},
+			{Name: "queue-view", LatencyTarget: 500 * ms, Deadline: 3000 * ms, MessageLatencyTarget: 60 * ms, Value: 2},
+			{Name: "proof-fetch", LatencyTarget: 800 * ms, Deadline: 3200 * ms, MessageLatencyTarget: 60 * ms, Value: 3},
+			{Name: "template-list", LatencyTarget: 800 * ms, Deadline: 3200 * ms, MessageLatencyTarget: 50 * ms, Value: 1},
 		},
 		Tenants: []balance.Tenant{{Name: "kota", Share: 0.55, Quota: 300}, {Name: "kab", Share: 0.45, Quota: 250}},
-		Safety: balance.Safety{DrainGrace: 2 * time.Second, ColdFrom: 0.37, ColdFor: 8 * time.Second, OverloadFactor: 3,
-			TipAfter: 1500 * ms},
+		Safety: balance.Safety{DrainGrace: 2 * time.Second, ColdCapacity: 0.37, WarmUp: 8 * time.Second, OverloadFactor: 3,
+			OverloadWindow: 1500 * ms},
 		Prices: balance.Prices{Probe: 0.0019, Move: 0.022},
 	},
 	"two centres": {
 		Balancers: 3, Zone: "z1", MaxAttempts: 3,
 		Classes: []balance.Class{
-			{Name: "birth-lookup", Aim: 500 * ms, Deadline: 2000 * ms, MessageAim: 100 * ms, Worth: 1},
-			{Name: "marriage-lookup", Aim: 500 * ms, Deadline: 3000 * ms, MessageAim: 150 * ms, Worth: 2},
-			{Name: "record-update", Aim: 300 * ms, Deadline: 1800 * ms, MessageAim: 50 * ms, Worth: 2},
-			{Name: "certificate-check", Aim: 300 * ms, Deadline: 1800 * ms, MessageAim: 150 * ms, Worth: 5},
+			{Name: "birth-lookup", LatencyTarget: 500 * ms, Deadline: 2000 * ms, MessageLatencyTarget: 100 * ms, Value: 1},
+			{Name: "marriage-lookup", LatencyTarget: 500 * ms, Deadline: 3000 * ms, MessageLatencyTarget: 150 * ms, Value: 2},
+			{Name: "record-update", LatencyTarget: 300 * ms, Deadline: 1800 * ms, MessageLatencyTarget: 50 * ms, Value: 2},
+			{Name: "certificate-check", LatencyTarget: 300 * ms, Deadline: 1800 * ms, MessageLatencyTarget: 150 * ms, Value: 5},
 		},
-		Safety: balance.Safety{DrainGrace: 3 * time.Second, ColdFrom: 0.33, ColdFor: 7100 * ms, OverloadFactor: 2.5,
-			TipAfter: 1500 * ms},
+		Safety: balance.Safety{DrainGrace: 3 * time.Second, ColdCapacity: 0.33, WarmUp: 7100 * ms, OverloadFactor: 2.5,
+			OverloadWindow: 1500 * ms},
 		Prices: balance.Prices{CrossZone: 0.01, Probe: 0.002, Move: 0.016, Peer: 0.01},
 	},
 }
@@ -49,7 +49,7 @@
 // deployed is the world of one node, with what both deployments have in common; zones is how many zones the hosts are in.
 func deployed(set balance.Settings, zones int, seed uint64) script.Config {
 	set.Tick, set.ConnectTimeout, set.Probes, set.ListOnRequest, set.WeightsNominal = 5*ms, 250*ms, true, true, true
-	set.Safety.AskWithin, set.Safety.AnswerSlack = 10*time.Second, 20*ms
+	set.Safety.ListRefreshInterval, set.Safety.AnswerSlack = 10*time.Second, 20*ms
 	cfg := config(0, seed)
 	cfg.Settings, cfg.Classes, cfg.Wait = set, nil, 0
 	for _, c := range set.Classes {
@@ -81,8 +81,8 @@
 	out.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "attempts")
 	out.MaxRetryAfter = span("advice", a.MaxRetryAfter, b.MaxRetryAfter)
 	out.Safety.DrainGrace = span("grace", a.Safety.DrainGrace, b.Safety.DrainGrace)
-	out.Safety.ColdFor = span("cold for", a.Safety.ColdFor, b.Safety.ColdFor)
-	out.Safety.ColdFrom = rapid.Float64Range(0.31, 0.39).Draw(t, "cold from")
+	out.Safety.WarmUp = span("cold for", a.Safety.WarmUp, b.Safety.WarmUp)
+	out.Safety.ColdCapacity = rapid.Float64Range(0.31, 0.39).Draw(t, "cold from")
 	out.Safety.OverloadFactor = rapid.Float64Range(2.25, 3.25).Draw(t, "factor")
 	out.Balancers = rapid.IntRange(1, 4).Draw(t, "nodes")
 	return out
--- a/rehearsal/walk/walk_test.go
+++ b/rehearsal/walk/walk_test.go
@@ -37,14 +37,14 @@
 		Self: self, Balancers: nodes, Zone: fmt.Sprint("z", self%2), MaxAttempts: 4, Tick: time.Millisecond,
 		MaxRetryAfter: time.Second, Probes: true, ConnectTimeout: time.Second,
 		Classes: []balance.Class{
-			{Name: "safe", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: balance.Safe,
-				MessageAim: 100 * time.Millisecond},
-			{Name: "unsafe", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: balance.Unsafe},
-			{Name: "keyed", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: balance.Keyed,
+			{Name: "safe", LatencyTarget: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: balance.Safe,
+				MessageLatencyTarget: 100 * time.Millisecond},
+			{Name: "unsafe", LatencyTarget: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: balance.Unsafe},
+			{Name: "keyed", LatencyTarget: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: balance.Keyed,
 				Group: balance.GroupZone, Window: 900 * time.Millisecond},
 		},
-		Safety: balance.Safety{DrainGrace: 2 * time.Second, AnswerSlack: 50 * time.Millisecond, AskWithin: 10 * time.Second,
-			ColdFrom: 0.3, ColdFor: 8 * time.Second, OverloadFactor: 2.5, TipAfter: time.Second},
+		Safety: balance.Safety{DrainGrace: 2 * time.Second, AnswerSlack: 50 * time.Millisecond, ListRefreshInterval: 10 * time.Second,
+			ColdCapacity: 0.3, WarmUp: 8 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second},
 	}
 }
 
