--- a/balance/herd_test.go
+++ b/balance/backoff_test.go
@@ -7,14 +7,13 @@
 	"lichenhitch/balance"
 )
 
-// Forty nodes start in one moment, as after a release, and discovery fails every call for 20 s. What is harmless from one
-// must not hurt from forty: each asks a few times only, not all in one moment, and none waits for longer than the
-// settings allow. Time is virtual.
+// Forty nodes start at the same time, as after a release, and discovery fails every call for 20 s. Each node makes only a
+// few calls, the calls of all are spread over time, and no node waits longer than the settings allow. Time is virtual.
 func TestManyNodesThatStartAtOnceSpreadTheirCallsToDiscovery(t *testing.T) {
-	const nodes, moment, most = 40, 100 * ms, 20 * sec
+	const nodes, interval, most = 40, 100 * ms, 20 * sec
 	set := settings()
 	set.Balancers, set.ListOnRequest = nodes, true
-	asked := map[time.Duration]int{} // calls by the tenth of a second
+	callsPerInterval := map[time.Duration]int{} // calls per tenth of a second
 	for node := range nodes {
 		d := drive(t, set, uint64(node))
 		type timer struct {
@@ -30,10 +29,10 @@
 					timers = append(timers, timer{d.now + a.After, a.Token})
 				case balance.Subscribe:
 					if d.now-last > set.Safety.ListRefreshInterval {
-						t.Fatalf("node %d asked after %v only", node, d.now-last)
+						t.Fatalf("node %d waited %v for its next call", node, d.now-last)
 					}
 					calls, last = calls+1, d.now
-					asked[(d.now-sec)/moment]++
+					callsPerInterval[(d.now-sec)/interval]++
 				}
 			}
 		}
@@ -61,11 +60,11 @@
 		}
 	}
 	worst, total := 0, 0
-	for _, n := range asked {
+	for _, n := range callsPerInterval {
 		worst, total = max(worst, n), total+n
 	}
-	t.Logf("%d calls of %d nodes in %v, %d at most in %v", total, nodes, most, worst, moment)
+	t.Logf("%d calls of %d nodes in %v, %d at most in %v", total, nodes, most, worst, interval)
 	if worst > nodes/2 {
-		t.Errorf("%d of %d nodes called within %v", worst, nodes, moment)
+		t.Errorf("%d of %d nodes called within %v", worst, nodes, interval)
 	}
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -14,7 +14,7 @@
 	sec = time.Second
 )
 
-// settings are those of a small fleet without probes, so that choices follow from the events alone.
+// settings returns the settings for a small fleet without probes, so that choices depend on the events alone.
 func settings() balance.Settings {
 	return balance.Settings{
 		Balancers:   1,
@@ -36,7 +36,7 @@
 	}
 }
 
-// driver hands events to a balancer and keeps what it answered.
+// driver passes events to a balancer and records its actions.
 type driver struct {
 	t   *testing.T
 	b   *balance.Balancer
@@ -55,7 +55,7 @@
 	return acts
 }
 
-// wait advances the clock and delivers those of the pending timers that came due, in the order of their asking.
+// wait advances the clock and fires the pending timers that are due, in the order in which they were set.
 func (d *driver) wait(by time.Duration, pending []balance.Action) []balance.Action {
 	d.now += by
 	var out []balance.Action
@@ -100,7 +100,7 @@
 	return d.do(balance.Ended{Request: id, Attempt: n, Outcome: o, Final: final})
 }
 
-// placed returns the server of the one placement in acts, or "".
+// placed returns the server of the only placement in acts, or "".
 func placed(acts []balance.Action) string {
 	for _, a := range acts {
 		if p, ok := a.(balance.Place); ok {
@@ -156,9 +156,9 @@
 	}
 }
 
-func TestOwnPlacementsCountUntilAReportHoldsThem(t *testing.T) {
+func TestOwnPlacementsCountUntilAReportIncludesThem(t *testing.T) {
 	d := drive(t, settings(), 1)
-	d.fleet(0.40, 0.48) // each holds 20 connections when full: one more is 0.05
+	d.fleet(0.40, 0.48) // 20 connections fill each: one more adds 0.05
 	if got := placed(d.arrive(1, "safe", 2*sec)); got != "a" {
 		t.Fatalf("first on %q, want a", got)
 	}
@@ -180,7 +180,7 @@
 	d.fleet(0.40, 0.43)
 	d.arrive(1, "safe", 2*sec) // to a
 	d.now += 50 * ms
-	d.report("a", 0.401) // too soon to hold the placement
+	d.report("a", 0.401) // too early to include the placement
 	if got := placed(d.arrive(2, "safe", 2*sec)); got != "b" {
 		t.Errorf("placed on %q, want b: the report was taken before the placement", got)
 	}
@@ -218,7 +218,7 @@
 		class   string
 		outcome balance.Outcome
 		after   time.Duration
-		want    string // servers of the next attempt allowed, or the answer
+		want    string // permitted servers of the next attempt, or the answer
 	}{
 		{"safe", balance.Errored, 0, "bcd"},
 		{"safe", balance.TimedOut, 0, "bcd"},
@@ -284,7 +284,7 @@
 		pending = d.wait(wakeAfter(t, pending), pending)
 	}
 	if answer(d.all) == "" {
-		t.Fatal("no answer for a request held in vain")
+		t.Fatal("no answer for a request held without any server")
 	}
 	if d.now > deadline+settings().Safety.AnswerSlack {
 		t.Errorf("answered %v after the deadline", d.now-deadline)
@@ -359,7 +359,7 @@
 	}
 }
 
-func TestListIsAskedForWithBackOff(t *testing.T) {
+func TestListSubscriptionBacksOff(t *testing.T) {
 	set := settings()
 	set.ListOnRequest = true
 	d := drive(t, set, 1)
@@ -373,15 +373,15 @@
 		pending = d.do(balance.ServerList{Kind: balance.ListFailed})
 		last = wakeAfter(t, pending)
 		if last > set.Safety.ListRefreshInterval/2 {
-			t.Fatalf("asks again after %v, too late for %v", last, set.Safety.ListRefreshInterval)
+			t.Fatalf("subscribes again after %v, too late for a list refresh interval of %v", last, set.Safety.ListRefreshInterval)
 		}
 	}
 	if last < set.Safety.ListRefreshInterval/8 {
-		t.Errorf("still asks after %v in the eighth try: no back-off", last)
+		t.Errorf("delay of %v after eight failures: no back-off", last)
 	}
 	d.list(listing("a", "here", 0))
 	if acts := d.wait(last, pending); len(acts) != 0 {
-		t.Errorf("subscribed, and still %#v", acts)
+		t.Errorf("actions %#v although subscribed", acts)
 	}
 }
 
@@ -396,16 +396,16 @@
 	return 0
 }
 
-// TestColdServerIsFilledWithCare: a hundred balancers, each alone, see an empty server that has just started.
-func TestColdServerIsFilledWithCare(t *testing.T) {
+// A hundred balancers, none of which knows of the others' placements, have an empty server that has just started.
+func TestColdServerIsFilledGradually(t *testing.T) {
 	set := settings()
 	set.Balancers = 100
-	crowd := []float64{0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3}
+	ratios := []float64{0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3}
 	perWindow := map[int]int{}
 	for seed := uint64(0); seed < 100; seed++ {
 		d := drive(t, set, seed)
 		d.now = 100 * sec
-		d.fleet(crowd...)
+		d.fleet(ratios...)
 		cold := listing("z", "here", 0)
 		cold.Started = d.now
 		d.do(balance.ServerList{Kind: balance.ListChanges, Entries: []balance.Listing{cold}})
@@ -418,7 +418,7 @@
 			d.end(id, 0, balance.OK, true)
 		}
 	}
-	// It fills at 20 connections, so the pace over 8 s is 2.5 a second; 2.5 times the slowest climb is allowed.
+	// 20 connections fill it, so the rate over 8 s is 2.5 per second; 2.5 times that at the slowest warm-up is allowed.
 	for w := range 4 {
 		allowed := 2.5 * (0.3 + 0.7*float64(w+1)/8) * 2.5
 		if got := float64(perWindow[w]); got > allowed*1.5 {
@@ -440,11 +440,11 @@
 	again.Started = d.now
 	d.do(balance.ServerList{Kind: balance.ListChanges, Entries: []balance.Listing{again}})
 	if got := placed(d.arrive(1, "safe", 2*sec)); got == "a" || got == "" {
-		t.Errorf("placed on %q: the share of one of a hundred balancers is far below one connection", got)
+		t.Errorf("placed on %q, want another server than a: the share of one in a hundred balancers is far below 1", got)
 	}
 }
 
-func TestWaterLineSplitsAmongTheLow(t *testing.T) {
+func TestArrivalsSpreadOverLowServersWithManyBalancers(t *testing.T) {
 	for _, tc := range []struct {
 		balancers int
 		spread    bool
@@ -458,7 +458,7 @@
 			used[placed(d.arrive(1, "safe", 2*sec))] = true
 		}
 		if spread := len(used) > 3; spread != tc.spread {
-			t.Errorf("%d balancers: %d servers used, spread want %v", tc.balancers, len(used), tc.spread)
+			t.Errorf("%d balancers: %d servers used, want more than three: %v", tc.balancers, len(used), tc.spread)
 		}
 	}
 }
@@ -482,7 +482,7 @@
 	}
 }
 
-func TestWhatIsBeyondAShareGoesFirst(t *testing.T) {
+func TestTrafficBeyondATenantsShareIsRefusedFirst(t *testing.T) {
 	set := settings()
 	set.Tenants = []balance.Tenant{{Name: "big", Quota: 3}, {Name: "small", Quota: 100}}
 	d := drive(t, set, 1)
@@ -494,22 +494,22 @@
 	}
 	for range 5 {
 		if got := placed(from("big")); got != "a" {
-			t.Fatalf("refused beyond the share while there is room: placed on %q", got)
+			t.Fatalf("request beyond the share placed on %q, want a: there is room", got)
 		}
 	}
 	d.now += 2 * sec
 	d.fleet(0.7, 0.9, 0.9, 0.9)
 	if got := answer(from("big")); got != "refused" {
-		t.Errorf("answer %q beyond the share when room is short, want a refusal", got)
+		t.Errorf("request beyond the share answered %q when room is short, want a refusal", got)
 	}
 	if got := placed(from("small")); got != "a" {
-		t.Errorf("within its share placed on %q, want a", got)
+		t.Errorf("request within its share placed on %q, want a", got)
 	}
 }
 
-// A server that answers everything with an error, at once, keeps a low ratio and would swallow every arrival. One
-// that does so now and then serves the others.
-func TestFastErrorsSetAServerAside(t *testing.T) {
+// A server that answers everything with an immediate error keeps a low ratio and would attract every arrival. A server
+// with occasional errors remains in use.
+func TestFastErrorsEjectAServer(t *testing.T) {
 	d := drive(t, settings(), 1)
 	d.fleet(0.1, 0.5, 0.5, 0.5)
 	id := balance.RequestID(0)
@@ -538,25 +538,25 @@
 	}
 	d.end(98, 0, balance.Errored, placed(d.arrive(98, "safe", 2*sec)) == "")
 	if got := placed(d.arrive(99, "safe", 2*sec)); got == "a" {
-		t.Error("a fails at once all the time and still gets the next arrival")
+		t.Error("a answers everything with an error and still gets the next arrival")
 	}
 	d.now += 20 * sec
 	if got := placed(d.arrive(100, "safe", 2*sec)); got != "a" {
-		t.Errorf("twenty seconds later placed on %q, want a trial of a", got)
+		t.Errorf("twenty seconds later placed on %q, want a", got)
 	}
 }
 
-// A lone balancer knows what it has placed since the last report. A crowd that comes at once, as after a restart, is
-// let in for as long as it fits, and the servers are filled to four fifths.
-func TestACrowdIsLetInWhereItFits(t *testing.T) {
+// A single balancer knows what it has placed since the last report. A burst of arrivals, as after a restart, is admitted
+// as long as it fits, and the servers are filled to the target utilization of 0.8.
+func TestABurstIsAdmittedUpToTheTargetUtilization(t *testing.T) {
 	d := drive(t, settings(), 1)
-	d.fleet(0.2, 0.2) // 20 fill each of them
+	d.fleet(0.2, 0.2) // 20 connections fill each of them
 	in := 0
 	for id := balance.RequestID(1); id <= 60; id++ {
 		d.now += ms
 		if placed(d.arrive(id, "safe", 2*sec)) == "" {
 			if in < 22 {
-				t.Fatalf("%d let in and the next refused, where 24 fit", in)
+				t.Fatalf("%d admitted and the next refused, although 24 fit", in)
 			}
 			continue
 		}
@@ -564,15 +564,15 @@
 		d.do(balance.Established{Request: id})
 	}
 	if in > 26 {
-		t.Errorf("%d let in where 24 fit", in)
+		t.Errorf("%d admitted, although 24 fit", in)
 	}
 }
 
-// A request that one server after the other answers with an error is at fault itself: it must not set the fleet aside.
-func TestABadRequestSetsNoServerAside(t *testing.T) {
+// A request that every server answers with an error is itself at fault: it must not eject the whole fleet.
+func TestABadRequestEjectsNoServer(t *testing.T) {
 	d := drive(t, settings(), 1)
 	d.fleet(0.1, 0.2, 0.3, 0.5)
-	for id := balance.RequestID(21); id <= 29; id++ { // so that a few failures do not throttle
+	for id := balance.RequestID(21); id <= 29; id++ { // so that a few failures do not cause throttling
 		d.arrive(id, "safe", 2*sec)
 		d.do(balance.Established{Request: id})
 		d.end(id, 0, balance.OK, true)
@@ -594,7 +594,7 @@
 	}
 }
 
-func TestWhenNearlyAllLookSickTheVerdictIsDoubted(t *testing.T) {
+func TestEjectionsAreIgnoredWhenNearlyAllServersAreEjected(t *testing.T) {
 	d := drive(t, settings(), 1)
 	d.fleet(0.1, 0.3, 0.4, 0.5, 0.6)
 	for id := balance.RequestID(1); id <= 4; id++ {
@@ -603,7 +603,7 @@
 	}
 	d.now += 100 * ms
 	if got := placed(d.arrive(9, "safe", 2*sec)); got != "a" {
-		t.Errorf("placed on %q, want a: four of five set aside says nothing", got)
+		t.Errorf("placed on %q, want a: four of five ejected is too many to trust", got)
 	}
 }
 
@@ -629,11 +629,11 @@
 		return n
 	}
 	if got := attempts(balance.OK); got != 100 {
-		t.Errorf("%d attempts for 100 requests while all goes well", got)
+		t.Errorf("%d attempts for 100 requests without failures", got)
 	}
 	d.now += 20 * sec
 	if got := attempts(balance.TimedOut); got > 100 {
-		t.Errorf("%d attempts for 100 requests while all fail: they keep the fleet down", got)
+		t.Errorf("%d attempts for 100 requests while all fail: these prolong the overload", got)
 	}
 	d.now += 20 * sec
 	if got := attempts(balance.OK); got < 98 {
@@ -659,19 +659,19 @@
 		d.now += 500 * ms
 	}
 	if moves == 0 {
-		t.Error("nothing moved off a server beyond its message aim")
+		t.Error("no connection moved off a server whose messages exceed their latency target")
 	}
 	if got := placed(d.arrive(9, "safe", 2*sec)); got == "a" {
 		t.Error("placed on the slow server")
 	}
 	d.do(balance.MessagesSlow{Request: 1, Took: 10 * ms})
 	for _, a := range d.do(balance.MessagesSlow{Request: 1, Took: 300 * ms}) {
-		t.Errorf("slow for a moment only, and still %#v", a)
+		t.Errorf("slow only for a moment, but got %#v", a)
 	}
 }
 
-// Real hosts send no notes on how long messages take; only the latency in their reports tells. A host that
-// slowed down kept its connections for as long as no arrival had it probed.
+// Without MessagesSlow events, message latency is known only from the latency in load reports. A host that slowed down
+// kept its connections as long as no arrival caused a probe of it.
 func TestAReportedLatencyMovesConnectionsOffWithoutArrivals(t *testing.T) {
 	set := settings()
 	set.Probes = true
@@ -690,7 +690,7 @@
 		for _, a := range pending {
 			if p, ok := a.(balance.Probe); ok && p.Server == "a" {
 				probes++
-				report.Ratio = 1 + float64(probes)/100 // refreshed each time
+				report.Ratio = 1 + float64(probes)/100 // a fresh report each time
 				for _, a := range d.do(balance.Probed{Server: "a", Report: report}) {
 					if m, ok := a.(balance.Move); ok {
 						moves++
@@ -705,9 +705,10 @@
 	}
 }
 
-// A host with a second of work piled up served nobody for long, though it was asked for little more than it can
-// do: a fifth of its connections at a time was too few. In a crowded fleet, though, more would jam the next host.
-func TestWhatHasPiledUpIsMovedOffWhereThereIsRoom(t *testing.T) {
+// A host with a second of queued work served no one for a long time, although its load was just below its capacity:
+// moving a fifth of its connections at a time was too few. In a nearly full fleet, however, moving more would overload
+// the next host.
+func TestABacklogIsMovedOffWhereThereIsRoom(t *testing.T) {
 	moved := map[float64]int{}
 	for _, others := range []float64{0.3, 0.7} {
 		d := drive(t, settings(), 1)
@@ -728,12 +729,12 @@
 		}
 	}
 	if moved[0.7] != 2 || moved[0.3] < 4 {
-		t.Errorf("of 10 connections %d moved in a crowded and %d in a spacious fleet", moved[0.7], moved[0.3])
+		t.Errorf("of 10 connections %d moved in a full and %d in a lightly loaded fleet", moved[0.7], moved[0.3])
 	}
 }
 
-// A client is told to move before its server leaves: what is left there when it stops would be cut off.
-func TestADrainingServerIsEmptiedBitByBit(t *testing.T) {
+// Clients are moved before their server stops: connections that remain when it stops would be cut off.
+func TestADrainingServerIsEmptiedGradually(t *testing.T) {
 	d := drive(t, settings(), 1)
 	d.fleet(0.1, 0.5)
 	for id := balance.RequestID(1); id <= 8; id++ {
@@ -746,7 +747,7 @@
 	d.do(balance.ServerList{Entries: []balance.Listing{draining}})
 	moved, most := 0, 0
 	pending := []balance.Action{balance.SetTimer{After: 500 * ms, Token: 3}}
-	for range 16 { // over the 8 s of warming up
+	for range 16 { // over the warm-up time of 8 s
 		pending = d.wait(500*ms, pending)
 		now := 0
 		for _, a := range pending {
@@ -758,27 +759,27 @@
 		moved, most = moved+now, max(most, now)
 	}
 	if moved != 8 || most > 2 {
-		t.Errorf("%d of 8 connections moved, %d at once at most; want all, bit by bit", moved, most)
+		t.Errorf("%d of 8 connections moved, %d at once at most; want all, at most 2 at once", moved, most)
 	}
 }
 
-// Clients that come all at once, as after a restart, find servers that set up one connection after the other. What
-// waits at a server for longer than its attempt's time-out is lost work there, and the next server's too: it waits
-// here for its turn, or is refused at once where its turn would come too late.
-func TestAStormOfArrivalsIsSetUpInTurn(t *testing.T) {
+// Clients that arrive all at once, as after a restart, meet servers that set up connections one after the other. A
+// connection that waits at a server for longer than the time-out of its attempt is lost work there, and at the next
+// server too. So arrivals wait in the balancer, or are refused at once if their turn would come too late.
+func TestABurstOfArrivalsIsSetUpInTurn(t *testing.T) {
 	set := settings()
 	set.MaxRetryAfter = sec
 	d := drive(t, set, 1)
 	d.fleet(0, 0)
-	queues, out := map[balance.ServerID][]balance.RequestID{}, 0
-	most, stood, refused, timedOut := 0, 0, 0, 0
+	queues, pending := map[balance.ServerID][]balance.RequestID{}, 0
+	most, established, refused, timedOut := 0, 0, 0, 0
 	take := func(acts []balance.Action) {
 		for _, a := range acts {
 			switch a := a.(type) {
 			case balance.Place:
 				queues[a.Server] = append(queues[a.Server], a.Request)
-				out++
-				most = max(most, out)
+				pending++
+				most = max(most, pending)
 			case balance.Refuse:
 				refused++
 			}
@@ -789,7 +790,7 @@
 		take(d.arrive(id, "safe", 2*sec))
 		sent[id] = d.now
 	}
-	for range 40 { // each server sets one up every 100 ms
+	for range 40 { // each server sets up a connection every 100 ms
 		d.now += 100 * ms
 		for _, s := range []balance.ServerID{"a", "b"} {
 			if len(queues[s]) == 0 {
@@ -797,11 +798,11 @@
 			}
 			id := queues[s][0]
 			queues[s] = queues[s][1:]
-			out--
+			pending--
 			if d.now-sent[id] > 2*sec {
 				timedOut++
 			}
-			stood++
+			established++
 			take(d.do(balance.Established{Request: id}))
 		}
 		for _, a := range d.all {
@@ -810,14 +811,14 @@
 			}
 		}
 	}
-	if most > 20 || timedOut > 0 || stood+refused != 60 || stood < 20 {
-		t.Errorf("%d out at once, %d too late, %d stood, %d refused; want 16 out at most and none too late",
-			most, timedOut, stood, refused)
+	if most > 20 || timedOut > 0 || established+refused != 60 || established < 20 {
+		t.Errorf("%d pending at once, %d too late, %d established, %d refused; want 16 pending, at most 20, and none too late",
+			most, timedOut, established, refused)
 	}
 }
 
-// A balancer that starts among loaded servers holds few of their many connections. These few must not pass for all:
-// the servers would seem tiny and full, and the clients that come back after a restart would be refused.
+// A balancer that starts among loaded servers holds few of their many connections. If it took these for all of them, the
+// servers would seem tiny and full, and clients that come back after a restart would be refused.
 func TestFewOwnConnectionsOnLoadedServersDoNotMakeThemTiny(t *testing.T) {
 	set := settings()
 	set.Tenants = []balance.Tenant{{Name: "t", Quota: 80}}
@@ -834,8 +835,8 @@
 	}
 }
 
-// Where servers warm up within a second, one that drains is still not emptied at a stroke.
-func TestAShortWarmUpDoesNotHurryADrain(t *testing.T) {
+// A draining server is not emptied all at once, even if servers warm up within a second.
+func TestAShortWarmUpDoesNotSpeedUpADrain(t *testing.T) {
 	set := settings()
 	set.Probes, set.Safety.WarmUp = true, sec
 	d := drive(t, set, 1)
@@ -862,7 +863,7 @@
 	}
 }
 
-func TestCrossingCostsAStep(t *testing.T) {
+func TestZoneCrossingIsPenalized(t *testing.T) {
 	set := settings()
 	set.Prices.CrossZone = 0.03
 	for _, tc := range []struct {
@@ -874,14 +875,14 @@
 		d.report("near", 0.4)
 		d.report("far", tc.far)
 		if got := placed(d.arrive(1, "safe", 2*sec)); got != tc.want {
-			t.Errorf("far at %v: placed on %q, want %q", tc.far, got, tc.want)
+			t.Errorf("far at ratio %v: placed on %q, want %q", tc.far, got, tc.want)
 		}
 	}
 }
 
-func TestAGroupGathersOnItsHomes(t *testing.T) {
+func TestAGroupConcentratesOnItsPreferredServers(t *testing.T) {
 	servers := map[string]map[string]bool{}
-	for seed := uint64(0); seed < 40; seed++ { // forty balancers that know nothing of each other
+	for seed := uint64(0); seed < 40; seed++ { // forty independent balancers
 		d := drive(t, settings(), seed)
 		d.fleet(0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3, 0.3)
 		for i, group := range []string{"g1", "g2", "g3", ""} {
@@ -903,11 +904,11 @@
 	d := drive(t, settings(), 1)
 	d.fleet(0.85, 0.85, 0.85, 0.1, 0.85, 0.85)
 	if got := placed(d.do(balance.Arrival{Request: 1, Class: "safe", Group: "g2", TimeLeft: sec})); got != "d" {
-		t.Errorf("placed on %q, want d: a truly lower server wins over a home", got)
+		t.Errorf("placed on %q, want d: a much lower server wins over a preferred one", got)
 	}
 }
 
-// driveProbing drives a balancer that may probe and has no report of its two servers yet.
+// driveProbing returns a driver of a balancer that may probe and has no report of its two servers yet.
 func driveProbing(t *testing.T) *driver {
 	t.Helper()
 	set := settings()
@@ -937,7 +938,7 @@
 	}
 }
 
-func TestAHeldArrivalDoesNotWaitForASilentProbe(t *testing.T) {
+func TestAHeldArrivalDoesNotWaitForAnUnansweredProbe(t *testing.T) {
 	d := driveProbing(t)
 	pending := d.arrive(1, "safe", 2*sec)
 	d.report("a", 0.7)
@@ -946,7 +947,7 @@
 	}
 }
 
-func TestBadInputIsPassedOver(t *testing.T) {
+func TestInvalidInputIsIgnored(t *testing.T) {
 	d := drive(t, balance.Settings{}, 1)
 	nan := 0.0
 	nan /= nan
@@ -969,11 +970,11 @@
 		d.do(ev)
 	}
 	if got := placed(d.arrive(60, "", sec)); got != "a" && got != "b" {
-		t.Errorf("after the nonsense placed on %q, want a or b", got)
+		t.Errorf("after invalid events placed on %q, want a or b", got)
 	}
 }
 
-func TestEqualEventsGiveEqualActionsAndInstancesShareNothing(t *testing.T) {
+func TestEqualEventsGiveEqualActionsAndBalancersShareNothing(t *testing.T) {
 	script := func(d *driver, step int) {
 		id := balance.RequestID(step)
 		d.now += 37 * ms
@@ -1002,16 +1003,16 @@
 	run(alone)
 	run(one, two)
 	if !reflect.DeepEqual(alone.all, one.all) {
-		t.Error("an instance acts differently beside another")
+		t.Error("a balancer acts differently beside another")
 	}
 	if reflect.DeepEqual(one.all, two.all) {
-		t.Error("another seed gives the same actions: chance does not come from it")
+		t.Error("another seed gives the same actions: randomness does not depend on it")
 	}
 }
 
-// What was known of a server goes with its old life: one that was set aside, and has started again since, is chosen like
-// any other.
-func TestAServerThatStartedAgainIsNotHeldToItsPast(t *testing.T) {
+// A restart of a server drops what was known of it: a server that was ejected and has restarted since is chosen like any
+// other.
+func TestARestartedServerIsNotEjected(t *testing.T) {
 	set := settings()
 	set.Safety.WarmUp = 0
 	d := drive(t, set, 1)
@@ -1024,34 +1025,34 @@
 	}
 	for id := balance.RequestID(2); id < 6; id++ {
 		if at := placed(d.arrive(id, "safe", sec)); at != "b" {
-			t.Fatalf("placed on %q while a is set aside", at)
+			t.Fatalf("placed on %q while a is ejected", at)
 		}
 	}
 	again := listing("a", "here", 0)
 	again.Started = d.now
 	d.do(balance.ServerList{Kind: balance.ListChanges, Entries: []balance.Listing{again}})
 	if at := placed(d.arrive(6, "safe", sec)); at != "a" {
-		t.Fatalf("placed on %q, though a has started again and is the emptier one", at)
+		t.Fatalf("placed on %q, want a, which has restarted and has the lower ratio", at)
 	}
 }
 
-// A repeat tells until when it may be sent: its connection may come up long after it was placed.
-func TestARepeatTellsUntilWhenItMayBeSent(t *testing.T) {
+// A repeat of a keyed request has a time limit for sending, because its connection may take long to be established.
+func TestARepeatHasATimeLimitForSending(t *testing.T) {
 	for class, want := range map[string]time.Duration{"safe": 0, "keyed-all": 6 * sec} {
 		d := drive(t, settings(), 1)
 		d.fleet(0.3, 0.4)
 		first := d.arrive(1, class, 2*sec)[0].(balance.Place)
 		if first.SendBy != 0 {
-			t.Errorf("%s: a first attempt is to be sent by %v", class, first.SendBy)
+			t.Errorf("%s: the first attempt has a send limit of %v, want none", class, first.SendBy)
 		}
 		d.now += 100 * ms
 		again := d.end(1, 0, balance.Reset, false)
 		if placed(again) == "" {
-			t.Fatalf("%s: no repeat", class)
+			t.Fatalf("%s: request not repeated", class)
 		}
 		for _, a := range again {
 			if p, ok := a.(balance.Place); ok && p.SendBy != want {
-				t.Errorf("%s: to be sent by %v, want %v", class, p.SendBy, want)
+				t.Errorf("%s: send limit %v, want %v", class, p.SendBy, want)
 			}
 		}
 	}
--- a/balance/ban_test.go
+++ b/balance/ban_test.go
@@ -8,7 +8,7 @@
 	"lichenhitch/balance"
 )
 
-// probed and moved return what actions ask for.
+// probed and moved return the servers to probe and the requests to move in acts.
 func probed(acts []balance.Action) (out []balance.ServerID) {
 	for _, a := range acts {
 		if p, ok := a.(balance.Probe); ok {
@@ -27,9 +27,9 @@
 	return out
 }
 
-// A host that is out by hand gets nothing new, whatever the list says: that it is in service, that it is gone and back,
-// that it has started again.
-func TestABanOutlivesTheList(t *testing.T) {
+// A host that an operator has suspended gets no new work, whatever the list says: that it is in service, that it was
+// removed and added again, or that it has restarted.
+func TestABanSurvivesListUpdates(t *testing.T) {
 	d := drive(t, settings(), 1)
 	d.fleet(0.3, 0.1)
 	d.do(balance.Suspend{Server: "b"})
@@ -37,7 +37,7 @@
 	started.Started = 2 * sec
 	gone := listing("b", "here", 0)
 	gone.State = balance.Gone
-	for i, news := range []func(){
+	for i, update := range []func(){
 		func() {},
 		func() { d.list(listing("a", "here", 0), listing("b", "here", 0)) },
 		func() { d.list(listing("a", "here", 0)) },
@@ -46,25 +46,25 @@
 		func() { d.do(balance.ServerList{Kind: balance.ListChanges, Entries: []balance.Listing{started}}) },
 		func() { d.do(balance.Suspend{Server: "b"}) },
 	} {
-		news()
+		update()
 		d.now += 10 * ms
 		got := placed(d.arrive(balance.RequestID(i+1), "safe", sec))
 		d.do(balance.Established{Request: balance.RequestID(i + 1)})
 		if got != "a" {
-			t.Fatalf("after news %d the request went to %q", i, got)
+			t.Fatalf("after update %d the request was placed on %q", i, got)
 		}
 	}
 	d.do(balance.Resume{Server: "b"}) // one call undoes both
 	d.report("a", 0.7)
 	d.report("b", 0)
 	if got := placed(d.arrive(100, "safe", sec)); got != "b" {
-		t.Fatalf("back in use, the emptiest host is passed over for %q", got)
+		t.Fatalf("after its resume, the emptiest host got no request: placed on %q", got)
 	}
 }
 
-// A host out by hand is not probed; its clients are moved off bit by bit, all within the warm-up time. Back, it is
-// probed at once, and what it may be sent is what a host that has just started may.
-func TestABannedHostIsEmptiedAndComesBackCold(t *testing.T) {
+// A suspended host is not probed; its clients are moved off gradually, all within the warm-up time. When it is resumed,
+// it is probed at once and gets only as many connections as a host that has just started.
+func TestASuspendedHostIsEmptiedAndResumedCold(t *testing.T) {
 	set := settings()
 	set.Probes = true
 	d := drive(t, set, 1)
@@ -81,21 +81,21 @@
 		}
 	}
 	if len(on) < 3 {
-		t.Fatalf("%d connections stand at the host, too few for the test", len(on))
+		t.Fatalf("%d connections at the host are too few for the test", len(on))
 	}
 	pending := d.do(balance.Suspend{Server: "b"})
 	if got := probed(pending); len(got) != 0 {
-		t.Fatalf("a host is probed for being taken out: %v", got)
+		t.Fatalf("suspending a host caused probes of %v", got)
 	}
 	pending = d.all
 	for range 25 {
 		pending = d.wait(500*ms, pending)
 		if slices.Contains(probed(pending), "b") {
-			t.Fatal("a host that is out is probed")
+			t.Fatal("a suspended host was probed")
 		}
 		for _, id := range moved(pending) {
 			if !on[id] {
-				t.Fatalf("request %d is moved, which is not at the host", id)
+				t.Fatalf("request %d was moved, but is not at the host", id)
 			}
 			delete(on, id)
 			d.end(id, 0, balance.Cancelled, true)
@@ -105,7 +105,7 @@
 		t.Fatalf("%d connections are still at the host", len(on))
 	}
 	if got := probed(d.do(balance.Resume{Server: "b"})); !slices.Equal(got, []balance.ServerID{"b"}) {
-		t.Fatalf("back, the host is not probed at once: %v", got)
+		t.Fatalf("the resumed host was not probed at once: %v", got)
 	}
 	d.report("a", 0.3)
 	d.report("b", 0)
@@ -120,22 +120,22 @@
 			d.do(balance.Established{Request: id})
 		}
 	}
-	// 20 connections fill it in 8 s; half of 2.5 times 0.3 of that pace, over 1 s.
+	// 20 connections fill it in 8 s; the budget is half of 2.5 times 0.3 of that rate, over 1 s.
 	if sent < 1 || sent > 2 {
-		t.Fatalf("a host that came back got %d connections at once", sent)
+		t.Fatalf("a resumed host got %d connections at once, want 1 or 2", sent)
 	}
 }
 
-// A host whose new start was told while it was out counts from that start, and a resume of one that is not out, or
-// that the list does not name, asks for nothing.
-func TestWhatAResumeOfAHostMeans(t *testing.T) {
+// A host for which the list announced a new start while it was suspended counts from that start. A resume of a host that
+// is not suspended, or not listed, has no effect.
+func TestResumeOfAHost(t *testing.T) {
 	d := drive(t, settings(), 1)
 	d.fleet(0.3, 0.3)
 	if acts := d.do(balance.Resume{Server: "b"}); len(acts) > 0 {
-		t.Fatalf("a resume of a host in use asks for %v", acts)
+		t.Fatalf("a resume of a host in use caused %v", acts)
 	}
 	if acts := d.do(balance.Resume{Server: "nobody"}); len(acts) > 0 {
-		t.Fatalf("a resume of a host that is not known asks for %v", acts)
+		t.Fatalf("a resume of an unknown host caused %v", acts)
 	}
 	d.do(balance.Suspend{Server: "b"})
 	b := listing("b", "here", 0)
@@ -153,14 +153,14 @@
 		}
 	}
 	if sent < 4 {
-		t.Fatalf("a host that is warm again got %d of 6", sent)
+		t.Fatalf("a host that has warmed up got %d of 6 requests", sent)
 	}
-	// A drain that the list tells in the same turn as the resume holds.
+	// A drain that the list announces together with the resume stays in force.
 	d.do(balance.Suspend{Server: "b"})
 	b.State = balance.Draining
 	d.do(balance.ServerList{Kind: balance.ListChanges, Entries: []balance.Listing{b}})
 	d.do(balance.Resume{Server: "b"})
 	if got := placed(d.arrive(200, "safe", time.Second)); got != "a" {
-		t.Fatalf("a host that drains got a request: %q", got)
+		t.Fatalf("request placed on %q, want a: b is draining", got)
 	}
 }
--- a/balance/look_test.go
+++ b/balance/checks_test.go
@@ -7,10 +7,10 @@
 	"lichenhitch/balance"
 )
 
-// A node of a large fleet holds more connections than it sees arrivals. Looking after the hosts that hold them, once a
-// second each, must not use up the probes for what arrives: it did, and from the fourth second on 98 of 100 arrivals
-// were placed by old reports.
-func TestLookingAfterConnectionsLeavesArrivalsTheirProbes(t *testing.T) {
+// A node of a large fleet holds more connections than it sees arrivals. The checks of the hosts that hold them, once a
+// second each, must not use up the probe budget of arrivals: when they did, 98 of 100 arrivals were placed by old reports
+// from the fourth second on.
+func TestServerChecksDoNotUseTheProbeBudgetOfArrivals(t *testing.T) {
 	set := settings()
 	set.Probes, set.Balancers, set.Prices.Probe = true, 300, 0.0019
 	d := drive(t, set, 1)
@@ -36,16 +36,16 @@
 		take(d.do(balance.Inherited{Server: entries[i].Server,
 			Arrival: balance.Arrival{Request: balance.RequestID(100 + i), Class: "safe"}}))
 	}
-	looked := 0
+	checks := 0
 	for range 20 { // ten seconds
 		due := timers
 		timers = nil
-		looked += take(d.wait(sec/2, due))
+		checks += take(d.wait(sec/2, due))
 	}
-	if looked < 180 {
-		t.Fatalf("%d probes in 10 s of 20 hosts with connections", looked)
+	if checks < 180 {
+		t.Fatalf("%d checks of 20 hosts with connections in 10 s", checks)
 	}
 	if n := take(d.arrive(1, "safe", 2*sec)); n < 4 {
-		t.Errorf("an arrival had %d hosts probed, want some five", n)
+		t.Errorf("an arrival caused %d probes, want about five", n)
 	}
 }
--- a/balance/deployments_test.go
+++ b/balance/deployments_test.go
@@ -8,9 +8,10 @@
 	"lichenhitch/balance"
 )
 
-// A few nodes and a crowd, under the figures for cold hosts of two deployments and others: in no window is a cold host sent
-// more, by all nodes together, than the rule allows on the pace that just fills it, and one connection a node, which none
-// can send a part of. Nodes that each count on being alone, as one of another deployment may be, have to be found.
+// A few nodes and a burst of clients, with the cold host parameters of two deployments and others: in no window do all
+// nodes together send a cold host more than the allowed multiple of the rate that just fills it, and one connection per
+// node, since connections are not divisible. The test must detect nodes that each assume to be alone, as a node of
+// another deployment may be.
 func TestAFewNodesShareAColdHostsBudget(t *testing.T) {
 	figures := map[string]balance.Safety{
 		"one building": {ColdCapacity: 0.37, WarmUp: 8 * sec, OverloadFactor: 3, OverloadWindow: 1500 * ms},
@@ -21,23 +22,23 @@
 	for name, safe := range figures {
 		t.Run(name, func(t *testing.T) {
 			for nodes := 1; nodes <= 4; nodes++ {
-				if beyond := crowdOnColdHosts(t, safe, nodes, nodes); beyond > float64(nodes) {
+				if beyond := burstOnColdHosts(t, safe, nodes, nodes); beyond > float64(nodes) {
 					t.Errorf("%d nodes sent %.1f more than allowed", nodes, beyond)
 				}
 			}
-			if beyond := crowdOnColdHosts(t, safe, 4, 1); beyond <= 4 {
-				t.Errorf("four nodes, each as if alone, sent %.1f more than allowed", beyond)
+			if beyond := burstOnColdHosts(t, safe, 4, 1); beyond <= 4 {
+				t.Errorf("four nodes, each configured as the only one, sent %.1f more than allowed, want more than 4", beyond)
 			}
 		})
 	}
 }
 
-// crowdOnColdHosts has nodes, told of some number of them, send a crowd to hosts of which three are full and two cold. It
-// returns by how many connections a cold host was sent more than allowed in a window, at most.
-func crowdOnColdHosts(t *testing.T, safe balance.Safety, nodes, told int) (beyond float64) {
+// burstOnColdHosts lets nodes, configured with some number of balancers, send a burst of clients to three full and two
+// cold hosts. It returns by how many connections, at most, a cold host was sent more than allowed in a window.
+func burstOnColdHosts(t *testing.T, safe balance.Safety, nodes, balancers int) (beyond float64) {
 	const full, start = 40, 20 * sec
 	set := settings()
-	set.Balancers, set.MaxRetryAfter = told, sec
+	set.Balancers, set.MaxRetryAfter = balancers, sec
 	set.Tenants = []balance.Tenant{{Name: "t", Share: 1, Quota: 5 * full}}
 	safe.DrainGrace, safe.ListRefreshInterval = set.Safety.DrainGrace, set.Safety.ListRefreshInterval
 	set.Safety = safe
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -10,65 +10,66 @@
 	"lichenhitch/balance"
 )
 
-// Eighty nodes each hold one connection at a host that drains. Each alone moved at least one at each look, so that all
-// came again within half a second, when the hosts that replace it were not there yet. Evenly over the warm-up of 8 s, a
-// look every half second is a sixteenth of them; twice that leaves room for chance.
-func TestManyNodesEmptyAHostEvenly(t *testing.T) {
-	const nodes, looks = 80, 16
-	moved := [looks + 1]int{}
+// Eighty nodes each hold one connection at a draining host. When each node moved at least one connection at every check,
+// all clients reconnected within half a second, before the hosts that replace the draining one had started. Spread evenly
+// over the warm-up of 8 s, a check every half second moves a sixteenth of them; the limit of twice that allows for
+// chance.
+func TestManyNodesEmptyADrainingHostEvenly(t *testing.T) {
+	const nodes, checks = 80, 16
+	moved := [checks + 1]int{}
 	for i := range nodes {
 		set := settings()
 		set.Balancers, set.Probes = nodes, true
 		d := drive(t, set, uint64(i))
 		d.fleet(0.5, 0.5)
 		d.do(balance.Inherited{Arrival: balance.Arrival{Request: 1, Class: "safe"}, Server: "a"})
-		drains := listing("a", "here", 0)
-		drains.State = balance.Draining
-		d.do(balance.ServerList{Kind: balance.ListChanges, Entries: []balance.Listing{drains}})
+		draining := listing("a", "here", 0)
+		draining.State = balance.Draining
+		d.do(balance.ServerList{Kind: balance.ListChanges, Entries: []balance.Listing{draining}})
 		pending := d.all
-		for look := range moved {
+		for check := range moved {
 			pending = d.wait(500*ms, pending)
 			for _, a := range pending {
 				if m, ok := a.(balance.Move); ok {
-					moved[look]++
+					moved[check]++
 					d.end(m.Request, 0, balance.Cancelled, true)
 				}
 			}
 		}
 	}
 	total := 0
-	for look, n := range moved {
-		if total += n; n > 2*nodes/looks+5 {
-			t.Errorf("%d of %d connections moved at look %d", n, nodes, look)
+	for check, n := range moved {
+		if total += n; n > 2*nodes/checks+5 {
+			t.Errorf("%d of %d connections moved at check %d", n, nodes, check)
 		}
 	}
-	t.Logf("moved at each look: %v", moved)
+	t.Logf("moved at each check: %v", moved)
 	if total != nodes {
 		t.Errorf("%d of %d moved over the warm-up", total, nodes)
 	}
 }
 
-// Eighty nodes have one client every second and a half; five hosts are full and eight cold. A node whose part of a
-// window was not used lost it, and the cold hosts, of which no report told, counted as full: they were sent a fraction of
-// their cautious budget. They are to get two of the five windows' at least, counted as at the start; and none in any
-// window more than the rule allows: what it can do at that moment on the pace that just fills it, times the factor. What
-// chance adds to that is seen in few plays of many (15 in a hundred, when nodes began with a window's budget), and stays
-// within what the rule leaves for chance.
+// Eighty nodes get one client every 1.5 s each; five hosts are full and eight are cold. When a node lost the part of a
+// window's budget that it had not used, and cold hosts without a report counted as full, the cold hosts were sent only a
+// fraction of their cautious budget. They must get at least two of the budgets of five windows, as computed for the time
+// of the start; and in no window more than the rule allows: the capacity at that moment, over the time of the warm-up,
+// times the overload factor. Chance may exceed that in a few runs of a hundred (15, when nodes started with the budget of
+// a whole window), and stays within what the rule leaves for chance.
 func TestManyNodesUseAColdHostsBudget(t *testing.T) {
-	const plays = 100
+	const runs = 100
 	beyond := 0
-	for seed := range uint64(plays) {
+	for seed := range uint64(runs) {
 		if !useOfAColdHostsBudget(t, seed) {
 			beyond++
 		}
 	}
-	t.Logf("%d of %d plays with a window beyond the mean", beyond, plays)
-	if beyond > plays/25 {
-		t.Errorf("a cold host was sent more than allowed in a window in %d of %d plays", beyond, plays)
+	t.Logf("%d of %d runs with a window above the allowed number", beyond, runs)
+	if beyond > runs/25 {
+		t.Errorf("a cold host was sent more than allowed in a window in %d of %d runs", beyond, runs)
 	}
 }
 
-// useOfAColdHostsBudget plays once, and returns whether no host was sent more than allowed in a window, chance aside.
+// useOfAColdHostsBudget runs one simulation and reports whether no host was sent more than allowed in a window.
 func useOfAColdHostsBudget(t *testing.T, seed uint64) bool {
 	t.Helper()
 	kept := true
@@ -97,7 +98,7 @@
 	warm := func(at time.Duration) float64 {
 		return set.Safety.ColdCapacity + (1-set.Safety.ColdCapacity)*float64(at-start)/float64(set.Safety.WarmUp)
 	}
-	allowed := func(at time.Duration) float64 { // in the window from at on
+	allowed := func(at time.Duration) float64 { // in the window that starts at that time
 		return set.Safety.OverloadFactor * warm(at) * full * float64(set.Safety.OverloadWindow) / float64(set.Safety.WarmUp)
 	}
 	for host, times := range sent {
@@ -118,15 +119,15 @@
 	for _, e := range entries[5:] {
 		total += len(sent[string(e.Server)])
 	}
-	cautious := 8 * allowed(start) / 2 // of all in the first window
+	cautious := 8 * allowed(start) / 2 // of all cold hosts in the first window
 	if float64(total) < 2*cautious {
 		t.Errorf("%d sent to cold hosts, cautious budgets of the first window %.1f", total, cautious)
 	}
 	return kept
 }
 
-// A host that has just started was taken for as full as its peers until its turn for a probe came, which takes long at a
-// node with few arrivals; what it had room for was refused.
+// A host that had just started was assumed to be as full as its peers until it was probed, which takes long at a node
+// with few arrivals; so clients were refused although it had room.
 func TestAHostThatHasJustStartedCountsAsNearlyEmpty(t *testing.T) {
 	set := settings()
 	set.MaxRetryAfter = sec
@@ -140,10 +141,10 @@
 	}
 }
 
-// A node with two connections at an overloaded host took all eighty nodes for having as many, and found no room for
-// their moves: none moved anything, though the fleet had room. A third is to go at a time, the excess over the
-// ceiling of 0.8.
-func TestOneOfManyNodesRelievesAFullHost(t *testing.T) {
+// A node with two connections at an overloaded host assumed that each of the eighty nodes had as many, and found no room
+// for their moves: no node moved any connection, though the fleet had room. A third is to be moved at a time, the excess
+// over the target utilization of 0.8.
+func TestOneOfManyNodesMovesConnectionsOffAnOverloadedHost(t *testing.T) {
 	const nodes = 80
 	moving := 0
 	for i := range nodes {
@@ -169,11 +170,11 @@
 	}
 }
 
-// What is behind all hosts was jammed on herd days: connections stood after 1.25 s, attempts were given up before, for the
-// next one in the same queue, and 30 of 110 a second came to stand. An attempt has at least twice the time that the
-// latest ones took, less what fades between them; where less than once that time is left, the client is told at once. After
-// a while without any it is tried again.
-func TestAJamBehindAllHostsIsWaitedOut(t *testing.T) {
+// Something behind all hosts was overloaded when many clients arrived at once: connections were established after 1.25 s,
+// but attempts were abandoned earlier, for the next one in the same queue, and only 30 of 110 per second were
+// established. An attempt now has at least twice the time that the latest ones took, less the decay in between; if less
+// than once that time is left, the client is answered at once. After a while without attempts, new ones are made.
+func TestAttemptsWaitLongerWhenSetUpIsSlowAtAllHosts(t *testing.T) {
 	d := drive(t, settings(), 1)
 	d.fleet(0.3, 0.3, 0.3, 0.3, 0.3, 0.3)
 	within := func(id balance.RequestID, left time.Duration) time.Duration {
@@ -185,30 +186,31 @@
 		return 0
 	}
 	if got := within(1, 4*sec); got != sec {
-		t.Fatalf("an attempt has %v, want twice the aim", got)
+		t.Fatalf("the attempt has a time-out of %v, want twice the latency target", got)
 	}
-	for id := balance.RequestID(2); id < 40; id++ { // four a second
+	for id := balance.RequestID(2); id < 40; id++ { // four per second
 		within(id, 4*sec)
 		if d.now += 250 * ms; id > 6 {
 			d.do(balance.Established{Request: id - 4})
 		}
 	}
 	if got := within(50, 4*sec); got < 1500*ms {
-		t.Errorf("an attempt has %v where they stand after 1.25 s", got)
+		t.Errorf("the attempt has a time-out of %v although set-up takes 1.25 s", got)
 	}
 	if got := within(51, sec); got != 0 {
-		t.Errorf("an attempt is made with 1 s left where they stand after 1.25 s")
+		t.Errorf("attempt made with 1 s left although set-up takes 1.25 s")
 	}
 	if d.now += 9 * sec; within(52, sec) == 0 {
-		t.Error("nothing is tried after nine quiet seconds")
+		t.Error("no attempt made after nine seconds without any")
 	}
 }
 
-// Where three hundred nodes share them, each cold host is let in by one chance in dozens. One that was stood as one
-// among all hosts that have been up for long in the draw, though it was the lowest by far: 54 cold hosts got 127 of the
-// 547 connections that their cautious budgets hold, and the 36 others all else. They are to get three quarters of it at
-// least, and never so much within a window as fells one, also where ten times as many clients come: when each of them
-// drew anew whether a cold host may be used, more came to it the more of them there were.
+// Where three hundred nodes share cold hosts, each node may use each of them only rarely. In the weighted choice, a cold
+// host that a node could use counted like any warm one, though its ratio was by far the lowest: 54 cold hosts got 127 of
+// the 547 connections in their cautious budgets, and the 36 warm hosts got the rest. They must get at least three
+// quarters of their budgets, and never so much within a window that it overloads one, even with ten times as many
+// clients: when each client drew anew whether it may use a cold host, the number of connections grew with the number of
+// clients.
 func TestManyNodesSendToColdHostsBeforeFullOnes(t *testing.T) {
 	for _, every := range []time.Duration{4 * ms, 400 * time.Microsecond} {
 		t.Run(every.String(), func(t *testing.T) { coldHostsBeforeFullOnes(t, every) })
@@ -216,7 +218,7 @@
 }
 
 func coldHostsBeforeFullOnes(t *testing.T, every time.Duration) {
-	const nodes, old, young, full, start, lasts = 300, 36, 54, 40, 20 * sec, 4500 * ms
+	const nodes, old, young, full, start, duration = 300, 36, 54, 40, 20 * sec, 4500 * ms
 	set := settings()
 	set.Balancers, set.MaxRetryAfter = nodes, sec
 	set.Tenants = []balance.Tenant{{Name: "t", Share: 1, Quota: (old + young) * full}}
@@ -225,7 +227,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	sent := map[string][]time.Duration{}
 	total := 0
-	for now := start; now < start+lasts; now += every {
+	for now := start; now < start+duration; now += every {
 		d := fleet[rng.IntN(nodes)]
 		d.now = now
 		for _, e := range entries[:old] {
@@ -243,7 +245,7 @@
 		}
 		d.do(balance.Established{Request: id})
 	}
-	allowed := func(at time.Duration) float64 { // in the window from at on
+	allowed := func(at time.Duration) float64 { // in the window that starts at that time
 		warm := set.Safety.ColdCapacity + (1-set.Safety.ColdCapacity)*float64(at-start)/float64(set.Safety.WarmUp)
 		return set.Safety.OverloadFactor * warm * full * float64(set.Safety.OverloadWindow) / float64(set.Safety.WarmUp)
 	}
@@ -255,19 +257,19 @@
 				n++
 			}
 			if limit := allowed(at) + 3*math.Sqrt(allowed(at)) + 3; float64(n) > limit {
-				t.Errorf("%s: %d sent from %v on, falls at %.1f", e.Server, n, at-start, limit)
+				t.Errorf("%s: %d sent from %v on, limit %.1f", e.Server, n, at-start, limit)
 			}
 		}
 	}
-	cautious := young * 3 * allowed(start) / 2 // the least of three windows
+	cautious := young * 3 * allowed(start) / 2 // the smallest budget of the three windows
 	t.Logf("%d sent to cold hosts, cautious budgets of the three windows %.0f", total, cautious)
 	if float64(total) < 0.75*cautious {
 		t.Errorf("%d sent to cold hosts, cautious budgets of the three windows %.0f", total, cautious)
 	}
 }
 
-// The probes that an arrival pays for all went to cold hosts, which are lowest, and of which each was let in by one chance
-// in dozens; the hosts that it was then placed among stayed stale. They are to go to these.
+// All probes for an arrival went to cold hosts, which have the lowest ratios but may rarely be used, and the reports of
+// the hosts among which the arrival was then placed stayed stale. The probes must go to these hosts.
 func TestAnArrivalDoesNotProbeColdHostsThatItMayNotUse(t *testing.T) {
 	cold, all := 0, 0
 	for seed := range uint64(50) {
@@ -295,15 +297,15 @@
 		}
 	}
 	t.Logf("%d of %d probes went to cold hosts", cold, all)
-	if all < 150 || cold > all/3 { // the one that was not asked for longest may be a cold one
+	if all < 150 || cold > all/3 { // the host probed longest ago may be a cold one
 		t.Errorf("%d of %d probes went to cold hosts", cold, all)
 	}
 }
 
-// A node among three hundred has a new report of a few hosts and old ones of all others; the lowest of the old ones is the
-// host that others have filled since. 646 of 725 clients were placed by a report older than 2 s, where it told 0.57 and
-// the truth was 0.79. They are to go where a report is new, as long as one of these has room.
-func TestAmongManyAHostWithANewReportIsChosen(t *testing.T) {
+// A node among three hundred has fresh reports of a few hosts and old ones of all others; the host with the lowest of the
+// old reports has been filled by other nodes since. 646 of 725 clients were placed by a report older than 2 s, where it
+// said 0.57 and the true ratio was 0.79. They must go to hosts with a fresh report, as long as one of these has room.
+func TestAmongManyNodesAHostWithAFreshReportIsChosen(t *testing.T) {
 	old := 0
 	for seed := range uint64(50) {
 		set := settings()
@@ -326,13 +328,14 @@
 			old++
 		}
 	}
-	t.Logf("%d of 50 placed by old reports or where a probe told 0.7", old)
+	t.Logf("%d of 50 placed by an old report or on a host that reported 0.7", old)
 	if old > 5 {
-		t.Errorf("%d of 50 placed by old reports or where a probe told 0.7", old)
+		t.Errorf("%d of 50 placed by an old report or on a host that reported 0.7", old)
 	}
 }
 
-// partlyCold returns the nodes of a fleet at a time: they know some servers of long ago, and younger ones that start then.
+// partlyCold returns the nodes of a fleet at the time start: they know old servers, and young ones that start at that
+// time.
 func partlyCold(t *testing.T, set balance.Settings, nodes, old, young int, start time.Duration, seed uint64) (
 	fleet []*driver, entries []balance.Listing) {
 	t.Helper()
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -10,7 +10,7 @@
 	"lichenhitch/balance"
 )
 
-// world plays random but legal events to one balancer and checks the rules as far as one balancer can see them.
+// world sends random but valid events to one balancer and checks the rules that are observable at a single balancer.
 type world struct {
 	t        *testing.T
 	b        *balance.Balancer
@@ -18,9 +18,9 @@
 	rng      *rand.Rand
 	now      time.Duration
 	listed   map[string]balance.Listing
-	out      map[string]bool // by hand
+	banned   map[string]bool // banned by an operator
 	ids      []string
-	requests map[balance.RequestID]*owed
+	requests map[balance.RequestID]*requestState
 	order    []balance.RequestID
 	timers   []timer
 	probes   []string
@@ -32,16 +32,16 @@
 	token uint64
 }
 
-type owed struct {
-	class    string
-	deadline time.Duration
-	answered bool
-	stands   bool
-	over     bool
-	attempts []try
+type requestState struct {
+	class       string
+	deadline    time.Duration
+	answered    bool
+	established bool
+	over        bool
+	attempts    []attemptState
 }
 
-type try struct {
+type attemptState struct {
 	server  string
 	sent    time.Duration
 	due     time.Duration
@@ -57,7 +57,7 @@
 	set.ListOnRequest = rng.IntN(2) == 0
 	set.MaxRetryAfter = sec
 	return &world{t: t, b: balance.New(set, seed), set: set, rng: rng, now: time.Duration(rng.Int64N(int64(time.Hour))),
-		listed: map[string]balance.Listing{}, out: map[string]bool{}, requests: map[balance.RequestID]*owed{}}
+		listed: map[string]balance.Listing{}, banned: map[string]bool{}, requests: map[balance.RequestID]*requestState{}}
 }
 
 func (w *world) send(ev balance.Event) {
@@ -72,9 +72,9 @@
 		w.checkPlace(a)
 	case balance.Refuse:
 		r := w.answer(a.Request)
-		for _, try := range r.attempts {
+		for _, attempt := range r.attempts {
 			refusable := r.class == "safe" || r.class == "keyed-all" || r.class == "keyed-short"
-			if try.mayRun && !refusable {
+			if attempt.mayRun && !refusable {
 				w.t.Fatalf("%s request refused though an attempt may have run", r.class)
 			}
 		}
@@ -84,28 +84,28 @@
 		w.timers = append(w.timers, timer{w.now + a.After, a.Token})
 	case balance.Probe:
 		if !w.set.Probes {
-			w.t.Fatal("a probe where none is permitted")
+			w.t.Fatal("probe although probes are not permitted")
 		}
-		if w.out[string(a.Server)] {
-			w.t.Fatalf("a probe of %s, which is out by hand", a.Server)
+		if w.banned[string(a.Server)] {
+			w.t.Fatalf("probe of %s, which is suspended", a.Server)
 		}
 		w.probes = append(w.probes, string(a.Server))
 	case balance.Move:
-		if r := w.requests[a.Request]; r == nil || !r.stands {
-			w.t.Fatal("moves what does not stand")
+		if r := w.requests[a.Request]; r == nil || !r.established {
+			w.t.Fatal("move of a connection that is not established")
 		}
 	case balance.Tell:
-		w.t.Fatal("a message to peers where none is permitted")
+		w.t.Fatal("message to a peer although these are not permitted")
 	}
 }
 
-func (w *world) answer(id balance.RequestID) *owed {
+func (w *world) answer(id balance.RequestID) *requestState {
 	r := w.requests[id]
 	if r == nil || r.answered || r.over {
 		w.t.Fatalf("second answer to %d", id)
 	}
 	if w.now > r.deadline+w.set.Safety.AnswerSlack {
-		w.t.Fatalf("answer %v late", w.now-r.deadline)
+		w.t.Fatalf("answer %v after the deadline", w.now-r.deadline)
 	}
 	r.answered, r.over = true, true
 	return r
@@ -119,8 +119,8 @@
 	if l, ok := w.listed[string(a.Server)]; !ok || l.State != balance.Ready {
 		w.t.Fatalf("attempt on %s, which is not ready", a.Server)
 	}
-	if w.out[string(a.Server)] {
-		w.t.Fatalf("attempt on %s, which is out by hand", a.Server)
+	if w.banned[string(a.Server)] {
+		w.t.Fatalf("attempt on %s, which is suspended", a.Server)
 	}
 	if len(r.attempts) >= w.set.MaxAttempts {
 		w.t.Fatal("too many attempts")
@@ -147,13 +147,13 @@
 	if a.Timeout > 0 {
 		due = min(due, w.now+a.Timeout)
 	}
-	r.attempts = append(r.attempts, try{server: string(a.Server), sent: w.now, due: due, pending: true})
+	r.attempts = append(r.attempts, attemptState{server: string(a.Server), sent: w.now, due: due, pending: true})
 }
 
-// step plays one random event.
+// step sends one random event.
 func (w *world) step(choice byte) {
 	w.now += time.Duration(w.rng.Int64N(int64(40 * ms)))
-	w.fire()
+	w.fireDue()
 	switch choice % 9 {
 	case 0:
 		w.changeList()
@@ -166,25 +166,25 @@
 	case 7:
 		w.send(balance.MessagesSlow{Request: w.lastID, Took: time.Duration(w.rng.Int64N(int64(sec)))})
 	case 8:
-		w.byHand()
+		w.toggleBan()
 	}
 }
 
-// byHand takes a server out or back, be it listed or not, out or not.
-func (w *world) byHand() {
+// toggleBan suspends or resumes a server, whether or not it is listed or suspended.
+func (w *world) toggleBan() {
 	if len(w.ids) == 0 {
 		return
 	}
 	id := w.ids[w.rng.IntN(len(w.ids))]
-	if w.out[id] = w.rng.IntN(3) == 0; w.out[id] {
+	if w.banned[id] = w.rng.IntN(3) == 0; w.banned[id] {
 		w.send(balance.Suspend{Server: balance.ServerID(id)})
 	} else {
 		w.send(balance.Resume{Server: balance.ServerID(id)})
 	}
 }
 
-// fire delivers the timers and time-outs that are due, in order of time.
-func (w *world) fire() {
+// fireDue delivers the timers and attempt time-outs that are due, in order of time.
+func (w *world) fireDue() {
 	end := w.now
 	for {
 		next, at := -1, end
@@ -193,11 +193,11 @@
 				next, at = i, t.at
 			}
 		}
-		var late *owed
+		var late *requestState
 		var lateID balance.RequestID
 		for _, id := range w.order {
 			r := w.requests[id]
-			if n := len(r.attempts); n > 0 && r.attempts[n-1].pending && !r.stands && r.attempts[n-1].due <= at {
+			if n := len(r.attempts); n > 0 && r.attempts[n-1].pending && !r.established && r.attempts[n-1].due <= at {
 				late, lateID, at, next = r, id, r.attempts[n-1].due, -1
 			}
 		}
@@ -217,13 +217,13 @@
 	}
 }
 
-func (w *world) end(id balance.RequestID, r *owed, o balance.Outcome) {
+func (w *world) end(id balance.RequestID, r *requestState, o balance.Outcome) {
 	n := len(r.attempts) - 1
 	t := &r.attempts[n]
 	t.pending = false
 	t.mayRun = o != balance.Full && o != balance.Unreachable && o != balance.Unsent
-	r.over = r.over || r.stands || o == balance.OK
-	r.stands = false
+	r.over = r.over || r.established || o == balance.OK
+	r.established = false
 	w.send(balance.Ended{Request: id, Attempt: n, Outcome: o, Final: r.over})
 	if !r.over && w.now >= r.deadline {
 		w.t.Fatalf("no answer after the time-out at the deadline")
@@ -234,7 +234,7 @@
 	w.lastID++
 	left := time.Duration(w.rng.Int64N(int64(2 * sec)))
 	class := []string{"safe", "unsafe", "keyed-all", "keyed-zone", "keyed-cell", "keyed-short"}[w.rng.IntN(6)]
-	w.requests[w.lastID] = &owed{class: class, deadline: w.now + left}
+	w.requests[w.lastID] = &requestState{class: class, deadline: w.now + left}
 	w.order = append(w.order, w.lastID)
 	w.send(balance.Arrival{Request: w.lastID, Class: class, TimeLeft: left, Load: w.rng.NormFloat64() * 1000,
 		MidFlow: w.rng.IntN(9) == 0, Returning: w.rng.IntN(9) == 0, Group: []string{"", "g", "h"}[w.rng.IntN(3)]})
@@ -248,8 +248,8 @@
 		if n < 0 || !r.attempts[n].pending {
 			continue
 		}
-		if !r.stands && !r.over && w.rng.IntN(2) == 0 {
-			r.stands = true
+		if !r.established && !r.over && w.rng.IntN(2) == 0 {
+			r.established = true
 			w.send(balance.Established{Request: id, Attempt: n})
 			return
 		}
@@ -292,16 +292,16 @@
 	w.send(balance.ServerList{Kind: balance.ListChanges, Entries: []balance.Listing{l}})
 }
 
-// finishAll lets all time run out: every request must have its answer.
+// finishAll lets all timers expire: every request must have its answer.
 func (w *world) finishAll() {
 	for range 200 {
 		w.now += 50 * ms
-		w.fire()
+		w.fireDue()
 	}
 	for id, r := range w.requests {
 		pending := len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].pending
-		if !r.over && !r.stands && !pending {
-			w.t.Fatalf("request %d was lost", id)
+		if !r.over && !r.established && !pending {
+			w.t.Fatalf("request %d got no answer", id)
 		}
 	}
 }
--- a/balance/yield_test.go
+++ b/balance/value_test.go
@@ -6,18 +6,19 @@
 	"lichenhitch/balance"
 )
 
-// A class that brings twenty times the load of another for less worth took the last room of a fleet as readily as the
-// other, and then all were refused. Where room is short it goes first; where there is room it is served alike.
-func TestWhatYieldsLittleForItsLoadGoesFirst(t *testing.T) {
+// A class with twenty times the load of another for less value took the last room of a fleet as readily as the other, and
+// then all clients were refused. Where room is short, this class is refused first; where there is room, both are served
+// alike.
+func TestAClassOfLowValuePerLoadIsRefusedFirst(t *testing.T) {
 	for name, tc := range map[string]struct {
-		told int // connections of each class
-		low  float64
-		want string
+		reported    int // connections of each class with a reported load
+		lowestRatio float64
+		want        string
 	}{
-		"short of room":               {told: 10, low: 0.7, want: "refused"},
-		"room":                        {told: 10, low: 0.5},
-		"too little is told":          {told: 3, low: 0.7},
-		"hosts do not tell the loads": {low: 0.7},
+		"short of room":      {reported: 10, lowestRatio: 0.7, want: "refused"},
+		"room":               {reported: 10, lowestRatio: 0.5},
+		"too few reports":    {reported: 3, lowestRatio: 0.7},
+		"loads not reported": {lowestRatio: 0.7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := settings()
@@ -35,14 +36,14 @@
 					d.report("a", 0.1+float64(id)/1000)
 					d.arrive(id, c.class, 2*sec)
 					d.do(balance.Established{Request: id})
-					if int(id) <= 2*tc.told {
+					if int(id) <= 2*tc.reported {
 						d.do(balance.LoadChanged{Request: id, Load: c.load})
-						d.do(balance.LoadChanged{Request: id, Load: 1000 * c.load}) // later on, and not counted
+						d.do(balance.LoadChanged{Request: id, Load: 1000 * c.load}) // a later report is not counted
 					}
 				}
 			}
 			d.now += 2 * sec
-			d.fleet(tc.low, 0.91, 0.91)
+			d.fleet(tc.lowestRatio, 0.91, 0.91)
 			if got := placed(d.arrive(id+1, "light", 2*sec)); got != "a" {
 				t.Errorf("light: placed on %q, want a", got)
 			}
