--- a/balance/api.go
+++ b/balance/api.go
@@ -206,8 +206,8 @@
 		Request RequestID
 		Load    float64
 	}
-	// MessagesSlow reports the present latency of messages on an open connection.
-	MessagesSlow struct {
+	// MessageLatency reports the present latency of messages on an open connection.
+	MessageLatency struct {
 		Request RequestID
 		Took    time.Duration
 	}
@@ -253,7 +253,7 @@
 func (Inherited) event()        {}
 func (Established) event()      {}
 func (LoadChanged) event()      {}
-func (MessagesSlow) event()     {}
+func (MessageLatency) event()   {}
 func (Ended) event()            {}
 func (Departed) event()         {}
 func (TimerFired) event()       {}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// defaultCapacity is how many connections fill a server whose capacity is not known yet: a few dozen,
-	// as for most servers of long-lived connections. It matters only until the first reports.
+	// defaultCapacity is how many connections fill a server whose capacity is not known yet. Most servers
+	// of long-lived connections take a few dozen. It matters only until the first reports.
 	defaultCapacity = 20
 	// probeCostShare limits the cost of probes to a fraction of the value of the service: one or two
 	// percent is a fair price for choices made on fresh reports, whatever the size of the fleet.
@@ -41,10 +41,11 @@
 	// headroom: a price of a few hundredths is a modest penalty while there is headroom, and none near
 	// the target.
 	zoneCrossingPenalty = 6
-	// groupAffinityBonus is the advantage of sharing a server with the own group, as a ratio, in units of
-	// the fleet's headroom. A group first spreads over minPreferredServers of a zone, or over one server
+	// groupAffinityBonus is the advantage of sharing a server with its group, as a ratio, in units of the
+	// fleet's headroom. A group first spreads over minPreferredServers of a zone, or over one server
 	// in preferredServersDivisor if that is more: the number of connections that all balancers place on
-	// one server before reports show them grows with the fleet.
+	// one server before reports show them grows with the fleet. Among many tied servers, a preferred one is
+	// drawn as often as among groupOddsServers.
 	groupAffinityBonus      = 1.0
 	minPreferredServers     = 3
 	preferredServersDivisor = 7
@@ -61,8 +62,8 @@
 	// defaultSetUpLimit is how many connections may wait for their set-up at a server of unknown speed.
 	defaultSetUpLimit = 8
 	// ejectionErrorRate is the fraction of its attempts that a server may answer with an error before it
-	// is ejected; each attempt counts for errorRateStep of it, so that six errors in a row eject a
-	// server.
+	// is ejected; each attempt counts for errorRateStep of it, so that seven errors in a row eject a
+	// server without earlier ones.
 	ejectionErrorRate = 0.75
 	errorRateStep     = 0.2
 	// lowPriorityFraction is the fraction of targetUtilization up to which traffic beyond a tenant's
@@ -157,8 +158,8 @@
 		b.onTimerFired(e)
 	case Probed:
 		b.onProbed(e)
-	case MessagesSlow:
-		b.onMessagesSlow(e)
+	case MessageLatency:
+		b.onMessageLatency(e)
 	case LoadChanged:
 		b.onLoadChanged(e)
 	}
@@ -440,7 +441,7 @@
 }
 
 // checkServers probes the servers that hold connections of this balancer and were not probed for
-// reportTTL, unless MessagesSlow events report the latency of messages, and moves connections off
+// reportTTL, unless MessageLatency events report the latency of messages, and moves connections off
 // draining servers. It guards against a server that slows down while no arrivals have it probed.
 func (b *Balancer) checkServers() {
 	b.setTimer(reportTTL/2, 0, timerServerCheck)
@@ -480,7 +481,8 @@
 // choose returns the server with the lowest ratio among all that are eligible for a request, or nil.
 func (b *Balancer) choose(r *request) *server {
 	b.updateFleetStats()
-	trustEjections := 4*b.ejectedServers <= 3*b.ready // with over 3/4 ejected, ejections are ignored
+	// If over 3/4 of the servers are ejected, the ejections are probably wrong, not the fleet.
+	trustEjections := 4*b.ejectedServers <= 3*b.ready
 	b.fit = b.fit[:0]
 	for _, s := range b.servers {
 		usable := !(trustEjections && b.isEjected(s)) && !s.probing
@@ -797,7 +799,7 @@
 
 // eject takes a server out of the choice, longer each time. It guards against a server that fails fast:
 // its ratio stays low, so that it would attract every arrival. Further failures while it is ejected count
-// as the same event. A server that does not respond, while MessagesSlow events show that its messages are
+// as the same event. A server that does not respond, while MessageLatency events show that its messages are
 // overdue, serves no one: all connections are moved off at once.
 func (b *Balancer) eject(s *server, responded bool) {
 	if b.now < s.ejectedUntil {
@@ -821,8 +823,8 @@
 
 // ---- Moves ----
 
-// onMessagesSlow applies the reported latency of messages at a server.
-func (b *Balancer) onMessagesSlow(e MessagesSlow) {
+// onMessageLatency applies the reported latency of messages at a server.
+func (b *Balancer) onMessageLatency(e MessageLatency) {
 	r := b.requests[e.Request]
 	if r == nil || len(r.attempts) == 0 {
 		return
@@ -1023,8 +1025,8 @@
 	return b.rng.Float64()*(failed+established+1) < failed-established
 }
 
-// beyondShare compares this balancer's part of the tenant's connections, less one standard deviation of
-// it.
+// beyondShare reports whether this balancer's part of the tenant's connections, less one standard
+// deviation, reaches its part of the tenant's quota.
 func (t *tenant) beyondShare(balancers int) bool {
 	n, part := float64(t.open), 1/float64(balancers)
 	return n-math.Sqrt(n*(1-part)) >= t.quota*part
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -651,7 +651,7 @@
 	moves := 0
 	for range 20 {
 		d.report("a", 1.5)
-		for _, a := range d.do(balance.MessagesSlow{Request: 1, Took: 300 * ms}) {
+		for _, a := range d.do(balance.MessageLatency{Request: 1, Took: 300 * ms}) {
 			if _, ok := a.(balance.Move); ok {
 				moves++
 			}
@@ -664,13 +664,13 @@
 	if got := placed(d.arrive(9, "safe", 2*sec)); got == "a" {
 		t.Error("placed on the slow server")
 	}
-	d.do(balance.MessagesSlow{Request: 1, Took: 10 * ms})
-	for _, a := range d.do(balance.MessagesSlow{Request: 1, Took: 300 * ms}) {
+	d.do(balance.MessageLatency{Request: 1, Took: 10 * ms})
+	for _, a := range d.do(balance.MessageLatency{Request: 1, Took: 300 * ms}) {
 		t.Errorf("slow only for a moment, but got %#v", a)
 	}
 }
 
-// Without MessagesSlow events, message latency is known only from the latency in load reports. A host that slowed down
+// Without MessageLatency events, message latency is known only from the latency in load reports. A host that slowed down
 // kept its connections as long as no arrival caused a probe of it.
 func TestAReportedLatencyMovesConnectionsOffWithoutArrivals(t *testing.T) {
 	set := settings()
@@ -719,10 +719,10 @@
 			d.do(balance.Established{Request: id, Attempt: 0})
 		}
 		d.report("a", 0.95)
-		d.do(balance.MessagesSlow{Request: 1, Took: 900 * ms})
+		d.do(balance.MessageLatency{Request: 1, Took: 900 * ms})
 		d.now += sec
 		d.report("a", 0.96)
-		for _, a := range d.do(balance.MessagesSlow{Request: 1, Took: 900 * ms}) {
+		for _, a := range d.do(balance.MessageLatency{Request: 1, Took: 900 * ms}) {
 			if _, ok := a.(balance.Move); ok {
 				moved[others]++
 			}
@@ -962,7 +962,7 @@
 		balance.Arrival{Request: 2, Load: -5, TimeLeft: -sec},
 		balance.Ended{Request: 1, Attempt: 5}, balance.Ended{Request: 1, Attempt: -1},
 		balance.Established{Request: 99}, balance.Departed{Request: 99}, balance.TimerFired{Token: 1 << 62},
-		balance.MessagesSlow{Request: 1, Took: -sec}, balance.LoadChanged{Request: 1, Load: nan},
+		balance.MessageLatency{Request: 1, Took: -sec}, balance.LoadChanged{Request: 1, Load: nan},
 		balance.PeerMessage{From: -4, Data: "\xff\x00"},
 		balance.Inherited{Server: "gone", Arrival: balance.Arrival{Request: 50}},
 		balance.Ended{Request: 50, Attempt: 0, Final: true},
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -155,10 +155,10 @@
 		for id := balance.RequestID(1); id <= 2; id++ {
 			d.do(balance.Inherited{Arrival: balance.Arrival{Request: id, Class: "safe"}, Server: "a"})
 		}
-		d.do(balance.MessagesSlow{Request: 1, Took: 300 * ms})
+		d.do(balance.MessageLatency{Request: 1, Took: 300 * ms})
 		d.now += sec
 		d.report("a", 1.21)
-		for _, a := range d.do(balance.MessagesSlow{Request: 1, Took: 300 * ms}) {
+		for _, a := range d.do(balance.MessageLatency{Request: 1, Took: 300 * ms}) {
 			if _, ok := a.(balance.Move); ok {
 				moving++
 			}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -164,7 +164,7 @@
 	case 6:
 		w.answerProbe()
 	case 7:
-		w.send(balance.MessagesSlow{Request: w.lastID, Took: time.Duration(w.rng.Int64N(int64(sec)))})
+		w.send(balance.MessageLatency{Request: w.lastID, Took: time.Duration(w.rng.Int64N(int64(sec)))})
 	case 8:
 		w.toggleBan()
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -37,13 +37,13 @@
 	fit       []*server  // scratch of choose
 
 	fleetStatsAt          time.Duration // when all estimates were last computed
-	ready                 int           // number of ready servers, and of those ejected
-	ejectedServers        int
-	spareCapacity         float64 // connections that fit below the target on all ready servers together
-	meanRatio             float64 // mean ratio of the ready servers
-	meanCapacity          float64 // mean capacity in connections
-	meanWeight            float64 // mean listed weight
-	meanLoad              float64 // mean expected load of arrivals
+	ready                 int           // number of ready servers
+	ejectedServers        int           // ready servers that are ejected
+	spareCapacity         float64       // connections that fit below the target on all ready servers that are not ejected
+	meanRatio             float64       // mean ratio of the ready servers
+	meanCapacity          float64       // mean capacity in connections
+	meanWeight            float64       // mean listed weight
+	meanLoad              float64       // mean expected load of arrivals
 	loadsSeen             float64
 	classLoads            map[string]loadSum // reported loads of the connections of each class
 	recentArrivals        decayingSum        // all arrivals, over arrivalWindow
@@ -57,7 +57,7 @@
 	subscribed            bool
 	subscribeFailures     int
 	checkingServers       bool
-	messagesReported      bool          // MessagesSlow events report the latency of messages
+	messagesReported      bool          // MessageLatency events report the latency of messages
 	shortestLatencyTarget time.Duration // shortest latency target of all classes
 	shortestMessageTarget time.Duration // shortest message latency target of all classes; 0: unknown
 }
--- a/balance/unresponsive_test.go
+++ b/balance/unresponsive_test.go
@@ -7,7 +7,7 @@
 )
 
 // A host that accepts everything and answers nothing kept its clients until they left on their own: a fifth of them was
-// moved per second, after a second of waiting, and no probe was sent while MessagesSlow events came. Now the first such
+// moved per second, after a second of waiting, and no probe was sent while MessageLatency events came. Now the first such
 // event triggers a probe, and if that is not answered, all clients are moved, even in a nearly full fleet. A host that
 // answers, with its load or with an error, is only slow.
 func TestAnUnresponsiveHostIsEmptiedAtOnce(t *testing.T) {
@@ -31,8 +31,8 @@
 				d.do(balance.Established{Request: id})
 			}
 			d.now += sec
-			if got := probed(d.do(balance.MessagesSlow{Request: 1, Took: 18 * sec})); len(got) != 1 || got[0] != "a" {
-				t.Fatalf("probed %v after a MessagesSlow event, want a", got)
+			if got := probed(d.do(balance.MessageLatency{Request: 1, Took: 18 * sec})); len(got) != 1 || got[0] != "a" {
+				t.Fatalf("probed %v after a MessageLatency event, want a", got)
 			}
 			d.now += 500 * ms
 			if got := moved(d.do(tc.probed)); tc.all != (len(got) == 10) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Without MessagesSlow events, message latency is only as current as the last report: connections of a host that was full
+// Without MessageLatency events, message latency is only as current as the last report: connections of a host that was full
 // then and does not answer a probe are moved off gradually, not by all nodes at once. Whether the host is unresponsive is
 // detected by the node itself on its connections.
 func TestAFullHostWithATimedOutProbeIsNotEmptied(t *testing.T) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -331,7 +331,7 @@
 	case noteLoad:
 		m.Event = balance.LoadChanged{Request: id, Load: *f.Amount}
 	case noteSlow:
-		m.Event = balance.MessagesSlow{Request: id, Took: time.Duration(*f.Amount * float64(time.Millisecond))}
+		m.Event = balance.MessageLatency{Request: id, Took: time.Duration(*f.Amount * float64(time.Millisecond))}
 	default:
 		return fmt.Errorf("unknown note %d", *f.Note)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,7 +42,7 @@
 		`{"progress":{"proxy_id":"p","corr":1,"what":1,"n":0,"server":"s","amount":2.5}}`: {Name: "progress",
 			Instance: "p", Event: balance.LoadChanged{Request: 1, Load: 2.5}},
 		`{"progress":{"proxy_id":"p","corr":1,"what":2,"n":0,"server":"s","amount":40}}`: {Name: "progress",
-			Instance: "p", Event: balance.MessagesSlow{Request: 1, Took: 40 * time.Millisecond}},
+			Instance: "p", Event: balance.MessageLatency{Request: 1, Took: 40 * time.Millisecond}},
 		`{"completed":{"proxy_id":"p","corr":1,"server":"s","reason":111,"time_taken_us":7,"n":1}}`: {
 			Name: "completed", Instance: "p",
 			Event: balance.Ended{Request: 1, Attempt: 1, Outcome: balance.Unreachable, Took: 7 * us}},
--- a/rehearsal/crowd/crowd.go
+++ b/rehearsal/crowd/crowd.go
@@ -463,7 +463,7 @@
 			took := time.Duration(h.piled * float64(time.Second))
 			w.in(0, func() {
 				if c.host == h {
-					w.tell(c.node, balance.MessagesSlow{Request: c.id, Took: took})
+					w.tell(c.node, balance.MessageLatency{Request: c.id, Took: took})
 				}
 			})
 		}
