--- a/internal/choice/rollout/record.go
+++ b/internal/choice/rollout/record.go
@@ -84,7 +84,7 @@
 	return Record{Node: r.Node, Told: r.Told, Seen: r.Seen, Out: r.Out}.Bytes()
 }
 
-// MergeRecords merges two records of one node, in their bytes: see upstream.Merge. An error is an *Unread.
+// MergeRecords merges two records of one node, in their bytes: see sitesync.Merge. An error is an *Unread.
 func MergeRecords(a, b []byte) ([]byte, error) {
 	x, err := ParseRecord(a)
 	if err != nil {
--- a/internal/choice/upstream/upstream.go
+++ b/internal/choice/sitesync/upstream.go
@@ -1,4 +1,4 @@
-// Package upstream carries what is written at a site to the sites above it, and decisions down again. Site is the state
+// Package sitesync carries what is written at a site to the sites above it, and decisions down again. Site is the state
 // that a site's council replicates: commands in, effects out, the same at each seat, no I/O and no clock; the time is
 // the one that the council's leader stamped.
 //
@@ -30,7 +30,7 @@
 // Down comes state and not a log: of each thing the writes that still count. A write that counts no more is forgotten
 // only when what was written over it is judged and taken, so that two states are joined by their vectors alone: what one
 // side has not and its vector covers is over.
-package upstream
+package sitesync
 
 import "time"
 
--- a/internal/choice/upstream/wire.go
+++ b/internal/choice/sitesync/wire.go
@@ -1,4 +1,4 @@
-package upstream
+package sitesync
 
 import (
 	"bytes"
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -18,8 +18,8 @@
 	"lichenhitch/internal/choice/census"
 	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/council"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
@@ -50,7 +50,7 @@
 // Reply is what became of a call.
 type Reply struct {
 	Turn    turns.Turn
-	Effects []upstream.Effect // of a write
+	Effects []sitesync.Effect // of a write
 }
 
 // Report is what the loop last told, whole.
@@ -131,10 +131,10 @@
 	report Report
 	stop   error // why control has stopped; nil while it works
 
-	writes    *upstream.Site         // nil until the site's place is agreed on
-	courier   *upstream.Courier      // of a leader with sites above
-	teller    *upstream.Teller       // of a leader
-	callers   map[upstream.Home]bool // that have called this leader
+	writes    *sitesync.Site         // nil until the site's place is agreed on
+	courier   *sitesync.Courier      // of a leader with sites above
+	teller    *sitesync.Teller       // of a leader
+	callers   map[sitesync.Home]bool // that have called this leader
 	taking    map[string]int         // calls whose writes are being agreed on, by site
 	calling   string                 // the site above that a call is out to
 	calls     uint64
@@ -597,7 +597,7 @@
 		c.env.Tell("an entry of the council's log is of a later version, or none", "index", e.Index, "error", err)
 		return
 	}
-	var effects []upstream.Effect
+	var effects []sitesync.Effect
 	var refused error
 	switch {
 	case what.Writes != nil:
@@ -739,7 +739,7 @@
 	}
 	if own, others := c.writes.Waiting(); own+others+c.writes.Held() > 0 && now-c.agedAt >= ageEvery {
 		c.agedAt = now
-		c.proposeWrite(now, written{Command: &upstream.Command{}}, nil)
+		c.proposeWrite(now, written{Command: &sitesync.Command{}}, nil)
 	}
 	if cmd, any := c.next(now); any {
 		c.propose(now, cmd)
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -10,8 +10,8 @@
 
 	"lichenhitch/internal/choice/census"
 	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/council"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
@@ -67,7 +67,7 @@
 	o := Options{Wait: wait, Life: 1, Boot: 1, Run: 7, Saved: rights.Saved{Life: 1}, Site: &site.Site{Node: "n1", Own: site.Group{Name: "s"},
 		Seats: []string{"n1"}, Members: []string{"n1", "n2"}, Seat: true, Rights: rights.Terms{Lasts: lasts, Drift: 0.1},
 		Turns: turns.Limits{Site: 1, Horizon: 2}, Tick: time.Second, SnapshotEvery: 1000,
-		Upstream: upstream.Limits{Number: 100, Bytes: 1 << 20, Batch: 10, Held: 10, Age: time.Hour}}}
+		Upstream: sitesync.Limits{Number: 100, Bytes: 1 << 20, Batch: 10, Held: 10, Age: time.Hour}}}
 	var err error
 	a.core, err = New(a.now, o, a)
 	require.NoError(t, err)
@@ -316,7 +316,7 @@
 func TestABanComesFromWhatWasWritten(t *testing.T) {
 	a := newAlone(t)
 	for _, value := range []string{"out smoke", "back"} {
-		a.core.Write(a.now, upstream.Local{Kind: upstream.Safety, Thing: "host/b", Value: []byte(value)}, func(_ Reply, err error) {
+		a.core.Write(a.now, sitesync.Local{Kind: sitesync.Safety, Thing: "host/b", Value: []byte(value)}, func(_ Reply, err error) {
 			require.NoError(t, err)
 		})
 		a.pass(3 * time.Second)
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -10,8 +10,8 @@
 
 	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/peer"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
@@ -62,7 +62,7 @@
 }
 
 const (
-	docWord  = "begin " // a document's value begins with it, and a halt's with the next; see upstream.Rules
+	docWord  = "begin " // a document's value begins with it, and a halt's with the next; see sitesync.Rules
 	haltWord = "halt "
 	backWord = "resume "
 	unheard  = "the top was not heard for as long as the trial's lease"
@@ -79,7 +79,7 @@
 	told    map[string]uint64        // rollout.Record.Told of the newest record in the log, by node; those that were looked up
 	writes  map[string]bool          // nodes whose record this leader has proposed
 	doc     rollout.Doc              // what this site's nodes are to go by, as it was read last
-	docOf   upstream.ID              // the write that it was read from
+	docOf   sitesync.ID              // the write that it was read from
 	heard   time.Duration            // a moment whose word of the top holds here: see topAge; 0: never
 	rounds  map[uint64]time.Duration // a top's: when reads began that a quorum has not answered
 	holder  *rollout.Holder          // of this node, as is what follows
@@ -292,7 +292,7 @@
 	p := &c.policies
 	told, known := p.told[node]
 	if !known {
-		if v, any := c.writes.Value(upstream.Evidence, rollout.Thing(node)); any {
+		if v, any := c.writes.Value(sitesync.Evidence, rollout.Thing(node)); any {
 			if r, err := rollout.ParseRecord(v.Value); err == nil {
 				told = r.Told
 			}
@@ -306,7 +306,7 @@
 	if err != nil || r.Node != node || r.Told <= told {
 		return told
 	}
-	cmd := upstream.Command{Write: &upstream.Local{Kind: upstream.Evidence, Thing: rollout.Thing(node), Value: record, By: node}}
+	cmd := sitesync.Command{Write: &sitesync.Local{Kind: sitesync.Evidence, Thing: rollout.Thing(node), Value: record, By: node}}
 	if c.writes.Check(cmd) == nil { // a full queue takes no evidence: it is missing, and that is no health
 		p.writes[node] = true
 		c.proposeWrite(now, written{Command: &cmd}, func(Reply, error) { delete(p.writes, node) })
@@ -325,7 +325,7 @@
 	if c.writes == nil {
 		return rollout.Doc{}, false
 	}
-	v, any := c.writes.Value(upstream.Policy, rollout.DocThing(c.Site.Own.Name))
+	v, any := c.writes.Value(sitesync.Policy, rollout.DocThing(c.Site.Own.Name))
 	if !any {
 		return rollout.Doc{}, false
 	}
@@ -342,7 +342,7 @@
 
 // halted says whether a rollout is halted at this site, by a write that holds here.
 func (c *Core) halted(id string) bool {
-	v, any := c.writes.Value(upstream.Policy, rollout.HaltThing(id))
+	v, any := c.writes.Value(sitesync.Policy, rollout.HaltThing(id))
 	return any && strings.HasPrefix(string(v.Value), haltWord)
 }
 
@@ -407,7 +407,7 @@
 	}
 	refused := c.tellAll(top.Apply(index, cmd))
 	if r := cmd.Resume; r != nil && refused == nil && c.halted(r.ID) { // where it was halted by sites below
-		c.writes.Apply(cmd.At, upstream.Command{Write: &upstream.Local{Kind: upstream.Policy, Thing: rollout.HaltThing(r.ID),
+		c.writes.Apply(cmd.At, sitesync.Command{Write: &sitesync.Local{Kind: sitesync.Policy, Thing: rollout.HaltThing(r.ID),
 			Value: []byte(backWord + r.Why), By: r.By}})
 	}
 	if cmd.Evidence == nil && cmd.Seen == nil && cmd.Close == nil && cmd.Away == nil && cmd.Back == nil {
@@ -417,13 +417,13 @@
 }
 
 // planned takes writes that the top has applied into the plan: records of nodes, and halts of sites below.
-func (c *Core) planned(index uint64, at time.Duration, effects []upstream.Effect) {
+func (c *Core) planned(index uint64, at time.Duration, effects []sitesync.Effect) {
 	for _, f := range effects {
-		if f.Write == nil || f.Kind != upstream.EffectApplied && f.Kind != upstream.EffectMerged {
+		if f.Write == nil || f.Kind != sitesync.EffectApplied && f.Kind != sitesync.EffectMerged {
 			continue
 		}
 		w := f.Write
-		if node, is := strings.CutPrefix(w.Thing, rollout.Thing("")); is && w.Kind == upstream.Evidence {
+		if node, is := strings.CutPrefix(w.Thing, rollout.Thing("")); is && w.Kind == sitesync.Evidence {
 			r, err := rollout.ParseRecord(w.Value)
 			if err != nil || r.Node != node {
 				continue
@@ -434,7 +434,7 @@
 			}
 		}
 		id, is := strings.CutPrefix(w.Thing, rollout.HaltThing(""))
-		if why, halts := strings.CutPrefix(string(w.Value), haltWord); is && halts && w.Kind == upstream.Policy && c.policies.top != nil &&
+		if why, halts := strings.CutPrefix(string(w.Value), haltWord); is && halts && w.Kind == sitesync.Policy && c.policies.top != nil &&
 			w.ID.Origin.Site != c.Site.Own.Name {
 			c.tellAll(c.policies.top.Apply(index, rollout.Command{At: at, Halt: &rollout.Halt{ID: id, Cause: rollout.Operator,
 				By: w.By + " at " + w.ID.Origin.Site, Why: why}}))
@@ -466,12 +466,12 @@
 		}
 		d := c.policies.top.Doc(s)
 		thing, value := rollout.DocThing(s), append([]byte(docWord), d.Bytes()...)
-		if v, any := c.writes.Value(upstream.Policy, thing); any && string(v.Value) == string(value) {
+		if v, any := c.writes.Value(sitesync.Policy, thing); any && string(v.Value) == string(value) {
 			continue
 		}
-		for _, f := range c.writes.Apply(at, upstream.Command{Write: &upstream.Local{Kind: upstream.Policy, Thing: thing, Value: value,
+		for _, f := range c.writes.Apply(at, sitesync.Command{Write: &sitesync.Local{Kind: sitesync.Policy, Thing: thing, Value: value,
 			By: "the plan"}}) {
-			if f.Kind == upstream.EffectRefused && c.leading {
+			if f.Kind == sitesync.EffectRefused && c.leading {
 				c.env.Tell("a site cannot be told what its nodes are to go by", "site", s, "error", f.Err)
 			}
 		}
@@ -573,7 +573,7 @@
 		done(Reply{}, &rollout.Refusal{Why: "who halts it and why are wanted", Do: "tell both"})
 		return
 	}
-	c.Write(now, upstream.Local{Kind: upstream.Policy, Thing: rollout.HaltThing(id), Value: []byte(haltWord + why), By: by, Urgent: true}, done)
+	c.Write(now, sitesync.Local{Kind: sitesync.Policy, Thing: rollout.HaltThing(id), Value: []byte(haltWord + why), By: by, Urgent: true}, done)
 }
 
 // Policies tells what this site's nodes go by, and at the top how rollouts stand. Another node than a seat asks the leader.
@@ -597,7 +597,7 @@
 		if a.Trial {
 			g.Rollout = d.Nodes[node].Rollout
 		}
-		if v, any := c.writes.Value(upstream.Evidence, rollout.Thing(node)); any {
+		if v, any := c.writes.Value(sitesync.Evidence, rollout.Thing(node)); any {
 			if record, err := rollout.ParseRecord(v.Value); err == nil {
 				g.Seen = string(record.Seen.Policy)
 				if record.Seen.Fell != rollout.Stays {
--- a/internal/control/seats_test.go
+++ b/internal/control/seats_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"lichenhitch/internal/choice/upstream"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/council"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
@@ -141,7 +141,7 @@
 		t.Run(name, func(t *testing.T) {
 			a.core.seat, a.core.leading, a.core.leader = c.seat, false, "n2"
 			for what, answer := range map[string]func() error{
-				"read":     func() error { _, err := a.core.Read(upstream.Work, "work/x", ""); return err },
+				"read":     func() error { _, err := a.core.Read(sitesync.Work, "work/x", ""); return err },
 				"policies": func() error { _, err := a.core.Policies(a.now); return err },
 			} {
 				if err := answer(); c.answers {
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -12,8 +12,8 @@
 
 	"lichenhitch/internal/boottime"
 	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/council"
 	"lichenhitch/internal/council/store"
 	"lichenhitch/internal/peer"
@@ -387,7 +387,7 @@
 		done(nil, &OwnError{Thing: q.Thing})
 		return
 	}
-	local := upstream.Local{Kind: kind, Thing: q.Thing, Value: []byte(q.Value), By: q.By, Urgent: q.Urgent, Token: q.Token}
+	local := sitesync.Local{Kind: kind, Thing: q.Thing, Value: []byte(q.Value), By: q.By, Urgent: q.Urgent, Token: q.Token}
 	if !d.Do(func() {
 		d.core.Write(d.loop.Now(), local, func(r Reply, err error) {
 			if p := d.leaderOf(err, q.Forwarded); p != nil {
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
 )
@@ -23,10 +23,10 @@
 	// pace is how a site's leader calls those above: a poll is how late a decision of theirs comes at most, and a nearer
 	// site is tried again as often as a far one is bothered in its place. Before any answer was measured one is waited for as long
 	// as TCP does (RFC 6298). The most is more than a peer takes to answer at all (peer.Limits.Within) and its client waits.
-	pace = upstream.Pace{Poll: time.Second, Retry: 200 * time.Millisecond, Longest: 5 * time.Second, Failures: 3, Back: 2 * time.Second,
+	pace = sitesync.Pace{Poll: time.Second, Retry: 200 * time.Millisecond, Longest: 5 * time.Second, Failures: 3, Back: 2 * time.Second,
 		First: time.Second, Most: 8 * time.Second}
 	// budget is what a leader takes from below; see docs/design/upstream.md for the storm that it was measured with.
-	budget = upstream.Budget{Rate: 8000, Batch: 256, Most: time.Second, Urgent: 8, Live: 256}
+	budget = sitesync.Budget{Rate: 8000, Batch: 256, Most: time.Second, Urgent: 8, Live: 256}
 )
 
 const (
@@ -42,9 +42,9 @@
 // written is what the council's log says of writes: the site's place once, then commands.
 type written struct {
 	At      time.Duration     `json:"at"`
-	Place   *upstream.Place   `json:"place,omitempty"` // begins with them, with Limits
-	Limits  upstream.Limits   `json:"limits,omitzero"`
-	Command *upstream.Command `json:"command,omitempty"`
+	Place   *sitesync.Place   `json:"place,omitempty"` // begins with them, with Limits
+	Limits  sitesync.Limits   `json:"limits,omitzero"`
+	Command *sitesync.Command `json:"command,omitempty"`
 }
 
 // snapshot is a seat's whole state.
@@ -85,7 +85,7 @@
 		c.book, err = turns.Decode(s.Book)
 	}
 	if err == nil && s.Writes != nil {
-		if c.writes, err = upstream.Decode(s.Writes, MergeEvidence); err == nil {
+		if c.writes, err = sitesync.Decode(s.Writes, MergeEvidence); err == nil {
 			c.writes.Keeping(rollout.Brief)
 		}
 	}
@@ -106,20 +106,20 @@
 // recordHead is what the record of a node begins with; see rollout.Record.Bytes.
 const recordHead = "rollout record "
 
-// MergeEvidence merges evidence by its head: records of nodes, or else histograms. The same at all sites: see upstream.Merge.
+// MergeEvidence merges evidence by its head: records of nodes, or else histograms. The same at all sites: see sitesync.Merge.
 func MergeEvidence(a, b []byte) ([]byte, error) {
 	if bytes.HasPrefix(a, []byte(recordHead)) {
 		return rollout.MergeRecords(a, b)
 	}
-	return upstream.MergeSketches(a, b)
+	return sitesync.MergeSketches(a, b)
 }
 
 // write takes an entry about writes over.
-func (c *Core) write(index uint64, e written) (effects []upstream.Effect, err error) {
+func (c *Core) write(index uint64, e written) (effects []sitesync.Effect, err error) {
 	c.stamp = max(c.stamp, e.At)
 	if e.Place != nil {
 		if c.writes == nil {
-			c.writes = upstream.New(*e.Place, e.Limits).Merging(MergeEvidence).Keeping(rollout.Brief)
+			c.writes = sitesync.New(*e.Place, e.Limits).Merging(MergeEvidence).Keeping(rollout.Brief)
 			c.crown()
 		}
 		return nil, nil
@@ -131,20 +131,20 @@
 	c.planned(index, e.At, effects)
 	for _, f := range effects {
 		switch f.Kind {
-		case upstream.EffectApplied:
-			if f.Write.Kind == upstream.Safety {
+		case sitesync.EffectApplied:
+			if f.Write.Kind == sitesync.Safety {
 				c.hosts.at = 0 // a leader looks at once
 			}
-		case upstream.EffectRefused:
+		case sitesync.EffectRefused:
 			err = f.Err
-		case upstream.EffectReceipt:
-			if r := f.Receipt; c.leading && r.Outcome != upstream.Applied {
+		case sitesync.EffectReceipt:
+			if r := f.Receipt; c.leading && r.Outcome != sitesync.Applied {
 				c.env.Tell("a write of this site was not simply taken", "write", r.ID.String(), "outcome", r.Outcome.String(),
 					"why", r.Why, "by", r.Site)
 			}
-		case upstream.EffectLost:
+		case sitesync.EffectLost:
 			c.env.Tell("a site has lost its store; what it wrote and did not send is lost", "last known write", f.ID.String())
-		case upstream.EffectOld:
+		case sitesync.EffectOld:
 			c.env.Tell("this site's writes are older than what it told before: an old store was put back", "known above", f.ID.String())
 		}
 	}
@@ -164,12 +164,12 @@
 }
 
 // Write commits a write of this site. done is called once, with an *ElsewhereError where another node leads.
-func (c *Core) Write(now time.Duration, l upstream.Local, done func(Reply, error)) {
+func (c *Core) Write(now time.Duration, l sitesync.Local, done func(Reply, error)) {
 	switch {
 	case c.stop != nil:
 		done(Reply{}, c.stop)
 	case c.leading && c.writes != nil:
-		cmd := upstream.Command{Write: &l}
+		cmd := sitesync.Command{Write: &l}
 		if err := c.writes.Check(cmd); err != nil {
 			done(Reply{}, err)
 			return
@@ -191,9 +191,9 @@
 }
 
 // tell returns the leader's teller.
-func (c *Core) tell() *upstream.Teller {
+func (c *Core) tell() *sitesync.Teller {
 	if c.teller == nil {
-		c.teller, c.callers, c.taking = upstream.NewTeller(budget), map[upstream.Home]bool{}, map[string]int{}
+		c.teller, c.callers, c.taking = sitesync.NewTeller(budget), map[sitesync.Home]bool{}, map[string]int{}
 	}
 	return c.teller
 }
@@ -216,7 +216,7 @@
 		refuse(c.elsewhere())
 		return
 	}
-	b, err := upstream.ParseBatch(q.Batch)
+	b, err := sitesync.ParseBatch(q.Batch)
 	if err != nil {
 		refuse(err)
 		return
@@ -244,7 +244,7 @@
 	if own := c.writes.Unoffered(); own != nil {
 		c.proposeWrite(now, written{Command: own}, nil)
 	}
-	caller := upstream.Home{Site: b.From.Site, Life: b.From.Life}
+	caller := sitesync.Home{Site: b.From.Site, Life: b.From.Life}
 	if len(b.Writes) == 0 && c.callers[caller] && !c.writes.News(b) {
 		answer()
 		return
@@ -252,7 +252,7 @@
 	c.callers[caller] = true
 	taking := c.taking
 	taking[caller.Site]++
-	c.proposeWrite(now, written{Command: &upstream.Command{Batch: b}}, func(_ Reply, err error) {
+	c.proposeWrite(now, written{Command: &sitesync.Command{Batch: b}}, func(_ Reply, err error) {
 		taking[caller.Site]--
 		if err != nil {
 			refuse(err)
@@ -271,7 +271,7 @@
 	if c.courier == nil {
 		p := pace
 		p.Least = leastTicks * c.Site.Tick
-		c.courier = upstream.NewCourier(func() *upstream.Site { return c.writes }, p)
+		c.courier = sitesync.NewCourier(func() *sitesync.Site { return c.writes }, p)
 		c.upAt = map[string]int{}
 	}
 	if c.calling != "" && now >= c.callUntil {
@@ -317,7 +317,7 @@
 		c.callFailed(now)
 		return
 	}
-	a, err := upstream.ParseAnswer(r.Answer)
+	a, err := sitesync.ParseAnswer(r.Answer)
 	if err != nil {
 		c.env.Tell("what a site above answers cannot be read", "site", c.calling, "error", err)
 		c.callFailed(now)
@@ -363,7 +363,7 @@
 // begin returns the entry that a site's writes begin with. It may be the first that is stamped.
 func (c *Core) begin(now time.Duration) written {
 	born := max(c.stamp, now)
-	p := &upstream.Place{Site: c.Site.Own.Name, Level: c.Site.Own.Level, Born: born,
+	p := &sitesync.Place{Site: c.Site.Own.Name, Level: c.Site.Own.Level, Born: born,
 		Life: uint64(born/time.Microsecond)<<8 | c.Run&0xff | 1} // rises, and no two are alike
 	for _, g := range c.Site.Above {
 		p.Above = append(p.Above, g.Name)
@@ -380,12 +380,12 @@
 	if c.writes == nil {
 		return false
 	}
-	v, any := c.writes.Value(upstream.Safety, "host/"+host)
+	v, any := c.writes.Value(sitesync.Safety, "host/"+host)
 	return any && strings.HasPrefix(string(v.Value), "out")
 }
 
 // Read tells what holds here of a thing, and what became of a write.
-func (c *Core) Read(kind upstream.Kind, thing, id string) (*peerpb.ReadReply, error) {
+func (c *Core) Read(kind sitesync.Kind, thing, id string) (*peerpb.ReadReply, error) {
 	if !c.follows() || c.writes == nil {
 		return nil, c.elsewhere()
 	}
@@ -403,7 +403,7 @@
 			return nil, err
 		}
 		if c.writes.Judged().Has(d) {
-			r.Receipt = upstream.Applied.String()
+			r.Receipt = sitesync.Applied.String()
 			if v, not := c.writes.Verdict(d); not {
 				r.Receipt, r.Why = v.Outcome.String(), v.Why
 			}
@@ -412,9 +412,9 @@
 	return r, nil
 }
 
-// parseID reads a write's name as upstream.ID.String writes it: site.life/number, with ! behind the life of an urgent one, ~ of
+// parseID reads a write's name as sitesync.ID.String writes it: site.life/number, with ! behind the life of an urgent one, ~ of
 // evidence.
-func parseID(text string) (d upstream.ID, err error) {
+func parseID(text string) (d sitesync.ID, err error) {
 	head, number, ok := strings.Cut(text, "/")
 	dot := strings.LastIndexByte(head, '.')
 	if ok && dot > 0 {
@@ -431,8 +431,8 @@
 }
 
 // kindOf returns the kind of a name that operators may write.
-func kindOf(name string) (upstream.Kind, error) {
-	for k := upstream.Note; int(k) < upstream.Kinds; k++ {
+func kindOf(name string) (sitesync.Kind, error) {
+	for k := sitesync.Note; int(k) < sitesync.Kinds; k++ {
 		if k.String() == name {
 			return k, nil
 		}
@@ -441,9 +441,9 @@
 }
 
 // writtenID is the name of the write that a commit brought.
-func writtenID(effects []upstream.Effect) string {
+func writtenID(effects []sitesync.Effect) string {
 	for _, f := range effects {
-		if f.Write != nil && (f.Kind == upstream.EffectApplied || f.Kind == upstream.EffectMerged) {
+		if f.Write != nil && (f.Kind == sitesync.EffectApplied || f.Kind == sitesync.EffectMerged) {
 			return fmt.Sprint(f.Write.ID)
 		}
 	}
--- a/internal/control/writes_test.go
+++ b/internal/control/writes_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
 )
@@ -35,18 +35,18 @@
 		assert.Equal(t, c.ok, err == nil, "%q %q: %v", c.a, c.b, err)
 	}
 	c := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
-	_, err = c.write(1, written{Place: &upstream.Place{Site: "b", Level: 2, Life: 1, Above: []string{"p"}},
-		Limits: upstream.Limits{Bytes: 1 << 20, Number: 100, Batch: 9}})
+	_, err = c.write(1, written{Place: &sitesync.Place{Site: "b", Level: 2, Life: 1, Above: []string{"p"}},
+		Limits: sitesync.Limits{Bytes: 1 << 20, Number: 100, Batch: 9}})
 	require.NoError(t, err)
 	for told := range uint64(3) {
 		raw, err := c.encode()
 		require.NoError(t, err)
 		require.NoError(t, c.decode(raw))
-		l := &upstream.Local{Kind: upstream.Evidence, Thing: rollout.Thing("n"), Value: record("n", told+1)}
-		_, err = c.write(1, written{Command: &upstream.Command{Write: l}})
+		l := &sitesync.Local{Kind: sitesync.Evidence, Thing: rollout.Thing("n"), Value: record("n", told+1)}
+		_, err = c.write(1, written{Command: &sitesync.Command{Write: l}})
 		require.NoError(t, err)
 	}
-	v, _ := c.writes.Value(upstream.Evidence, rollout.Thing("n"))
+	v, _ := c.writes.Value(sitesync.Evidence, rollout.Thing("n"))
 	assert.Equal(t, string(record("n", 3)), string(v.Value))
 	id, err := parseID(v.Write.ID.String())
 	require.NoError(t, err)
@@ -69,8 +69,8 @@
 // ofNodes is the top above a site each of whose nodes has told its record so many times.
 func ofNodes(nodes, times int) (*Core, error) {
 	c := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
-	_, err := c.write(1, written{Place: &upstream.Place{Site: "p", Life: 1}, Limits: upstream.Limits{Bytes: 16 << 20, Number: 50000, Batch: 256}})
-	from := upstream.Origin{Site: "b", Life: 1, Evidence: true}
+	_, err := c.write(1, written{Place: &sitesync.Place{Site: "p", Life: 1}, Limits: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Batch: 256}})
+	from := sitesync.Origin{Site: "b", Life: 1, Evidence: true}
 	tree := rollout.Tree{Sites: []rollout.Site{{Name: "p"}, {Name: "b", Parent: "p"}}}
 	for i := range nodes {
 		tree.Sites[1].Nodes = append(tree.Sites[1].Nodes, rollout.Place{Name: fmt.Sprint("n", i), Zone: "z"})
@@ -82,10 +82,10 @@
 		for _, place := range tree.Sites[1].Nodes {
 			n := place.Name
 			number++
-			w := upstream.Write{ID: upstream.ID{Origin: from, Number: number}, Kind: upstream.Evidence, Level: 1, Thing: rollout.Thing(n),
+			w := sitesync.Write{ID: sitesync.ID{Origin: from, Number: number}, Kind: sitesync.Evidence, Level: 1, Thing: rollout.Thing(n),
 				Value: full(n, t+1, 4*t+1)}
-			b := &upstream.Batch{From: upstream.Place{Site: "b", Level: 1, Life: 1}, Writes: []upstream.Write{w}}
-			if _, refused := c.write(number+2, written{Command: &upstream.Command{Batch: b}}); refused != nil {
+			b := &sitesync.Batch{From: sitesync.Place{Site: "b", Level: 1, Life: 1}, Writes: []sitesync.Write{w}}
+			if _, refused := c.write(number+2, written{Command: &sitesync.Command{Batch: b}}); refused != nil {
 				return nil, refused
 			}
 		}
@@ -109,11 +109,11 @@
 	for _, seat := range []*Core{c, other} {
 		assert.Less(t, len(seat.writes.Encode()), 4096)
 		assert.Equal(t, plan, string(seat.policies.top.Encode()))
-		v, _ := seat.writes.Value(upstream.Evidence, rollout.Thing("n1"))
+		v, _ := seat.writes.Value(sitesync.Evidence, rollout.Thing("n1"))
 		assert.Equal(t, string(record("n1", 4)), string(v.Value))
 		assert.Equal(t, uint64(4), seat.recorded(0, "n1", nil), "a new leader knows how far the node has told")
-		l := &upstream.Local{Kind: upstream.Evidence, Thing: rollout.Thing("n1"), Value: full("n1", 9, 17)} // of the top's own site
-		f, refused := seat.write(99, written{Command: &upstream.Command{Write: l}})
+		l := &sitesync.Local{Kind: sitesync.Evidence, Thing: rollout.Thing("n1"), Value: full("n1", 9, 17)} // of the top's own site
+		f, refused := seat.write(99, written{Command: &sitesync.Command{Write: l}})
 		require.NoError(t, refused)
 		assert.Equal(t, string(full("n1", 9, 17)), string(f[0].Write.Value), "what is handed over is whole")
 		assert.Equal(t, uint64(9), seat.recorded(0, "n1", nil))
@@ -143,26 +143,26 @@
 // agreed on.
 func TestAQuestionIsAnsweredAtOnce(t *testing.T) {
 	a := newAlone(t)
-	call := func(b upstream.Batch) (got *upstream.Answer, r *peerpb.ReplayReply) {
-		b.From = upstream.Place{Site: "b", Level: 1, Life: 1}
+	call := func(b sitesync.Batch) (got *sitesync.Answer, r *peerpb.ReplayReply) {
+		b.From = sitesync.Place{Site: "b", Level: 1, Life: 1}
 		a.core.Replay(a.now, &peerpb.ReplayRequest{Site: "b", Batch: b.Bytes()}, func(reply *peerpb.ReplayReply) { r = reply })
 		require.NotNil(t, r)
-		got, err := upstream.ParseAnswer(r.Answer)
+		got, err := sitesync.ParseAnswer(r.Answer)
 		require.NoError(t, err)
 		return got, r
 	}
-	call(upstream.Batch{})
+	call(sitesync.Batch{})
 	applied := a.core.Applied()
-	got, r := call(upstream.Batch{Probe: true, Waiting: 1})
+	got, r := call(sitesync.Batch{Probe: true, Waiting: 1})
 	assert.Equal(t, applied, a.core.Applied())
 	assert.Nil(t, got.Down)
 	assert.Nil(t, r.AgeUs, "what holds there is not known here by it")
 	assert.Equal(t, 1, got.Credit)
-	w := upstream.Write{ID: upstream.ID{Origin: upstream.Origin{Site: "b", Life: 1}, Number: 1}, Kind: upstream.Note, Thing: "x", Value: []byte("x")}
-	call(upstream.Batch{Writes: []upstream.Write{w}})
+	w := sitesync.Write{ID: sitesync.ID{Origin: sitesync.Origin{Site: "b", Life: 1}, Number: 1}, Kind: sitesync.Note, Thing: "x", Value: []byte("x")}
+	call(sitesync.Batch{Writes: []sitesync.Write{w}})
 	assert.Zero(t, a.core.taking["b"], "a council of one agrees at once")
 	a.core.taking["b"]++
-	got, _ = call(upstream.Batch{Probe: true, Waiting: 1, Asks: []upstream.Origin{w.ID.Origin}})
+	got, _ = call(sitesync.Batch{Probe: true, Waiting: 1, Asks: []sitesync.Origin{w.ID.Origin}})
 	assert.True(t, got.Working)
 	assert.Zero(t, got.Credit)
 	assert.Equal(t, uint64(1), got.Seen.Of(w.ID.Origin))
--- a/internal/site/check.go
+++ b/internal/site/check.go
@@ -15,8 +15,8 @@
 
 	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/site/sitepb"
 )
 
@@ -366,7 +366,7 @@
 	s.Turns.Kind = c.within("turns.kind", t.GetKind(), s.Turns.Site)
 
 	u := f.GetUpstream()
-	s.Upstream = upstream.Limits{
+	s.Upstream = sitesync.Limits{
 		Bytes:  c.whole("upstream.bytes", u.GetBytes(), 16<<20, 64<<10, 1<<30),
 		Number: c.whole("upstream.number", u.GetNumber(), 50000, 16, 10*many),
 		Age:    time.Duration(c.whole("upstream.evidence_s", u.GetEvidenceS(), 3600, 10, week)) * time.Second,
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -15,8 +15,8 @@
 
 	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/site/sitepb"
 )
 
@@ -38,7 +38,7 @@
 	Peers         map[string]string // address by node; this node is none
 	Rights        rights.Terms
 	Turns         turns.Limits
-	Upstream      upstream.Limits
+	Upstream      sitesync.Limits
 	Rollout       rollout.Limits
 	Tick          time.Duration // of the council
 	SnapshotEvery uint64        // entries of the council's log
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -17,8 +17,8 @@
 
 	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 )
 
 func TestMain(m *testing.M) {
@@ -49,7 +49,7 @@
 	assert.Equal(t, s.Turns, bare.Turns)
 	assert.Equal(t, turns.Limits{Site: 1, Horizon: 2, Age: 10 * time.Minute}, bare.Turns)
 	assert.Equal(t, s.Upstream, bare.Upstream)
-	assert.Equal(t, upstream.Limits{Bytes: 16 << 20, Number: 50000, Age: time.Hour, Batch: 256}, bare.Upstream)
+	assert.Equal(t, sitesync.Limits{Bytes: 16 << 20, Number: 50000, Age: time.Hour, Batch: 256}, bare.Upstream)
 	assert.Equal(t, s.Rollout, bare.Rollout)
 	assert.Equal(t, rollout.Defaults(), bare.Rollout)
 	assert.Empty(t, bare.Own.Zones)
--- a/rehearsal/province/check.go
+++ b/rehearsal/province/check.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"lichenhitch/internal/choice/upstream"
+	"lichenhitch/internal/choice/sitesync"
 )
 
 // What is checked of writes. What holds at a site is what its seat with the longest log answers to a reader; which write was
@@ -58,7 +58,7 @@
 			p.before[t] = append(p.before[t], x)
 			w.say(fmt.Sprint(p.name, " holds ", x, " of ", t.kind, " ", t.thing, " at ", s.name, " from ", s.core.Applied()))
 		}
-		if t.kind == upstream.Safety {
+		if t.kind == sitesync.Safety {
 			p.hand(w, t.thing, r.Value)
 		}
 	}
@@ -190,7 +190,7 @@
 
 // fates reads what became of each write, at the top and at its own site.
 func (w *World) fates() {
-	names := map[upstream.ID]*write{}
+	names := map[sitesync.ID]*write{}
 	for _, x := range w.writes {
 		if !x.agreed {
 			continue
--- a/rehearsal/province/lost_test.go
+++ b/rehearsal/province/lost_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lichenhitch/internal/choice/upstream"
+	"lichenhitch/internal/choice/sitesync"
 )
 
 // TestALostStoreHoldsNobodyBack: a store is lost with a write that had not left, and a write elsewhere names it by a token.
@@ -60,7 +60,7 @@
 		cut(lost, lost.up)
 	}
 	writes := func(p, from *place) *write {
-		return w.write(p, p.nodes[0], subject{upstream.Work, "work/0"}, upstream.Local{Value: []byte("done")}, from, false)
+		return w.write(p, p.nodes[0], subject{sitesync.Work, "work/0"}, sitesync.Local{Value: []byte("done")}, from, false)
 	}
 	w.until(5 * time.Second)
 	if s.round {
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/site"
 )
 
@@ -143,7 +143,7 @@
 	shown   map[subject]*write       // what holds there, as last looked at
 	before  map[subject][]*write     // what held there, in order; empty again after a loss
 	out     map[string]time.Duration // since when a host is out by hand there
-	receipt map[upstream.ID]string   // that were read there
+	receipt map[sitesync.ID]string   // that were read there
 	tokened bool                     // a token was used there, or above: see upstream's U1
 }
 
@@ -266,7 +266,7 @@
 
 // site builds one site.
 func (w *World) site(name string, up *place, level int) *place {
-	p := &place{name: name, up: up, hosts: map[string]*host{}, receipt: map[upstream.ID]string{}}
+	p := &place{name: name, up: up, hosts: map[string]*host{}, receipt: map[sitesync.ID]string{}}
 	p.forget()
 	w.sites = append(w.sites, p)
 	l := w.Levels[level]
@@ -289,7 +289,7 @@
 	for i, node := range p.group.Nodes {
 		n := w.add(p, node, &site.Site{Node: node, Own: p.group, Above: above, Seats: p.group.Seats, Members: p.group.Nodes,
 			Seat: i < l.Seats, Rights: terms, Turns: w.Limits, Tick: 100 * time.Millisecond, SnapshotEvery: 64,
-			Upstream: upstream.Limits{Bytes: 16 << 20, Number: 50000, Age: time.Hour, Batch: 256}})
+			Upstream: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Age: time.Hour, Batch: 256}})
 		n.rate = 1 + (w.rng.Float64()-0.5)*0.009
 	}
 	for i := range w.Hosts {
--- a/rehearsal/province/writers.go
+++ b/rehearsal/province/writers.go
@@ -8,13 +8,13 @@
 	"strings"
 	"time"
 
-	"lichenhitch/internal/choice/upstream"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/control"
 )
 
 // subject is something that is written about.
 type subject struct {
-	kind  upstream.Kind
+	kind  sitesync.Kind
 	thing string
 }
 
@@ -23,12 +23,12 @@
 	number int // in this world, from 1; it stands at the end of the value
 	site   *place
 	subject
-	local  upstream.Local
+	local  sitesync.Local
 	over   *write // what held of its thing there when it was written
 	saw    []*write
 	agreed bool // its writer was told so
 	at     time.Duration
-	id     upstream.ID
+	id     sitesync.ID
 	doomed bool   // its site's stores were lost since
 	fate   string // what the top said of it, read at the end
 }
@@ -36,14 +36,14 @@
 // subjects are few, so that writes meet.
 func (w *World) subjects() {
 	for i := range w.Hand {
-		w.things = append(w.things, subject{upstream.Safety, fmt.Sprintf("host/hand-g%02d", i)})
+		w.things = append(w.things, subject{sitesync.Safety, fmt.Sprintf("host/hand-g%02d", i)})
 	}
 	if w.Writes == 0 {
 		return
 	}
 	for i := range 3 {
-		w.things = append(w.things, subject{upstream.Work, fmt.Sprintf("work/%d", i)},
-			subject{upstream.Policy, fmt.Sprintf("policy/%d", i)}, subject{upstream.Note, fmt.Sprintf("policy/%d", i)})
+		w.things = append(w.things, subject{sitesync.Work, fmt.Sprintf("work/%d", i)},
+			subject{sitesync.Policy, fmt.Sprintf("policy/%d", i)}, subject{sitesync.Note, fmt.Sprintf("policy/%d", i)})
 	}
 }
 
@@ -65,7 +65,7 @@
 // writer draws one write.
 func (w *World) writer(p *place) func() {
 	s, n := w.things[w.plan.IntN(len(w.things))], p.nodes[w.plan.IntN(len(p.nodes))]
-	words := upstream.Rules[s.kind].Words
+	words := sitesync.Rules[s.kind].Words
 	word := "seen"
 	if len(words) > 0 {
 		word = words[w.plan.IntN(len(words))]
@@ -76,15 +76,15 @@
 		if !token || from == p || w.reader(from) == nil || p.up == nil && w.Seed%2 == 0 {
 			from = nil // at a top in every other world only: what is below it may then hold what it names too early
 		}
-		w.write(p, n, s, upstream.Local{Value: []byte(word), Urgent: urgent}, from, needs)
+		w.write(p, n, s, sitesync.Local{Value: []byte(word), Urgent: urgent}, from, needs)
 	}
 }
 
 // closing ends a thing for good, until the top has agreed to it.
 func (w *World) closing(p *place) {
 	n := p.nodes[w.rng.IntN(len(p.nodes))]
-	s := subject{upstream.Policy, "policy/0"}
-	x := w.write(p, n, s, upstream.Local{Value: []byte("halt"), Closes: true}, nil, false)
+	s := subject{sitesync.Policy, "policy/0"}
+	x := w.write(p, n, s, sitesync.Local{Value: []byte("halt"), Closes: true}, nil, false)
 	w.after(6*time.Second, func() {
 		if !x.agreed && w.now < w.For+w.Quiet/2 {
 			w.closing(p)
@@ -93,7 +93,7 @@
 }
 
 // write hands a write in at a node, which passes it on to the leader it knows, once, as the desk does.
-func (w *World) write(p *place, n *node, s subject, l upstream.Local, from *place, needs bool) *write {
+func (w *World) write(p *place, n *node, s subject, l sitesync.Local, from *place, needs bool) *write {
 	w.look(p)
 	x := &write{number: len(w.writes) + 1, site: p, subject: s, over: p.shown[s]}
 	w.writes = append(w.writes, x)
@@ -107,7 +107,7 @@
 	if from != nil {
 		w.look(from)
 		s := w.reader(from)
-		if r, err := s.core.Read(upstream.Note, "", ""); err == nil && s.core.Applied() == from.looked { // else its log is behind
+		if r, err := s.core.Read(sitesync.Note, "", ""); err == nil && s.core.Applied() == from.looked { // else its log is behind
 			l.Token = r.Token
 			x.sees(w, from)
 			for _, q := range w.sites {
@@ -116,7 +116,7 @@
 		}
 	}
 	if last := w.lastOf(p); needs && last != nil && w.seen(p, last) {
-		l.Needs = []upstream.ID{last.id}
+		l.Needs = []sitesync.ID{last.id}
 	}
 	x.local = l
 	w.say(fmt.Sprintf("%s writes %s of %s at %s; urgent %v, token %v", p.name, l.Value, l.Thing, n.name, l.Urgent, from != nil))
@@ -171,7 +171,7 @@
 // agreed notes that a writer was told that its write is agreed on.
 func (w *World) agreed(x *write, r control.Reply) {
 	for _, f := range r.Effects {
-		if f.Write != nil && f.Kind == upstream.EffectApplied && f.Write.Thing == x.thing && numbered(string(f.Write.Value)) == x.number {
+		if f.Write != nil && f.Kind == sitesync.EffectApplied && f.Write.Thing == x.thing && numbered(string(f.Write.Value)) == x.number {
 			x.agreed, x.at, x.id = true, w.now, f.Write.ID
 		}
 	}
@@ -211,7 +211,7 @@
 		}
 		for _, s := range w.things[:w.Hand] {
 			if _, out := p.out[s.thing]; out {
-				w.write(p, p.nodes[w.rng.IntN(len(p.nodes))], s, upstream.Local{Value: []byte("back")}, nil, false)
+				w.write(p, p.nodes[w.rng.IntN(len(p.nodes))], s, sitesync.Local{Value: []byte("back")}, nil, false)
 			}
 		}
 	}
--- a/rehearsal/upstreammodel/model.go
+++ b/rehearsal/upstreammodel/model.go
@@ -17,7 +17,7 @@
 	"slices"
 	"strings"
 
-	"lichenhitch/internal/choice/upstream"
+	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/rehearsal/model"
 )
 
@@ -32,7 +32,7 @@
 var names = [sites]string{"building", "regency", "province"}
 
 // limits are those of all sites of the model. Pieces of a state are of one write.
-var limits = upstream.Limits{Bytes: 1 << 20, Number: 100, Batch: 1, Held: 2}
+var limits = sitesync.Limits{Bytes: 1 << 20, Number: 100, Batch: 1, Held: 2}
 
 // tags is a set of writes, by their numbers in the scenario.
 type tags uint16
@@ -41,18 +41,18 @@
 
 // truth is what is known of a write that was made: beside the sites, which do not see it.
 type truth struct {
-	id     upstream.ID
+	id     sitesync.ID
 	past   tags // what its writer had seen
 	merged int  // the tag of the write that it was merged into, plus one
 }
 
 // node is a site with its bytes.
 type node struct {
-	site *upstream.Site
+	site *sitesync.Site
 	enc  []byte
 }
 
-func nodeOf(s *upstream.Site) node { return node{site: s} }
+func nodeOf(s *sitesync.Site) node { return node{site: s} }
 
 // sealed returns a state with the bytes of its sites made.
 func (s State) sealed() State {
@@ -148,8 +148,8 @@
 	return nil, fmt.Errorf("no bug is named %q", bug)
 }
 
-func place(site int, life uint64) upstream.Place {
-	p := upstream.Place{Site: names[site], Level: sites - 1 - site, Life: life, Born: 1}
+func place(site int, life uint64) sitesync.Place {
+	p := sitesync.Place{Site: names[site], Level: sites - 1 - site, Life: life, Born: 1}
 	p.Above = append(p.Above, names[site+1:]...)
 	if life > 1 {
 		p.Born = 2
@@ -157,7 +157,7 @@
 	return p
 }
 
-func fresh(p upstream.Place) *upstream.Site { return upstream.New(p, limits).Merging(addUp) }
+func fresh(p sitesync.Place) *sitesync.Site { return sitesync.New(p, limits).Merging(addUp) }
 
 // addUp merges evidence that is one byte.
 func addUp(a, b []byte) ([]byte, error) {
@@ -265,7 +265,7 @@
 	switch {
 	case l.Urgent:
 		past = 0
-	case l.Kind == upstream.Evidence: // it waits for that of its own site alone
+	case l.Kind == sitesync.Evidence: // it waits for that of its own site alone
 		past = s.held[w.Site] & m.evidence(func(x Write) bool { return x.Site == w.Site })
 	}
 	for _, t := range w.needs {
@@ -292,17 +292,17 @@
 	s.truths = slices.Clone(s.truths)
 	s.truths[i] = truth{past: past}
 	s.made |= 1 << i
-	f := m.apply(&s, w.Site, upstream.Command{Write: &l}, 0)
+	f := m.apply(&s, w.Site, sitesync.Command{Write: &l}, 0)
 	for _, e := range f {
 		switch e.Kind {
-		case upstream.EffectMerged:
+		case sitesync.EffectMerged:
 			for j := range s.truths {
 				if s.made.has(j) && j != i && s.truths[j].id == e.ID {
 					s.truths[i].merged = j + 1
 				}
 			}
 			s.truths[i].id = e.ID
-		case upstream.EffectRefused:
+		case sitesync.EffectRefused:
 			return s, false
 		}
 	}
@@ -311,7 +311,7 @@
 }
 
 // apply applies a command at a site and holds what it brings against the truth. Holds is what the sender of a state held.
-func (m *Model) apply(s *State, at int, c upstream.Command, holds tags) []upstream.Effect {
+func (m *Model) apply(s *State, at int, c sitesync.Command, holds tags) []sitesync.Effect {
 	site := s.nodes[at].site.Clone()
 	if c.Down != nil && m.plant.down != nil {
 		m.plant.down(at, c.Down)
@@ -319,15 +319,15 @@
 	f := site.Apply(1, c)
 	s.nodes[at] = nodeOf(site)
 	// What a site held is told from what it had seen; what came through a state is covered at once.
-	if d := c.Down; d == nil || !d.Last || slices.ContainsFunc(d.Seen, func(k upstream.Mark) bool {
-		return !site.Seen().Has(upstream.ID{Origin: k.Origin, Number: k.Number})
+	if d := c.Down; d == nil || !d.Last || slices.ContainsFunc(d.Seen, func(k sitesync.Mark) bool {
+		return !site.Seen().Has(sitesync.ID{Origin: k.Origin, Number: k.Number})
 	}) {
 		holds = 0 // it was not joined
 	}
 	had := s.held[at] | holds
 	for _, e := range f {
 		switch e.Kind {
-		case upstream.EffectApplied:
+		case sitesync.EffectApplied:
 			i, ok := tagOf(e.Write)
 			for j := range s.truths { // evidence that is emptied names nobody
 				if !ok && s.made.has(j) && s.truths[j].id == e.ID {
@@ -337,7 +337,7 @@
 			if !ok {
 				continue
 			}
-			if e.Write.Kind == upstream.Evidence && m.Scenario.Writes[i].Site > at {
+			if e.Write.Kind == sitesync.Evidence && m.Scenario.Writes[i].Site > at {
 				s.bad |= 1 << badSame
 			}
 			if s.made.has(i) {
@@ -366,7 +366,7 @@
 				}
 			}
 			had |= s.held[at]
-		case upstream.EffectReceipt:
+		case sitesync.EffectReceipt:
 			m.receipt(s, e.Receipt)
 		}
 	}
@@ -374,14 +374,14 @@
 	return f
 }
 
-func tagOf(w *upstream.Write) (int, bool) {
+func tagOf(w *sitesync.Write) (int, bool) {
 	var i int
 	_, err := fmt.Sscan(w.By, &i)
 	return i, err == nil
 }
 
 // receipt holds a receipt against what the province says.
-func (m *Model) receipt(s *State, r upstream.Receipt) {
+func (m *Model) receipt(s *State, r sitesync.Receipt) {
 	for i := range s.truths {
 		t := &s.truths[i]
 		if !s.made.has(i) || t.id != r.ID || t.merged > 0 {
@@ -399,7 +399,7 @@
 }
 
 // courier returns a site's courier for one call to a site above, with what the last answer said is known there.
-func (m *Model) courier(s *State, from, to int, credit int) *upstream.Batch {
+func (m *Model) courier(s *State, from, to int, credit int) *sitesync.Batch {
 	site := s.nodes[from].site
 	if u := site.Unoffered(); u != nil && !m.plant.noOffer {
 		m.apply(s, from, *u, 0)
@@ -414,13 +414,13 @@
 		m.plant.batch(b)
 	}
 	if m.plant.cutOnSend && len(b.Writes) > 0 {
-		d := &upstream.Down{From: names[to], Life: 1, To: site.Self().Life}
+		d := &sitesync.Down{From: names[to], Life: 1, To: site.Self().Life}
 		for _, w := range b.Writes {
 			if w.ID.Origin.Site == names[from] {
-				d.Judged = upstream.Seen{{Origin: w.ID.Origin, Number: w.ID.Number}}
+				d.Judged = sitesync.Seen{{Origin: w.ID.Origin, Number: w.ID.Number}}
 			}
 		}
-		m.apply(s, from, upstream.Command{Down: d}, 0)
+		m.apply(s, from, sitesync.Command{Down: d}, 0)
 	}
 	for i, t := range s.truths {
 		if s.made.has(i) && m.Scenario.Writes[i].Site == from && b.Seen.Has(t.id) {
@@ -465,8 +465,8 @@
 }
 
 // called takes a call in and answers it.
-func (m *Model) called(s *State, at int, call []byte) (*upstream.Answer, tags) {
-	b, err := upstream.ParseBatch(call)
+func (m *Model) called(s *State, at int, call []byte) (*sitesync.Answer, tags) {
+	b, err := sitesync.ParseBatch(call)
 	if err != nil {
 		panic(err)
 	}
@@ -477,7 +477,7 @@
 	if u := s.nodes[at].site.Unoffered(); u != nil && !m.plant.noOffer {
 		m.apply(s, at, *u, 0)
 	}
-	m.apply(s, at, upstream.Command{Batch: &taken}, 0)
+	m.apply(s, at, sitesync.Command{Batch: &taken}, 0)
 	site := s.nodes[at].site
 	if m.plant.noOffer {
 		if u := site.Unoffered(); u != nil {
@@ -500,7 +500,7 @@
 // evidence returns the evidence of a scenario that has a property.
 func (m *Model) evidence(which func(Write) bool) (t tags) {
 	for i, w := range m.Scenario.Writes {
-		if w.Local.Kind == upstream.Evidence && which(w) {
+		if w.Local.Kind == sitesync.Evidence && which(w) {
 			t |= 1 << i
 		}
 	}
@@ -509,7 +509,7 @@
 
 // answered takes an answer in: what is known above, and its state, if it is whole.
 func (m *Model) answered(s *State, msg message) {
-	a, err := upstream.ParseAnswer(msg.answer)
+	a, err := sitesync.ParseAnswer(msg.answer)
 	if err != nil {
 		panic(err)
 	}
@@ -519,43 +519,43 @@
 	if a.Down.To != s.nodes[msg.to].site.Self().Life {
 		return // the courier that called is gone with the store
 	}
-	known := upstream.Seen{}
+	known := sitesync.Seen{}
 	if b := s.known[msg.to][msg.from]; b != nil {
-		known, _ = upstream.ParseToken(string(b))
+		known, _ = sitesync.ParseToken(string(b))
 	}
 	s.known[msg.to][msg.from] = []byte(joined(known, a.Seen).Encode())
 	if a.Down.Last || len(a.Down.Judged) > 0 {
-		m.apply(s, msg.to, upstream.Command{Down: a.Down}, msg.holds)
+		m.apply(s, msg.to, sitesync.Command{Down: a.Down}, msg.holds)
 	}
 }
 
 // joined returns a vector with all of two.
-func joined(a, b upstream.Seen) upstream.Seen {
+func joined(a, b sitesync.Seen) sitesync.Seen {
 	list := slices.Concat(a, b)
-	slices.SortFunc(list, func(x, y upstream.Mark) int {
+	slices.SortFunc(list, func(x, y sitesync.Mark) int {
 		if c := x.Origin.Compare(y.Origin); c != 0 {
 			return c
 		}
 		return int(y.Number) - int(x.Number)
 	})
-	return slices.CompactFunc(list, func(x, y upstream.Mark) bool { return x.Origin == y.Origin })
+	return slices.CompactFunc(list, func(x, y sitesync.Mark) bool { return x.Origin == y.Origin })
 }
 
 // reach is a site for one call.
 type reach struct {
-	site *upstream.Site
+	site *sitesync.Site
 	to   string
 }
 
 // call makes the call that the site's courier would, given what it knows of the other site and has credit for.
-func (r reach) call(known []byte, credit int) *upstream.Batch {
-	c := upstream.NewCourierTo(func() *upstream.Site { return r.site }, upstream.Pace{Failures: 9}, r.to)
+func (r reach) call(known []byte, credit int) *sitesync.Batch {
+	c := sitesync.NewCourierTo(func() *sitesync.Site { return r.site }, sitesync.Pace{Failures: 9}, r.to)
 	if _, hello, _ := c.Next(0); hello == nil {
 		panic("upstreammodel: a courier makes no first call")
 	}
-	a := &upstream.Answer{From: r.to, Life: 1, Credit: credit}
+	a := &sitesync.Answer{From: r.to, Life: 1, Credit: credit}
 	if known != nil {
-		a.Seen, _ = upstream.ParseToken(string(known))
+		a.Seen, _ = sitesync.ParseToken(string(known))
 	}
 	c.Answered(0, a)
 	_, b, _ := c.Next(0)
@@ -637,19 +637,19 @@
 		b := m.courier(s, from, to, 9)
 		call := b.Bytes()
 		a, holds := m.called(s, to, call)
-		known := upstream.Seen{}
+		known := sitesync.Seen{}
 		if k := s.known[from][to]; k != nil {
-			known, _ = upstream.ParseToken(string(k))
+			known, _ = sitesync.ParseToken(string(k))
 		}
 		s.known[from][to] = []byte(joined(known, a.Seen).Encode())
-		var down *upstream.Down
+		var down *sitesync.Down
 		for !a.Down.Last { // the further pieces
 			down = m.pieces(down, a.Down)
 			more := *b
-			more.Writes, more.Cursor = nil, upstream.Cursor{Life: a.Life, At: down.Until}
+			more.Writes, more.Cursor = nil, sitesync.Cursor{Life: a.Life, At: down.Until}
 			a, holds = m.called(s, to, more.Bytes())
 		}
-		m.apply(s, from, upstream.Command{Down: m.pieces(down, a.Down)}, holds)
+		m.apply(s, from, sitesync.Command{Down: m.pieces(down, a.Down)}, holds)
 		if len(b.Writes) == 0 {
 			return
 		}
@@ -657,7 +657,7 @@
 }
 
 // pieces puts a piece of a state behind those before it, as a courier does.
-func (m *Model) pieces(before, d *upstream.Down) *upstream.Down {
+func (m *Model) pieces(before, d *sitesync.Down) *sitesync.Down {
 	if before != nil {
 		d.After = before.After
 		d.Things = slices.Concat(before.Things, d.Things)
@@ -685,7 +685,7 @@
 				bad |= 1 << badSame
 			}
 		}
-		for k := upstream.Note; int(k) < upstream.Kinds; k++ {
+		for k := sitesync.Note; int(k) < sitesync.Kinds; k++ {
 			if !slices.Equal(top.Things(k), x.Things(k)) {
 				bad |= 1 << badSame
 				continue
@@ -714,14 +714,14 @@
 func (m *Model) ownEvidence(s *State, at int) (bad uint32) {
 	want := map[string]byte{}
 	for i, w := range m.Scenario.Writes {
-		if w.Local.Kind == upstream.Evidence && s.made.has(i) && w.Site == at && (at != building || w.afterLoss == s.lost) {
+		if w.Local.Kind == sitesync.Evidence && s.made.has(i) && w.Site == at && (at != building || w.afterLoss == s.lost) {
 			want[w.Local.Thing] += w.Local.Value[0]
 		}
 	}
 	site := s.nodes[at].site
-	held := site.Things(upstream.Evidence)
+	held := site.Things(sitesync.Evidence)
 	for _, name := range held {
-		if v, _ := site.Value(upstream.Evidence, name); len(v.Value) != 1 || v.Value[0] != want[name] || len(v.Beside) > 0 {
+		if v, _ := site.Value(sitesync.Evidence, name); len(v.Value) != 1 || v.Value[0] != want[name] || len(v.Beside) > 0 {
 			bad |= 1 << badSame
 		}
 	}
@@ -733,27 +733,27 @@
 
 // overruled checks the outcomes against the truth: a write that needs a refused one and falls with it is orphaned, and no
 // write stands beside one whose writer had seen it.
-func (m *Model) overruled(s *State, top *upstream.Site) (bad uint32) {
+func (m *Model) overruled(s *State, top *sitesync.Site) (bad uint32) {
 	for i, w := range m.Scenario.Writes {
 		for _, n := range w.needs {
-			if s.judged[i] == nil || s.judged[n] == nil || w.Local.Kind != upstream.Work {
+			if s.judged[i] == nil || s.judged[n] == nil || w.Local.Kind != sitesync.Work {
 				continue
 			}
-			fell := upstream.Outcome(s.judged[n][0]) >= upstream.Refused
-			if fell && upstream.Outcome(s.judged[i][0]) < upstream.Refused {
+			fell := sitesync.Outcome(s.judged[n][0]) >= sitesync.Refused
+			if fell && sitesync.Outcome(s.judged[i][0]) < sitesync.Refused {
 				bad |= 1 << badOverruled
 			}
 		}
 	}
-	for k := range upstream.Kind(upstream.Kinds) {
+	for k := range sitesync.Kind(sitesync.Kinds) {
 		for _, name := range top.Things(k) {
 			v, _ := top.Value(k, name)
-			stand := append([]upstream.Write{v.Write}, v.Beside...)
+			stand := append([]sitesync.Write{v.Write}, v.Beside...)
 			for a := range stand {
 				for b := range stand {
 					i, ok := tagOf(&stand[a])
 					j, fine := tagOf(&stand[b])
-					if ok && fine && i != j && k != upstream.Evidence && s.truths[i].past.has(j) {
+					if ok && fine && i != j && k != sitesync.Evidence && s.truths[i].past.has(j) {
 						bad |= 1 << badOverruled
 					}
 				}
@@ -764,10 +764,10 @@
 }
 
 // sums checks that evidence that was not lost with a store counts once.
-func (m *Model) sums(s *State, top *upstream.Site) (bad uint32) {
+func (m *Model) sums(s *State, top *sitesync.Site) (bad uint32) {
 	want, atLeast := map[string]byte{}, map[string]byte{}
 	for i, w := range m.Scenario.Writes {
-		if w.Local.Kind != upstream.Evidence || !s.made.has(i) {
+		if w.Local.Kind != sitesync.Evidence || !s.made.has(i) {
 			continue
 		}
 		want[w.Local.Thing] += w.Local.Value[0]
@@ -776,7 +776,7 @@
 		}
 	}
 	for name, n := range want {
-		v, _ := top.Value(upstream.Evidence, name)
+		v, _ := top.Value(sitesync.Evidence, name)
 		if len(v.Value) > 0 && v.Value[0] > n || atLeast[name] > 0 && (len(v.Value) == 0 || v.Value[0] < atLeast[name]) {
 			bad |= 1 << badSum
 		}
--- a/rehearsal/upstreammodel/plants.go
+++ b/rehearsal/upstreammodel/plants.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"lichenhitch/internal/choice/upstream"
+	"lichenhitch/internal/choice/sitesync"
 )
 
 // plant is a planted bug: a change of what passes between the sites and the real code. The daemon has none.
@@ -16,11 +16,11 @@
 	cutOnSend   bool
 	anyLife     bool
 	pieces      bool
-	local       func(*upstream.Local)
-	batch       func(*upstream.Batch)      // a call that is sent
-	taken       func(int, *upstream.Batch) // a call as it is applied
-	answer      func(*State, int, *upstream.Answer)
-	down        func(int, *upstream.Down) // a state as it is joined
+	local       func(*sitesync.Local)
+	batch       func(*sitesync.Batch)      // a call that is sent
+	taken       func(int, *sitesync.Batch) // a call as it is applied
+	answer      func(*State, int, *sitesync.Answer)
+	down        func(int, *sitesync.Down) // a state as it is joined
 }
 
 // Plant tells of a planted bug.
@@ -36,8 +36,8 @@
 }
 
 // each changes every write of a call.
-func each(f func(*upstream.Write)) func(*upstream.Batch) {
-	return func(b *upstream.Batch) {
+func each(f func(*sitesync.Write)) func(*sitesync.Batch) {
+	return func(b *sitesync.Batch) {
 		b.Writes = slices.Clone(b.Writes)
 		for i := range b.Writes {
 			f(&b.Writes[i])
@@ -47,17 +47,17 @@
 
 var plants = []plant{
 	{Name: "causes-forgotten", Scenario: "token", About: "writes travel without what they depend on",
-		batch: each(func(w *upstream.Write) { w.After = nil })},
+		batch: each(func(w *sitesync.Write) { w.After = nil })},
 	{Name: "urgent-overtakes", Scenario: "two-routes", About: "an urgent write does not wait for its thing, and is taken for one of the ordinary kind",
-		batch: each(func(w *upstream.Write) {
+		batch: each(func(w *sitesync.Write) {
 			if w.ID.Origin.Urgent {
 				w.After, w.ID.Origin.Urgent = nil, false
 			}
 		})},
 	{Name: "token-ignored", Scenario: "token", About: "a token is accepted and not looked at",
-		local: func(l *upstream.Local) { l.Token = "" }},
+		local: func(l *sitesync.Local) { l.Token = "" }},
 	{Name: "told-apart-by-route", Scenario: "two-routes", About: "a write that comes by another route is taken for another write",
-		taken: func(at int, b *upstream.Batch) {
+		taken: func(at int, b *sitesync.Batch) {
 			b.Writes = slices.Clone(b.Writes)
 			for i := range b.Writes {
 				if w := &b.Writes[i]; at == province && b.From.Site != w.ID.Origin.Site {
@@ -67,68 +67,68 @@
 		}},
 	{Name: "cut-on-send", Scenario: "two-routes", About: "a write is cut from the store once it is sent", cutOnSend: true},
 	{Name: "parent-judges", Scenario: "closed", About: "a parent gives its own word for the top's",
-		answer: func(s *State, at int, a *upstream.Answer) {
+		answer: func(s *State, at int, a *sitesync.Answer) {
 			a.Down.Judged = s.nodes[at].site.Seen()
 		}},
 	{Name: "refusals-lost", Scenario: "closed", About: "what was refused does not come down",
-		answer: func(_ *State, _ int, a *upstream.Answer) { a.Down.Refused = nil }},
+		answer: func(_ *State, _ int, a *sitesync.Answer) { a.Down.Refused = nil }},
 	{Name: "needs-forgotten", Scenario: "closed", About: "what a write needs is not sent along",
-		batch: each(func(w *upstream.Write) { w.Needs = nil })},
+		batch: each(func(w *sitesync.Write) { w.Needs = nil })},
 	{Name: "over-forgotten", Scenario: "two-routes", About: "what a write was written over is not sent along",
-		batch: each(func(w *upstream.Write) { w.Over = nil })},
+		batch: each(func(w *sitesync.Write) { w.Over = nil })},
 	{Name: "level-forgotten", Scenario: "concurrent", About: "every write comes up as one of the top level",
-		batch: each(func(w *upstream.Write) { w.Level = 0 })},
+		batch: each(func(w *sitesync.Write) { w.Level = 0 })},
 	{Name: "state-without-writes", Scenario: "concurrent", About: "a state comes down with its vector and without its writes",
-		answer: func(_ *State, _ int, a *upstream.Answer) { a.Down.Writes, a.Down.Things = nil, nil }},
+		answer: func(_ *State, _ int, a *sitesync.Answer) { a.Down.Writes, a.Down.Things = nil, nil }},
 	{Name: "state-goes-on", Scenario: "concurrent", About: "a state that goes on from another one is taken for a whole one, and its end for all",
-		answer: func(_ *State, _ int, a *upstream.Answer) {
+		answer: func(_ *State, _ int, a *sitesync.Answer) {
 			a.Down.After = 0
 			a.Down.Things = a.Down.Things[max(0, len(a.Down.Things)-1):]
 			a.Down.Last, a.Down.Until = true, a.Down.Until+2
 		}},
 	{Name: "same-life", Scenario: "lost-store", About: "a site that lost its store goes on with its old life's name", sameLife: true},
 	{Name: "lost-life-not-told", Scenario: "lost-store", About: "a new life does not say that it is the later one",
-		unborn: true, batch: func(b *upstream.Batch) { b.Lives = nil }},
+		unborn: true, batch: func(b *sitesync.Batch) { b.Lives = nil }},
 	{Name: "answer-to-a-lost-life", Scenario: "lost-store", About: "a state that was made for a life before the lost store is taken in", anyLife: true},
 	{Name: "refusals-of-one-piece", Scenario: "pieces", About: "of a state in pieces, the last one's refusals are taken for all", pieces: true},
 	{Name: "evidence-comes-down", Scenario: "evidence", About: "an answer brings the evidence that its site has",
-		answer: func(s *State, at int, a *upstream.Answer) {
-			for _, name := range s.nodes[at].site.Things(upstream.Evidence) {
-				v, _ := s.nodes[at].site.Value(upstream.Evidence, name)
-				h := upstream.Held{Kind: upstream.Evidence, Thing: name}
+		answer: func(s *State, at int, a *sitesync.Answer) {
+			for _, name := range s.nodes[at].site.Things(sitesync.Evidence) {
+				v, _ := s.nodes[at].site.Value(sitesync.Evidence, name)
+				h := sitesync.Held{Kind: sitesync.Evidence, Thing: name}
 				for _, w := range append(v.Beside, v.Write) {
 					h.Has = append(h.Has, w.ID)
-					a.Down.Writes = append(a.Down.Writes, upstream.Placed{Write: w})
+					a.Down.Writes = append(a.Down.Writes, sitesync.Placed{Write: w})
 				}
 				a.Down.Things = append(a.Down.Things, h)
 			}
 		}},
 	{Name: "evidence-emptied-early", Scenario: "evidence", About: "a site on the way empties evidence that no later one says as well",
-		taken: func(at int, b *upstream.Batch) {
+		taken: func(at int, b *sitesync.Batch) {
 			b.Writes = slices.Clone(b.Writes)
 			for i := range b.Writes {
-				if w := &b.Writes[i]; at == regency && w.Kind == upstream.Evidence {
+				if w := &b.Writes[i]; at == regency && w.Kind == sitesync.Evidence {
 					w.Thing, w.Value, w.Into = "", nil, w.ID.Number+1
 				}
 			}
 		}},
 	{Name: "evidence-judged-early", Scenario: "evidence", About: "a site on the way has the word on evidence for the top's",
-		answer: func(s *State, at int, a *upstream.Answer) {
-			all := slices.DeleteFunc(s.nodes[at].site.Seen(), func(k upstream.Mark) bool { return !k.Origin.Evidence })
+		answer: func(s *State, at int, a *sitesync.Answer) {
+			all := slices.DeleteFunc(s.nodes[at].site.Seen(), func(k sitesync.Mark) bool { return !k.Origin.Evidence })
 			a.Down.Judged = joined(a.Down.Judged, all)
 		}},
 	{Name: "evidence-kept", Scenario: "evidence", About: "a site on the way is not told that the top has judged evidence",
-		down: func(at int, d *upstream.Down) {
-			d.Judged = slices.DeleteFunc(slices.Clone(d.Judged), func(k upstream.Mark) bool {
+		down: func(at int, d *sitesync.Down) {
+			d.Judged = slices.DeleteFunc(slices.Clone(d.Judged), func(k sitesync.Mark) bool {
 				return at == regency && k.Origin.Evidence && k.Origin.Site != names[at]
 			})
 		}},
 	{Name: "merged-after-sending", Scenario: "evidence", About: "evidence is merged into a write that has left", noOffer: true},
 	{Name: "evidence-twice", Scenario: "evidence", About: "evidence is counted again in each life that relays it",
-		taken: func(at int, b *upstream.Batch) {
+		taken: func(at int, b *sitesync.Batch) {
 			b.Writes = slices.Clone(b.Writes)
 			for i := range b.Writes {
-				if w := &b.Writes[i]; at == province && b.From.Site != w.ID.Origin.Site && w.Kind == upstream.Evidence {
+				if w := &b.Writes[i]; at == province && b.From.Site != w.ID.Origin.Site && w.Kind == sitesync.Evidence {
 					w.ID.Origin.Site += "'"
 				}
 			}
--- a/rehearsal/upstreammodel/scenario.go
+++ b/rehearsal/upstreammodel/scenario.go
@@ -1,11 +1,11 @@
 package upstreammodel
 
-import "lichenhitch/internal/choice/upstream"
+import "lichenhitch/internal/choice/sitesync"
 
 // Write is a write of a scenario.
 type Write struct {
 	Site      int
-	Local     upstream.Local
+	Local     sitesync.Local
 	needs     []int // writes that it needs, by their places: it is made where they are known
 	token     int   // site whose token is presented, plus one
 	after     int   // the write that was made before it, plus one
@@ -23,16 +23,16 @@
 	NoRelay     bool // the building calls the province only
 }
 
-func local(k upstream.Kind, thing, value string) upstream.Local {
-	return upstream.Local{Kind: k, Thing: thing, Value: []byte(value)}
+func local(k sitesync.Kind, thing, value string) sitesync.Local {
+	return sitesync.Local{Kind: k, Thing: thing, Value: []byte(value)}
 }
 
-func urgent(l upstream.Local) upstream.Local {
+func urgent(l sitesync.Local) sitesync.Local {
 	l.Urgent = true
 	return l
 }
 
-func closing(l upstream.Local) upstream.Local {
+func closing(l sitesync.Local) sitesync.Local {
 	l.Closes = true
 	return l
 }
@@ -40,50 +40,50 @@
 var scenarios = []Scenario{
 	{Name: "two-routes", About: "a replay that is begun with the parent and ended with the grandparent, with losses and repeats",
 		Writes: []Write{
-			{Site: building, Local: local(upstream.Safety, "host/1", "out")},
-			{Site: building, Local: local(upstream.Safety, "host/1", "back"), after: 1},
-			{Site: building, Local: urgent(local(upstream.Safety, "host/2", "out")), after: 2},
-			{Site: province, Local: local(upstream.Safety, "host/1", "out smoke")},
+			{Site: building, Local: local(sitesync.Safety, "host/1", "out")},
+			{Site: building, Local: local(sitesync.Safety, "host/1", "back"), after: 1},
+			{Site: building, Local: urgent(local(sitesync.Safety, "host/2", "out")), after: 2},
+			{Site: province, Local: local(sitesync.Safety, "host/1", "out smoke")},
 		}, Sends: 2, Losses: 1},
 	{Name: "concurrent", About: "all three write on one thing",
 		Writes: []Write{
-			{Site: building, Local: local(upstream.Policy, "policy/1", "halt")},
-			{Site: regency, Local: local(upstream.Policy, "policy/1", "begin")},
-			{Site: province, Local: local(upstream.Policy, "policy/1", "resume")},
-			{Site: building, Local: urgent(local(upstream.Policy, "policy/1", "force")), after: 1},
+			{Site: building, Local: local(sitesync.Policy, "policy/1", "halt")},
+			{Site: regency, Local: local(sitesync.Policy, "policy/1", "begin")},
+			{Site: province, Local: local(sitesync.Policy, "policy/1", "resume")},
+			{Site: building, Local: urgent(local(sitesync.Policy, "policy/1", "force")), after: 1},
 		}, Sends: 2},
 	{Name: "token", About: "an operator goes from the regency to the building, which goes on to the province",
 		Writes: []Write{
-			{Site: regency, Local: local(upstream.Work, "host/1", "asked")},
-			{Site: building, Local: local(upstream.Work, "host/1", "begun"), token: regency + 1, after: 1},
-			{Site: building, Local: urgent(local(upstream.Work, "host/1", "done")), after: 2},
+			{Site: regency, Local: local(sitesync.Work, "host/1", "asked")},
+			{Site: building, Local: local(sitesync.Work, "host/1", "begun"), token: regency + 1, after: 1},
+			{Site: building, Local: urgent(local(sitesync.Work, "host/1", "done")), after: 2},
 		}, Sends: 2, Losses: 1, Twice: 1},
 	{Name: "closed", About: "the province closes what others write about",
 		Writes: []Write{
-			{Site: building, Local: local(upstream.Work, "host/1", "asked")},
-			{Site: building, Local: local(upstream.Work, "host/2", "begun"), needs: []int{0}},
-			{Site: building, Local: local(upstream.Note, "policy/1", "seen"), needs: []int{0}},
-			{Site: province, Local: closing(local(upstream.Work, "host/1", "taken off"))},
+			{Site: building, Local: local(sitesync.Work, "host/1", "asked")},
+			{Site: building, Local: local(sitesync.Work, "host/2", "begun"), needs: []int{0}},
+			{Site: building, Local: local(sitesync.Note, "policy/1", "seen"), needs: []int{0}},
+			{Site: province, Local: closing(local(sitesync.Work, "host/1", "taken off"))},
 		}, Sends: 2, Losses: 1},
 	{Name: "pieces", About: "a state comes down in pieces, with a refusal before the last one",
 		Writes: []Write{
-			{Site: building, Local: local(upstream.Work, "host/1", "asked"), token: province + 1, after: 2},
-			{Site: province, Local: closing(local(upstream.Work, "host/1", "taken off"))},
-			{Site: province, Local: local(upstream.Note, "policy/1", "a"), after: 2},
-			{Site: province, Local: local(upstream.Note, "policy/2", "b"), after: 3},
+			{Site: building, Local: local(sitesync.Work, "host/1", "asked"), token: province + 1, after: 2},
+			{Site: province, Local: closing(local(sitesync.Work, "host/1", "taken off"))},
+			{Site: province, Local: local(sitesync.Note, "policy/1", "a"), after: 2},
+			{Site: province, Local: local(sitesync.Note, "policy/2", "b"), after: 3},
 		}, Sends: 2, Losses: 1, NoRelay: true},
 	{Name: "lost-store", About: "the building loses its store; somebody depends on what it had not sent",
 		Writes: []Write{
-			{Site: building, Local: local(upstream.Work, "host/1", "asked")},
-			{Site: regency, Local: local(upstream.Work, "host/1", "begun"), token: building + 1},
-			{Site: building, Local: local(upstream.Safety, "host/1", "out"), afterLoss: true},
+			{Site: building, Local: local(sitesync.Work, "host/1", "asked")},
+			{Site: regency, Local: local(sitesync.Work, "host/1", "begun"), token: building + 1},
+			{Site: building, Local: local(sitesync.Safety, "host/1", "out"), afterLoss: true},
 		}, Sends: 2, Twice: 1, Lost: true},
 	{Name: "evidence", About: "evidence that is merged before it leaves, or not, with a lost store",
 		Writes: []Write{
-			{Site: building, Local: local(upstream.Evidence, "policy/1", "\x01")},
-			{Site: building, Local: local(upstream.Evidence, "policy/1", "\x02"), after: 1},
-			{Site: building, Local: local(upstream.Evidence, "policy/1", "\x04"), afterLoss: true},
-			{Site: regency, Local: local(upstream.Evidence, "policy/1", "\x08")},
+			{Site: building, Local: local(sitesync.Evidence, "policy/1", "\x01")},
+			{Site: building, Local: local(sitesync.Evidence, "policy/1", "\x02"), after: 1},
+			{Site: building, Local: local(sitesync.Evidence, "policy/1", "\x04"), afterLoss: true},
+			{Site: regency, Local: local(sitesync.Evidence, "policy/1", "\x08")},
 		}, Sends: 2, Losses: 1, Lost: true},
 }
 
--- a/rehearsal/upstreammodel/storm.go
+++ b/rehearsal/upstreammodel/storm.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"lichenhitch/internal/choice/upstream"
+	"lichenhitch/internal/choice/sitesync"
 )
 
 // Storm is many sites that were cut off from one province and come back at once, in virtual time.
@@ -137,26 +137,26 @@
 	Storm
 	a      agenda
 	rand   *rand.Rand
-	top    *upstream.Site
-	edge   []*upstream.Site
-	queues [][]*upstream.Write // what each site wrote, in its order
+	top    *sitesync.Site
+	edge   []*sitesync.Site
+	queues [][]*sitesync.Write // what each site wrote, in its order
 	fig    Figures
 	live   []time.Duration
 	rules  council
 }
 
-var stormLimits = upstream.Limits{Bytes: 64 << 20, Number: 40000, Age: 1000 * time.Hour, Batch: chunk, Held: 256}
+var stormLimits = sitesync.Limits{Bytes: 64 << 20, Number: 40000, Age: 1000 * time.Hour, Batch: chunk, Held: 256}
 
 // gather makes the province and the sites with their queues. Operators go from site to site with tokens.
 func gather(s Storm) (*world, error) {
 	w := &world{Storm: s, rand: rand.New(rand.NewPCG(s.Seed, 7))}
 	w.rules.a = &w.a
-	w.top = upstream.New(upstream.Place{Site: "province", Life: 1, Born: 1}, stormLimits).Merging(addUp)
+	w.top = sitesync.New(sitesync.Place{Site: "province", Life: 1, Born: 1}, stormLimits).Merging(addUp)
 	for i := range s.Sites {
-		p := upstream.Place{Site: fmt.Sprintf("site-%02d", i), Level: 1, Life: uint64(i) + 1, Born: 1, Above: []string{"province"}}
-		w.edge = append(w.edge, upstream.New(p, stormLimits).Merging(addUp))
+		p := sitesync.Place{Site: fmt.Sprintf("site-%02d", i), Level: 1, Life: uint64(i) + 1, Born: 1, Above: []string{"province"}}
+		w.edge = append(w.edge, sitesync.New(p, stormLimits).Merging(addUp))
 	}
-	w.queues = make([][]*upstream.Write, s.Sites)
+	w.queues = make([][]*sitesync.Write, s.Sites)
 	skew := make([]time.Duration, s.Sites)
 	for i := range skew {
 		skew[i] = time.Duration(w.rand.IntN(30000)) * time.Millisecond
@@ -172,33 +172,33 @@
 }
 
 // write makes one write at a site: half on things of its own, some on what all write about, one in a hundred urgent.
-func (w *world) write(i int, site *upstream.Site, n int, skew time.Duration) error {
-	l := &upstream.Local{}
+func (w *world) write(i int, site *sitesync.Site, n int, skew time.Duration) error {
+	l := &sitesync.Local{}
 	switch r := w.rand.IntN(100); {
 	case r < 30:
-		l.Kind, l.Thing, l.Value = upstream.Evidence, fmt.Sprint("policy/", w.rand.IntN(4)), []byte{1}
+		l.Kind, l.Thing, l.Value = sitesync.Evidence, fmt.Sprint("policy/", w.rand.IntN(4)), []byte{1}
 	case r < 50:
-		l.Kind, l.Thing, l.Value = upstream.Note, fmt.Sprintf("policy/%d", w.rand.IntN(20)), []byte("seen at "+site.Self().Site)
+		l.Kind, l.Thing, l.Value = sitesync.Note, fmt.Sprintf("policy/%d", w.rand.IntN(20)), []byte("seen at "+site.Self().Site)
 	case r < 75:
-		l.Kind, l.Thing = upstream.Work, fmt.Sprintf("host/%d-%d", i, w.rand.IntN(20))
+		l.Kind, l.Thing = sitesync.Work, fmt.Sprintf("host/%d-%d", i, w.rand.IntN(20))
 		l.Value = []byte([]string{"asked", "begun", "done", "withdrawn"}[w.rand.IntN(4)])
 	case r < 80:
-		l.Kind, l.Thing, l.Value = upstream.Policy, fmt.Sprint("policy/", w.rand.IntN(4)), []byte([]string{"begin", "halt", "resume"}[w.rand.IntN(3)])
+		l.Kind, l.Thing, l.Value = sitesync.Policy, fmt.Sprint("policy/", w.rand.IntN(4)), []byte([]string{"begin", "halt", "resume"}[w.rand.IntN(3)])
 	default:
-		l.Kind, l.Thing, l.Value = upstream.Safety, fmt.Sprintf("host/%d-%d", i, w.rand.IntN(20)), []byte([]string{"out", "back"}[w.rand.IntN(2)])
+		l.Kind, l.Thing, l.Value = sitesync.Safety, fmt.Sprintf("host/%d-%d", i, w.rand.IntN(20)), []byte([]string{"out", "back"}[w.rand.IntN(2)])
 		l.Urgent = r >= 99
 	}
-	if l.Kind != upstream.Evidence && w.rand.IntN(100) == 0 {
+	if l.Kind != sitesync.Evidence && w.rand.IntN(100) == 0 {
 		l.Token = w.edge[w.rand.IntN(len(w.edge))].Token()
 	}
-	for _, e := range site.Apply(time.Duration(n)*time.Second+skew, upstream.Command{Write: l}) {
+	for _, e := range site.Apply(time.Duration(n)*time.Second+skew, sitesync.Command{Write: l}) {
 		switch e.Kind {
-		case upstream.EffectApplied:
+		case sitesync.EffectApplied:
 			w.queues[i] = append(w.queues[i], e.Write)
-		case upstream.EffectMerged:
+		case sitesync.EffectMerged:
 			w.fig.Merged++
 			w.queues[i][len(w.queues[i])-1] = w.latest(i, e.Write)
-		case upstream.EffectRefused:
+		case sitesync.EffectRefused:
 			return e.Err
 		}
 	}
@@ -212,7 +212,7 @@
 }
 
 // latest puts a merged write in the place of what it was before, and returns the last one of the queue.
-func (w *world) latest(i int, m *upstream.Write) *upstream.Write {
+func (w *world) latest(i int, m *sitesync.Write) *sitesync.Write {
 	q := w.queues[i]
 	for j := len(q) - 1; j >= 0; j-- {
 		if q[j].ID == m.ID {
@@ -266,11 +266,11 @@
 		return nil, err
 	}
 	w.rules.ownFirst = true
-	budget := upstream.Budget{Rate: 8000, Batch: chunk, Most: time.Second, Urgent: 8, Live: chunk}
-	teller := upstream.NewTeller(budget)
-	pace := upstream.Pace{Poll: time.Second, Retry: 100 * time.Millisecond, Longest: 5 * time.Second, Failures: 5, Back: time.Minute}
-	seen := map[upstream.ID]bool{}
-	covers := map[upstream.Origin]uint64{}
+	budget := sitesync.Budget{Rate: 8000, Batch: chunk, Most: time.Second, Urgent: 8, Live: chunk}
+	teller := sitesync.NewTeller(budget)
+	pace := sitesync.Pace{Poll: time.Second, Retry: 100 * time.Millisecond, Longest: 5 * time.Second, Failures: 5, Back: time.Minute}
+	seen := map[sitesync.ID]bool{}
+	covers := map[sitesync.Origin]uint64{}
 	quiet := make([]bool, s.Sites)
 	left := s.Sites
 	total := 0
@@ -281,13 +281,13 @@
 	w.ownWrites(all, func(n int, cost time.Duration, then func()) {
 		teller.Live(w.a.now)
 		w.rules.propose(true, entry{cost, func() {
-			l := &upstream.Local{Kind: upstream.Safety, Thing: fmt.Sprint("host/p-", n%50), Value: []byte("out")}
-			w.top.Apply(w.a.now, upstream.Command{Write: l})
+			l := &sitesync.Local{Kind: sitesync.Safety, Thing: fmt.Sprint("host/p-", n%50), Value: []byte("out")}
+			w.top.Apply(w.a.now, sitesync.Command{Write: l})
 			then()
 		}})
 	})
 	for i := range w.edge {
-		c := upstream.NewCourier(func() *upstream.Site { return w.edge[i] }, pace)
+		c := sitesync.NewCourier(func() *sitesync.Site { return w.edge[i] }, pace)
 		var turn func()
 		turn = func() {
 			if all() {
@@ -305,7 +305,7 @@
 			data := b.Bytes()
 			lost := w.rand.IntN(lossOf) == 0
 			w.a.after(trip, func() {
-				b, err := upstream.ParseBatch(data)
+				b, err := sitesync.ParseBatch(data)
 				if err != nil {
 					panic(err)
 				}
@@ -321,13 +321,13 @@
 						return
 					}
 					w.a.after(trip, func() {
-						a, err := upstream.ParseAnswer(data)
+						a, err := sitesync.ParseAnswer(data)
 						if err != nil {
 							panic(err)
 						}
 						if cmd := c.Answered(w.a.now, a); cmd != nil {
 							for _, e := range w.edge[i].Apply(w.a.now, *cmd) {
-								if e.Kind == upstream.EffectReceipt {
+								if e.Kind == sitesync.EffectReceipt {
 									w.fig.Receipts++
 								}
 							}
@@ -344,8 +344,8 @@
 					return
 				}
 				w.rules.propose(false, entry{commit + time.Duration(len(b.Writes))*perWrite, func() {
-					for _, e := range w.top.Apply(w.a.now, upstream.Command{Batch: b}) {
-						if e.Kind == upstream.EffectApplied {
+					for _, e := range w.top.Apply(w.a.now, sitesync.Command{Batch: b}) {
+						if e.Kind == sitesync.EffectApplied {
 							w.note(e.Write, seen, covers)
 						}
 					}
@@ -376,12 +376,12 @@
 }
 
 // note holds an application at the province against what the write depends on.
-func (w *world) note(x *upstream.Write, seen map[upstream.ID]bool, covers map[upstream.Origin]uint64) {
+func (w *world) note(x *sitesync.Write, seen map[sitesync.ID]bool, covers map[sitesync.Origin]uint64) {
 	if seen[x.ID] {
 		w.fig.Twice++
 	}
 	seen[x.ID] = true
-	if x.ID.Number != covers[x.ID.Origin]+1 || slices.ContainsFunc(x.After, func(m upstream.Mark) bool {
+	if x.ID.Number != covers[x.ID.Origin]+1 || slices.ContainsFunc(x.After, func(m sitesync.Mark) bool {
 		return m.Origin.Site != "province" && m.Number > covers[m.Origin]
 	}) {
 		w.fig.Early++
@@ -402,8 +402,8 @@
 		return false
 	}
 	for _, site := range w.edge {
-		c := upstream.NewCourier(func() *upstream.Site { return site }, upstream.Pace{Failures: 1})
-		for range 4 + len(w.top.Things(upstream.Safety))*w.Sites/chunk {
+		c := sitesync.NewCourier(func() *sitesync.Site { return site }, sitesync.Pace{Failures: 1})
+		for range 4 + len(w.top.Things(sitesync.Safety))*w.Sites/chunk {
 			_, b, _ := c.Next(w.a.now + 100*time.Hour)
 			if b == nil {
 				return false
@@ -419,16 +419,16 @@
 		if !slices.Equal(site.Seen(), w.top.Seen()) {
 			return false
 		}
-		for _, name := range w.top.Things(upstream.Evidence) { // of each site, the top has what the site has
-			all, _ := w.top.Value(upstream.Evidence, name)
-			own, any := site.Value(upstream.Evidence, name)
-			if any && !slices.ContainsFunc(append(all.Beside, all.Write), func(x upstream.Write) bool {
+		for _, name := range w.top.Things(sitesync.Evidence) { // of each site, the top has what the site has
+			all, _ := w.top.Value(sitesync.Evidence, name)
+			own, any := site.Value(sitesync.Evidence, name)
+			if any && !slices.ContainsFunc(append(all.Beside, all.Write), func(x sitesync.Write) bool {
 				return x.ID == own.Write.ID && string(x.Value) == string(own.Value)
 			}) {
 				return false
 			}
 		}
-		for k := upstream.Note; int(k) < upstream.Kinds; k++ {
+		for k := sitesync.Note; int(k) < sitesync.Kinds; k++ {
 			for _, name := range w.top.Things(k) {
 				a, _ := w.top.Value(k, name)
 				b, _ := site.Value(k, name)
@@ -450,21 +450,21 @@
 		return nil, err
 	}
 	type at struct {
-		kind  upstream.Kind
+		kind  sitesync.Kind
 		thing string
 	}
-	now := map[at]*upstream.Write{}
-	seen := map[upstream.ID]bool{}
-	covers := map[upstream.Origin]uint64{}
+	now := map[at]*sitesync.Write{}
+	seen := map[sitesync.ID]bool{}
+	covers := map[sitesync.Origin]uint64{}
 	left := s.Sites
 	w.ownWrites(func() bool { return left == 0 }, func(_ int, cost time.Duration, then func()) {
 		w.rules.propose(true, entry{cost, then})
 	})
-	take := func(x *upstream.Write) {
+	take := func(x *sitesync.Write) {
 		w.note(x, seen, covers)
 		k := at{x.Kind, x.Thing}
 		was := now[k]
-		if was == nil || x.Kind == upstream.Evidence || was.ID == x.ID {
+		if was == nil || x.Kind == sitesync.Evidence || was.ID == x.ID {
 			now[k] = x
 			return
 		}
@@ -532,7 +532,7 @@
 }
 
 // over says whether a write was written over another one.
-func over(by, x *upstream.Write) bool {
+func over(by, x *sitesync.Write) bool {
 	return by.ID.Origin == x.ID.Origin && by.ID.Number > x.ID.Number || by.Over.Has(x.ID)
 }
 
