--- a/internal/choice/sitesync/bench_test.go
+++ b/internal/choice/sitesync/bench_test.go
@@ -7,14 +7,14 @@
 
 // queued is a site with writes that the site above does not have, and the courier that has credit for a call of 32; one write of
 // a thousand is urgent, and one of a hundred names what has not come where it is to be tangled.
-func queued(n int, tangled bool) (*Site, *Courier, func(int)) {
-	s := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, Limits{Bytes: 1 << 30, Number: 1 << 20, Batch: 32, Held: 4})
+func newQueuedSite(n int, tangled bool) (*Site, *Forwarder, func(int)) {
+	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 30, Number: 1 << 20, Batch: 32, Held: 4})
 	made := 0
 	write := func(n int) {
 		for range n {
-			l := &Local{Kind: Note, Thing: fmt.Sprint(made % 5000), Value: []byte("x"), Urgent: made%1000 == 999}
+			l := &LocalWrite{Kind: Note, Subject: fmt.Sprint(made % 5000), Value: []byte("x"), Urgent: made%1000 == 999}
 			if tangled && made%100 == 50 {
-				l.Token = Seen{{Origin{Site: "r", Life: 1}, uint64(made)}}.Encode()
+				l.Token = VersionVector{{Origin{Site: "r", Incarnation: 1}, uint64(made)}}.Encode()
 			}
 			s.Apply(0, Command{Write: l})
 			made++
@@ -22,9 +22,9 @@
 		s.Apply(0, *s.Unoffered())
 	}
 	write(n)
-	c := NewCourier(func() *Site { return s }, Pace{Failures: 9})
+	c := NewForwarder(func() *Site { return s }, Timing{MaxFailures: 9})
 	c.Next(0)
-	c.Answered(0, &Answer{From: "p", Life: 1, Credit: 32})
+	c.Answered(0, &Answer{From: "p", Incarnation: 1, Credit: 32})
 	return s, c, write
 }
 
@@ -33,12 +33,12 @@
 	for _, n := range []int{1000, 10000, 100000} {
 		for _, tangled := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d,tangled=%v", n, tangled), func(b *testing.B) {
-				_, c, _ := queued(n, tangled)
+				_, c, _ := newQueuedSite(n, tangled)
 				for b.Loop() {
 					if call := c.batch("p"); len(call.Writes) != 32 {
 						b.Fatal(len(call.Writes))
 					}
-					c.nothingLeft(c.routes["p"])
+					c.caughtUp(c.routes["p"])
 				}
 			})
 		}
@@ -49,9 +49,9 @@
 func BenchmarkJudged(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, _, write := queued(n, false)
+			s, _, write := newQueuedSite(n, false)
 			for judged := uint64(32); b.Loop(); judged += 32 {
-				s.Apply(0, Command{Down: &Down{From: "p", Life: 1, To: 1, Judged: Seen{{s.origin(0), judged}}}})
+				s.Apply(0, Command{Down: &StateUpdate{From: "p", Incarnation: 1, To: 1, Judged: VersionVector{{s.ownOrigin(0), judged}}}})
 				write(32)
 			}
 		})
--- a/internal/choice/sitesync/errors.go
+++ b/internal/choice/sitesync/errors.go
@@ -3,20 +3,20 @@
 import "fmt"
 
 // FullError says that the queue has no room for a kind of write.
-type FullError struct {
-	Kind         Kind
-	Number       int // writes of this site that wait for the top's word
-	Bytes        int
-	MostOf, Most int // of the kind: number and bytes
+type QueueFullError struct {
+	Kind                Kind
+	Number              int // writes of this site that wait for the top's word
+	Bytes               int
+	MaxNumber, MaxBytes int // of the kind: number and bytes
 }
 
-func (e *FullError) Error() string {
+func (e *QueueFullError) Error() string {
 	return fmt.Sprintf("%d writes of %d bytes wait for the word from above; a write of kind %s is taken up to %d and %d bytes",
-		e.Number, e.Bytes, e.Kind, e.MostOf, e.Most)
+		e.Number, e.Bytes, e.Kind, e.MaxNumber, e.MaxBytes)
 }
 
 // Action implements what operators can do.
-func (e *FullError) Action() string {
+func (e *QueueFullError) Action() string {
 	return "restore the link to a site above, or raise the site's limits; hosts can be put out and back the longest"
 }
 
@@ -32,13 +32,13 @@
 
 // ClosedError says that a thing was ended for good.
 type ClosedError struct {
-	Thing string
-	By    ID
-	Why   string
+	Subject string
+	By      ID
+	Why     string
 }
 
 func (e *ClosedError) Error() string {
-	return fmt.Sprintf("%s was closed by %s: %s", e.Thing, e.By, e.Why)
+	return fmt.Sprintf("%s was closed by %s: %s", e.Subject, e.By, e.Why)
 }
 
 // Action implements what operators can do.
--- /dev/null
+++ b/internal/choice/sitesync/forwarder.go
@@ -0,0 +1,530 @@
+package sitesync
+
+import (
+	"encoding/binary"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Pace is how calls between sites are timed.
+type Timing struct {
+	PollInterval   time.Duration // between two calls when there is nothing to send
+	RetryDelay     time.Duration // after a call that failed; doubled each time, with jitter
+	MaxRetryDelay  time.Duration // bound of that
+	MaxFailures    int           // calls in a row that fail, or bring nothing on, before the next site above is tried
+	ReturnInterval time.Duration // between two tries of a nearer site while a farther one is used
+	MinTimeout     time.Duration // the shortest that a call is waited for, however quick the answers were
+	InitialTimeout time.Duration // how long one is waited for before any was answered
+	MaxTimeout     time.Duration // the longest that one is waited for
+}
+
+// trips is how long answers take: the mean, and how far they stray from it, as TCP has it (RFC 6298).
+type rttEstimate struct{ mean, deviation time.Duration }
+
+func (t *rttEstimate) add(took time.Duration) {
+	if t.mean == 0 {
+		t.mean, t.deviation = max(took, 1), took/2
+		return
+	}
+	t.deviation += ((took - t.mean).Abs() - t.deviation) / 4
+	t.mean += (took - t.mean) / 8
+}
+
+// within returns how long an answer is waited for.
+func (t *rttEstimate) timeout(p Timing) time.Duration {
+	if t.mean == 0 {
+		return min(p.InitialTimeout, p.MaxTimeout)
+	}
+	return min(max(t.mean+4*t.deviation, p.MinTimeout), p.MaxTimeout)
+}
+
+// Jitter spreads a wait between half of it and the whole, by a hash of the site and the attempt: the same at each run,
+// and different from site to site.
+func Jitter(wait time.Duration, site string, attempt uint64) time.Duration {
+	h := xxhash.Sum64(binary.BigEndian.AppendUint64([]byte(site), attempt))
+	return wait/2 + time.Duration(float64(wait/2)*float64(h>>11)/(1<<53))
+}
+
+// route is what a site's leader knows of a site above.
+type route struct {
+	incarnation uint64
+	known       vector       // how far writes are known there
+	pieces      *StateUpdate // pieces of its state that are not joined yet
+	credit      int
+	notBefore   time.Duration // no call before
+	failures    int           // calls in a row that failed or brought nothing on
+	lastCall    time.Duration // when it was last called
+	probeNext   bool          // a call was not answered: a question comes before the next one
+	callLost    bool          // it was not a question
+	slowCalls   int           // whole calls in a row that were lost though questions were answered: each doubles the wait for them
+	lostProbes  int           // questions in a row that were not answered
+	redirected  bool          // the last call went to a seat that named another one
+	callTime    rttEstimate   // of calls
+	probeTime   rttEstimate   // of questions
+}
+
+// Courier decides for a site's leader what to send next to whom. It is soft: a new leader begins with a new one.
+type Forwarder struct {
+	site       func() *Site
+	timing     Timing
+	ancestors  []string
+	routes     map[string]*route
+	current    int // the site above that is used
+	callee     string
+	probing    bool // what is out is a question
+	sentWrites int
+	attempt    uint64
+	reachable  bool // the last call was answered
+}
+
+// NewCourier returns a courier for a site's state, which is read anew at each call.
+func NewForwarder(site func() *Site, pace Timing) *Forwarder {
+	return NewForwarderTo(site, pace, site().self.Ancestors...)
+}
+
+// NewCourierTo returns a courier that uses some of the sites above only.
+func NewForwarderTo(site func() *Site, pace Timing, above ...string) *Forwarder {
+	c := &Forwarder{site: site, timing: pace, ancestors: above, routes: map[string]*route{}}
+	for _, a := range c.ancestors {
+		c.routes[a] = &route{known: vector{}}
+	}
+	return c
+}
+
+// Offer returns what has to be committed before the next call, or nil. While no call is answered nothing is offered, so
+// that evidence can still be merged.
+func (c *Forwarder) Offer() *Command {
+	if !c.reachable {
+		return nil
+	}
+	return c.site().Unoffered()
+}
+
+// Next returns the next call, or how long to wait before asking again; one call is out at a time.
+func (c *Forwarder) Next(now time.Duration) (to string, b *Batch, wait time.Duration) {
+	if len(c.ancestors) == 0 || c.callee != "" {
+		return "", nil, c.timing.PollInterval
+	}
+	to = c.ancestors[c.current]
+	for i, name := range c.ancestors { // a nearer one now and then, and a farther one that waits for it
+		if r := c.routes[name]; now-r.lastCall >= c.timing.ReturnInterval && now >= r.notBefore && (i < c.current || i > c.current && c.site().awaitedBy(name)) {
+			to = name
+			break
+		}
+	}
+	r := c.routes[to]
+	if now < r.notBefore {
+		return "", nil, r.notBefore - now
+	}
+	if b = c.batch(to); r.probeNext {
+		b.Seen, b.Judged, b.Incarnations = nil, nil, nil // it has no writes: the credit is gone
+		b.Probe = true
+	}
+	c.callee, c.sentWrites, c.probing = to, len(b.Writes), b.Probe
+	r.lastCall = now
+	c.attempt++
+	return to, b, 0
+}
+
+// Patience returns how long the call that is out is to be waited for. A cut link is not told from one that is slow by waiting
+// longer, but by a question (Batch.Probe), which is light both ways and takes no commit: it is waited for as long as
+// questions took, and the call that comes next as long as calls took, doubled each time that one was lost all the same.
+func (c *Forwarder) CallTimeout() time.Duration {
+	r := c.routes[c.callee]
+	switch {
+	case r == nil:
+		return 0
+	case c.probing:
+		return r.probeTimeout(c.timing)
+	}
+	return min(r.callTime.timeout(c.timing)<<r.slowCalls, c.timing.MaxTimeout)
+}
+
+// asking returns how long a question is waited for. Answers may take longer than they did, and a question that is given up each
+// time would never show it; so each fourth is waited for as if nothing was measured, and one for the longest each time that
+// twice as many were not answered.
+func (r *route) probeTimeout(p Timing) time.Duration {
+	usual := r.probeTime.timeout(p)
+	if r.probeTime.mean == 0 { // it takes no longer than a call
+		usual = min(r.callTime.timeout(p), p.InitialTimeout)
+	}
+	switch n := r.lostProbes + 1; {
+	case n >= 64 && n&(n-1) == 0:
+		return p.MaxTimeout
+	case n%4 == 0:
+		return max(usual, p.InitialTimeout)
+	}
+	return usual
+}
+
+// batch makes a call: as many writes as there is credit for and as fit, urgent ones with what they depend on first, evidence last.
+func (c *Forwarder) batch(to string) *Batch {
+	s, r := c.site(), c.routes[to]
+	b := &Batch{From: s.self, Seen: s.seen.list(), Cursor: s.cursors[to]}
+	b.From.Ancestors = nil
+	if r.pieces != nil {
+		b.Cursor = Cursor{r.incarnation, r.pieces.Until}
+	}
+	for lane := range s.number {
+		if o := s.ownOrigin(lane); s.judged[o] > 0 {
+			b.Judged = append(b.Judged, VectorEntry{o, s.judged[o]})
+		}
+	}
+	for _, site := range sorted(s.incarnations) {
+		if h := s.incarnations[site]; site != s.self.Site {
+			b.Incarnations = append(b.Incarnations, SiteIncarnation{site, h.Incarnation, h.StoreCreated})
+		}
+	}
+	lists := map[Origin][]*item{}
+	todo := 0
+	for o, q := range s.log {
+		b.Queries = append(b.Queries, o)
+		if q = q[s.log.countUpTo(o, r.known[o]):s.log.countUpTo(o, s.sendableUpTo(o))]; len(q) > 0 {
+			lists[o] = q
+			todo += len(q)
+		}
+	}
+	slices.SortFunc(b.Queries, Origin.Compare)
+	most, room, urgent := min(r.credit, s.limits.Batch), callBytes, 0
+	full := most == 0
+	take := func(w *Write) {
+		if room -= len(encoded(w)); room < 0 && len(b.Writes) > 0 {
+			full = true
+			return
+		}
+		b.Writes = append(b.Writes, *w)
+		full = len(b.Writes) == most
+	}
+	p := &picker{pending: lists, outOfOrder: s.outOfOrder, seen: s.seen, uncertainFrom: map[Origin]uint64{}}
+	p.pick(func(o Origin) bool { return o.Urgent }, func(w *Write) bool {
+		urgent++ // all of them are counted, with what they depend on
+		if !full {
+			take(w)
+		}
+		return true
+	})
+	for _, evidence := range [2]bool{false, true} {
+		p.pick(func(o Origin) bool { return o.Evidence == evidence }, func(w *Write) bool {
+			if !full {
+				take(w)
+			}
+			return !full
+		})
+	}
+	b.Waiting = todo - len(b.Writes)
+	b.Urgent = max(0, urgent-len(b.Writes))
+	return b
+}
+
+// leaves returns up to which number an origin's writes may leave.
+func (s *Site) sendableUpTo(o Origin) uint64 {
+	if s.isTop() || !s.isOwn(o) {
+		return math.MaxUint64
+	}
+	return s.offered[o.lane()]
+}
+
+// picker picks writes in an order in which they may be applied, each with what it depends on before it. Those that wait for what
+// is not known here come last.
+type picker struct {
+	pending       map[Origin][]*item // the rest; not changed
+	outOfOrder    bool
+	seen          vector
+	uncertainFrom map[Origin]uint64 // from which number on an origin's writes are unsure
+	deferred      []*Write
+}
+
+// pick hands the writes of some origins over by their places, until it is told that it is enough.
+func (p *picker) pick(of func(Origin) bool, take func(*Write) bool) {
+	for _, sure := range [2]bool{true, false} {
+		for {
+			o, second, any := p.next(func(o Origin) bool { return of(o) && !(sure && p.uncertainFrom[o] > 0) })
+			if !any {
+				break
+			}
+			for q := p.pending[o]; len(q) > 0 && q[0].Seq < second && !(sure && p.uncertainFrom[o] > 0); q = p.pending[o] {
+				if !p.emit(o, q[0].Write.ID.Number, take) || !sure && !p.flushDeferred(take) {
+					return
+				}
+			}
+		}
+		if !p.flushDeferred(take) {
+			return
+		}
+	}
+}
+
+// first returns the origin, of some, whose next write has the first place, and the place of the first one of another.
+func (p *picker) next(of func(Origin) bool) (first Origin, second uint64, any bool) {
+	least := uint64(math.MaxUint64)
+	second = least
+	for o, q := range p.pending {
+		switch at := q[0].Seq; {
+		case !of(o):
+		case at < least:
+			first, least, second = o, at, least
+		default:
+			second = min(second, at)
+		}
+	}
+	return first, second, least < math.MaxUint64
+}
+
+// waited hands over what is unsure.
+func (p *picker) flushDeferred(take func(*Write) bool) bool {
+	list := p.deferred
+	p.deferred = nil
+	for _, w := range list {
+		if !take(w) {
+			return false
+		}
+	}
+	return true
+}
+
+// put hands an origin's writes up to a number over, each after what it depends on, and says whether more is wanted. Those that are
+// unsure wait.
+func (p *picker) emit(o Origin, upTo uint64, take func(*Write) bool) bool {
+	for len(p.pending[o]) > 0 && p.pending[o][0].Write.ID.Number <= upTo {
+		w := p.pending[o][0].Write
+		if p.pending[o] = p.pending[o][1:]; len(p.pending[o]) == 0 {
+			delete(p.pending, o)
+		}
+		unknown := p.uncertainFrom[o] > 0
+		for _, m := range w.Dependencies {
+			if !p.emit(m.Origin, m.Number, take) {
+				return false
+			}
+			unknown = unknown || p.outOfOrder && (m.Number > p.seen[m.Origin] || p.uncertainFrom[m.Origin] > 0 && m.Number >= p.uncertainFrom[m.Origin])
+		}
+		if !unknown {
+			if !take(w) {
+				return false
+			}
+			continue
+		}
+		if p.uncertainFrom[o] == 0 {
+			p.uncertainFrom[o] = w.ID.Number
+		}
+		p.deferred = append(p.deferred, w)
+	}
+	return true
+}
+
+// Answered takes the answer to the call that is out in, and returns what to commit, or nil.
+func (c *Forwarder) Answered(now time.Duration, a *Answer) *Command {
+	to := c.callee
+	c.callee = ""
+	r := c.routes[to]
+	if r == nil || a.From != to {
+		return nil
+	}
+	c.reachable = true
+	if r.incarnation != a.Incarnation {
+		*r = route{incarnation: a.Incarnation, known: vector{}, lastCall: r.lastCall, callLost: r.callLost, slowCalls: r.slowCalls, callTime: r.callTime, probeTime: r.probeTime}
+	}
+	probe := c.probing
+	r.redirected = false
+	switch took := now - r.lastCall; {
+	case !probe:
+		r.callTime.add(took)
+		r.callLost, r.slowCalls = false, 0
+	case a.Working: // the call came, and its writes are being agreed on: to send them again would only add to that
+		r.probeTime.add(took)
+		r.lostProbes, r.notBefore = 0, now+c.backoff(0)
+		return nil
+	default:
+		r.probeTime.add(took)
+		if r.callLost {
+			r.callLost, r.slowCalls = false, min(r.slowCalls+1, 16)
+		}
+	}
+	r.probeNext, r.lostProbes = false, 0
+	on := false
+	for _, m := range a.Seen {
+		on = r.known.raise(m.Origin, m.Number) || on
+	}
+	cmd := c.collectPieces(r, a.Down)
+	r.credit = a.Credit
+	r.notBefore = now + a.Wait
+	switch idle := c.caughtUp(r); {
+	case on || idle || c.sentWrites == 0 && a.Credit > 0:
+		if on || idle {
+			r.failures = 0
+		}
+		c.preferNearer(to)
+	case c.sentWrites > 0: // what was sent waits there for something, or finds no room
+		c.countFailure(to)
+		r.notBefore = max(r.notBefore, now+c.backoff(r.failures))
+	}
+	if !probe && r.pieces == nil && (a.Credit == 0 || c.caughtUp(r)) {
+		r.notBefore = max(r.notBefore, now+Jitter(c.timing.PollInterval, c.site().self.Site, c.attempt))
+	}
+	return cmd
+}
+
+func (c *Forwarder) caughtUp(r *route) bool {
+	if r.pieces != nil {
+		return false
+	}
+	for _, q := range c.site().log {
+		if !r.known.has(q[len(q)-1].Write.ID) {
+			return false
+		}
+	}
+	return true
+}
+
+// stage collects the pieces of a state. The word on this site's own writes goes on at once, the rest with the last piece.
+func (c *Forwarder) collectPieces(r *route, d *StateUpdate) *Command {
+	if d == nil {
+		return nil
+	}
+	if r.pieces != nil && (d.After != r.pieces.Until || d.Incarnation != r.pieces.Incarnation) {
+		r.pieces = nil
+	}
+	if r.pieces == nil && !d.Last {
+		cur := c.site().cursors[d.From]
+		if d.After != cursorPosition(cur, d.Incarnation) {
+			return nil // a piece without those before it
+		}
+	}
+	if r.pieces != nil {
+		d.After = r.pieces.After
+		d.Subjects = append(r.pieces.Subjects, d.Subjects...)
+		d.Writes = append(r.pieces.Writes, d.Writes...)
+		d.Refused = append(r.pieces.Refused, d.Refused...)
+		r.pieces = nil
+	}
+	switch {
+	case d.Last && !c.site().wouldChange(d):
+		return nil // an entry each time that a site asks would be most of what an idle one commits
+	case d.Last:
+		return &Command{Down: d}
+	}
+	r.pieces = d
+	if len(d.Judged) == 0 {
+		return nil
+	}
+	return &Command{Down: &StateUpdate{From: d.From, Incarnation: d.Incarnation, To: d.To, Judged: d.Judged, Refused: d.Refused}}
+}
+
+// Failed takes in that the call that is out brought no answer, or a refusal.
+func (c *Forwarder) Failed(now time.Duration) {
+	to := c.callee
+	c.callee = ""
+	r := c.routes[to]
+	if r == nil {
+		return
+	}
+	c.reachable = false
+	r.credit = 0 // it may have been used
+	r.probeNext, r.callLost, r.redirected = true, r.callLost || !c.probing, false
+	if c.probing {
+		r.lostProbes++
+	}
+	r.notBefore = now + c.backoff(r.failures)
+	c.countFailure(to)
+}
+
+// Elsewhere takes in that the seat that was called names another one, which can be called at once; if that one does the same, it
+// is a failure like others.
+func (c *Forwarder) Redirected(now time.Duration) {
+	r := c.routes[c.callee]
+	if r == nil || r.redirected {
+		c.Failed(now)
+		return
+	}
+	c.callee, r.redirected, r.credit, r.notBefore = "", true, 0, now
+}
+
+// later returns how long to wait after so many calls that brought nothing.
+func (c *Forwarder) backoff(bad int) time.Duration {
+	return Jitter(min(c.timing.MaxRetryDelay, c.timing.RetryDelay<<min(bad, 16)), c.site().self.Site, c.attempt)
+}
+
+// worse counts a call that brought nothing on; after enough of them the next site above is used.
+func (c *Forwarder) countFailure(to string) {
+	r := c.routes[to]
+	r.failures++
+	if c.ancestors[c.current] == to && r.failures >= c.timing.MaxFailures {
+		r.failures = 0
+		c.current = (c.current + 1) % len(c.ancestors)
+	}
+}
+
+// prefer goes back to a nearer site that answers again.
+func (c *Forwarder) preferNearer(to string) {
+	if i := slices.Index(c.ancestors, to); i < c.current {
+		c.current = i
+	}
+}
+
+// Budget bounds what a site takes from below.
+type Budget struct {
+	Rate        float64       // writes a second, over all sites below
+	Batch       int           // writes that one call may bring
+	MaxAhead    time.Duration // the farthest ahead that a turn is given; who would come later asks again
+	UrgentBatch int           // writes given at once to whom urgent ones wait at, out of turn
+	LocalCost   int           // how many writes of others a write of this site's own counts for
+}
+
+// Teller gives credit to the sites below, for a site's leader. Turns are given one after the other, each as long as its
+// writes take at the budget's rate, so that sites that come back at once are served one after the other. It is soft: a new
+// leader's teller knows of no credit and gives it anew.
+type CreditScheduler struct {
+	budget   Budget
+	slotsEnd time.Duration // the end of the last turn given
+	granted  map[string]int
+	calls    map[string]uint64
+}
+
+// NewTeller returns a teller that has given nothing.
+func NewCreditScheduler(b Budget) *CreditScheduler {
+	return &CreditScheduler{budget: b, granted: map[string]int{}, calls: map[string]uint64{}}
+}
+
+// Admit says whether a call keeps to its credit, which it uses up.
+func (t *CreditScheduler) Admit(b *Batch) error {
+	given := t.granted[b.From.Site]
+	delete(t.granted, b.From.Site)
+	if len(b.Writes) > given {
+		return &CreditError{b.From.Site, len(b.Writes), given}
+	}
+	return nil
+}
+
+// Live takes in that this site commits a write of its own: turns given from now on come later by it.
+func (t *CreditScheduler) CountLocalWrite(now time.Duration) { t.reserve(now, t.budget.LocalCost) }
+
+func (t *CreditScheduler) reserve(now time.Duration, n int) {
+	t.slotsEnd = max(t.slotsEnd, now) + time.Duration(float64(n)/t.budget.Rate*float64(time.Second))
+}
+
+// Grant returns the credit for a site's next call and how long it is to wait before it, given how many writes this site has
+// room for.
+func (t *CreditScheduler) Grant(now time.Duration, b *Batch, room int) (credit int, wait time.Duration) {
+	site := b.From.Site
+	t.calls[site]++
+	want := min(b.Waiting, t.budget.Batch, room)
+	ahead := max(0, t.slotsEnd-now)
+	switch {
+	case want <= 0 && b.Waiting > 0: // no room
+		return 0, Jitter(t.budget.MaxAhead, site, t.calls[site])
+	case want <= 0: // something may be written before the next call
+		credit = min(t.budget.UrgentBatch, room)
+	case b.Urgent > 0 && ahead > 0:
+		credit = min(want, b.Urgent, t.budget.UrgentBatch)
+		t.reserve(now, credit)
+	case ahead > t.budget.MaxAhead:
+		return 0, Jitter(t.budget.MaxAhead, site, t.calls[site])
+	default:
+		credit, wait = want, ahead
+		t.reserve(now, credit)
+	}
+	t.granted[site] = credit
+	return credit, wait
+}
--- a/internal/choice/sitesync/courier_test.go
+++ b/internal/choice/sitesync/forwarder_test.go
@@ -12,15 +12,15 @@
 )
 
 // within says that a wait lies between half of a time and the whole.
-func within(t *testing.T, wait, whole time.Duration) {
+func requireJitterOf(t *testing.T, wait, whole time.Duration) {
 	t.Helper()
 	assert.True(t, wait >= whole/2 && wait <= whole, "%v of %v", wait, whole)
 }
 
 func TestACourierUsesTheNearestThatAnswers(t *testing.T) {
-	s := New(Place{Site: "b", Level: 2, Life: 1, Above: []string{"r", "p"}}, roomy)
-	c := NewCourier(func() *Site { return s }, Pace{Poll: time.Second, Retry: time.Second, Longest: 8 * time.Second, Failures: 2,
-		Back: time.Minute})
+	s := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
+	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 2,
+		ReturnInterval: time.Minute})
 	now := time.Duration(0)
 	next := func() string {
 		to, _, wait := c.Next(now)
@@ -33,26 +33,26 @@
 	wait := func() time.Duration { _, _, w := c.Next(now); return w }
 	require.Equal(t, "r", next())
 	c.Failed(now)
-	within(t, wait(), time.Second)
+	requireJitterOf(t, wait(), time.Second)
 	require.Equal(t, "r", next())
 	c.Failed(now)
 	require.Equal(t, "p", next(), "two have failed in a row")
-	c.Answered(now, &Answer{From: "p", Life: 1, Credit: 1})
+	c.Answered(now, &Answer{From: "p", Incarnation: 1, Credit: 1})
 	require.Equal(t, "p", next())
-	c.Answered(now, &Answer{From: "p", Life: 1, Credit: 1})
+	c.Answered(now, &Answer{From: "p", Incarnation: 1, Credit: 1})
 	now += time.Minute
 	require.Equal(t, "r", next(), "a nearer one is tried now and then")
-	c.Answered(now, &Answer{From: "r", Life: 1, Credit: 1})
+	c.Answered(now, &Answer{From: "r", Incarnation: 1, Credit: 1})
 	require.Equal(t, "r", next(), "and used once it answers")
 	c.Failed(now)
 
-	alone := NewCourierTo(func() *Site { return s }, Pace{Retry: time.Second, Longest: 8 * time.Second, Failures: 20}, "p")
+	alone := NewForwarderTo(func() *Site { return s }, Timing{RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 20}, "p")
 	for _, whole := range []time.Duration{1, 2, 4, 8, 8, 8} {
 		to, _, _ := alone.Next(now)
 		require.Equal(t, "p", to)
 		alone.Failed(now)
 		_, _, w := alone.Next(now)
-		within(t, w, whole*time.Second)
+		requireJitterOf(t, w, whole*time.Second)
 		now += w
 	}
 	assert.NotEqual(t, Jitter(time.Second, "a", 1), Jitter(time.Second, "b", 1), "sites come back one after the other")
@@ -60,11 +60,11 @@
 }
 
 func TestACourierKeepsToItsCredit(t *testing.T) {
-	s := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
+	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	for i := range 5 {
-		s.Apply(0, Command{Write: &Local{Kind: Note, Thing: fmt.Sprint(i), Value: []byte("x")}})
+		s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: []byte("x")}})
 	}
-	c := NewCourier(func() *Site { return s }, Pace{Failures: 9})
+	c := NewForwarder(func() *Site { return s }, Timing{MaxFailures: 9})
 	answer := func(a Answer) []Write {
 		a.From = "p"
 		c.Answered(0, &a)
@@ -72,25 +72,25 @@
 		return b.Writes
 	}
 	c.Next(0)
-	assert.Empty(t, answer(Answer{Life: 1, Credit: 2}), "nothing was offered")
+	assert.Empty(t, answer(Answer{Incarnation: 1, Credit: 2}), "nothing was offered")
 	s.Apply(0, *s.Unoffered())
-	assert.Len(t, answer(Answer{Life: 1, Credit: 2}), 2)
+	assert.Len(t, answer(Answer{Incarnation: 1, Credit: 2}), 2)
 	c.Failed(0)
 	_, b, _ := c.Next(time.Hour)
 	assert.Empty(t, b.Writes, "the credit may have been used")
-	assert.Len(t, answer(Answer{Life: 1, Credit: 9, Seen: Seen{{s.origin(0), 5}}}), 0, "all of it is known there")
-	assert.Len(t, answer(Answer{Life: 2, Credit: 9}), 5, "another life has nothing of what the one before had")
+	assert.Len(t, answer(Answer{Incarnation: 1, Credit: 9, Seen: VersionVector{{s.ownOrigin(0), 5}}}), 0, "all of it is known there")
+	assert.Len(t, answer(Answer{Incarnation: 2, Credit: 9}), 5, "another life has nothing of what the one before had")
 }
 
 // TestACourierAsksBeforeItCallsAgain after a call that was not answered; a link that is cut is asked over and over in the time
 // that questions take, and one that is slow gets longer with each call that was lost on it.
 func TestACourierAsksBeforeItCallsAgain(t *testing.T) {
 	const ms = time.Millisecond
-	s := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-	s.Apply(0, Command{Write: &Local{Kind: Note, Thing: "x", Value: []byte("x")}})
+	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x")}})
 	s.Apply(0, *s.Unoffered())
-	c := NewCourier(func() *Site { return s }, Pace{Poll: time.Second, Retry: 200 * ms, Longest: time.Second, Failures: 3,
-		Least: 100 * ms, First: time.Second, Most: 8 * time.Second})
+	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms, MaxRetryDelay: time.Second, MaxFailures: 3,
+		MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
 	now := time.Duration(0)
 	next := func() *Batch {
 		to, b, wait := c.Next(now)
@@ -102,51 +102,51 @@
 	}
 	answered := func(took time.Duration, a Answer) {
 		now += took
-		a.From, a.Life, a.Credit = "p", 1, 9
+		a.From, a.Incarnation, a.Credit = "p", 1, 9
 		c.Answered(now, &a)
 	}
 	lost := func() {
-		now += c.Patience()
+		now += c.CallTimeout()
 		c.Failed(now)
 	}
 	next()
-	assert.Equal(t, time.Second, c.Patience(), "nothing is measured")
+	assert.Equal(t, time.Second, c.CallTimeout(), "nothing is measured")
 	answered(400*ms, Answer{})
 	require.Len(t, next().Writes, 1)
-	assert.Equal(t, 1200*ms, c.Patience(), "the mean, and four times how far they stray")
+	assert.Equal(t, 1200*ms, c.CallTimeout(), "the mean, and four times how far they stray")
 	lost()
 	for range 30 {
 		b := next()
 		assert.True(t, b.Probe)
 		assert.Empty(t, b.Writes)
 		assert.Equal(t, 1, b.Waiting)
-		assert.Equal(t, time.Second, c.Patience(), "no question was answered")
+		assert.Equal(t, time.Second, c.CallTimeout(), "no question was answered")
 		lost()
 	}
 	next()
 	answered(20*ms, Answer{Working: true})
 	assert.True(t, next().Probe, "the call came: nothing goes twice while it is being agreed on")
-	assert.Equal(t, 100*ms, c.Patience())
+	assert.Equal(t, 100*ms, c.CallTimeout())
 	answered(20*ms, Answer{})
 	b := next()
 	assert.Len(t, b.Writes, 1, "the credit came with the answer")
 	assert.False(t, b.Probe)
 	for want := 2400 * ms; want < 8*time.Second; want *= 2 {
-		assert.Equal(t, want, c.Patience())
+		assert.Equal(t, want, c.CallTimeout())
 		lost()
 		next()
 		answered(20*ms, Answer{})
 		next()
 	}
-	assert.Equal(t, 8*time.Second, c.Patience())
-	answered(1600*ms, Answer{Seen: Seen{{s.origin(0), 1}}})
+	assert.Equal(t, 8*time.Second, c.CallTimeout())
+	answered(1600*ms, Answer{Seen: VersionVector{{s.ownOrigin(0), 1}}})
 	require.False(t, next().Probe)
-	assert.Equal(t, 550*ms+4*450*ms, c.Patience(), "as calls took, that last one too")
+	assert.Equal(t, 550*ms+4*450*ms, c.CallTimeout(), "as calls took, that last one too")
 
-	c.Elsewhere(now)
+	c.Redirected(now)
 	_, b, _ = c.Next(now)
 	require.NotNil(t, b, "who leads is called at once")
-	c.Elsewhere(now)
+	c.Redirected(now)
 	_, b, _ = c.Next(now)
 	assert.Nil(t, b, "the second that says so is like one that fails")
 	assert.True(t, next().Probe)
@@ -156,9 +156,9 @@
 func TestALinkThatBecomesSlowIsFoundOut(t *testing.T) {
 	const ms = time.Millisecond
 	for took, most := range map[time.Duration]time.Duration{700 * ms: 10 * time.Second, 3 * time.Second: 2 * time.Minute} {
-		s := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-		c := NewCourier(func() *Site { return s }, Pace{Poll: time.Second, Retry: 200 * ms, Longest: time.Second, Failures: 3,
-			Least: 100 * ms, First: time.Second, Most: 8 * time.Second})
+		s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+		c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms, MaxRetryDelay: time.Second, MaxFailures: 3,
+			MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
 		now := time.Duration(0)
 		call := func(took time.Duration) int {
 			_, b, wait := c.Next(now)
@@ -166,19 +166,19 @@
 				now += wait
 				_, b, _ = c.Next(now)
 			}
-			if within := c.Patience(); within < took {
+			if within := c.CallTimeout(); within < took {
 				now += within
 				c.Failed(now)
 				return 0
 			}
 			now += took
-			c.Answered(now, &Answer{From: "p", Life: 1, Credit: 9})
+			c.Answered(now, &Answer{From: "p", Incarnation: 1, Credit: 9})
 			return len(b.Writes)
 		}
 		for range 20 {
 			call(20 * ms)
 		}
-		s.Apply(0, Command{Write: &Local{Kind: Note, Thing: "x", Value: []byte("x")}})
+		s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x")}})
 		s.Apply(0, *s.Unoffered())
 		slow := now
 		for call(took) == 0 && now < slow+time.Hour {
@@ -189,14 +189,14 @@
 
 // TestAQuestionChangesNothing: it shows nothing of what its site has seen, which is no proof that there is nothing.
 func TestAQuestionChangesNothing(t *testing.T) {
-	p := New(Place{Site: "p", Life: 1}, roomy)
-	for _, place := range []Place{{Site: "a", Life: 1, Born: 1}, {Site: "b", Life: 1, Born: 1}, {Site: "a", Life: 2, Born: 2}} {
+	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
+	for _, place := range []Place{{Site: "a", Incarnation: 1, StoreCreated: 1}, {Site: "b", Incarnation: 1, StoreCreated: 1}, {Site: "a", Incarnation: 2, StoreCreated: 2}} {
 		p.Apply(0, Command{Batch: &Batch{From: place}})
 	}
-	lost := life{"a", 1}
+	lost := incarnation{"a", 1}
 	require.NotNil(t, p.ending[lost])
 	before := p.Encode()
-	q := &Batch{From: Place{Site: "b", Life: 1, Born: 1}, Probe: true}
+	q := &Batch{From: Place{Site: "b", Incarnation: 1, StoreCreated: 1}, Probe: true}
 	p.Apply(0, Command{Batch: q})
 	assert.Equal(t, string(before), string(p.Encode()))
 	assert.Nil(t, p.Answer(q, 1, 0).Down)
@@ -206,11 +206,11 @@
 }
 
 func TestATellerGoesByWhatItGave(t *testing.T) {
-	tl := NewTeller(Budget{Rate: 100, Batch: 10, Most: time.Second, Urgent: 2, Live: 5})
+	tl := NewCreditScheduler(Budget{Rate: 100, Batch: 10, MaxAhead: time.Second, UrgentBatch: 2, LocalCost: 5})
 	b := func(waiting, urgent, writes int) *Batch {
-		return &Batch{From: Place{Site: "b", Life: 1}, Waiting: waiting, Urgent: urgent, Writes: make([]Write, writes)}
+		return &Batch{From: Place{Site: "b", Incarnation: 1}, Waiting: waiting, Urgent: urgent, Writes: make([]Write, writes)}
 	}
-	tl.Live(0)
+	tl.CountLocalWrite(0)
 	credit, wait := tl.Grant(0, b(3, 0, 0), 100)
 	assert.Equal(t, 3, credit)
 	assert.Equal(t, 50*time.Millisecond, wait, "a write of its own goes first")
@@ -223,38 +223,38 @@
 }
 
 func TestALifeIsClosedOnceAllHaveCalled(t *testing.T) {
-	p := New(Place{Site: "p", Life: 1}, roomy)
-	call := func(site string, life uint64, seen Seen, after ...Mark) {
-		batch := &Batch{From: Place{Site: site, Level: 1, Life: life, Born: time.Duration(life)}, Seen: seen}
+	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
+	call := func(site string, life uint64, seen VersionVector, after ...VectorEntry) {
+		batch := &Batch{From: Place{Site: site, Level: 1, Incarnation: life, StoreCreated: time.Duration(life)}, Seen: seen}
 		if len(after) > 0 {
-			batch.Writes = []Write{{ID: ID{Origin{Site: site, Life: life}, 1}, Kind: Note, Thing: "x", After: after}}
+			batch.Writes = []Write{{ID: ID{Origin{Site: site, Incarnation: life}, 1}, Kind: Note, Subject: "x", Dependencies: after}}
 		}
 		p.Apply(1, Command{Batch: batch})
 	}
-	lost := Origin{Site: "a", Life: 1}
+	lost := Origin{Site: "a", Incarnation: 1}
 	call("a", 1, nil)
-	call("b", 1, Seen{{lost, 1}}, Mark{lost, 1}) // b has seen what a had not sent
+	call("b", 1, VersionVector{{lost, 1}}, VectorEntry{lost, 1}) // b has seen what a had not sent
 	require.Equal(t, 1, p.Held())
 	call("a", 2, nil)
 	assert.Equal(t, 1, p.Held(), "b may still bring it")
-	call("b", 1, Seen{{lost, 1}})
+	call("b", 1, VersionVector{{lost, 1}})
 	assert.Equal(t, 1, p.Held(), "it shows more of the lost life than is known")
 	call("b", 1, nil)
 	assert.Zero(t, p.Held())
-	r, _ := p.Verdict(ID{Origin{Site: "b", Life: 1}, 1})
+	r, _ := p.Refusal(ID{Origin{Site: "b", Incarnation: 1}, 1})
 	assert.Equal(t, Outcome(0), r.Outcome, "a note falls with nothing")
-	assert.True(t, p.closed[lifeOf(lost)])
+	assert.True(t, p.closed[incarnationOf(lost)])
 }
 
 // TestAClosedThingTakesNothing of whatever kind, and word.
 func TestAClosedThingTakesNothing(t *testing.T) {
-	p := New(Place{Site: "p", Life: 1}, roomy)
-	from := Place{Site: "b", Level: 1, Life: 1}
+	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
+	from := Place{Site: "b", Level: 1, Incarnation: 1}
 	for i, k := range []Kind{Note, Safety} {
-		p.Apply(0, Command{Write: &Local{Kind: k, Thing: "h", Value: []byte("gone"), Closes: true}})
-		w := Write{ID: ID{Origin{Site: "b", Life: 1}, uint64(i + 1)}, Kind: k, Level: 1, Thing: "h", Value: []byte("out")}
+		p.Apply(0, Command{Write: &LocalWrite{Kind: k, Subject: "h", Value: []byte("gone"), Closes: true}})
+		w := Write{ID: ID{Origin{Site: "b", Incarnation: 1}, uint64(i + 1)}, Kind: k, Level: 1, Subject: "h", Value: []byte("out")}
 		p.Apply(0, Command{Batch: &Batch{From: from, Writes: []Write{w}}})
-		r, _ := p.Verdict(w.ID)
+		r, _ := p.Refusal(w.ID)
 		assert.Equal(t, Refused, r.Outcome, "%v", k)
 		v, _ := p.Value(k, "h")
 		assert.True(t, v.Closed)
@@ -263,27 +263,27 @@
 
 func TestWhatGoesBeforeAndWhatFalls(t *testing.T) {
 	w := func(site string, number uint64, value string, closes bool) *Write {
-		return &Write{ID: ID{Origin{Site: site, Life: 1}, number}, Kind: Work, Thing: "h", Value: []byte(value), Closes: closes}
+		return &Write{ID: ID{Origin{Site: site, Incarnation: 1}, number}, Kind: Work, Subject: "h", Value: []byte(value), Closes: closes}
 	}
 	for want, set := range map[string][]*Write{
 		"done":      {w("a", 1, "begun", false), w("a", 2, "done", false)}, // what its own site wrote over
 		"taken off": {w("a", 1, "begun", false), w("p", 1, "taken off", true)},
 	} {
-		got, _ := Settle(set, addUp)
+		got, _ := Resolve(set, mergeOneByte)
 		assert.Equal(t, want, string(got.Value))
-		assert.Empty(t, got.Beside, want)
+		assert.Empty(t, got.Concurrent, want)
 	}
 	for text, want := range map[string]bool{"halt": false, "begin 5": true, "resume": true, "force": true} {
-		assert.Equal(t, want, falls(&Write{Kind: Policy, Value: []byte(text)}), text)
+		assert.Equal(t, want, cascades(&Write{Kind: Policy, Value: []byte(text)}), text)
 	}
-	assert.False(t, falls(&Write{Kind: Safety, Value: []byte("out")}))
-	assert.True(t, falls(&Write{Kind: Safety, Value: []byte("back")}))
+	assert.False(t, cascades(&Write{Kind: Safety, Value: []byte("out")}))
+	assert.True(t, cascades(&Write{Kind: Safety, Value: []byte("back")}))
 }
 
 func TestAStateGoesOnFromWhatIsKnown(t *testing.T) {
-	b := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
+	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	down := func(life, after, until uint64) Cursor {
-		b.Apply(0, Command{Down: &Down{From: "p", Life: life, To: 1, After: after, Until: until, Last: true}})
+		b.Apply(0, Command{Down: &StateUpdate{From: "p", Incarnation: life, To: 1, After: after, Until: until, Last: true}})
 		return b.cursors["p"]
 	}
 	assert.Equal(t, Cursor{1, 5}, down(1, 0, 5))
@@ -292,13 +292,17 @@
 	assert.Equal(t, Cursor{1, 8}, down(1, 4, 8))
 	assert.Equal(t, Cursor{2, 2}, down(2, 0, 2), "another life counts by itself")
 
-	c := NewCourier(func() *Site { return b }, Pace{Failures: 9})
+	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
 	piece := func(after, until uint64, last bool) *Command {
 		c.Next(0)
-		return c.Answered(0, &Answer{From: "p", Life: 2, Down: &Down{From: "p", Life: 2, To: 1, After: after, Until: until, Last: last,
-			Seen: Seen{{Origin{Site: "p", Life: 1}, until}}}})
+		return c.Answered(0, &Answer{From: "p", Incarnation: 2, Down: &StateUpdate{From: "p", Incarnation: 2, To: 1, After: after, Until: until, Last: last,
+			Seen: VersionVector{{Origin{Site: "p", Incarnation: 1}, until}}}})
+	}
+	cursor := func() Cursor {
+		_, call, _ := c.Next(0)
+		c.Answered(0, &Answer{From: "p", Incarnation: 2})
+		return call.Cursor
 	}
-	cursor := func() Cursor { _, call, _ := c.Next(0); c.Answered(0, &Answer{From: "p", Life: 2}); return call.Cursor }
 	piece(4, 6, false)
 	assert.Equal(t, Cursor{2, 2}, cursor(), "a piece without those before it")
 	piece(2, 6, false)
@@ -308,44 +312,44 @@
 
 // TestWhatAWriteNames is held for each lane by itself: a mark that an urgent write named is not named by the ordinary ones.
 func TestWhatAWriteNames(t *testing.T) {
-	r := New(Place{Site: "r", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-	b := New(Place{Site: "b", Level: 2, Life: 1, Above: []string{"r", "p"}}, roomy)
+	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
 	safety := func(s *Site, host string, urgent bool, needs ...ID) *Write {
-		f := s.Apply(1, Command{Write: &Local{Kind: Safety, Thing: host, Value: []byte("out"), Urgent: urgent, Needs: needs}})
+		f := s.Apply(1, Command{Write: &LocalWrite{Kind: Safety, Subject: host, Value: []byte("out"), Urgent: urgent, Needs: needs}})
 		require.Equal(t, EffectApplied, f[0].Kind)
 		return f[0].Write
 	}
 	first, second := safety(r, "1", false).ID, safety(r, "2", false).ID
 	r.Apply(1, *r.Unoffered())
 	b.Apply(1, Command{Down: r.Answer(&Batch{From: b.Self()}, 0, 0).Down})
-	assert.True(t, safety(b, "1", true).After.Has(first))
+	assert.True(t, safety(b, "1", true).Dependencies.Has(first))
 	needy := safety(b, "4", true, second)
-	assert.True(t, needy.After.Has(second), "it falls with what it needs, and comes after it")
-	assert.True(t, safety(b, "3", false).After.Has(second))
+	assert.True(t, needy.Dependencies.Has(second), "it falls with what it needs, and comes after it")
+	assert.True(t, safety(b, "3", false).Dependencies.Has(second))
 
-	top := New(Place{Site: "q", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
+	top := New(Place{Site: "q", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	top.Apply(1, Command{Batch: &Batch{From: b.Self(), Writes: []Write{*needy}}})
 	require.Equal(t, 1, top.Held())
-	top.Apply(1+roomy.Age, Command{})
+	top.Apply(1+testLimits.Age, Command{})
 	assert.Equal(t, 1, top.Held())
-	top.Apply(2+roomy.Age, Command{})
+	top.Apply(2+testLimits.Age, Command{})
 	assert.Zero(t, top.Held(), "its sender has it in any case")
 }
 
 // TestWhatWaitsAboveGoesLast: what depends on a write that is not known here would only be held there, and take the place of one
 // that is not.
 func TestWhatWaitsAboveGoesLast(t *testing.T) {
-	s := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-	far := Seen{{Origin{Site: "r", Life: 1}, 9}}
-	s.Apply(0, Command{Write: &Local{Kind: Note, Thing: "x", Value: []byte("x"), Token: far.Encode()}})
-	s.Apply(0, Command{Write: &Local{Kind: Note, Thing: "y", Value: []byte("y")}})
-	other := Write{ID: ID{Origin{Site: "c", Life: 1}, 1}, Kind: Note, Level: 2, Thing: "z", Value: []byte("z")}
-	s.Apply(0, Command{Batch: &Batch{From: Place{Site: "c", Level: 2, Life: 1}, Writes: []Write{other}}})
+	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	far := VersionVector{{Origin{Site: "r", Incarnation: 1}, 9}}
+	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x"), Token: far.Encode()}})
+	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "y", Value: []byte("y")}})
+	other := Write{ID: ID{Origin{Site: "c", Incarnation: 1}, 1}, Kind: Note, Level: 2, Subject: "z", Value: []byte("z")}
+	s.Apply(0, Command{Batch: &Batch{From: Place{Site: "c", Level: 2, Incarnation: 1}, Writes: []Write{other}}})
 	s.Apply(0, *s.Unoffered())
-	c := NewCourier(func() *Site { return s }, Pace{Failures: 9})
+	c := NewForwarder(func() *Site { return s }, Timing{MaxFailures: 9})
 	for credit, want := range [][]string{{}, {"c.1/1"}, {"c.1/1", "b.1/1"}, {"c.1/1", "b.1/1", "b.1/2"}} {
 		c.Next(0)
-		c.Answered(0, &Answer{From: "p", Life: 1, Credit: credit})
+		c.Answered(0, &Answer{From: "p", Incarnation: 1, Credit: credit})
 		got := []string{}
 		for _, w := range c.batch("p").Writes {
 			got = append(got, w.ID.String())
@@ -357,17 +361,17 @@
 // TestWhatWasWrittenOverUnseenDoesNotComeBack: a write that names by a token what has not come is written over, and then falls. What
 // it was written over was known to the second writer through it.
 func TestWhatWasWrittenOverUnseenDoesNotComeBack(t *testing.T) {
-	p := New(Place{Site: "p", Life: 1}, roomy)
-	r := New(Place{Site: "r", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-	b := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-	write := func(s *Site, l Local) ID {
+	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
+	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	write := func(s *Site, l LocalWrite) ID {
 		f := s.Apply(1, Command{Write: &l})
 		require.Equal(t, EffectApplied, f[0].Kind)
 		return f[0].Write.ID
 	}
 	send := func(s *Site) {
 		s.Apply(1, *s.Unoffered())
-		d := s.Whole(1)
+		d := s.FullState(1)
 		batch := &Batch{From: s.Self()}
 		for _, w := range d.Writes {
 			batch.Writes = append(batch.Writes, w.Write)
@@ -375,22 +379,22 @@
 		slices.SortFunc(batch.Writes, func(v, w Write) int { return cmp.Compare(v.ID.Number, w.ID.Number) })
 		p.Apply(1, Command{Batch: batch})
 	}
-	write(p, Local{Kind: Safety, Thing: "host/1", Value: []byte("gone"), Closes: true})
-	write(r, Local{Kind: Work, Thing: "x", Value: []byte("begun")})
-	refused := write(b, Local{Kind: Safety, Thing: "host/1", Value: []byte("out")})
-	falls := write(b, Local{Kind: Work, Thing: "x", Value: []byte("done"), Needs: []ID{refused}, Token: r.Token()})
-	stands := write(b, Local{Kind: Work, Thing: "x", Value: []byte("asked")})
+	write(p, LocalWrite{Kind: Safety, Subject: "host/1", Value: []byte("gone"), Closes: true})
+	write(r, LocalWrite{Kind: Work, Subject: "x", Value: []byte("begun")})
+	refused := write(b, LocalWrite{Kind: Safety, Subject: "host/1", Value: []byte("out")})
+	falls := write(b, LocalWrite{Kind: Work, Subject: "x", Value: []byte("done"), Needs: []ID{refused}, Token: r.Token()})
+	stands := write(b, LocalWrite{Kind: Work, Subject: "x", Value: []byte("asked")})
 	send(r)
 	send(b)
 	require.Zero(t, p.Held())
-	v, _ := p.Verdict(falls)
+	v, _ := p.Refusal(falls)
 	require.Equal(t, Orphaned, v.Outcome)
 	for _, s := range []*Site{p, b} {
 		if s == b {
-			b.Apply(1, Command{Down: p.Whole(1)})
+			b.Apply(1, Command{Down: p.FullState(1)})
 		}
 		x, _ := s.Value(Work, "x")
 		assert.Equal(t, stands, x.Write.ID, s.Self().Site)
-		assert.Empty(t, x.Beside, s.Self().Site)
+		assert.Empty(t, x.Concurrent, s.Self().Site)
 	}
 }
--- a/internal/choice/sitesync/site_test.go
+++ b/internal/choice/sitesync/site_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-var roomy = Limits{Bytes: 1 << 20, Number: 400, Age: time.Hour, Batch: 5, Held: 4}
+var testLimits = Limits{Bytes: 1 << 20, Number: 400, Age: time.Hour, Batch: 5, Held: 4}
 
 // seeds is how many random runs a property is tried on.
 const seeds = 20
 
 // addUp merges evidence that is one byte.
-func addUp(a, b []byte) ([]byte, error) {
+func mergeOneByte(a, b []byte) ([]byte, error) {
 	if len(a) != 1 || len(b) != 1 {
 		return nil, fmt.Errorf("not one byte")
 	}
@@ -28,59 +28,59 @@
 }
 
 // line is two buildings, a regency and a province, with what happened at each.
-type line struct {
-	t       *testing.T
-	seed    uint64
-	rand    *rand.Rand
-	now     time.Duration
-	sites   map[string]*Site
-	names   []string
-	couri   map[string]*Courier
-	applied map[string]map[ID]bool
-	got     map[ID][]Receipt
-	written []ID
-	sums    map[string]map[string]byte // of the evidence that a site wrote in this life, by thing
-	lost    map[string]byte            // of the life before
-	counted int                        // sums that were compared at the top
-	late    []late
-	idle    int // answers of which nothing was committed
+type topology struct {
+	t            *testing.T
+	seed         uint64
+	rand         *rand.Rand
+	now          time.Duration
+	sites        map[string]*Site
+	names        []string
+	forwarders   map[string]*Forwarder
+	applied      map[string]map[ID]bool
+	receipts     map[ID][]Receipt
+	written      []ID
+	evidenceSums map[string]map[string]byte // of the evidence that a site wrote in this life, by thing
+	lostSums     map[string]byte            // of the life before
+	comparedSums int                        // sums that were compared at the top
+	delayedCalls []delayedCall
+	emptyAnswers int // answers of which nothing was committed
 }
 
 // late is a call that was given up and is still under way.
-type late struct {
+type delayedCall struct {
 	to string
 	b  *Batch
 }
 
-func newLine(t *testing.T, seed uint64) *line {
-	l := &line{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), sites: map[string]*Site{}, couri: map[string]*Courier{},
-		applied: map[string]map[ID]bool{}, got: map[ID][]Receipt{}, sums: map[string]map[string]byte{}, names: []string{"a", "b", "r", "p"}}
+func newTopology(t *testing.T, seed uint64) *topology {
+	l := &topology{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), sites: map[string]*Site{}, forwarders: map[string]*Forwarder{},
+		applied: map[string]map[ID]bool{}, receipts: map[ID][]Receipt{}, evidenceSums: map[string]map[string]byte{}, names: []string{"a", "b", "r", "p"}}
 	for _, n := range l.names {
 		l.start(n, 1)
 	}
 	return l
 }
 
-func (l *line) start(name string, life uint64) {
-	place := Place{Site: name, Life: life, Born: time.Duration(life)}
+func (l *topology) start(name string, life uint64) {
+	place := Place{Site: name, Incarnation: life, StoreCreated: time.Duration(life)}
 	switch name {
 	case "a", "b":
-		place.Level, place.Above = 2, []string{"r", "p"}
+		place.Level, place.Ancestors = 2, []string{"r", "p"}
 	case "r":
-		place.Level, place.Above = 1, []string{"p"}
+		place.Level, place.Ancestors = 1, []string{"p"}
 	}
-	l.sites[name] = New(place, roomy).Merging(addUp)
-	l.couri[name] = NewCourier(func() *Site { return l.sites[name] }, Pace{Failures: 2, Back: 3000})
+	l.sites[name] = New(place, testLimits).WithMerge(mergeOneByte)
+	l.forwarders[name] = NewForwarder(func() *Site { return l.sites[name] }, Timing{MaxFailures: 2, ReturnInterval: 3000})
 	l.applied[name] = map[ID]bool{}
-	l.lost = l.sums[name]
-	l.sums[name] = map[string]byte{}
+	l.lostSums = l.evidenceSums[name]
+	l.evidenceSums[name] = map[string]byte{}
 }
 
 // apply applies a command, checks what it brings, and now and then lets the state go through its bytes.
-func (l *line) apply(name string, c Command) []Effect {
+func (l *topology) apply(name string, c Command) []Effect {
 	l.now++
 	if l.rand.IntN(8) == 0 {
-		s, err := Decode(l.sites[name].Encode(), addUp)
+		s, err := Decode(l.sites[name].Encode(), mergeOneByte)
 		require.NoError(l.t, err)
 		require.Equal(l.t, string(l.sites[name].Encode()), string(s.Encode()))
 		l.sites[name] = s
@@ -91,27 +91,27 @@
 		require.Equal(l.t, string(before), string(l.sites[name].Encode()), "a clone shares what changes")
 	}
 	f := l.sites[name].Apply(l.now, c)
-	require.LessOrEqual(l.t, l.sites[name].Held(), roomy.Held)
+	require.LessOrEqual(l.t, l.sites[name].Held(), testLimits.Held)
 	for _, e := range f {
 		switch e.Kind {
 		case EffectApplied:
 			require.False(l.t, l.applied[name][e.ID], "%s applies %s twice", name, e.ID)
-			for _, m := range e.Write.After {
-				lost := l.sites["a"].self.Life == 2 && m.Origin.Site == "a" && m.Origin.Life == 1
+			for _, m := range e.Write.Dependencies {
+				lost := l.sites["a"].self.Incarnation == 2 && m.Origin.Site == "a" && m.Origin.Incarnation == 1
 				require.False(l.t, name == "p" && e.ID.Origin.Site != "p" && !lost && m.Number > l.sites["p"].seen[m.Origin],
 					"%s is applied before %v", e.ID, m)
 			}
 			l.applied[name][e.ID] = true
 		case EffectReceipt:
-			l.got[e.ID] = append(l.got[e.ID], e.Receipt)
+			l.receipts[e.ID] = append(l.receipts[e.ID], e.Receipt)
 		}
 	}
 	return f
 }
 
 // call makes one call; it may be lost on its way or on the way back, or come twice.
-func (l *line) call(name string, lossy bool) {
-	c := l.couri[name]
+func (l *topology) call(name string, lossy bool) {
+	c := l.forwarders[name]
 	if o := c.Offer(); o != nil {
 		l.apply(name, *o)
 	}
@@ -128,14 +128,14 @@
 	if fate == 0 {
 		c.Failed(l.now)
 		if l.rand.IntN(2) == 0 {
-			l.late = append(l.late, late{to, b})
+			l.delayedCalls = append(l.delayedCalls, delayedCall{to, b})
 		}
 		return
 	}
-	if n := len(l.late); lossy && n > 0 && l.rand.IntN(6) == 0 {
+	if n := len(l.delayedCalls); lossy && n > 0 && l.rand.IntN(6) == 0 {
 		i := l.rand.IntN(n)
-		l.apply(l.late[i].to, Command{Batch: l.late[i].b})
-		l.late = slices.Delete(l.late, i, i+1)
+		l.apply(l.delayedCalls[i].to, Command{Batch: l.delayedCalls[i].b})
+		l.delayedCalls = slices.Delete(l.delayedCalls, i, i+1)
 	}
 	l.apply(to, Command{Batch: b})
 	if u := l.sites[to].Unoffered(); u != nil {
@@ -150,7 +150,7 @@
 	}
 	a, err := ParseAnswer(l.sites[to].Answer(b, 1+l.rand.IntN(8), 0).Bytes())
 	require.NoError(l.t, err)
-	stage := c.routes[to].stage
+	stage := c.routes[to].pieces
 	switch cmd := c.Answered(l.now, a); {
 	case cmd != nil:
 		l.apply(name, *cmd)
@@ -159,16 +159,16 @@
 		require.Empty(l.t, s.Apply(s.now, Command{Down: a.Down}))
 		s.cursors = l.sites[name].cursors
 		require.Equal(l.t, string(l.sites[name].Encode()), string(s.Encode()))
-		l.idle++
+		l.emptyAnswers++
 	}
 }
 
 // heal lets all sites call until nothing changes any more.
-func (l *line) heal() {
+func (l *topology) heal() {
 	for i := range 50 {
 		l.now += 1000
 		if i == 25 { // a site that called once and uses another route now is waited for that long
-			l.now += 2 * roomy.Age
+			l.now += 2 * testLimits.Age
 			for _, n := range l.names {
 				l.apply(n, Command{})
 			}
@@ -182,9 +182,9 @@
 var words = [Kinds][]string{Evidence: {"\x01", "\x02"}, Note: {"x", "y"}, Work: {"asked", "begun", "done", "withdrawn"},
 	Policy: {"begin", "halt", "resume", "force"}, Safety: {"out", "back"}}
 
-func (l *line) write(name string) {
+func (l *topology) write(name string) {
 	k := Kind(l.rand.IntN(Kinds))
-	w := &Local{Kind: k, Thing: fmt.Sprint("t", l.rand.IntN(3)), Value: []byte(words[k][l.rand.IntN(len(words[k]))]),
+	w := &LocalWrite{Kind: k, Subject: fmt.Sprint("t", l.rand.IntN(3)), Value: []byte(words[k][l.rand.IntN(len(words[k]))]),
 		Urgent: k != Evidence && l.rand.IntN(3) == 0, Closes: name == "p" && l.rand.IntN(6) == 0}
 	if l.rand.IntN(5) == 0 {
 		w.Token = l.sites[l.names[l.rand.IntN(4)]].Token()
@@ -199,29 +199,29 @@
 			l.written = append(l.written, e.ID)
 		}
 		if (e.Kind == EffectApplied || e.Kind == EffectMerged) && k == Evidence {
-			l.sums[name][w.Thing] += w.Value[0]
+			l.evidenceSums[name][w.Subject] += w.Value[0]
 		}
 	}
 }
 
 // dump tells what the sites wait for.
-func (l *line) dump() {
+func (l *topology) dump() {
 	for _, n := range l.names {
 		s := l.sites[n]
-		l.t.Logf("%s seen %v closed %v ending %v homes %v callers %v", n, s.seen, s.closed, s.ending, s.homes, s.callers)
+		l.t.Logf("%s seen %v closed %v ending %v homes %v callers %v", n, s.seen, s.closed, s.ending, s.incarnations, s.callers)
 		for _, h := range s.held {
-			l.t.Logf("  held %v after %v", h.Write.ID, h.Write.After)
+			l.t.Logf("  held %v after %v", h.Write.ID, h.Write.Dependencies)
 		}
 		for _, q := range s.log {
 			for _, it := range q {
-				l.t.Logf("  log %v after %v", it.Write.ID, it.Write.After)
+				l.t.Logf("  log %v after %v", it.Write.ID, it.Write.Dependencies)
 			}
 		}
 	}
 }
 
 // same checks that all sites hold the same.
-func (l *line) same() {
+func (l *topology) requireConverged() {
 	top := l.sites["p"]
 	defer func() {
 		if l.t.Failed() {
@@ -238,8 +238,8 @@
 			if k == Evidence {
 				continue
 			}
-			require.Equal(l.t, top.Things(k), s.Things(k), "%s %s %d", n, k, l.seed)
-			for _, name := range top.Things(k) {
+			require.Equal(l.t, top.Subjects(k), s.Subjects(k), "%s %s %d", n, k, l.seed)
+			for _, name := range top.Subjects(k) {
 				want, _ := top.Value(k, name)
 				got, _ := s.Value(k, name)
 				require.Equal(l.t, want, got, "%s holds something else of %s %s", n, k, name)
@@ -250,28 +250,28 @@
 
 // evidence checks that every site but the top holds its own evidence and no other, of each thing the newest alone, and that
 // the top has the sum of all.
-func (l *line) evidence() {
+func (l *topology) requireEvidence() {
 	fell := map[string]bool{} // things with evidence that the top did not take
 	for _, id := range l.written {
-		for _, r := range l.got[id] {
+		for _, r := range l.receipts[id] {
 			fell[id.Origin.Site] = fell[id.Origin.Site] || id.Origin.Evidence && r.Outcome >= Refused
 		}
 	}
 	top := l.sites["p"]
 	for _, thing := range []string{"t0", "t1", "t2"} {
-		all, most := byte(0), l.lost[thing]
+		all, most := byte(0), l.lostSums[thing]
 		whole := true
 		for _, n := range l.names {
-			all += l.sums[n][thing]
+			all += l.evidenceSums[n][thing]
 			whole = whole && !fell[n]
 			if n == "p" || fell[n] {
 				continue
 			}
 			v, any := l.sites[n].Value(Evidence, thing)
-			require.Equal(l.t, l.sums[n][thing] > 0, any, "%s %s", n, thing)
+			require.Equal(l.t, l.evidenceSums[n][thing] > 0, any, "%s %s", n, thing)
 			if any {
-				require.Equal(l.t, []byte{l.sums[n][thing]}, v.Value, "%s %s", n, thing)
-				require.Empty(l.t, v.Beside, n)
+				require.Equal(l.t, []byte{l.evidenceSums[n][thing]}, v.Value, "%s %s", n, thing)
+				require.Empty(l.t, v.Concurrent, n)
 				require.Equal(l.t, n, v.Write.ID.Origin.Site)
 			}
 		}
@@ -279,17 +279,17 @@
 		if !whole || v.Closed || !any {
 			continue
 		}
-		l.counted++
+		l.comparedSums++
 		require.GreaterOrEqual(l.t, v.Value[0], all, thing)
 		require.LessOrEqual(l.t, v.Value[0], all+most, thing)
-		if l.lost == nil {
+		if l.lostSums == nil {
 			require.Equal(l.t, all, v.Value[0], thing)
 		}
 	}
 	for _, n := range l.names {
-		for k, t := range l.sites[n].things {
-			require.True(l.t, k.Kind != Evidence || len(t.items) <= 1 || n == "p", "%s keeps old evidence of %q", n, k.Thing)
-			require.True(l.t, k.Kind != Evidence || len(t.items) <= 5, "the top keeps old evidence of %q", k.Thing)
+		for k, t := range l.sites[n].subjects {
+			require.True(l.t, k.Kind != Evidence || len(t.items) <= 1 || n == "p", "%s keeps old evidence of %q", n, k.Subject)
+			require.True(l.t, k.Kind != Evidence || len(t.items) <= 5, "the top keeps old evidence of %q", k.Subject)
 		}
 	}
 }
@@ -299,10 +299,10 @@
 	seen := map[Outcome]int{}
 	counted, idle := 0, 0
 	for seed := range uint64(seeds) {
-		l := newLine(t, seed)
+		l := newTopology(t, seed)
 		for range 120 {
 			name := l.names[l.rand.IntN(4)]
-			l.couri[name].at = l.rand.IntN(max(1, len(l.couri[name].above))) // any route
+			l.forwarders[name].current = l.rand.IntN(max(1, len(l.forwarders[name].ancestors))) // any route
 			if l.rand.IntN(2) == 0 {
 				l.write(name)
 			} else {
@@ -310,13 +310,13 @@
 			}
 		}
 		l.heal()
-		l.same()
-		l.evidence()
-		counted += l.counted
-		idle += l.idle
+		l.requireConverged()
+		l.requireEvidence()
+		counted += l.comparedSums
+		idle += l.emptyAnswers
 		for _, id := range l.written {
-			require.Len(t, l.got[id], 1, "receipts of %s in %d", id, seed)
-			seen[l.got[id][0].Outcome]++
+			require.Len(t, l.receipts[id], 1, "receipts of %s in %d", id, seed)
+			seen[l.receipts[id][0].Outcome]++
 		}
 	}
 	for o := Applied; o <= Orphaned; o++ {
@@ -330,10 +330,10 @@
 func TestALostStoreHoldsNobodyBack(t *testing.T) {
 	orphans := 0
 	for seed := range uint64(seeds) {
-		l := newLine(t, 100+seed)
+		l := newTopology(t, 100+seed)
 		for step := range 120 {
 			name := l.names[l.rand.IntN(4)]
-			l.couri[name].at = l.rand.IntN(max(1, len(l.couri[name].above)))
+			l.forwarders[name].current = l.rand.IntN(max(1, len(l.forwarders[name].ancestors)))
 			switch {
 			case step == 60:
 				l.start("a", 2)
@@ -344,15 +344,15 @@
 			}
 		}
 		l.heal()
-		l.same()
-		l.evidence()
+		l.requireConverged()
+		l.requireEvidence()
 		for _, id := range l.written {
-			if id.Origin.Site == "a" && id.Origin.Life == 1 {
-				assert.LessOrEqual(t, len(l.got[id]), 1)
+			if id.Origin.Site == "a" && id.Origin.Incarnation == 1 {
+				assert.LessOrEqual(t, len(l.receipts[id]), 1)
 				continue
 			}
-			require.Len(t, l.got[id], 1, "receipts of %s in %d", id, seed)
-			if l.got[id][0].Why == "what it depends on was lost with its site's store" {
+			require.Len(t, l.receipts[id], 1, "receipts of %s in %d", id, seed)
+			if l.receipts[id][0].Why == "what it depends on was lost with its site's store" {
 				orphans++
 			}
 		}
@@ -362,7 +362,7 @@
 
 func TestSettlingIsAFunctionOfTheSet(t *testing.T) {
 	w := func(site string, level int, k Kind, value string) *Write {
-		return &Write{ID: ID{Origin{Site: site, Life: 1}, 1}, Kind: k, Level: level, Thing: "x", Value: []byte(value)}
+		return &Write{ID: ID{Origin{Site: site, Incarnation: 1}, 1}, Kind: k, Level: level, Subject: "x", Value: []byte(value)}
 	}
 	for _, c := range []struct {
 		about string
@@ -378,22 +378,22 @@
 		for i := range 2 * len(c.set) {
 			j := (i + 1) % len(c.set)
 			c.set[i%len(c.set)], c.set[j] = c.set[j], c.set[i%len(c.set)]
-			got, ok := Settle(c.set, addUp)
+			got, ok := Resolve(c.set, mergeOneByte)
 			require.True(t, ok)
 			assert.Equal(t, c.want, string(got.Value), c.about)
-			assert.Len(t, got.Beside, len(c.set)-1)
+			assert.Len(t, got.Concurrent, len(c.set)-1)
 		}
 	}
 }
 
 func TestTheQueueRefusesByKindAndMergesEvidence(t *testing.T) {
-	s := New(Place{Site: "a", Level: 2, Life: 1, Above: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 20, Batch: 4, Age: time.Minute})
-	s.Merging(addUp)
+	s := New(Place{Site: "a", Level: 2, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 20, Batch: 4, Age: time.Minute})
+	s.WithMerge(mergeOneByte)
 	took := [Kinds]int{}
 	for _, k := range []Kind{Evidence, Note, Work, Policy, Safety} {
 		for i := range 30 {
-			f := s.Apply(0, Command{Write: &Local{Kind: k, Thing: fmt.Sprint(i), Value: []byte(words[k][0])}})
-			var full *FullError
+			f := s.Apply(0, Command{Write: &LocalWrite{Kind: k, Subject: fmt.Sprint(i), Value: []byte(words[k][0])}})
+			var full *QueueFullError
 			if f[0].Kind == EffectRefused {
 				require.ErrorAs(t, f[0].Err, &full)
 				assert.NotEmpty(t, full.Action())
@@ -403,16 +403,16 @@
 		}
 	}
 	assert.Equal(t, [Kinds]int{10, 2, 3, 3, 2}, took)
-	f := s.Apply(0, Command{Write: &Local{Kind: Evidence, Thing: "3", Value: []byte{5}}})
+	f := s.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: "3", Value: []byte{5}}})
 	require.Equal(t, EffectMerged, f[0].Kind, "evidence is merged however full the queue is")
 	v, _ := s.Value(Evidence, "3")
 	assert.Equal(t, []byte{6}, v.Value)
 	s.Apply(0, Command{Offer: &Offer{Evidence: 2}})
 	long := bytes.Repeat([]byte{1}, 60<<10)
-	some := New(Place{Site: "a", Life: 1, Above: []string{"p"}}, Limits{Bytes: 600 << 10, Number: 200, Batch: 4})
-	some.Merging(func(_, b []byte) ([]byte, error) { return b, nil })
+	some := New(Place{Site: "a", Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 600 << 10, Number: 200, Batch: 4})
+	some.WithMerge(func(_, b []byte) ([]byte, error) { return b, nil })
 	for i := range 20 { // four fit into half of the queue
-		f := some.Apply(0, Command{Write: &Local{Kind: Evidence, Thing: fmt.Sprint(i % 5), Value: long}})
+		f := some.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i % 5), Value: long}})
 		assert.Equal(t, i%5 == 4, f[0].Kind == EffectRefused, "a newer one takes the room of the older: %d", i)
 		some.Apply(0, *cmp.Or(some.Unoffered(), &Command{}))
 	}
@@ -438,14 +438,14 @@
 	assert.Equal(t, ab, ba)
 	_, err = MergeSketches(parts[0], []byte("x"))
 	assert.Error(t, err)
-	s := New(Place{Site: "a", Life: 1, Above: []string{"p"}}, roomy)
-	assert.Error(t, s.Check(Command{Write: &Local{Kind: Evidence, Thing: "x", Value: []byte("x")}}))
-	assert.NoError(t, s.Check(Command{Write: &Local{Kind: Evidence, Thing: "x", Value: ab}}))
+	s := New(Place{Site: "a", Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	assert.Error(t, s.Check(Command{Write: &LocalWrite{Kind: Evidence, Subject: "x", Value: []byte("x")}}))
+	assert.NoError(t, s.Check(Command{Write: &LocalWrite{Kind: Evidence, Subject: "x", Value: ab}}))
 }
 
 func TestBadBytesAreRefusedAndChangeNothing(t *testing.T) {
-	s := New(Place{Site: "a", Life: 1, Above: []string{"p"}}, roomy)
-	s.Apply(1, Command{Write: &Local{Kind: Safety, Thing: "host/1", Value: []byte("out")}})
+	s := New(Place{Site: "a", Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	s.Apply(1, Command{Write: &LocalWrite{Kind: Safety, Subject: "host/1", Value: []byte("out")}})
 	token, data := s.Token(), s.Encode()
 	for i := range token {
 		other := []byte(token)
@@ -455,7 +455,7 @@
 		require.ErrorAs(t, err, &te, "%d", i)
 	}
 	for i := range data {
-		_, err := Decode(data[:i], addUp)
+		_, err := Decode(data[:i], mergeOneByte)
 		var se *StateError
 		require.ErrorAs(t, err, &se)
 	}
@@ -466,7 +466,7 @@
 		_, err = ParseAnswer([]byte(bad))
 		require.ErrorAs(t, err, &be, bad)
 	}
-	f := s.Apply(2, Command{Batch: &Batch{From: Place{Site: "x", Life: 1}, Writes: []Write{{}}}})
+	f := s.Apply(2, Command{Batch: &Batch{From: Place{Site: "x", Incarnation: 1}, Writes: []Write{{}}}})
 	require.Equal(t, EffectRefused, f[0].Kind)
 	assert.Equal(t, string(data), string(withNow(s, 1).Encode()))
 }
@@ -478,19 +478,19 @@
 }
 
 func TestUrgentWritesGoFirstWithWhatTheyDependOn(t *testing.T) {
-	s := New(Place{Site: "a", Level: 2, Life: 1, Above: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 200, Batch: 3})
+	s := New(Place{Site: "a", Level: 2, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 200, Batch: 3})
 	for i := range 50 {
-		s.Apply(0, Command{Write: &Local{Kind: Note, Thing: fmt.Sprint(i), Value: []byte("x")}})
+		s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: []byte("x")}})
 	}
-	c := NewCourier(func() *Site { return s }, Pace{Failures: 3})
-	s.Apply(0, Command{Write: &Local{Kind: Safety, Thing: "h", Value: []byte("out"), Urgent: true}})
-	s.Apply(0, Command{Write: &Local{Kind: Note, Thing: "1", Value: []byte("y"), Urgent: true}})
+	c := NewForwarder(func() *Site { return s }, Timing{MaxFailures: 3})
+	s.Apply(0, Command{Write: &LocalWrite{Kind: Safety, Subject: "h", Value: []byte("out"), Urgent: true}})
+	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "1", Value: []byte("y"), Urgent: true}})
 	require.Nil(t, c.Offer(), "nothing leaves before a call is answered")
 	s.Apply(0, *s.Unoffered())
 	to, b, _ := c.Next(0)
 	require.Empty(t, b.Writes, "no credit yet")
 	assert.Equal(t, 4, b.Urgent)
-	require.Nil(t, c.Answered(0, &Answer{From: to, Life: 1, Credit: 9}))
+	require.Nil(t, c.Answered(0, &Answer{From: to, Incarnation: 1, Credit: 9}))
 	_, b, _ = c.Next(0)
 	var got []string
 	for _, w := range b.Writes {
@@ -498,20 +498,20 @@
 	}
 	assert.Equal(t, []string{"a.1!/1", "a.1/1", "a.1/2"}, got, "one does not wait for what another depends on")
 	assert.Equal(t, 1, b.Urgent)
-	p := New(Place{Site: "p", Life: 1}, roomy)
+	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	p.Apply(0, Command{Batch: b})
-	assert.Equal(t, Seen{{s.origin(0), 2}, {s.origin(1), 1}}, p.Seen())
+	assert.Equal(t, VersionVector{{s.ownOrigin(0), 2}, {s.ownOrigin(1), 1}}, p.Seen())
 }
 
 // TestCallsMayBeAppliedAsTheyCome, each whole where all before were, with tokens among the writes that name what came later, and
 // two origins mixed. The counts that go with a call are right.
 func TestCallsMayBeAppliedAsTheyCome(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
-	r := New(Place{Site: "r", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-	b := New(Place{Site: "b", Level: 2, Life: 1, Above: []string{"r", "p"}}, roomy)
+	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
 	write := func(s *Site, token string) {
 		k := []Kind{Note, Safety}[rng.IntN(2)]
-		l := &Local{Kind: k, Thing: fmt.Sprint(rng.IntN(6)), Value: []byte("out"), Urgent: rng.IntN(8) == 0, Token: token}
+		l := &LocalWrite{Kind: k, Subject: fmt.Sprint(rng.IntN(6)), Value: []byte("out"), Urgent: rng.IntN(8) == 0, Token: token}
 		s.Apply(0, Command{Write: l})
 	}
 	var token string
@@ -525,12 +525,12 @@
 	for _, s := range []*Site{r, b} {
 		s.Apply(0, *s.Unoffered())
 	}
-	b.Apply(0, Command{Down: r.Whole(1)})
-	require.True(t, b.tangled)
-	p := New(Place{Site: "p", Life: 1}, roomy)
-	c := NewCourierTo(func() *Site { return b }, Pace{Failures: 9}, "p")
+	b.Apply(0, Command{Down: r.FullState(1)})
+	require.True(t, b.outOfOrder)
+	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
+	c := NewForwarderTo(func() *Site { return b }, Timing{MaxFailures: 9}, "p")
 	c.Next(0)
-	c.Answered(0, &Answer{From: "p", Life: 1, Credit: 9})
+	c.Answered(0, &Answer{From: "p", Incarnation: 1, Credit: 9})
 	sent, urgent := 0, 0
 	for left := -1; left != 0; {
 		_, call, _ := c.Next(time.Hour)
@@ -544,7 +544,7 @@
 			}
 		}
 		if call.Urgent > 0 {
-			require.Len(t, call.Writes, roomy.Batch)
+			require.Len(t, call.Writes, testLimits.Batch)
 		}
 		p.Apply(0, Command{Batch: call})
 		require.Zero(t, p.Held(), "%v", call.Writes)
@@ -552,15 +552,15 @@
 		a.Down = nil
 		c.Answered(0, a)
 	}
-	assert.Equal(t, len(b.log[r.origin(0)])+len(b.log[r.origin(1)])+len(b.log[b.origin(0)])+len(b.log[b.origin(1)]), sent)
+	assert.Equal(t, len(b.log[r.ownOrigin(0)])+len(b.log[r.ownOrigin(1)])+len(b.log[b.ownOrigin(0)])+len(b.log[b.ownOrigin(1)]), sent)
 	assert.NotZero(t, urgent)
 	assert.Equal(t, b.Seen(), p.Seen())
 }
 
 func TestTellersGiveTurns(t *testing.T) {
-	tl := NewTeller(Budget{Rate: 100, Batch: 10, Most: time.Second, Urgent: 2, Live: 5})
+	tl := NewCreditScheduler(Budget{Rate: 100, Batch: 10, MaxAhead: time.Second, UrgentBatch: 2, LocalCost: 5})
 	call := func(site string, n, urgent int) (int, time.Duration) {
-		return tl.Grant(0, &Batch{From: Place{Site: site, Life: 1}, Waiting: n, Urgent: urgent}, 1000)
+		return tl.Grant(0, &Batch{From: Place{Site: site, Incarnation: 1}, Waiting: n, Urgent: urgent}, 1000)
 	}
 	for i := range 11 {
 		credit, wait := call(fmt.Sprint(i), 50, 0)
@@ -573,7 +573,7 @@
 	credit, wait = call("urgent", 50, 1)
 	assert.Equal(t, 1, credit)
 	assert.Zero(t, wait)
-	b := &Batch{From: Place{Site: "urgent", Life: 1}, Writes: make([]Write, 1)}
+	b := &Batch{From: Place{Site: "urgent", Incarnation: 1}, Writes: make([]Write, 1)}
 	assert.NoError(t, tl.Admit(b))
 	var ce *CreditError
 	assert.ErrorAs(t, tl.Admit(b), &ce, "credit is used once")
@@ -582,51 +582,51 @@
 // TestAStorePutBackFromACopyNeverUsesANumberTwice: what others know of this life counts as written.
 func TestAStorePutBackFromACopyNeverUsesANumberTwice(t *testing.T) {
 	note := func(thing string) Command {
-		return Command{Write: &Local{Kind: Note, Thing: thing, Value: []byte("x")}}
+		return Command{Write: &LocalWrite{Kind: Note, Subject: thing, Value: []byte("x")}}
 	}
-	r := New(Place{Site: "r", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
+	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	r.Apply(1, note("1"))
 	backup := r.Encode()
 	r.Apply(2, note("2"))
 	r.Apply(3, *r.Unoffered())
-	b := New(Place{Site: "b", Level: 2, Life: 1, Above: []string{"r"}}, roomy)
+	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r"}}, testLimits)
 	b.Apply(4, Command{Down: r.Answer(&Batch{From: b.Self()}, 0, 0).Down})
-	old, err := Decode(backup, addUp)
+	old, err := Decode(backup, mergeOneByte)
 	require.NoError(t, err)
-	c := NewCourier(func() *Site { return b }, Pace{Failures: 2})
+	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 2})
 	to, _, _ := c.Next(0)
-	c.Answered(0, &Answer{From: to, Life: 1, Credit: 9, Seen: Seen{{Origin{Site: "r", Life: 1}, 1}}})
+	c.Answered(0, &Answer{From: to, Incarnation: 1, Credit: 9, Seen: VersionVector{{Origin{Site: "r", Incarnation: 1}, 1}}})
 	_, call, _ := c.Next(0)
 	f := old.Apply(5, Command{Batch: call})
-	assert.Contains(t, f, Effect{Kind: EffectOld, ID: ID{Origin{Site: "r", Life: 1}, 2}})
+	assert.Contains(t, f, Effect{Kind: EffectStaleStore, ID: ID{Origin{Site: "r", Incarnation: 1}, 2}})
 	assert.Nil(t, old.Unoffered(), "what others know has left")
 	f = old.Apply(6, note("3"))
 	assert.Equal(t, uint64(3), f[0].ID.Number)
 	var we *WriteError
-	assert.ErrorAs(t, old.Check(Command{Place: &Place{Site: "r", Life: 1}}), &we, "it would become the top")
-	assert.NoError(t, old.Check(Command{Place: &Place{Site: "r", Life: 1, Above: []string{"q", "p"}}}))
+	assert.ErrorAs(t, old.Check(Command{Place: &Place{Site: "r", Incarnation: 1}}), &we, "it would become the top")
+	assert.NoError(t, old.Check(Command{Place: &Place{Site: "r", Incarnation: 1, Ancestors: []string{"q", "p"}}}))
 }
 
 // TestWritesOfOthersLeaveRoom: a quarter of a queue is the site's own.
 func TestWritesOfOthersLeaveRoom(t *testing.T) {
-	r := New(Place{Site: "r", Level: 1, Life: 1, Above: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 20, Batch: 50, Held: 2})
-	b := New(Place{Site: "b", Level: 2, Life: 1, Above: []string{"r"}}, roomy)
-	call := &Batch{From: b.Self(), Asks: []Origin{{Site: "b", Life: 1}}}
+	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 20, Batch: 50, Held: 2})
+	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r"}}, testLimits)
+	call := &Batch{From: b.Self(), Queries: []Origin{{Site: "b", Incarnation: 1}}}
 	for i := range 30 {
-		f := b.Apply(0, Command{Write: &Local{Kind: Note, Thing: fmt.Sprint(i), Value: []byte("x")}})
+		f := b.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: []byte("x")}})
 		call.Writes = append(call.Writes, *f[0].Write)
 	}
 	r.Apply(0, Command{Batch: call})
 	_, others := r.Waiting()
 	assert.Equal(t, 15, others)
 	assert.Zero(t, r.Room())
-	assert.Equal(t, uint64(15), r.Answer(call, 0, 0).Seen.Of(call.Asks[0]), "the caller keeps the rest")
+	assert.Equal(t, uint64(15), r.Answer(call, 0, 0).Seen.Highest(call.Queries[0]), "the caller keeps the rest")
 
-	r = New(r.Self(), r.limits).Merging(addUp)
-	b.Merging(addUp)
+	r = New(r.Self(), r.limits).WithMerge(mergeOneByte)
+	b.WithMerge(mergeOneByte)
 	call.Writes = nil
 	for i := range 10 {
-		f := b.Apply(0, Command{Write: &Local{Kind: Evidence, Thing: fmt.Sprint(i), Value: []byte{1}}})
+		f := b.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i), Value: []byte{1}}})
 		call.Writes = append(call.Writes, *f[0].Write)
 	}
 	r.Apply(0, Command{Batch: &Batch{From: b.Self(), Writes: call.Writes[5:6]}})
@@ -638,10 +638,10 @@
 
 // TestAStateThatGoesOnFromAnUnknownOneIsLeft: what lies between is not known.
 func TestAStateThatGoesOnFromAnUnknownOneIsLeft(t *testing.T) {
-	p := New(Place{Site: "p", Life: 1}, roomy)
-	b := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-	write := func(thing string) *Down {
-		p.Apply(0, Command{Write: &Local{Kind: Note, Thing: thing, Value: []byte("x")}})
+	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
+	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	write := func(thing string) *StateUpdate {
+		p.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: thing, Value: []byte("x")}})
 		return p.Answer(&Batch{From: b.Self(), Cursor: Cursor{1, p.seq - 1}}, 0, 0).Down
 	}
 	write("1")
@@ -657,18 +657,18 @@
 // TestWhatATokenNamedIsSentFirst though it came later than the write that the token was presented with.
 func TestWhatATokenNamedIsSentFirst(t *testing.T) {
 	note := func(thing, token string) Command {
-		return Command{Write: &Local{Kind: Note, Thing: thing, Value: []byte("x"), Token: token}}
+		return Command{Write: &LocalWrite{Kind: Note, Subject: thing, Value: []byte("x"), Token: token}}
 	}
-	r := New(Place{Site: "r", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
+	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	r.Apply(0, note("1", ""))
 	r.Apply(0, *r.Unoffered())
-	b := New(Place{Site: "b", Level: 2, Life: 1, Above: []string{"r", "p"}}, roomy)
+	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
 	b.Apply(0, note("2", r.Token()))
 	b.Apply(0, *b.Unoffered())
 	b.Apply(0, Command{Down: r.Answer(&Batch{From: b.Self()}, 0, 0).Down})
-	c := NewCourierTo(func() *Site { return b }, Pace{}, "p")
+	c := NewForwarderTo(func() *Site { return b }, Timing{}, "p")
 	c.Next(0)
-	c.Answered(0, &Answer{From: "p", Life: 1, Credit: 1})
+	c.Answered(0, &Answer{From: "p", Incarnation: 1, Credit: 1})
 	_, call, _ := c.Next(0)
 	require.Len(t, call.Writes, 1)
 	assert.Equal(t, "r", call.Writes[0].ID.Origin.Site)
@@ -676,12 +676,12 @@
 
 // TestPiecesBecomeOneState, over a lost answer in between.
 func TestPiecesBecomeOneState(t *testing.T) {
-	b := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
-	c := NewCourier(func() *Site { return b }, Pace{Failures: 9})
+	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
 	piece := func(after, until uint64, last bool) *Answer {
-		id := ID{Origin{Site: "a", Life: 1}, until}
-		return &Answer{From: "p", Life: 1, Down: &Down{From: "p", Life: 1, To: 1, After: after, Until: until, Last: last,
-			Refused: []Receipt{{ID: id, Outcome: Refused}}, Things: []Held{{Kind: Note, Thing: id.String()}}}}
+		id := ID{Origin{Site: "a", Incarnation: 1}, until}
+		return &Answer{From: "p", Incarnation: 1, Down: &StateUpdate{From: "p", Incarnation: 1, To: 1, After: after, Until: until, Last: last,
+			Refused: []Receipt{{ID: id, Outcome: Refused}}, Subjects: []SubjectWrites{{Kind: Note, Subject: id.String()}}}}
 	}
 	c.Next(0)
 	require.Nil(t, c.Answered(0, piece(0, 3, false)))
@@ -694,25 +694,25 @@
 	require.NotNil(t, cmd)
 	assert.Zero(t, cmd.Down.After)
 	assert.Len(t, cmd.Down.Refused, 2)
-	assert.Len(t, cmd.Down.Things, 2)
+	assert.Len(t, cmd.Down.Subjects, 2)
 }
 
 // TestOnlyTheNewestEvidenceWaits at its site and at the one above it while the top is away; no other site is told of it.
 func TestOnlyTheNewestEvidenceWaits(t *testing.T) {
 	site := func(name string, level int, above ...string) *Site {
-		return New(Place{Site: name, Level: level, Life: 1, Above: above}, roomy).Merging(addUp)
+		return New(Place{Site: name, Level: level, Incarnation: 1, Ancestors: above}, testLimits).WithMerge(mergeOneByte)
 	}
 	b, other, r, p := site("b", 2, "r", "p"), site("c", 2, "r", "p"), site("r", 1, "p"), site("p", 0)
-	own := Origin{Site: "b", Life: 1, Evidence: true}
+	own := Origin{Site: "b", Incarnation: 1, Evidence: true}
 	full := func(s *Site) (n int) {
 		for _, it := range s.log[own] {
-			if it.Write.Thing != "" {
+			if it.Write.Subject != "" {
 				n++
 			}
 		}
 		return n
 	}
-	send := func(from, to *Site, c *Courier) []Effect {
+	send := func(from, to *Site, c *Forwarder) []Effect {
 		var call *Batch
 		for range 3 { // the first call has no credit, of the others one may be for the state alone
 			_, call, _ = c.Next(time.Hour)
@@ -725,21 +725,21 @@
 		}
 		return nil
 	}
-	up := NewCourierTo(func() *Site { return b }, Pace{Failures: 9}, "r")
+	up := NewForwarderTo(func() *Site { return b }, Timing{MaxFailures: 9}, "r")
 	for i := range 5 {
-		b.Apply(0, Command{Write: &Local{Kind: Evidence, Thing: "node/1", Value: []byte{1}}})
+		b.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: "node/1", Value: []byte{1}}})
 		require.Equal(t, min(i+1, 2), full(b), "what has not left does not stand for what has")
 		b.Apply(0, *b.Unoffered())
 		send(b, r, up)
 		require.Equal(t, uint64(i+1), r.seen[own])
 		require.Equal(t, [2]int{1, 1}, [2]int{full(b), full(r)})
 	}
-	send(other, r, NewCourierTo(func() *Site { return other }, Pace{Failures: 9}, "r"))
+	send(other, r, NewForwarderTo(func() *Site { return other }, Timing{MaxFailures: 9}, "r"))
 	assert.Zero(t, other.seen[own])
-	send(r, p, NewCourier(func() *Site { return r }, Pace{Failures: 9}))
-	assert.Empty(t, r.Things(Evidence), "the top has it")
+	send(r, p, NewForwarder(func() *Site { return r }, Timing{MaxFailures: 9}))
+	assert.Empty(t, r.Subjects(Evidence), "the top has it")
 	receipts := 0
-	for _, e := range send(b, p, NewCourierTo(func() *Site { return b }, Pace{Failures: 9}, "p")) {
+	for _, e := range send(b, p, NewForwarderTo(func() *Site { return b }, Timing{MaxFailures: 9}, "p")) {
 		if e.Kind == EffectReceipt && e.Receipt.Outcome == Applied {
 			receipts++
 		}
@@ -748,7 +748,7 @@
 	for _, s := range []*Site{b, p} {
 		v, _ := s.Value(Evidence, "node/1")
 		assert.Equal(t, []byte{5}, v.Value)
-		assert.Len(t, s.itemsOf(key{Evidence, "node/1"}), 1)
+		assert.Len(t, s.itemsOf(subjectKey{Evidence, "node/1"}), 1)
 	}
 }
 
@@ -758,18 +758,18 @@
 	long := func(n byte) []byte { return bytes.Repeat([]byte{n + 1}, 64<<10) }
 	limits := Limits{Bytes: 64 << 20, Number: 4000, Batch: 256, Held: 4}
 	last := func(a, b []byte) ([]byte, error) { return b, nil }
-	p := New(Place{Site: "p", Life: 1}, limits).Merging(last)
-	b := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, limits).Merging(last)
+	p := New(Place{Site: "p", Incarnation: 1}, limits).WithMerge(last)
+	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, limits).WithMerge(last)
 	for i := range byte(40) {
-		b.Apply(0, Command{Write: &Local{Kind: Evidence, Thing: fmt.Sprint(i), Value: long(i)}})
-		p.Apply(0, Command{Write: &Local{Kind: Note, Thing: fmt.Sprint(i), Value: long(i)}})
+		b.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i), Value: long(i)}})
+		p.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: long(i)}})
 	}
 	for i := range 9000 { // a long list of refusals, as of a site that was away
-		p.refuse(Receipt{ID: ID{Origin{Site: "gone", Life: 1}, uint64(i + 1)}, Outcome: Refused, Why: "closed by p.1/1: taken off"})
+		p.refuse(Receipt{ID: ID{Origin{Site: "gone", Incarnation: 1}, uint64(i + 1)}, Outcome: Refused, Why: "closed by p.1/1: taken off"})
 	}
 	b.Apply(0, *b.Unoffered())
-	c := NewCourier(func() *Site { return b }, Pace{Failures: 9})
-	for calls := 0; len(p.Things(Evidence)) < 40 || len(b.Things(Note)) < 40; calls++ {
+	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
+	for calls := 0; len(p.Subjects(Evidence)) < 40 || len(b.Subjects(Note)) < 40; calls++ {
 		require.Less(t, calls, 60)
 		_, call, _ := c.Next(time.Hour)
 		require.Less(t, len(call.Bytes()), most)
@@ -782,16 +782,16 @@
 	}
 	_, others := b.Waiting()
 	assert.Zero(t, others)
-	assert.Equal(t, p.Seen().Of(Origin{Site: "p", Life: 1}), b.Seen().Of(Origin{Site: "p", Life: 1}))
+	assert.Equal(t, p.Seen().Highest(Origin{Site: "p", Incarnation: 1}), b.Seen().Highest(Origin{Site: "p", Incarnation: 1}))
 	assert.Len(t, b.refused, 9000)
 }
 
 // TestACloseIsNotWrittenOver, not by a write whose token names it either, at a site that it has not come to.
 func TestACloseIsNotWrittenOver(t *testing.T) {
-	p := New(Place{Site: "p", Life: 1}, roomy)
-	b := New(Place{Site: "b", Level: 1, Life: 1, Above: []string{"p"}}, roomy)
+	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
+	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	write := func(value, token string, closes bool) Command {
-		return Command{Write: &Local{Kind: Policy, Thing: "1", Value: []byte(value), Token: token, Closes: closes}}
+		return Command{Write: &LocalWrite{Kind: Policy, Subject: "1", Value: []byte(value), Token: token, Closes: closes}}
 	}
 	p.Apply(0, write("halt", "", true))
 	b.Apply(0, write("resume", p.Token(), false))
@@ -803,9 +803,9 @@
 // TestALifeThatHasYetToCallIsNotClosed: a token names a building's new life, and the top knows its old one.
 func TestALifeThatHasYetToCallIsNotClosed(t *testing.T) {
 	place := func(site string, life uint64) *Site {
-		return New(Place{Site: site, Level: 1, Life: life, Born: time.Duration(life), Above: []string{"p"}}, roomy)
+		return New(Place{Site: site, Level: 1, Incarnation: life, StoreCreated: time.Duration(life), Ancestors: []string{"p"}}, testLimits)
 	}
-	p, a := New(Place{Site: "p", Life: 1}, roomy), place("a", 1)
+	p, a := New(Place{Site: "p", Incarnation: 1}, testLimits), place("a", 1)
 	call := func(s *Site, f []Effect) {
 		b := &Batch{From: s.Self(), Seen: s.Seen()}
 		for _, e := range f {
@@ -814,10 +814,10 @@
 		p.Apply(0, Command{Batch: b})
 	}
 	write := func(s *Site, token string) []Effect {
-		return s.Apply(0, Command{Write: &Local{Kind: Work, Thing: "1", Value: []byte("done"), Token: token}})
+		return s.Apply(0, Command{Write: &LocalWrite{Kind: Work, Subject: "1", Value: []byte("done"), Token: token}})
 	}
 	r := place("r", 1)
-	p.Apply(0, Command{Batch: &Batch{From: r.Self(), Lives: []Home{{"b", 1, 1}}}}) // it heard of no later one
+	p.Apply(0, Command{Batch: &Batch{From: r.Self(), Incarnations: []SiteIncarnation{{"b", 1, 1}}}}) // it heard of no later one
 	b := place("b", 2)
 	named := write(b, "")
 	naming := write(a, b.Token())
@@ -827,6 +827,6 @@
 	assert.False(t, p.Judged().Has(naming[0].ID), "it waits for what it depends on")
 	call(r, named)
 	assert.True(t, p.Judged().Has(naming[0].ID))
-	_, not := p.Verdict(naming[0].ID)
+	_, not := p.Refusal(naming[0].ID)
 	assert.False(t, not, "nothing was lost")
 }
--- a/internal/choice/sitesync/upstream.go
+++ b/internal/choice/sitesync/sitesync.go
@@ -37,10 +37,10 @@
 // Origin is one life of one site: whoever loses its store begins another. Urgent writes count by themselves, or the number
 // would put them behind all that their site wrote before; and so does evidence, or others would stand behind it.
 type Origin struct {
-	Site     string `json:"site"`
-	Life     uint64 `json:"life"` // of the store, above those before it; never 0
-	Urgent   bool   `json:"urgent,omitempty"`
-	Evidence bool   `json:"evidence,omitempty"`
+	Site        string `json:"site"`
+	Incarnation uint64 `json:"life"` // of the store, above those before it; never 0
+	Urgent      bool   `json:"urgent,omitempty"`
+	Evidence    bool   `json:"evidence,omitempty"`
 }
 
 // lanes is how many origins each life of a site has: see Origin.lane.
@@ -48,11 +48,11 @@
 
 // Place is a site with the sites above it.
 type Place struct {
-	Site  string        `json:"site"`
-	Level int           `json:"level"`           // 0 is the province
-	Life  uint64        `json:"life"`            // of the store, above those before it; never 0
-	Born  time.Duration `json:"born"`            // Unix time when the store was made: the later of two lives is the one that lives
-	Above []string      `json:"above,omitempty"` // the parent first; none at the top
+	Site         string        `json:"site"`
+	Level        int           `json:"level"`           // 0 is the province
+	Incarnation  uint64        `json:"life"`            // of the store, above those before it; never 0
+	StoreCreated time.Duration `json:"born"`            // Unix time when the store was made: the later of two lives is the one that lives
+	Ancestors    []string      `json:"above,omitempty"` // the parent first; none at the top
 }
 
 // ID names a write: the number counts up from 1 within its origin, without gaps.
@@ -62,10 +62,10 @@
 }
 
 // Seen is a version vector: of each origin, up to which number its writes have been applied. Sorted by site and life.
-type Seen []Mark
+type VersionVector []VectorEntry
 
 // Mark is one entry of a vector.
-type Mark struct {
+type VectorEntry struct {
 	Origin Origin `json:"origin"`
 	Number uint64 `json:"number"`
 }
@@ -88,19 +88,19 @@
 
 // Write is something written at a site.
 type Write struct {
-	ID     ID            `json:"id"`
-	After  Seen          `json:"after,omitempty"` // what its writer had seen: applied before it; without what the origin's write before it named
-	Over   Seen          `json:"over,omitempty"`  // of After, what it was written over: the writes on this thing up to these
-	Needs  []ID          `json:"needs,omitempty"` // writes that it falls with, by its kind's rule
-	Kind   Kind          `json:"kind"`
-	Level  int           `json:"level"` // of the origin: 0 is the province
-	Thing  string        `json:"thing"` // what it is about: "host/g12", "policy/<hash>"; concurrent writes on one thing are settled
-	Value  []byte        `json:"value,omitempty"`
-	At     time.Duration `json:"at"` // Unix time, for people and for age; never for order
-	By     string        `json:"by,omitempty"`
-	Closes bool          `json:"closes,omitempty"` // ends the thing for good: what did not see it is refused
-	Born   time.Duration `json:"born,omitempty"`   // of the origin's first write: when its life began
-	Into   uint64        `json:"into,omitempty"`   // of evidence without thing and value: the later one of its origin that says it too
+	ID           ID            `json:"id"`
+	Dependencies VersionVector `json:"after,omitempty"` // what its writer had seen: applied before it; without what the origin's write before it named
+	Overwrites   VersionVector `json:"over,omitempty"`  // of After, what it was written over: the writes on this thing up to these
+	Needs        []ID          `json:"needs,omitempty"` // writes that it falls with, by its kind's rule
+	Kind         Kind          `json:"kind"`
+	Level        int           `json:"level"` // of the origin: 0 is the province
+	Subject      string        `json:"thing"` // what it is about: "host/g12", "policy/<hash>"; concurrent writes on one thing are settled
+	Value        []byte        `json:"value,omitempty"`
+	At           time.Duration `json:"at"` // Unix time, for people and for age; never for order
+	By           string        `json:"by,omitempty"`
+	Closes       bool          `json:"closes,omitempty"` // ends the thing for good: what did not see it is refused
+	StoreCreated time.Duration `json:"born,omitempty"`   // of the origin's first write: when its life began
+	MergedInto   uint64        `json:"into,omitempty"`   // of evidence without thing and value: the later one of its origin that says it too
 }
 
 // Outcome is what became of a write at the top of its way.
@@ -132,25 +132,25 @@
 }
 
 // Local is a write as it is handed in at its own site.
-type Local struct {
-	Kind   Kind   `json:"kind"`
-	Thing  string `json:"thing"`
-	Value  []byte `json:"value,omitempty"`
-	By     string `json:"by,omitempty"`
-	Urgent bool   `json:"urgent,omitempty"` // it goes before what it does not depend on: its thing, Needs and Token
-	Closes bool   `json:"closes,omitempty"` // at the top only
-	Needs  []ID   `json:"needs,omitempty"`
-	Token  string `json:"token,omitempty"` // of another site: see Site.Token
+type LocalWrite struct {
+	Kind    Kind   `json:"kind"`
+	Subject string `json:"thing"`
+	Value   []byte `json:"value,omitempty"`
+	By      string `json:"by,omitempty"`
+	Urgent  bool   `json:"urgent,omitempty"` // it goes before what it does not depend on: its thing, Needs and Token
+	Closes  bool   `json:"closes,omitempty"` // at the top only
+	Needs   []ID   `json:"needs,omitempty"`
+	Token   string `json:"token,omitempty"` // of another site: see Site.Token
 }
 
 // Command is one entry of the council's log about writes: one of the pointers is set, none for the time alone.
 type Command struct {
-	Write  *Local  `json:"write,omitempty"`
-	Offer  *Offer  `json:"offer,omitempty"` // by the leader, before writes leave the site
-	Batch  *Batch  `json:"batch,omitempty"` // from below
-	Down   *Down   `json:"down,omitempty"`  // from above
-	Limits *Limits `json:"limits,omitempty"`
-	Place  *Place  `json:"place,omitempty"` // other sites above, or another level
+	Write  *LocalWrite  `json:"write,omitempty"`
+	Offer  *Offer       `json:"offer,omitempty"` // by the leader, before writes leave the site
+	Batch  *Batch       `json:"batch,omitempty"` // from below
+	Down   *StateUpdate `json:"down,omitempty"`  // from above
+	Limits *Limits      `json:"limits,omitempty"`
+	Place  *Place       `json:"place,omitempty"` // other sites above, or another level
 }
 
 // Offer says that the site's own writes up to these numbers may be known elsewhere: they are not merged any more.
@@ -165,13 +165,13 @@
 
 // The effects.
 const (
-	EffectApplied EffectKind = iota // Write is applied here
-	EffectMerged                    // evidence was merged into the write of ID, which had not left yet
-	EffectReceipt                   // of a write of this site
-	EffectRefused                   // a command was refused; Err says it
-	EffectHeld                      // the write of ID waits for what it depends on
-	EffectLost                      // a life of a site has ended with its store; ID is the last write of it that is known
-	EffectOld                       // this store is older than what it has told before: ID is what is known of it above
+	EffectApplied          EffectKind = iota // Write is applied here
+	EffectMerged                             // evidence was merged into the write of ID, which had not left yet
+	EffectReceipt                            // of a write of this site
+	EffectRefused                            // a command was refused; Err says it
+	EffectHeld                               // the write of ID waits for what it depends on
+	EffectIncarnationEnded                   // a life of a site has ended with its store; ID is the last write of it that is known
+	EffectStaleStore                         // this store is older than what it has told before: ID is what is known of it above
 )
 
 // Effect is something that an application of a command brings.
@@ -184,9 +184,9 @@
 }
 
 // Settled is what holds of a thing.
-type Settled struct {
-	Write  Write   // the one that goes first
-	Value  []byte  // its value; of evidence, all merged
-	Beside []Write // concurrent ones that it was settled against; of notes, those that stand as well
-	Closed bool
+type Resolved struct {
+	Write      Write   // the one that goes first
+	Value      []byte  // its value; of evidence, all merged
+	Concurrent []Write // concurrent ones that it was settled against; of notes, those that stand as well
+	Closed     bool
 }
--- a/internal/choice/sitesync/vector.go
+++ b/internal/choice/sitesync/vector.go
@@ -13,7 +13,7 @@
 
 // Compare puts origins in their order.
 func (o Origin) Compare(p Origin) int {
-	return cmp.Or(cmp.Compare(o.Site, p.Site), cmp.Compare(o.Life, p.Life), cmp.Compare(o.lane(), p.lane()))
+	return cmp.Or(cmp.Compare(o.Site, p.Site), cmp.Compare(o.Incarnation, p.Incarnation), cmp.Compare(o.lane(), p.lane()))
 }
 
 // lane numbers the origins of a life: ordinary writes, urgent ones, evidence.
@@ -33,24 +33,24 @@
 }
 
 func (d ID) String() string {
-	return fmt.Sprintf("%s.%x%s/%d", d.Origin.Site, d.Origin.Life, [lanes]string{"", "!", "~"}[d.Origin.lane()], d.Number)
+	return fmt.Sprintf("%s.%x%s/%d", d.Origin.Site, d.Origin.Incarnation, [lanes]string{"", "!", "~"}[d.Origin.lane()], d.Number)
 }
 
 // Of returns up to which number an origin's writes are in.
-func (v Seen) Of(o Origin) uint64 {
-	if i, ok := slices.BinarySearchFunc(v, o, func(m Mark, o Origin) int { return m.Origin.Compare(o) }); ok {
+func (v VersionVector) Highest(o Origin) uint64 {
+	if i, ok := slices.BinarySearchFunc(v, o, func(m VectorEntry, o Origin) int { return m.Origin.Compare(o) }); ok {
 		return v[i].Number
 	}
 	return 0
 }
 
 // Has says whether a write is in.
-func (v Seen) Has(d ID) bool { return d.Number <= v.Of(d.Origin) }
+func (v VersionVector) Has(d ID) bool { return d.Number <= v.Highest(d.Origin) }
 
 // sound says whether a vector is sorted and names each origin once.
-func (v Seen) sound() bool {
+func (v VersionVector) valid() bool {
 	for i, m := range v {
-		if m.Origin.Site == "" || m.Origin.Life == 0 || m.Number == 0 || i > 0 && v[i-1].Origin.Compare(m.Origin) >= 0 {
+		if m.Origin.Site == "" || m.Origin.Incarnation == 0 || m.Number == 0 || i > 0 && v[i-1].Origin.Compare(m.Origin) >= 0 {
 			return false
 		}
 	}
@@ -71,50 +71,50 @@
 	return true
 }
 
-func (v vector) join(s Seen) {
+func (v vector) join(s VersionVector) {
 	for _, m := range s {
 		v.raise(m.Origin, m.Number)
 	}
 }
 
 // covers says whether all of s is in v.
-func (v vector) covers(s Seen) bool {
-	return !slices.ContainsFunc(s, func(m Mark) bool { return m.Number > v[m.Origin] })
+func (v vector) covers(s VersionVector) bool {
+	return !slices.ContainsFunc(s, func(m VectorEntry) bool { return m.Number > v[m.Origin] })
 }
 
 // list returns the vector in its order.
-func (v vector) list() Seen {
+func (v vector) list() VersionVector {
 	if len(v) == 0 {
 		return nil
 	}
-	s := make(Seen, 0, len(v))
+	s := make(VersionVector, 0, len(v))
 	for o, n := range v {
-		s = append(s, Mark{o, n})
+		s = append(s, VectorEntry{o, n})
 	}
-	slices.SortFunc(s, func(a, b Mark) int { return a.Origin.Compare(b.Origin) })
+	slices.SortFunc(s, func(a, b VectorEntry) int { return a.Origin.Compare(b.Origin) })
 	return s
 }
 
 // beyond returns the marks of v that base has not, in order.
-func (v vector) beyond(base vector) Seen {
-	var s Seen
+func (v vector) beyond(base vector) VersionVector {
+	var s VersionVector
 	for o, n := range v {
 		if n > base[o] {
-			s = append(s, Mark{o, n})
+			s = append(s, VectorEntry{o, n})
 		}
 	}
-	slices.SortFunc(s, func(a, b Mark) int { return a.Origin.Compare(b.Origin) })
+	slices.SortFunc(s, func(a, b VectorEntry) int { return a.Origin.Compare(b.Origin) })
 	return s
 }
 
 // Encode returns a vector as a token that a person can carry: text, with a check sum.
-func (v Seen) Encode() string {
+func (v VersionVector) Encode() string {
 	body, _ := json.Marshal(v) // strings and numbers: it cannot fail
 	return base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint64(body, xxhash.Sum64(body)))
 }
 
 // ParseToken reads what Encode returned. Errors are of type TokenError.
-func ParseToken(token string) (Seen, error) {
+func ParseToken(token string) (VersionVector, error) {
 	b, err := base64.RawURLEncoding.DecodeString(token)
 	switch {
 	case err != nil:
@@ -126,8 +126,8 @@
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(b[len(b)-8:]) {
 		return nil, &TokenError{"its check sum does not hold"}
 	}
-	var v Seen
-	if err := json.Unmarshal(body, &v); err != nil || !v.sound() {
+	var v VersionVector
+	if err := json.Unmarshal(body, &v); err != nil || !v.valid() {
 		return nil, &TokenError{"it is not a version vector"}
 	}
 	return v, nil
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -131,12 +131,12 @@
 	report Report
 	stop   error // why control has stopped; nil while it works
 
-	writes    *sitesync.Site         // nil until the site's place is agreed on
-	courier   *sitesync.Courier      // of a leader with sites above
-	teller    *sitesync.Teller       // of a leader
-	callers   map[sitesync.Home]bool // that have called this leader
-	taking    map[string]int         // calls whose writes are being agreed on, by site
-	calling   string                 // the site above that a call is out to
+	writes    *sitesync.Site                    // nil until the site's place is agreed on
+	courier   *sitesync.Forwarder               // of a leader with sites above
+	teller    *sitesync.CreditScheduler         // of a leader
+	callers   map[sitesync.SiteIncarnation]bool // that have called this leader
+	taking    map[string]int                    // calls whose writes are being agreed on, by site
+	calling   string                            // the site above that a call is out to
 	calls     uint64
 	callUntil time.Duration
 	calledAt  time.Duration
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -316,7 +316,7 @@
 func TestABanComesFromWhatWasWritten(t *testing.T) {
 	a := newAlone(t)
 	for _, value := range []string{"out smoke", "back"} {
-		a.core.Write(a.now, sitesync.Local{Kind: sitesync.Safety, Thing: "host/b", Value: []byte(value)}, func(_ Reply, err error) {
+		a.core.Write(a.now, sitesync.LocalWrite{Kind: sitesync.Safety, Subject: "host/b", Value: []byte(value)}, func(_ Reply, err error) {
 			require.NoError(t, err)
 		})
 		a.pass(3 * time.Second)
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -96,7 +96,7 @@
 func (c *Core) Top() *rollout.Top { return c.policies.top }
 
 // isTop says whether this node's site is the top of the line, as far as its log says.
-func (c *Core) isTop() bool { return c.writes != nil && len(c.writes.Self().Above) == 0 }
+func (c *Core) isTop() bool { return c.writes != nil && len(c.writes.Self().Ancestors) == 0 }
 
 // holdPolicies begins with what the node kept: one more start is counted under a trial, durably, before anything is served.
 func (c *Core) holdPolicies(now time.Duration) error {
@@ -306,7 +306,7 @@
 	if err != nil || r.Node != node || r.Told <= told {
 		return told
 	}
-	cmd := sitesync.Command{Write: &sitesync.Local{Kind: sitesync.Evidence, Thing: rollout.Thing(node), Value: record, By: node}}
+	cmd := sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.Thing(node), Value: record, By: node}}
 	if c.writes.Check(cmd) == nil { // a full queue takes no evidence: it is missing, and that is no health
 		p.writes[node] = true
 		c.proposeWrite(now, written{Command: &cmd}, func(Reply, error) { delete(p.writes, node) })
@@ -407,7 +407,7 @@
 	}
 	refused := c.tellAll(top.Apply(index, cmd))
 	if r := cmd.Resume; r != nil && refused == nil && c.halted(r.ID) { // where it was halted by sites below
-		c.writes.Apply(cmd.At, sitesync.Command{Write: &sitesync.Local{Kind: sitesync.Policy, Thing: rollout.HaltThing(r.ID),
+		c.writes.Apply(cmd.At, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: rollout.HaltThing(r.ID),
 			Value: []byte(backWord + r.Why), By: r.By}})
 	}
 	if cmd.Evidence == nil && cmd.Seen == nil && cmd.Close == nil && cmd.Away == nil && cmd.Back == nil {
@@ -423,7 +423,7 @@
 			continue
 		}
 		w := f.Write
-		if node, is := strings.CutPrefix(w.Thing, rollout.Thing("")); is && w.Kind == sitesync.Evidence {
+		if node, is := strings.CutPrefix(w.Subject, rollout.Thing("")); is && w.Kind == sitesync.Evidence {
 			r, err := rollout.ParseRecord(w.Value)
 			if err != nil || r.Node != node {
 				continue
@@ -433,7 +433,7 @@
 				c.tellAll(c.policies.top.Record(index, at, r))
 			}
 		}
-		id, is := strings.CutPrefix(w.Thing, rollout.HaltThing(""))
+		id, is := strings.CutPrefix(w.Subject, rollout.HaltThing(""))
 		if why, halts := strings.CutPrefix(string(w.Value), haltWord); is && halts && w.Kind == sitesync.Policy && c.policies.top != nil &&
 			w.ID.Origin.Site != c.Site.Own.Name {
 			c.tellAll(c.policies.top.Apply(index, rollout.Command{At: at, Halt: &rollout.Halt{ID: id, Cause: rollout.Operator,
@@ -469,7 +469,7 @@
 		if v, any := c.writes.Value(sitesync.Policy, thing); any && string(v.Value) == string(value) {
 			continue
 		}
-		for _, f := range c.writes.Apply(at, sitesync.Command{Write: &sitesync.Local{Kind: sitesync.Policy, Thing: thing, Value: value,
+		for _, f := range c.writes.Apply(at, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: thing, Value: value,
 			By: "the plan"}}) {
 			if f.Kind == sitesync.EffectRefused && c.leading {
 				c.env.Tell("a site cannot be told what its nodes are to go by", "site", s, "error", f.Err)
@@ -573,7 +573,7 @@
 		done(Reply{}, &rollout.Refusal{Why: "who halts it and why are wanted", Do: "tell both"})
 		return
 	}
-	c.Write(now, sitesync.Local{Kind: sitesync.Policy, Thing: rollout.HaltThing(id), Value: []byte(haltWord + why), By: by, Urgent: true}, done)
+	c.Write(now, sitesync.LocalWrite{Kind: sitesync.Policy, Subject: rollout.HaltThing(id), Value: []byte(haltWord + why), By: by, Urgent: true}, done)
 }
 
 // Policies tells what this site's nodes go by, and at the top how rollouts stand. Another node than a seat asks the leader.
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -387,7 +387,7 @@
 		done(nil, &OwnError{Thing: q.Thing})
 		return
 	}
-	local := sitesync.Local{Kind: kind, Thing: q.Thing, Value: []byte(q.Value), By: q.By, Urgent: q.Urgent, Token: q.Token}
+	local := sitesync.LocalWrite{Kind: kind, Subject: q.Thing, Value: []byte(q.Value), By: q.By, Urgent: q.Urgent, Token: q.Token}
 	if !d.Do(func() {
 		d.core.Write(d.loop.Now(), local, func(r Reply, err error) {
 			if p := d.leaderOf(err, q.Forwarded); p != nil {
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -23,10 +23,10 @@
 	// pace is how a site's leader calls those above: a poll is how late a decision of theirs comes at most, and a nearer
 	// site is tried again as often as a far one is bothered in its place. Before any answer was measured one is waited for as long
 	// as TCP does (RFC 6298). The most is more than a peer takes to answer at all (peer.Limits.Within) and its client waits.
-	pace = sitesync.Pace{Poll: time.Second, Retry: 200 * time.Millisecond, Longest: 5 * time.Second, Failures: 3, Back: 2 * time.Second,
-		First: time.Second, Most: 8 * time.Second}
+	pace = sitesync.Timing{PollInterval: time.Second, RetryDelay: 200 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 3, ReturnInterval: 2 * time.Second,
+		InitialTimeout: time.Second, MaxTimeout: 8 * time.Second}
 	// budget is what a leader takes from below; see docs/design/upstream.md for the storm that it was measured with.
-	budget = sitesync.Budget{Rate: 8000, Batch: 256, Most: time.Second, Urgent: 8, Live: 256}
+	budget = sitesync.Budget{Rate: 8000, Batch: 256, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: 256}
 )
 
 const (
@@ -86,7 +86,7 @@
 	}
 	if err == nil && s.Writes != nil {
 		if c.writes, err = sitesync.Decode(s.Writes, MergeEvidence); err == nil {
-			c.writes.Keeping(rollout.Brief)
+			c.writes.WithRetention(rollout.Brief)
 		}
 	}
 	if err == nil && s.Policies != nil {
@@ -119,7 +119,7 @@
 	c.stamp = max(c.stamp, e.At)
 	if e.Place != nil {
 		if c.writes == nil {
-			c.writes = sitesync.New(*e.Place, e.Limits).Merging(MergeEvidence).Keeping(rollout.Brief)
+			c.writes = sitesync.New(*e.Place, e.Limits).WithMerge(MergeEvidence).WithRetention(rollout.Brief)
 			c.crown()
 		}
 		return nil, nil
@@ -142,9 +142,9 @@
 				c.env.Tell("a write of this site was not simply taken", "write", r.ID.String(), "outcome", r.Outcome.String(),
 					"why", r.Why, "by", r.Site)
 			}
-		case sitesync.EffectLost:
+		case sitesync.EffectIncarnationEnded:
 			c.env.Tell("a site has lost its store; what it wrote and did not send is lost", "last known write", f.ID.String())
-		case sitesync.EffectOld:
+		case sitesync.EffectStaleStore:
 			c.env.Tell("this site's writes are older than what it told before: an old store was put back", "known above", f.ID.String())
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 // Write commits a write of this site. done is called once, with an *ElsewhereError where another node leads.
-func (c *Core) Write(now time.Duration, l sitesync.Local, done func(Reply, error)) {
+func (c *Core) Write(now time.Duration, l sitesync.LocalWrite, done func(Reply, error)) {
 	switch {
 	case c.stop != nil:
 		done(Reply{}, c.stop)
@@ -174,7 +174,7 @@
 			done(Reply{}, err)
 			return
 		}
-		c.tell().Live(now)
+		c.tell().CountLocalWrite(now)
 		c.proposeWrite(now, written{Command: &cmd}, done)
 		c.drive(now)
 	default:
@@ -191,9 +191,9 @@
 }
 
 // tell returns the leader's teller.
-func (c *Core) tell() *sitesync.Teller {
+func (c *Core) tell() *sitesync.CreditScheduler {
 	if c.teller == nil {
-		c.teller, c.callers, c.taking = sitesync.NewTeller(budget), map[sitesync.Home]bool{}, map[string]int{}
+		c.teller, c.callers, c.taking = sitesync.NewCreditScheduler(budget), map[sitesync.SiteIncarnation]bool{}, map[string]int{}
 	}
 	return c.teller
 }
@@ -244,8 +244,8 @@
 	if own := c.writes.Unoffered(); own != nil {
 		c.proposeWrite(now, written{Command: own}, nil)
 	}
-	caller := sitesync.Home{Site: b.From.Site, Life: b.From.Life}
-	if len(b.Writes) == 0 && c.callers[caller] && !c.writes.News(b) {
+	caller := sitesync.SiteIncarnation{Site: b.From.Site, Incarnation: b.From.Incarnation}
+	if len(b.Writes) == 0 && c.callers[caller] && !c.writes.HasNews(b) {
 		answer()
 		return
 	}
@@ -270,8 +270,8 @@
 	}
 	if c.courier == nil {
 		p := pace
-		p.Least = leastTicks * c.Site.Tick
-		c.courier = sitesync.NewCourier(func() *sitesync.Site { return c.writes }, p)
+		p.MinTimeout = leastTicks * c.Site.Tick
+		c.courier = sitesync.NewForwarder(func() *sitesync.Site { return c.writes }, p)
 		c.upAt = map[string]int{}
 	}
 	if c.calling != "" && now >= c.callUntil {
@@ -290,7 +290,7 @@
 			continue
 		}
 		c.calls++
-		within := c.courier.Patience()
+		within := c.courier.CallTimeout()
 		c.calling, c.calledAt, c.callUntil = to, now, now+within
 		c.env.SendReplay(g.Seats[c.upAt[to]%len(g.Seats)], c.calls, within, &peerpb.ReplayRequest{Site: c.Site.Own.Name, Batch: b.Bytes()})
 		return
@@ -310,7 +310,7 @@
 		}
 		if i := seatOf(c.Site.Above, to, r.GetLeader()); i >= 0 {
 			c.upAt[to], c.calling = i, ""
-			c.courier.Elsewhere(now)
+			c.courier.Redirected(now)
 			c.drive(now)
 			return
 		}
@@ -363,10 +363,10 @@
 // begin returns the entry that a site's writes begin with. It may be the first that is stamped.
 func (c *Core) begin(now time.Duration) written {
 	born := max(c.stamp, now)
-	p := &sitesync.Place{Site: c.Site.Own.Name, Level: c.Site.Own.Level, Born: born,
-		Life: uint64(born/time.Microsecond)<<8 | c.Run&0xff | 1} // rises, and no two are alike
+	p := &sitesync.Place{Site: c.Site.Own.Name, Level: c.Site.Own.Level, StoreCreated: born,
+		Incarnation: uint64(born/time.Microsecond)<<8 | c.Run&0xff | 1} // rises, and no two are alike
 	for _, g := range c.Site.Above {
-		p.Above = append(p.Above, g.Name)
+		p.Ancestors = append(p.Ancestors, g.Name)
 	}
 	limits := c.Site.Upstream
 	if limits.Held == 0 {
@@ -404,7 +404,7 @@
 		}
 		if c.writes.Judged().Has(d) {
 			r.Receipt = sitesync.Applied.String()
-			if v, not := c.writes.Verdict(d); not {
+			if v, not := c.writes.Refusal(d); not {
 				r.Receipt, r.Why = v.Outcome.String(), v.Why
 			}
 		}
@@ -420,7 +420,7 @@
 	if ok && dot > 0 {
 		life := head[dot+1:]
 		d.Origin.Site, d.Origin.Urgent, d.Origin.Evidence = head[:dot], strings.HasSuffix(life, "!"), strings.HasSuffix(life, "~")
-		if d.Origin.Life, err = strconv.ParseUint(strings.TrimRight(life, "!~"), 16, 64); err == nil {
+		if d.Origin.Incarnation, err = strconv.ParseUint(strings.TrimRight(life, "!~"), 16, 64); err == nil {
 			d.Number, err = strconv.ParseUint(number, 10, 64)
 		}
 	}
--- a/internal/control/writes_test.go
+++ b/internal/control/writes_test.go
@@ -35,14 +35,14 @@
 		assert.Equal(t, c.ok, err == nil, "%q %q: %v", c.a, c.b, err)
 	}
 	c := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
-	_, err = c.write(1, written{Place: &sitesync.Place{Site: "b", Level: 2, Life: 1, Above: []string{"p"}},
+	_, err = c.write(1, written{Place: &sitesync.Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"p"}},
 		Limits: sitesync.Limits{Bytes: 1 << 20, Number: 100, Batch: 9}})
 	require.NoError(t, err)
 	for told := range uint64(3) {
 		raw, err := c.encode()
 		require.NoError(t, err)
 		require.NoError(t, c.decode(raw))
-		l := &sitesync.Local{Kind: sitesync.Evidence, Thing: rollout.Thing("n"), Value: record("n", told+1)}
+		l := &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.Thing("n"), Value: record("n", told+1)}
 		_, err = c.write(1, written{Command: &sitesync.Command{Write: l}})
 		require.NoError(t, err)
 	}
@@ -69,8 +69,8 @@
 // ofNodes is the top above a site each of whose nodes has told its record so many times.
 func ofNodes(nodes, times int) (*Core, error) {
 	c := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
-	_, err := c.write(1, written{Place: &sitesync.Place{Site: "p", Life: 1}, Limits: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Batch: 256}})
-	from := sitesync.Origin{Site: "b", Life: 1, Evidence: true}
+	_, err := c.write(1, written{Place: &sitesync.Place{Site: "p", Incarnation: 1}, Limits: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Batch: 256}})
+	from := sitesync.Origin{Site: "b", Incarnation: 1, Evidence: true}
 	tree := rollout.Tree{Sites: []rollout.Site{{Name: "p"}, {Name: "b", Parent: "p"}}}
 	for i := range nodes {
 		tree.Sites[1].Nodes = append(tree.Sites[1].Nodes, rollout.Place{Name: fmt.Sprint("n", i), Zone: "z"})
@@ -82,9 +82,9 @@
 		for _, place := range tree.Sites[1].Nodes {
 			n := place.Name
 			number++
-			w := sitesync.Write{ID: sitesync.ID{Origin: from, Number: number}, Kind: sitesync.Evidence, Level: 1, Thing: rollout.Thing(n),
+			w := sitesync.Write{ID: sitesync.ID{Origin: from, Number: number}, Kind: sitesync.Evidence, Level: 1, Subject: rollout.Thing(n),
 				Value: full(n, t+1, 4*t+1)}
-			b := &sitesync.Batch{From: sitesync.Place{Site: "b", Level: 1, Life: 1}, Writes: []sitesync.Write{w}}
+			b := &sitesync.Batch{From: sitesync.Place{Site: "b", Level: 1, Incarnation: 1}, Writes: []sitesync.Write{w}}
 			if _, refused := c.write(number+2, written{Command: &sitesync.Command{Batch: b}}); refused != nil {
 				return nil, refused
 			}
@@ -112,7 +112,7 @@
 		v, _ := seat.writes.Value(sitesync.Evidence, rollout.Thing("n1"))
 		assert.Equal(t, string(record("n1", 4)), string(v.Value))
 		assert.Equal(t, uint64(4), seat.recorded(0, "n1", nil), "a new leader knows how far the node has told")
-		l := &sitesync.Local{Kind: sitesync.Evidence, Thing: rollout.Thing("n1"), Value: full("n1", 9, 17)} // of the top's own site
+		l := &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.Thing("n1"), Value: full("n1", 9, 17)} // of the top's own site
 		f, refused := seat.write(99, written{Command: &sitesync.Command{Write: l}})
 		require.NoError(t, refused)
 		assert.Equal(t, string(full("n1", 9, 17)), string(f[0].Write.Value), "what is handed over is whole")
@@ -144,7 +144,7 @@
 func TestAQuestionIsAnsweredAtOnce(t *testing.T) {
 	a := newAlone(t)
 	call := func(b sitesync.Batch) (got *sitesync.Answer, r *peerpb.ReplayReply) {
-		b.From = sitesync.Place{Site: "b", Level: 1, Life: 1}
+		b.From = sitesync.Place{Site: "b", Level: 1, Incarnation: 1}
 		a.core.Replay(a.now, &peerpb.ReplayRequest{Site: "b", Batch: b.Bytes()}, func(reply *peerpb.ReplayReply) { r = reply })
 		require.NotNil(t, r)
 		got, err := sitesync.ParseAnswer(r.Answer)
@@ -158,12 +158,12 @@
 	assert.Nil(t, got.Down)
 	assert.Nil(t, r.AgeUs, "what holds there is not known here by it")
 	assert.Equal(t, 1, got.Credit)
-	w := sitesync.Write{ID: sitesync.ID{Origin: sitesync.Origin{Site: "b", Life: 1}, Number: 1}, Kind: sitesync.Note, Thing: "x", Value: []byte("x")}
+	w := sitesync.Write{ID: sitesync.ID{Origin: sitesync.Origin{Site: "b", Incarnation: 1}, Number: 1}, Kind: sitesync.Note, Subject: "x", Value: []byte("x")}
 	call(sitesync.Batch{Writes: []sitesync.Write{w}})
 	assert.Zero(t, a.core.taking["b"], "a council of one agrees at once")
 	a.core.taking["b"]++
-	got, _ = call(sitesync.Batch{Probe: true, Waiting: 1, Asks: []sitesync.Origin{w.ID.Origin}})
+	got, _ = call(sitesync.Batch{Probe: true, Waiting: 1, Queries: []sitesync.Origin{w.ID.Origin}})
 	assert.True(t, got.Working)
 	assert.Zero(t, got.Credit)
-	assert.Equal(t, uint64(1), got.Seen.Of(w.ID.Origin))
+	assert.Equal(t, uint64(1), got.Seen.Highest(w.ID.Origin))
 }
--- a/rehearsal/province/figures_test.go
+++ b/rehearsal/province/figures_test.go
@@ -94,7 +94,7 @@
 		}
 		w.after(200*time.Millisecond, own)
 		s, at, after := w.leads(top), w.now, healed > 0
-		l := sitesync.Local{Kind: sitesync.Note, Thing: "note/top", Value: []byte("seen"), By: "staff"}
+		l := sitesync.LocalWrite{Kind: sitesync.Note, Subject: "note/top", Value: []byte("seen"), By: "staff"}
 		s.core.Write(s.clock(), l, func(_ control.Reply, err error) {
 			switch took := w.now - at; {
 			case err != nil:
@@ -118,7 +118,7 @@
 				s := w.leads(p)
 				x := &write{number: len(w.writes) + 1, site: p, subject: subject{sitesync.Note, fmt.Sprintf("note/%d", i%20)}}
 				w.writes = append(w.writes, x)
-				x.local = sitesync.Local{Kind: x.kind, Thing: x.thing, Value: fmt.Appendf(nil, "seen w%d", x.number), By: "staff"}
+				x.local = sitesync.LocalWrite{Kind: x.kind, Subject: x.thing, Value: fmt.Appendf(nil, "seen w%d", x.number), By: "staff"}
 				w.handIn(x, s, false)
 				todo[p] = append(todo[p], x)
 			})
--- a/rehearsal/province/lost_test.go
+++ b/rehearsal/province/lost_test.go
@@ -60,7 +60,7 @@
 		cut(lost, lost.up)
 	}
 	writes := func(p, from *place) *write {
-		return w.write(p, p.nodes[0], subject{sitesync.Work, "work/0"}, sitesync.Local{Value: []byte("done")}, from, false)
+		return w.write(p, p.nodes[0], subject{sitesync.Work, "work/0"}, sitesync.LocalWrite{Value: []byte("done")}, from, false)
 	}
 	w.until(5 * time.Second)
 	if s.round {
--- a/rehearsal/province/writers.go
+++ b/rehearsal/province/writers.go
@@ -23,7 +23,7 @@
 	number int // in this world, from 1; it stands at the end of the value
 	site   *place
 	subject
-	local  sitesync.Local
+	local  sitesync.LocalWrite
 	over   *write // what held of its thing there when it was written
 	saw    []*write
 	agreed bool // its writer was told so
@@ -76,7 +76,7 @@
 		if !token || from == p || w.reader(from) == nil || p.up == nil && w.Seed%2 == 0 {
 			from = nil // at a top in every other world only: what is below it may then hold what it names too early
 		}
-		w.write(p, n, s, sitesync.Local{Value: []byte(word), Urgent: urgent}, from, needs)
+		w.write(p, n, s, sitesync.LocalWrite{Value: []byte(word), Urgent: urgent}, from, needs)
 	}
 }
 
@@ -84,7 +84,7 @@
 func (w *World) closing(p *place) {
 	n := p.nodes[w.rng.IntN(len(p.nodes))]
 	s := subject{sitesync.Policy, "policy/0"}
-	x := w.write(p, n, s, sitesync.Local{Value: []byte("halt"), Closes: true}, nil, false)
+	x := w.write(p, n, s, sitesync.LocalWrite{Value: []byte("halt"), Closes: true}, nil, false)
 	w.after(6*time.Second, func() {
 		if !x.agreed && w.now < w.For+w.Quiet/2 {
 			w.closing(p)
@@ -93,11 +93,11 @@
 }
 
 // write hands a write in at a node, which passes it on to the leader it knows, once, as the desk does.
-func (w *World) write(p *place, n *node, s subject, l sitesync.Local, from *place, needs bool) *write {
+func (w *World) write(p *place, n *node, s subject, l sitesync.LocalWrite, from *place, needs bool) *write {
 	w.look(p)
 	x := &write{number: len(w.writes) + 1, site: p, subject: s, over: p.shown[s]}
 	w.writes = append(w.writes, x)
-	l.Kind, l.Thing, l.By = s.kind, s.thing, "staff"
+	l.Kind, l.Subject, l.By = s.kind, s.thing, "staff"
 	l.Value = fmt.Appendf(l.Value, " w%d", x.number)
 	if !l.Urgent {
 		x.sees(w, p)
@@ -119,7 +119,7 @@
 		l.Needs = []sitesync.ID{last.id}
 	}
 	x.local = l
-	w.say(fmt.Sprintf("%s writes %s of %s at %s; urgent %v, token %v", p.name, l.Value, l.Thing, n.name, l.Urgent, from != nil))
+	w.say(fmt.Sprintf("%s writes %s of %s at %s; urgent %v, token %v", p.name, l.Value, l.Subject, n.name, l.Urgent, from != nil))
 	w.handIn(x, n, false)
 	return x
 }
@@ -171,7 +171,7 @@
 // agreed notes that a writer was told that its write is agreed on.
 func (w *World) agreed(x *write, r control.Reply) {
 	for _, f := range r.Effects {
-		if f.Write != nil && f.Kind == sitesync.EffectApplied && f.Write.Thing == x.thing && numbered(string(f.Write.Value)) == x.number {
+		if f.Write != nil && f.Kind == sitesync.EffectApplied && f.Write.Subject == x.thing && numbered(string(f.Write.Value)) == x.number {
 			x.agreed, x.at, x.id = true, w.now, f.Write.ID
 		}
 	}
@@ -211,7 +211,7 @@
 		}
 		for _, s := range w.things[:w.Hand] {
 			if _, out := p.out[s.thing]; out {
-				w.write(p, p.nodes[w.rng.IntN(len(p.nodes))], s, sitesync.Local{Value: []byte("back")}, nil, false)
+				w.write(p, p.nodes[w.rng.IntN(len(p.nodes))], s, sitesync.LocalWrite{Value: []byte("back")}, nil, false)
 			}
 		}
 	}
--- a/rehearsal/upstreammodel/model.go
+++ b/rehearsal/upstreammodel/model.go
@@ -149,15 +149,15 @@
 }
 
 func place(site int, life uint64) sitesync.Place {
-	p := sitesync.Place{Site: names[site], Level: sites - 1 - site, Life: life, Born: 1}
-	p.Above = append(p.Above, names[site+1:]...)
+	p := sitesync.Place{Site: names[site], Level: sites - 1 - site, Incarnation: life, StoreCreated: 1}
+	p.Ancestors = append(p.Ancestors, names[site+1:]...)
 	if life > 1 {
-		p.Born = 2
+		p.StoreCreated = 2
 	}
 	return p
 }
 
-func fresh(p sitesync.Place) *sitesync.Site { return sitesync.New(p, limits).Merging(addUp) }
+func fresh(p sitesync.Place) *sitesync.Site { return sitesync.New(p, limits).WithMerge(addUp) }
 
 // addUp merges evidence that is one byte.
 func addUp(a, b []byte) ([]byte, error) {
@@ -242,7 +242,7 @@
 	}
 	p := place(building, life)
 	if m.plant.unborn {
-		p.Born = 0
+		p.StoreCreated = 0
 	}
 	s.nodes[building] = nodeOf(fresh(p))
 	s.known[building] = [sites][]byte{}
@@ -281,7 +281,7 @@
 	}
 	if l.Urgent {
 		for j, x := range m.Scenario.Writes {
-			if s.held[w.Site].has(j) && x.Local.Kind == l.Kind && x.Local.Thing == l.Thing {
+			if s.held[w.Site].has(j) && x.Local.Kind == l.Kind && x.Local.Subject == l.Subject {
 				past |= 1<<j | s.truths[j].past
 			}
 		}
@@ -319,7 +319,7 @@
 	f := site.Apply(1, c)
 	s.nodes[at] = nodeOf(site)
 	// What a site held is told from what it had seen; what came through a state is covered at once.
-	if d := c.Down; d == nil || !d.Last || slices.ContainsFunc(d.Seen, func(k sitesync.Mark) bool {
+	if d := c.Down; d == nil || !d.Last || slices.ContainsFunc(d.Seen, func(k sitesync.VectorEntry) bool {
 		return !site.Seen().Has(sitesync.ID{Origin: k.Origin, Number: k.Number})
 	}) {
 		holds = 0 // it was not joined
@@ -344,14 +344,14 @@
 				if s.truths[i].id.Number == 0 { // it is being made
 					s.truths[i].id = e.ID
 				}
-				if s.truths[i].id.Origin.Life != e.ID.Origin.Life {
+				if s.truths[i].id.Origin.Incarnation != e.ID.Origin.Incarnation {
 					s.bad |= 1 << badLives
 				}
 				if s.held[at].has(i) {
 					s.bad |= 1 << badTwice
 				}
 				for j := range s.truths {
-					if _, refused := site.Verdict(s.truths[j].id); refused && s.made.has(j) {
+					if _, refused := site.Refusal(s.truths[j].id); refused && s.made.has(j) {
 						had |= 1 << j
 					}
 				}
@@ -414,10 +414,10 @@
 		m.plant.batch(b)
 	}
 	if m.plant.cutOnSend && len(b.Writes) > 0 {
-		d := &sitesync.Down{From: names[to], Life: 1, To: site.Self().Life}
+		d := &sitesync.StateUpdate{From: names[to], Incarnation: 1, To: site.Self().Incarnation}
 		for _, w := range b.Writes {
 			if w.ID.Origin.Site == names[from] {
-				d.Judged = sitesync.Seen{{Origin: w.ID.Origin, Number: w.ID.Number}}
+				d.Judged = sitesync.VersionVector{{Origin: w.ID.Origin, Number: w.ID.Number}}
 			}
 		}
 		m.apply(s, from, sitesync.Command{Down: d}, 0)
@@ -514,12 +514,12 @@
 		panic(err)
 	}
 	if m.plant.anyLife {
-		a.Down.To = s.nodes[msg.to].site.Self().Life
+		a.Down.To = s.nodes[msg.to].site.Self().Incarnation
 	}
-	if a.Down.To != s.nodes[msg.to].site.Self().Life {
+	if a.Down.To != s.nodes[msg.to].site.Self().Incarnation {
 		return // the courier that called is gone with the store
 	}
-	known := sitesync.Seen{}
+	known := sitesync.VersionVector{}
 	if b := s.known[msg.to][msg.from]; b != nil {
 		known, _ = sitesync.ParseToken(string(b))
 	}
@@ -530,15 +530,15 @@
 }
 
 // joined returns a vector with all of two.
-func joined(a, b sitesync.Seen) sitesync.Seen {
+func joined(a, b sitesync.VersionVector) sitesync.VersionVector {
 	list := slices.Concat(a, b)
-	slices.SortFunc(list, func(x, y sitesync.Mark) int {
+	slices.SortFunc(list, func(x, y sitesync.VectorEntry) int {
 		if c := x.Origin.Compare(y.Origin); c != 0 {
 			return c
 		}
 		return int(y.Number) - int(x.Number)
 	})
-	return slices.CompactFunc(list, func(x, y sitesync.Mark) bool { return x.Origin == y.Origin })
+	return slices.CompactFunc(list, func(x, y sitesync.VectorEntry) bool { return x.Origin == y.Origin })
 }
 
 // reach is a site for one call.
@@ -549,11 +549,11 @@
 
 // call makes the call that the site's courier would, given what it knows of the other site and has credit for.
 func (r reach) call(known []byte, credit int) *sitesync.Batch {
-	c := sitesync.NewCourierTo(func() *sitesync.Site { return r.site }, sitesync.Pace{Failures: 9}, r.to)
+	c := sitesync.NewForwarderTo(func() *sitesync.Site { return r.site }, sitesync.Timing{MaxFailures: 9}, r.to)
 	if _, hello, _ := c.Next(0); hello == nil {
 		panic("upstreammodel: a courier makes no first call")
 	}
-	a := &sitesync.Answer{From: r.to, Life: 1, Credit: credit}
+	a := &sitesync.Answer{From: r.to, Incarnation: 1, Credit: credit}
 	if known != nil {
 		a.Seen, _ = sitesync.ParseToken(string(known))
 	}
@@ -582,7 +582,7 @@
 	for i := range s.truths {
 		t := &s.truths[i]
 		to = binary.BigEndian.AppendUint16(to, uint16(t.past))
-		to = append(to, byte(t.id.Number), byte(t.id.Origin.Life), byte(t.merged), byte(len(s.judged[i])))
+		to = append(to, byte(t.id.Number), byte(t.id.Origin.Incarnation), byte(t.merged), byte(len(s.judged[i])))
 		to = append(to, s.judged[i]...)
 	}
 	for _, t := range [3]tags{s.made, s.gone, s.out} {
@@ -637,16 +637,16 @@
 		b := m.courier(s, from, to, 9)
 		call := b.Bytes()
 		a, holds := m.called(s, to, call)
-		known := sitesync.Seen{}
+		known := sitesync.VersionVector{}
 		if k := s.known[from][to]; k != nil {
 			known, _ = sitesync.ParseToken(string(k))
 		}
 		s.known[from][to] = []byte(joined(known, a.Seen).Encode())
-		var down *sitesync.Down
+		var down *sitesync.StateUpdate
 		for !a.Down.Last { // the further pieces
 			down = m.pieces(down, a.Down)
 			more := *b
-			more.Writes, more.Cursor = nil, sitesync.Cursor{Life: a.Life, At: down.Until}
+			more.Writes, more.Cursor = nil, sitesync.Cursor{Incarnation: a.Incarnation, At: down.Until}
 			a, holds = m.called(s, to, more.Bytes())
 		}
 		m.apply(s, from, sitesync.Command{Down: m.pieces(down, a.Down)}, holds)
@@ -657,10 +657,10 @@
 }
 
 // pieces puts a piece of a state behind those before it, as a courier does.
-func (m *Model) pieces(before, d *sitesync.Down) *sitesync.Down {
+func (m *Model) pieces(before, d *sitesync.StateUpdate) *sitesync.StateUpdate {
 	if before != nil {
 		d.After = before.After
-		d.Things = slices.Concat(before.Things, d.Things)
+		d.Subjects = slices.Concat(before.Subjects, d.Subjects)
 		d.Writes = slices.Concat(before.Writes, d.Writes)
 		if !m.plant.pieces {
 			d.Refused = slices.Concat(before.Refused, d.Refused)
@@ -680,20 +680,20 @@
 		}
 		bad |= m.ownEvidence(s, i)
 		for t := range s.truths { // what was not taken is known everywhere
-			_, a := top.Verdict(s.truths[t].id)
-			if _, b := x.Verdict(s.truths[t].id); a != b {
+			_, a := top.Refusal(s.truths[t].id)
+			if _, b := x.Refusal(s.truths[t].id); a != b {
 				bad |= 1 << badSame
 			}
 		}
 		for k := sitesync.Note; int(k) < sitesync.Kinds; k++ {
-			if !slices.Equal(top.Things(k), x.Things(k)) {
+			if !slices.Equal(top.Subjects(k), x.Subjects(k)) {
 				bad |= 1 << badSame
 				continue
 			}
-			for _, name := range top.Things(k) {
+			for _, name := range top.Subjects(k) {
 				a, _ := top.Value(k, name)
 				b, _ := x.Value(k, name)
-				if a.Write.ID != b.Write.ID || !bytes.Equal(a.Value, b.Value) || len(a.Beside) != len(b.Beside) {
+				if a.Write.ID != b.Write.ID || !bytes.Equal(a.Value, b.Value) || len(a.Concurrent) != len(b.Concurrent) {
 					bad |= 1 << badSame
 				}
 			}
@@ -715,13 +715,13 @@
 	want := map[string]byte{}
 	for i, w := range m.Scenario.Writes {
 		if w.Local.Kind == sitesync.Evidence && s.made.has(i) && w.Site == at && (at != building || w.afterLoss == s.lost) {
-			want[w.Local.Thing] += w.Local.Value[0]
+			want[w.Local.Subject] += w.Local.Value[0]
 		}
 	}
 	site := s.nodes[at].site
-	held := site.Things(sitesync.Evidence)
+	held := site.Subjects(sitesync.Evidence)
 	for _, name := range held {
-		if v, _ := site.Value(sitesync.Evidence, name); len(v.Value) != 1 || v.Value[0] != want[name] || len(v.Beside) > 0 {
+		if v, _ := site.Value(sitesync.Evidence, name); len(v.Value) != 1 || v.Value[0] != want[name] || len(v.Concurrent) > 0 {
 			bad |= 1 << badSame
 		}
 	}
@@ -746,9 +746,9 @@
 		}
 	}
 	for k := range sitesync.Kind(sitesync.Kinds) {
-		for _, name := range top.Things(k) {
+		for _, name := range top.Subjects(k) {
 			v, _ := top.Value(k, name)
-			stand := append([]sitesync.Write{v.Write}, v.Beside...)
+			stand := append([]sitesync.Write{v.Write}, v.Concurrent...)
 			for a := range stand {
 				for b := range stand {
 					i, ok := tagOf(&stand[a])
@@ -770,9 +770,9 @@
 		if w.Local.Kind != sitesync.Evidence || !s.made.has(i) {
 			continue
 		}
-		want[w.Local.Thing] += w.Local.Value[0]
+		want[w.Local.Subject] += w.Local.Value[0]
 		if !(s.lost && w.Site == building && !w.afterLoss) {
-			atLeast[w.Local.Thing] += w.Local.Value[0]
+			atLeast[w.Local.Subject] += w.Local.Value[0]
 		}
 	}
 	for name, n := range want {
@@ -805,7 +805,7 @@
 	switch by &^ 255 {
 	case opWrite:
 		w := m.Scenario.Writes[i]
-		return fmt.Sprintf("the %s writes %s %s: %q", names[w.Site], w.Local.Kind, w.Local.Thing, w.Local.Value)
+		return fmt.Sprintf("the %s writes %s %s: %q", names[w.Site], w.Local.Kind, w.Local.Subject, w.Local.Value)
 	case opSend:
 		return fmt.Sprintf("the %s calls the %s", names[i/sites], names[i%sites])
 	case opLostStore:
--- a/rehearsal/upstreammodel/plants.go
+++ b/rehearsal/upstreammodel/plants.go
@@ -16,11 +16,11 @@
 	cutOnSend   bool
 	anyLife     bool
 	pieces      bool
-	local       func(*sitesync.Local)
+	local       func(*sitesync.LocalWrite)
 	batch       func(*sitesync.Batch)      // a call that is sent
 	taken       func(int, *sitesync.Batch) // a call as it is applied
 	answer      func(*State, int, *sitesync.Answer)
-	down        func(int, *sitesync.Down) // a state as it is joined
+	down        func(int, *sitesync.StateUpdate) // a state as it is joined
 }
 
 // Plant tells of a planted bug.
@@ -47,21 +47,21 @@
 
 var plants = []plant{
 	{Name: "causes-forgotten", Scenario: "token", About: "writes travel without what they depend on",
-		batch: each(func(w *sitesync.Write) { w.After = nil })},
+		batch: each(func(w *sitesync.Write) { w.Dependencies = nil })},
 	{Name: "urgent-overtakes", Scenario: "two-routes", About: "an urgent write does not wait for its thing, and is taken for one of the ordinary kind",
 		batch: each(func(w *sitesync.Write) {
 			if w.ID.Origin.Urgent {
-				w.After, w.ID.Origin.Urgent = nil, false
+				w.Dependencies, w.ID.Origin.Urgent = nil, false
 			}
 		})},
 	{Name: "token-ignored", Scenario: "token", About: "a token is accepted and not looked at",
-		local: func(l *sitesync.Local) { l.Token = "" }},
+		local: func(l *sitesync.LocalWrite) { l.Token = "" }},
 	{Name: "told-apart-by-route", Scenario: "two-routes", About: "a write that comes by another route is taken for another write",
 		taken: func(at int, b *sitesync.Batch) {
 			b.Writes = slices.Clone(b.Writes)
 			for i := range b.Writes {
 				if w := &b.Writes[i]; at == province && b.From.Site != w.ID.Origin.Site {
-					w.ID.Origin.Life += 10
+					w.ID.Origin.Incarnation += 10
 				}
 			}
 		}},
@@ -75,32 +75,32 @@
 	{Name: "needs-forgotten", Scenario: "closed", About: "what a write needs is not sent along",
 		batch: each(func(w *sitesync.Write) { w.Needs = nil })},
 	{Name: "over-forgotten", Scenario: "two-routes", About: "what a write was written over is not sent along",
-		batch: each(func(w *sitesync.Write) { w.Over = nil })},
+		batch: each(func(w *sitesync.Write) { w.Overwrites = nil })},
 	{Name: "level-forgotten", Scenario: "concurrent", About: "every write comes up as one of the top level",
 		batch: each(func(w *sitesync.Write) { w.Level = 0 })},
 	{Name: "state-without-writes", Scenario: "concurrent", About: "a state comes down with its vector and without its writes",
-		answer: func(_ *State, _ int, a *sitesync.Answer) { a.Down.Writes, a.Down.Things = nil, nil }},
+		answer: func(_ *State, _ int, a *sitesync.Answer) { a.Down.Writes, a.Down.Subjects = nil, nil }},
 	{Name: "state-goes-on", Scenario: "concurrent", About: "a state that goes on from another one is taken for a whole one, and its end for all",
 		answer: func(_ *State, _ int, a *sitesync.Answer) {
 			a.Down.After = 0
-			a.Down.Things = a.Down.Things[max(0, len(a.Down.Things)-1):]
+			a.Down.Subjects = a.Down.Subjects[max(0, len(a.Down.Subjects)-1):]
 			a.Down.Last, a.Down.Until = true, a.Down.Until+2
 		}},
 	{Name: "same-life", Scenario: "lost-store", About: "a site that lost its store goes on with its old life's name", sameLife: true},
 	{Name: "lost-life-not-told", Scenario: "lost-store", About: "a new life does not say that it is the later one",
-		unborn: true, batch: func(b *sitesync.Batch) { b.Lives = nil }},
+		unborn: true, batch: func(b *sitesync.Batch) { b.Incarnations = nil }},
 	{Name: "answer-to-a-lost-life", Scenario: "lost-store", About: "a state that was made for a life before the lost store is taken in", anyLife: true},
 	{Name: "refusals-of-one-piece", Scenario: "pieces", About: "of a state in pieces, the last one's refusals are taken for all", pieces: true},
 	{Name: "evidence-comes-down", Scenario: "evidence", About: "an answer brings the evidence that its site has",
 		answer: func(s *State, at int, a *sitesync.Answer) {
-			for _, name := range s.nodes[at].site.Things(sitesync.Evidence) {
+			for _, name := range s.nodes[at].site.Subjects(sitesync.Evidence) {
 				v, _ := s.nodes[at].site.Value(sitesync.Evidence, name)
-				h := sitesync.Held{Kind: sitesync.Evidence, Thing: name}
-				for _, w := range append(v.Beside, v.Write) {
-					h.Has = append(h.Has, w.ID)
-					a.Down.Writes = append(a.Down.Writes, sitesync.Placed{Write: w})
+				h := sitesync.SubjectWrites{Kind: sitesync.Evidence, Subject: name}
+				for _, w := range append(v.Concurrent, v.Write) {
+					h.IDs = append(h.IDs, w.ID)
+					a.Down.Writes = append(a.Down.Writes, sitesync.SequencedWrite{Write: w})
 				}
-				a.Down.Things = append(a.Down.Things, h)
+				a.Down.Subjects = append(a.Down.Subjects, h)
 			}
 		}},
 	{Name: "evidence-emptied-early", Scenario: "evidence", About: "a site on the way empties evidence that no later one says as well",
@@ -108,18 +108,18 @@
 			b.Writes = slices.Clone(b.Writes)
 			for i := range b.Writes {
 				if w := &b.Writes[i]; at == regency && w.Kind == sitesync.Evidence {
-					w.Thing, w.Value, w.Into = "", nil, w.ID.Number+1
+					w.Subject, w.Value, w.MergedInto = "", nil, w.ID.Number+1
 				}
 			}
 		}},
 	{Name: "evidence-judged-early", Scenario: "evidence", About: "a site on the way has the word on evidence for the top's",
 		answer: func(s *State, at int, a *sitesync.Answer) {
-			all := slices.DeleteFunc(s.nodes[at].site.Seen(), func(k sitesync.Mark) bool { return !k.Origin.Evidence })
+			all := slices.DeleteFunc(s.nodes[at].site.Seen(), func(k sitesync.VectorEntry) bool { return !k.Origin.Evidence })
 			a.Down.Judged = joined(a.Down.Judged, all)
 		}},
 	{Name: "evidence-kept", Scenario: "evidence", About: "a site on the way is not told that the top has judged evidence",
-		down: func(at int, d *sitesync.Down) {
-			d.Judged = slices.DeleteFunc(slices.Clone(d.Judged), func(k sitesync.Mark) bool {
+		down: func(at int, d *sitesync.StateUpdate) {
+			d.Judged = slices.DeleteFunc(slices.Clone(d.Judged), func(k sitesync.VectorEntry) bool {
 				return at == regency && k.Origin.Evidence && k.Origin.Site != names[at]
 			})
 		}},
--- a/rehearsal/upstreammodel/scenario.go
+++ b/rehearsal/upstreammodel/scenario.go
@@ -5,7 +5,7 @@
 // Write is a write of a scenario.
 type Write struct {
 	Site      int
-	Local     sitesync.Local
+	Local     sitesync.LocalWrite
 	needs     []int // writes that it needs, by their places: it is made where they are known
 	token     int   // site whose token is presented, plus one
 	after     int   // the write that was made before it, plus one
@@ -23,16 +23,16 @@
 	NoRelay     bool // the building calls the province only
 }
 
-func local(k sitesync.Kind, thing, value string) sitesync.Local {
-	return sitesync.Local{Kind: k, Thing: thing, Value: []byte(value)}
+func local(k sitesync.Kind, thing, value string) sitesync.LocalWrite {
+	return sitesync.LocalWrite{Kind: k, Subject: thing, Value: []byte(value)}
 }
 
-func urgent(l sitesync.Local) sitesync.Local {
+func urgent(l sitesync.LocalWrite) sitesync.LocalWrite {
 	l.Urgent = true
 	return l
 }
 
-func closing(l sitesync.Local) sitesync.Local {
+func closing(l sitesync.LocalWrite) sitesync.LocalWrite {
 	l.Closes = true
 	return l
 }
--- a/rehearsal/upstreammodel/storm.go
+++ b/rehearsal/upstreammodel/storm.go
@@ -151,10 +151,10 @@
 func gather(s Storm) (*world, error) {
 	w := &world{Storm: s, rand: rand.New(rand.NewPCG(s.Seed, 7))}
 	w.rules.a = &w.a
-	w.top = sitesync.New(sitesync.Place{Site: "province", Life: 1, Born: 1}, stormLimits).Merging(addUp)
+	w.top = sitesync.New(sitesync.Place{Site: "province", Incarnation: 1, StoreCreated: 1}, stormLimits).WithMerge(addUp)
 	for i := range s.Sites {
-		p := sitesync.Place{Site: fmt.Sprintf("site-%02d", i), Level: 1, Life: uint64(i) + 1, Born: 1, Above: []string{"province"}}
-		w.edge = append(w.edge, sitesync.New(p, stormLimits).Merging(addUp))
+		p := sitesync.Place{Site: fmt.Sprintf("site-%02d", i), Level: 1, Incarnation: uint64(i) + 1, StoreCreated: 1, Ancestors: []string{"province"}}
+		w.edge = append(w.edge, sitesync.New(p, stormLimits).WithMerge(addUp))
 	}
 	w.queues = make([][]*sitesync.Write, s.Sites)
 	skew := make([]time.Duration, s.Sites)
@@ -173,19 +173,19 @@
 
 // write makes one write at a site: half on things of its own, some on what all write about, one in a hundred urgent.
 func (w *world) write(i int, site *sitesync.Site, n int, skew time.Duration) error {
-	l := &sitesync.Local{}
+	l := &sitesync.LocalWrite{}
 	switch r := w.rand.IntN(100); {
 	case r < 30:
-		l.Kind, l.Thing, l.Value = sitesync.Evidence, fmt.Sprint("policy/", w.rand.IntN(4)), []byte{1}
+		l.Kind, l.Subject, l.Value = sitesync.Evidence, fmt.Sprint("policy/", w.rand.IntN(4)), []byte{1}
 	case r < 50:
-		l.Kind, l.Thing, l.Value = sitesync.Note, fmt.Sprintf("policy/%d", w.rand.IntN(20)), []byte("seen at "+site.Self().Site)
+		l.Kind, l.Subject, l.Value = sitesync.Note, fmt.Sprintf("policy/%d", w.rand.IntN(20)), []byte("seen at "+site.Self().Site)
 	case r < 75:
-		l.Kind, l.Thing = sitesync.Work, fmt.Sprintf("host/%d-%d", i, w.rand.IntN(20))
+		l.Kind, l.Subject = sitesync.Work, fmt.Sprintf("host/%d-%d", i, w.rand.IntN(20))
 		l.Value = []byte([]string{"asked", "begun", "done", "withdrawn"}[w.rand.IntN(4)])
 	case r < 80:
-		l.Kind, l.Thing, l.Value = sitesync.Policy, fmt.Sprint("policy/", w.rand.IntN(4)), []byte([]string{"begin", "halt", "resume"}[w.rand.IntN(3)])
+		l.Kind, l.Subject, l.Value = sitesync.Policy, fmt.Sprint("policy/", w.rand.IntN(4)), []byte([]string{"begin", "halt", "resume"}[w.rand.IntN(3)])
 	default:
-		l.Kind, l.Thing, l.Value = sitesync.Safety, fmt.Sprintf("host/%d-%d", i, w.rand.IntN(20)), []byte([]string{"out", "back"}[w.rand.IntN(2)])
+		l.Kind, l.Subject, l.Value = sitesync.Safety, fmt.Sprintf("host/%d-%d", i, w.rand.IntN(20)), []byte([]string{"out", "back"}[w.rand.IntN(2)])
 		l.Urgent = r >= 99
 	}
 	if l.Kind != sitesync.Evidence && w.rand.IntN(100) == 0 {
@@ -266,9 +266,9 @@
 		return nil, err
 	}
 	w.rules.ownFirst = true
-	budget := sitesync.Budget{Rate: 8000, Batch: chunk, Most: time.Second, Urgent: 8, Live: chunk}
-	teller := sitesync.NewTeller(budget)
-	pace := sitesync.Pace{Poll: time.Second, Retry: 100 * time.Millisecond, Longest: 5 * time.Second, Failures: 5, Back: time.Minute}
+	budget := sitesync.Budget{Rate: 8000, Batch: chunk, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: chunk}
+	teller := sitesync.NewCreditScheduler(budget)
+	pace := sitesync.Timing{PollInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 5, ReturnInterval: time.Minute}
 	seen := map[sitesync.ID]bool{}
 	covers := map[sitesync.Origin]uint64{}
 	quiet := make([]bool, s.Sites)
@@ -279,15 +279,15 @@
 	}
 	all := func() bool { return left == 0 }
 	w.ownWrites(all, func(n int, cost time.Duration, then func()) {
-		teller.Live(w.a.now)
+		teller.CountLocalWrite(w.a.now)
 		w.rules.propose(true, entry{cost, func() {
-			l := &sitesync.Local{Kind: sitesync.Safety, Thing: fmt.Sprint("host/p-", n%50), Value: []byte("out")}
+			l := &sitesync.LocalWrite{Kind: sitesync.Safety, Subject: fmt.Sprint("host/p-", n%50), Value: []byte("out")}
 			w.top.Apply(w.a.now, sitesync.Command{Write: l})
 			then()
 		}})
 	})
 	for i := range w.edge {
-		c := sitesync.NewCourier(func() *sitesync.Site { return w.edge[i] }, pace)
+		c := sitesync.NewForwarder(func() *sitesync.Site { return w.edge[i] }, pace)
 		var turn func()
 		turn = func() {
 			if all() {
@@ -381,7 +381,7 @@
 		w.fig.Twice++
 	}
 	seen[x.ID] = true
-	if x.ID.Number != covers[x.ID.Origin]+1 || slices.ContainsFunc(x.After, func(m sitesync.Mark) bool {
+	if x.ID.Number != covers[x.ID.Origin]+1 || slices.ContainsFunc(x.Dependencies, func(m sitesync.VectorEntry) bool {
 		return m.Origin.Site != "province" && m.Number > covers[m.Origin]
 	}) {
 		w.fig.Early++
@@ -402,8 +402,8 @@
 		return false
 	}
 	for _, site := range w.edge {
-		c := sitesync.NewCourier(func() *sitesync.Site { return site }, sitesync.Pace{Failures: 1})
-		for range 4 + len(w.top.Things(sitesync.Safety))*w.Sites/chunk {
+		c := sitesync.NewForwarder(func() *sitesync.Site { return site }, sitesync.Timing{MaxFailures: 1})
+		for range 4 + len(w.top.Subjects(sitesync.Safety))*w.Sites/chunk {
 			_, b, _ := c.Next(w.a.now + 100*time.Hour)
 			if b == nil {
 				return false
@@ -419,17 +419,17 @@
 		if !slices.Equal(site.Seen(), w.top.Seen()) {
 			return false
 		}
-		for _, name := range w.top.Things(sitesync.Evidence) { // of each site, the top has what the site has
+		for _, name := range w.top.Subjects(sitesync.Evidence) { // of each site, the top has what the site has
 			all, _ := w.top.Value(sitesync.Evidence, name)
 			own, any := site.Value(sitesync.Evidence, name)
-			if any && !slices.ContainsFunc(append(all.Beside, all.Write), func(x sitesync.Write) bool {
+			if any && !slices.ContainsFunc(append(all.Concurrent, all.Write), func(x sitesync.Write) bool {
 				return x.ID == own.Write.ID && string(x.Value) == string(own.Value)
 			}) {
 				return false
 			}
 		}
 		for k := sitesync.Note; int(k) < sitesync.Kinds; k++ {
-			for _, name := range w.top.Things(k) {
+			for _, name := range w.top.Subjects(k) {
 				a, _ := w.top.Value(k, name)
 				b, _ := site.Value(k, name)
 				if a.Write.ID != b.Write.ID || string(a.Value) != string(b.Value) {
@@ -462,7 +462,7 @@
 	})
 	take := func(x *sitesync.Write) {
 		w.note(x, seen, covers)
-		k := at{x.Kind, x.Thing}
+		k := at{x.Kind, x.Subject}
 		was := now[k]
 		if was == nil || x.Kind == sitesync.Evidence || was.ID == x.ID {
 			now[k] = x
@@ -533,7 +533,7 @@
 
 // over says whether a write was written over another one.
 func over(by, x *sitesync.Write) bool {
-	return by.ID.Origin == x.ID.Origin && by.ID.Number > x.ID.Number || by.Over.Has(x.ID)
+	return by.ID.Origin == x.ID.Origin && by.ID.Number > x.ID.Number || by.Overwrites.Has(x.ID)
 }
 
 func (f *Figures) String() string {
