--- a/internal/choice/sitesync/errors.go
+++ b/internal/choice/sitesync/errors.go
@@ -2,35 +2,35 @@
 
 import "fmt"
 
-// FullError says that the queue has no room for a kind of write.
+// QueueFullError reports that the queue has no room for a write of this kind.
 type QueueFullError struct {
 	Kind                Kind
-	Number              int // writes of this site that wait for the top's word
+	Number              int // writes of this site that the top has not judged yet
 	Bytes               int
-	MaxNumber, MaxBytes int // of the kind: number and bytes
+	MaxNumber, MaxBytes int // limits for the kind
 }
 
 func (e *QueueFullError) Error() string {
-	return fmt.Sprintf("%d writes of %d bytes wait for the word from above; a write of kind %s is taken up to %d and %d bytes",
+	return fmt.Sprintf("%d writes of %d bytes are not yet judged by the top site; the limit for a write of kind %s is %d writes and %d bytes",
 		e.Number, e.Bytes, e.Kind, e.MaxNumber, e.MaxBytes)
 }
 
-// Action implements what operators can do.
+// Action returns what an operator can do.
 func (e *QueueFullError) Action() string {
-	return "restore the link to a site above, or raise the site's limits; hosts can be put out and back the longest"
+	return "restore the link to a site above, or raise the site's limits; writes that take hosts out of service or back are refused last"
 }
 
-// WriteError says that a write makes no sense.
+// WriteError reports that a write is invalid.
 type WriteError struct{ Field, Why string }
 
-func (e *WriteError) Error() string { return fmt.Sprintf("the write's %s: %s", e.Field, e.Why) }
+func (e *WriteError) Error() string { return fmt.Sprintf("invalid write: field %s: %s", e.Field, e.Why) }
 
-// Action implements what operators can do.
+// Action returns what an operator can do.
 func (e *WriteError) Action() string {
-	return "correct the write and hand it in again; nothing was changed"
+	return "correct the write and submit it again; nothing was changed"
 }
 
-// ClosedError says that a thing was ended for good.
+// ClosedError reports that the subject was closed for good.
 type ClosedError struct {
 	Subject string
 	By      ID
@@ -41,30 +41,31 @@
 	return fmt.Sprintf("%s was closed by %s: %s", e.Subject, e.By, e.Why)
 }
 
-// Action implements what operators can do.
-func (e *ClosedError) Action() string { return "write about what took its place" }
+// Action returns what an operator can do.
+func (e *ClosedError) Action() string { return "write to the subject that replaced it" }
 
-// TokenError says that a token cannot be read.
+// TokenError reports that a token cannot be parsed.
 type TokenError struct{ Why string }
 
-func (e *TokenError) Error() string { return "the token cannot be read: " + e.Why }
+func (e *TokenError) Error() string { return "invalid token: " + e.Why }
 
-// Action implements what operators can do.
+// Action returns what an operator can do.
 func (e *TokenError) Action() string {
-	return "fetch the token again at the site that it comes from, or write without one"
+	return "get the token again from the site that issued it, or write without a token"
 }
 
-// BatchError says that bytes from another site make no sense. Nothing was applied, and the sender still has all.
+// BatchError reports that a message from another site is invalid. Nothing was applied, and the sender still has all of
+// its writes.
 type BatchError struct{ Why string }
 
-func (e *BatchError) Error() string { return "the call cannot be taken: " + e.Why }
+func (e *BatchError) Error() string { return "invalid message from another site: " + e.Why }
 
-// Action implements what operators can do.
+// Action returns what an operator can do.
 func (e *BatchError) Action() string {
-	return "compare the versions and the site files of both nodes; nothing is lost, the call is made again"
+	return "compare the versions and the site files of both nodes; nothing is lost, the call is repeated"
 }
 
-// CreditError says that more writes came than there was credit for.
+// CreditError reports that a call brought more writes than the site had credit for.
 type CreditError struct {
 	Site        string
 	Sent, Given int
@@ -74,17 +75,17 @@
 	return fmt.Sprintf("%s sent %d writes with credit for %d", e.Site, e.Sent, e.Given)
 }
 
-// Action implements what operators can do.
+// Action returns what an operator can do.
 func (e *CreditError) Action() string {
-	return "none: the answer gives credit anew, and the site sends them again"
+	return "none: the answer grants new credit, and the site sends the writes again"
 }
 
-// StateError says that a state cannot be read.
+// StateError reports that a stored state cannot be decoded.
 type StateError struct{ Why string }
 
-func (e *StateError) Error() string { return "the state of writes cannot be read: " + e.Why }
+func (e *StateError) Error() string { return "cannot decode the stored state of the site's writes: " + e.Why }
 
-// Action implements what operators can do.
+// Action returns what an operator can do.
 func (e *StateError) Action() string {
-	return "let the seat take its council's snapshot; if no seat can read it, begin a new life of the site"
+	return "let the replica load a snapshot from its consensus group; if no replica can decode the state, start a new incarnation of the site"
 }
--- a/internal/choice/sitesync/forwarder.go
+++ b/internal/choice/sitesync/forwarder.go
@@ -9,19 +9,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Pace is how calls between sites are timed.
+// Timing sets the timing of calls between sites.
 type Timing struct {
 	PollInterval   time.Duration // between two calls when there is nothing to send
-	RetryDelay     time.Duration // after a call that failed; doubled each time, with jitter
-	MaxRetryDelay  time.Duration // bound of that
-	MaxFailures    int           // calls in a row that fail, or bring nothing on, before the next site above is tried
-	ReturnInterval time.Duration // between two tries of a nearer site while a farther one is used
-	MinTimeout     time.Duration // the shortest that a call is waited for, however quick the answers were
-	InitialTimeout time.Duration // how long one is waited for before any was answered
-	MaxTimeout     time.Duration // the longest that one is waited for
+	RetryDelay     time.Duration // after a failed call; doubled each time, with jitter
+	MaxRetryDelay  time.Duration // upper bound of the retry delay
+	MaxFailures    int           // consecutive calls that fail, or make no progress, before the next site above is tried
+	ReturnInterval time.Duration // between two attempts at a nearer site while a farther one is used
+	MinTimeout     time.Duration // lower bound of the call timeout, however quick the answers were
+	InitialTimeout time.Duration // timeout before any call was answered
+	MaxTimeout     time.Duration // upper bound of the timeout
 }
 
-// trips is how long answers take: the mean, and how far they stray from it, as TCP has it (RFC 6298).
+// rttEstimate estimates answer times by their smoothed mean and deviation, as TCP does (RFC 6298).
 type rttEstimate struct{ mean, deviation time.Duration }
 
 func (t *rttEstimate) add(took time.Duration) {
@@ -33,7 +33,7 @@
 	t.mean += (took - t.mean) / 8
 }
 
-// within returns how long an answer is waited for.
+// timeout returns how long to wait for an answer.
 func (t *rttEstimate) timeout(p Timing) time.Duration {
 	if t.mean == 0 {
 		return min(p.InitialTimeout, p.MaxTimeout)
@@ -41,8 +41,8 @@
 	return min(max(t.mean+4*t.deviation, p.MinTimeout), p.MaxTimeout)
 }
 
-// Jitter spreads a wait between half of it and the whole, by a hash of the site and the attempt: the same at each run,
-// and different from site to site.
+// Jitter returns a wait between half of the given one and all of it, by a hash of the site and the attempt:
+// reproducible, and different from site to site.
 func Jitter(wait time.Duration, site string, attempt uint64) time.Duration {
 	h := xxhash.Sum64(binary.BigEndian.AppendUint64([]byte(site), attempt))
 	return wait/2 + time.Duration(float64(wait/2)*float64(h>>11)/(1<<53))
@@ -51,41 +51,42 @@
 // route is what a site's leader knows of a site above.
 type route struct {
 	incarnation uint64
-	known       vector       // how far writes are known there
+	known       vector       // writes known there
 	pieces      *StateUpdate // pieces of its state that are not joined yet
 	credit      int
-	notBefore   time.Duration // no call before
-	failures    int           // calls in a row that failed or brought nothing on
-	lastCall    time.Duration // when it was last called
-	probeNext   bool          // a call was not answered: a question comes before the next one
-	callLost    bool          // it was not a question
-	slowCalls   int           // whole calls in a row that were lost though questions were answered: each doubles the wait for them
-	lostProbes  int           // questions in a row that were not answered
-	redirected  bool          // the last call went to a seat that named another one
+	notBefore   time.Duration // earliest time of the next call
+	failures    int           // consecutive calls that failed or made no progress
+	lastCall    time.Duration // time of the last call
+	probeNext   bool          // a call was not answered: the next one is a probe
+	callLost    bool          // the unanswered call was not a probe
+	slowCalls   int           // consecutive calls lost although probes were answered; each doubles the call timeout
+	lostProbes  int           // consecutive probes that were not answered
+	redirected  bool          // the last call reached a replica that named another one
 	callTime    rttEstimate   // of calls
-	probeTime   rttEstimate   // of questions
+	probeTime   rttEstimate   // of probes
 }
 
-// Courier decides for a site's leader what to send next to whom. It is soft: a new leader begins with a new one.
+// Forwarder decides for a site's leader what to send next to which site above. Its state is not replicated: a new
+// leader starts with a new one.
 type Forwarder struct {
 	site       func() *Site
 	timing     Timing
 	ancestors  []string
 	routes     map[string]*route
-	current    int // the site above that is used
+	current    int // index of the site above in use
 	callee     string
-	probing    bool // what is out is a question
+	probing    bool // the call in progress is a probe
 	sentWrites int
 	attempt    uint64
 	reachable  bool // the last call was answered
 }
 
-// NewCourier returns a courier for a site's state, which is read anew at each call.
+// NewForwarder returns a forwarder for a site's state, which is read again at each call.
 func NewForwarder(site func() *Site, pace Timing) *Forwarder {
 	return NewForwarderTo(site, pace, site().self.Ancestors...)
 }
 
-// NewCourierTo returns a courier that uses some of the sites above only.
+// NewForwarderTo returns a forwarder that uses only the given sites above.
 func NewForwarderTo(site func() *Site, pace Timing, above ...string) *Forwarder {
 	c := &Forwarder{site: site, timing: pace, ancestors: above, routes: map[string]*route{}}
 	for _, a := range c.ancestors {
@@ -94,7 +95,7 @@
 	return c
 }
 
-// Offer returns what has to be committed before the next call, or nil. While no call is answered nothing is offered, so
+// Offer returns the command to commit before the next call, or nil. Nothing is offered while calls go unanswered, so
 // that evidence can still be merged.
 func (c *Forwarder) Offer() *Command {
 	if !c.reachable {
@@ -103,13 +104,13 @@
 	return c.site().Unoffered()
 }
 
-// Next returns the next call, or how long to wait before asking again; one call is out at a time.
+// Next returns the next call, or how long to wait before trying again. Only one call is in progress at a time.
 func (c *Forwarder) Next(now time.Duration) (to string, b *Batch, wait time.Duration) {
 	if len(c.ancestors) == 0 || c.callee != "" {
 		return "", nil, c.timing.PollInterval
 	}
 	to = c.ancestors[c.current]
-	for i, name := range c.ancestors { // a nearer one now and then, and a farther one that waits for it
+	for i, name := range c.ancestors { // at intervals a nearer one, or a farther one that waits for this site's call
 		if r := c.routes[name]; now-r.lastCall >= c.timing.ReturnInterval && now >= r.notBefore && (i < c.current || i > c.current && c.site().awaitedBy(name)) {
 			to = name
 			break
@@ -120,7 +121,7 @@
 		return "", nil, r.notBefore - now
 	}
 	if b = c.batch(to); r.probeNext {
-		b.Seen, b.Judged, b.Incarnations = nil, nil, nil // it has no writes: the credit is gone
+		b.Seen, b.Judged, b.Incarnations = nil, nil, nil // no writes either: the credit is used up
 		b.Probe = true
 	}
 	c.callee, c.sentWrites, c.probing = to, len(b.Writes), b.Probe
@@ -129,9 +130,10 @@
 	return to, b, 0
 }
 
-// Patience returns how long the call that is out is to be waited for. A cut link is not told from one that is slow by waiting
-// longer, but by a question (Batch.Probe), which is light both ways and takes no commit: it is waited for as long as
-// questions took, and the call that comes next as long as calls took, doubled each time that one was lost all the same.
+// CallTimeout returns how long to wait for the answer to the call in progress. A cut link is told from a slow one not
+// by waiting longer but by a probe (Batch.Probe), which is small in both directions and needs no commit. The timeout of
+// a probe is based on the answer times of probes, that of a call on those of calls, doubled for each call that was lost
+// although probes were answered.
 func (c *Forwarder) CallTimeout() time.Duration {
 	r := c.routes[c.callee]
 	switch {
@@ -143,12 +145,12 @@
 	return min(r.callTime.timeout(c.timing)<<r.slowCalls, c.timing.MaxTimeout)
 }
 
-// asking returns how long a question is waited for. Answers may take longer than they did, and a question that is given up each
-// time would never show it; so each fourth is waited for as if nothing was measured, and one for the longest each time that
-// twice as many were not answered.
+// probeTimeout returns how long to wait for the answer to a probe. Answers may have become slower, which would never
+// show if every probe were given up too early. So every fourth one is waited for as if nothing had been measured, and
+// from the 64th on, each time the number of unanswered ones has doubled, one is waited for as long as possible.
 func (r *route) probeTimeout(p Timing) time.Duration {
 	usual := r.probeTime.timeout(p)
-	if r.probeTime.mean == 0 { // it takes no longer than a call
+	if r.probeTime.mean == 0 { // a probe takes no longer than a call
 		usual = min(r.callTime.timeout(p), p.InitialTimeout)
 	}
 	switch n := r.lostProbes + 1; {
@@ -160,7 +162,8 @@
 	return usual
 }
 
-// batch makes a call: as many writes as there is credit for and as fit, urgent ones with what they depend on first, evidence last.
+// batch builds a call: as many writes as credit and size allow, urgent ones and their dependencies first, evidence
+// last.
 func (c *Forwarder) batch(to string) *Batch {
 	s, r := c.site(), c.routes[to]
 	b := &Batch{From: s.self, Seen: s.seen.list(), Cursor: s.cursors[to]}
@@ -200,7 +203,7 @@
 	}
 	p := &picker{pending: lists, outOfOrder: s.outOfOrder, seen: s.seen, uncertainFrom: map[Origin]uint64{}}
 	p.pick(func(o Origin) bool { return o.Urgent }, func(w *Write) bool {
-		urgent++ // all of them are counted, with what they depend on
+		urgent++ // all of them are counted, with their dependencies
 		if !full {
 			take(w)
 		}
@@ -219,7 +222,7 @@
 	return b
 }
 
-// leaves returns up to which number an origin's writes may leave.
+// sendableUpTo returns the number up to which an origin's writes may be sent.
 func (s *Site) sendableUpTo(o Origin) uint64 {
 	if s.isTop() || !s.isOwn(o) {
 		return math.MaxUint64
@@ -227,17 +230,17 @@
 	return s.offered[o.lane()]
 }
 
-// picker picks writes in an order in which they may be applied, each with what it depends on before it. Those that wait for what
-// is not known here come last.
+// picker selects writes in an order in which they can be applied, each after its dependencies. Writes that wait for a
+// write unknown here come last.
 type picker struct {
-	pending       map[Origin][]*item // the rest; not changed
+	pending       map[Origin][]*item // the writes left, by origin; the slices are not modified
 	outOfOrder    bool
 	seen          vector
-	uncertainFrom map[Origin]uint64 // from which number on an origin's writes are unsure
+	uncertainFrom map[Origin]uint64 // the number from which on an origin's writes depend on unknown ones
 	deferred      []*Write
 }
 
-// pick hands the writes of some origins over by their places, until it is told that it is enough.
+// pick passes the writes of some origins to take in sequence order, until take returns false.
 func (p *picker) pick(of func(Origin) bool, take func(*Write) bool) {
 	for _, sure := range [2]bool{true, false} {
 		for {
@@ -257,7 +260,8 @@
 	}
 }
 
-// first returns the origin, of some, whose next write has the first place, and the place of the first one of another.
+// next returns the origin, among those selected, whose next write comes first in sequence order, and the sequence
+// number at which another origin takes over.
 func (p *picker) next(of func(Origin) bool) (first Origin, second uint64, any bool) {
 	least := uint64(math.MaxUint64)
 	second = least
@@ -273,7 +277,7 @@
 	return first, second, least < math.MaxUint64
 }
 
-// waited hands over what is unsure.
+// flushDeferred passes on the deferred writes.
 func (p *picker) flushDeferred(take func(*Write) bool) bool {
 	list := p.deferred
 	p.deferred = nil
@@ -285,8 +289,8 @@
 	return true
 }
 
-// put hands an origin's writes up to a number over, each after what it depends on, and says whether more is wanted. Those that are
-// unsure wait.
+// emit passes on an origin's writes up to a number, each after its dependencies, and reports whether more are wanted.
+// Writes that depend on unknown ones are deferred.
 func (p *picker) emit(o Origin, upTo uint64, take func(*Write) bool) bool {
 	for len(p.pending[o]) > 0 && p.pending[o][0].Write.ID.Number <= upTo {
 		w := p.pending[o][0].Write
@@ -314,7 +318,7 @@
 	return true
 }
 
-// Answered takes the answer to the call that is out in, and returns what to commit, or nil.
+// Answered processes the answer to the call in progress, and returns a command to commit, or nil.
 func (c *Forwarder) Answered(now time.Duration, a *Answer) *Command {
 	to := c.callee
 	c.callee = ""
@@ -332,7 +336,7 @@
 	case !probe:
 		r.callTime.add(took)
 		r.callLost, r.slowCalls = false, 0
-	case a.Working: // the call came, and its writes are being agreed on: to send them again would only add to that
+	case a.Working: // the earlier call arrived and its writes are being committed: sending them again would only add load
 		r.probeTime.add(took)
 		r.lostProbes, r.notBefore = 0, now+c.backoff(0)
 		return nil
@@ -356,7 +360,7 @@
 			r.failures = 0
 		}
 		c.preferNearer(to)
-	case c.sentWrites > 0: // what was sent waits there for something, or finds no room
+	case c.sentWrites > 0: // the writes sent wait there for a dependency, or found no room
 		c.countFailure(to)
 		r.notBefore = max(r.notBefore, now+c.backoff(r.failures))
 	}
@@ -378,7 +382,8 @@
 	return true
 }
 
-// stage collects the pieces of a state. The word on this site's own writes goes on at once, the rest with the last piece.
+// collectPieces collects the pieces of a state. The receipts for this site's own writes are passed on at once, the rest
+// with the last piece.
 func (c *Forwarder) collectPieces(r *route, d *StateUpdate) *Command {
 	if d == nil {
 		return nil
@@ -389,7 +394,7 @@
 	if r.pieces == nil && !d.Last {
 		cur := c.site().cursors[d.From]
 		if d.After != cursorPosition(cur, d.Incarnation) {
-			return nil // a piece without those before it
+			return nil // a piece whose predecessors are missing
 		}
 	}
 	if r.pieces != nil {
@@ -401,7 +406,7 @@
 	}
 	switch {
 	case d.Last && !c.site().wouldChange(d):
-		return nil // an entry each time that a site asks would be most of what an idle one commits
+		return nil // one log entry per poll would be most of what an idle site commits
 	case d.Last:
 		return &Command{Down: d}
 	}
@@ -412,7 +417,7 @@
 	return &Command{Down: &StateUpdate{From: d.From, Incarnation: d.Incarnation, To: d.To, Judged: d.Judged, Refused: d.Refused}}
 }
 
-// Failed takes in that the call that is out brought no answer, or a refusal.
+// Failed records that the call in progress brought no answer, or a refusal.
 func (c *Forwarder) Failed(now time.Duration) {
 	to := c.callee
 	c.callee = ""
@@ -430,8 +435,8 @@
 	c.countFailure(to)
 }
 
-// Elsewhere takes in that the seat that was called names another one, which can be called at once; if that one does the same, it
-// is a failure like others.
+// Redirected records that the called replica named another one, which can be called at once. A second redirection in a
+// row counts as a failure.
 func (c *Forwarder) Redirected(now time.Duration) {
 	r := c.routes[c.callee]
 	if r == nil || r.redirected {
@@ -441,12 +446,12 @@
 	c.callee, r.redirected, r.credit, r.notBefore = "", true, 0, now
 }
 
-// later returns how long to wait after so many calls that brought nothing.
+// backoff returns how long to wait after the given number of calls without progress.
 func (c *Forwarder) backoff(bad int) time.Duration {
 	return Jitter(min(c.timing.MaxRetryDelay, c.timing.RetryDelay<<min(bad, 16)), c.site().self.Site, c.attempt)
 }
 
-// worse counts a call that brought nothing on; after enough of them the next site above is used.
+// countFailure counts a call without progress; after MaxFailures of them the next site above is used.
 func (c *Forwarder) countFailure(to string) {
 	r := c.routes[to]
 	r.failures++
@@ -456,38 +461,38 @@
 	}
 }
 
-// prefer goes back to a nearer site that answers again.
+// preferNearer switches back to a nearer site that answers again.
 func (c *Forwarder) preferNearer(to string) {
 	if i := slices.Index(c.ancestors, to); i < c.current {
 		c.current = i
 	}
 }
 
-// Budget bounds what a site takes from below.
+// Budget limits what a site accepts from the sites below.
 type Budget struct {
-	Rate        float64       // writes a second, over all sites below
-	Batch       int           // writes that one call may bring
-	MaxAhead    time.Duration // the farthest ahead that a turn is given; who would come later asks again
-	UrgentBatch int           // writes given at once to whom urgent ones wait at, out of turn
-	LocalCost   int           // how many writes of others a write of this site's own counts for
+	Rate        float64       // writes per second, over all sites below
+	Batch       int           // writes in one call
+	MaxAhead    time.Duration // how far ahead time slots are given; a site that would come later asks again
+	UrgentBatch int           // writes granted out of turn to a site with urgent ones
+	LocalCost   int           // how many writes of other sites one of this site's own counts for
 }
 
-// Teller gives credit to the sites below, for a site's leader. Turns are given one after the other, each as long as its
-// writes take at the budget's rate, so that sites that come back at once are served one after the other. It is soft: a new
-// leader's teller knows of no credit and gives it anew.
+// CreditScheduler grants credit to the sites below, for a site's leader. Time slots are given one after the other, each
+// as long as its writes take at the budget's rate, so that sites that come back at the same moment are served in
+// sequence. Its state is not replicated: a new leader's scheduler knows of no credit and grants it again.
 type CreditScheduler struct {
 	budget   Budget
-	slotsEnd time.Duration // the end of the last turn given
+	slotsEnd time.Duration // end of the last slot given
 	granted  map[string]int
 	calls    map[string]uint64
 }
 
-// NewTeller returns a teller that has given nothing.
+// NewCreditScheduler returns a scheduler that has granted nothing.
 func NewCreditScheduler(b Budget) *CreditScheduler {
 	return &CreditScheduler{budget: b, granted: map[string]int{}, calls: map[string]uint64{}}
 }
 
-// Admit says whether a call keeps to its credit, which it uses up.
+// Admit checks that a call keeps within its credit, and uses the credit up.
 func (t *CreditScheduler) Admit(b *Batch) error {
 	given := t.granted[b.From.Site]
 	delete(t.granted, b.From.Site)
@@ -497,15 +502,15 @@
 	return nil
 }
 
-// Live takes in that this site commits a write of its own: turns given from now on come later by it.
+// CountLocalWrite records that this site commits a write of its own: slots given from now on start later by its cost.
 func (t *CreditScheduler) CountLocalWrite(now time.Duration) { t.reserve(now, t.budget.LocalCost) }
 
 func (t *CreditScheduler) reserve(now time.Duration, n int) {
 	t.slotsEnd = max(t.slotsEnd, now) + time.Duration(float64(n)/t.budget.Rate*float64(time.Second))
 }
 
-// Grant returns the credit for a site's next call and how long it is to wait before it, given how many writes this site has
-// room for.
+// Grant returns the credit for a site's next call and how long the site must wait before it. Room is the number of
+// writes that this site has room for.
 func (t *CreditScheduler) Grant(now time.Duration, b *Batch, room int) (credit int, wait time.Duration) {
 	site := b.From.Site
 	t.calls[site]++
@@ -514,7 +519,7 @@
 	switch {
 	case want <= 0 && b.Waiting > 0: // no room
 		return 0, Jitter(t.budget.MaxAhead, site, t.calls[site])
-	case want <= 0: // something may be written before the next call
+	case want <= 0: // a write may come up before the next call
 		credit = min(t.budget.UrgentBatch, room)
 	case b.Urgent > 0 && ahead > 0:
 		credit = min(want, b.Urgent, t.budget.UrgentBatch)
--- a/internal/choice/sitesync/rules.go
+++ b/internal/choice/sitesync/rules.go
@@ -23,17 +23,17 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Rule is what is settled for a kind.
+// Rule is how writes of a kind are ranked, refused and limited.
 type Rule struct {
-	Words        []string // a value begins with one of them, the first going before the others; none: any value
-	ByLevel      bool     // the higher level's goes before the lower's, whatever the word; else the level decides after the word
-	Coexist      bool     // all stand together: none goes before another
-	Cascades     []string // words of writes that fall with what they need; "": all of the kind
-	QueuePercent int      // hundredths of the queue that may be full before the kind is refused
+	Words        []string // a value begins with one of them, in order of precedence; empty: any value
+	ByLevel      bool     // the level decides before the word; else the word decides before the level
+	Coexist      bool     // concurrent writes are all in force: none supersedes another
+	Cascades     []string // words of the writes that are refused if a write that they need was refused; "": all of the kind
+	QueuePercent int      // percentage of the queue that may be full before the kind is refused
 }
 
-// Rules are the rules by kind. Among equals the lower origin and then the lower number goes first: an order without
-// meaning, the same everywhere.
+// Rules holds the rules by kind. Ties are broken by the lower origin, then the lower number: an arbitrary order, but
+// the same at every site.
 var Rules = [Kinds]Rule{
 	Evidence: {Coexist: true, Cascades: []string{""}, QueuePercent: 50},
 	Note:     {Coexist: true, QueuePercent: 60},
@@ -42,16 +42,17 @@
 	Safety:   {Words: []string{"out", "back"}, Cascades: []string{"back"}, QueuePercent: 100},
 }
 
-// relayedRoom is how much of the queue writes of other sites may fill, in hundredths: the rest is this site's own.
+// relayedPercent is the percentage of the queue that writes of other sites may fill: the rest is for the site's own
+// writes.
 const relayedPercent = 75
 
-// word returns the place of a value's first word in a rule's list, or -1.
+// wordIndex returns the index of a value's first word in Words, or -1.
 func (r *Rule) wordIndex(value []byte) int {
 	first, _, _ := bytes.Cut(value, []byte(" "))
 	return slices.Index(r.Words, string(first))
 }
 
-// falls says whether a write falls with what it needs.
+// cascades reports whether a write is refused together with a write that it needs.
 func cascades(w *Write) bool {
 	r := &Rules[w.Kind]
 	for _, f := range r.Cascades {
@@ -62,7 +63,7 @@
 	return false
 }
 
-// first puts two concurrent writes on one thing in order: the one that goes first is less.
+// comparePrecedence orders two concurrent writes on one subject: the one that takes precedence is less.
 func comparePrecedence(a, b *Write) int {
 	if a.Closes != b.Closes {
 		if a.Closes {
@@ -79,8 +80,8 @@
 	return cmp.Or(byWord, byLevel, a.ID.Compare(b.ID))
 }
 
-// kills says whether a write was written over another one on the same thing. A close is written over by no other write: a
-// token may name it where it has not come yet.
+// overwrites reports whether by replaces w, both being on the same subject. A write that closes the subject is never
+// replaced by one that does not, even if that one's token names it before it has arrived.
 func overwrites(by, w *Write) bool {
 	if by.Closes != w.Closes {
 		return by.Closes
@@ -91,7 +92,8 @@
 	return by.Overwrites.Has(w.ID)
 }
 
-// Settle says what holds, given writes on one thing and how evidence is merged. It depends on the set alone.
+// Resolve returns the current value of a subject, given the writes on it and how evidence is merged. The result depends
+// on the set of writes alone, not on their order.
 func Resolve(set []*Write, merge Merge) (s Resolved, any bool) {
 	var stand []*Write
 	for _, w := range set {
@@ -113,10 +115,10 @@
 	return s, true
 }
 
-// Merge puts two pieces of evidence together. It is commutative and associative.
+// Merge combines two pieces of evidence. It must be commutative and associative.
 type Merge func(a, b []byte) ([]byte, error)
 
-// merged merges what was checked when it was written; what cannot be read any more adds nothing.
+// merged merges evidence that was checked when it was written; a piece that cannot be read any more adds nothing.
 func merged(merge Merge, a, b []byte) []byte {
 	both, err := merge(a, b)
 	if err != nil {
@@ -125,7 +127,7 @@
 	return both
 }
 
-// MergeSketches merges encoded DDSketch histograms (github.com/DataDog/sketches-go) of one relative accuracy.
+// MergeSketches merges two encoded DDSketch histograms (github.com/DataDog/sketches-go) of the same relative accuracy.
 func MergeSketches(a, b []byte) ([]byte, error) {
 	x, err := ddsketch.DecodeDDSketch(a, store.DenseStoreConstructor, nil)
 	if err != nil {
--- a/internal/choice/sitesync/site.go
+++ b/internal/choice/sitesync/site.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// key names what writes are settled with one another: a thing, by kind.
+// subjectKey identifies a subject: its name within a kind. Writes with the same key are resolved against each other.
 type subjectKey struct {
 	Kind    Kind
 	Subject string
 }
 
-// item is a write with its place in the order in which this site applied it. Items are never changed once made.
+// item is a write with its position in the order in which this site applied it. Items are immutable.
 type item struct {
 	Seq   uint64 `json:"seq"`
 	Write *Write `json:"write"`
 }
 
-// thing holds the writes on one thing that may still count, in the order of their application.
+// subject holds the writes on one subject that may still count, in the order of application.
 type subject struct {
 	items   []*item
-	changed uint64 // place in the order of changes
+	changed uint64 // sequence number of the last change
 }
 
-// change is an entry of the list of things by change; it is stale where the thing was changed since.
+// change is an entry in the list of changed subjects. It is stale if the subject has changed since.
 type change struct {
 	at  uint64
 	key subjectKey
 }
 
-// refusal is a write that the top did not take.
+// refusal is a write that the top site did not accept.
 type refusal struct {
-	At      uint64  `json:"at"` // place in this site's order of changes
+	At      uint64  `json:"at"` // sequence number of the refusal at this site
 	Receipt Receipt `json:"receipt"`
 }
 
-// life names one life of a site, with both of its origins.
+// incarnation identifies one incarnation of a site, with the origins of all its lanes.
 type incarnation struct {
 	Site        string `json:"site"`
 	Incarnation uint64 `json:"life"`
@@ -45,54 +45,54 @@
 
 func incarnationOf(o Origin) incarnation { return incarnation{o.Site, o.Incarnation} }
 
-// origin returns the name of a lane of a life.
+// laneOrigin returns the origin of one lane of the incarnation.
 func (l incarnation) laneOrigin(lane int) Origin {
 	return Origin{Site: l.Site, Incarnation: l.Incarnation, Urgent: lane == 1, Evidence: lane == 2}
 }
 
-// home is the latest life that is known of a site.
+// latestIncarnation is the latest known incarnation of a site.
 type latestIncarnation struct {
 	Incarnation  uint64        `json:"life"`
 	StoreCreated time.Duration `json:"born"`
 }
 
-// closing is a life that has ended with its store. It is closed, and its gaps with it, once every site that calls here has
-// called again without showing more of it.
+// closing is an incarnation that has ended with its store. It is closed, together with the gaps in its numbers, once
+// every site that calls here has called again without showing more of it.
 type closing struct {
 	Since time.Duration `json:"since"`
-	Waits []string      `json:"waits"` // sorted
+	Waits []string      `json:"waits"` // sites that have yet to call; sorted
 }
 
-// Cursor says how far the state of another site is known.
+// Cursor is a position up to which the state of another site is known.
 type Cursor struct {
 	Incarnation uint64 `json:"life"`
-	At          uint64 `json:"at"` // place in that site's order of changes
+	At          uint64 `json:"at"` // sequence number in that site's order of changes
 }
 
-// waiting is a write that came before what it depends on.
+// heldWrite is a write that arrived before its dependencies.
 type heldWrite struct {
 	Since time.Duration `json:"since"`
 	Write *Write        `json:"write"`
 }
 
-// Site is what a site's council replicates of writes.
+// Site is the replicated state of a site's writes.
 type Site struct {
 	self         Place
 	limits       Limits
 	merge        Merge
-	retain       func([]byte) []byte // of evidence that the top has judged; nil: all of it
+	retain       func([]byte) []byte // the part of judged evidence that the top site keeps; nil: all of it
 	now          time.Duration
 	seq          uint64
-	number       [lanes]uint64 // of the last own write, by lane
+	number       [lanes]uint64 // number of the last own write, by lane
 	offered      [lanes]uint64
-	named        [lanes]vector // what the last own write named, with all before it
-	known        vector        // what this site has seen, and what tokens named; evidence aside
+	named        [lanes]vector // dependencies that the own writes of a lane have named so far
+	known        vector        // writes seen here or named by tokens; without evidence
 	seen         vector
 	judged       vector
 	refused      map[ID]*refusal
-	refusalLog   []*refusal // by place
+	refusalLog   []*refusal // in order of sequence numbers
 	log          pendingLog
-	outOfOrder   bool // some write in log may stand before one that it depends on: a token named what came later
+	outOfOrder   bool // a write in log may stand before one that it depends on: a token named a write that arrived later
 	subjects     map[subjectKey]*subject
 	changes      []change
 	held         []heldWrite
@@ -101,15 +101,16 @@
 	ending       map[incarnation]*closing
 	closed       map[incarnation]bool
 	cursors      map[string]Cursor
-	awaits       []AwaitedCalls // by sites above; replaced whole
-	own          usage          // of writes of this site in log
+	awaits       []AwaitedCalls // reported by a site above; replaced as a whole
+	own          usage          // by writes of this site in log
 	others       usage
 }
 
-// logged is what is not judged yet: of each origin the writes in the order of their numbers, which is that of their places too.
+// pendingLog holds the writes that are not judged yet: for each origin in order of their numbers, which is also the
+// order of their sequence numbers.
 type pendingLog map[Origin][]*item
 
-// upTo returns how many writes of an origin have numbers up to one.
+// countUpTo returns how many writes of an origin have numbers up to n.
 func (l pendingLog) countUpTo(o Origin, n uint64) int {
 	i, found := slices.BinarySearchFunc(l[o], n, func(it *item, n uint64) int { return cmp.Compare(it.Write.ID.Number, n) })
 	if found {
@@ -123,18 +124,18 @@
 	l[o] = slices.Insert(l[o], l.countUpTo(o, it.Write.ID.Number), it)
 }
 
-// cut takes out what an origin wrote up to a number.
+// removeUpTo removes and returns an origin's writes up to a number.
 func (l pendingLog) removeUpTo(o Origin, n uint64) []*item {
 	q, i := l[o], l.countUpTo(o, n)
 	if l[o] = q[i:]; i == len(q) {
 		delete(l, o)
 	}
 	gone := slices.Clone(q[:i])
-	clear(q[:i]) // or they stay for as long as the rest
+	clear(q[:i]) // lets the garbage collector free them before the rest
 	return gone
 }
 
-// inOrder puts items in the order of their places.
+// inOrder sorts items by sequence number.
 func inOrder(list []*item) []*item {
 	slices.SortFunc(list, func(a, b *item) int { return cmp.Compare(a.Seq, b.Seq) })
 	return list
@@ -147,7 +148,7 @@
 	u.bytes += n * w.size()
 }
 
-// size is about how many bytes a write takes in the store.
+// size returns the approximate number of bytes that a write takes in the store.
 func (w *Write) size() int {
 	n := 96 + len(w.Subject) + len(w.Value) + len(w.By) + len(w.ID.Origin.Site)
 	for _, v := range [2]VersionVector{w.Dependencies, w.Overwrites} {
@@ -158,27 +159,28 @@
 	return n + 40*len(w.Needs)
 }
 
-// New returns the state of a site that has seen nothing. Evidence is merged by MergeSketches unless Merging sets another way.
+// New returns an empty state. Evidence is merged by MergeSketches unless WithMerge sets another function.
 func New(self Place, limits Limits) *Site {
 	return &Site{self: self, limits: limits, merge: MergeSketches, named: [lanes]vector{{}, {}, {}}, known: vector{}, seen: vector{},
 		judged: vector{}, refused: map[ID]*refusal{}, subjects: map[subjectKey]*subject{}, incarnations: map[string]latestIncarnation{},
 		log: pendingLog{}, callers: map[string]bool{}, ending: map[incarnation]*closing{}, closed: map[incarnation]bool{}, cursors: map[string]Cursor{}}
 }
 
-// Merging sets how evidence is merged: the same at all sites.
+// WithMerge sets how evidence is merged. It must be the same at all sites.
 func (s *Site) WithMerge(m Merge) *Site {
 	s.merge = m
 	return s
 }
 
-// Keeping sets what the top keeps of a piece of evidence, besides the effect that hands it over whole: of the newest that each
-// origin told of a thing. It has to be evidence as well, to merge with what comes. The same at all seats.
+// WithRetention sets which part of a piece of evidence the top site stores, of the newest that each origin wrote on a
+// subject; the effect still has the whole piece. The result must itself be evidence, since it is merged with later
+// pieces. It must be the same on all replicas.
 func (s *Site) WithRetention(f func([]byte) []byte) *Site {
 	s.retain = f
 	return s
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable data.
 func (s *Site) Clone() *Site {
 	c := *s
 	for lane := range s.named {
@@ -203,29 +205,29 @@
 	return &c
 }
 
-// Self returns the place that the state was made for.
+// Self returns the site's place.
 func (s *Site) Self() Place { return s.self }
 
-// top says whether this site judges writes.
+// isTop reports whether this site judges writes.
 func (s *Site) isTop() bool { return len(s.self.Ancestors) == 0 }
 
-// origin returns the name of a lane of this site.
+// ownOrigin returns the origin of a lane of this site.
 func (s *Site) ownOrigin(lane int) Origin {
 	return incarnation{s.self.Site, s.self.Incarnation}.laneOrigin(lane)
 }
 
-// mine says whether an origin is this site in this life.
+// isOwn reports whether an origin is this site in this incarnation.
 func (s *Site) isOwn(o Origin) bool {
 	return o.Site == s.self.Site && o.Incarnation == s.self.Incarnation
 }
 
-// Seen returns what has been applied here.
+// Seen returns the vector of the writes applied here.
 func (s *Site) Seen() VersionVector { return s.seen.list() }
 
-// Judged returns of which writes the word of the top is known.
+// Judged returns the vector of the writes that are known here to be judged by the top site.
 func (s *Site) Judged() VersionVector { return s.judged.list() }
 
-// Verdict returns why a write was not taken, if that is known here.
+// Refusal returns the receipt of a write that was not accepted, if it is known here.
 func (s *Site) Refusal(d ID) (Receipt, bool) {
 	if r := s.refused[d]; r != nil {
 		return r.Receipt, true
@@ -233,16 +235,16 @@
 	return Receipt{}, false
 }
 
-// Token returns what this site has seen as text that a person can take to another site.
+// Token returns the writes known to this site as a text that a person can take to another site.
 func (s *Site) Token() string { return s.known.list().Encode() }
 
-// Waiting returns how many writes of this site, and of others, wait for the top's word.
+// Waiting returns how many writes of this site, and of others, wait to be judged by the top site.
 func (s *Site) Waiting() (own, others int) { return s.own.number, s.others.number }
 
-// Held returns how many writes wait for what they depend on.
+// Held returns how many writes wait for their dependencies.
 func (s *Site) Held() int { return len(s.held) }
 
-// Value returns what holds of a thing here, under a kind.
+// Value returns the value of a subject at this site.
 func (s *Site) Value(k Kind, name string) (Resolved, bool) {
 	t := s.subjects[subjectKey{k, name}]
 	if t == nil || name == "" {
@@ -259,7 +261,7 @@
 	return list
 }
 
-// Things returns the things of a kind that something holds of, sorted.
+// Subjects returns the sorted names of the subjects of a kind that have writes.
 func (s *Site) Subjects(k Kind) []string {
 	var names []string
 	for at, t := range s.subjects {
@@ -271,8 +273,8 @@
 	return names
 }
 
-// Check says why a command would be refused, before it is proposed. What it lets through, Apply takes, unless the state
-// has changed in between; Apply checks once more.
+// Check returns the reason for which a command would be refused, before it is proposed. Apply accepts what passes,
+// unless the state has changed in between; Apply checks again.
 func (s *Site) Check(c Command) error {
 	switch {
 	case c.Write != nil:
@@ -282,7 +284,7 @@
 	case c.Down != nil:
 		return c.Down.check()
 	case c.Place != nil && (c.Place.Site != s.self.Site || c.Place.Incarnation != s.self.Incarnation || s.isTop() != (len(c.Place.Ancestors) == 0)):
-		return &WriteError{"place", "a site keeps its name and its life, and does not become the top or cease to be it"}
+		return &WriteError{"place", "a site's name and incarnation cannot change, nor whether it is the top site"}
 	case c.Limits != nil && (c.Limits.Number <= 0 || c.Limits.Bytes <= 0 || c.Limits.Batch <= 0):
 		return &WriteError{"limits", "number, bytes and batch must be above 0"}
 	}
@@ -295,12 +297,12 @@
 	}
 	switch {
 	case l.Closes && !s.isTop():
-		return &WriteError{"closes", "a thing is closed at the top site only"}
+		return &WriteError{"closes", "a subject can only be closed at the top site"}
 	case l.Urgent && l.Kind == Evidence:
-		return &WriteError{"urgent", "evidence is never urgent"}
+		return &WriteError{"urgent", "evidence cannot be urgent"}
 	case l.Kind == Evidence && !l.Closes:
 		if _, err := s.merge(l.Value, l.Value); err != nil {
-			return &WriteError{"value", "it is no evidence that can be merged: " + err.Error()}
+			return &WriteError{"value", "not mergeable evidence: " + err.Error()}
 		}
 	}
 	if l.Token != "" {
@@ -322,7 +324,7 @@
 	room := Rules[l.Kind].QueuePercent
 	e := &QueueFullError{l.Kind, s.own.number, s.own.bytes, s.limits.Number * room / 100, s.limits.Bytes * room / 100}
 	if last := s.lastOwn(subjectKey{l.Kind, l.Subject}); last != nil && len(last.Write.Needs) == 0 && !s.judged.has(last.Write.ID) {
-		e.Bytes -= last.Write.size() // it is emptied once this one may leave
+		e.Bytes -= last.Write.size() // it is emptied once the new one is offered
 	}
 	if e.Number >= e.MaxNumber || e.Bytes+len(l.Value)+len(l.Subject)+96 > e.MaxBytes {
 		return e
@@ -330,22 +332,22 @@
 	return nil
 }
 
-// checkValue checks what a write says, wherever it comes from.
+// checkValue validates the content of a write from any source.
 func checkValue(k Kind, name string, value []byte, closes bool) error {
 	switch r := &Rules[min(k, kinds-1)]; {
 	case k >= kinds:
-		return &WriteError{"kind", "there is none such"}
+		return &WriteError{"kind", "unknown kind"}
 	case name == "" || len(name) > 256:
-		return &WriteError{"thing", "it must have 1 to 256 bytes"}
+		return &WriteError{"thing", "must have 1 to 256 bytes"}
 	case len(value) > 64<<10:
-		return &WriteError{"value", "it is longer than 64 KiB"}
+		return &WriteError{"value", "longer than 64 KiB"}
 	case len(r.Words) > 0 && !closes && r.wordIndex(value) < 0:
-		return &WriteError{"value", "it must begin with one of the kind's words"}
+		return &WriteError{"value", "must begin with one of the kind's words"}
 	}
 	return nil
 }
 
-// closer returns the write that has closed a thing, or nil.
+// closingWrite returns the write that closed a subject, or nil.
 func (s *Site) closingWrite(k subjectKey) *Write {
 	if t := s.subjects[k]; t != nil {
 		for _, it := range t.items {
@@ -357,7 +359,7 @@
 	return nil
 }
 
-// mergeable returns this site's evidence on the same thing that has not left yet.
+// mergeable returns this site's evidence on the same subject if it has not been offered yet.
 func (s *Site) mergeable(l *LocalWrite) *item {
 	if l.Kind != Evidence || l.Closes || len(l.Needs) > 0 || l.Token != "" || s.isTop() {
 		return nil
@@ -368,7 +370,7 @@
 	return nil
 }
 
-// lastOwn returns this site's last evidence on a thing.
+// lastOwn returns this site's last evidence on a subject.
 func (s *Site) lastOwn(k subjectKey) (last *item) {
 	if t := s.subjects[k]; t != nil {
 		for _, it := range t.items {
@@ -380,7 +382,7 @@
 	return last
 }
 
-// Apply takes in one command at the time that the leader stamped, and returns what it brings, in order.
+// Apply applies one command at the time that the leader stamped, and returns its effects in order.
 func (s *Site) Apply(at time.Duration, c Command) (f []Effect) {
 	s.now = max(s.now, at)
 	if err := s.Check(c); err != nil {
@@ -409,8 +411,8 @@
 	return f
 }
 
-// Unoffered returns what a leader has committed before it sends, or answers with, what this site wrote; nil where all of it
-// may have left already.
+// Unoffered returns the command that a leader commits before it sends this site's writes up, or shows them in an
+// answer. It is nil if all of them may have left already.
 func (s *Site) Unoffered() *Command {
 	if s.isTop() || s.offered == s.number {
 		return nil
@@ -418,7 +420,7 @@
 	return &Command{Offer: &Offer{s.number[0], s.number[1], s.number[2]}}
 }
 
-// offer lets writes of this site leave.
+// offer allows writes of this site to be sent.
 func (s *Site) offer(o *Offer) {
 	was := s.offered
 	for lane, n := range [lanes]uint64{o.Number, o.Urgent, o.Evidence} {
@@ -435,7 +437,8 @@
 	}
 }
 
-// carried empties what waits of the same origin's evidence on the same thing: this one says it as well, and may leave.
+// emptyCovered empties the waiting earlier evidence of the same origin on the same subject: by covers it and may be
+// sent.
 func (s *Site) emptyCovered(by *Write) {
 	if by.Kind != Evidence || by.Subject == "" || s.notOffered(by.ID) {
 		return
@@ -448,17 +451,17 @@
 	}
 }
 
-// void is what is left of evidence that was given up, or that a later one of its origin says as well.
+// emptied returns what remains of evidence that was dropped, or that a later piece of its origin covers.
 func emptied(w *Write, into uint64) *Write {
 	return &Write{ID: w.ID, Dependencies: w.Dependencies, Kind: Evidence, Level: w.Level, At: w.At, StoreCreated: w.StoreCreated, MergedInto: into}
 }
 
-// kept says whether a write is one of this site's that may not leave yet.
+// notOffered reports whether a write is one of this site's that may not be sent yet.
 func (s *Site) notOffered(d ID) bool {
 	return !s.isTop() && s.isOwn(d.Origin) && d.Number > s.offered[d.Origin.lane()]
 }
 
-// write commits a write of this site.
+// write applies a write submitted at this site.
 func (s *Site) write(l *LocalWrite, f *[]Effect) {
 	if it := s.mergeable(l); it != nil {
 		w := *it.Write
@@ -478,7 +481,7 @@
 	if l.Token != "" {
 		token, _ := ParseToken(l.Token) // checked
 		after.join(token)
-		if l.Kind != Evidence { // what comes later goes behind this write; others here have not read what was named
+		if l.Kind != Evidence { // the named writes rank behind this one when they arrive; other writes at this site have not seen them
 			over.join(s.notYetApplied(token))
 		}
 		s.known.join(token)
@@ -509,7 +512,7 @@
 	s.apply(w, false, f)
 }
 
-// ahead returns the marks of a vector that were named here and have not come.
+// notYetApplied returns the entries of a vector that were named here and have not arrived.
 func (s *Site) notYetApplied(v VersionVector) (far VersionVector) {
 	for _, m := range v {
 		if m.Number > s.seen[m.Origin] && !s.isOwn(m.Origin) {
@@ -519,7 +522,7 @@
 	return far
 }
 
-// replace puts an item in the place of another one of the same write.
+// replace puts an item in the position of another one of the same write.
 func (s *Site) replace(old, by *item) {
 	o := old.Write.ID.Origin
 	if i := s.log.countUpTo(o, old.Write.ID.Number); i > 0 && s.log[o][i-1] == old {
@@ -546,7 +549,7 @@
 	return &s.others
 }
 
-// place puts an item among those of its thing.
+// place inserts an item into its subject.
 func (s *Site) place(it *item) {
 	k := subjectKey{it.Write.Kind, it.Write.Subject}
 	t := s.subjects[k]
@@ -559,12 +562,12 @@
 	s.markChanged(k)
 }
 
-// touch notes that a thing has changed.
+// markChanged records that a subject has changed.
 func (s *Site) markChanged(k subjectKey) {
 	s.seq++
 	s.subjects[k].changed = s.seq
 	if k.Kind == Evidence {
-		return // it does not come down
+		return // evidence does not come down
 	}
 	s.changes = append(s.changes, change{s.seq, k})
 	if len(s.changes) > 64 && len(s.changes) > 2*len(s.subjects) {
@@ -572,7 +575,7 @@
 	}
 }
 
-// apply applies a write that is the next of its origin. Lacking says that what it depends on will never come.
+// apply applies the next write of its origin. Lacking means that some of its dependencies will never arrive.
 func (s *Site) apply(w *Write, lacking bool, f *[]Effect) {
 	o := w.ID.Origin
 	s.seen.raise(o, w.ID.Number)
@@ -616,7 +619,7 @@
 	}
 }
 
-// judge says what becomes of a write at the top.
+// judge decides on a write at the top site.
 func (s *Site) judge(w *Write, lacking bool) (Outcome, string) {
 	if w.Subject == "" {
 		return Applied, ""
@@ -638,7 +641,7 @@
 	return Applied, ""
 }
 
-// fate tells a write that was taken and goes first, or stands beside others, from one that another goes before.
+// appliedOutcome returns Superseded for an accepted write that a concurrent one takes precedence over, else Applied.
 func (s *Site) appliedOutcome(w *Write) Outcome {
 	if w.Subject == "" || Rules[w.Kind].Coexist {
 		return Applied
@@ -660,8 +663,8 @@
 	s.refusalLog = append(s.refusalLog, x)
 }
 
-// prune forgets writes on a thing that count no more: refused, or written over by one that the top has taken, or evidence
-// that is held elsewhere. Only what is judged is forgotten, so that nothing comes back.
+// prune drops writes on a subject that no longer count: refused ones, those overwritten by an accepted one, and
+// evidence that is held elsewhere. Only judged writes are dropped, so that none comes back.
 func (s *Site) prune(k subjectKey) {
 	t := s.subjects[k]
 	if t == nil {
@@ -692,9 +695,9 @@
 	}
 }
 
-// take takes in what a site below sent.
+// applyBatch applies the call of a site below.
 func (s *Site) applyBatch(b *Batch, f *[]Effect) {
-	if b.Probe { // what it does not show says nothing
+	if b.Probe { // a probe carries no vectors, so their absence shows nothing
 		return
 	}
 	s.noteIncarnation(incarnation{b.From.Site, b.From.Incarnation}, b.From.StoreCreated, f)
@@ -708,7 +711,7 @@
 		}
 	}
 	for i := range b.Writes {
-		one := b.Writes[i] // a copy: the call's memory is not kept
+		one := b.Writes[i] // a copy, so that the memory of the call is not retained
 		w := &one
 		switch ready, lacking := s.ready(w); {
 		case s.seen.has(w.ID):
@@ -723,8 +726,8 @@
 	s.release(f)
 }
 
-// News says whether a call is to be taken in though it brings no writes: it tells of a life that is not known here, or a
-// life waits for it to be closed.
+// HasNews reports whether a call must be committed even if it brings no writes: it tells of an incarnation that is not
+// known here, or an ended incarnation waits for this call to be closed.
 func (s *Site) HasNews(b *Batch) bool {
 	for _, h := range b.Incarnations {
 		if l := (incarnation{h.Site, h.Incarnation}); s.incarnations[h.Site].Incarnation != h.Incarnation && s.ending[l] == nil && !s.closed[l] {
@@ -739,12 +742,12 @@
 	return false
 }
 
-// awaited says whether a site above waits for a call of this one.
+// awaitedBy reports whether the given site above waits for a call of this site.
 func (s *Site) awaitedBy(by string) bool {
 	return slices.ContainsFunc(s.awaits, func(a AwaitedCalls) bool { return a.By == by && slices.Contains(a.Sites, s.self.Site) })
 }
 
-// shows says whether a call shows nothing of a life that is not known here.
+// showsNothingNew reports whether a call shows no writes of an incarnation beyond those known here.
 func (s *Site) showsNothingNew(b *Batch, l incarnation) bool {
 	for lane := range lanes {
 		o := l.laneOrigin(lane)
@@ -755,7 +758,7 @@
 	return true
 }
 
-// room says whether a write of another site may be taken into the queue. Evidence leaves room for decisions.
+// hasRoom reports whether a write of another site fits into the queue. Evidence leaves room for the other kinds.
 func (s *Site) hasRoom(w *Write) bool {
 	part := relayedPercent
 	if w.Kind == Evidence {
@@ -764,7 +767,7 @@
 	return s.isTop() || s.others.number < s.limits.Number*part/100 && s.others.bytes+w.size() <= s.limits.Bytes*part/100
 }
 
-// Room returns how many more writes of other sites the queue takes.
+// Room returns how many more writes of other sites fit into the queue.
 func (s *Site) Room() int {
 	if s.isTop() {
 		return 1 << 30
@@ -772,7 +775,8 @@
 	return max(0, s.limits.Number*relayedPercent/100-s.others.number)
 }
 
-// ready says whether all that a write depends on has been applied; lacking, that some of it never will be.
+// ready reports whether all dependencies of a write have been applied or will never arrive; lacking reports the latter
+// for some of them.
 func (s *Site) ready(w *Write) (ready, lacking bool) {
 	if w.ID.Number != s.seen[w.ID.Origin]+1 {
 		return false, false
@@ -789,8 +793,8 @@
 	return true, lacking
 }
 
-// hold keeps a write that came too early, if there is room; the sender has it in any case. Of the evidence of an origin, which
-// is long, it keeps one.
+// hold keeps a write that arrived too early, if there is room; the sender has it in any case. Of an origin's evidence,
+// which is large, only the next piece is kept.
 func (s *Site) hold(w *Write, f *[]Effect) {
 	if w.Kind == Evidence && w.ID.Number != s.seen[w.ID.Origin]+1 {
 		return
@@ -802,7 +806,7 @@
 	*f = append(*f, Effect{Kind: EffectHeld, ID: w.ID})
 }
 
-// release applies what was held and is ready now, and lets go what has been applied or has waited for too long.
+// release applies held writes that are ready now, and drops those that were applied already or have waited too long.
 func (s *Site) release(f *[]Effect) {
 	for again := true; again; {
 		again = false
@@ -827,7 +831,7 @@
 	}
 }
 
-// heard notes a life of a site. The top begins to close the one before it.
+// noteIncarnation records an incarnation of a site, and begins to close the one before it.
 func (s *Site) noteIncarnation(l incarnation, born time.Duration, f *[]Effect) {
 	was, any := s.incarnations[l.Site]
 	switch {
@@ -845,7 +849,7 @@
 	}
 }
 
-// lost begins to close a life that ended with its store.
+// startClosing begins to close an incarnation that ended with its store.
 func (s *Site) startClosing(l incarnation, f *[]Effect) {
 	if s.ending[l] != nil || s.closed[l] || l.Site == s.self.Site && l.Incarnation == s.self.Incarnation {
 		return
@@ -862,8 +866,8 @@
 	*f = append(*f, Effect{Kind: EffectIncarnationEnded, ID: ID{o, s.seen[o]}})
 }
 
-// unheard begins to close the life of a mark that was never heard of while its site lives a later one. An earlier one may
-// be all that is known here: then the site has yet to call.
+// closeIfNeverSeen begins to close the incarnation of a vector entry if none of its writes came and its site has a
+// later one. An earlier incarnation may be all that is known here: then the site has yet to call.
 func (s *Site) closeIfNeverSeen(m VectorEntry, f *[]Effect) {
 	l := incarnationOf(m.Origin)
 	was, any := s.incarnations[l.Site]
@@ -877,18 +881,18 @@
 	}
 }
 
-// end closes lives of which nothing more can come.
+// finishClosings closes incarnations from which nothing more can arrive.
 func (s *Site) finishClosings(f *[]Effect) {
 	if !s.isTop() {
 		return
 	}
-	for _, h := range s.held { // a life that is named and was never heard of, of a site that lives another one
+	for _, h := range s.held { // may name an incarnation that was never seen, of a site that has a later one
 		s.closeIfNeverSeen(VectorEntry{h.Write.ID.Origin, h.Write.ID.Number}, f)
 		for _, m := range h.Write.Dependencies {
 			s.closeIfNeverSeen(m, f)
 		}
 	}
-	for l, e := range s.ending { // the order does not show: each is judged by itself
+	for l, e := range s.ending { // the iteration order has no effect: each is judged by itself
 		if len(e.Waits) == 0 || s.limits.Age > 0 && s.now-e.Since > s.limits.Age {
 			delete(s.ending, l)
 			s.closed[l] = true
@@ -896,7 +900,7 @@
 	}
 }
 
-// sweep gives up evidence that is too old and has not left. It says whether there was any.
+// dropExpired drops evidence that is too old and has not been offered, and reports whether there was any.
 func (s *Site) dropExpired(f *[]Effect) (any bool) {
 	if s.limits.Age <= 0 {
 		return false
@@ -914,14 +918,14 @@
 	return any
 }
 
-// join takes in the state of a site above.
+// joinState joins the state of a site above into this one.
 func (s *Site) joinState(d *StateUpdate, f *[]Effect) {
 	cur := s.cursors[d.From]
 	if d.To != s.self.Incarnation {
-		return // for a life that ended with its store
+		return // meant for an earlier incarnation, which ended with its store
 	}
 	if d.Last && d.After > 0 && (cur.Incarnation != d.Incarnation || cur.At < d.After) {
-		return // it goes on from what is not known here
+		return // continues from a state that is not known here
 	}
 	has := map[subjectKey][]ID{}
 	for _, t := range d.Subjects {
@@ -979,7 +983,7 @@
 		delete(s.ending, l)
 	}
 	s.judged.join(d.Judged)
-	for _, m := range d.Judged { // evidence that the top has judged need be neither had here nor passed on
+	for _, m := range d.Judged { // judged evidence need not be held here or passed on
 		if m.Origin.Evidence {
 			s.seen.raise(m.Origin, m.Number)
 		}
@@ -989,7 +993,8 @@
 	s.release(f)
 }
 
-// brings says whether join would change anything but the cursor: from an older one the same comes again.
+// wouldChange reports whether joinState would change more than the cursor. If not, the same comes again from the older
+// cursor.
 func (s *Site) wouldChange(d *StateUpdate) bool {
 	switch {
 	case d.To != s.self.Incarnation:
@@ -1001,7 +1006,8 @@
 		!slices.EqualFunc(s.awaits, d.Awaits, func(a, b AwaitedCalls) bool { return a.By == b.By && slices.Equal(a.Sites, b.Sites) })
 }
 
-// older goes on after numbers of this life that others know of and this store does not: it was put back from a copy.
+// skipUsedNumbers continues after those numbers of this incarnation that others know and this store does not: the store
+// was restored from a copy.
 func (s *Site) skipUsedNumbers(f *[]Effect) {
 	for lane := range s.number {
 		if o := s.ownOrigin(lane); s.seen[o] > s.number[lane] {
@@ -1025,7 +1031,7 @@
 	return 0
 }
 
-// cut takes out of the log what the top has judged since, and reads the receipts of this site's writes off.
+// removeJudged removes from the log the writes that were judged since, and issues the receipts of this site's writes.
 func (s *Site) removeJudged(before vector, touched map[subjectKey]bool, from string, f *[]Effect) {
 	var gone []*item
 	for o := range s.log {
@@ -1058,7 +1064,7 @@
 		} else {
 			r.Outcome = s.appliedOutcome(w)
 		}
-		if w.Subject != "" || w.MergedInto > 0 { // what was given up has had its receipt
+		if w.Subject != "" || w.MergedInto > 0 { // dropped evidence has had its receipt
 			*f = append(*f, Effect{Kind: EffectReceipt, ID: w.ID, Receipt: r})
 		}
 	}
--- a/internal/choice/sitesync/sitesync.go
+++ b/internal/choice/sitesync/sitesync.go
@@ -1,180 +1,192 @@
-// Package sitesync carries what is written at a site to the sites above it, and decisions down again. Site is the state
-// that a site's council replicates: commands in, effects out, the same at each seat, no I/O and no clock; the time is
-// the one that the council's leader stamped.
+// Package sitesync replicates the writes of a site to the sites above it, and brings the decisions of the top site back
+// down. Site is the state machine that a site's consensus group replicates: commands in, effects out, the same on every
+// replica, without I/O and without a clock. The time is the one that the group's leader stamped on the command.
+//
+// Terms: the sites of a line (building, regency, province) each have a parent, up to the top site. A write is about a
+// subject, such as a host. A site that loses its store starts a new incarnation. The top site judges each write: it
+// accepts or refuses it.
 //
 // The properties:
 //
-//	U1  A write is applied at most once at each site, by whatever route and however often it comes, and only after all
-//	    that it depends on (causal order). One exception: where a token names what has not come yet, the write holds at once
-//	    at its origin and at the sites below that take the origin's state; what was named goes behind it when it comes.
-//	U2  Once links heal and nobody writes any more, every site of a line has applied the same writes and holds the same
-//	    value of every thing, in whatever order they came. Evidence goes up and does not come down: the top holds that of
-//	    all (what Keeping keeps of it), and every other site holds what it wrote itself.
+//	U1  A write is applied at most once at each site, whichever route it takes and however often it arrives, and only
+//	    after everything that it depends on (causal order). One exception: a write whose token names writes that have not
+//	    arrived takes effect at once at its origin, and at the sites below that receive the origin's state; the named
+//	    writes rank behind it when they arrive.
+//	U2  Once links heal and writing stops, every site of a line has applied the same writes and holds the same value of
+//	    every subject, whatever the order of arrival. Evidence goes up and does not come down: the top site holds that of
+//	    all sites (as much of it as WithRetention keeps), and every other site holds its own.
 //	U3  No write is dropped without a receipt that reaches its origin: applied, or refused with the cause.
-//	U4  What depends on a refused write is judged by its kind's rule (Rules), the same at all sites.
-//	U5  A store that was lost starts a new life of its origin: numbers of the two lives are never taken for one another.
+//	U4  A write that depends on a refused one is judged by the rule of its kind (Rules), the same at all sites.
+//	U5  A site whose store was lost starts a new incarnation: the write numbers of two incarnations are never confused.
 //	U6  The queue keeps its limits of bytes, number and age: evidence is merged first, then new writes are refused by
-//	    kind, the safety of a host last. A burst does not starve an urgent write; an urgent one does not overtake what it
-//	    depends on.
-//	U7  A parent takes no more than it gave credit for; its own writes go first.
+//	    kind, those about the safety of a host last. A burst does not starve an urgent write; an urgent write does not
+//	    overtake what it depends on.
+//	U7  A parent accepts no more writes than it granted credit for; its own writes go first.
 //
-// How it works. Every site keeps every write that the top of the line has not judged yet, in the order in which it applied
-// them, and can therefore replay any of them to any site above, whoever wrote it: what the other has is left out. The top
-// judges a write when it applies it. Its word is a vector of what is judged and a list of what was not taken; both come
-// down, and are the receipts: an origin reads them off once, as the vector passes its own numbers.
+// How it works. Every site keeps every write that the top site has not judged yet, in the order in which it applied them,
+// and can therefore send any of them to any site above, whoever wrote it; writes that the other site has are left out.
+// The top site judges a write when it applies it. The result is a version vector of the judged writes and a list of the
+// refused ones. Both come down and serve as the receipts: an origin issues each receipt once, when the vector passes the
+// write's number.
 //
-// Evidence counts by itself and stands outside the causal order: nothing waits for it, unless it names it as needed, and so
-// a site can go without that of others. A site between the origin and the top keeps it until the top has judged it. What a
-// later one of its origin says as well is emptied while it still waits (Into): of each thing only the newest is carried.
+// Evidence has its own numbering and is outside the causal order: nothing waits for it unless a write names it as needed,
+// so a site can do without the evidence of others. A site between the origin and the top keeps it until the top has judged
+// it. Waiting evidence that a later piece of the same origin covers is emptied (Write.MergedInto): of each subject only
+// the newest is carried.
 //
-// Down comes state and not a log: of each thing the writes that still count. A write that counts no more is forgotten
-// only when what was written over it is judged and taken, so that two states are joined by their vectors alone: what one
-// side has not and its vector covers is over.
+// What comes down is state, not a log: for each subject the writes that still count. A write that no longer counts is
+// dropped only when the write that overwrote it is judged and accepted. Two states can therefore be joined by their
+// vectors alone: a write that one side does not hold although its vector covers it is obsolete.
 package sitesync
 
 import "time"
 
-// Origin is one life of one site: whoever loses its store begins another. Urgent writes count by themselves, or the number
-// would put them behind all that their site wrote before; and so does evidence, or others would stand behind it.
+// Origin identifies one incarnation of one site's store and one of its lanes. Each lane numbers its writes separately:
+// with a single sequence an urgent write would have to follow everything that its site wrote before, and other writes
+// would have to follow evidence.
 type Origin struct {
 	Site        string `json:"site"`
-	Incarnation uint64 `json:"life"` // of the store, above those before it; never 0
+	Incarnation uint64 `json:"life"` // of the store; higher than all earlier ones, never 0
 	Urgent      bool   `json:"urgent,omitempty"`
 	Evidence    bool   `json:"evidence,omitempty"`
 }
 
-// lanes is how many origins each life of a site has: see Origin.lane.
+// lanes is the number of lanes of an incarnation; see Origin.lane.
 const lanes = 3
 
 // Place is a site with the sites above it.
 type Place struct {
 	Site         string        `json:"site"`
 	Level        int           `json:"level"`           // 0 is the province
-	Incarnation  uint64        `json:"life"`            // of the store, above those before it; never 0
-	StoreCreated time.Duration `json:"born"`            // Unix time when the store was made: the later of two lives is the one that lives
-	Ancestors    []string      `json:"above,omitempty"` // the parent first; none at the top
+	Incarnation  uint64        `json:"life"`            // of the store; higher than all earlier ones, never 0
+	StoreCreated time.Duration `json:"born"`            // Unix time at which the store was made: of two incarnations the later one is current
+	Ancestors    []string      `json:"above,omitempty"` // the parent first; empty at the top
 }
 
-// ID names a write: the number counts up from 1 within its origin, without gaps.
+// ID identifies a write. Numbers count up from 1 within an origin, without gaps.
 type ID struct {
 	Origin Origin `json:"origin"`
 	Number uint64 `json:"number"`
 }
 
-// Seen is a version vector: of each origin, up to which number its writes have been applied. Sorted by site and life.
+// VersionVector holds for each origin the number up to which its writes have been applied. It is sorted by
+// Origin.Compare.
 type VersionVector []VectorEntry
 
-// Mark is one entry of a vector.
+// VectorEntry is one entry of a version vector.
 type VectorEntry struct {
 	Origin Origin `json:"origin"`
 	Number uint64 `json:"number"`
 }
 
-// Kind is what a write is about, which decides how two concurrent ones are settled and which is refused first.
+// Kind is the type of a write. It decides how concurrent writes on a subject are resolved and which writes are refused
+// first.
 type Kind uint8
 
-// The kinds, the first to be refused first.
+// The kinds, in the order in which they are refused when the queue fills up.
 const (
-	Evidence Kind = iota // counts under a policy: mergeable; merged in the queue before anything is refused
-	Note                 // on a policy
-	Work                 // work asked for, or done, on a host
-	Policy               // a policy begun, halted, resumed or forced: the higher level's goes before the lower's
-	Safety               // a host out or back by hand: out goes before back
+	Evidence Kind = iota // measurements under a policy; mergeable, and merged in the queue before anything is refused
+	Note                 // a remark on a policy
+	Work                 // work requested, or done, on a host
+	Policy               // a policy begun, halted, resumed or forced: a higher level takes precedence over a lower one
+	Safety               // a host taken out of service, or put back, by an operator: out takes precedence over back
 	kinds
 )
 
-// Kinds is how many there are.
+// Kinds is the number of kinds.
 const Kinds = int(kinds)
 
-// Write is something written at a site.
+// Write is a write made at a site.
 type Write struct {
 	ID           ID            `json:"id"`
-	Dependencies VersionVector `json:"after,omitempty"` // what its writer had seen: applied before it; without what the origin's write before it named
-	Overwrites   VersionVector `json:"over,omitempty"`  // of After, what it was written over: the writes on this thing up to these
-	Needs        []ID          `json:"needs,omitempty"` // writes that it falls with, by its kind's rule
+	Dependencies VersionVector `json:"after,omitempty"` // writes to apply before this one; without those that an earlier write of the origin names
+	Overwrites   VersionVector `json:"over,omitempty"`  // the part of Dependencies that this write overwrites: the writes on its subject up to these numbers
+	Needs        []ID          `json:"needs,omitempty"` // writes whose refusal this write shares, if its kind's rule says so
 	Kind         Kind          `json:"kind"`
 	Level        int           `json:"level"` // of the origin: 0 is the province
-	Subject      string        `json:"thing"` // what it is about: "host/g12", "policy/<hash>"; concurrent writes on one thing are settled
+	Subject      string        `json:"thing"` // for example "host/g12" or "policy/<hash>"; concurrent writes on one subject are resolved
 	Value        []byte        `json:"value,omitempty"`
-	At           time.Duration `json:"at"` // Unix time, for people and for age; never for order
+	At           time.Duration `json:"at"` // Unix time, for display and for age limits; never for ordering
 	By           string        `json:"by,omitempty"`
-	Closes       bool          `json:"closes,omitempty"` // ends the thing for good: what did not see it is refused
-	StoreCreated time.Duration `json:"born,omitempty"`   // of the origin's first write: when its life began
-	MergedInto   uint64        `json:"into,omitempty"`   // of evidence without thing and value: the later one of its origin that says it too
+	Closes       bool          `json:"closes,omitempty"` // closes the subject for good: a write that had not seen it is refused
+	StoreCreated time.Duration `json:"born,omitempty"`   // in the first write of an origin: when its store was made
+	MergedInto   uint64        `json:"into,omitempty"`   // set in emptied evidence: the number of the later piece of the same origin that covers it
 }
 
-// Outcome is what became of a write at the top of its way.
+// Outcome is the top site's result for a write.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Applied    Outcome = iota + 1
-	Superseded         // applied, and settled against a concurrent one that goes before it
-	Refused            // not valid any more; Why says it
-	Orphaned           // it depended on a refused one, and its kind's rule is that it falls with it
+	Superseded         // applied, but a concurrent write takes precedence
+	Refused            // not valid any more; Receipt.Why has the reason
+	Orphaned           // depended on a refused write, and its kind's rule refuses it too
 )
 
-// Receipt comes back to the origin of a write. Evidence that a later one says as well is applied with that one.
+// Receipt reports the outcome of a write to its origin. Evidence that a later piece covers is applied together with
+// that piece.
 type Receipt struct {
 	ID      ID      `json:"id"`
 	Outcome Outcome `json:"outcome"`
 	Why     string  `json:"why,omitempty"`
-	Site    string  `json:"site"` // who says so
+	Site    string  `json:"site"` // the site that issued it
 }
 
-// Limits bound the queue of what the parent has not acknowledged.
+// Limits bounds the queue of writes that the top site has not judged yet.
 type Limits struct {
 	Bytes  int
 	Number int
-	Age    time.Duration // evidence older than this is merged into its successor or dropped with a receipt
+	Age    time.Duration // evidence older than this that has not been sent is dropped with a receipt
 	Batch  int           // writes in one call
-	Held   int           // writes that came before what they depend on and are kept; the others are asked for again
+	Held   int           // writes kept although they arrived before their dependencies; others are dropped, and the sender sends them again
 }
 
-// Local is a write as it is handed in at its own site.
+// LocalWrite is a write as submitted at its own site.
 type LocalWrite struct {
 	Kind    Kind   `json:"kind"`
 	Subject string `json:"thing"`
 	Value   []byte `json:"value,omitempty"`
 	By      string `json:"by,omitempty"`
-	Urgent  bool   `json:"urgent,omitempty"` // it goes before what it does not depend on: its thing, Needs and Token
-	Closes  bool   `json:"closes,omitempty"` // at the top only
+	Urgent  bool   `json:"urgent,omitempty"` // sent before all that it does not depend on; it depends on its subject, Needs and Token
+	Closes  bool   `json:"closes,omitempty"` // accepted at the top site only
 	Needs   []ID   `json:"needs,omitempty"`
-	Token   string `json:"token,omitempty"` // of another site: see Site.Token
+	Token   string `json:"token,omitempty"` // from another site: see Site.Token
 }
 
-// Command is one entry of the council's log about writes: one of the pointers is set, none for the time alone.
+// Command is one entry about writes in the consensus group's log. At most one of the pointers is set; with none, only
+// the time advances.
 type Command struct {
 	Write  *LocalWrite  `json:"write,omitempty"`
-	Offer  *Offer       `json:"offer,omitempty"` // by the leader, before writes leave the site
-	Batch  *Batch       `json:"batch,omitempty"` // from below
-	Down   *StateUpdate `json:"down,omitempty"`  // from above
+	Offer  *Offer       `json:"offer,omitempty"` // proposed by the leader before writes leave the site
+	Batch  *Batch       `json:"batch,omitempty"` // from a site below
+	Down   *StateUpdate `json:"down,omitempty"`  // from a site above
 	Limits *Limits      `json:"limits,omitempty"`
-	Place  *Place       `json:"place,omitempty"` // other sites above, or another level
+	Place  *Place       `json:"place,omitempty"` // changes the sites above, or the level
 }
 
-// Offer says that the site's own writes up to these numbers may be known elsewhere: they are not merged any more.
+// Offer states that the site's own writes up to these numbers may be known elsewhere: they are not merged any more.
 type Offer struct {
 	Number   uint64 `json:"number"`
 	Urgent   uint64 `json:"urgent"`
 	Evidence uint64 `json:"evidence"`
 }
 
-// EffectKind names an effect.
+// EffectKind is the type of an effect.
 type EffectKind uint8
 
 // The effects.
 const (
-	EffectApplied          EffectKind = iota // Write is applied here
-	EffectMerged                             // evidence was merged into the write of ID, which had not left yet
-	EffectReceipt                            // of a write of this site
-	EffectRefused                            // a command was refused; Err says it
-	EffectHeld                               // the write of ID waits for what it depends on
-	EffectIncarnationEnded                   // a life of a site has ended with its store; ID is the last write of it that is known
-	EffectStaleStore                         // this store is older than what it has told before: ID is what is known of it above
+	EffectApplied          EffectKind = iota // Write was applied here
+	EffectMerged                             // evidence was merged into the write with this ID, which had not been sent yet
+	EffectReceipt                            // Receipt is for a write of this site
+	EffectRefused                            // a command was refused; Err has the reason
+	EffectHeld                               // the write with this ID waits for its dependencies
+	EffectIncarnationEnded                   // an incarnation of a site ended with its store; ID is its last known ordinary write
+	EffectStaleStore                         // this store is older than what other sites know of it; ID is the last write that they know
 )
 
-// Effect is something that an application of a command brings.
+// Effect is a consequence of applying a command.
 type Effect struct {
 	Kind    EffectKind
 	Write   *Write
@@ -183,10 +195,10 @@
 	Err     error
 }
 
-// Settled is what holds of a thing.
+// Resolved is the current value of a subject.
 type Resolved struct {
-	Write      Write   // the one that goes first
-	Value      []byte  // its value; of evidence, all merged
-	Concurrent []Write // concurrent ones that it was settled against; of notes, those that stand as well
+	Write      Write   // the one that takes precedence
+	Value      []byte  // its value; for evidence, all pieces merged
+	Concurrent []Write // concurrent writes that Write takes precedence over; for kinds that coexist, all others in force
 	Closed     bool
 }
--- a/internal/choice/sitesync/vector.go
+++ b/internal/choice/sitesync/vector.go
@@ -11,12 +11,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Compare puts origins in their order.
+// Compare orders origins by site, incarnation and lane.
 func (o Origin) Compare(p Origin) int {
 	return cmp.Or(cmp.Compare(o.Site, p.Site), cmp.Compare(o.Incarnation, p.Incarnation), cmp.Compare(o.lane(), p.lane()))
 }
 
-// lane numbers the origins of a life: ordinary writes, urgent ones, evidence.
+// lane returns the index of the origin's lane: 0 for ordinary writes, 1 for urgent ones, 2 for evidence.
 func (o Origin) lane() int {
 	switch {
 	case o.Evidence:
@@ -27,7 +27,7 @@
 	return 0
 }
 
-// Compare puts writes' names in their order.
+// Compare orders IDs by origin and number.
 func (d ID) Compare(e ID) int {
 	return cmp.Or(d.Origin.Compare(e.Origin), cmp.Compare(d.Number, e.Number))
 }
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s.%x%s/%d", d.Origin.Site, d.Origin.Incarnation, [lanes]string{"", "!", "~"}[d.Origin.lane()], d.Number)
 }
 
-// Of returns up to which number an origin's writes are in.
+// Highest returns the number up to which the vector contains an origin's writes.
 func (v VersionVector) Highest(o Origin) uint64 {
 	if i, ok := slices.BinarySearchFunc(v, o, func(m VectorEntry, o Origin) int { return m.Origin.Compare(o) }); ok {
 		return v[i].Number
@@ -44,10 +44,10 @@
 	return 0
 }
 
-// Has says whether a write is in.
+// Has reports whether the vector contains a write.
 func (v VersionVector) Has(d ID) bool { return d.Number <= v.Highest(d.Origin) }
 
-// sound says whether a vector is sorted and names each origin once.
+// valid reports whether a vector is sorted and names each origin once, without zero values.
 func (v VersionVector) valid() bool {
 	for i, m := range v {
 		if m.Origin.Site == "" || m.Origin.Incarnation == 0 || m.Number == 0 || i > 0 && v[i-1].Origin.Compare(m.Origin) >= 0 {
@@ -57,12 +57,12 @@
 	return true
 }
 
-// vector is a version vector to work on.
+// vector is a version vector in the form used for computing.
 type vector map[Origin]uint64
 
 func (v vector) has(d ID) bool { return d.Number <= v[d.Origin] }
 
-// raise takes a mark in and says whether it is news.
+// raise sets an origin's number if it is higher, and reports whether it was.
 func (v vector) raise(o Origin, n uint64) bool {
 	if n <= v[o] {
 		return false
@@ -77,12 +77,12 @@
 	}
 }
 
-// covers says whether all of s is in v.
+// covers reports whether v contains all of s.
 func (v vector) covers(s VersionVector) bool {
 	return !slices.ContainsFunc(s, func(m VectorEntry) bool { return m.Number > v[m.Origin] })
 }
 
-// list returns the vector in its order.
+// list returns the vector as a sorted list.
 func (v vector) list() VersionVector {
 	if len(v) == 0 {
 		return nil
@@ -95,7 +95,7 @@
 	return s
 }
 
-// beyond returns the marks of v that base has not, in order.
+// beyond returns the sorted entries of v that exceed those of base.
 func (v vector) beyond(base vector) VersionVector {
 	var s VersionVector
 	for o, n := range v {
@@ -107,28 +107,28 @@
 	return s
 }
 
-// Encode returns a vector as a token that a person can carry: text, with a check sum.
+// Encode returns a vector as a text token with a checksum, which a person can carry to another site.
 func (v VersionVector) Encode() string {
-	body, _ := json.Marshal(v) // strings and numbers: it cannot fail
+	body, _ := json.Marshal(v) // cannot fail: strings and numbers only
 	return base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint64(body, xxhash.Sum64(body)))
 }
 
-// ParseToken reads what Encode returned. Errors are of type TokenError.
+// ParseToken parses a token that Encode returned. Errors are of type *TokenError.
 func ParseToken(token string) (VersionVector, error) {
 	b, err := base64.RawURLEncoding.DecodeString(token)
 	switch {
 	case err != nil:
-		return nil, &TokenError{"it is not base64"}
+		return nil, &TokenError{"not valid base64"}
 	case len(b) < 8:
-		return nil, &TokenError{"it is too short"}
+		return nil, &TokenError{"too short"}
 	}
 	body := b[:len(b)-8]
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(b[len(b)-8:]) {
-		return nil, &TokenError{"its check sum does not hold"}
+		return nil, &TokenError{"checksum mismatch"}
 	}
 	var v VersionVector
 	if err := json.Unmarshal(body, &v); err != nil || !v.valid() {
-		return nil, &TokenError{"it is not a version vector"}
+		return nil, &TokenError{"not a valid version vector"}
 	}
 	return v, nil
 }
--- a/internal/choice/sitesync/wire.go
+++ b/internal/choice/sitesync/wire.go
@@ -10,99 +10,100 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// callBytes bounds what the writes and refusals of one call or answer take, encoded: half of the 1 MiB that a peer takes in one
-// (peer.Limits.Body). The other half is for the vectors, of which a call has two and a write one: a mark is some 90 bytes, and
-// there are as many as sites times lanes. A write whose value is the longest takes 86 KiB; one always goes.
+// callBytes bounds the encoded size of the writes and refusals in one call or answer: half of the 1 MiB that a peer
+// accepts (peer.Limits.Body). The other half is for the version vectors, two in a call and up to two in each write: an
+// entry takes some 90 bytes, and there are as many entries as sites times lanes. A write with the longest value takes
+// 86 KiB; at least one write is always sent.
 const callBytes = 512 << 10
 
 type (
-	// Batch is a call of a site to one above it.
+	// Batch is a call from a site to a site above it.
 	Batch struct {
-		From         Place             `json:"from"`             // without Above
-		Seen         VersionVector     `json:"seen,omitempty"`   // what has been applied there: it need not be sent down
-		Judged       VersionVector     `json:"judged,omitempty"` // of its own writes: those whose receipts it has
-		Incarnations []SiteIncarnation `json:"lives,omitempty"`  // of the sites below that were heard of: the latest
-		Queries      []Origin          `json:"asks,omitempty"`   // whose writes it has to send: it wants to know how far they are known
-		Cursor       Cursor            `json:"cursor"`           // how far the answering site's state is known there
-		Writes       []Write           `json:"writes,omitempty"` // in an order in which they may be applied
-		Waiting      int               `json:"waiting"`          // writes that are not in this batch
-		Urgent       int               `json:"urgent"`           // of them urgent, with what they depend on
-		Probe        bool              `json:"probe,omitempty"`  // only a question whether the way is whole, and what of Asks is known: it changes nothing
-	}
-	// Answer answers a batch.
+		From         Place             `json:"from"`             // without Ancestors
+		Seen         VersionVector     `json:"seen,omitempty"`   // writes applied at the caller, which need not be sent down
+		Judged       VersionVector     `json:"judged,omitempty"` // the caller's own writes whose receipts it has
+		Incarnations []SiteIncarnation `json:"lives,omitempty"`  // the latest known incarnation of each other site
+		Queries      []Origin          `json:"asks,omitempty"`   // origins of the writes that the caller has to send: it asks how far they are known
+		Cursor       Cursor            `json:"cursor"`           // how much of the answering site's state the caller has
+		Writes       []Write           `json:"writes,omitempty"` // in an order in which they can be applied
+		Waiting      int               `json:"waiting"`          // writes to send that are not in this batch
+		Urgent       int               `json:"urgent"`           // how many of those are urgent or needed by urgent ones
+		Probe        bool              `json:"probe,omitempty"`  // only asks whether the link works and how far Queries are known; changes nothing
+	}
+	// Answer is the reply to a batch.
 	Answer struct {
 		From        string        `json:"from"`
 		Incarnation uint64        `json:"life"`
-		Seen        VersionVector `json:"seen,omitempty"` // of what was asked for
+		Seen        VersionVector `json:"seen,omitempty"` // of the origins in Queries
 		Credit      int           `json:"credit"`         // writes that the next call may bring
 		Wait        time.Duration `json:"wait"`           // before the next call
 		Down        *StateUpdate  `json:"down,omitempty"`
-		// To a question: writes of an earlier call of the site are being agreed on.
+		// In reply to a probe: writes of an earlier call of the site are still being committed.
 		Working bool `json:"working,omitempty"`
 	}
-	// Down is the state of a site above, as changes since a cursor. Only the last piece is joined; the word on the caller's
-	// own writes counts in each.
+	// StateUpdate is the state of a site above, as changes since a cursor. A long one comes in several pieces and is
+	// joined only once the last piece is there; the receipts for the caller's own writes count in each piece.
 	StateUpdate struct {
 		From        string            `json:"from"`
 		Incarnation uint64            `json:"life"`
-		To          uint64            `json:"to"`    // the life that it is for: it leaves out what that life had seen
-		After       uint64            `json:"after"` // the cursor that it goes on from
+		To          uint64            `json:"to"`    // the incarnation that it is for: it leaves out what that incarnation has seen
+		After       uint64            `json:"after"` // the cursor that it continues from
 		Until       uint64            `json:"until"`
 		Last        bool              `json:"last,omitempty"`
 		OutOfOrder  bool              `json:"tangled,omitempty"` // Writes may stand before what they depend on
-		Seen        VersionVector     `json:"seen,omitempty"`    // of the whole state; with the last piece
-		Judged      VersionVector     `json:"judged,omitempty"`  // of the whole state with the last piece, else of the caller's writes
+		Seen        VersionVector     `json:"seen,omitempty"`    // of the whole state; in the last piece
+		Judged      VersionVector     `json:"judged,omitempty"`  // of the whole state in the last piece, else of the caller's writes
 		Refused     []Receipt         `json:"refused,omitempty"`
-		Closed      []SiteIncarnation `json:"closed,omitempty"` // lives of which nothing more comes; with the last piece
-		Awaits      []AwaitedCalls    `json:"awaits,omitempty"` // with the last piece
+		Closed      []SiteIncarnation `json:"closed,omitempty"` // incarnations that are over; in the last piece
+		Awaits      []AwaitedCalls    `json:"awaits,omitempty"` // in the last piece
 		Subjects    []SubjectWrites   `json:"things,omitempty"`
 		Writes      []SequencedWrite  `json:"writes,omitempty"`
 	}
-	// Await is whose call a site waits for to close lives that have ended. Who once called there and calls another one since
-	// would not call there again by itself.
+	// AwaitedCalls lists the sites whose calls a site needs before it can close ended incarnations. A site that has
+	// called there before and has since changed its route would not call there again by itself.
 	AwaitedCalls struct {
 		By    string   `json:"by"`
 		Sites []string `json:"sites"` // sorted
 	}
-	// Home is the latest life of a site.
+	// SiteIncarnation is the latest incarnation of a site.
 	SiteIncarnation struct {
 		Site         string        `json:"site"`
 		Incarnation  uint64        `json:"life"`
 		StoreCreated time.Duration `json:"born"`
 	}
-	// Held is which writes on a thing still count.
+	// SubjectWrites lists the writes on a subject that still count.
 	SubjectWrites struct {
 		Kind    Kind   `json:"kind"`
 		Subject string `json:"thing"`
 		IDs     []ID   `json:"has"`
 	}
-	// Placed is a write with its place in the order of the sender.
+	// SequencedWrite is a write with its sequence number at the sender.
 	SequencedWrite struct {
 		Seq   uint64 `json:"seq"`
 		Write Write  `json:"write"`
 	}
 )
 
-// check checks a write that came from elsewhere.
+// check validates a write from another site.
 func (w *Write) check() error {
 	if w.ID.Origin.Site == "" || w.ID.Origin.Incarnation == 0 || w.ID.Number == 0 {
-		return &WriteError{"id", "it names no write"}
+		return &WriteError{"id", "site, incarnation and number must be set"}
 	}
 	if w.ID.Origin.Evidence != (w.Kind == Evidence) || w.ID.Origin.Evidence && w.ID.Origin.Urgent {
-		return &WriteError{"id", "evidence, and nothing else, counts among evidence"}
+		return &WriteError{"id", "the evidence lane is for evidence only, and evidence is never urgent"}
 	}
 	if !w.Dependencies.valid() || !w.Overwrites.valid() {
-		return &WriteError{"after", "it is not a version vector"}
+		return &WriteError{"after", "not a valid version vector"}
 	}
 	if w.Subject == "" && w.Kind == Evidence && len(w.Value) == 0 {
-		return nil // evidence that was given up
+		return nil // emptied evidence
 	}
 	return checkValue(w.Kind, w.Subject, w.Value, w.Closes)
 }
 
 func (b *Batch) check() error {
 	if b.From.Site == "" || b.From.Incarnation == 0 || !b.Seen.valid() || !b.Judged.valid() {
-		return &BatchError{"the sender or a vector makes no sense"}
+		return &BatchError{"the sender is missing or a version vector is invalid"}
 	}
 	for i := range b.Writes {
 		if err := b.Writes[i].check(); err != nil {
@@ -114,7 +115,7 @@
 
 func (d *StateUpdate) check() error {
 	if d.From == "" || d.Incarnation == 0 || !d.Seen.valid() || !d.Judged.valid() {
-		return &BatchError{"the sender or a vector makes no sense"}
+		return &BatchError{"the sender is missing or a version vector is invalid"}
 	}
 	for i := range d.Writes {
 		if err := d.Writes[i].Write.check(); err != nil {
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// ParseBatch reads a call. Errors are of type BatchError.
+// ParseBatch decodes a call. Errors are of type *BatchError.
 func ParseBatch(data []byte) (*Batch, error) {
 	b := &Batch{}
 	if err := json.Unmarshal(data, b); err != nil {
@@ -133,14 +134,14 @@
 	return b, b.check()
 }
 
-// ParseAnswer reads an answer. Errors are of type BatchError.
+// ParseAnswer decodes an answer. Errors are of type *BatchError.
 func ParseAnswer(data []byte) (*Answer, error) {
 	a := &Answer{}
 	if err := json.Unmarshal(data, a); err != nil {
 		return nil, &BatchError{err.Error()}
 	}
 	if a.From == "" || a.Incarnation == 0 || !a.Seen.valid() || a.Credit < 0 || a.Wait < 0 {
-		return nil, &BatchError{"the answer makes no sense"}
+		return nil, &BatchError{"the sender is missing, a version vector is invalid, or credit or wait is negative"}
 	}
 	if a.Down != nil {
 		return a, a.Down.check()
@@ -148,13 +149,13 @@
 	return a, nil
 }
 
-// Bytes returns what ParseBatch reads.
+// Bytes returns the encoding that ParseBatch decodes.
 func (b *Batch) Bytes() []byte { return encoded(b) }
 
-// Bytes returns what ParseAnswer reads.
+// Bytes returns the encoding that ParseAnswer decodes.
 func (a *Answer) Bytes() []byte { return encoded(a) }
 
-// encoded encodes plain data, which cannot fail.
+// encoded returns plain data as JSON, which cannot fail.
 func encoded(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -163,7 +164,8 @@
 	return data
 }
 
-// Answer answers a call once its batch was applied, or with nothing taken in where it was not; a question without the state.
+// Answer returns the answer to a call, to be built after its batch was applied or was rejected as a whole. The answer
+// to a probe has no state.
 func (s *Site) Answer(b *Batch, credit int, wait time.Duration) *Answer {
 	a := &Answer{From: s.self.Site, Incarnation: s.self.Incarnation, Credit: credit, Wait: wait}
 	if !b.Probe {
@@ -179,8 +181,9 @@
 	return a
 }
 
-// down returns what the caller does not have: of each thing that changed after its cursor, which writes still count, and
-// those of them that it has not seen. A long list comes in pieces, each with as much as fits.
+// stateUpdate returns what the caller does not have: for each subject that changed after its cursor, which writes still
+// count, and those of them that it has not seen. A long update is split into pieces, each as large as fits into room
+// bytes.
 func (s *Site) stateUpdate(b *Batch, room int) *StateUpdate {
 	from := cursorPosition(b.Cursor, s.self.Incarnation)
 	d := &StateUpdate{From: s.self.Site, Incarnation: s.self.Incarnation, To: b.From.Incarnation, After: from, Until: from, Last: true}
@@ -246,7 +249,7 @@
 	return d
 }
 
-// waits returns whose calls the top waits for.
+// awaitedCalls returns the sites whose calls the top site waits for.
 func (s *Site) awaitedCalls() []AwaitedCalls {
 	if !s.isTop() {
 		return s.awaits
@@ -263,7 +266,8 @@
 	return []AwaitedCalls{{s.self.Site, sorted(all)}}
 }
 
-// offeredSeen returns what has been applied here without what may not leave yet, and without evidence, which does not come along.
+// sendableSeen returns the vector of what has been applied here, without own writes that are not offered yet and
+// without evidence, which does not come down.
 func (s *Site) sendableSeen() VersionVector {
 	v := s.seen.list()
 	for i, m := range v {
@@ -274,15 +278,15 @@
 	return slices.DeleteFunc(v, func(m VectorEntry) bool { return m.Number == 0 || m.Origin.Evidence })
 }
 
-// Whole returns all that this site holds, as it is joined by a site that lost its store and has none above it: after an
-// operator's word that the old store is gone for good. To is the new life of that site.
+// FullState returns the whole state of this site, for a top site that lost its store and has no site above to restore
+// it from. An operator must have confirmed that the old store is gone for good. To is the new incarnation of that site.
 func (s *Site) FullState(to uint64) *StateUpdate {
 	all := *s
 	all.limits.Batch = 1 << 30
 	return all.stateUpdate(&Batch{From: Place{Site: "-", Incarnation: to}}, math.MaxInt)
 }
 
-// word adds the top's word on the caller's own writes.
+// addReceipts adds the top site's results for the caller's own writes.
 func (d *StateUpdate) addReceipts(s *Site, b *Batch) {
 	for lane := range lanes {
 		o := incarnation{b.From.Site, b.From.Incarnation}.laneOrigin(lane)
@@ -297,13 +301,13 @@
 	}
 }
 
-// version and end frame an encoded state.
+// header and trailer frame an encoded state.
 const (
 	header  = "lichenhitch writes 1\n"
 	trailer = "\nend\n"
 )
 
-// stored is a state as it is kept: lists in order instead of maps.
+// stored is the encoded form of Site: sorted lists instead of maps.
 type stored struct {
 	Self       Place                `json:"self"`
 	Limits     Limits               `json:"limits"`
@@ -348,7 +352,7 @@
 	}
 )
 
-// Encode returns the state as bytes: equal states give equal bytes.
+// Encode returns the state as bytes. Equal states give equal bytes.
 func (s *Site) Encode() []byte {
 	t := stored{Self: s.self, Limits: s.limits, Now: s.now, Seq: s.seq, Number: s.number, Offered: s.offered, OutOfOrder: s.outOfOrder,
 		Named: [lanes]VersionVector{s.named[0].list(), s.named[1].list(), s.named[2].list()}, Known: s.known.list(), Seen: s.seen.list(), Judged: s.judged.list(),
@@ -390,14 +394,15 @@
 	return list
 }
 
-// Decode reads what Encode returned of a site that merges evidence so. Errors are of type StateError.
+// Decode decodes a state that Encode returned, for a site that merges evidence with merge. Errors are of type
+// *StateError.
 func Decode(data []byte, merge Merge) (*Site, error) {
 	body, ok := bytes.CutPrefix(data, []byte(header))
 	if !ok {
-		return nil, &StateError{"it is of another version"}
+		return nil, &StateError{"unknown format version"}
 	}
 	if body, ok = bytes.CutSuffix(body, []byte(trailer)); !ok {
-		return nil, &StateError{"it is cut short"}
+		return nil, &StateError{"truncated"}
 	}
 	var t stored
 	if err := json.Unmarshal(body, &t); err != nil {
@@ -410,7 +415,7 @@
 		s VersionVector
 	}{{s.named[0], t.Named[0]}, {s.named[1], t.Named[1]}, {s.named[2], t.Named[2]}, {s.known, t.Known}, {s.seen, t.Seen}, {s.judged, t.Judged}} {
 		if !p.s.valid() {
-			return nil, &StateError{"a vector makes no sense"}
+			return nil, &StateError{"a version vector is invalid"}
 		}
 		p.v.join(p.s)
 	}
@@ -429,7 +434,7 @@
 	for _, it := range t.Items {
 		x := s.subjects[subjectKey{it.Write.Kind, it.Write.Subject}]
 		if x == nil {
-			return nil, &StateError{"a write on a thing that is not there"}
+			return nil, &StateError{"a write refers to a subject that is missing"}
 		}
 		x.items = append(x.items, it)
 		if !s.judged.has(it.Write.ID) {
