--- a/internal/choice/sitesync/bench_test.go
+++ b/internal/choice/sitesync/bench_test.go
@@ -7,17 +7,17 @@
 
 // queued is a site with writes that the site above does not have, and the courier that has credit for a call of 32; one write of
 // a thousand is urgent, and one of a hundred names what has not come where it is to be tangled.
-func newQueuedSite(n int, tangled bool) (*Site, *Forwarder, func(int)) {
+func newQueuedSite(n int, outOfOrder bool) (*Site, *Forwarder, func(int)) {
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 30, Number: 1 << 20, Batch: 32, Held: 4})
-	made := 0
+	written := 0
 	write := func(n int) {
 		for range n {
-			l := &LocalWrite{Kind: Note, Subject: fmt.Sprint(made % 5000), Value: []byte("x"), Urgent: made%1000 == 999}
-			if tangled && made%100 == 50 {
-				l.Token = VersionVector{{Origin{Site: "r", Incarnation: 1}, uint64(made)}}.Encode()
+			l := &LocalWrite{Kind: Note, Subject: fmt.Sprint(written % 5000), Value: []byte("x"), Urgent: written%1000 == 999}
+			if outOfOrder && written%100 == 50 {
+				l.Token = VersionVector{{Origin{Site: "r", Incarnation: 1}, uint64(written)}}.Encode()
 			}
 			s.Apply(0, Command{Write: l})
-			made++
+			written++
 		}
 		s.Apply(0, *s.Unoffered())
 	}
@@ -31,9 +31,9 @@
 // BenchmarkCall is a call of a site that has so many writes which the site above does not have.
 func BenchmarkCall(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
-		for _, tangled := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d,tangled=%v", n, tangled), func(b *testing.B) {
-				_, c, _ := newQueuedSite(n, tangled)
+		for _, outOfOrder := range []bool{false, true} {
+			b.Run(fmt.Sprintf("%d,tangled=%v", n, outOfOrder), func(b *testing.B) {
+				_, c, _ := newQueuedSite(n, outOfOrder)
 				for b.Loop() {
 					if call := c.batch("p"); len(call.Writes) != 32 {
 						b.Fatal(len(call.Writes))
--- a/internal/choice/sitesync/errors.go
+++ b/internal/choice/sitesync/errors.go
@@ -23,7 +23,9 @@
 // WriteError reports that a write is invalid.
 type WriteError struct{ Field, Why string }
 
-func (e *WriteError) Error() string { return fmt.Sprintf("invalid write: field %s: %s", e.Field, e.Why) }
+func (e *WriteError) Error() string {
+	return fmt.Sprintf("invalid write: field %s: %s", e.Field, e.Why)
+}
 
 // Action returns what an operator can do.
 func (e *WriteError) Action() string {
@@ -83,7 +85,9 @@
 // StateError reports that a stored state cannot be decoded.
 type StateError struct{ Why string }
 
-func (e *StateError) Error() string { return "cannot decode the stored state of the site's writes: " + e.Why }
+func (e *StateError) Error() string {
+	return "cannot decode the stored state of the site's writes: " + e.Why
+}
 
 // Action returns what an operator can do.
 func (e *StateError) Action() string {
--- a/internal/choice/sitesync/forwarder.go
+++ b/internal/choice/sitesync/forwarder.go
@@ -182,24 +182,24 @@
 		}
 	}
 	lists := map[Origin][]*item{}
-	todo := 0
+	total := 0
 	for o, q := range s.log {
 		b.Queries = append(b.Queries, o)
 		if q = q[s.log.countUpTo(o, r.known[o]):s.log.countUpTo(o, s.sendableUpTo(o))]; len(q) > 0 {
 			lists[o] = q
-			todo += len(q)
+			total += len(q)
 		}
 	}
 	slices.SortFunc(b.Queries, Origin.Compare)
-	most, room, urgent := min(r.credit, s.limits.Batch), callBytes, 0
-	full := most == 0
+	maxWrites, bytesLeft, urgent := min(r.credit, s.limits.Batch), callBytes, 0
+	full := maxWrites == 0
 	take := func(w *Write) {
-		if room -= len(encoded(w)); room < 0 && len(b.Writes) > 0 {
+		if bytesLeft -= len(encoded(w)); bytesLeft < 0 && len(b.Writes) > 0 {
 			full = true
 			return
 		}
 		b.Writes = append(b.Writes, *w)
-		full = len(b.Writes) == most
+		full = len(b.Writes) == maxWrites
 	}
 	p := &picker{pending: lists, outOfOrder: s.outOfOrder, seen: s.seen, uncertainFrom: map[Origin]uint64{}}
 	p.pick(func(o Origin) bool { return o.Urgent }, func(w *Write) bool {
@@ -217,7 +217,7 @@
 			return !full
 		})
 	}
-	b.Waiting = todo - len(b.Writes)
+	b.Waiting = total - len(b.Writes)
 	b.Urgent = max(0, urgent-len(b.Writes))
 	return b
 }
@@ -241,11 +241,11 @@
 }
 
 // pick passes the writes of some origins to take in sequence order, until take returns false.
-func (p *picker) pick(of func(Origin) bool, take func(*Write) bool) {
+func (p *picker) pick(selected func(Origin) bool, take func(*Write) bool) {
 	for _, sure := range [2]bool{true, false} {
 		for {
-			o, second, any := p.next(func(o Origin) bool { return of(o) && !(sure && p.uncertainFrom[o] > 0) })
-			if !any {
+			o, second, found := p.next(func(o Origin) bool { return selected(o) && !(sure && p.uncertainFrom[o] > 0) })
+			if !found {
 				break
 			}
 			for q := p.pending[o]; len(q) > 0 && q[0].Seq < second && !(sure && p.uncertainFrom[o] > 0); q = p.pending[o] {
@@ -262,12 +262,12 @@
 
 // next returns the origin, among those selected, whose next write comes first in sequence order, and the sequence
 // number at which another origin takes over.
-func (p *picker) next(of func(Origin) bool) (first Origin, second uint64, any bool) {
+func (p *picker) next(selected func(Origin) bool) (first Origin, second uint64, found bool) {
 	least := uint64(math.MaxUint64)
 	second = least
 	for o, q := range p.pending {
 		switch at := q[0].Seq; {
-		case !of(o):
+		case !selected(o):
 		case at < least:
 			first, least, second = o, at, least
 		default:
@@ -347,16 +347,16 @@
 		}
 	}
 	r.probeNext, r.lostProbes = false, 0
-	on := false
+	progress := false
 	for _, m := range a.Seen {
-		on = r.known.raise(m.Origin, m.Number) || on
+		progress = r.known.raise(m.Origin, m.Number) || progress
 	}
 	cmd := c.collectPieces(r, a.Down)
 	r.credit = a.Credit
 	r.notBefore = now + a.Wait
 	switch idle := c.caughtUp(r); {
-	case on || idle || c.sentWrites == 0 && a.Credit > 0:
-		if on || idle {
+	case progress || idle || c.sentWrites == 0 && a.Credit > 0:
+		if progress || idle {
 			r.failures = 0
 		}
 		c.preferNearer(to)
@@ -384,37 +384,37 @@
 
 // collectPieces collects the pieces of a state. The receipts for this site's own writes are passed on at once, the rest
 // with the last piece.
-func (c *Forwarder) collectPieces(r *route, d *StateUpdate) *Command {
-	if d == nil {
+func (c *Forwarder) collectPieces(r *route, update *StateUpdate) *Command {
+	if update == nil {
 		return nil
 	}
-	if r.pieces != nil && (d.After != r.pieces.Until || d.Incarnation != r.pieces.Incarnation) {
+	if r.pieces != nil && (update.After != r.pieces.Until || update.Incarnation != r.pieces.Incarnation) {
 		r.pieces = nil
 	}
-	if r.pieces == nil && !d.Last {
-		cur := c.site().cursors[d.From]
-		if d.After != cursorPosition(cur, d.Incarnation) {
+	if r.pieces == nil && !update.Last {
+		cursor := c.site().cursors[update.From]
+		if update.After != cursorPosition(cursor, update.Incarnation) {
 			return nil // a piece whose predecessors are missing
 		}
 	}
 	if r.pieces != nil {
-		d.After = r.pieces.After
-		d.Subjects = append(r.pieces.Subjects, d.Subjects...)
-		d.Writes = append(r.pieces.Writes, d.Writes...)
-		d.Refused = append(r.pieces.Refused, d.Refused...)
+		update.After = r.pieces.After
+		update.Subjects = append(r.pieces.Subjects, update.Subjects...)
+		update.Writes = append(r.pieces.Writes, update.Writes...)
+		update.Refused = append(r.pieces.Refused, update.Refused...)
 		r.pieces = nil
 	}
 	switch {
-	case d.Last && !c.site().wouldChange(d):
+	case update.Last && !c.site().wouldChange(update):
 		return nil // one log entry per poll would be most of what an idle site commits
-	case d.Last:
-		return &Command{Down: d}
+	case update.Last:
+		return &Command{Down: update}
 	}
-	r.pieces = d
-	if len(d.Judged) == 0 {
+	r.pieces = update
+	if len(update.Judged) == 0 {
 		return nil
 	}
-	return &Command{Down: &StateUpdate{From: d.From, Incarnation: d.Incarnation, To: d.To, Judged: d.Judged, Refused: d.Refused}}
+	return &Command{Down: &StateUpdate{From: update.From, Incarnation: update.Incarnation, To: update.To, Judged: update.Judged, Refused: update.Refused}}
 }
 
 // Failed records that the call in progress brought no answer, or a refusal.
--- a/internal/choice/sitesync/forwarder_test.go
+++ b/internal/choice/sitesync/forwarder_test.go
@@ -12,12 +12,12 @@
 )
 
 // within says that a wait lies between half of a time and the whole.
-func requireJitterOf(t *testing.T, wait, whole time.Duration) {
+func assertJitterOf(t *testing.T, wait, whole time.Duration) {
 	t.Helper()
 	assert.True(t, wait >= whole/2 && wait <= whole, "%v of %v", wait, whole)
 }
 
-func TestACourierUsesTheNearestThatAnswers(t *testing.T) {
+func TestForwarderUsesNearestReachableSite(t *testing.T) {
 	s := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
 	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 2,
 		ReturnInterval: time.Minute})
@@ -33,7 +33,7 @@
 	wait := func() time.Duration { _, _, w := c.Next(now); return w }
 	require.Equal(t, "r", next())
 	c.Failed(now)
-	requireJitterOf(t, wait(), time.Second)
+	assertJitterOf(t, wait(), time.Second)
 	require.Equal(t, "r", next())
 	c.Failed(now)
 	require.Equal(t, "p", next(), "two have failed in a row")
@@ -52,14 +52,14 @@
 		require.Equal(t, "p", to)
 		alone.Failed(now)
 		_, _, w := alone.Next(now)
-		requireJitterOf(t, w, whole*time.Second)
+		assertJitterOf(t, w, whole*time.Second)
 		now += w
 	}
 	assert.NotEqual(t, Jitter(time.Second, "a", 1), Jitter(time.Second, "b", 1), "sites come back one after the other")
 	assert.NotEqual(t, Jitter(time.Second, "a", 1), Jitter(time.Second, "a", 2))
 }
 
-func TestACourierKeepsToItsCredit(t *testing.T) {
+func TestForwarderKeepsToItsCredit(t *testing.T) {
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	for i := range 5 {
 		s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: []byte("x")}})
@@ -84,7 +84,7 @@
 
 // TestACourierAsksBeforeItCallsAgain after a call that was not answered; a link that is cut is asked over and over in the time
 // that questions take, and one that is slow gets longer with each call that was lost on it.
-func TestACourierAsksBeforeItCallsAgain(t *testing.T) {
+func TestForwarderProbesAfterLostCall(t *testing.T) {
 	const ms = time.Millisecond
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x")}})
@@ -153,7 +153,7 @@
 }
 
 // TestALinkThatBecomesSlowIsFoundOut, however much longer answers take than they were waited for.
-func TestALinkThatBecomesSlowIsFoundOut(t *testing.T) {
+func TestForwarderAdaptsToSlowLink(t *testing.T) {
 	const ms = time.Millisecond
 	for took, most := range map[time.Duration]time.Duration{700 * ms: 10 * time.Second, 3 * time.Second: 2 * time.Minute} {
 		s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
@@ -166,8 +166,8 @@
 				now += wait
 				_, b, _ = c.Next(now)
 			}
-			if within := c.CallTimeout(); within < took {
-				now += within
+			if timeout := c.CallTimeout(); timeout < took {
+				now += timeout
 				c.Failed(now)
 				return 0
 			}
@@ -180,15 +180,15 @@
 		}
 		s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x")}})
 		s.Apply(0, *s.Unoffered())
-		slow := now
-		for call(took) == 0 && now < slow+time.Hour {
+		slowSince := now
+		for call(took) == 0 && now < slowSince+time.Hour {
 		}
-		assert.Less(t, now-slow, most, "answers take %v", took)
+		assert.Less(t, now-slowSince, most, "answers take %v", took)
 	}
 }
 
 // TestAQuestionChangesNothing: it shows nothing of what its site has seen, which is no proof that there is nothing.
-func TestAQuestionChangesNothing(t *testing.T) {
+func TestProbeChangesNothing(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	for _, place := range []Place{{Site: "a", Incarnation: 1, StoreCreated: 1}, {Site: "b", Incarnation: 1, StoreCreated: 1}, {Site: "a", Incarnation: 2, StoreCreated: 2}} {
 		p.Apply(0, Command{Batch: &Batch{From: place}})
@@ -205,29 +205,29 @@
 	assert.True(t, p.closed[lost])
 }
 
-func TestATellerGoesByWhatItGave(t *testing.T) {
-	tl := NewCreditScheduler(Budget{Rate: 100, Batch: 10, MaxAhead: time.Second, UrgentBatch: 2, LocalCost: 5})
+func TestCreditSchedulerEnforcesCredit(t *testing.T) {
+	scheduler := NewCreditScheduler(Budget{Rate: 100, Batch: 10, MaxAhead: time.Second, UrgentBatch: 2, LocalCost: 5})
 	b := func(waiting, urgent, writes int) *Batch {
 		return &Batch{From: Place{Site: "b", Incarnation: 1}, Waiting: waiting, Urgent: urgent, Writes: make([]Write, writes)}
 	}
-	tl.CountLocalWrite(0)
-	credit, wait := tl.Grant(0, b(3, 0, 0), 100)
+	scheduler.CountLocalWrite(0)
+	credit, wait := scheduler.Grant(0, b(3, 0, 0), 100)
 	assert.Equal(t, 3, credit)
 	assert.Equal(t, 50*time.Millisecond, wait, "a write of its own goes first")
 	var ce *CreditError
-	assert.ErrorAs(t, tl.Admit(b(0, 0, 4)), &ce)
-	credit, wait = tl.Grant(0, b(9, 5, 0), 100)
+	assert.ErrorAs(t, scheduler.Admit(b(0, 0, 4)), &ce)
+	credit, wait = scheduler.Grant(0, b(9, 5, 0), 100)
 	assert.Equal(t, []any{2, time.Duration(0)}, []any{credit, wait}, "urgent ones go out of turn, a few")
-	credit, _ = tl.Grant(0, b(9, 0, 0), 0)
+	credit, _ = scheduler.Grant(0, b(9, 0, 0), 0)
 	assert.Zero(t, credit, "no room")
 }
 
-func TestALifeIsClosedOnceAllHaveCalled(t *testing.T) {
+func TestIncarnationIsClosedOnceAllHaveCalled(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
-	call := func(site string, life uint64, seen VersionVector, after ...VectorEntry) {
-		batch := &Batch{From: Place{Site: site, Level: 1, Incarnation: life, StoreCreated: time.Duration(life)}, Seen: seen}
+	call := func(site string, incarnation uint64, seen VersionVector, after ...VectorEntry) {
+		batch := &Batch{From: Place{Site: site, Level: 1, Incarnation: incarnation, StoreCreated: time.Duration(incarnation)}, Seen: seen}
 		if len(after) > 0 {
-			batch.Writes = []Write{{ID: ID{Origin{Site: site, Incarnation: life}, 1}, Kind: Note, Subject: "x", Dependencies: after}}
+			batch.Writes = []Write{{ID: ID{Origin{Site: site, Incarnation: incarnation}, 1}, Kind: Note, Subject: "x", Dependencies: after}}
 		}
 		p.Apply(1, Command{Batch: batch})
 	}
@@ -247,7 +247,7 @@
 }
 
 // TestAClosedThingTakesNothing of whatever kind, and word.
-func TestAClosedThingTakesNothing(t *testing.T) {
+func TestClosedSubjectRefusesWrites(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	from := Place{Site: "b", Level: 1, Incarnation: 1}
 	for i, k := range []Kind{Note, Safety} {
@@ -261,7 +261,7 @@
 	}
 }
 
-func TestWhatGoesBeforeAndWhatFalls(t *testing.T) {
+func TestPrecedenceAndCascades(t *testing.T) {
 	w := func(site string, number uint64, value string, closes bool) *Write {
 		return &Write{ID: ID{Origin{Site: site, Incarnation: 1}, number}, Kind: Work, Subject: "h", Value: []byte(value), Closes: closes}
 	}
@@ -280,10 +280,10 @@
 	assert.True(t, cascades(&Write{Kind: Safety, Value: []byte("back")}))
 }
 
-func TestAStateGoesOnFromWhatIsKnown(t *testing.T) {
+func TestStateUpdateContinuesFromCursor(t *testing.T) {
 	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
-	down := func(life, after, until uint64) Cursor {
-		b.Apply(0, Command{Down: &StateUpdate{From: "p", Incarnation: life, To: 1, After: after, Until: until, Last: true}})
+	down := func(incarnation, after, until uint64) Cursor {
+		b.Apply(0, Command{Down: &StateUpdate{From: "p", Incarnation: incarnation, To: 1, After: after, Until: until, Last: true}})
 		return b.cursors["p"]
 	}
 	assert.Equal(t, Cursor{1, 5}, down(1, 0, 5))
@@ -311,7 +311,7 @@
 }
 
 // TestWhatAWriteNames is held for each lane by itself: a mark that an urgent write named is not named by the ordinary ones.
-func TestWhatAWriteNames(t *testing.T) {
+func TestDependenciesPerLane(t *testing.T) {
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
 	safety := func(s *Site, host string, urgent bool, needs ...ID) *Write {
@@ -323,12 +323,12 @@
 	r.Apply(1, *r.Unoffered())
 	b.Apply(1, Command{Down: r.Answer(&Batch{From: b.Self()}, 0, 0).Down})
 	assert.True(t, safety(b, "1", true).Dependencies.Has(first))
-	needy := safety(b, "4", true, second)
-	assert.True(t, needy.Dependencies.Has(second), "it falls with what it needs, and comes after it")
+	dependent := safety(b, "4", true, second)
+	assert.True(t, dependent.Dependencies.Has(second), "it falls with what it needs, and comes after it")
 	assert.True(t, safety(b, "3", false).Dependencies.Has(second))
 
 	top := New(Place{Site: "q", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
-	top.Apply(1, Command{Batch: &Batch{From: b.Self(), Writes: []Write{*needy}}})
+	top.Apply(1, Command{Batch: &Batch{From: b.Self(), Writes: []Write{*dependent}}})
 	require.Equal(t, 1, top.Held())
 	top.Apply(1+testLimits.Age, Command{})
 	assert.Equal(t, 1, top.Held())
@@ -338,10 +338,10 @@
 
 // TestWhatWaitsAboveGoesLast: what depends on a write that is not known here would only be held there, and take the place of one
 // that is not.
-func TestWhatWaitsAboveGoesLast(t *testing.T) {
+func TestWritesWithUnknownDependenciesAreSentLast(t *testing.T) {
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
-	far := VersionVector{{Origin{Site: "r", Incarnation: 1}, 9}}
-	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x"), Token: far.Encode()}})
+	unknown := VersionVector{{Origin{Site: "r", Incarnation: 1}, 9}}
+	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x"), Token: unknown.Encode()}})
 	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "y", Value: []byte("y")}})
 	other := Write{ID: ID{Origin{Site: "c", Incarnation: 1}, 1}, Kind: Note, Level: 2, Subject: "z", Value: []byte("z")}
 	s.Apply(0, Command{Batch: &Batch{From: Place{Site: "c", Level: 2, Incarnation: 1}, Writes: []Write{other}}})
@@ -360,7 +360,7 @@
 
 // TestWhatWasWrittenOverUnseenDoesNotComeBack: a write that names by a token what has not come is written over, and then falls. What
 // it was written over was known to the second writer through it.
-func TestWhatWasWrittenOverUnseenDoesNotComeBack(t *testing.T) {
+func TestOverwrittenWriteNamedByTokenDoesNotComeBack(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
@@ -382,19 +382,19 @@
 	write(p, LocalWrite{Kind: Safety, Subject: "host/1", Value: []byte("gone"), Closes: true})
 	write(r, LocalWrite{Kind: Work, Subject: "x", Value: []byte("begun")})
 	refused := write(b, LocalWrite{Kind: Safety, Subject: "host/1", Value: []byte("out")})
-	falls := write(b, LocalWrite{Kind: Work, Subject: "x", Value: []byte("done"), Needs: []ID{refused}, Token: r.Token()})
-	stands := write(b, LocalWrite{Kind: Work, Subject: "x", Value: []byte("asked")})
+	orphaned := write(b, LocalWrite{Kind: Work, Subject: "x", Value: []byte("done"), Needs: []ID{refused}, Token: r.Token()})
+	latest := write(b, LocalWrite{Kind: Work, Subject: "x", Value: []byte("asked")})
 	send(r)
 	send(b)
 	require.Zero(t, p.Held())
-	v, _ := p.Refusal(falls)
+	v, _ := p.Refusal(orphaned)
 	require.Equal(t, Orphaned, v.Outcome)
 	for _, s := range []*Site{p, b} {
 		if s == b {
 			b.Apply(1, Command{Down: p.FullState(1)})
 		}
 		x, _ := s.Value(Work, "x")
-		assert.Equal(t, stands, x.Write.ID, s.Self().Site)
+		assert.Equal(t, latest, x.Write.ID, s.Self().Site)
 		assert.Empty(t, x.Concurrent, s.Self().Site)
 	}
 }
--- a/internal/choice/sitesync/rules.go
+++ b/internal/choice/sitesync/rules.go
@@ -54,9 +54,9 @@
 
 // cascades reports whether a write is refused together with a write that it needs.
 func cascades(w *Write) bool {
-	r := &Rules[w.Kind]
-	for _, f := range r.Cascades {
-		if f == "" || r.wordIndex(w.Value) == slices.Index(r.Words, f) {
+	rule := &Rules[w.Kind]
+	for _, word := range rule.Cascades {
+		if word == "" || rule.wordIndex(w.Value) == slices.Index(rule.Words, word) {
 			return true
 		}
 	}
@@ -71,10 +71,10 @@
 		}
 		return 1
 	}
-	r := &Rules[a.Kind]
-	byWord := cmp.Compare(r.wordIndex(a.Value), r.wordIndex(b.Value))
+	rule := &Rules[a.Kind]
+	byWord := cmp.Compare(rule.wordIndex(a.Value), rule.wordIndex(b.Value))
 	byLevel := cmp.Compare(a.Level, b.Level)
-	if r.ByLevel {
+	if rule.ByLevel {
 		byWord, byLevel = byLevel, byWord
 	}
 	return cmp.Or(byWord, byLevel, a.ID.Compare(b.ID))
@@ -94,19 +94,19 @@
 
 // Resolve returns the current value of a subject, given the writes on it and how evidence is merged. The result depends
 // on the set of writes alone, not on their order.
-func Resolve(set []*Write, merge Merge) (s Resolved, any bool) {
-	var stand []*Write
-	for _, w := range set {
-		if !slices.ContainsFunc(set, func(by *Write) bool { return overwrites(by, w) }) {
-			stand = append(stand, w)
+func Resolve(writes []*Write, merge Merge) (s Resolved, found bool) {
+	var remaining []*Write
+	for _, w := range writes {
+		if !slices.ContainsFunc(writes, func(by *Write) bool { return overwrites(by, w) }) {
+			remaining = append(remaining, w)
 		}
 	}
-	if len(stand) == 0 {
+	if len(remaining) == 0 {
 		return s, false
 	}
-	slices.SortFunc(stand, comparePrecedence)
-	s.Write, s.Value, s.Closed = *stand[0], stand[0].Value, stand[0].Closes
-	for _, w := range stand[1:] {
+	slices.SortFunc(remaining, comparePrecedence)
+	s.Write, s.Value, s.Closed = *remaining[0], remaining[0].Value, remaining[0].Closes
+	for _, w := range remaining[1:] {
 		s.Concurrent = append(s.Concurrent, *w)
 		if w.Kind == Evidence && !s.Closed {
 			s.Value = merged(merge, s.Value, w.Value)
--- a/internal/choice/sitesync/site.go
+++ b/internal/choice/sitesync/site.go
@@ -46,8 +46,8 @@
 func incarnationOf(o Origin) incarnation { return incarnation{o.Site, o.Incarnation} }
 
 // laneOrigin returns the origin of one lane of the incarnation.
-func (l incarnation) laneOrigin(lane int) Origin {
-	return Origin{Site: l.Site, Incarnation: l.Incarnation, Urgent: lane == 1, Evidence: lane == 2}
+func (inc incarnation) laneOrigin(lane int) Origin {
+	return Origin{Site: inc.Site, Incarnation: inc.Incarnation, Urgent: lane == 1, Evidence: lane == 2}
 }
 
 // latestIncarnation is the latest known incarnation of a site.
@@ -175,8 +175,8 @@
 // WithRetention sets which part of a piece of evidence the top site stores, of the newest that each origin wrote on a
 // subject; the effect still has the whole piece. The result must itself be evidence, since it is merged with later
 // pieces. It must be the same on all replicas.
-func (s *Site) WithRetention(f func([]byte) []byte) *Site {
-	s.retain = f
+func (s *Site) WithRetention(retain func([]byte) []byte) *Site {
+	s.retain = retain
 	return s
 }
 
@@ -199,8 +199,8 @@
 	}
 	c.incarnations, c.callers, c.closed, c.cursors = maps.Clone(s.incarnations), maps.Clone(s.callers), maps.Clone(s.closed), maps.Clone(s.cursors)
 	c.ending = make(map[incarnation]*closing, len(s.ending))
-	for l, e := range s.ending {
-		c.ending[l] = &closing{e.Since, slices.Clone(e.Waits)}
+	for inc, e := range s.ending {
+		c.ending[inc] = &closing{e.Since, slices.Clone(e.Waits)}
 	}
 	return &c
 }
@@ -291,43 +291,43 @@
 	return nil
 }
 
-func (s *Site) checkLocal(l *LocalWrite) error {
-	if err := checkValue(l.Kind, l.Subject, l.Value, l.Closes); err != nil {
+func (s *Site) checkLocal(local *LocalWrite) error {
+	if err := checkValue(local.Kind, local.Subject, local.Value, local.Closes); err != nil {
 		return err
 	}
 	switch {
-	case l.Closes && !s.isTop():
+	case local.Closes && !s.isTop():
 		return &WriteError{"closes", "a subject can only be closed at the top site"}
-	case l.Urgent && l.Kind == Evidence:
+	case local.Urgent && local.Kind == Evidence:
 		return &WriteError{"urgent", "evidence cannot be urgent"}
-	case l.Kind == Evidence && !l.Closes:
-		if _, err := s.merge(l.Value, l.Value); err != nil {
+	case local.Kind == Evidence && !local.Closes:
+		if _, err := s.merge(local.Value, local.Value); err != nil {
 			return &WriteError{"value", "not mergeable evidence: " + err.Error()}
 		}
 	}
-	if l.Token != "" {
-		if _, err := ParseToken(l.Token); err != nil {
+	if local.Token != "" {
+		if _, err := ParseToken(local.Token); err != nil {
 			return err
 		}
 	}
-	for _, d := range l.Needs {
+	for _, d := range local.Needs {
 		if !s.seen.has(d) && !s.known.has(d) {
 			return &WriteError{"needs", d.String() + " is not known here"}
 		}
 	}
-	if by := s.closingWrite(subjectKey{l.Kind, l.Subject}); by != nil {
-		return &ClosedError{l.Subject, by.ID, string(by.Value)}
+	if closedBy := s.closingWrite(subjectKey{local.Kind, local.Subject}); closedBy != nil {
+		return &ClosedError{local.Subject, closedBy.ID, string(closedBy.Value)}
 	}
-	if s.mergeable(l) != nil || s.isTop() {
+	if s.mergeable(local) != nil || s.isTop() {
 		return nil
 	}
-	room := Rules[l.Kind].QueuePercent
-	e := &QueueFullError{l.Kind, s.own.number, s.own.bytes, s.limits.Number * room / 100, s.limits.Bytes * room / 100}
-	if last := s.lastOwn(subjectKey{l.Kind, l.Subject}); last != nil && len(last.Write.Needs) == 0 && !s.judged.has(last.Write.ID) {
-		e.Bytes -= last.Write.size() // it is emptied once the new one is offered
+	room := Rules[local.Kind].QueuePercent
+	full := &QueueFullError{local.Kind, s.own.number, s.own.bytes, s.limits.Number * room / 100, s.limits.Bytes * room / 100}
+	if last := s.lastOwn(subjectKey{local.Kind, local.Subject}); last != nil && len(last.Write.Needs) == 0 && !s.judged.has(last.Write.ID) {
+		full.Bytes -= last.Write.size() // it is emptied once the new one is offered
 	}
-	if e.Number >= e.MaxNumber || e.Bytes+len(l.Value)+len(l.Subject)+96 > e.MaxBytes {
-		return e
+	if full.Number >= full.MaxNumber || full.Bytes+len(local.Value)+len(local.Subject)+96 > full.MaxBytes {
+		return full
 	}
 	return nil
 }
@@ -348,8 +348,8 @@
 }
 
 // closingWrite returns the write that closed a subject, or nil.
-func (s *Site) closingWrite(k subjectKey) *Write {
-	if t := s.subjects[k]; t != nil {
+func (s *Site) closingWrite(key subjectKey) *Write {
+	if t := s.subjects[key]; t != nil {
 		for _, it := range t.items {
 			if it.Write.Closes {
 				return it.Write
@@ -360,19 +360,19 @@
 }
 
 // mergeable returns this site's evidence on the same subject if it has not been offered yet.
-func (s *Site) mergeable(l *LocalWrite) *item {
-	if l.Kind != Evidence || l.Closes || len(l.Needs) > 0 || l.Token != "" || s.isTop() {
+func (s *Site) mergeable(local *LocalWrite) *item {
+	if local.Kind != Evidence || local.Closes || len(local.Needs) > 0 || local.Token != "" || s.isTop() {
 		return nil
 	}
-	if it := s.lastOwn(subjectKey{Evidence, l.Subject}); it != nil && s.notOffered(it.Write.ID) {
+	if it := s.lastOwn(subjectKey{Evidence, local.Subject}); it != nil && s.notOffered(it.Write.ID) {
 		return it
 	}
 	return nil
 }
 
 // lastOwn returns this site's last evidence on a subject.
-func (s *Site) lastOwn(k subjectKey) (last *item) {
-	if t := s.subjects[k]; t != nil {
+func (s *Site) lastOwn(key subjectKey) (last *item) {
+	if t := s.subjects[key]; t != nil {
 		for _, it := range t.items {
 			if it.Write.ID.Origin == s.ownOrigin(2) && (last == nil || it.Write.ID.Number > last.Write.ID.Number) {
 				last = it
@@ -383,32 +383,32 @@
 }
 
 // Apply applies one command at the time that the leader stamped, and returns its effects in order.
-func (s *Site) Apply(at time.Duration, c Command) (f []Effect) {
+func (s *Site) Apply(at time.Duration, c Command) (effects []Effect) {
 	s.now = max(s.now, at)
 	if err := s.Check(c); err != nil {
-		if _, full := err.(*QueueFullError); !full || !s.dropExpired(&f) || s.Check(c) != nil {
-			return append(f, Effect{Kind: EffectRefused, Err: err})
+		if _, full := err.(*QueueFullError); !full || !s.dropExpired(&effects) || s.Check(c) != nil {
+			return append(effects, Effect{Kind: EffectRefused, Err: err})
 		}
 	}
 	switch {
 	case c.Write != nil:
-		s.write(c.Write, &f)
+		s.write(c.Write, &effects)
 	case c.Offer != nil:
 		s.offer(c.Offer)
 	case c.Batch != nil:
-		s.applyBatch(c.Batch, &f)
+		s.applyBatch(c.Batch, &effects)
 	case c.Down != nil:
-		s.joinState(c.Down, &f)
+		s.joinState(c.Down, &effects)
 	case c.Place != nil:
 		s.self.Level, s.self.Ancestors = c.Place.Level, slices.Clone(c.Place.Ancestors)
 	case c.Limits != nil:
 		s.limits = *c.Limits
 	default:
-		s.dropExpired(&f)
-		s.finishClosings(&f)
-		s.release(&f)
+		s.dropExpired(&effects)
+		s.finishClosings(&effects)
+		s.release(&effects)
 	}
-	return f
+	return effects
 }
 
 // Unoffered returns the command that a leader commits before it sends this site's writes up, or shows them in an
@@ -439,14 +439,14 @@
 
 // emptyCovered empties the waiting earlier evidence of the same origin on the same subject: by covers it and may be
 // sent.
-func (s *Site) emptyCovered(by *Write) {
-	if by.Kind != Evidence || by.Subject == "" || s.notOffered(by.ID) {
+func (s *Site) emptyCovered(newer *Write) {
+	if newer.Kind != Evidence || newer.Subject == "" || s.notOffered(newer.ID) {
 		return
 	}
-	for _, it := range slices.Clone(s.subjects[subjectKey{by.Kind, by.Subject}].items) {
+	for _, it := range slices.Clone(s.subjects[subjectKey{newer.Kind, newer.Subject}].items) {
 		w := it.Write
-		if w.ID.Origin == by.ID.Origin && w.ID.Number < by.ID.Number && len(w.Needs) == 0 && !s.judged.has(w.ID) {
-			s.replace(it, &item{it.Seq, emptied(w, by.ID.Number)})
+		if w.ID.Origin == newer.ID.Origin && w.ID.Number < newer.ID.Number && len(w.Needs) == 0 && !s.judged.has(w.ID) {
+			s.replace(it, &item{it.Seq, emptied(w, newer.ID.Number)})
 		}
 	}
 }
@@ -462,41 +462,41 @@
 }
 
 // write applies a write submitted at this site.
-func (s *Site) write(l *LocalWrite, f *[]Effect) {
-	if it := s.mergeable(l); it != nil {
+func (s *Site) write(local *LocalWrite, effects *[]Effect) {
+	if it := s.mergeable(local); it != nil {
 		w := *it.Write
-		w.Value = merged(s.merge, w.Value, l.Value)
+		w.Value = merged(s.merge, w.Value, local.Value)
 		s.replace(it, &item{it.Seq, &w})
-		*f = append(*f, Effect{Kind: EffectMerged, Write: &w, ID: w.ID})
+		*effects = append(*effects, Effect{Kind: EffectMerged, Write: &w, ID: w.ID})
 		return
 	}
-	lane := Origin{Urgent: l.Urgent, Evidence: l.Kind == Evidence}.lane()
-	k := subjectKey{l.Kind, l.Subject}
-	w := &Write{ID: ID{s.ownOrigin(lane), s.number[lane] + 1}, Kind: l.Kind, Level: s.self.Level, Subject: l.Subject, Value: l.Value,
-		At: s.now, By: l.By, Closes: l.Closes, Needs: append([]ID(nil), l.Needs...)}
+	lane := Origin{Urgent: local.Urgent, Evidence: local.Kind == Evidence}.lane()
+	key := subjectKey{local.Kind, local.Subject}
+	w := &Write{ID: ID{s.ownOrigin(lane), s.number[lane] + 1}, Kind: local.Kind, Level: s.self.Level, Subject: local.Subject, Value: local.Value,
+		At: s.now, By: local.By, Closes: local.Closes, Needs: append([]ID(nil), local.Needs...)}
 	if w.ID.Number == 1 {
 		w.StoreCreated = s.self.StoreCreated
 	}
 	over, after := vector{}, vector{}
-	if l.Token != "" {
-		token, _ := ParseToken(l.Token) // checked
+	if local.Token != "" {
+		token, _ := ParseToken(local.Token) // checked
 		after.join(token)
-		if l.Kind != Evidence { // the named writes rank behind this one when they arrive; other writes at this site have not seen them
+		if local.Kind != Evidence { // the named writes rank behind this one when they arrive; other writes at this site have not seen them
 			over.join(s.notYetApplied(token))
 		}
 		s.known.join(token)
 	}
-	if l.Kind == Evidence {
-		if last := s.lastOwn(k); last != nil && !l.Closes {
-			w.Value = merged(s.merge, last.Write.Value, l.Value)
+	if local.Kind == Evidence {
+		if last := s.lastOwn(key); last != nil && !local.Closes {
+			w.Value = merged(s.merge, last.Write.Value, local.Value)
 		}
-	} else if t := s.subjects[k]; t != nil {
+	} else if t := s.subjects[key]; t != nil {
 		for _, it := range t.items {
 			over.raise(it.Write.ID.Origin, it.Write.ID.Number)
 			over.join(s.notYetApplied(it.Write.Overwrites))
 		}
 	}
-	for _, d := range l.Needs {
+	for _, d := range local.Needs {
 		after.raise(d.Origin, d.Number)
 	}
 	after.join(over.list())
@@ -509,7 +509,7 @@
 	s.named[lane].join(w.Dependencies)
 	s.number[lane]++
 	s.outOfOrder = s.outOfOrder || len(s.notYetApplied(w.Dependencies)) > 0
-	s.apply(w, false, f)
+	s.apply(w, false, effects)
 }
 
 // notYetApplied returns the entries of a vector that were named here and have not arrived.
@@ -523,21 +523,21 @@
 }
 
 // replace puts an item in the position of another one of the same write.
-func (s *Site) replace(old, by *item) {
+func (s *Site) replace(old, replacement *item) {
 	o := old.Write.ID.Origin
 	if i := s.log.countUpTo(o, old.Write.ID.Number); i > 0 && s.log[o][i-1] == old {
-		s.log[o][i-1] = by
+		s.log[o][i-1] = replacement
 	}
-	s.usage(by.Write).add(old.Write, -1)
-	s.usage(by.Write).add(by.Write, 1)
+	s.usage(replacement.Write).add(old.Write, -1)
+	s.usage(replacement.Write).add(replacement.Write, 1)
 	k := subjectKey{old.Write.Kind, old.Write.Subject}
 	t := s.subjects[k]
 	i := slices.Index(t.items, old)
-	if by.Write.Subject == old.Write.Subject {
-		t.items[i] = by
+	if replacement.Write.Subject == old.Write.Subject {
+		t.items[i] = replacement
 	} else {
 		t.items = slices.Delete(t.items, i, i+1)
-		s.place(by)
+		s.place(replacement)
 	}
 	s.markChanged(k)
 }
@@ -563,30 +563,30 @@
 }
 
 // markChanged records that a subject has changed.
-func (s *Site) markChanged(k subjectKey) {
+func (s *Site) markChanged(key subjectKey) {
 	s.seq++
-	s.subjects[k].changed = s.seq
-	if k.Kind == Evidence {
+	s.subjects[key].changed = s.seq
+	if key.Kind == Evidence {
 		return // evidence does not come down
 	}
-	s.changes = append(s.changes, change{s.seq, k})
+	s.changes = append(s.changes, change{s.seq, key})
 	if len(s.changes) > 64 && len(s.changes) > 2*len(s.subjects) {
 		s.changes = slices.DeleteFunc(s.changes, func(c change) bool { return s.subjects[c.key].changed != c.at })
 	}
 }
 
 // apply applies the next write of its origin. Lacking means that some of its dependencies will never arrive.
-func (s *Site) apply(w *Write, lacking bool, f *[]Effect) {
+func (s *Site) apply(w *Write, lacking bool, effects *[]Effect) {
 	o := w.ID.Origin
 	s.seen.raise(o, w.ID.Number)
 	if !o.Evidence {
 		s.known.raise(o, w.ID.Number)
 	}
 	if s.isOwn(o) {
-		s.skipUsedNumbers(f)
+		s.skipUsedNumbers(effects)
 	}
 	if w.StoreCreated > 0 {
-		s.noteIncarnation(incarnation{o.Site, o.Incarnation}, w.StoreCreated, f)
+		s.noteIncarnation(incarnation{o.Site, o.Incarnation}, w.StoreCreated, effects)
 	}
 	s.seq++
 	it := &item{s.seq, w}
@@ -595,7 +595,7 @@
 		s.usage(w).add(w, 1)
 		s.place(it)
 		s.emptyCovered(w)
-		*f = append(*f, Effect{Kind: EffectApplied, Write: w, ID: w.ID})
+		*effects = append(*effects, Effect{Kind: EffectApplied, Write: w, ID: w.ID})
 		return
 	}
 	outcome, why := s.judge(w, lacking)
@@ -611,11 +611,11 @@
 		}
 		s.place(it)
 		s.prune(subjectKey{w.Kind, w.Subject})
-		*f = append(*f, Effect{Kind: EffectApplied, Write: w, ID: w.ID})
+		*effects = append(*effects, Effect{Kind: EffectApplied, Write: w, ID: w.ID})
 		r.Outcome = s.appliedOutcome(w)
 	}
 	if s.isOwn(o) {
-		*f = append(*f, Effect{Kind: EffectReceipt, ID: w.ID, Receipt: r})
+		*effects = append(*effects, Effect{Kind: EffectReceipt, ID: w.ID, Receipt: r})
 	}
 }
 
@@ -624,8 +624,8 @@
 	if w.Subject == "" {
 		return Applied, ""
 	}
-	if by := s.closingWrite(subjectKey{w.Kind, w.Subject}); by != nil {
-		return Refused, "closed by " + by.ID.String() + ": " + string(by.Value)
+	if closedBy := s.closingWrite(subjectKey{w.Kind, w.Subject}); closedBy != nil {
+		return Refused, "closed by " + closedBy.ID.String() + ": " + string(closedBy.Value)
 	}
 	if !cascades(w) {
 		return Applied, ""
@@ -665,13 +665,13 @@
 
 // prune drops writes on a subject that no longer count: refused ones, those overwritten by an accepted one, and
 // evidence that is held elsewhere. Only judged writes are dropped, so that none comes back.
-func (s *Site) prune(k subjectKey) {
-	t := s.subjects[k]
+func (s *Site) prune(key subjectKey) {
+	t := s.subjects[key]
 	if t == nil {
 		return
 	}
-	set := t.items
-	gone := func(it *item) bool {
+	items := t.items
+	obsolete := func(it *item) bool {
 		if !s.judged.has(it.Write.ID) {
 			return false
 		}
@@ -679,34 +679,34 @@
 		if s.refused[w.ID] != nil || w.Subject == "" || w.Kind == Evidence && !s.isTop() && !s.isOwn(w.ID.Origin) {
 			return true
 		}
-		return slices.ContainsFunc(set, func(by *item) bool {
+		return slices.ContainsFunc(items, func(by *item) bool {
 			return overwrites(by.Write, it.Write) && s.judged.has(by.Write.ID) && s.refused[by.Write.ID] == nil
 		})
 	}
 	var rest []*item
-	for _, it := range set {
-		if !gone(it) {
+	for _, it := range items {
+		if !obsolete(it) {
 			rest = append(rest, it)
 		}
 	}
-	if len(rest) < len(set) {
+	if len(rest) < len(items) {
 		t.items = rest
-		s.markChanged(k)
+		s.markChanged(key)
 	}
 }
 
 // applyBatch applies the call of a site below.
-func (s *Site) applyBatch(b *Batch, f *[]Effect) {
+func (s *Site) applyBatch(b *Batch, effects *[]Effect) {
 	if b.Probe { // a probe carries no vectors, so their absence shows nothing
 		return
 	}
-	s.noteIncarnation(incarnation{b.From.Site, b.From.Incarnation}, b.From.StoreCreated, f)
+	s.noteIncarnation(incarnation{b.From.Site, b.From.Incarnation}, b.From.StoreCreated, effects)
 	for _, h := range b.Incarnations {
-		s.noteIncarnation(incarnation{h.Site, h.Incarnation}, h.StoreCreated, f)
+		s.noteIncarnation(incarnation{h.Site, h.Incarnation}, h.StoreCreated, effects)
 	}
 	s.callers[b.From.Site] = true
-	for l, e := range s.ending {
-		if i, waits := slices.BinarySearch(e.Waits, b.From.Site); waits && s.showsNothingNew(b, l) {
+	for inc, e := range s.ending {
+		if i, waits := slices.BinarySearch(e.Waits, b.From.Site); waits && s.showsNothingNew(b, inc) {
 			e.Waits = slices.Delete(e.Waits, i, i+1)
 		}
 	}
@@ -717,25 +717,25 @@
 		case s.seen.has(w.ID):
 		case !s.hasRoom(w):
 		case ready:
-			s.apply(w, lacking, f)
+			s.apply(w, lacking, effects)
 		default:
-			s.hold(w, f)
+			s.hold(w, effects)
 		}
 	}
-	s.finishClosings(f)
-	s.release(f)
+	s.finishClosings(effects)
+	s.release(effects)
 }
 
 // HasNews reports whether a call must be committed even if it brings no writes: it tells of an incarnation that is not
 // known here, or an ended incarnation waits for this call to be closed.
 func (s *Site) HasNews(b *Batch) bool {
 	for _, h := range b.Incarnations {
-		if l := (incarnation{h.Site, h.Incarnation}); s.incarnations[h.Site].Incarnation != h.Incarnation && s.ending[l] == nil && !s.closed[l] {
+		if inc := (incarnation{h.Site, h.Incarnation}); s.incarnations[h.Site].Incarnation != h.Incarnation && s.ending[inc] == nil && !s.closed[inc] {
 			return true
 		}
 	}
-	for l, e := range s.ending {
-		if _, waits := slices.BinarySearch(e.Waits, b.From.Site); waits && s.showsNothingNew(b, l) {
+	for inc, e := range s.ending {
+		if _, waits := slices.BinarySearch(e.Waits, b.From.Site); waits && s.showsNothingNew(b, inc) {
 			return true
 		}
 	}
@@ -748,9 +748,9 @@
 }
 
 // showsNothingNew reports whether a call shows no writes of an incarnation beyond those known here.
-func (s *Site) showsNothingNew(b *Batch, l incarnation) bool {
+func (s *Site) showsNothingNew(b *Batch, inc incarnation) bool {
 	for lane := range lanes {
-		o := l.laneOrigin(lane)
+		o := inc.laneOrigin(lane)
 		if b.Seen.Highest(o) > s.seen[o] {
 			return false
 		}
@@ -795,7 +795,7 @@
 
 // hold keeps a write that arrived too early, if there is room; the sender has it in any case. Of an origin's evidence,
 // which is large, only the next piece is kept.
-func (s *Site) hold(w *Write, f *[]Effect) {
+func (s *Site) hold(w *Write, effects *[]Effect) {
 	if w.Kind == Evidence && w.ID.Number != s.seen[w.ID.Origin]+1 {
 		return
 	}
@@ -803,11 +803,11 @@
 		return
 	}
 	s.held = append(s.held, heldWrite{s.now, w})
-	*f = append(*f, Effect{Kind: EffectHeld, ID: w.ID})
+	*effects = append(*effects, Effect{Kind: EffectHeld, ID: w.ID})
 }
 
 // release applies held writes that are ready now, and drops those that were applied already or have waited too long.
-func (s *Site) release(f *[]Effect) {
+func (s *Site) release(effects *[]Effect) {
 	for again := true; again; {
 		again = false
 		for i := 0; i < len(s.held); i++ {
@@ -824,7 +824,7 @@
 			s.held = slices.Delete(s.held, i, i+1)
 			i--
 			if ready {
-				s.apply(h.Write, lacking, f)
+				s.apply(h.Write, lacking, effects)
 				again = true
 			}
 		}
@@ -832,76 +832,76 @@
 }
 
 // noteIncarnation records an incarnation of a site, and begins to close the one before it.
-func (s *Site) noteIncarnation(l incarnation, born time.Duration, f *[]Effect) {
-	was, any := s.incarnations[l.Site]
+func (s *Site) noteIncarnation(inc incarnation, storeCreated time.Duration, effects *[]Effect) {
+	latest, known := s.incarnations[inc.Site]
 	switch {
-	case any && was.Incarnation == l.Incarnation:
+	case known && latest.Incarnation == inc.Incarnation:
 		return
-	case any && cmp.Or(cmp.Compare(born, was.StoreCreated), cmp.Compare(l.Incarnation, was.Incarnation)) < 0:
-		s.startClosing(l, f)
+	case known && cmp.Or(cmp.Compare(storeCreated, latest.StoreCreated), cmp.Compare(inc.Incarnation, latest.Incarnation)) < 0:
+		s.startClosing(inc, effects)
 		return
 	}
-	s.incarnations[l.Site] = latestIncarnation{l.Incarnation, born}
-	delete(s.ending, l)
-	delete(s.closed, l)
-	if any {
-		s.startClosing(incarnation{l.Site, was.Incarnation}, f)
+	s.incarnations[inc.Site] = latestIncarnation{inc.Incarnation, storeCreated}
+	delete(s.ending, inc)
+	delete(s.closed, inc)
+	if known {
+		s.startClosing(incarnation{inc.Site, latest.Incarnation}, effects)
 	}
 }
 
 // startClosing begins to close an incarnation that ended with its store.
-func (s *Site) startClosing(l incarnation, f *[]Effect) {
-	if s.ending[l] != nil || s.closed[l] || l.Site == s.self.Site && l.Incarnation == s.self.Incarnation {
+func (s *Site) startClosing(inc incarnation, effects *[]Effect) {
+	if s.ending[inc] != nil || s.closed[inc] || inc.Site == s.self.Site && inc.Incarnation == s.self.Incarnation {
 		return
 	}
-	e := &closing{Since: s.now}
+	entry := &closing{Since: s.now}
 	for site := range s.callers {
-		if site != l.Site {
-			e.Waits = append(e.Waits, site)
+		if site != inc.Site {
+			entry.Waits = append(entry.Waits, site)
 		}
 	}
-	slices.Sort(e.Waits)
-	s.ending[l] = e
-	o := Origin{Site: l.Site, Incarnation: l.Incarnation}
-	*f = append(*f, Effect{Kind: EffectIncarnationEnded, ID: ID{o, s.seen[o]}})
+	slices.Sort(entry.Waits)
+	s.ending[inc] = entry
+	o := Origin{Site: inc.Site, Incarnation: inc.Incarnation}
+	*effects = append(*effects, Effect{Kind: EffectIncarnationEnded, ID: ID{o, s.seen[o]}})
 }
 
 // closeIfNeverSeen begins to close the incarnation of a vector entry if none of its writes came and its site has a
 // later one. An earlier incarnation may be all that is known here: then the site has yet to call.
-func (s *Site) closeIfNeverSeen(m VectorEntry, f *[]Effect) {
-	l := incarnationOf(m.Origin)
-	was, any := s.incarnations[l.Site]
-	if !any || l.Incarnation >= was.Incarnation || m.Number <= s.seen[m.Origin] || s.ending[l] != nil || s.closed[l] {
+func (s *Site) closeIfNeverSeen(entry VectorEntry, effects *[]Effect) {
+	inc := incarnationOf(entry.Origin)
+	latest, known := s.incarnations[inc.Site]
+	if !known || inc.Incarnation >= latest.Incarnation || entry.Number <= s.seen[entry.Origin] || s.ending[inc] != nil || s.closed[inc] {
 		return
 	}
-	s.startClosing(l, f)
-	if e := s.ending[l]; e != nil && s.callers[l.Site] {
-		i, _ := slices.BinarySearch(e.Waits, l.Site)
-		e.Waits = slices.Insert(e.Waits, i, l.Site)
+	s.startClosing(inc, effects)
+	if e := s.ending[inc]; e != nil && s.callers[inc.Site] {
+		i, _ := slices.BinarySearch(e.Waits, inc.Site)
+		e.Waits = slices.Insert(e.Waits, i, inc.Site)
 	}
 }
 
 // finishClosings closes incarnations from which nothing more can arrive.
-func (s *Site) finishClosings(f *[]Effect) {
+func (s *Site) finishClosings(effects *[]Effect) {
 	if !s.isTop() {
 		return
 	}
 	for _, h := range s.held { // may name an incarnation that was never seen, of a site that has a later one
-		s.closeIfNeverSeen(VectorEntry{h.Write.ID.Origin, h.Write.ID.Number}, f)
+		s.closeIfNeverSeen(VectorEntry{h.Write.ID.Origin, h.Write.ID.Number}, effects)
 		for _, m := range h.Write.Dependencies {
-			s.closeIfNeverSeen(m, f)
+			s.closeIfNeverSeen(m, effects)
 		}
 	}
-	for l, e := range s.ending { // the iteration order has no effect: each is judged by itself
+	for inc, e := range s.ending { // the iteration order has no effect: each is judged by itself
 		if len(e.Waits) == 0 || s.limits.Age > 0 && s.now-e.Since > s.limits.Age {
-			delete(s.ending, l)
-			s.closed[l] = true
+			delete(s.ending, inc)
+			s.closed[inc] = true
 		}
 	}
 }
 
 // dropExpired drops evidence that is too old and has not been offered, and reports whether there was any.
-func (s *Site) dropExpired(f *[]Effect) (any bool) {
+func (s *Site) dropExpired(effects *[]Effect) (dropped bool) {
 	if s.limits.Age <= 0 {
 		return false
 	}
@@ -911,40 +911,40 @@
 			continue
 		}
 		s.replace(it, &item{it.Seq, emptied(w, 0)})
-		*f = append(*f, Effect{Kind: EffectReceipt, ID: w.ID,
+		*effects = append(*effects, Effect{Kind: EffectReceipt, ID: w.ID,
 			Receipt: Receipt{w.ID, Refused, "the evidence is older than " + s.limits.Age.String(), s.self.Site}})
-		any = true
+		dropped = true
 	}
-	return any
+	return dropped
 }
 
 // joinState joins the state of a site above into this one.
-func (s *Site) joinState(d *StateUpdate, f *[]Effect) {
-	cur := s.cursors[d.From]
-	if d.To != s.self.Incarnation {
+func (s *Site) joinState(update *StateUpdate, effects *[]Effect) {
+	cursor := s.cursors[update.From]
+	if update.To != s.self.Incarnation {
 		return // meant for an earlier incarnation, which ended with its store
 	}
-	if d.Last && d.After > 0 && (cur.Incarnation != d.Incarnation || cur.At < d.After) {
+	if update.Last && update.After > 0 && (cursor.Incarnation != update.Incarnation || cursor.At < update.After) {
 		return // continues from a state that is not known here
 	}
-	has := map[subjectKey][]ID{}
-	for _, t := range d.Subjects {
-		has[subjectKey{t.Kind, t.Subject}] = t.IDs
+	counting := map[subjectKey][]ID{}
+	for _, t := range update.Subjects {
+		counting[subjectKey{t.Kind, t.Subject}] = t.IDs
 	}
 	before := maps.Clone(s.judged)
-	for _, r := range d.Refused {
+	for _, r := range update.Refused {
 		s.refuse(r)
 	}
 	touched := map[subjectKey]bool{}
-	if d.Last {
+	if update.Last {
 		covers := vector{}
-		covers.join(d.Seen)
-		for _, h := range d.Subjects {
+		covers.join(update.Seen)
+		for _, h := range update.Subjects {
 			k := subjectKey{h.Kind, h.Subject}
 			if t := s.subjects[k]; t != nil {
 				n := len(t.items)
 				t.items = slices.DeleteFunc(slices.Clone(t.items), func(it *item) bool {
-					return covers.has(it.Write.ID) && !slices.Contains(has[k], it.Write.ID)
+					return covers.has(it.Write.ID) && !slices.Contains(counting[k], it.Write.ID)
 				})
 				if len(t.items) < n {
 					s.markChanged(k)
@@ -952,13 +952,13 @@
 			}
 		}
 		judged := vector{}
-		judged.join(d.Judged)
-		writes := slices.Clone(d.Writes)
+		judged.join(update.Judged)
+		writes := slices.Clone(update.Writes)
 		slices.SortFunc(writes, func(a, b SequencedWrite) int { return cmp.Compare(a.Seq, b.Seq) })
 		for i := range writes {
 			w := &writes[i].Write
 			k := subjectKey{w.Kind, w.Subject}
-			if s.seen.has(w.ID) || !slices.Contains(has[k], w.ID) || slices.ContainsFunc(s.itemsOf(k), func(it *item) bool { return it.Write.ID == w.ID }) {
+			if s.seen.has(w.ID) || !slices.Contains(counting[k], w.ID) || slices.ContainsFunc(s.itemsOf(k), func(it *item) bool { return it.Write.ID == w.ID }) {
 				continue
 			}
 			s.seq++
@@ -966,73 +966,73 @@
 			s.place(it)
 			touched[k] = true
 			if !judged.has(w.ID) {
-				s.outOfOrder = s.outOfOrder || d.OutOfOrder
+				s.outOfOrder = s.outOfOrder || update.OutOfOrder
 				s.log.add(it)
 				s.usage(w).add(w, 1)
 			}
-			*f = append(*f, Effect{Kind: EffectApplied, Write: w, ID: w.ID})
+			*effects = append(*effects, Effect{Kind: EffectApplied, Write: w, ID: w.ID})
 		}
-		s.seen.join(d.Seen)
-		s.known.join(d.Seen)
-		s.cursors[d.From] = Cursor{d.Incarnation, max(d.Until, cursorPosition(cur, d.Incarnation))}
-		s.awaits = d.Awaits
-	}
-	for _, h := range d.Closed {
-		l := incarnation{h.Site, h.Incarnation}
-		s.closed[l] = true
-		delete(s.ending, l)
-	}
-	s.judged.join(d.Judged)
-	for _, m := range d.Judged { // judged evidence need not be held here or passed on
+		s.seen.join(update.Seen)
+		s.known.join(update.Seen)
+		s.cursors[update.From] = Cursor{update.Incarnation, max(update.Until, cursorPosition(cursor, update.Incarnation))}
+		s.awaits = update.Awaits
+	}
+	for _, h := range update.Closed {
+		inc := incarnation{h.Site, h.Incarnation}
+		s.closed[inc] = true
+		delete(s.ending, inc)
+	}
+	s.judged.join(update.Judged)
+	for _, m := range update.Judged { // judged evidence need not be held here or passed on
 		if m.Origin.Evidence {
 			s.seen.raise(m.Origin, m.Number)
 		}
 	}
-	s.skipUsedNumbers(f)
-	s.removeJudged(before, touched, d.From, f)
-	s.release(f)
+	s.skipUsedNumbers(effects)
+	s.removeJudged(before, touched, update.From, effects)
+	s.release(effects)
 }
 
 // wouldChange reports whether joinState would change more than the cursor. If not, the same comes again from the older
 // cursor.
-func (s *Site) wouldChange(d *StateUpdate) bool {
+func (s *Site) wouldChange(update *StateUpdate) bool {
 	switch {
-	case d.To != s.self.Incarnation:
+	case update.To != s.self.Incarnation:
 		return false
-	case len(d.Subjects)+len(d.Writes)+len(d.Refused) > 0, !s.seen.covers(d.Seen), !s.known.covers(d.Seen), !s.judged.covers(d.Judged):
+	case len(update.Subjects)+len(update.Writes)+len(update.Refused) > 0, !s.seen.covers(update.Seen), !s.known.covers(update.Seen), !s.judged.covers(update.Judged):
 		return true
 	}
-	return slices.ContainsFunc(d.Closed, func(h SiteIncarnation) bool { return !s.closed[incarnation{h.Site, h.Incarnation}] }) ||
-		!slices.EqualFunc(s.awaits, d.Awaits, func(a, b AwaitedCalls) bool { return a.By == b.By && slices.Equal(a.Sites, b.Sites) })
+	return slices.ContainsFunc(update.Closed, func(h SiteIncarnation) bool { return !s.closed[incarnation{h.Site, h.Incarnation}] }) ||
+		!slices.EqualFunc(s.awaits, update.Awaits, func(a, b AwaitedCalls) bool { return a.By == b.By && slices.Equal(a.Sites, b.Sites) })
 }
 
 // skipUsedNumbers continues after those numbers of this incarnation that others know and this store does not: the store
 // was restored from a copy.
-func (s *Site) skipUsedNumbers(f *[]Effect) {
+func (s *Site) skipUsedNumbers(effects *[]Effect) {
 	for lane := range s.number {
 		if o := s.ownOrigin(lane); s.seen[o] > s.number[lane] {
 			s.number[lane], s.offered[lane] = s.seen[o], s.seen[o]
-			*f = append(*f, Effect{Kind: EffectStaleStore, ID: ID{o, s.seen[o]}})
+			*effects = append(*effects, Effect{Kind: EffectStaleStore, ID: ID{o, s.seen[o]}})
 		}
 	}
 }
 
-func (s *Site) itemsOf(k subjectKey) []*item {
-	if t := s.subjects[k]; t != nil {
+func (s *Site) itemsOf(key subjectKey) []*item {
+	if t := s.subjects[key]; t != nil {
 		return t.items
 	}
 	return nil
 }
 
-func cursorPosition(c Cursor, life uint64) uint64 {
-	if c.Incarnation == life {
+func cursorPosition(c Cursor, inc uint64) uint64 {
+	if c.Incarnation == inc {
 		return c.At
 	}
 	return 0
 }
 
 // removeJudged removes from the log the writes that were judged since, and issues the receipts of this site's writes.
-func (s *Site) removeJudged(before vector, touched map[subjectKey]bool, from string, f *[]Effect) {
+func (s *Site) removeJudged(before vector, touched map[subjectKey]bool, from string, effects *[]Effect) {
 	var gone []*item
 	for o := range s.log {
 		gone = append(gone, s.log.removeUpTo(o, s.judged[o])...)
@@ -1065,7 +1065,7 @@
 			r.Outcome = s.appliedOutcome(w)
 		}
 		if w.Subject != "" || w.MergedInto > 0 { // dropped evidence has had its receipt
-			*f = append(*f, Effect{Kind: EffectReceipt, ID: w.ID, Receipt: r})
+			*effects = append(*effects, Effect{Kind: EffectReceipt, ID: w.ID, Receipt: r})
 		}
 	}
 }
--- a/internal/choice/sitesync/site_test.go
+++ b/internal/choice/sitesync/site_test.go
@@ -61,8 +61,8 @@
 	return l
 }
 
-func (l *topology) start(name string, life uint64) {
-	place := Place{Site: name, Incarnation: life, StoreCreated: time.Duration(life)}
+func (l *topology) start(name string, incarnation uint64) {
+	place := Place{Site: name, Incarnation: incarnation, StoreCreated: time.Duration(incarnation)}
 	switch name {
 	case "a", "b":
 		place.Level, place.Ancestors = 2, []string{"r", "p"}
@@ -183,9 +183,9 @@
 	Policy: {"begin", "halt", "resume", "force"}, Safety: {"out", "back"}}
 
 func (l *topology) write(name string) {
-	k := Kind(l.rand.IntN(Kinds))
-	w := &LocalWrite{Kind: k, Subject: fmt.Sprint("t", l.rand.IntN(3)), Value: []byte(words[k][l.rand.IntN(len(words[k]))]),
-		Urgent: k != Evidence && l.rand.IntN(3) == 0, Closes: name == "p" && l.rand.IntN(6) == 0}
+	key := Kind(l.rand.IntN(Kinds))
+	w := &LocalWrite{Kind: key, Subject: fmt.Sprint("t", l.rand.IntN(3)), Value: []byte(words[key][l.rand.IntN(len(words[key]))]),
+		Urgent: key != Evidence && l.rand.IntN(3) == 0, Closes: name == "p" && l.rand.IntN(6) == 0}
 	if l.rand.IntN(5) == 0 {
 		w.Token = l.sites[l.names[l.rand.IntN(4)]].Token()
 	}
@@ -198,7 +198,7 @@
 		if e.Kind == EffectApplied && e.Write.ID.Origin.Site == name {
 			l.written = append(l.written, e.ID)
 		}
-		if (e.Kind == EffectApplied || e.Kind == EffectMerged) && k == Evidence {
+		if (e.Kind == EffectApplied || e.Kind == EffectMerged) && key == Evidence {
 			l.evidenceSums[name][w.Subject] += w.Value[0]
 		}
 	}
@@ -251,39 +251,39 @@
 // evidence checks that every site but the top holds its own evidence and no other, of each thing the newest alone, and that
 // the top has the sum of all.
 func (l *topology) requireEvidence() {
-	fell := map[string]bool{} // things with evidence that the top did not take
+	refused := map[string]bool{} // things with evidence that the top did not take
 	for _, id := range l.written {
 		for _, r := range l.receipts[id] {
-			fell[id.Origin.Site] = fell[id.Origin.Site] || id.Origin.Evidence && r.Outcome >= Refused
+			refused[id.Origin.Site] = refused[id.Origin.Site] || id.Origin.Evidence && r.Outcome >= Refused
 		}
 	}
 	top := l.sites["p"]
-	for _, thing := range []string{"t0", "t1", "t2"} {
-		all, most := byte(0), l.lostSums[thing]
-		whole := true
+	for _, subject := range []string{"t0", "t1", "t2"} {
+		sum, maxLost := byte(0), l.lostSums[subject]
+		complete := true
 		for _, n := range l.names {
-			all += l.evidenceSums[n][thing]
-			whole = whole && !fell[n]
-			if n == "p" || fell[n] {
+			sum += l.evidenceSums[n][subject]
+			complete = complete && !refused[n]
+			if n == "p" || refused[n] {
 				continue
 			}
-			v, any := l.sites[n].Value(Evidence, thing)
-			require.Equal(l.t, l.evidenceSums[n][thing] > 0, any, "%s %s", n, thing)
+			v, any := l.sites[n].Value(Evidence, subject)
+			require.Equal(l.t, l.evidenceSums[n][subject] > 0, any, "%s %s", n, subject)
 			if any {
-				require.Equal(l.t, []byte{l.evidenceSums[n][thing]}, v.Value, "%s %s", n, thing)
+				require.Equal(l.t, []byte{l.evidenceSums[n][subject]}, v.Value, "%s %s", n, subject)
 				require.Empty(l.t, v.Concurrent, n)
 				require.Equal(l.t, n, v.Write.ID.Origin.Site)
 			}
 		}
-		v, any := top.Value(Evidence, thing)
-		if !whole || v.Closed || !any {
+		v, any := top.Value(Evidence, subject)
+		if !complete || v.Closed || !any {
 			continue
 		}
 		l.comparedSums++
-		require.GreaterOrEqual(l.t, v.Value[0], all, thing)
-		require.LessOrEqual(l.t, v.Value[0], all+most, thing)
+		require.GreaterOrEqual(l.t, v.Value[0], sum, subject)
+		require.LessOrEqual(l.t, v.Value[0], sum+maxLost, subject)
 		if l.lostSums == nil {
-			require.Equal(l.t, all, v.Value[0], thing)
+			require.Equal(l.t, sum, v.Value[0], subject)
 		}
 	}
 	for _, n := range l.names {
@@ -295,7 +295,7 @@
 }
 
 // TestAllSitesComeToHoldTheSame is U1 to U3 over random writes, routes, losses and repeats.
-func TestAllSitesComeToHoldTheSame(t *testing.T) {
+func TestAllSitesConverge(t *testing.T) {
 	seen := map[Outcome]int{}
 	counted, idle := 0, 0
 	for seed := range uint64(seeds) {
@@ -327,7 +327,7 @@
 }
 
 // TestALostStoreHoldsNobodyBack is U5: the old life's writes that left in time stay, what depends on the others is judged.
-func TestALostStoreHoldsNobodyBack(t *testing.T) {
+func TestLostStoreBlocksNoOtherSite(t *testing.T) {
 	orphans := 0
 	for seed := range uint64(seeds) {
 		l := newTopology(t, 100+seed)
@@ -360,7 +360,7 @@
 	assert.NotZero(t, orphans)
 }
 
-func TestSettlingIsAFunctionOfTheSet(t *testing.T) {
+func TestResolveDependsOnTheSetAlone(t *testing.T) {
 	w := func(site string, level int, k Kind, value string) *Write {
 		return &Write{ID: ID{Origin{Site: site, Incarnation: 1}, 1}, Kind: k, Level: level, Subject: "x", Value: []byte(value)}
 	}
@@ -386,10 +386,10 @@
 	}
 }
 
-func TestTheQueueRefusesByKindAndMergesEvidence(t *testing.T) {
+func TestQueueRefusesByKindAndMergesEvidence(t *testing.T) {
 	s := New(Place{Site: "a", Level: 2, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 20, Batch: 4, Age: time.Minute})
 	s.WithMerge(mergeOneByte)
-	took := [Kinds]int{}
+	accepted := [Kinds]int{}
 	for _, k := range []Kind{Evidence, Note, Work, Policy, Safety} {
 		for i := range 30 {
 			f := s.Apply(0, Command{Write: &LocalWrite{Kind: k, Subject: fmt.Sprint(i), Value: []byte(words[k][0])}})
@@ -399,22 +399,22 @@
 				assert.NotEmpty(t, full.Action())
 				continue
 			}
-			took[k]++
+			accepted[k]++
 		}
 	}
-	assert.Equal(t, [Kinds]int{10, 2, 3, 3, 2}, took)
+	assert.Equal(t, [Kinds]int{10, 2, 3, 3, 2}, accepted)
 	f := s.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: "3", Value: []byte{5}}})
 	require.Equal(t, EffectMerged, f[0].Kind, "evidence is merged however full the queue is")
 	v, _ := s.Value(Evidence, "3")
 	assert.Equal(t, []byte{6}, v.Value)
 	s.Apply(0, Command{Offer: &Offer{Evidence: 2}})
-	long := bytes.Repeat([]byte{1}, 60<<10)
-	some := New(Place{Site: "a", Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 600 << 10, Number: 200, Batch: 4})
-	some.WithMerge(func(_, b []byte) ([]byte, error) { return b, nil })
+	large := bytes.Repeat([]byte{1}, 60<<10)
+	small := New(Place{Site: "a", Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 600 << 10, Number: 200, Batch: 4})
+	small.WithMerge(func(_, b []byte) ([]byte, error) { return b, nil })
 	for i := range 20 { // four fit into half of the queue
-		f := some.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i % 5), Value: long}})
+		f := small.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i % 5), Value: large}})
 		assert.Equal(t, i%5 == 4, f[0].Kind == EffectRefused, "a newer one takes the room of the older: %d", i)
-		some.Apply(0, *cmp.Or(some.Unoffered(), &Command{}))
+		small.Apply(0, *cmp.Or(small.Unoffered(), &Command{}))
 	}
 	f = s.Apply(2*time.Minute, Command{})
 	assert.Len(t, f, 8, "what is too old and has not left is given up with a receipt")
@@ -443,7 +443,7 @@
 	assert.NoError(t, s.Check(Command{Write: &LocalWrite{Kind: Evidence, Subject: "x", Value: ab}}))
 }
 
-func TestBadBytesAreRefusedAndChangeNothing(t *testing.T) {
+func TestInvalidBytesAreRefusedAndChangeNothing(t *testing.T) {
 	s := New(Place{Site: "a", Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	s.Apply(1, Command{Write: &LocalWrite{Kind: Safety, Subject: "host/1", Value: []byte("out")}})
 	token, data := s.Token(), s.Encode()
@@ -477,7 +477,7 @@
 	return c
 }
 
-func TestUrgentWritesGoFirstWithWhatTheyDependOn(t *testing.T) {
+func TestUrgentWritesGoFirstWithTheirDependencies(t *testing.T) {
 	s := New(Place{Site: "a", Level: 2, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 200, Batch: 3})
 	for i := range 50 {
 		s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: []byte("x")}})
@@ -505,7 +505,7 @@
 
 // TestCallsMayBeAppliedAsTheyCome, each whole where all before were, with tokens among the writes that name what came later, and
 // two origins mixed. The counts that go with a call are right.
-func TestCallsMayBeAppliedAsTheyCome(t *testing.T) {
+func TestCallsCanBeAppliedInOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
@@ -557,10 +557,10 @@
 	assert.Equal(t, b.Seen(), p.Seen())
 }
 
-func TestTellersGiveTurns(t *testing.T) {
-	tl := NewCreditScheduler(Budget{Rate: 100, Batch: 10, MaxAhead: time.Second, UrgentBatch: 2, LocalCost: 5})
+func TestCreditSchedulerGivesTimeSlots(t *testing.T) {
+	scheduler := NewCreditScheduler(Budget{Rate: 100, Batch: 10, MaxAhead: time.Second, UrgentBatch: 2, LocalCost: 5})
 	call := func(site string, n, urgent int) (int, time.Duration) {
-		return tl.Grant(0, &Batch{From: Place{Site: site, Incarnation: 1}, Waiting: n, Urgent: urgent}, 1000)
+		return scheduler.Grant(0, &Batch{From: Place{Site: site, Incarnation: 1}, Waiting: n, Urgent: urgent}, 1000)
 	}
 	for i := range 11 {
 		credit, wait := call(fmt.Sprint(i), 50, 0)
@@ -574,15 +574,15 @@
 	assert.Equal(t, 1, credit)
 	assert.Zero(t, wait)
 	b := &Batch{From: Place{Site: "urgent", Incarnation: 1}, Writes: make([]Write, 1)}
-	assert.NoError(t, tl.Admit(b))
+	assert.NoError(t, scheduler.Admit(b))
 	var ce *CreditError
-	assert.ErrorAs(t, tl.Admit(b), &ce, "credit is used once")
+	assert.ErrorAs(t, scheduler.Admit(b), &ce, "credit is used once")
 }
 
 // TestAStorePutBackFromACopyNeverUsesANumberTwice: what others know of this life counts as written.
-func TestAStorePutBackFromACopyNeverUsesANumberTwice(t *testing.T) {
-	note := func(thing string) Command {
-		return Command{Write: &LocalWrite{Kind: Note, Subject: thing, Value: []byte("x")}}
+func TestRestoredStoreNeverReusesANumber(t *testing.T) {
+	note := func(subject string) Command {
+		return Command{Write: &LocalWrite{Kind: Note, Subject: subject, Value: []byte("x")}}
 	}
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	r.Apply(1, note("1"))
@@ -608,7 +608,7 @@
 }
 
 // TestWritesOfOthersLeaveRoom: a quarter of a queue is the site's own.
-func TestWritesOfOthersLeaveRoom(t *testing.T) {
+func TestRelayedWritesLeaveRoom(t *testing.T) {
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 20, Batch: 50, Held: 2})
 	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r"}}, testLimits)
 	call := &Batch{From: b.Self(), Queries: []Origin{{Site: "b", Incarnation: 1}}}
@@ -637,11 +637,11 @@
 }
 
 // TestAStateThatGoesOnFromAnUnknownOneIsLeft: what lies between is not known.
-func TestAStateThatGoesOnFromAnUnknownOneIsLeft(t *testing.T) {
+func TestStateUpdateFromUnknownCursorIsIgnored(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
-	write := func(thing string) *StateUpdate {
-		p.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: thing, Value: []byte("x")}})
+	write := func(subject string) *StateUpdate {
+		p.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: subject, Value: []byte("x")}})
 		return p.Answer(&Batch{From: b.Self(), Cursor: Cursor{1, p.seq - 1}}, 0, 0).Down
 	}
 	write("1")
@@ -655,9 +655,9 @@
 }
 
 // TestWhatATokenNamedIsSentFirst though it came later than the write that the token was presented with.
-func TestWhatATokenNamedIsSentFirst(t *testing.T) {
-	note := func(thing, token string) Command {
-		return Command{Write: &LocalWrite{Kind: Note, Subject: thing, Value: []byte("x"), Token: token}}
+func TestWriteNamedByTokenIsSentFirst(t *testing.T) {
+	note := func(subject, token string) Command {
+		return Command{Write: &LocalWrite{Kind: Note, Subject: subject, Value: []byte("x"), Token: token}}
 	}
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	r.Apply(0, note("1", ""))
@@ -675,7 +675,7 @@
 }
 
 // TestPiecesBecomeOneState, over a lost answer in between.
-func TestPiecesBecomeOneState(t *testing.T) {
+func TestStatePiecesAreAssembled(t *testing.T) {
 	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
 	piece := func(after, until uint64, last bool) *Answer {
@@ -698,13 +698,13 @@
 }
 
 // TestOnlyTheNewestEvidenceWaits at its site and at the one above it while the top is away; no other site is told of it.
-func TestOnlyTheNewestEvidenceWaits(t *testing.T) {
+func TestOnlyNewestEvidenceIsQueued(t *testing.T) {
 	site := func(name string, level int, above ...string) *Site {
 		return New(Place{Site: name, Level: level, Incarnation: 1, Ancestors: above}, testLimits).WithMerge(mergeOneByte)
 	}
 	b, other, r, p := site("b", 2, "r", "p"), site("c", 2, "r", "p"), site("r", 1, "p"), site("p", 0)
 	own := Origin{Site: "b", Incarnation: 1, Evidence: true}
-	full := func(s *Site) (n int) {
+	nonEmpty := func(s *Site) (n int) {
 		for _, it := range s.log[own] {
 			if it.Write.Subject != "" {
 				n++
@@ -728,11 +728,11 @@
 	up := NewForwarderTo(func() *Site { return b }, Timing{MaxFailures: 9}, "r")
 	for i := range 5 {
 		b.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: "node/1", Value: []byte{1}}})
-		require.Equal(t, min(i+1, 2), full(b), "what has not left does not stand for what has")
+		require.Equal(t, min(i+1, 2), nonEmpty(b), "what has not left does not stand for what has")
 		b.Apply(0, *b.Unoffered())
 		send(b, r, up)
 		require.Equal(t, uint64(i+1), r.seen[own])
-		require.Equal(t, [2]int{1, 1}, [2]int{full(b), full(r)})
+		require.Equal(t, [2]int{1, 1}, [2]int{nonEmpty(b), nonEmpty(r)})
 	}
 	send(other, r, NewForwarderTo(func() *Site { return other }, Timing{MaxFailures: 9}, "r"))
 	assert.Zero(t, other.seen[own])
@@ -754,15 +754,15 @@
 
 // TestCallsAreBoundedInBytes: of writes as long as they may be, as many go as a peer takes in one call, and one at least.
 func TestCallsAreBoundedInBytes(t *testing.T) {
-	const most = 1 << 20 // peer.Limits.Body
-	long := func(n byte) []byte { return bytes.Repeat([]byte{n + 1}, 64<<10) }
+	const maxBytes = 1 << 20 // peer.Limits.Body
+	large := func(n byte) []byte { return bytes.Repeat([]byte{n + 1}, 64<<10) }
 	limits := Limits{Bytes: 64 << 20, Number: 4000, Batch: 256, Held: 4}
-	last := func(a, b []byte) ([]byte, error) { return b, nil }
-	p := New(Place{Site: "p", Incarnation: 1}, limits).WithMerge(last)
-	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, limits).WithMerge(last)
+	keepLast := func(a, b []byte) ([]byte, error) { return b, nil }
+	p := New(Place{Site: "p", Incarnation: 1}, limits).WithMerge(keepLast)
+	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, limits).WithMerge(keepLast)
 	for i := range byte(40) {
-		b.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i), Value: long(i)}})
-		p.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: long(i)}})
+		b.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i), Value: large(i)}})
+		p.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: large(i)}})
 	}
 	for i := range 9000 { // a long list of refusals, as of a site that was away
 		p.refuse(Receipt{ID: ID{Origin{Site: "gone", Incarnation: 1}, uint64(i + 1)}, Outcome: Refused, Why: "closed by p.1/1: taken off"})
@@ -772,10 +772,10 @@
 	for calls := 0; len(p.Subjects(Evidence)) < 40 || len(b.Subjects(Note)) < 40; calls++ {
 		require.Less(t, calls, 60)
 		_, call, _ := c.Next(time.Hour)
-		require.Less(t, len(call.Bytes()), most)
+		require.Less(t, len(call.Bytes()), maxBytes)
 		p.Apply(0, Command{Batch: call})
 		a := p.Answer(call, 256, 0)
-		require.Less(t, len(a.Bytes()), most)
+		require.Less(t, len(a.Bytes()), maxBytes)
 		if cmd := c.Answered(0, a); cmd != nil {
 			b.Apply(0, *cmd)
 		}
@@ -787,7 +787,7 @@
 }
 
 // TestACloseIsNotWrittenOver, not by a write whose token names it either, at a site that it has not come to.
-func TestACloseIsNotWrittenOver(t *testing.T) {
+func TestClosingWriteIsNotOverwritten(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	write := func(value, token string, closes bool) Command {
@@ -801,9 +801,9 @@
 }
 
 // TestALifeThatHasYetToCallIsNotClosed: a token names a building's new life, and the top knows its old one.
-func TestALifeThatHasYetToCallIsNotClosed(t *testing.T) {
-	place := func(site string, life uint64) *Site {
-		return New(Place{Site: site, Level: 1, Incarnation: life, StoreCreated: time.Duration(life), Ancestors: []string{"p"}}, testLimits)
+func TestIncarnationThatHasYetToCallIsNotClosed(t *testing.T) {
+	place := func(site string, incarnation uint64) *Site {
+		return New(Place{Site: site, Level: 1, Incarnation: incarnation, StoreCreated: time.Duration(incarnation), Ancestors: []string{"p"}}, testLimits)
 	}
 	p, a := New(Place{Site: "p", Incarnation: 1}, testLimits), place("a", 1)
 	call := func(s *Site, f []Effect) {
@@ -827,6 +827,6 @@
 	assert.False(t, p.Judged().Has(naming[0].ID), "it waits for what it depends on")
 	call(r, named)
 	assert.True(t, p.Judged().Has(naming[0].ID))
-	_, not := p.Refusal(naming[0].ID)
-	assert.False(t, not, "nothing was lost")
+	_, refused := p.Refusal(naming[0].ID)
+	assert.False(t, refused, "nothing was lost")
 }
--- a/internal/choice/sitesync/wire.go
+++ b/internal/choice/sitesync/wire.go
@@ -184,18 +184,18 @@
 // stateUpdate returns what the caller does not have: for each subject that changed after its cursor, which writes still
 // count, and those of them that it has not seen. A long update is split into pieces, each as large as fits into room
 // bytes.
-func (s *Site) stateUpdate(b *Batch, room int) *StateUpdate {
+func (s *Site) stateUpdate(b *Batch, bytesLeft int) *StateUpdate {
 	from := cursorPosition(b.Cursor, s.self.Incarnation)
-	d := &StateUpdate{From: s.self.Site, Incarnation: s.self.Incarnation, To: b.From.Incarnation, After: from, Until: from, Last: true}
+	update := &StateUpdate{From: s.self.Site, Incarnation: s.self.Incarnation, To: b.From.Incarnation, After: from, Until: from, Last: true}
 	i, _ := slices.BinarySearchFunc(s.changes, from+1, func(c change, at uint64) int { return cmp.Compare(c.at, at) })
 	j, _ := slices.BinarySearchFunc(s.refusalLog, from+1, func(r *refusal, at uint64) int { return cmp.Compare(r.At, at) })
 	changes, refused := s.changes[i:], s.refusalLog[j:]
 	seen := vector{}
 	seen.join(b.Seen)
 	fits := func(size int) bool {
-		room -= size
-		d.Last = room >= 0 || d.Until == from
-		return d.Last
+		bytesLeft -= size
+		update.Last = bytesLeft >= 0 || update.Until == from
+		return update.Last
 	}
 	for len(changes)+len(refused) > 0 {
 		if len(refused) > 0 && (len(changes) == 0 || refused[0].At < changes[0].at) {
@@ -203,50 +203,50 @@
 			if !fits(len(encoded(&r.Receipt))) {
 				break
 			}
-			refused, d.Refused, d.Until = refused[1:], append(d.Refused, r.Receipt), r.At
+			refused, update.Refused, update.Until = refused[1:], append(update.Refused, r.Receipt), r.At
 			continue
 		}
 		c := changes[0]
 		changes = changes[1:]
-		t := s.subjects[c.key]
-		if t.changed != c.at {
+		subj := s.subjects[c.key]
+		if subj.changed != c.at {
 			continue
 		}
-		if len(d.Writes) >= s.limits.Batch || len(d.Subjects) >= 4*s.limits.Batch {
-			d.Last = false
+		if len(update.Writes) >= s.limits.Batch || len(update.Subjects) >= 4*s.limits.Batch {
+			update.Last = false
 			break
 		}
-		h := SubjectWrites{c.key.Kind, c.key.Subject, nil}
+		entry := SubjectWrites{c.key.Kind, c.key.Subject, nil}
 		var writes []SequencedWrite
 		size := 0
-		for _, it := range t.items {
+		for _, it := range subj.items {
 			if s.notOffered(it.Write.ID) {
 				continue
 			}
-			h.IDs = append(h.IDs, it.Write.ID)
+			entry.IDs = append(entry.IDs, it.Write.ID)
 			if !seen.has(it.Write.ID) {
 				writes = append(writes, SequencedWrite{it.Seq, *it.Write})
 				size += len(encoded(&writes[len(writes)-1]))
 			}
 		}
-		if !fits(size + len(encoded(&h))) {
+		if !fits(size + len(encoded(&entry))) {
 			break
 		}
-		d.Subjects, d.Writes, d.Until = append(d.Subjects, h), append(d.Writes, writes...), c.at
+		update.Subjects, update.Writes, update.Until = append(update.Subjects, entry), append(update.Writes, writes...), c.at
 	}
-	if d.Last {
-		d.OutOfOrder = s.outOfOrder
-		d.Until, d.Seen, d.Judged = s.seq, s.sendableSeen(), s.judged.list()
+	if update.Last {
+		update.OutOfOrder = s.outOfOrder
+		update.Until, update.Seen, update.Judged = s.seq, s.sendableSeen(), s.judged.list()
 		for l := range s.closed {
-			d.Closed = append(d.Closed, SiteIncarnation{Site: l.Site, Incarnation: l.Incarnation})
+			update.Closed = append(update.Closed, SiteIncarnation{Site: l.Site, Incarnation: l.Incarnation})
 		}
-		slices.SortFunc(d.Closed, func(a, b SiteIncarnation) int {
+		slices.SortFunc(update.Closed, func(a, b SiteIncarnation) int {
 			return incarnation{a.Site, a.Incarnation}.compare(incarnation{b.Site, b.Incarnation})
 		})
-		d.Awaits = s.awaitedCalls()
+		update.Awaits = s.awaitedCalls()
 	}
-	d.addReceipts(s, b)
-	return d
+	update.addReceipts(s, b)
+	return update
 }
 
 // awaitedCalls returns the sites whose calls the top site waits for.
@@ -280,22 +280,22 @@
 
 // FullState returns the whole state of this site, for a top site that lost its store and has no site above to restore
 // it from. An operator must have confirmed that the old store is gone for good. To is the new incarnation of that site.
-func (s *Site) FullState(to uint64) *StateUpdate {
+func (s *Site) FullState(incarnation uint64) *StateUpdate {
 	all := *s
 	all.limits.Batch = 1 << 30
-	return all.stateUpdate(&Batch{From: Place{Site: "-", Incarnation: to}}, math.MaxInt)
+	return all.stateUpdate(&Batch{From: Place{Site: "-", Incarnation: incarnation}}, math.MaxInt)
 }
 
 // addReceipts adds the top site's results for the caller's own writes.
-func (d *StateUpdate) addReceipts(s *Site, b *Batch) {
+func (update *StateUpdate) addReceipts(s *Site, b *Batch) {
 	for lane := range lanes {
 		o := incarnation{b.From.Site, b.From.Incarnation}.laneOrigin(lane)
-		if !d.Last && s.judged[o] > b.Judged.Highest(o) {
-			d.Judged = append(d.Judged, VectorEntry{o, s.judged[o]})
+		if !update.Last && s.judged[o] > b.Judged.Highest(o) {
+			update.Judged = append(update.Judged, VectorEntry{o, s.judged[o]})
 		}
 		for n := b.Judged.Highest(o) + 1; len(s.refusalLog) > 0 && n <= s.judged[o]; n++ {
 			if r := s.refused[ID{o, n}]; r != nil {
-				d.Refused = append(d.Refused, r.Receipt)
+				update.Refused = append(update.Refused, r.Receipt)
 			}
 		}
 	}
@@ -354,35 +354,35 @@
 
 // Encode returns the state as bytes. Equal states give equal bytes.
 func (s *Site) Encode() []byte {
-	t := stored{Self: s.self, Limits: s.limits, Now: s.now, Seq: s.seq, Number: s.number, Offered: s.offered, OutOfOrder: s.outOfOrder,
+	state := stored{Self: s.self, Limits: s.limits, Now: s.now, Seq: s.seq, Number: s.number, Offered: s.offered, OutOfOrder: s.outOfOrder,
 		Named: [lanes]VersionVector{s.named[0].list(), s.named[1].list(), s.named[2].list()}, Known: s.known.list(), Seen: s.seen.list(), Judged: s.judged.list(),
 		Refused: append([]*refusal(nil), s.refusalLog...), Held: append([]heldWrite(nil), s.held...), Awaits: s.awaits}
-	for k, x := range s.subjects {
-		t.Items = append(t.Items, x.items...)
-		t.Changes = append(t.Changes, storedChange{x.changed, k.Kind, k.Subject})
+	for k, subj := range s.subjects {
+		state.Items = append(state.Items, subj.items...)
+		state.Changes = append(state.Changes, storedChange{subj.changed, k.Kind, k.Subject})
 	}
-	slices.SortFunc(t.Items, func(a, b *item) int { return cmp.Compare(a.Seq, b.Seq) })
-	slices.SortFunc(t.Changes, func(a, b storedChange) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(state.Items, func(a, b *item) int { return cmp.Compare(a.Seq, b.Seq) })
+	slices.SortFunc(state.Changes, func(a, b storedChange) int { return cmp.Compare(a.At, b.At) })
 	for _, site := range sorted(s.incarnations) {
-		t.Homes = append(t.Homes, storedIncarnation{site, s.incarnations[site]})
+		state.Homes = append(state.Homes, storedIncarnation{site, s.incarnations[site]})
 	}
-	t.Callers = sorted(s.callers)
-	for l, e := range s.ending {
-		t.Ending = append(t.Ending, storedClosing{l, *e})
+	state.Callers = sorted(s.callers)
+	for inc, e := range s.ending {
+		state.Ending = append(state.Ending, storedClosing{inc, *e})
 	}
-	slices.SortFunc(t.Ending, func(a, b storedClosing) int { return a.incarnation.compare(b.incarnation) })
-	for l := range s.closed {
-		t.Closed = append(t.Closed, l)
+	slices.SortFunc(state.Ending, func(a, b storedClosing) int { return a.incarnation.compare(b.incarnation) })
+	for inc := range s.closed {
+		state.Closed = append(state.Closed, inc)
 	}
-	slices.SortFunc(t.Closed, incarnation.compare)
+	slices.SortFunc(state.Closed, incarnation.compare)
 	for _, site := range sorted(s.cursors) {
-		t.Cursors = append(t.Cursors, storedCursor{site, s.cursors[site]})
+		state.Cursors = append(state.Cursors, storedCursor{site, s.cursors[site]})
 	}
-	return append(append([]byte(header), encoded(&t)...), trailer...)
+	return append(append([]byte(header), encoded(&state)...), trailer...)
 }
 
-func (l incarnation) compare(m incarnation) int {
-	return cmp.Or(cmp.Compare(l.Site, m.Site), cmp.Compare(l.Incarnation, m.Incarnation))
+func (inc incarnation) compare(other incarnation) int {
+	return cmp.Or(cmp.Compare(inc.Site, other.Site), cmp.Compare(inc.Incarnation, other.Incarnation))
 }
 
 func sorted[V any](m map[string]V) []string {
@@ -404,26 +404,26 @@
 	if body, ok = bytes.CutSuffix(body, []byte(trailer)); !ok {
 		return nil, &StateError{"truncated"}
 	}
-	var t stored
-	if err := json.Unmarshal(body, &t); err != nil {
+	var state stored
+	if err := json.Unmarshal(body, &state); err != nil {
 		return nil, &StateError{err.Error()}
 	}
-	s := New(t.Self, t.Limits).WithMerge(merge)
-	s.now, s.seq, s.number, s.offered, s.outOfOrder = t.Now, t.Seq, t.Number, t.Offered, t.OutOfOrder
+	s := New(state.Self, state.Limits).WithMerge(merge)
+	s.now, s.seq, s.number, s.offered, s.outOfOrder = state.Now, state.Seq, state.Number, state.Offered, state.OutOfOrder
 	for _, p := range [3 + lanes]struct {
 		v vector
 		s VersionVector
-	}{{s.named[0], t.Named[0]}, {s.named[1], t.Named[1]}, {s.named[2], t.Named[2]}, {s.known, t.Known}, {s.seen, t.Seen}, {s.judged, t.Judged}} {
+	}{{s.named[0], state.Named[0]}, {s.named[1], state.Named[1]}, {s.named[2], state.Named[2]}, {s.known, state.Known}, {s.seen, state.Seen}, {s.judged, state.Judged}} {
 		if !p.s.valid() {
 			return nil, &StateError{"a version vector is invalid"}
 		}
 		p.v.join(p.s)
 	}
-	s.refusalLog, s.held, s.awaits = t.Refused, t.Held, t.Awaits
-	for _, r := range t.Refused {
+	s.refusalLog, s.held, s.awaits = state.Refused, state.Held, state.Awaits
+	for _, r := range state.Refused {
 		s.refused[r.Receipt.ID] = r
 	}
-	for _, c := range t.Changes {
+	for _, c := range state.Changes {
 		k := subjectKey{c.Kind, c.Subject}
 		s.subjects[k] = &subject{changed: c.At}
 		if k.Kind == Evidence {
@@ -431,30 +431,30 @@
 		}
 		s.changes = append(s.changes, change{c.At, k})
 	}
-	for _, it := range t.Items {
-		x := s.subjects[subjectKey{it.Write.Kind, it.Write.Subject}]
-		if x == nil {
+	for _, it := range state.Items {
+		subj := s.subjects[subjectKey{it.Write.Kind, it.Write.Subject}]
+		if subj == nil {
 			return nil, &StateError{"a write refers to a subject that is missing"}
 		}
-		x.items = append(x.items, it)
+		subj.items = append(subj.items, it)
 		if !s.judged.has(it.Write.ID) {
 			s.log.add(it)
 			s.usage(it.Write).add(it.Write, 1)
 		}
 	}
-	for _, h := range t.Homes {
+	for _, h := range state.Homes {
 		s.incarnations[h.Site] = h.latestIncarnation
 	}
-	for _, c := range t.Callers {
+	for _, c := range state.Callers {
 		s.callers[c] = true
 	}
-	for _, e := range t.Ending {
+	for _, e := range state.Ending {
 		s.ending[e.incarnation] = &closing{e.Since, e.Waits}
 	}
-	for _, l := range t.Closed {
-		s.closed[l] = true
+	for _, inc := range state.Closed {
+		s.closed[inc] = true
 	}
-	for _, c := range t.Cursors {
+	for _, c := range state.Cursors {
 		s.cursors[c.Site] = c.Cursor
 	}
 	return s, nil
