--- a/internal/choice/sitesync/bench_test.go
+++ b/internal/choice/sitesync/bench_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// queued is a site with writes that the site above does not have, and the courier that has credit for a call of 32; one write of
-// a thousand is urgent, and one of a hundred names what has not come where it is to be tangled.
+// newQueuedSite returns a site with n writes that the site above does not have, a forwarder with credit for a call of
+// 32, and a function that adds writes. One write in a thousand is urgent; with outOfOrder, one in a hundred names by a
+// token a write that has not arrived.
 func newQueuedSite(n int, outOfOrder bool) (*Site, *Forwarder, func(int)) {
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 30, Number: 1 << 20, Batch: 32, Held: 4})
 	written := 0
@@ -28,7 +29,7 @@
 	return s, c, write
 }
 
-// BenchmarkCall is a call of a site that has so many writes which the site above does not have.
+// BenchmarkCall measures building a call at a site with many writes that the site above does not have.
 func BenchmarkCall(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		for _, outOfOrder := range []bool{false, true} {
@@ -45,7 +46,7 @@
 	}
 }
 
-// BenchmarkJudged is what the site does when 32 more of them are judged, and as many are written anew.
+// BenchmarkJudged measures applying the state update that judges 32 more writes, and adding as many new ones.
 func BenchmarkJudged(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/choice/sitesync/forwarder_test.go
+++ b/internal/choice/sitesync/forwarder_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// within says that a wait lies between half of a time and the whole.
+// assertJitterOf asserts that a wait lies between half of a duration and the whole.
 func assertJitterOf(t *testing.T, wait, whole time.Duration) {
 	t.Helper()
 	assert.True(t, wait >= whole/2 && wait <= whole, "%v of %v", wait, whole)
@@ -36,14 +36,14 @@
 	assertJitterOf(t, wait(), time.Second)
 	require.Equal(t, "r", next())
 	c.Failed(now)
-	require.Equal(t, "p", next(), "two have failed in a row")
+	require.Equal(t, "p", next(), "two calls in a row have failed")
 	c.Answered(now, &Answer{From: "p", Incarnation: 1, Credit: 1})
 	require.Equal(t, "p", next())
 	c.Answered(now, &Answer{From: "p", Incarnation: 1, Credit: 1})
 	now += time.Minute
-	require.Equal(t, "r", next(), "a nearer one is tried now and then")
+	require.Equal(t, "r", next(), "a nearer site is tried at intervals")
 	c.Answered(now, &Answer{From: "r", Incarnation: 1, Credit: 1})
-	require.Equal(t, "r", next(), "and used once it answers")
+	require.Equal(t, "r", next(), "and is used once it answers")
 	c.Failed(now)
 
 	alone := NewForwarderTo(func() *Site { return s }, Timing{RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 20}, "p")
@@ -55,7 +55,7 @@
 		assertJitterOf(t, w, whole*time.Second)
 		now += w
 	}
-	assert.NotEqual(t, Jitter(time.Second, "a", 1), Jitter(time.Second, "b", 1), "sites come back one after the other")
+	assert.NotEqual(t, Jitter(time.Second, "a", 1), Jitter(time.Second, "b", 1), "sites come back at different times")
 	assert.NotEqual(t, Jitter(time.Second, "a", 1), Jitter(time.Second, "a", 2))
 }
 
@@ -78,12 +78,12 @@
 	c.Failed(0)
 	_, b, _ := c.Next(time.Hour)
 	assert.Empty(t, b.Writes, "the credit may have been used")
-	assert.Len(t, answer(Answer{Incarnation: 1, Credit: 9, Seen: VersionVector{{s.ownOrigin(0), 5}}}), 0, "all of it is known there")
-	assert.Len(t, answer(Answer{Incarnation: 2, Credit: 9}), 5, "another life has nothing of what the one before had")
+	assert.Len(t, answer(Answer{Incarnation: 1, Credit: 9, Seen: VersionVector{{s.ownOrigin(0), 5}}}), 0, "all writes are known there")
+	assert.Len(t, answer(Answer{Incarnation: 2, Credit: 9}), 5, "a new incarnation has none of the writes of the one before")
 }
 
-// TestACourierAsksBeforeItCallsAgain after a call that was not answered; a link that is cut is asked over and over in the time
-// that questions take, and one that is slow gets longer with each call that was lost on it.
+// TestForwarderProbesAfterLostCall: after a lost call on a cut link only probes are sent, within their own short
+// timeout. On a slow link each lost call doubles the timeout of the next one.
 func TestForwarderProbesAfterLostCall(t *testing.T) {
 	const ms = time.Millisecond
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
@@ -113,19 +113,19 @@
 	assert.Equal(t, time.Second, c.CallTimeout(), "nothing is measured")
 	answered(400*ms, Answer{})
 	require.Len(t, next().Writes, 1)
-	assert.Equal(t, 1200*ms, c.CallTimeout(), "the mean, and four times how far they stray")
+	assert.Equal(t, 1200*ms, c.CallTimeout(), "the mean and four times the deviation")
 	lost()
 	for range 30 {
 		b := next()
 		assert.True(t, b.Probe)
 		assert.Empty(t, b.Writes)
 		assert.Equal(t, 1, b.Waiting)
-		assert.Equal(t, time.Second, c.CallTimeout(), "no question was answered")
+		assert.Equal(t, time.Second, c.CallTimeout(), "no probe was answered")
 		lost()
 	}
 	next()
 	answered(20*ms, Answer{Working: true})
-	assert.True(t, next().Probe, "the call came: nothing goes twice while it is being agreed on")
+	assert.True(t, next().Probe, "the call arrived: nothing is sent twice while it is being committed")
 	assert.Equal(t, 100*ms, c.CallTimeout())
 	answered(20*ms, Answer{})
 	b := next()
@@ -141,18 +141,18 @@
 	assert.Equal(t, 8*time.Second, c.CallTimeout())
 	answered(1600*ms, Answer{Seen: VersionVector{{s.ownOrigin(0), 1}}})
 	require.False(t, next().Probe)
-	assert.Equal(t, 550*ms+4*450*ms, c.CallTimeout(), "as calls took, that last one too")
+	assert.Equal(t, 550*ms+4*450*ms, c.CallTimeout(), "based on the answer times of calls, the last one included")
 
 	c.Redirected(now)
 	_, b, _ = c.Next(now)
-	require.NotNil(t, b, "who leads is called at once")
+	require.NotNil(t, b, "the leader is called at once")
 	c.Redirected(now)
 	_, b, _ = c.Next(now)
-	assert.Nil(t, b, "the second that says so is like one that fails")
+	assert.Nil(t, b, "a second redirection counts as a failure")
 	assert.True(t, next().Probe)
 }
 
-// TestALinkThatBecomesSlowIsFoundOut, however much longer answers take than they were waited for.
+// TestForwarderAdaptsToSlowLink: calls get through again although answers take longer than the timeout measured before.
 func TestForwarderAdaptsToSlowLink(t *testing.T) {
 	const ms = time.Millisecond
 	for took, most := range map[time.Duration]time.Duration{700 * ms: 10 * time.Second, 3 * time.Second: 2 * time.Minute} {
@@ -187,7 +187,7 @@
 	}
 }
 
-// TestAQuestionChangesNothing: it shows nothing of what its site has seen, which is no proof that there is nothing.
+// TestProbeChangesNothing: a probe carries no vector, which must not be taken as proof that its site has seen nothing.
 func TestProbeChangesNothing(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	for _, place := range []Place{{Site: "a", Incarnation: 1, StoreCreated: 1}, {Site: "b", Incarnation: 1, StoreCreated: 1}, {Site: "a", Incarnation: 2, StoreCreated: 2}} {
@@ -213,11 +213,11 @@
 	scheduler.CountLocalWrite(0)
 	credit, wait := scheduler.Grant(0, b(3, 0, 0), 100)
 	assert.Equal(t, 3, credit)
-	assert.Equal(t, 50*time.Millisecond, wait, "a write of its own goes first")
+	assert.Equal(t, 50*time.Millisecond, wait, "the site's own write goes first")
 	var ce *CreditError
 	assert.ErrorAs(t, scheduler.Admit(b(0, 0, 4)), &ce)
 	credit, wait = scheduler.Grant(0, b(9, 5, 0), 100)
-	assert.Equal(t, []any{2, time.Duration(0)}, []any{credit, wait}, "urgent ones go out of turn, a few")
+	assert.Equal(t, []any{2, time.Duration(0)}, []any{credit, wait}, "a few urgent writes go out of turn")
 	credit, _ = scheduler.Grant(0, b(9, 0, 0), 0)
 	assert.Zero(t, credit, "no room")
 }
@@ -233,20 +233,20 @@
 	}
 	lost := Origin{Site: "a", Incarnation: 1}
 	call("a", 1, nil)
-	call("b", 1, VersionVector{{lost, 1}}, VectorEntry{lost, 1}) // b has seen what a had not sent
+	call("b", 1, VersionVector{{lost, 1}}, VectorEntry{lost, 1}) // b has seen a write that a had not sent
 	require.Equal(t, 1, p.Held())
 	call("a", 2, nil)
-	assert.Equal(t, 1, p.Held(), "b may still bring it")
+	assert.Equal(t, 1, p.Held(), "b may still send it")
 	call("b", 1, VersionVector{{lost, 1}})
-	assert.Equal(t, 1, p.Held(), "it shows more of the lost life than is known")
+	assert.Equal(t, 1, p.Held(), "b shows more of the lost incarnation than is known")
 	call("b", 1, nil)
 	assert.Zero(t, p.Held())
 	r, _ := p.Refusal(ID{Origin{Site: "b", Incarnation: 1}, 1})
-	assert.Equal(t, Outcome(0), r.Outcome, "a note falls with nothing")
+	assert.Equal(t, Outcome(0), r.Outcome, "a note is never refused for its dependencies")
 	assert.True(t, p.closed[incarnationOf(lost)])
 }
 
-// TestAClosedThingTakesNothing of whatever kind, and word.
+// TestClosedSubjectRefusesWrites of any kind and any word.
 func TestClosedSubjectRefusesWrites(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	from := Place{Site: "b", Level: 1, Incarnation: 1}
@@ -266,7 +266,7 @@
 		return &Write{ID: ID{Origin{Site: site, Incarnation: 1}, number}, Kind: Work, Subject: "h", Value: []byte(value), Closes: closes}
 	}
 	for want, set := range map[string][]*Write{
-		"done":      {w("a", 1, "begun", false), w("a", 2, "done", false)}, // what its own site wrote over
+		"done":      {w("a", 1, "begun", false), w("a", 2, "done", false)}, // overwritten by its own site
 		"taken off": {w("a", 1, "begun", false), w("p", 1, "taken off", true)},
 	} {
 		got, _ := Resolve(set, mergeOneByte)
@@ -287,10 +287,10 @@
 		return b.cursors["p"]
 	}
 	assert.Equal(t, Cursor{1, 5}, down(1, 0, 5))
-	assert.Equal(t, Cursor{1, 5}, down(1, 7, 9), "what lies between is not known")
-	assert.Equal(t, Cursor{1, 5}, down(1, 0, 3), "an older one takes nothing back")
+	assert.Equal(t, Cursor{1, 5}, down(1, 7, 9), "the changes between are missing")
+	assert.Equal(t, Cursor{1, 5}, down(1, 0, 3), "an older update does not move the cursor back")
 	assert.Equal(t, Cursor{1, 8}, down(1, 4, 8))
-	assert.Equal(t, Cursor{2, 2}, down(2, 0, 2), "another life counts by itself")
+	assert.Equal(t, Cursor{2, 2}, down(2, 0, 2), "another incarnation has its own cursor")
 
 	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
 	piece := func(after, until uint64, last bool) *Command {
@@ -304,13 +304,14 @@
 		return call.Cursor
 	}
 	piece(4, 6, false)
-	assert.Equal(t, Cursor{2, 2}, cursor(), "a piece without those before it")
+	assert.Equal(t, Cursor{2, 2}, cursor(), "a piece whose predecessors are missing")
 	piece(2, 6, false)
 	assert.Equal(t, Cursor{2, 6}, cursor())
-	assert.Equal(t, uint64(7), piece(7, 9, true).Down.After, "it does not go on from the pieces that are there")
+	assert.Equal(t, uint64(7), piece(7, 9, true).Down.After, "it does not continue the collected pieces")
 }
 
-// TestWhatAWriteNames is held for each lane by itself: a mark that an urgent write named is not named by the ordinary ones.
+// TestDependenciesPerLane: dependencies are tracked per lane: one that an urgent write named must still be named by an
+// ordinary write.
 func TestDependenciesPerLane(t *testing.T) {
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
@@ -324,7 +325,7 @@
 	b.Apply(1, Command{Down: r.Answer(&Batch{From: b.Self()}, 0, 0).Down})
 	assert.True(t, safety(b, "1", true).Dependencies.Has(first))
 	dependent := safety(b, "4", true, second)
-	assert.True(t, dependent.Dependencies.Has(second), "it falls with what it needs, and comes after it")
+	assert.True(t, dependent.Dependencies.Has(second), "it depends on the write that it needs")
 	assert.True(t, safety(b, "3", false).Dependencies.Has(second))
 
 	top := New(Place{Site: "q", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
@@ -333,11 +334,11 @@
 	top.Apply(1+testLimits.Age, Command{})
 	assert.Equal(t, 1, top.Held())
 	top.Apply(2+testLimits.Age, Command{})
-	assert.Zero(t, top.Held(), "its sender has it in any case")
+	assert.Zero(t, top.Held(), "dropped after the age limit; its sender still has it")
 }
 
-// TestWhatWaitsAboveGoesLast: what depends on a write that is not known here would only be held there, and take the place of one
-// that is not.
+// TestWritesWithUnknownDependenciesAreSentLast: a write that depends on one unknown here would only be held at the site
+// above, and take the place of a write that can be applied.
 func TestWritesWithUnknownDependenciesAreSentLast(t *testing.T) {
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	unknown := VersionVector{{Origin{Site: "r", Incarnation: 1}, 9}}
@@ -358,8 +359,9 @@
 	}
 }
 
-// TestWhatWasWrittenOverUnseenDoesNotComeBack: a write that names by a token what has not come is written over, and then falls. What
-// it was written over was known to the second writer through it.
+// TestOverwrittenWriteNamedByTokenDoesNotComeBack: a write names by a token one that has not arrived, is itself
+// overwritten, and is then orphaned. The last write overwrites the named one too, which its writer knew only through
+// the orphaned write.
 func TestOverwrittenWriteNamedByTokenDoesNotComeBack(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
--- a/internal/choice/sitesync/site_test.go
+++ b/internal/choice/sitesync/site_test.go
@@ -16,10 +16,10 @@
 
 var testLimits = Limits{Bytes: 1 << 20, Number: 400, Age: time.Hour, Batch: 5, Held: 4}
 
-// seeds is how many random runs a property is tried on.
+// seeds is the number of random runs that each property is tested with.
 const seeds = 20
 
-// addUp merges evidence that is one byte.
+// mergeOneByte merges evidence that is a single byte by adding.
 func mergeOneByte(a, b []byte) ([]byte, error) {
 	if len(a) != 1 || len(b) != 1 {
 		return nil, fmt.Errorf("not one byte")
@@ -27,7 +27,7 @@
 	return []byte{a[0] + b[0]}, nil
 }
 
-// line is two buildings, a regency and a province, with what happened at each.
+// topology is two buildings, a regency and a province, with a record of what happened at each.
 type topology struct {
 	t            *testing.T
 	seed         uint64
@@ -39,14 +39,14 @@
 	applied      map[string]map[ID]bool
 	receipts     map[ID][]Receipt
 	written      []ID
-	evidenceSums map[string]map[string]byte // of the evidence that a site wrote in this life, by thing
-	lostSums     map[string]byte            // of the life before
-	comparedSums int                        // sums that were compared at the top
+	evidenceSums map[string]map[string]byte // of the evidence that a site wrote in its current incarnation, by subject
+	lostSums     map[string]byte            // of the incarnation that was lost
+	comparedSums int                        // sums compared at the top site
 	delayedCalls []delayedCall
-	emptyAnswers int // answers of which nothing was committed
+	emptyAnswers int // answers that gave nothing to commit
 }
 
-// late is a call that was given up and is still under way.
+// delayedCall is a call that timed out at the sender and is still in transit.
 type delayedCall struct {
 	to string
 	b  *Batch
@@ -76,7 +76,8 @@
 	l.evidenceSums[name] = map[string]byte{}
 }
 
-// apply applies a command, checks what it brings, and now and then lets the state go through its bytes.
+// apply applies a command and checks its effects. At random it encodes and decodes the state first, or checks that a
+// clone is independent.
 func (l *topology) apply(name string, c Command) []Effect {
 	l.now++
 	if l.rand.IntN(8) == 0 {
@@ -88,7 +89,7 @@
 	if l.rand.IntN(8) == 0 {
 		before := l.sites[name].Encode()
 		l.sites[name].Clone().Apply(l.now, c)
-		require.Equal(l.t, string(before), string(l.sites[name].Encode()), "a clone shares what changes")
+		require.Equal(l.t, string(before), string(l.sites[name].Encode()), "a clone shares mutable data")
 	}
 	f := l.sites[name].Apply(l.now, c)
 	require.LessOrEqual(l.t, l.sites[name].Held(), testLimits.Held)
@@ -109,7 +110,7 @@
 	return f
 }
 
-// call makes one call; it may be lost on its way or on the way back, or come twice.
+// call makes one call. If lossy, the call or its answer may be lost, or the call may arrive twice or late.
 func (l *topology) call(name string, lossy bool) {
 	c := l.forwarders[name]
 	if o := c.Offer(); o != nil {
@@ -154,7 +155,7 @@
 	switch cmd := c.Answered(l.now, a); {
 	case cmd != nil:
 		l.apply(name, *cmd)
-	case a.Down != nil && a.Down.Last && stage == nil: // what is not committed would have brought nothing
+	case a.Down != nil && a.Down.Last && stage == nil: // an update that gives nothing to commit must change nothing but the cursor
 		s := l.sites[name].Clone()
 		require.Empty(l.t, s.Apply(s.now, Command{Down: a.Down}))
 		s.cursors = l.sites[name].cursors
@@ -163,11 +164,11 @@
 	}
 }
 
-// heal lets all sites call until nothing changes any more.
+// heal makes all sites call until nothing changes any more.
 func (l *topology) heal() {
 	for i := range 50 {
 		l.now += 1000
-		if i == 25 { // a site that called once and uses another route now is waited for that long
+		if i == 25 { // a site that called once and now uses another route is awaited for that long
 			l.now += 2 * testLimits.Age
 			for _, n := range l.names {
 				l.apply(n, Command{})
@@ -183,13 +184,13 @@
 	Policy: {"begin", "halt", "resume", "force"}, Safety: {"out", "back"}}
 
 func (l *topology) write(name string) {
-	key := Kind(l.rand.IntN(Kinds))
-	w := &LocalWrite{Kind: key, Subject: fmt.Sprint("t", l.rand.IntN(3)), Value: []byte(words[key][l.rand.IntN(len(words[key]))]),
-		Urgent: key != Evidence && l.rand.IntN(3) == 0, Closes: name == "p" && l.rand.IntN(6) == 0}
+	kind := Kind(l.rand.IntN(Kinds))
+	w := &LocalWrite{Kind: kind, Subject: fmt.Sprint("t", l.rand.IntN(3)), Value: []byte(words[kind][l.rand.IntN(len(words[kind]))]),
+		Urgent: kind != Evidence && l.rand.IntN(3) == 0, Closes: name == "p" && l.rand.IntN(6) == 0}
 	if l.rand.IntN(5) == 0 {
 		w.Token = l.sites[l.names[l.rand.IntN(4)]].Token()
 	}
-	for i := len(l.written) - 1; i >= 0 && len(w.Needs) == 0; i-- { // the last one that is known there, now and then
+	for i := len(l.written) - 1; i >= 0 && len(w.Needs) == 0; i-- { // at random, the last write that is known there
 		if s := l.sites[name]; s.seen.has(l.written[i]) && l.rand.IntN(3) == 0 {
 			w.Needs = []ID{l.written[i]}
 		}
@@ -198,17 +199,17 @@
 		if e.Kind == EffectApplied && e.Write.ID.Origin.Site == name {
 			l.written = append(l.written, e.ID)
 		}
-		if (e.Kind == EffectApplied || e.Kind == EffectMerged) && key == Evidence {
+		if (e.Kind == EffectApplied || e.Kind == EffectMerged) && kind == Evidence {
 			l.evidenceSums[name][w.Subject] += w.Value[0]
 		}
 	}
 }
 
-// dump tells what the sites wait for.
+// dump logs the writes that the sites wait for.
 func (l *topology) dump() {
 	for _, n := range l.names {
 		s := l.sites[n]
-		l.t.Logf("%s seen %v closed %v ending %v homes %v callers %v", n, s.seen, s.closed, s.ending, s.incarnations, s.callers)
+		l.t.Logf("%s seen %v closed %v ending %v incarnations %v callers %v", n, s.seen, s.closed, s.ending, s.incarnations, s.callers)
 		for _, h := range s.held {
 			l.t.Logf("  held %v after %v", h.Write.ID, h.Write.Dependencies)
 		}
@@ -220,7 +221,7 @@
 	}
 }
 
-// same checks that all sites hold the same.
+// requireConverged checks that all sites hold the same state.
 func (l *topology) requireConverged() {
 	top := l.sites["p"]
 	defer func() {
@@ -230,10 +231,10 @@
 	}()
 	for _, n := range l.names {
 		s := l.sites[n]
-		require.Equal(l.t, top.Seen(), s.Seen(), "%s has seen something else", n)
+		require.Equal(l.t, top.Seen(), s.Seen(), "%s has seen other writes than the top site", n)
 		require.Equal(l.t, top.Judged(), s.Judged(), n)
 		own, others := s.Waiting()
-		require.Zero(l.t, own+others+s.Held(), "%s still keeps writes", n)
+		require.Zero(l.t, own+others+s.Held(), "%s still has writes queued or held", n)
 		for k := range Kind(Kinds) {
 			if k == Evidence {
 				continue
@@ -242,16 +243,16 @@
 			for _, name := range top.Subjects(k) {
 				want, _ := top.Value(k, name)
 				got, _ := s.Value(k, name)
-				require.Equal(l.t, want, got, "%s holds something else of %s %s", n, k, name)
+				require.Equal(l.t, want, got, "%s has another value of %s %s than the top site", n, k, name)
 			}
 		}
 	}
 }
 
-// evidence checks that every site but the top holds its own evidence and no other, of each thing the newest alone, and that
-// the top has the sum of all.
+// requireEvidence checks that every site but the top holds its own evidence only, the newest piece of each subject, and
+// that the top site has the sum of all.
 func (l *topology) requireEvidence() {
-	refused := map[string]bool{} // things with evidence that the top did not take
+	refused := map[string]bool{} // sites with evidence that the top site refused
 	for _, id := range l.written {
 		for _, r := range l.receipts[id] {
 			refused[id.Origin.Site] = refused[id.Origin.Site] || id.Origin.Evidence && r.Outcome >= Refused
@@ -294,7 +295,7 @@
 	}
 }
 
-// TestAllSitesComeToHoldTheSame is U1 to U3 over random writes, routes, losses and repeats.
+// TestAllSitesConverge checks U1 to U3 with random writes, routes, losses and duplicates.
 func TestAllSitesConverge(t *testing.T) {
 	seen := map[Outcome]int{}
 	counted, idle := 0, 0
@@ -315,18 +316,19 @@
 		counted += l.comparedSums
 		idle += l.emptyAnswers
 		for _, id := range l.written {
-			require.Len(t, l.receipts[id], 1, "receipts of %s in %d", id, seed)
+			require.Len(t, l.receipts[id], 1, "receipts of %s with seed %d", id, seed)
 			seen[l.receipts[id][0].Outcome]++
 		}
 	}
 	for o := Applied; o <= Orphaned; o++ {
-		assert.NotZero(t, seen[o], "never seen: %s", o)
+		assert.NotZero(t, seen[o], "outcome never seen: %s", o)
 	}
-	assert.NotZero(t, counted, "no sum of evidence was compared")
-	assert.NotZero(t, idle, "every answer brought something")
+	assert.NotZero(t, counted, "no evidence sum was compared")
+	assert.NotZero(t, idle, "every answer gave something to commit")
 }
 
-// TestALostStoreHoldsNobodyBack is U5: the old life's writes that left in time stay, what depends on the others is judged.
+// TestLostStoreBlocksNoOtherSite checks U5: writes of the lost incarnation that were sent in time are kept, and writes
+// that depend on the others are judged.
 func TestLostStoreBlocksNoOtherSite(t *testing.T) {
 	orphans := 0
 	for seed := range uint64(seeds) {
@@ -351,7 +353,7 @@
 				assert.LessOrEqual(t, len(l.receipts[id]), 1)
 				continue
 			}
-			require.Len(t, l.receipts[id], 1, "receipts of %s in %d", id, seed)
+			require.Len(t, l.receipts[id], 1, "receipts of %s with seed %d", id, seed)
 			if l.receipts[id][0].Why == "what it depends on was lost with its site's store" {
 				orphans++
 			}
@@ -365,14 +367,14 @@
 		return &Write{ID: ID{Origin{Site: site, Incarnation: 1}, 1}, Kind: k, Level: level, Subject: "x", Value: []byte(value)}
 	}
 	for _, c := range []struct {
-		about string
-		set   []*Write
-		want  string
+		name string
+		set  []*Write
+		want string
 	}{
-		{"out goes before back, whoever says so", []*Write{w("a", 2, Safety, "out smoke"), w("p", 0, Safety, "back")}, "out smoke"},
-		{"the higher level's policy goes before", []*Write{w("a", 2, Policy, "halt"), w("p", 0, Policy, "resume")}, "resume"},
-		{"on one level a halt goes before", []*Write{w("a", 2, Policy, "begin"), w("b", 2, Policy, "halt"), w("c", 2, Policy, "force")}, "halt"},
-		{"who is at the host goes before", []*Write{w("a", 2, Work, "done"), w("b", 2, Work, "begun"), w("p", 0, Work, "asked")}, "begun"},
+		{"out takes precedence over back at any level", []*Write{w("a", 2, Safety, "out smoke"), w("p", 0, Safety, "back")}, "out smoke"},
+		{"a policy write of a higher level takes precedence", []*Write{w("a", 2, Policy, "halt"), w("p", 0, Policy, "resume")}, "resume"},
+		{"on one level a halt takes precedence", []*Write{w("a", 2, Policy, "begin"), w("b", 2, Policy, "halt"), w("c", 2, Policy, "force")}, "halt"},
+		{"work that has begun takes precedence", []*Write{w("a", 2, Work, "done"), w("b", 2, Work, "begun"), w("p", 0, Work, "asked")}, "begun"},
 		{"evidence adds up", []*Write{w("a", 2, Evidence, "\x01"), w("b", 2, Evidence, "\x02"), w("c", 2, Evidence, "\x04")}, "\x07"},
 	} {
 		for i := range 2 * len(c.set) {
@@ -380,7 +382,7 @@
 			c.set[i%len(c.set)], c.set[j] = c.set[j], c.set[i%len(c.set)]
 			got, ok := Resolve(c.set, mergeOneByte)
 			require.True(t, ok)
-			assert.Equal(t, c.want, string(got.Value), c.about)
+			assert.Equal(t, c.want, string(got.Value), c.name)
 			assert.Len(t, got.Concurrent, len(c.set)-1)
 		}
 	}
@@ -404,7 +406,7 @@
 	}
 	assert.Equal(t, [Kinds]int{10, 2, 3, 3, 2}, accepted)
 	f := s.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: "3", Value: []byte{5}}})
-	require.Equal(t, EffectMerged, f[0].Kind, "evidence is merged however full the queue is")
+	require.Equal(t, EffectMerged, f[0].Kind, "evidence is merged even if the queue is full")
 	v, _ := s.Value(Evidence, "3")
 	assert.Equal(t, []byte{6}, v.Value)
 	s.Apply(0, Command{Offer: &Offer{Evidence: 2}})
@@ -413,11 +415,11 @@
 	small.WithMerge(func(_, b []byte) ([]byte, error) { return b, nil })
 	for i := range 20 { // four fit into half of the queue
 		f := small.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i % 5), Value: large}})
-		assert.Equal(t, i%5 == 4, f[0].Kind == EffectRefused, "a newer one takes the room of the older: %d", i)
+		assert.Equal(t, i%5 == 4, f[0].Kind == EffectRefused, "newer evidence takes the room of the older: %d", i)
 		small.Apply(0, *cmp.Or(small.Unoffered(), &Command{}))
 	}
 	f = s.Apply(2*time.Minute, Command{})
-	assert.Len(t, f, 8, "what is too old and has not left is given up with a receipt")
+	assert.Len(t, f, 8, "evidence that is too old and was not sent is dropped with a receipt")
 	assert.Equal(t, Refused, f[0].Receipt.Outcome)
 }
 
@@ -485,7 +487,7 @@
 	c := NewForwarder(func() *Site { return s }, Timing{MaxFailures: 3})
 	s.Apply(0, Command{Write: &LocalWrite{Kind: Safety, Subject: "h", Value: []byte("out"), Urgent: true}})
 	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "1", Value: []byte("y"), Urgent: true}})
-	require.Nil(t, c.Offer(), "nothing leaves before a call is answered")
+	require.Nil(t, c.Offer(), "nothing is offered before a call is answered")
 	s.Apply(0, *s.Unoffered())
 	to, b, _ := c.Next(0)
 	require.Empty(t, b.Writes, "no credit yet")
@@ -496,15 +498,15 @@
 	for _, w := range b.Writes {
 		got = append(got, w.ID.String())
 	}
-	assert.Equal(t, []string{"a.1!/1", "a.1/1", "a.1/2"}, got, "one does not wait for what another depends on")
+	assert.Equal(t, []string{"a.1!/1", "a.1/1", "a.1/2"}, got, "an urgent write does not wait for the dependencies of another")
 	assert.Equal(t, 1, b.Urgent)
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	p.Apply(0, Command{Batch: b})
 	assert.Equal(t, VersionVector{{s.ownOrigin(0), 2}, {s.ownOrigin(1), 1}}, p.Seen())
 }
 
-// TestCallsMayBeAppliedAsTheyCome, each whole where all before were, with tokens among the writes that name what came later, and
-// two origins mixed. The counts that go with a call are right.
+// TestCallsCanBeAppliedInOrder: with two origins mixed, and tokens that name writes which arrived later, each call can
+// be applied in full once all calls before it were. The counts that accompany a call are correct.
 func TestCallsCanBeAppliedInOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
@@ -579,7 +581,8 @@
 	assert.ErrorAs(t, scheduler.Admit(b), &ce, "credit is used once")
 }
 
-// TestAStorePutBackFromACopyNeverUsesANumberTwice: what others know of this life counts as written.
+// TestRestoredStoreNeverReusesANumber: after a store was restored from a copy, the writes of this incarnation that
+// other sites know count as written.
 func TestRestoredStoreNeverReusesANumber(t *testing.T) {
 	note := func(subject string) Command {
 		return Command{Write: &LocalWrite{Kind: Note, Subject: subject, Value: []byte("x")}}
@@ -599,15 +602,15 @@
 	_, call, _ := c.Next(0)
 	f := old.Apply(5, Command{Batch: call})
 	assert.Contains(t, f, Effect{Kind: EffectStaleStore, ID: ID{Origin{Site: "r", Incarnation: 1}, 2}})
-	assert.Nil(t, old.Unoffered(), "what others know has left")
+	assert.Nil(t, old.Unoffered(), "writes that others know count as sent")
 	f = old.Apply(6, note("3"))
 	assert.Equal(t, uint64(3), f[0].ID.Number)
 	var we *WriteError
-	assert.ErrorAs(t, old.Check(Command{Place: &Place{Site: "r", Incarnation: 1}}), &we, "it would become the top")
+	assert.ErrorAs(t, old.Check(Command{Place: &Place{Site: "r", Incarnation: 1}}), &we, "it would become the top site")
 	assert.NoError(t, old.Check(Command{Place: &Place{Site: "r", Incarnation: 1, Ancestors: []string{"q", "p"}}}))
 }
 
-// TestWritesOfOthersLeaveRoom: a quarter of a queue is the site's own.
+// TestRelayedWritesLeaveRoom: a quarter of the queue is reserved for the site's own writes.
 func TestRelayedWritesLeaveRoom(t *testing.T) {
 	r := New(Place{Site: "r", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 20, Batch: 50, Held: 2})
 	b := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r"}}, testLimits)
@@ -630,13 +633,13 @@
 		call.Writes = append(call.Writes, *f[0].Write)
 	}
 	r.Apply(0, Command{Batch: &Batch{From: b.Self(), Writes: call.Writes[5:6]}})
-	assert.Zero(t, r.Held(), "evidence that came too early comes again")
+	assert.Zero(t, r.Held(), "evidence that arrived too early is sent again")
 	r.Apply(0, Command{Batch: call})
 	_, others = r.Waiting()
-	assert.Equal(t, 7, others, "evidence leaves room for decisions")
+	assert.Equal(t, 7, others, "evidence leaves room for the other kinds")
 }
 
-// TestAStateThatGoesOnFromAnUnknownOneIsLeft: what lies between is not known.
+// TestStateUpdateFromUnknownCursorIsIgnored: the changes between the known cursor and the update's are missing.
 func TestStateUpdateFromUnknownCursorIsIgnored(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
@@ -650,11 +653,11 @@
 	assert.Empty(t, b.Seen())
 	late.After = 0
 	late.To = 2
-	assert.Empty(t, b.Apply(0, Command{Down: late}), "it is for another life")
+	assert.Empty(t, b.Apply(0, Command{Down: late}), "it is for another incarnation")
 	assert.Empty(t, b.Seen())
 }
 
-// TestWhatATokenNamedIsSentFirst though it came later than the write that the token was presented with.
+// TestWriteNamedByTokenIsSentFirst, although it arrived after the write that presented the token.
 func TestWriteNamedByTokenIsSentFirst(t *testing.T) {
 	note := func(subject, token string) Command {
 		return Command{Write: &LocalWrite{Kind: Note, Subject: subject, Value: []byte("x"), Token: token}}
@@ -674,7 +677,7 @@
 	assert.Equal(t, "r", call.Writes[0].ID.Origin.Site)
 }
 
-// TestPiecesBecomeOneState, over a lost answer in between.
+// TestStatePiecesAreAssembled, even if an answer between them is lost.
 func TestStatePiecesAreAssembled(t *testing.T) {
 	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
@@ -697,7 +700,8 @@
 	assert.Len(t, cmd.Down.Subjects, 2)
 }
 
-// TestOnlyTheNewestEvidenceWaits at its site and at the one above it while the top is away; no other site is told of it.
+// TestOnlyNewestEvidenceIsQueued, at its site and at the one above it, while the top site is unreachable; no other site
+// receives it.
 func TestOnlyNewestEvidenceIsQueued(t *testing.T) {
 	site := func(name string, level int, above ...string) *Site {
 		return New(Place{Site: name, Level: level, Incarnation: 1, Ancestors: above}, testLimits).WithMerge(mergeOneByte)
@@ -714,7 +718,7 @@
 	}
 	send := func(from, to *Site, c *Forwarder) []Effect {
 		var call *Batch
-		for range 3 { // the first call has no credit, of the others one may be for the state alone
+		for range 3 { // the first call has no credit; one of the others may bring the state only
 			_, call, _ = c.Next(time.Hour)
 			to.Apply(0, Command{Batch: call})
 			if cmd := c.Answered(0, to.Answer(call, 9, 0)); cmd != nil {
@@ -728,7 +732,7 @@
 	up := NewForwarderTo(func() *Site { return b }, Timing{MaxFailures: 9}, "r")
 	for i := range 5 {
 		b.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: "node/1", Value: []byte{1}}})
-		require.Equal(t, min(i+1, 2), nonEmpty(b), "what has not left does not stand for what has")
+		require.Equal(t, min(i+1, 2), nonEmpty(b), "evidence that was not offered does not cover evidence that was sent")
 		b.Apply(0, *b.Unoffered())
 		send(b, r, up)
 		require.Equal(t, uint64(i+1), r.seen[own])
@@ -737,7 +741,7 @@
 	send(other, r, NewForwarderTo(func() *Site { return other }, Timing{MaxFailures: 9}, "r"))
 	assert.Zero(t, other.seen[own])
 	send(r, p, NewForwarder(func() *Site { return r }, Timing{MaxFailures: 9}))
-	assert.Empty(t, r.Subjects(Evidence), "the top has it")
+	assert.Empty(t, r.Subjects(Evidence), "the top site has it")
 	receipts := 0
 	for _, e := range send(b, p, NewForwarderTo(func() *Site { return b }, Timing{MaxFailures: 9}, "p")) {
 		if e.Kind == EffectReceipt && e.Receipt.Outcome == Applied {
@@ -752,7 +756,8 @@
 	}
 }
 
-// TestCallsAreBoundedInBytes: of writes as long as they may be, as many go as a peer takes in one call, and one at least.
+// TestCallsAreBoundedInBytes: with writes of the longest size, a call holds as many as a peer accepts in one message,
+// and at least one.
 func TestCallsAreBoundedInBytes(t *testing.T) {
 	const maxBytes = 1 << 20 // peer.Limits.Body
 	large := func(n byte) []byte { return bytes.Repeat([]byte{n + 1}, 64<<10) }
@@ -764,7 +769,7 @@
 		b.Apply(0, Command{Write: &LocalWrite{Kind: Evidence, Subject: fmt.Sprint(i), Value: large(i)}})
 		p.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: fmt.Sprint(i), Value: large(i)}})
 	}
-	for i := range 9000 { // a long list of refusals, as of a site that was away
+	for i := range 9000 { // a long list of refusals, as after a long absence of a site
 		p.refuse(Receipt{ID: ID{Origin{Site: "gone", Incarnation: 1}, uint64(i + 1)}, Outcome: Refused, Why: "closed by p.1/1: taken off"})
 	}
 	b.Apply(0, *b.Unoffered())
@@ -786,7 +791,7 @@
 	assert.Len(t, b.refused, 9000)
 }
 
-// TestACloseIsNotWrittenOver, not by a write whose token names it either, at a site that it has not come to.
+// TestClosingWriteIsNotOverwritten, not even by a write whose token names it, at a site that it has not reached.
 func TestClosingWriteIsNotOverwritten(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
 	b := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
@@ -797,10 +802,11 @@
 	b.Apply(0, write("resume", p.Token(), false))
 	b.Apply(0, Command{Down: p.Answer(&Batch{From: b.Self()}, 0, 0).Down})
 	v, any := b.Value(Policy, "1")
-	assert.True(t, any && v.Closed, "the close holds before the word on what was written over it has come")
+	assert.True(t, any && v.Closed, "the subject is closed before the receipt of the overwriting write has come")
 }
 
-// TestALifeThatHasYetToCallIsNotClosed: a token names a building's new life, and the top knows its old one.
+// TestIncarnationThatHasYetToCallIsNotClosed: a token names a building's new incarnation while the top site knows only
+// the old one.
 func TestIncarnationThatHasYetToCallIsNotClosed(t *testing.T) {
 	place := func(site string, incarnation uint64) *Site {
 		return New(Place{Site: site, Level: 1, Incarnation: incarnation, StoreCreated: time.Duration(incarnation), Ancestors: []string{"p"}}, testLimits)
@@ -817,14 +823,14 @@
 		return s.Apply(0, Command{Write: &LocalWrite{Kind: Work, Subject: "1", Value: []byte("done"), Token: token}})
 	}
 	r := place("r", 1)
-	p.Apply(0, Command{Batch: &Batch{From: r.Self(), Incarnations: []SiteIncarnation{{"b", 1, 1}}}}) // it heard of no later one
+	p.Apply(0, Command{Batch: &Batch{From: r.Self(), Incarnations: []SiteIncarnation{{"b", 1, 1}}}}) // it has heard of no later one
 	b := place("b", 2)
 	named := write(b, "")
 	naming := write(a, b.Token())
 	call(a, naming)
 	call(r, nil)
 	call(a, nil)
-	assert.False(t, p.Judged().Has(naming[0].ID), "it waits for what it depends on")
+	assert.False(t, p.Judged().Has(naming[0].ID), "it waits for its dependency")
 	call(r, named)
 	assert.True(t, p.Judged().Has(naming[0].ID))
 	_, refused := p.Refusal(naming[0].ID)
