--- a/internal/choice/sitesync/errors.go
+++ b/internal/choice/sitesync/errors.go
@@ -24,7 +24,7 @@
 type WriteError struct{ Field, Why string }
 
 func (e *WriteError) Error() string {
-	return fmt.Sprintf("invalid write: field %s: %s", e.Field, e.Why)
+	return fmt.Sprintf("invalid write: %s: %s", e.Field, e.Why)
 }
 
 // Action returns what an operator can do.
--- a/internal/choice/sitesync/sitesync.go
+++ b/internal/choice/sitesync/sitesync.go
@@ -137,7 +137,7 @@
 type Limits struct {
 	Bytes  int
 	Number int
-	Age    time.Duration // evidence older than this that has not been sent is dropped with a receipt
+	Age    time.Duration // unsent evidence older than this is dropped with a receipt; bounds also the wait for dependencies and for ended incarnations
 	Batch  int           // writes in one call
 	Held   int           // writes kept although they arrived before their dependencies; others are dropped, and the sender sends them again
 }
@@ -154,8 +154,8 @@
 	Token   string `json:"token,omitempty"` // from another site: see Site.Token
 }
 
-// Command is one entry about writes in the consensus group's log. At most one of the pointers is set; with none, only
-// the time advances.
+// Command is one entry about writes in the consensus group's log. At most one of the pointers is set; with none,
+// the time advances and what is due by it is done: expiry, closing of incarnations and release of held writes.
 type Command struct {
 	Write  *LocalWrite  `json:"write,omitempty"`
 	Offer  *Offer       `json:"offer,omitempty"` // proposed by the leader before writes leave the site
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -23,8 +23,8 @@
 	// pace is how a site's leader calls those above: a poll is how late a decision of theirs comes at most, and a nearer
 	// site is tried again as often as a far one is bothered in its place. Before any answer was measured one is waited for as long
 	// as TCP does (RFC 6298). The most is more than a peer takes to answer at all (peer.Limits.Within) and its client waits.
-	pace = sitesync.Timing{PollInterval: time.Second, RetryDelay: 200 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 3, ReturnInterval: 2 * time.Second,
-		InitialTimeout: time.Second, MaxTimeout: 8 * time.Second}
+	pace = sitesync.Timing{PollInterval: time.Second, RetryDelay: 200 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 3,
+		ReturnInterval: 2 * time.Second, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second}
 	// budget is what a leader takes from below; see docs/design/upstream.md for the storm that it was measured with.
 	budget = sitesync.Budget{Rate: 8000, Batch: 256, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: 256}
 )
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -144,7 +144,7 @@
 	before  map[subject][]*write     // what held there, in order; empty again after a loss
 	out     map[string]time.Duration // since when a host is out by hand there
 	receipt map[sitesync.ID]string   // that were read there
-	tokened bool                     // a token was used there, or above: see upstream's U1
+	tokened bool                     // a token was used there, or above: see sitesync's U1
 }
 
 // host knows whether it is in work.
