--- a/internal/choice/sitesync/forwarder.go
+++ b/internal/choice/sitesync/forwarder.go
@@ -24,13 +24,13 @@
 // rttEstimate estimates answer times by their smoothed mean and deviation, as TCP does (RFC 6298).
 type rttEstimate struct{ mean, deviation time.Duration }
 
-func (t *rttEstimate) add(took time.Duration) {
+func (t *rttEstimate) add(elapsed time.Duration) {
 	if t.mean == 0 {
-		t.mean, t.deviation = max(took, 1), took/2
+		t.mean, t.deviation = max(elapsed, 1), elapsed/2
 		return
 	}
-	t.deviation += ((took - t.mean).Abs() - t.deviation) / 4
-	t.mean += (took - t.mean) / 8
+	t.deviation += ((elapsed - t.mean).Abs() - t.deviation) / 4
+	t.mean += (elapsed - t.mean) / 8
 }
 
 // timeout returns how long to wait for an answer.
@@ -82,13 +82,13 @@
 }
 
 // NewForwarder returns a forwarder for a site's state, which is read again at each call.
-func NewForwarder(site func() *Site, pace Timing) *Forwarder {
-	return NewForwarderTo(site, pace, site().self.Ancestors...)
+func NewForwarder(site func() *Site, timing Timing) *Forwarder {
+	return NewForwarderTo(site, timing, site().self.Ancestors...)
 }
 
 // NewForwarderTo returns a forwarder that uses only the given sites above.
-func NewForwarderTo(site func() *Site, pace Timing, above ...string) *Forwarder {
-	c := &Forwarder{site: site, timing: pace, ancestors: above, routes: map[string]*route{}}
+func NewForwarderTo(site func() *Site, timing Timing, ancestors ...string) *Forwarder {
+	c := &Forwarder{site: site, timing: timing, ancestors: ancestors, routes: map[string]*route{}}
 	for _, a := range c.ancestors {
 		c.routes[a] = &route{known: vector{}}
 	}
@@ -332,16 +332,16 @@
 	}
 	probe := c.probing
 	r.redirected = false
-	switch took := now - r.lastCall; {
+	switch elapsed := now - r.lastCall; {
 	case !probe:
-		r.callTime.add(took)
+		r.callTime.add(elapsed)
 		r.callLost, r.slowCalls = false, 0
 	case a.Working: // the earlier call arrived and its writes are being committed: sending them again would only add load
-		r.probeTime.add(took)
+		r.probeTime.add(elapsed)
 		r.lostProbes, r.notBefore = 0, now+c.backoff(0)
 		return nil
 	default:
-		r.probeTime.add(took)
+		r.probeTime.add(elapsed)
 		if r.callLost {
 			r.callLost, r.slowCalls = false, min(r.slowCalls+1, 16)
 		}
@@ -514,20 +514,20 @@
 func (t *CreditScheduler) Grant(now time.Duration, b *Batch, room int) (credit int, wait time.Duration) {
 	site := b.From.Site
 	t.calls[site]++
-	want := min(b.Waiting, t.budget.Batch, room)
+	wanted := min(b.Waiting, t.budget.Batch, room)
 	ahead := max(0, t.slotsEnd-now)
 	switch {
-	case want <= 0 && b.Waiting > 0: // no room
+	case wanted <= 0 && b.Waiting > 0: // no room
 		return 0, Jitter(t.budget.MaxAhead, site, t.calls[site])
-	case want <= 0: // a write may come up before the next call
+	case wanted <= 0: // a write may come up before the next call
 		credit = min(t.budget.UrgentBatch, room)
 	case b.Urgent > 0 && ahead > 0:
-		credit = min(want, b.Urgent, t.budget.UrgentBatch)
+		credit = min(wanted, b.Urgent, t.budget.UrgentBatch)
 		t.reserve(now, credit)
 	case ahead > t.budget.MaxAhead:
 		return 0, Jitter(t.budget.MaxAhead, site, t.calls[site])
 	default:
-		credit, wait = want, ahead
+		credit, wait = wanted, ahead
 		t.reserve(now, credit)
 	}
 	t.granted[site] = credit
--- a/internal/choice/sitesync/site.go
+++ b/internal/choice/sitesync/site.go
@@ -130,9 +130,9 @@
 	if l[o] = q[i:]; i == len(q) {
 		delete(l, o)
 	}
-	gone := slices.Clone(q[:i])
+	removed := slices.Clone(q[:i])
 	clear(q[:i]) // lets the garbage collector free them before the rest
-	return gone
+	return removed
 }
 
 // inOrder sorts items by sequence number.
@@ -422,16 +422,16 @@
 
 // offer allows writes of this site to be sent.
 func (s *Site) offer(o *Offer) {
-	was := s.offered
+	offeredBefore := s.offered
 	for lane, n := range [lanes]uint64{o.Number, o.Urgent, o.Evidence} {
-		s.offered[lane] = max(was[lane], min(n, s.number[lane]))
+		s.offered[lane] = max(offeredBefore[lane], min(n, s.number[lane]))
 	}
-	var left []*item
+	var newlyOffered []*item
 	for lane := range lanes {
 		o := s.ownOrigin(lane)
-		left = append(left, s.log[o][s.log.countUpTo(o, was[lane]):]...)
+		newlyOffered = append(newlyOffered, s.log[o][s.log.countUpTo(o, offeredBefore[lane]):]...)
 	}
-	for _, it := range inOrder(left) {
+	for _, it := range inOrder(newlyOffered) {
 		s.markChanged(subjectKey{it.Write.Kind, it.Write.Subject})
 		s.emptyCovered(it.Write)
 	}
@@ -513,13 +513,13 @@
 }
 
 // notYetApplied returns the entries of a vector that were named here and have not arrived.
-func (s *Site) notYetApplied(v VersionVector) (far VersionVector) {
+func (s *Site) notYetApplied(v VersionVector) (missing VersionVector) {
 	for _, m := range v {
 		if m.Number > s.seen[m.Origin] && !s.isOwn(m.Origin) {
-			far = append(far, m)
+			missing = append(missing, m)
 		}
 	}
-	return far
+	return missing
 }
 
 // replace puts an item in the position of another one of the same write.
@@ -760,11 +760,11 @@
 
 // hasRoom reports whether a write of another site fits into the queue. Evidence leaves room for the other kinds.
 func (s *Site) hasRoom(w *Write) bool {
-	part := relayedPercent
+	percent := relayedPercent
 	if w.Kind == Evidence {
-		part = part * Rules[Evidence].QueuePercent / 100
+		percent = percent * Rules[Evidence].QueuePercent / 100
 	}
-	return s.isTop() || s.others.number < s.limits.Number*part/100 && s.others.bytes+w.size() <= s.limits.Bytes*part/100
+	return s.isTop() || s.others.number < s.limits.Number*percent/100 && s.others.bytes+w.size() <= s.limits.Bytes*percent/100
 }
 
 // Room returns how many more writes of other sites fit into the queue.
@@ -816,9 +816,9 @@
 			if ready && !s.hasRoom(h.Write) {
 				continue
 			}
-			late := s.limits.Age > 0 && s.now-h.Since > s.limits.Age
+			expired := s.limits.Age > 0 && s.now-h.Since > s.limits.Age
 			gap := s.closed[incarnationOf(h.Write.ID.Origin)] && !ready
-			if !ready && !late && !gap && !s.seen.has(h.Write.ID) {
+			if !ready && !expired && !gap && !s.seen.has(h.Write.ID) {
 				continue
 			}
 			s.held = slices.Delete(s.held, i, i+1)
@@ -892,8 +892,8 @@
 			s.closeIfNeverSeen(m, effects)
 		}
 	}
-	for inc, e := range s.ending { // the iteration order has no effect: each is judged by itself
-		if len(e.Waits) == 0 || s.limits.Age > 0 && s.now-e.Since > s.limits.Age {
+	for inc, entry := range s.ending { // the iteration order has no effect: each is judged by itself
+		if len(entry.Waits) == 0 || s.limits.Age > 0 && s.now-entry.Since > s.limits.Age {
 			delete(s.ending, inc)
 			s.closed[inc] = true
 		}
@@ -931,7 +931,7 @@
 	for _, t := range update.Subjects {
 		counting[subjectKey{t.Kind, t.Subject}] = t.IDs
 	}
-	before := maps.Clone(s.judged)
+	judgedBefore := maps.Clone(s.judged)
 	for _, r := range update.Refused {
 		s.refuse(r)
 	}
@@ -989,7 +989,7 @@
 		}
 	}
 	s.skipUsedNumbers(effects)
-	s.removeJudged(before, touched, update.From, effects)
+	s.removeJudged(judgedBefore, touched, update.From, effects)
 	s.release(effects)
 }
 
@@ -1032,18 +1032,18 @@
 }
 
 // removeJudged removes from the log the writes that were judged since, and issues the receipts of this site's writes.
-func (s *Site) removeJudged(before vector, touched map[subjectKey]bool, from string, effects *[]Effect) {
-	var gone []*item
+func (s *Site) removeJudged(judgedBefore vector, touched map[subjectKey]bool, from string, effects *[]Effect) {
+	var removed []*item
 	for o := range s.log {
-		gone = append(gone, s.log.removeUpTo(o, s.judged[o])...)
+		removed = append(removed, s.log.removeUpTo(o, s.judged[o])...)
 	}
-	var mine []*Write
-	for _, it := range inOrder(gone) {
+	var own []*Write
+	for _, it := range inOrder(removed) {
 		w := it.Write
 		s.usage(w).add(w, -1)
 		touched[subjectKey{w.Kind, w.Subject}] = true
-		if s.isOwn(w.ID.Origin) && !before.has(w.ID) {
-			mine = append(mine, w)
+		if s.isOwn(w.ID.Origin) && !judgedBefore.has(w.ID) {
+			own = append(own, w)
 		}
 	}
 	s.outOfOrder = s.outOfOrder && len(s.log) > 0
@@ -1057,7 +1057,7 @@
 	for _, k := range keys {
 		s.prune(k)
 	}
-	for _, w := range mine {
+	for _, w := range own {
 		r := Receipt{w.ID, Applied, "", from}
 		if x := s.refused[w.ID]; x != nil {
 			r = x.Receipt
