--- a/cmd/lichenhitch/main.go
+++ b/cmd/lichenhitch/main.go
@@ -24,7 +24,7 @@
 	"lichenhitch/internal/discovery"
 	"lichenhitch/internal/evloop"
 	"lichenhitch/internal/handover"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 	"lichenhitch/internal/management"
 	"lichenhitch/internal/query"
 	"lichenhitch/internal/settings"
@@ -107,7 +107,7 @@
 	listener *evloop.Listener // nil while the door is closed
 	retired  *evloop.Listener // the last one; what is queued there may still come
 	shared   handover.State   // as this process has taken it over
-	service  life.Service
+	service  lifecycle.Service
 	pacing   bool               // step is going to be called
 	ready    bool               // the others know that the door is open and there is a list
 	passing  *passing           // connections on their way to a successor; nil where there are none
@@ -129,8 +129,8 @@
 // start wires the parts and serves. Where an earlier process of the node serves, the door opens later; see arrive.
 func start(log *slog.Logger, cfg config.Config) (*node, error) {
 	n := &node{log: log, cfg: cfg, addr: cfg.Listen, sockets: socketLimit(cfg.Sockets), empty: make(chan struct{}),
-		service: life.Service{PassThrough: cfg.Settings.PassThrough,
-			Within: life.StayWithin(longestDeadline(cfg.Settings))},
+		service: lifecycle.Service{PassThrough: cfg.Settings.PassThrough,
+			Within: lifecycle.StayWithin(longestDeadline(cfg.Settings))},
 		tuning: tuning{set: cfg.Settings}}
 	n.publishSettings()
 	links := n.sockets - ownSockets
@@ -271,13 +271,13 @@
 
 // leave answers all that was taken and stops.
 func (n *node) leave() {
-	n.loop.Call(func() { n.ask(life.Depart) })
+	n.loop.Call(func() { n.ask(lifecycle.Depart) })
 	<-n.empty
 	n.stop()
 }
 
 // ask takes a wish for the node as a whole.
-func (n *node) ask(w life.Wish) {
+func (n *node) ask(w lifecycle.Wish) {
 	n.service = n.service.Ask(w, n.loop.Now())
 	n.pace()
 }
@@ -289,7 +289,7 @@
 	}
 }
 
-// step does what life.Service orders, again and again for as long as the process does not simply serve.
+// step does what lifecycle.Service orders, again and again for as long as the process does not simply serve.
 func (n *node) step() {
 	n.pacing = !n.service.Quiet()
 	if !n.pacing {
@@ -300,23 +300,23 @@
 		return
 	}
 	n.pass()
-	var order life.Order
+	var order lifecycle.Order
 	var count int
 	n.service, order, count = n.service.Step(n.loop.Now(), n.owed(), n.core.Standing())
 	switch order {
-	case life.Ease:
+	case lifecycle.Ease:
 		n.core.Ease(count)
-	case life.CloseDoor:
+	case lifecycle.CloseDoor:
 		if n.listener != nil {
 			n.listener.Retire()
 			n.retired, n.listener = n.listener, nil
 		}
-	case life.OpenDoor:
+	case lifecycle.OpenDoor:
 		if err := n.openDoor(); err != nil {
 			n.log.Error("the door stays closed", "error", err)
 			n.service.Shut = true // so that it is tried again
 		}
-	case life.SendAway:
+	case lifecycle.SendAway:
 		n.core.Leave(n.service.PassThrough)
 		n.acceptor.TurnAway()
 	}
--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -9,7 +9,7 @@
 	"lichenhitch/internal/choice/rollout"
 	"lichenhitch/internal/config"
 	"lichenhitch/internal/control"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 	"lichenhitch/internal/settings"
 )
 
@@ -115,7 +115,7 @@
 	n.acceptor.Retune(set)
 	n.connector.Retune(set.ConnectTimeout)
 	n.discovery.Retune(set)
-	n.service.Within = life.StayWithin(longest)
+	n.service.Within = lifecycle.StayWithin(longest)
 	return nil
 }
 
--- a/cmd/lichenhitch/share.go
+++ b/cmd/lichenhitch/share.go
@@ -7,7 +7,7 @@
 
 	"lichenhitch/balance"
 	"lichenhitch/internal/handover"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 // This file is what this process shares with another one of the same node, while a new version takes over from an old
@@ -58,9 +58,9 @@
 		n.resume()
 	}
 	if st.Drained != n.service.Drained {
-		wish := life.Activate
+		wish := lifecycle.Activate
 		if st.Drained {
-			wish = life.Drain
+			wish = lifecycle.Drain
 		}
 		n.service = n.service.Ask(wish, n.loop.Now())
 	}
--- a/internal/life/life.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,10 +1,10 @@
-// Package life is the life of a query, of its attempts and of its connection as a pure state machine: Step takes a
+// Package lifecycle is the life of a query, of its attempts and of its connection as a pure state machine: Step takes a
 // state and an event and returns the next state and the effects, in the order in which they are to be carried out.
 // There is no clock, no I/O and no logger here. Package query carries the effects out; the models under rehearsal
 // explore the same function, so that what is checked is what runs.
 //
 // docs/design/life.md states the states, events, transitions and properties, and where each comes from.
-package life
+package lifecycle
 
 import "strings"
 
--- a/internal/life/life_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"flag"
@@ -98,7 +98,7 @@
 		require.NoError(t, os.WriteFile(page, []byte(want), 0o644))
 		return
 	}
-	assert.Equal(t, want, string(text), "run go test ./internal/life -update")
+	assert.Equal(t, want, string(text), "run go test ./internal/lifecycle -update")
 }
 
 // table renders all transitions but those that change nothing.
--- a/internal/life/service_test.go
+++ b/internal/lifecycle/service_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"testing"
--- a/internal/query/bound.go
+++ b/internal/query/bound.go
@@ -9,7 +9,7 @@
 	"lichenhitch/balance"
 	"lichenhitch/internal/choice/census"
 	"lichenhitch/internal/choice/rights"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 // clearWithin is how long a host that the council has taken out may keep connections of this node that stand, before the
@@ -90,9 +90,9 @@
 	trying, standing := map[balance.ServerID]bool{}, map[balance.ServerID]bool{}
 	for _, q := range c.queries {
 		switch q.state.Phase {
-		case life.Trying:
+		case lifecycle.Trying:
 			trying[q.server] = true
-		case life.Up:
+		case lifecycle.Up:
 			standing[q.server] = true
 		}
 	}
@@ -122,7 +122,7 @@
 	}
 	groups, of := map[string]float64{}, map[string]int{}
 	for _, q := range c.queries {
-		if q.state.Phase == life.Up {
+		if q.state.Phase == lifecycle.Up {
 			l.Worth[string(q.server)] += worth(q.arrival.Class)
 			if q.arrival.Group != "" {
 				groups[q.arrival.Group] += worth(q.arrival.Class)
--- a/internal/query/count.go
+++ b/internal/query/count.go
@@ -7,7 +7,7 @@
 
 	"lichenhitch/balance"
 	"lichenhitch/internal/choice/rollout"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 // This file counts what became of the queries, as evidence of a policy. What is counted is meant to be the same under any
@@ -145,38 +145,38 @@
 }
 
 // note takes a step of a query, from was to where it is now, before its effects are carried out.
-func (n *counter) note(q *Query, was life.State, k life.Kind, todo *life.Effects, d *news) {
+func (n *counter) note(q *Query, was lifecycle.State, k lifecycle.Kind, todo *lifecycle.Effects, d *news) {
 	switch {
-	case todo.Has(life.Complain):
+	case todo.Has(lifecycle.Complain):
 		n.fired(GuardImpossible)
 	case q.state.Inherited:
 	case was.Owed() && !q.state.Owed():
 		n.answered(q, k, todo)
-	case was.Phase == life.Up && q.state.Phase == life.Over:
+	case was.Phase == lifecycle.Up && q.state.Phase == lifecycle.Over:
 		n.ended(q, k, d)
 	}
 }
 
 // answered counts a query that is owed nothing any more.
-func (n *counter) answered(q *Query, k life.Kind, todo *life.Effects) {
+func (n *counter) answered(q *Query, k lifecycle.Kind, todo *lifecycle.Effects) {
 	a, t := &q.arrival, n.of(q.arrival.Class, q.arrival.Tenant)
 	left := q.Left()
 	t.offered++
 	switch {
-	case q.state.Phase == life.Up:
+	case q.state.Phase == lifecycle.Up:
 		t.served++
 		n.stood(a.Class, a.TimeLeft-left)
-	case todo.Has(life.AnswerServed):
+	case todo.Has(lifecycle.AnswerServed):
 		t.served++
-	case k == life.ClientGone || k == life.ClientFaulty:
+	case k == lifecycle.ClientGone || k == lifecycle.ClientFaulty:
 	case left <= 0:
 		t.timedOut++
-	case todo.Has(life.AnswerThrottle):
+	case todo.Has(lifecycle.AnswerThrottle):
 		t.refused++
 	default:
 		t.failed++
 	}
-	if k == life.Deadline && -left <= guardAfter+sweepEvery {
+	if k == lifecycle.Deadline && -left <= guardAfter+sweepEvery {
 		n.fired(GuardOverdue)
 	}
 }
@@ -192,13 +192,13 @@
 }
 
 // ended counts the end of a connection that stood.
-func (n *counter) ended(q *Query, k life.Kind, d *news) {
+func (n *counter) ended(q *Query, k lifecycle.Kind, d *news) {
 	t := n.of(q.arrival.Class, q.arrival.Tenant)
 	switch {
-	case k == life.ClientGone, k == life.PassOn, k == life.HostServed:
-	case k == life.HostEnded && d.outcome == balance.Cancelled:
+	case k == lifecycle.ClientGone, k == lifecycle.PassOn, k == lifecycle.HostServed:
+	case k == lifecycle.HostEnded && d.outcome == balance.Cancelled:
 		t.moves++
-	case k == life.HostEnded, k == life.Move && d.outcome == balance.Reset:
+	case k == lifecycle.HostEnded, k == lifecycle.Move && d.outcome == balance.Reset:
 		t.breaks++
 	default:
 		t.moves++
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,6 +1,6 @@
 // Package query holds the queries of clients from their arrival to their one final answer. It brings what happens to
 // the balancer as events and carries the balancer's actions out. What each event means for a query is decided by the
-// state machine of package life; this package keeps the data beside each state and carries the effects out. It knows
+// state machine of package lifecycle; this package keeps the data beside each state and carries the effects out. It knows
 // neither sockets nor the platform's lines: clients, servers and the host group reach it, and are reached, through
 // the interfaces here.
 package query
@@ -13,7 +13,7 @@
 	"time"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 // Client is the client's side of a query.
@@ -95,8 +95,8 @@
 	Handle(now time.Duration, ev balance.Event) []balance.Action
 }
 
-// Rule is the state machine of a query's life; see life.Step.
-type Rule func(life.State, life.Event) (life.State, life.Effects)
+// Rule is the state machine of a query's life; see lifecycle.Step.
+type Rule func(lifecycle.State, lifecycle.Event) (lifecycle.State, lifecycle.Effects)
 
 const (
 	// answerMargin is how long before a client's time is up its answer is due: time to travel and to be read.
@@ -151,9 +151,9 @@
 	kind    string // of machine
 }
 
-// New returns a core that decides by balance and lives by life.Step. Connect must follow.
+// New returns a core that decides by balance and lives by lifecycle.Step. Connect must follow.
 func New(log *slog.Logger, clock Clock, set balance.Settings, seed uint64) *Core {
-	return Build(log, clock, set, balance.New(set, seed), life.Step)
+	return Build(log, clock, set, balance.New(set, seed), lifecycle.Step)
 }
 
 // Build returns a core with a decider and a rule of one's own, for rehearsals. Connect must follow.
@@ -189,7 +189,7 @@
 func (c *Core) Standing() int {
 	n := 0
 	for _, q := range c.queries {
-		if q.state.Phase == life.Up {
+		if q.state.Phase == lifecycle.Up {
 			n++
 		}
 	}
@@ -199,7 +199,7 @@
 // oldest returns the oldest connections that stand, so many of them.
 func (c *Core) oldest(n int) (all []*Query) {
 	for _, q := range c.queries {
-		if q.state.Phase == life.Up {
+		if q.state.Phase == lifecycle.Up {
 			all = append(all, q)
 		}
 	}
@@ -210,7 +210,7 @@
 // Ease moves the clients of the oldest connections that stand, so many of them: the node is to be emptied.
 func (c *Core) Ease(n int) {
 	for _, q := range c.oldest(n) {
-		q.step(life.Event{Kind: life.Move}, &news{outcome: balance.Cancelled})
+		q.step(lifecycle.Event{Kind: lifecycle.Move}, &news{outcome: balance.Cancelled})
 	}
 }
 
@@ -219,7 +219,7 @@
 func (c *Core) Carry(n int, take func(Client, Attempt, balance.Arrival, balance.ServerID) bool) {
 	for _, q := range c.oldest(n) {
 		if take(q.client, q.attempt, q.arrival, q.server) {
-			q.step(life.Event{Kind: life.PassOn}, &news{outcome: balance.Cancelled})
+			q.step(lifecycle.Event{Kind: lifecycle.PassOn}, &news{outcome: balance.Cancelled})
 		}
 	}
 }
@@ -233,7 +233,7 @@
 		sentAt: c.clock.Now()}
 	c.queries[a.Request] = q
 	attach(Try{q, 1})
-	q.step(life.Event{Kind: life.Adopt}, &news{})
+	q.step(lifecycle.Event{Kind: lifecycle.Adopt}, &news{})
 	return q
 }
 
@@ -374,19 +374,19 @@
 	case balance.Place:
 		c.keep()
 		if q := c.find(a.Request, a); q != nil {
-			q.step(life.Event{Kind: life.Place}, &news{server: a.Server, within: a.Timeout, sendBy: a.SendBy})
+			q.step(lifecycle.Event{Kind: lifecycle.Place}, &news{server: a.Server, within: a.Timeout, sendBy: a.SendBy})
 		}
 	case balance.Refuse:
 		if q := c.find(a.Request, a); q != nil {
-			q.step(life.Event{Kind: life.Refuse}, &news{after: a.RetryAfter})
+			q.step(lifecycle.Event{Kind: lifecycle.Refuse}, &news{after: a.RetryAfter})
 		}
 	case balance.Fail:
 		if q := c.find(a.Request, a); q != nil {
-			q.step(life.Event{Kind: life.GiveUp}, &news{})
+			q.step(lifecycle.Event{Kind: lifecycle.GiveUp}, &news{})
 		}
 	case balance.Move:
 		if q := c.queries[a.Request]; q != nil {
-			q.step(life.Event{Kind: life.Move}, &news{outcome: balance.Cancelled})
+			q.step(lifecycle.Event{Kind: lifecycle.Move}, &news{outcome: balance.Cancelled})
 		}
 	case balance.Wake:
 		c.clock.After(a.After, Due{Kind: DueWake, Token: a.Token})
@@ -414,13 +414,13 @@
 	client  Client
 	arrival balance.Arrival
 	at      balance.ServerID // the host of an inherited connection
-	state   life.State
+	state   lifecycle.State
 	until   time.Duration // when its answer is due
 	server  balance.ServerID
 	attempt Attempt
 	sentAt  time.Duration
 	sendBy  time.Duration // when the attempt that is out may not be sent any more; 0: at any time
-	watch   life.Watch
+	watch   lifecycle.Watch
 	guard   Timer // of the deadline
 	timer   Timer // of the attempt's time-out, or of the pause before the next
 }
@@ -444,10 +444,10 @@
 	c.last++
 	a.Request = c.last
 	a.TimeLeft = max(d-answerMargin, 0)
-	e := life.Event{Kind: life.Arrive}
+	e := lifecycle.Event{Kind: lifecycle.Arrive}
 	if at != "" {
 		a.TimeLeft = inheritedWait
-		e.Kind = life.ArriveAt
+		e.Kind = lifecycle.ArriveAt
 	}
 	c.keep()
 	q := &Query{core: c, client: client, arrival: a, at: at, until: c.clock.Now() + a.TimeLeft}
@@ -464,11 +464,11 @@
 func (q *Query) Left() time.Duration { return q.until - q.core.clock.Now() }
 
 // State returns where the query stands.
-func (q *Query) State() life.State { return q.state }
+func (q *Query) State() lifecycle.State { return q.state }
 
 // step brings an event to the state machine and carries out what it answers. The balancer, which may answer with a
 // further step of the same query, is told last.
-func (q *Query) step(e life.Event, d *news) {
+func (q *Query) step(e lifecycle.Event, d *news) {
 	was := q.state
 	next, todo := q.core.rule(was, e)
 	q.state = next
@@ -483,69 +483,69 @@
 	}
 }
 
-func (q *Query) carryOut(f life.Effect, k life.Kind, d *news) {
+func (q *Query) carryOut(f lifecycle.Effect, k lifecycle.Kind, d *news) {
 	c := q.core
 	switch f {
-	case life.Guard:
+	case lifecycle.Guard:
 		q.guard = c.clock.After(q.Left()+guardAfter, Due{Kind: DueGuard, Request: q.arrival.Request})
-	case life.Unguard:
+	case lifecycle.Unguard:
 		q.guard.Stop()
-	case life.Send:
+	case lifecycle.Send:
 		q.send(d)
-	case life.Unwatch:
+	case lifecycle.Unwatch:
 		q.timer.Stop()
-	case life.Pause:
+	case lifecycle.Pause:
 		q.timer = c.clock.After(inheritedRetry, Due{Kind: DueRetry, Request: q.arrival.Request})
-	case life.CloseAttempt:
+	case lifecycle.CloseAttempt:
 		q.attempt.End(true)
-	case life.EndAttempt:
+	case lifecycle.EndAttempt:
 		q.attempt.End(d.clean)
-	case life.AnswerUp:
+	case lifecycle.AnswerUp:
 		q.client.Up(d.word)
-	case life.AnswerServed:
+	case lifecycle.AnswerServed:
 		q.client.Served(d.word)
-	case life.AnswerThrottle:
+	case lifecycle.AnswerThrottle:
 		q.client.Throttle(d.after)
-	case life.AnswerFail:
+	case lifecycle.AnswerFail:
 		q.client.Fail()
-	case life.AnswerError:
+	case lifecycle.AnswerError:
 		q.client.Reject(d.reason)
-	case life.MoveClient:
+	case lifecycle.MoveClient:
 		if q.attempt != nil && q.attempt.Over() {
 			q.client.End(true) // it has its last word
 		} else {
 			q.client.Move()
 		}
-	case life.EndClient:
+	case lifecycle.EndClient:
 		q.client.End(d.clean)
-	case life.Forget:
+	case lifecycle.Forget:
 		delete(c.queries, q.arrival.Request)
-	case life.Complain:
+	case lifecycle.Complain:
 		c.log.Warn("an event without a place in a query's life", "event", k.String(), "phase", q.state.Phase.String(),
 			"attempts", q.state.Attempts)
 	default:
 		q.tell(f, d)
 	}
-	if f.Answers() && k == life.Deadline {
+	if f.Answers() && k == lifecycle.Deadline {
 		c.log.Warn("a query was overdue", "class", q.arrival.Class, "attempts", q.state.Attempts)
 	}
 }
 
 // tell brings what the balancer is to know.
-func (q *Query) tell(f life.Effect, d *news) {
+func (q *Query) tell(f lifecycle.Effect, d *news) {
 	c, id := q.core, q.arrival.Request
 	switch f {
-	case life.TellArrival:
+	case lifecycle.TellArrival:
 		c.feed(q.arrival)
-	case life.TellInherited:
+	case lifecycle.TellInherited:
 		c.feed(balance.Inherited{Arrival: q.arrival, Server: q.at})
-	case life.TellEstablished:
+	case lifecycle.TellEstablished:
 		c.feed(balance.Established{Request: id, Attempt: q.number(), Took: c.clock.Now() - q.sentAt})
-	case life.TellDeparted:
+	case lifecycle.TellDeparted:
 		c.feed(balance.Departed{Request: id})
-	case life.TellEnded, life.TellOver:
+	case lifecycle.TellEnded, lifecycle.TellOver:
 		c.feed(balance.Ended{Request: id, Attempt: q.number(), Outcome: d.outcome, Took: c.clock.Now() - q.sentAt,
-			Final: f == life.TellOver, Report: d.report})
+			Final: f == lifecycle.TellOver, Report: d.report})
 	}
 }
 
@@ -574,11 +574,11 @@
 func (q *Query) wake(k DueKind) {
 	switch k {
 	case DueGuard:
-		q.step(life.Event{Kind: life.Deadline}, &news{outcome: balance.TimedOut, after: q.core.comeBack})
+		q.step(lifecycle.Event{Kind: lifecycle.Deadline}, &news{outcome: balance.TimedOut, after: q.core.comeBack})
 	case DueAttempt:
-		q.step(life.Event{Kind: life.AttemptLate, Attempt: q.state.Attempts}, &news{outcome: q.lateOutcome()})
+		q.step(lifecycle.Event{Kind: lifecycle.AttemptLate, Attempt: q.state.Attempts}, &news{outcome: q.lateOutcome()})
 	case DueRetry:
-		q.step(life.Event{Kind: life.Retry}, &news{})
+		q.step(lifecycle.Event{Kind: lifecycle.Retry}, &news{})
 	}
 }
 
@@ -599,18 +599,20 @@
 // Client returns the client's side of the try's query.
 func (t Try) Client() Client { return t.query.client }
 
-func (t Try) step(k life.Kind, d *news) { t.query.step(life.Event{Kind: k, Attempt: t.number}, d) }
+func (t Try) step(k lifecycle.Kind, d *news) {
+	t.query.step(lifecycle.Event{Kind: k, Attempt: t.number}, d)
+}
 
 // stands says whether the try is the one that stands.
 func (t Try) stands() bool {
-	return t.query.state.Phase == life.Up && t.query.state.Attempts == t.number
+	return t.query.state.Phase == lifecycle.Up && t.query.state.Attempts == t.number
 }
 
 // Open asks, just before the first line is written, whether the host may still be sent anything. Where not, the try is
 // over when Open returns.
 func (t Try) Open() bool {
 	if c := t.query.core; c.drained(t.query.server) || c.withheld(t.query.server) || t.query.expired() {
-		t.step(life.HostDrained, &news{outcome: balance.Unsent})
+		t.step(lifecycle.HostDrained, &news{outcome: balance.Unsent})
 		return false
 	}
 	return true
@@ -622,7 +624,7 @@
 }
 
 // Up says that the connection stands, with the host's own word for the client.
-func (t Try) Up(word []byte) { t.step(life.HostUp, &news{word: word}) }
+func (t Try) Up(word []byte) { t.step(lifecycle.HostUp, &news{word: word}) }
 
 // Lines passes lines of the host on.
 func (t Try) Lines(lines []byte) {
@@ -644,24 +646,24 @@
 // Ended says that the host ended the try, or that it never came up; word is what it said last, where that is for the
 // client.
 func (t Try) Ended(o balance.Outcome, clean bool, rep balance.Report, word []byte) {
-	k := life.HostEnded
+	k := lifecycle.HostEnded
 	if o == balance.OK {
-		k = life.HostServed
+		k = lifecycle.HostServed
 	}
 	t.step(k, &news{outcome: o, clean: clean, report: rep, word: word})
 }
 
 // Faulty says that the host sent what cannot be passed on. The host still answers, so that a client that was served is
 // moved, not cut off.
-func (t Try) Faulty() { t.step(life.HostFaulty, &news{outcome: balance.Errored}) }
+func (t Try) Faulty() { t.step(lifecycle.HostFaulty, &news{outcome: balance.Errored}) }
 
 // Behind says that the host does not take what the client sends, at the speed at which it is sent. The host may be
 // sound and still answer: the client is moved, and nothing is held against the host.
-func (t Try) Behind() { t.step(life.HostBehind, &news{outcome: balance.Cancelled}) }
+func (t Try) Behind() { t.step(lifecycle.HostBehind, &news{outcome: balance.Cancelled}) }
 
 // ClientLines passes lines of the client on.
 func (q *Query) ClientLines(lines []byte) {
-	if q.state.Phase == life.Up {
+	if q.state.Phase == lifecycle.Up {
 		q.watch.Ask(q.core.clock.Now())
 		q.attempt.Pass(lines)
 	}
@@ -669,13 +671,13 @@
 
 // ClientGone says that the client has left.
 func (q *Query) ClientGone(clean bool) {
-	q.step(life.Event{Kind: life.ClientGone}, &news{outcome: balance.Cancelled, clean: clean})
+	q.step(lifecycle.Event{Kind: lifecycle.ClientGone}, &news{outcome: balance.Cancelled, clean: clean})
 }
 
 // ClientFaulty says that the client spoke out of turn or sent what cannot be passed on. One that waits is told why it
 // is not served; one that is served is moved.
 func (q *Query) ClientFaulty(reason error) {
-	q.step(life.Event{Kind: life.ClientFaulty}, &news{outcome: balance.Cancelled, reason: reason})
+	q.step(lifecycle.Event{Kind: lifecycle.ClientFaulty}, &news{outcome: balance.Cancelled, reason: reason})
 }
 
 // Leave ends everything, since the node stops: whoever waits gets an answer, and the clients of open connections are
@@ -689,7 +691,7 @@
 	}
 	inOrder(all)
 	for _, q := range all {
-		q.step(life.Event{Kind: life.Leave}, &news{outcome: balance.Cancelled, after: c.comeBack})
+		q.step(lifecycle.Event{Kind: lifecycle.Leave}, &news{outcome: balance.Cancelled, after: c.comeBack})
 	}
 }
 
@@ -706,7 +708,7 @@
 	now := c.clock.Now()
 	silent, held := make(map[balance.ServerID]bool), make(map[balance.ServerID]bool)
 	for _, q := range c.queries {
-		if q.state.Phase != life.Up {
+		if q.state.Phase != lifecycle.Up {
 			continue
 		}
 		held[q.server] = true
@@ -716,13 +718,13 @@
 	}
 	var lost []*Query
 	for _, q := range c.queries {
-		if q.state.Phase == life.Up && (silent[q.server] || q.watch.Stuck(now)) {
+		if q.state.Phase == lifecycle.Up && (silent[q.server] || q.watch.Stuck(now)) {
 			lost = append(lost, q)
 		}
 	}
 	inOrder(lost)
 	for _, q := range lost {
-		q.step(life.Event{Kind: life.Move}, &news{outcome: balance.Reset})
+		q.step(lifecycle.Event{Kind: lifecycle.Move}, &news{outcome: balance.Reset})
 	}
 	for server := range silent {
 		c.log.Warn("a host has fallen silent; its clients are moved", "host", server)
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 // world stands in for the clock, the servers, the host group and one client.
@@ -186,7 +186,7 @@
 func TestActionsAreCarriedOutBeforeTheNextEventIsTold(t *testing.T) {
 	w := &world{now: time.Hour}
 	r := &reusing{}
-	c := Build(slog.New(slog.NewTextHandler(io.Discard, nil)), w, balance.Settings{}, r, life.Step)
+	c := Build(slog.New(slog.NewTextHandler(io.Discard, nil)), w, balance.Settings{}, r, lifecycle.Step)
 	w.core = c
 	c.Connect(w, w)
 	for range 3 {
@@ -252,7 +252,7 @@
 func newTold() (*world, *Core, *told, *endings) {
 	w, d, e := &world{now: time.Hour}, &told{}, &endings{}
 	c := Build(slog.New(slog.NewTextHandler(io.Discard, nil)), w, balance.Settings{MaxRetryAfter: 400 * time.Millisecond},
-		d, life.Step)
+		d, lifecycle.Step)
 	w.core = c
 	c.Connect(e, w)
 	return w, c, d, e
--- a/rehearsal/coremodel/model.go
+++ b/rehearsal/coremodel/model.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 	"lichenhitch/internal/query"
 	"lichenhitch/rehearsal/lifemodel"
 	"lichenhitch/rehearsal/model"
@@ -261,7 +261,7 @@
 		},
 		Rule: m.cfg.Rule}
 	if cfg.Rule == nil {
-		cfg.Rule = life.Step
+		cfg.Rule = lifecycle.Step
 	}
 	if m.cfg.Decider != nil {
 		cfg.Decider = m.cfg.Decider(balance.New(m.set, seed))
@@ -351,10 +351,10 @@
 		}
 	}
 	for i := range s.Clients {
-		if s.Clients[i].Life.Phase == life.Up {
+		if s.Clients[i].Life.Phase == lifecycle.Up {
 			r.covered |= 1 << sawUp
 		}
-		if q := &s.Clients[i]; q.Life.Phase == life.Trying && !q.Life.Inherited && int(q.Life.Attempts) == most {
+		if q := &s.Clients[i]; q.Life.Phase == lifecycle.Trying && !q.Life.Inherited && int(q.Life.Attempts) == most {
 			r.covered |= 1 << sawLast
 		}
 		if i < w.Clients() && w.Held(i) && s.Clients[i].Life.Owed() {
@@ -402,7 +402,7 @@
 		case stage == lifemodel.Dialing:
 			add(lifemodel.Connect, c, g, 0)
 			add(lifemodel.NoLuck, c, g, 0)
-		case stage == lifemodel.Sent && q.Phase == life.Up:
+		case stage == lifemodel.Sent && q.Phase == lifecycle.Up:
 			add(lifemodel.Clog, c, g, 0)
 			add(lifemodel.Garble, c, g, 0)
 			add(lifemodel.Break, c, g, 0)
@@ -563,7 +563,7 @@
 	for c := range min(n, w.Clients()) {
 		q, seen, stage, g := w.State(c)
 		m := &f.s.Clients[c]
-		over := q.Phase == life.Over
+		over := q.Phase == lifecycle.Over
 		tries := q.Attempts
 		if q.Inherited {
 			tries = min(tries, 2)
--- a/rehearsal/lifemodel/describe.go
+++ b/rehearsal/lifemodel/describe.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 	"lichenhitch/rehearsal/model"
 )
 
@@ -124,7 +124,7 @@
 		all = append(all, "the first line is written")
 	case a.Link != NoLink && b.Link == NoLink && (b.Held || a.Link == Dialing):
 		all = append(all, "the connection is closed")
-	case b.Link != NoLink && b.Life.Phase == life.Over:
+	case b.Link != NoLink && b.Life.Phase == lifecycle.Over:
 		all = append(all, "the connection is left open")
 	}
 	return strings.Join(all, ", ")
--- a/rehearsal/lifemodel/model.go
+++ b/rehearsal/lifemodel/model.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 // Model is the model of lives. It implements model.Model and model.Coverer.
@@ -17,8 +17,8 @@
 	plant      plant
 	scenario   *Scenario
 	only       *[ops]bool // the steps that a scenario has; nil: all
-	rule       func(life.State, life.Event) (life.State, life.Effects)
-	depart     func(d life.Departure, after time.Duration, owed, standing int) (life.Departure, life.Order)
+	rule       func(lifecycle.State, lifecycle.Event) (lifecycle.State, lifecycle.Effects)
+	depart     func(d lifecycle.Departure, after time.Duration, owed, standing int) (lifecycle.Departure, lifecycle.Order)
 }
 
 // New returns the model for a fleet, with a planted bug if one is named.
@@ -31,7 +31,7 @@
 	case attempts < 1 || attempts > MaxAttempts:
 		return nil, fmt.Errorf("attempts: %d is not within 1 to %d", attempts, MaxAttempts)
 	}
-	m := &Model{Gateways: gateways, Clients: clients, Attempts: attempts, rule: life.Step, depart: life.Departure.Step}
+	m := &Model{Gateways: gateways, Clients: clients, Attempts: attempts, rule: lifecycle.Step, depart: lifecycle.Departure.Step}
 	if plantName == "" {
 		return m, nil
 	}
@@ -92,12 +92,12 @@
 		q := &s.Clients[c]
 		b |= bit[uint64](q.Seen == Served, sawUp) |
 			bit[uint64](q.Seen == Finished, sawThrottled) |
-			bit[uint64](q.Life.Phase == life.Trying && int(q.Life.Attempts) == m.Attempts && q.Class != Inherited,
+			bit[uint64](q.Life.Phase == lifecycle.Trying && int(q.Life.Attempts) == m.Attempts && q.Class != Inherited,
 				sawLastAttempt) |
 			bit[uint64](q.Held && q.Life.Owed(), sawHeld) |
 			bit[uint64](q.Life.Owed() && s.Stay != Serving && s.Stay != Stopped, sawLeavingOwed) |
-			bit[uint64](q.Life.Phase == life.Up && s.Stay == Stopped, sawPassed) |
-			bit[uint64](q.Life.Phase == life.Waiting && q.Life.Inherited, sawInherited)
+			bit[uint64](q.Life.Phase == lifecycle.Up && s.Stay == Stopped, sawPassed) |
+			bit[uint64](q.Life.Phase == lifecycle.Waiting && q.Life.Inherited, sawInherited)
 		if q.Link == NoLink {
 			continue
 		}
@@ -109,8 +109,8 @@
 			b |= bit[uint64](q.Link == Sent && gw.Told == Draining, sawDrainOut) |
 				bit[uint64](q.Link == Dialing && gw.Told.past(), sawPastDial) |
 				bit[uint64](gw.Stale, sawStaleOut) |
-				bit[uint64](q.Life.Phase == life.Trying && gw.Told >= Gone, sawGoneOut) |
-				bit[uint64](q.Life.Phase == life.Up && gw.Cond == Silent, sawSilentUp) |
+				bit[uint64](q.Life.Phase == lifecycle.Trying && gw.Told >= Gone, sawGoneOut) |
+				bit[uint64](q.Life.Phase == lifecycle.Up && gw.Cond == Silent, sawSilentUp) |
 				bit[uint64](q.Class != Inherited && gw.Told == Ready && !gw.Tried[c], sawBackTried)
 		}
 	}
--- a/rehearsal/lifemodel/plants.go
+++ b/rehearsal/lifemodel/plants.go
@@ -4,13 +4,13 @@
 	"slices"
 	"time"
 
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 // plant is a planted bug, by its place in plants. Plants are changes of the model's copy of a rule; the daemon has none.
 type plant int
 
-// The plants that change the world's side of a rule. All others wrap life.Step or life.Departure.Step.
+// The plants that change the world's side of a rule. All others wrap lifecycle.Step or lifecycle.Departure.Step.
 const (
 	plantNone plant = iota
 	plantGuardLate
@@ -21,14 +21,14 @@
 	plantRefusal
 )
 
-type rule = func(life.State, life.Event) (life.State, life.Effects)
+type rule = func(lifecycle.State, lifecycle.Event) (lifecycle.State, lifecycle.Effects)
 
 // planted is the description of a plant.
 type planted struct {
 	name   string
 	about  string
 	rule   rule
-	depart func(life.Departure, time.Duration, int, int) (life.Departure, life.Order)
+	depart func(lifecycle.Departure, time.Duration, int, int) (lifecycle.Departure, lifecycle.Order)
 }
 
 // Plant tells of a planted bug.
@@ -43,14 +43,14 @@
 	return list
 }
 
-// Rule returns the planted copy of life.Step, or life.Step itself where the bug is planted elsewhere.
-func Rule(name string) func(life.State, life.Event) (life.State, life.Effects) {
+// Rule returns the planted copy of lifecycle.Step, or lifecycle.Step itself where the bug is planted elsewhere.
+func Rule(name string) func(lifecycle.State, lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
 	for _, p := range plants {
 		if p.name == name && p.rule != nil {
 			return p.rule
 		}
 	}
-	return life.Step
+	return lifecycle.Step
 }
 
 // InRule says whether a bug is planted in the rule of lives, which the running code shares.
@@ -64,9 +64,9 @@
 }
 
 // dropping returns the rule without an effect in the steps of some events, all if none are named.
-func dropping(f life.Effect, of ...life.Kind) rule {
-	return func(s life.State, e life.Event) (life.State, life.Effects) {
-		next, todo := life.Step(s, e)
+func dropping(f lifecycle.Effect, of ...lifecycle.Kind) rule {
+	return func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
+		next, todo := lifecycle.Step(s, e)
 		if len(of) == 0 || slices.Contains(of, e.Kind) {
 			todo = without(todo, f)
 		}
@@ -75,7 +75,7 @@
 }
 
 // without returns effects less one kind.
-func without(f life.Effects, drop life.Effect) (rest life.Effects) {
+func without(f lifecycle.Effects, drop lifecycle.Effect) (rest lifecycle.Effects) {
 	for i := range f.Len() {
 		if f.At(i) != drop {
 			rest.Add(f.At(i))
@@ -85,9 +85,9 @@
 }
 
 // staying returns the rule with a phase that an event fails to change.
-func staying(in life.Phase, k life.Kind) rule {
-	return func(s life.State, e life.Event) (life.State, life.Effects) {
-		next, todo := life.Step(s, e)
+func staying(in lifecycle.Phase, k lifecycle.Kind) rule {
+	return func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
+		next, todo := lifecycle.Step(s, e)
 		if s.Phase == in && e.Kind == k {
 			next.Phase = in
 		}
@@ -104,66 +104,66 @@
 	plantRepeat:      {name: "unsafe-repeat", about: "an attempt that may have run is repeated in a class that must not run twice"},
 	plantRefusal:     {name: "unsafe-refusal", about: "a refusal after an attempt that may have run, in such a class"},
 	{name: "answer-twice", about: "a refused query goes on waiting, and is answered again",
-		rule: staying(life.Waiting, life.Refuse)},
+		rule: staying(lifecycle.Waiting, lifecycle.Refuse)},
 	{name: "time-out-leaves-attempt", about: "the time-out does not close the attempt",
-		rule: dropping(life.CloseAttempt, life.AttemptLate)},
+		rule: dropping(lifecycle.CloseAttempt, lifecycle.AttemptLate)},
 	{name: "deadline-leaves-attempt", about: "the guard answers and leaves the attempt out",
-		rule: dropping(life.CloseAttempt, life.Deadline)},
+		rule: dropping(lifecycle.CloseAttempt, lifecycle.Deadline)},
 	{name: "answer-to-the-gone", about: "a client that leaves while its attempt is out is not noted as gone",
-		rule: staying(life.Trying, life.ClientGone)},
+		rule: staying(lifecycle.Trying, lifecycle.ClientGone)},
 	{name: "late-words", about: "words of an attempt that is over are taken for the present one's",
-		rule: func(s life.State, e life.Event) (life.State, life.Effects) {
-			if e.Kind >= life.HostUp {
+		rule: func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
+			if e.Kind >= lifecycle.HostUp {
 				e.Attempt = s.Attempts
 			}
-			return life.Step(s, e)
+			return lifecycle.Step(s, e)
 		}},
 	{name: "served-in-silence", about: "a query that is served to its end at once gets no line",
-		rule: dropping(life.AnswerServed)},
-	{name: "guard-forgotten", about: "the guard of the deadline is not started", rule: dropping(life.Guard)},
-	{name: "guard-goes-on", about: "the guard is not stopped by the answer", rule: dropping(life.Unguard, life.HostUp)},
+		rule: dropping(lifecycle.AnswerServed)},
+	{name: "guard-forgotten", about: "the guard of the deadline is not started", rule: dropping(lifecycle.Guard)},
+	{name: "guard-goes-on", about: "the guard is not stopped by the answer", rule: dropping(lifecycle.Unguard, lifecycle.HostUp)},
 	{name: "time-out-goes-on", about: "the time-out of an attempt is not stopped when the host is up",
-		rule: dropping(life.Unwatch, life.HostUp)},
+		rule: dropping(lifecycle.Unwatch, lifecycle.HostUp)},
 	{name: "told-too-early", about: "the balancer hears of the time-out before the attempt is closed",
-		rule: func(s life.State, e life.Event) (life.State, life.Effects) {
-			next, todo := life.Step(s, e)
-			if e.Kind == life.AttemptLate && todo.Has(life.TellEnded) {
-				todo = without(todo, life.CloseAttempt)
-				todo.Add(life.CloseAttempt)
+		rule: func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
+			next, todo := lifecycle.Step(s, e)
+			if e.Kind == lifecycle.AttemptLate && todo.Has(lifecycle.TellEnded) {
+				todo = without(todo, lifecycle.CloseAttempt)
+				todo.Add(lifecycle.CloseAttempt)
 			}
 			return next, todo
 		}},
 	{name: "end-not-told", about: "the balancer does not hear that an attempt timed out",
-		rule: dropping(life.TellEnded, life.AttemptLate)},
+		rule: dropping(lifecycle.TellEnded, lifecycle.AttemptLate)},
 	{name: "end-told-twice", about: "the balancer hears twice that a connection ended",
-		rule: func(s life.State, e life.Event) (life.State, life.Effects) {
-			next, todo := life.Step(s, e)
-			if s.Phase == life.Up && e.Kind == life.HostEnded && todo.Len() > 0 {
-				todo.Add(life.TellOver)
+		rule: func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
+			next, todo := lifecycle.Step(s, e)
+			if s.Phase == lifecycle.Up && e.Kind == lifecycle.HostEnded && todo.Len() > 0 {
+				todo.Add(lifecycle.TellOver)
 			}
 			return next, todo
 		}},
 	{name: "cut-without-move", about: "a client is cut off without MOVE when its host does not keep up",
-		rule: dropping(life.MoveClient, life.HostBehind)},
+		rule: dropping(lifecycle.MoveClient, lifecycle.HostBehind)},
 	{name: "end-without-word", about: "the host's end of a connection does not reach the client",
-		rule: dropping(life.EndClient)},
+		rule: dropping(lifecycle.EndClient)},
 	{name: "left-unanswered", about: "a node that stops leaves a waiting client without an answer",
-		rule: dropping(life.AnswerFail, life.Leave)},
+		rule: dropping(lifecycle.AnswerFail, lifecycle.Leave)},
 	{name: "never-leaves", about: "a leaving node waits for the last connection for ever",
-		depart: func(d life.Departure, after time.Duration, owed, standing int) (life.Departure, life.Order) {
+		depart: func(d lifecycle.Departure, after time.Duration, owed, standing int) (lifecycle.Departure, lifecycle.Order) {
 			if owed+standing > 0 {
-				after = min(after, life.AcceptOn)
+				after = min(after, lifecycle.AcceptOn)
 			}
 			return d.Step(after, owed+standing, standing)
 		}},
 	{name: "error-is-final", about: "a host's error ends the query without an answer",
-		rule: func(s life.State, e life.Event) (life.State, life.Effects) {
-			next, todo := life.Step(s, e)
-			if s.Phase == life.Trying && e.Kind == life.HostEnded && next.Phase == life.Waiting {
-				next.Phase = life.Over
-				todo = without(todo, life.TellEnded)
-				todo.Add(life.Unguard)
-				todo.Add(life.TellOver)
+		rule: func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
+			next, todo := lifecycle.Step(s, e)
+			if s.Phase == lifecycle.Trying && e.Kind == lifecycle.HostEnded && next.Phase == lifecycle.Waiting {
+				next.Phase = lifecycle.Over
+				todo = without(todo, lifecycle.TellEnded)
+				todo.Add(lifecycle.Unguard)
+				todo.Add(lifecycle.TellOver)
 			}
 			return next, todo
 		}},
--- a/rehearsal/lifemodel/state.go
+++ b/rehearsal/lifemodel/state.go
@@ -1,4 +1,4 @@
-// Package lifemodel is the life of queries (package life) in a world of gateways, clients, discovery's notices and the
+// Package lifemodel is the life of queries (package lifecycle) in a world of gateways, clients, discovery's notices and the
 // node's own end, as a model for the checker. What the balancer decides is left open within the rules it must keep, and
 // time is the order in which deadlines pass.
 //
@@ -6,7 +6,7 @@
 package lifemodel
 
 import (
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 const (
@@ -109,7 +109,7 @@
 type Client struct {
 	Class  Class
 	Seen   Seen
-	Life   life.State
+	Life   lifecycle.State
 	Link   Stage
 	Book   Book
 	MayRun bool // an attempt that ended may have run, as the balancer has to take it
--- a/rehearsal/lifemodel/steps.go
+++ b/rehearsal/lifemodel/steps.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 	"lichenhitch/rehearsal/model"
 )
 
@@ -153,15 +153,15 @@
 	b := uint32(s.Bad)
 	for c := range m.Clients {
 		q := &s.Clients[c]
-		over := q.Life.Phase == life.Over
+		over := q.Life.Phase == lifecycle.Over
 		if over && q.Link != NoLink {
 			b |= 1 << badLeftOut
 		}
 		if over && q.Seen == Served && s.Stay != Stopped {
 			b |= 1 << badCut
 		}
-		if q.Guard != q.Life.Owed() || q.Timer != (q.Life.Phase == life.Trying ||
-			q.Life.Phase == life.Waiting && q.Life.Inherited) {
+		if q.Guard != q.Life.Owed() || q.Timer != (q.Life.Phase == lifecycle.Trying ||
+			q.Life.Phase == lifecycle.Waiting && q.Life.Inherited) {
 			b |= 1 << badTimer
 		}
 		if q.Book != q.expected() {
@@ -180,13 +180,13 @@
 // expected is what the balancer should know of a query.
 func (q *Client) expected() Book {
 	switch {
-	case q.Life.Phase == life.Up:
+	case q.Life.Phase == lifecycle.Up:
 		return Standing
 	case q.Life.Inherited:
 		return NoEntry
-	case q.Life.Phase == life.Waiting:
+	case q.Life.Phase == lifecycle.Waiting:
 		return Open
-	case q.Life.Phase == life.Trying:
+	case q.Life.Phase == lifecycle.Trying:
 		return Pending
 	}
 	return NoEntry
@@ -229,18 +229,18 @@
 }
 
 // do brings an event to a client's query.
-func (m *Model) do(s *State, c int, k life.Kind) State {
+func (m *Model) do(s *State, c int, k lifecycle.Kind) State {
 	r := run{m: m, s: *s, c: c, to: -1}
 	r.event(k)
 	return r.s
 }
 
 // event brings an event of the attempt that is out, or of none.
-func (r *run) event(k life.Kind) { r.numbered(k, r.s.Clients[r.c].Life.Attempts) }
+func (r *run) event(k lifecycle.Kind) { r.numbered(k, r.s.Clients[r.c].Life.Attempts) }
 
-func (r *run) numbered(k life.Kind, attempt uint16) {
+func (r *run) numbered(k lifecycle.Kind, attempt uint16) {
 	q := &r.s.Clients[r.c]
-	e := life.Event{Kind: k, Attempt: attempt}
+	e := lifecycle.Event{Kind: k, Attempt: attempt}
 	next, todo := r.m.rule(q.Life, e)
 	if r.late && (todo.Len() > 0 || next != q.Life) {
 		r.bad(badGhost)
@@ -266,7 +266,7 @@
 	if q.Life.Inherited && q.Life.Attempts > 2 {
 		q.Life.Attempts = 2 // only which is the one that is out matters
 	}
-	if q.Life.Phase != life.Over || q.Link != NoLink {
+	if q.Life.Phase != lifecycle.Over || q.Link != NoLink {
 		return
 	}
 	q.Life.Attempts, q.Life.Inherited, q.Class = min(q.Life.Attempts, 1), false, Safe
@@ -276,47 +276,47 @@
 	}
 }
 
-func (r *run) effect(f life.Effect, k life.Kind) {
+func (r *run) effect(f lifecycle.Effect, k lifecycle.Kind) {
 	q := &r.s.Clients[r.c]
 	if f.Answers() {
 		r.answer(f)
 		return
 	}
 	switch f {
-	case life.Guard:
+	case lifecycle.Guard:
 		q.Guard = true
-	case life.Unguard:
+	case lifecycle.Unguard:
 		q.Guard = false
-	case life.Send:
+	case lifecycle.Send:
 		r.send()
-	case life.Unwatch:
+	case lifecycle.Unwatch:
 		q.Timer = false
-	case life.Pause:
+	case lifecycle.Pause:
 		q.Timer = true
-	case life.CloseAttempt, life.EndAttempt:
+	case lifecycle.CloseAttempt, lifecycle.EndAttempt:
 		r.hangUp()
-	case life.MoveClient, life.EndClient:
+	case lifecycle.MoveClient, lifecycle.EndClient:
 		if q.Seen == Served {
 			q.Seen = Finished
 		}
-	case life.Complain:
+	case lifecycle.Complain:
 		r.bad(badPlace)
-	case life.TellArrival:
+	case lifecycle.TellArrival:
 		r.book(Open, NoEntry)
-	case life.TellInherited:
+	case lifecycle.TellInherited:
 		r.book(Standing, NoEntry)
-	case life.TellEstablished:
+	case lifecycle.TellEstablished:
 		r.book(Standing, Pending)
-	case life.TellEnded:
+	case lifecycle.TellEnded:
 		r.closed()
 		r.book(Open, Pending)
-	case life.TellDeparted:
+	case lifecycle.TellDeparted:
 		if q.Book == Pending {
 			q.Book = Parted
 		} else {
 			r.book(NoEntry, Open)
 		}
-	case life.TellOver:
+	case lifecycle.TellOver:
 		r.closed()
 		if q.Book != Parted && q.Book != Standing {
 			r.book(NoEntry, Pending)
@@ -341,7 +341,7 @@
 	}
 }
 
-func (r *run) answer(f life.Effect) {
+func (r *run) answer(f lifecycle.Effect) {
 	q := &r.s.Clients[r.c]
 	switch q.Seen {
 	case Asking:
@@ -352,10 +352,10 @@
 		r.bad(badSecond)
 		return
 	}
-	if f == life.AnswerThrottle && q.Ran && !q.Class.refusable() && q.Class != Inherited {
+	if f == lifecycle.AnswerThrottle && q.Ran && !q.Class.refusable() && q.Class != Inherited {
 		r.bad(badRefusal)
 	}
-	if q.Seen = Finished; f == life.AnswerUp {
+	if q.Seen = Finished; f == lifecycle.AnswerUp {
 		q.Seen = Served
 	}
 }
@@ -398,36 +398,36 @@
 		m.ask(s, c, yield)
 		return
 	}
-	plain := func(o Op, k life.Kind) { yield(Code(o, c, 0, 0), m.do(s, c, k)) }
-	if q.Life.Phase == life.Waiting && q.Book == Open {
+	plain := func(o Op, k lifecycle.Kind) { yield(Code(o, c, 0, 0), m.do(s, c, k)) }
+	if q.Life.Phase == lifecycle.Waiting && q.Book == Open {
 		m.decide(s, c, yield)
 	}
 	if q.Book == Standing {
-		plain(MoveAway, life.Move)
+		plain(MoveAway, lifecycle.Move)
 	}
 	if q.Link != NoLink {
 		m.linkSteps(s, c, s.link(c), yield)
 	}
 	if q.Timer {
 		switch {
-		case q.Life.Phase == life.Trying:
+		case q.Life.Phase == lifecycle.Trying:
 			r := run{m: m, s: *s, c: c}
 			t := &r.s.Clients[c]
 			sent := t.Link == Sent // an attempt whose connection never came up has not run
 			t.MayRun, t.Ran, t.Timer = t.MayRun || sent, t.Ran || sent, false
-			r.event(life.AttemptLate)
+			r.event(lifecycle.AttemptLate)
 			yield(Code(Overdue, c, 0, 0), r.s)
 		case q.Life.Inherited:
 			r := run{m: m, s: *s, c: c, to: s.link(c)}
 			r.s.Clients[c].Timer = false
-			r.event(life.Retry)
+			r.event(lifecycle.Retry)
 			yield(Code(Again, c, 0, 0), r.s)
 		}
 	}
 	if q.Guard {
 		r := run{m: m, s: *s, c: c}
 		r.s.Clients[c].Guard = false
-		r.event(life.Deadline)
+		r.event(lifecycle.Deadline)
 		yield(Code(Due, c, 0, 0), r.s)
 	}
 	if q.Seen == Asking && (!q.Guard || m.plant == plantGuardLate) { // the guard comes before the client's own time
@@ -438,8 +438,8 @@
 	if q.Seen == Asking || q.Seen == Served {
 		n := *s
 		n.Clients[c].Seen = Left
-		yield(Code(Leave, c, 0, 0), m.do(&n, c, life.ClientGone))
-		plain(Interject, life.ClientFaulty)
+		yield(Code(Leave, c, 0, 0), m.do(&n, c, lifecycle.ClientGone))
+		plain(Interject, lifecycle.ClientFaulty)
 	}
 	if q.Held {
 		m.lateWords(s, c, yield)
@@ -455,12 +455,12 @@
 	n.Clients[c].Seen = Asking
 	for _, class := range [...]Class{Safe, Unsafe, Keyed, Grouped} {
 		n.Clients[c].Class = class
-		yield(Code(Ask, c, 0, int(class)), m.do(&n, c, life.Arrive))
+		yield(Code(Ask, c, 0, int(class)), m.do(&n, c, lifecycle.Arrive))
 	}
 	n.Clients[c].Class = Inherited
 	for g := range m.Gateways {
 		r := run{m: m, s: n, c: c, to: g}
-		r.event(life.ArriveAt)
+		r.event(lifecycle.ArriveAt)
 		yield(Code(Ask, c, g, int(Inherited)), r.s)
 	}
 }
@@ -475,7 +475,7 @@
 			if (gw.Told == Ready || gw.Unseen) && !gw.Tried[c] {
 				r := run{m: m, s: *s, c: c, to: g}
 				r.s.Clients[c].Book = Pending
-				r.event(life.Place)
+				r.event(lifecycle.Place)
 				yield(Code(Place, c, g, 0), r.s)
 			}
 		}
@@ -483,9 +483,9 @@
 	n := *s
 	n.Clients[c].Book = NoEntry
 	if harmless := !q.MayRun || q.Class.refusable(); harmless || m.plant == plantRefusal {
-		yield(Code(Refuse, c, 0, 0), m.do(&n, c, life.Refuse))
+		yield(Code(Refuse, c, 0, 0), m.do(&n, c, lifecycle.Refuse))
 	} else {
-		yield(Code(GiveUp, c, 0, 0), m.do(&n, c, life.GiveUp))
+		yield(Code(GiveUp, c, 0, 0), m.do(&n, c, lifecycle.GiveUp))
 	}
 }
 
@@ -500,7 +500,7 @@
 func (m *Model) linkSteps(s *State, c, g int, yield func(model.Step, State)) {
 	q, gw := &s.Clients[c], &s.Gateways[g]
 	// said brings a word of the gateway; ended says that its side is closed then, and ran that the query may have run.
-	said := func(o Op, k life.Kind, ended, ran bool) {
+	said := func(o Op, k lifecycle.Kind, ended, ran bool) {
 		r := run{m: m, s: *s, c: c}
 		t := &r.s.Clients[c]
 		t.MayRun, t.Ran = t.MayRun || ran, t.Ran || ran
@@ -516,24 +516,24 @@
 			m.connect(s, c, g, yield)
 		}
 		if gw.Cond != Silent {
-			said(NoLuck, life.HostEnded, true, false)
+			said(NoLuck, lifecycle.HostEnded, true, false)
 		}
 		return
 	}
-	up := q.Life.Phase == life.Up
+	up := q.Life.Phase == lifecycle.Up
 	if gw.Cond == Sound && !up {
-		said(SayUp, life.HostUp, false, true)
-		said(SayServed, life.HostServed, true, true)
-		said(SayFull, life.HostEnded, true, false)
-		said(SayError, life.HostEnded, true, true)
+		said(SayUp, lifecycle.HostUp, false, true)
+		said(SayServed, lifecycle.HostServed, true, true)
+		said(SayFull, lifecycle.HostEnded, true, false)
+		said(SayError, lifecycle.HostEnded, true, true)
 	}
 	if gw.Cond == Sound {
-		said(Garble, life.HostFaulty, false, true)
+		said(Garble, lifecycle.HostFaulty, false, true)
 	}
 	if up {
-		said(Clog, life.HostBehind, false, true)
+		said(Clog, lifecycle.HostBehind, false, true)
 	}
-	said(Break, life.HostEnded, true, true)
+	said(Break, lifecycle.HostEnded, true, true)
 }
 
 // connect lets a connection come up. The node asks then whether the gateway may still be written to.
@@ -541,7 +541,7 @@
 	r := run{m: m, s: *s, c: c}
 	gw := &r.s.Gateways[g]
 	if gw.Told.past() && !gw.Unseen && m.plant != plantDrainedDial {
-		r.event(life.HostDrained)
+		r.event(lifecycle.HostDrained)
 	} else {
 		if gw.Told.past() {
 			r.bad(badDrain)
@@ -561,7 +561,7 @@
 		}
 		number--
 	}
-	for i, k := range [...]life.Kind{life.HostUp, life.HostEnded} {
+	for i, k := range [...]lifecycle.Kind{lifecycle.HostUp, lifecycle.HostEnded} {
 		r := run{m: m, s: *s, c: c, late: true}
 		r.numbered(k, number)
 		yield(Code(LateUp+Op(i), c, 0, 0), r.s)
@@ -630,10 +630,10 @@
 	owed, standing := 0, 0
 	for c := range m.Clients {
 		owed += bit2int(s.Clients[c].Life.Owed())
-		standing += bit2int(s.Clients[c].Life.Phase == life.Up)
+		standing += bit2int(s.Clients[c].Life.Phase == lifecycle.Up)
 	}
-	const within = 4 * life.AcceptOn
-	looks := [...]time.Duration{life.AcceptOn, within}
+	const within = 4 * lifecycle.AcceptOn
+	looks := [...]time.Duration{lifecycle.AcceptOn, within}
 	switch s.Stay {
 	case Serving:
 		n := *s
@@ -641,17 +641,17 @@
 		yield(Code(Term, 0, 0, 0), n)
 	case Leaving:
 		for i, pass := range []bool{false, true} {
-			d := life.Departure{PassThrough: pass, Within: within}
-			if _, order := m.depart(d, life.AcceptOn, owed, standing); order == life.CloseDoor {
+			d := lifecycle.Departure{PassThrough: pass, Within: within}
+			if _, order := m.depart(d, lifecycle.AcceptOn, owed, standing); order == lifecycle.CloseDoor {
 				n := *s
 				n.Stay = DoorShut + Stay(i)
 				yield(Code(ShutDoor, 0, 0, i), n)
 			}
 		}
 	case DoorShut, DoorShut2:
-		d := life.Departure{PassThrough: s.Stay == DoorShut2, Within: within, Closed: true}
+		d := lifecycle.Departure{PassThrough: s.Stay == DoorShut2, Within: within, Closed: true}
 		for i, after := range looks {
-			if _, order := m.depart(d, after, owed, standing); order == life.SendAway {
+			if _, order := m.depart(d, after, owed, standing); order == lifecycle.SendAway {
 				yield(Code(SendOff, 0, 0, i), m.sendOff(s, d.PassThrough))
 				return
 			}
@@ -664,8 +664,8 @@
 	r := run{m: m, s: *s}
 	for c := range m.Clients {
 		r.c = c
-		if q := &r.s.Clients[c]; q.Life.Owed() || q.Life.Phase == life.Up && !pass {
-			r.event(life.Leave)
+		if q := &r.s.Clients[c]; q.Life.Owed() || q.Life.Phase == lifecycle.Up && !pass {
+			r.event(lifecycle.Leave)
 		}
 	}
 	for c := range m.Clients {
--- a/rehearsal/script/do.go
+++ b/rehearsal/script/do.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 	"lichenhitch/internal/query"
 	"lichenhitch/rehearsal/lifemodel"
 	"lichenhitch/rehearsal/model"
@@ -480,11 +480,11 @@
 		yes, no    string // what is wrong when it is so, and when it is not
 	}{
 		{c.seen == lifemodel.Asking, q.Owed(), "its client waits for an answer", "its client does not wait for an answer"},
-		{c.seen == lifemodel.Served, q.Phase == life.Up, "its client is served", "its client is not served"},
+		{c.seen == lifemodel.Served, q.Phase == lifecycle.Up, "its client is served", "its client is not served"},
 		{c.link != nil, q.Out(), "a connection to a host is open", "no connection to a host is open"},
 		{running[query.DueGuard], q.Owed(), "the guard of its deadline runs", "no guard of its deadline runs"},
-		{running[query.DueAttempt], q.Phase == life.Trying, "the time-out of an attempt runs", "no time-out of its attempt runs"},
-		{running[query.DueRetry], q.Phase == life.Waiting && q.Inherited, "the pause between two tries runs",
+		{running[query.DueAttempt], q.Phase == lifecycle.Trying, "the time-out of an attempt runs", "no time-out of its attempt runs"},
+		{running[query.DueRetry], q.Phase == lifecycle.Waiting && q.Inherited, "the pause between two tries runs",
 			"no pause between two tries runs"},
 	} {
 		if fit.is != fit.should {
@@ -511,7 +511,7 @@
 
 // State returns where a client's query stands, what its client has seen and where its connection goes: its stage and
 // its host, -1 for none.
-func (w *World) State(c int) (life.State, lifemodel.Seen, lifemodel.Stage, int) {
+func (w *World) State(c int) (lifecycle.State, lifemodel.Seen, lifemodel.Stage, int) {
 	q := w.client[c]
 	switch {
 	case q.link == nil:
--- a/rehearsal/script/world.go
+++ b/rehearsal/script/world.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 	"lichenhitch/internal/query"
 	"lichenhitch/rehearsal/lifemodel"
 	"lichenhitch/rehearsal/model"
@@ -46,8 +46,8 @@
 // How long a connection may bring nothing back for a line of the client's: where nothing else comes from its host, and
 // in any case. The sweep adds a moment.
 const (
-	silentFor = life.SilentAfter + 200*time.Millisecond
-	stuckFor  = life.StuckAfter + 200*time.Millisecond
+	silentFor = lifecycle.SilentAfter + 200*time.Millisecond
+	stuckFor  = lifecycle.StuckAfter + 200*time.Millisecond
 )
 
 // Codes of AnswerProbe.
@@ -308,7 +308,7 @@
 // hostSilent says whether some connection at a client's host has waited for a second, with nothing heard from there.
 func (w *World) hostSilent(c *client) bool {
 	for _, o := range w.client {
-		if o.askedAt > 0 && o.server == c.server && w.now-o.askedAt >= life.SilentAfter && w.heard[o.server] < o.askedAt {
+		if o.askedAt > 0 && o.server == c.server && w.now-o.askedAt >= lifecycle.SilentAfter && w.heard[o.server] < o.askedAt {
 			return true
 		}
 	}
@@ -444,7 +444,7 @@
 func (c *client) end(move bool) {
 	if move && c.w.sweeping {
 		c.w.note(lifemodel.MoveAway, c.id, 0, 0)
-		stuck := c.askedAt > 0 && c.w.now-c.askedAt >= life.StuckAfter
+		stuck := c.askedAt > 0 && c.w.now-c.askedAt >= lifecycle.StuckAfter
 		if !stuck && !c.w.hostSilent(c) {
 			c.w.Rules.Note(c.w.now, fmt.Sprintf("client %d is moved for silence, and its host has answered", c.id+1))
 		}
