--- a/cmd/lichenhitch/endings_test.go
+++ b/cmd/lichenhitch/endings_test.go
@@ -102,7 +102,7 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		gone := false
-		n.loop.Call(func() { gone = n.service.Departure.Gone })
+		n.loop.Call(func() { gone = n.service.Shutdown.AllClosed })
 		return gone
 	}, patience, time.Millisecond)
 	looked := make(chan struct{})
--- a/cmd/lichenhitch/main.go
+++ b/cmd/lichenhitch/main.go
@@ -130,7 +130,7 @@
 func start(log *slog.Logger, cfg config.Config) (*node, error) {
 	n := &node{log: log, cfg: cfg, addr: cfg.Listen, sockets: socketLimit(cfg.Sockets), empty: make(chan struct{}),
 		service: lifecycle.Service{PassThrough: cfg.Settings.PassThrough,
-			Within: lifecycle.StayWithin(longestDeadline(cfg.Settings))},
+			MaxStay: lifecycle.MaxStay(longestDeadline(cfg.Settings))},
 		tuning: tuning{set: cfg.Settings}}
 	n.publishSettings()
 	links := n.sockets - ownSockets
@@ -271,14 +271,14 @@
 
 // leave answers all that was taken and stops.
 func (n *node) leave() {
-	n.loop.Call(func() { n.ask(lifecycle.Depart) })
+	n.loop.Call(func() { n.ask(lifecycle.Terminate) })
 	<-n.empty
 	n.stop()
 }
 
 // ask takes a wish for the node as a whole.
-func (n *node) ask(w lifecycle.Wish) {
-	n.service = n.service.Ask(w, n.loop.Now())
+func (n *node) ask(w lifecycle.Operation) {
+	n.service = n.service.Apply(w, n.loop.Now())
 	n.pace()
 }
 
@@ -291,7 +291,7 @@
 
 // step does what lifecycle.Service orders, again and again for as long as the process does not simply serve.
 func (n *node) step() {
-	n.pacing = !n.service.Quiet()
+	n.pacing = !n.service.Idle()
 	if !n.pacing {
 		return
 	}
@@ -300,23 +300,23 @@
 		return
 	}
 	n.pass()
-	var order lifecycle.Order
+	var order lifecycle.Command
 	var count int
 	n.service, order, count = n.service.Step(n.loop.Now(), n.owed(), n.core.Standing())
 	switch order {
-	case lifecycle.Ease:
+	case lifecycle.MoveSome:
 		n.core.Ease(count)
-	case lifecycle.CloseDoor:
+	case lifecycle.StopAccepting:
 		if n.listener != nil {
 			n.listener.Retire()
 			n.retired, n.listener = n.listener, nil
 		}
-	case lifecycle.OpenDoor:
+	case lifecycle.ResumeAccepting:
 		if err := n.openDoor(); err != nil {
 			n.log.Error("the door stays closed", "error", err)
-			n.service.Shut = true // so that it is tried again
+			n.service.NotAccepting = true // so that it is tried again
 		}
-	case lifecycle.SendAway:
+	case lifecycle.CloseAll:
 		n.core.Leave(n.service.PassThrough)
 		n.acceptor.TurnAway()
 	}
--- a/cmd/lichenhitch/operate.go
+++ b/cmd/lichenhitch/operate.go
@@ -32,7 +32,7 @@
 		return errLeaving
 	case n.service.Drained:
 		return errDrained
-	case n.service.Succeeded:
+	case n.service.Superseded:
 		return errSucceeded
 	case !n.ready || n.listener == nil:
 		if err := n.usable(); err != nil {
--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -115,7 +115,7 @@
 	n.acceptor.Retune(set)
 	n.connector.Retune(set.ConnectTimeout)
 	n.discovery.Retune(set)
-	n.service.Within = lifecycle.StayWithin(longest)
+	n.service.MaxStay = lifecycle.MaxStay(longest)
 	return nil
 }
 
--- a/cmd/lichenhitch/share.go
+++ b/cmd/lichenhitch/share.go
@@ -62,11 +62,11 @@
 		if st.Drained {
 			wish = lifecycle.Drain
 		}
-		n.service = n.service.Ask(wish, n.loop.Now())
+		n.service = n.service.Apply(wish, n.loop.Now())
 	}
-	if succeeded := st.Succeeded(n.number); succeeded != n.service.Succeeded {
+	if succeeded := st.Succeeded(n.number); succeeded != n.service.Superseded {
 		n.log.Info("another process has the address", "yes", succeeded)
-		n.service = n.service.Succeed(succeeded, n.loop.Now())
+		n.service = n.service.SetSuperseded(succeeded, n.loop.Now())
 	}
 	n.budget()
 	n.pace()
@@ -98,7 +98,7 @@
 		return
 	}
 	usable := n.usable() == nil
-	if n.listener == nil && !n.service.Shut && (usable || !n.shared.Preceded(n.number)) {
+	if n.listener == nil && !n.service.NotAccepting && (usable || !n.shared.Preceded(n.number)) {
 		if err := n.openDoor(); err != nil {
 			n.log.Error("the door stays closed", "error", err)
 		}
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -14,14 +14,14 @@
 
 var update = flag.Bool("update", false, "write the table of transitions into the design page")
 
-// every calls f with every state and event that can be told apart.
-func every(f func(s State, e Event)) {
-	for p := Coming; p <= Over; p++ {
+// forEachStep calls f with every reachable state and every event that Step can distinguish.
+func forEachStep(f func(s State, e Event)) {
+	for p := NotArrived; p <= Finished; p++ {
 		for _, inherited := range []bool{false, true} {
 			for made := range uint16(3) {
 				s := State{Phase: p, Inherited: inherited, Attempts: made}
-				if s.Out() && made == 0 || p == Coming && (made > 0 || inherited) || inherited && p != Coming && made == 0 {
-					continue // no such state is ever reached
+				if s.HasHostConn() && made == 0 || p == NotArrived && (made > 0 || inherited) || inherited && p != NotArrived && made == 0 {
+					continue // unreachable
 				}
 				for k := range Kind(kinds) {
 					f(s, Event{Kind: k, Attempt: made})
@@ -37,62 +37,63 @@
 	}
 }
 
-// TestEveryStepKeepsTheBooks looks at each transition by itself. What follows from several of them is for the models.
-func TestEveryStepKeepsTheBooks(t *testing.T) {
-	every(func(s State, e Event) {
+// TestEveryStepIsConsistent checks each transition by itself: answers, timers, attempts and notifications match the change
+// of state. The models under rehearsal check sequences of transitions.
+func TestEveryStepIsConsistent(t *testing.T) {
+	forEachStep(func(s State, e Event) {
 		next, f := Step(s, e)
 		at := fmt.Sprintf("%+v %s/%d -> %+v: %s", s, e.Kind, e.Attempt, next, f)
-		answers, told := 0, false
+		answers, notified := 0, false
 		for i := range f.Len() {
 			if f.At(i).Answers() {
 				answers++
 			}
-			tells := f.At(i) >= TellArrival && f.At(i) <= TellOver
-			require.False(t, told && !tells, "the balancer is told before the rest has happened: %s", at)
-			told = told || tells
+			notifies := f.At(i) >= NotifyArrival && f.At(i) <= NotifyOver
+			require.False(t, notified && !notifies, "the balancer is notified before the other effects: %s", at)
+			notified = notified || notifies
 		}
 		switch {
-		case s.Owed() && !next.Owed() && e.Kind != ClientGone:
-			require.Equal(t, 1, answers, "the final answer: %s", at)
+		case s.AwaitsAnswer() && !next.AwaitsAnswer() && e.Kind != ClientGone:
+			require.Equal(t, 1, answers, "exactly one final answer: %s", at)
 		default:
-			require.Zero(t, answers, "an answer that is not owed: %s", at)
+			require.Zero(t, answers, "an answer to a client that does not wait for one: %s", at)
 		}
-		require.Equal(t, next.Owed() && !s.Owed(), f.Has(Guard), "the guard starts: %s", at)
-		require.Equal(t, s.Owed() && !next.Owed() && e.Kind != Deadline, f.Has(Unguard), "the guard stops: %s", at)
-		require.Equal(t, f.Has(Send), next.Phase == Trying && (s.Phase != Trying || next.Attempts != s.Attempts), at)
-		if f.Has(Send) {
-			require.False(t, s.Out(), "two attempts: %s", at)
+		require.Equal(t, next.AwaitsAnswer() && !s.AwaitsAnswer(), f.Has(StartDeadline), "StartDeadline: %s", at)
+		require.Equal(t, s.AwaitsAnswer() && !next.AwaitsAnswer() && e.Kind != Deadline, f.Has(StopDeadline), "StopDeadline: %s", at)
+		require.Equal(t, f.Has(SendAttempt), next.Phase == Trying && (s.Phase != Trying || next.Attempts != s.Attempts), at)
+		if f.Has(SendAttempt) {
+			require.False(t, s.HasHostConn(), "two attempts at once: %s", at)
 			require.Equal(t, s.Attempts+1, next.Attempts, at)
 		} else {
-			require.Equal(t, s.Attempts+map[bool]uint16{true: 1}[s.Phase == Coming && e.Kind == Adopt], next.Attempts, at)
+			require.Equal(t, s.Attempts+map[bool]uint16{true: 1}[s.Phase == NotArrived && e.Kind == Adopt], next.Attempts, at)
 		}
 		closes := f.Has(CloseAttempt) || f.Has(EndAttempt)
-		itself := e.Kind == HostEnded || e.Kind == HostServed || e.Kind == PassOn
-		require.Equal(t, s.Out() && !next.Out() && !itself, closes, "the attempt is closed: %s", at)
-		require.Equal(t, s.Phase == Trying && next.Phase != Trying || s.Phase == Waiting && s.Inherited && next.Phase == Over,
-			f.Has(Unwatch), "the timer stops: %s", at)
-		heard := s.Out() && !next.Out() && (!s.Inherited || s.Phase == Up)
-		require.Equal(t, heard, f.Has(TellEnded) || f.Has(TellOver), "the balancer hears of the end: %s", at)
-		require.Equal(t, next.Phase == Over && s.Phase != Over, f.Has(Forget), at)
-		if s.Phase == Over {
-			require.Equal(t, s, next, "nothing leads on from over: %s", at)
+		notByNode := e.Kind == HostEnded || e.Kind == HostServed || e.Kind == HandOver
+		require.Equal(t, s.HasHostConn() && !next.HasHostConn() && !notByNode, closes, "the node closes the connection to the host: %s", at)
+		require.Equal(t, s.Phase == Trying && next.Phase != Trying || s.Phase == Waiting && s.Inherited && next.Phase == Finished,
+			f.Has(StopTimer), "StopTimer: %s", at)
+		known := s.HasHostConn() && !next.HasHostConn() && (!s.Inherited || s.Phase == Established)
+		require.Equal(t, known, f.Has(NotifyEnded) || f.Has(NotifyOver), "the balancer is notified of the end: %s", at)
+		require.Equal(t, next.Phase == Finished && s.Phase != Finished, f.Has(Forget), at)
+		if s.Phase == Finished {
+			require.Equal(t, s, next, "Finished is final: %s", at)
 		}
 		if e.Kind.ofAttempt() && e.Attempt != s.Attempts {
 			require.Equal(t, s, next, at)
-			require.Zero(t, f.Len(), "a late word has no effect: %s", at)
+			require.Zero(t, f.Len(), "an event of another attempt has no effect: %s", at)
 		}
 	})
 }
 
-// TestTheDesignPageTellsTheTable compares the page with the code. Write it anew with -update.
-func TestTheDesignPageTellsTheTable(t *testing.T) {
+// TestDesignPageTableIsCurrent compares the table on the design page with the code. The flag -update rewrites the table.
+func TestDesignPageTableIsCurrent(t *testing.T) {
 	const page, begin, end = "../../docs/design/life.md", "<!-- table -->\n", "<!-- end of table -->\n"
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
 	before, rest, found := strings.Cut(string(text), begin)
-	require.True(t, found, "the page has no table")
+	require.True(t, found, "the page has no <!-- table --> marker")
 	_, after, found := strings.Cut(rest, end)
-	require.True(t, found, "the table has no end")
+	require.True(t, found, "the page has no <!-- end of table --> marker")
 	want := before + begin + table() + end + after
 	if *update {
 		require.NoError(t, os.WriteFile(page, []byte(want), 0o644))
@@ -101,22 +102,22 @@
 	assert.Equal(t, want, string(text), "run go test ./internal/lifecycle -update")
 }
 
-// table renders all transitions but those that change nothing.
+// table renders all transitions that have effects other than LogUnexpected.
 func table() string {
 	var b strings.Builder
 	b.WriteString("| in | event | to | effects, in order |\n| --- | --- | --- | --- |\n")
 	for _, inherited := range []bool{false, true} {
-		for p := Coming; p <= Over; p++ {
+		for p := NotArrived; p <= Finished; p++ {
 			for k := range Kind(kinds) {
 				s := State{Phase: p, Inherited: inherited}
-				if p != Coming && (p != Waiting || inherited) {
+				if p != NotArrived && (p != Waiting || inherited) {
 					s.Attempts = 1
 				}
-				if p == Coming && (inherited || k > ArriveAt) {
+				if p == NotArrived && (inherited || k > ArriveInherited) {
 					continue
 				}
 				next, f := Step(s, Event{Kind: k, Attempt: s.Attempts})
-				if f.Len() == 0 || f.Has(Complain) {
+				if f.Len() == 0 || f.Has(LogUnexpected) {
 					continue
 				}
 				name := p.String()
@@ -130,46 +131,46 @@
 	return b.String()
 }
 
-func TestSilenceIsToldFromACalmLine(t *testing.T) {
+func TestUnresponsiveAndStuckHosts(t *testing.T) {
 	const now = time.Hour
-	var w Watch
-	assert.False(t, w.HostSilent(0, now), "nothing was asked")
-	w.Ask(now)
-	w.Ask(now + 5*time.Second) // the oldest line counts
-	assert.False(t, w.HostSilent(0, now+SilentAfter-1))
-	assert.True(t, w.HostSilent(0, now+SilentAfter))
-	assert.True(t, w.HostSilent(now-1, now+SilentAfter), "what it said before the line proves nothing")
-	assert.False(t, w.HostSilent(now, now+SilentAfter), "it has spoken since, on another connection")
+	var w ResponseWatch
+	assert.False(t, w.HostUnresponsive(0, now), "the client has sent nothing")
+	w.LineSent(now)
+	w.LineSent(now + 5*time.Second) // the oldest unanswered line counts
+	assert.False(t, w.HostUnresponsive(0, now+UnresponsiveAfter-1))
+	assert.True(t, w.HostUnresponsive(0, now+UnresponsiveAfter))
+	assert.True(t, w.HostUnresponsive(now-1, now+UnresponsiveAfter), "input from before the line is no answer")
+	assert.False(t, w.HostUnresponsive(now, now+UnresponsiveAfter), "the host has sent something since, on another connection")
 	assert.False(t, w.Stuck(now+StuckAfter-1))
 	assert.True(t, w.Stuck(now+StuckAfter))
-	w.Hear()
+	w.HostAnswered()
 	assert.False(t, w.Stuck(now+time.Hour))
 }
 
-func TestDeparture(t *testing.T) {
-	type look struct {
-		after          time.Duration
-		owed, standing int
-		want           Order
+func TestShutdown(t *testing.T) {
+	type step struct {
+		after                time.Duration
+		waiting, established int
+		want                 Command
 	}
 	for name, c := range map[string]struct {
 		pass  bool
-		looks []look
+		steps []step
 	}{
-		"all answered": {false, []look{{0, 0, 3, Stay}, {AcceptOn - 1, 0, 3, Stay}, {AcceptOn, 1, 3, CloseDoor},
-			{AcceptOn, 1, 3, Stay}, {AcceptOn + 1, 0, 3, SendAway}, {AcceptOn + 2, 0, 0, Stay}}},
-		"out of time": {false, []look{{AcceptOn, 1, 0, CloseDoor}, {StayWithin(time.Minute) - 1, 1, 0, Stay},
-			{StayWithin(time.Minute), 1, 0, SendAway}}},
-		"packets pass through": {true, []look{{AcceptOn, 0, 2, CloseDoor}, {AcceptOn, 0, 2, Stay},
-			{time.Second, 0, 1, Stay}, {time.Second, 0, 0, SendAway}}},
+		"all answered": {false, []step{{0, 0, 3, NoCommand}, {AcceptAfterSIGTERM - 1, 0, 3, NoCommand}, {AcceptAfterSIGTERM, 1, 3, StopAccepting},
+			{AcceptAfterSIGTERM, 1, 3, NoCommand}, {AcceptAfterSIGTERM + 1, 0, 3, CloseAll}, {AcceptAfterSIGTERM + 2, 0, 0, NoCommand}}},
+		"deadline reached": {false, []step{{AcceptAfterSIGTERM, 1, 0, StopAccepting}, {MaxStay(time.Minute) - 1, 1, 0, NoCommand},
+			{MaxStay(time.Minute), 1, 0, CloseAll}}},
+		"pass-through": {true, []step{{AcceptAfterSIGTERM, 0, 2, StopAccepting}, {AcceptAfterSIGTERM, 0, 2, NoCommand},
+			{time.Second, 0, 1, NoCommand}, {time.Second, 0, 0, CloseAll}}},
 	} {
-		d := Departure{PassThrough: c.pass, Within: StayWithin(time.Minute)}
-		for i, l := range c.looks {
-			var got Order
-			d, got = d.Step(l.after, l.owed, l.standing)
-			assert.Equal(t, l.want, got, "%s, look %d", name, i)
+		d := Shutdown{PassThrough: c.pass, MaxStay: MaxStay(time.Minute)}
+		for i, l := range c.steps {
+			var got Command
+			d, got = d.Step(l.after, l.waiting, l.established)
+			assert.Equal(t, l.want, got, "%s, step %d", name, i)
 		}
 	}
-	assert.Equal(t, 2600*time.Millisecond, StayWithin(2*time.Second))
-	assert.Equal(t, 3600*time.Millisecond, StayWithin(time.Minute))
+	assert.Equal(t, 2600*time.Millisecond, MaxStay(2*time.Second))
+	assert.Equal(t, 3600*time.Millisecond, MaxStay(time.Minute))
 }
--- a/internal/lifecycle/service.go
+++ b/internal/lifecycle/service.go
@@ -3,112 +3,114 @@
 import "time"
 
 const (
-	// emptyWithin is how long a node that drains takes to move its clients: by 4 s all must have been (PROTOCOL's rule
-	// on lost connections), and the last ones need a moment.
-	emptyWithin = 3 * time.Second
-	// easeEvery is the pause between two rounds of moves.
-	easeEvery = 100 * time.Millisecond
+	// moveAllWithin is how long a draining node takes to move its clients. All must have been moved by 4 s (PROTOCOL's
+	// rule on lost connections), and the last moves need a moment to complete.
+	moveAllWithin = 3 * time.Second
+	// moveInterval is the pause between two rounds of moves.
+	moveInterval = 100 * time.Millisecond
 )
 
-// Wish is what the node itself is asked for.
-type Wish uint8
+// Operation is a request to the node as a whole. String returns the name under which traces print it.
+type Operation uint8
 
-// The wishes. Each may come at any moment and any number of times; a node that leaves goes on leaving.
+// The operations. Each may be requested at any time and any number of times. Terminate cannot be undone.
 const (
-	Drain    Wish = iota // empty the node, but stay
-	Activate             // the drain is over
-	Depart               // leave for good: SIGTERM
+	Drain     Operation = iota // move all clients away, but keep the process running
+	Activate                   // end the drain
+	Terminate                  // shut down: SIGTERM
 )
 
-var wishNames = [...]string{"drain", "activate", "depart"}
+var operationNames = [...]string{"drain", "activate", "depart"}
 
-func (w Wish) String() string { return wishNames[w] }
+func (w Operation) String() string { return operationNames[w] }
 
-// Service is what a process of a node is to its clients: it serves; or it drains, which may be taken back; or another
-// process of the node has taken the address over, which ends where that process does; or it leaves. The zero value but
-// for its first two fields serves.
+// Service is the serving state of one process of a node. The process serves; or it drains, until Activate; or it is
+// superseded, which means that another process of the node has taken over the address, until that process exits; or it
+// shuts down. A value of which only PassThrough and MaxStay are set serves.
 type Service struct {
-	PassThrough bool
-	Within      time.Duration // how long the process may stay once it leaves; see StayWithin
-	Drained     bool
-	Succeeded   bool
-	Leaving     bool
-	Shut        bool          // the door is closed
-	Since       time.Duration // when the clients began to be moved
-	EasedAt     time.Duration // when some last were
-	Left        time.Duration // when the process began to leave
-	Departure   Departure
+	PassThrough  bool
+	MaxStay      time.Duration // how long the process may stay after SIGTERM; see the function MaxStay
+	Drained      bool
+	Superseded   bool
+	Leaving      bool          // Terminate was requested
+	NotAccepting bool          // the listener is closed
+	MovingSince  time.Duration // when the process began to move its clients
+	MovedAt      time.Duration // the last round of moves
+	LeavingSince time.Duration // when Terminate was requested
+	Shutdown     Shutdown
 }
 
-// Ask takes a wish at a time of the node's clock.
-func (s Service) Ask(w Wish, now time.Duration) Service {
+// Apply performs an operation at the given time of the node's clock.
+func (s Service) Apply(w Operation, now time.Duration) Service {
 	switch w {
 	case Drain:
-		s = s.empties(now)
+		s = s.startMoving(now)
 		s.Drained = true
 	case Activate:
 		s.Drained = false
-	case Depart:
+	case Terminate:
 		if !s.Leaving {
-			s.Leaving, s.Left = true, now
-			s.Departure = Departure{PassThrough: s.PassThrough, Within: s.Within}
+			s.Leaving, s.LeavingSince = true, now
+			s.Shutdown = Shutdown{PassThrough: s.PassThrough, MaxStay: s.MaxStay}
 		}
 	}
 	return s
 }
 
-// Succeed takes the news whether another process has taken the address over.
-func (s Service) Succeed(succeeded bool, now time.Duration) Service {
-	if succeeded {
-		s = s.empties(now)
+// SetSuperseded records whether another process has taken over the address.
+func (s Service) SetSuperseded(superseded bool, now time.Duration) Service {
+	if superseded {
+		s = s.startMoving(now)
 	}
-	s.Succeeded = succeeded
+	s.Superseded = superseded
 	return s
 }
 
-// empties notes when the clients begin to be moved.
-func (s Service) empties(now time.Duration) Service {
-	if !s.Drained && !s.Succeeded {
-		s.Since, s.EasedAt = now, 0
+// startMoving records when the process begins to move its clients, unless it already does.
+func (s Service) startMoving(now time.Duration) Service {
+	if !s.Drained && !s.Superseded {
+		s.MovingSince, s.MovedAt = now, 0
 	}
 	return s
 }
 
-// Serving says whether clients that come to the node's address are wanted there: what PING asks. A process that was
-// succeeded answers for the other one, should it still be asked.
-func (s Service) Serving() bool { return !s.Drained && (!s.Leaving || s.Succeeded) }
+// Serving reports whether the node's address takes new clients; the answer to PING depends on it. A superseded process
+// that is asked answers for the process that took over.
+func (s Service) Serving() bool { return !s.Drained && (!s.Leaving || s.Superseded) }
 
-// Done says whether a process that leaves may end now; see Departure.Done.
-func (s Service) Done(now time.Duration, finishing int) bool {
-	return s.Leaving && s.Departure.Done(now-s.Left, finishing)
+// Done reports whether a process that shuts down may exit now; see Shutdown.Done.
+func (s Service) Done(now time.Duration, lingering int) bool {
+	return s.Leaving && s.Shutdown.Done(now-s.LeavingSince, lingering)
 }
 
-// Quiet says whether nothing is to be done until the next wish or news: Step need not be called.
-func (s Service) Quiet() bool { return !s.Drained && !s.Leaving && !s.Succeeded && !s.Shut }
+// Idle reports whether there is nothing to do until the next call of Apply or SetSuperseded, so that Step need not be
+// called.
+func (s Service) Idle() bool { return !s.Drained && !s.Leaving && !s.Superseded && !s.NotAccepting }
 
-// Step says what to do at a time, when so many queries are owed an answer and so many connections stand, and how many
-// clients are to be moved for Ease. It is to be called every few milliseconds while the process is not Quiet.
-func (s Service) Step(now time.Duration, owed, standing int) (Service, Order, int) {
+// Step returns what to do now, for the given numbers of requests that wait for their final answer and of established
+// connections, and with MoveSome the number of clients to move. It must be called every few milliseconds while the
+// process is not Idle.
+func (s Service) Step(now time.Duration, waiting, established int) (Service, Command, int) {
 	switch {
-	case s.Succeeded && !s.Shut:
-		s.Shut = true
-		return s, CloseDoor, 0
-	case !s.Succeeded && s.Shut && !s.Leaving:
-		s.Shut = false
-		return s, OpenDoor, 0
+	case s.Superseded && !s.NotAccepting:
+		s.NotAccepting = true
+		return s, StopAccepting, 0
+	case !s.Superseded && s.NotAccepting && !s.Leaving:
+		s.NotAccepting = false
+		return s, ResumeAccepting, 0
 	}
 	if s.Leaving {
-		s.Departure.Closed = s.Departure.Closed || s.Shut
-		var order Order
-		if s.Departure, order = s.Departure.Step(now-s.Left, owed, standing); order != Stay {
-			s.Shut = true
-			return s, order, 0
+		s.Shutdown.AcceptStopped = s.Shutdown.AcceptStopped || s.NotAccepting
+		var command Command
+		if s.Shutdown, command = s.Shutdown.Step(now-s.LeavingSince, waiting, established); command != NoCommand {
+			s.NotAccepting = true
+			return s, command, 0
 		}
 	}
-	if !s.Drained && !s.Succeeded || s.PassThrough || standing == 0 || now-s.EasedAt < easeEvery {
-		return s, Stay, 0
+	if !s.Drained && !s.Superseded || s.PassThrough || established == 0 || now-s.MovedAt < moveInterval {
+		return s, NoCommand, 0
 	}
-	s.EasedAt = now
-	rounds := max(1, int((s.Since+emptyWithin-now)/easeEvery))
-	return s, Ease, (standing + rounds - 1) / rounds
+	s.MovedAt = now
+	rounds := max(1, int((s.MovingSince+moveAllWithin-now)/moveInterval))
+	return s, MoveSome, (established + rounds - 1) / rounds
 }
--- a/internal/lifecycle/service_test.go
+++ b/internal/lifecycle/service_test.go
@@ -7,111 +7,111 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestService plays wishes and steps and compares what the node is to its clients, and what it is ordered, after each.
+// TestService applies operations and steps, and after each compares the serving state and the command that is returned.
 func TestService(t *testing.T) {
 	const ms = time.Millisecond
-	type at struct {
-		now      time.Duration
-		wish     string // "" for a step
-		owed     int
-		standing int
-		serving  bool
-		order    Order
-		count    int
+	type event struct {
+		now         time.Duration
+		operation   string // "" for a step; "succeeded" and "alone" for SetSuperseded
+		waiting     int
+		established int
+		serving     bool
+		command     Command
+		count       int
 	}
-	wishes := map[string]Wish{"drain": Drain, "activate": Activate, "depart": Depart}
+	operations := map[string]Operation{"drain": Drain, "activate": Activate, "depart": Terminate}
 	for name, c := range map[string]struct {
 		pass  bool
-		steps []at
+		steps []event
 	}{
-		"clients are moved evenly, and all by the end": {steps: []at{
-			{now: 1000 * ms, wish: "drain"},
-			{now: 1000 * ms, standing: 300, order: Ease, count: 10},
-			{now: 1050 * ms, standing: 290},
-			{now: 1100 * ms, standing: 290, order: Ease, count: 10},
-			{now: 2500 * ms, standing: 150, order: Ease, count: 10},
-			{now: 3900 * ms, standing: 10, order: Ease, count: 10},
-			{now: 4000 * ms, standing: 3, order: Ease, count: 3},
-			{now: 9000 * ms, standing: 2, order: Ease, count: 2},
+		"clients are moved at an even rate, and all within the time limit": {steps: []event{
+			{now: 1000 * ms, operation: "drain"},
+			{now: 1000 * ms, established: 300, command: MoveSome, count: 10},
+			{now: 1050 * ms, established: 290},
+			{now: 1100 * ms, established: 290, command: MoveSome, count: 10},
+			{now: 2500 * ms, established: 150, command: MoveSome, count: 10},
+			{now: 3900 * ms, established: 10, command: MoveSome, count: 10},
+			{now: 4000 * ms, established: 3, command: MoveSome, count: 3},
+			{now: 9000 * ms, established: 2, command: MoveSome, count: 2},
 			{now: 9100 * ms},
 		}},
-		"a drain asked for twice goes on as it was, and one activate ends it": {steps: []at{
-			{now: 1000 * ms, wish: "drain"},
-			{now: 3500 * ms, wish: "drain"},
-			{now: 3500 * ms, standing: 10, order: Ease, count: 2},
-			{now: 3600 * ms, wish: "activate", serving: true},
-			{now: 3700 * ms, standing: 8, serving: true},
-			{now: 3800 * ms, wish: "activate", serving: true},
-			{now: 9000 * ms, wish: "drain"},
-			{now: 9000 * ms, standing: 60, order: Ease, count: 2},
+		"a second drain changes nothing, and one activate ends the drain": {steps: []event{
+			{now: 1000 * ms, operation: "drain"},
+			{now: 3500 * ms, operation: "drain"},
+			{now: 3500 * ms, established: 10, command: MoveSome, count: 2},
+			{now: 3600 * ms, operation: "activate", serving: true},
+			{now: 3700 * ms, established: 8, serving: true},
+			{now: 3800 * ms, operation: "activate", serving: true},
+			{now: 9000 * ms, operation: "drain"},
+			{now: 9000 * ms, established: 60, command: MoveSome, count: 2},
 		}},
-		"packets that pass through are carried on": {pass: true, steps: []at{
-			{now: 1000 * ms, wish: "drain"},
-			{now: 9000 * ms, standing: 5},
-			{now: 9000 * ms, wish: "activate", serving: true},
+		"in pass-through mode no client is moved": {pass: true, steps: []event{
+			{now: 1000 * ms, operation: "drain"},
+			{now: 9000 * ms, established: 5},
+			{now: 9000 * ms, operation: "activate", serving: true},
 		}},
-		"SIGTERM in a drain, which nothing takes back": {steps: []at{
-			{now: 1000 * ms, wish: "drain"},
-			{now: 2000 * ms, wish: "depart"},
-			{now: 2100 * ms, standing: 19, order: Ease, count: 1},
-			{now: 2200 * ms, wish: "activate"},
-			{now: 2499 * ms, owed: 1},
-			{now: 2500 * ms, owed: 1, order: CloseDoor},
-			{now: 2600 * ms, wish: "depart"},
-			{now: 2600 * ms, owed: 1},
-			{now: 2700 * ms, order: SendAway},
+		"SIGTERM during a drain, which activate does not undo": {steps: []event{
+			{now: 1000 * ms, operation: "drain"},
+			{now: 2000 * ms, operation: "depart"},
+			{now: 2100 * ms, established: 19, command: MoveSome, count: 1},
+			{now: 2200 * ms, operation: "activate"},
+			{now: 2499 * ms, waiting: 1},
+			{now: 2500 * ms, waiting: 1, command: StopAccepting},
+			{now: 2600 * ms, operation: "depart"},
+			{now: 2600 * ms, waiting: 1},
+			{now: 2700 * ms, command: CloseAll},
 			{now: 2800 * ms},
 		}},
-		"a process that is succeeded closes its door at once and stays until its clients are gone": {pass: true, steps: []at{
-			{now: 1000 * ms, wish: "succeeded", serving: true},
-			{now: 1001 * ms, owed: 1, serving: true, order: CloseDoor},
-			{now: 1002 * ms, standing: 3, serving: true},
-			{now: 2000 * ms, wish: "depart", serving: true},
+		"a superseded process stops accepting at once and stays until its clients are gone": {pass: true, steps: []event{
+			{now: 1000 * ms, operation: "succeeded", serving: true},
+			{now: 1001 * ms, waiting: 1, serving: true, command: StopAccepting},
+			{now: 1002 * ms, established: 3, serving: true},
+			{now: 2000 * ms, operation: "depart", serving: true},
 			{now: 2010 * ms, serving: true},
-			{now: 2499 * ms, standing: 3, serving: true},
-			{now: 2500 * ms, standing: 3, serving: true},
-			{now: 4600 * ms, standing: 3, serving: true, order: SendAway},
+			{now: 2499 * ms, established: 3, serving: true},
+			{now: 2500 * ms, established: 3, serving: true},
+			{now: 4600 * ms, established: 3, serving: true, command: CloseAll},
 		}},
-		"one whose successor dies opens its door again": {steps: []at{
-			{now: 1000 * ms, wish: "succeeded", serving: true},
-			{now: 1001 * ms, standing: 60, serving: true, order: CloseDoor},
-			{now: 1021 * ms, standing: 60, serving: true, order: Ease, count: 3},
-			{now: 1040 * ms, wish: "alone", serving: true},
-			{now: 1041 * ms, standing: 57, serving: true, order: OpenDoor},
-			{now: 1200 * ms, standing: 57, serving: true},
-			{now: 5000 * ms, wish: "succeeded", serving: true},
-			{now: 5001 * ms, standing: 30, serving: true, order: CloseDoor},
-			{now: 5021 * ms, standing: 30, serving: true, order: Ease, count: 2},
+		"a process accepts again when the one that superseded it dies": {steps: []event{
+			{now: 1000 * ms, operation: "succeeded", serving: true},
+			{now: 1001 * ms, established: 60, serving: true, command: StopAccepting},
+			{now: 1021 * ms, established: 60, serving: true, command: MoveSome, count: 3},
+			{now: 1040 * ms, operation: "alone", serving: true},
+			{now: 1041 * ms, established: 57, serving: true, command: ResumeAccepting},
+			{now: 1200 * ms, established: 57, serving: true},
+			{now: 5000 * ms, operation: "succeeded", serving: true},
+			{now: 5001 * ms, established: 30, serving: true, command: StopAccepting},
+			{now: 5021 * ms, established: 30, serving: true, command: MoveSome, count: 2},
 		}},
-		"one that leaves already does not open it again": {pass: true, steps: []at{
-			{now: 1000 * ms, wish: "succeeded", serving: true},
-			{now: 1001 * ms, owed: 1, serving: true, order: CloseDoor},
-			{now: 1100 * ms, wish: "depart", serving: true},
-			{now: 1200 * ms, wish: "alone"},
-			{now: 1300 * ms, standing: 1},
-			{now: 1700 * ms, order: SendAway},
+		"a process that shuts down does not accept again": {pass: true, steps: []event{
+			{now: 1000 * ms, operation: "succeeded", serving: true},
+			{now: 1001 * ms, waiting: 1, serving: true, command: StopAccepting},
+			{now: 1100 * ms, operation: "depart", serving: true},
+			{now: 1200 * ms, operation: "alone"},
+			{now: 1300 * ms, established: 1},
+			{now: 1700 * ms, command: CloseAll},
 		}},
-		"a drain and a successor at once": {pass: true, steps: []at{
-			{now: 1000 * ms, wish: "drain"},
-			{now: 1500 * ms, wish: "succeeded"},
-			{now: 1500 * ms, standing: 1, order: CloseDoor},
-			{now: 1600 * ms, wish: "activate", serving: true},
+		"superseded during a drain": {pass: true, steps: []event{
+			{now: 1000 * ms, operation: "drain"},
+			{now: 1500 * ms, operation: "succeeded"},
+			{now: 1500 * ms, established: 1, command: StopAccepting},
+			{now: 1600 * ms, operation: "activate", serving: true},
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := Service{PassThrough: c.pass, Within: StayWithin(2 * time.Second)}
+			s := Service{PassThrough: c.pass, MaxStay: MaxStay(2 * time.Second)}
 			for _, a := range c.steps {
-				var order Order
+				var command Command
 				var count int
-				switch a.wish {
+				switch a.operation {
 				case "":
-					s, order, count = s.Step(a.now, a.owed, a.standing)
+					s, command, count = s.Step(a.now, a.waiting, a.established)
 				case "succeeded", "alone":
-					s = s.Succeed(a.wish == "succeeded", a.now)
+					s = s.SetSuperseded(a.operation == "succeeded", a.now)
 				default:
-					s = s.Ask(wishes[a.wish], a.now)
+					s = s.Apply(operations[a.operation], a.now)
 				}
-				assert.Equal(t, a.order, order, "%+v", a)
+				assert.Equal(t, a.command, command, "%+v", a)
 				assert.Equal(t, a.count, count, "%+v", a)
 				assert.Equal(t, a.serving, s.Serving(), "%+v", a)
 			}
@@ -119,24 +119,24 @@
 	}
 }
 
-// A process that leaves ends once its clients have taken their last words, at the latest before it is killed.
-func TestAProcessEndsOnceItsLastWordsWereTaken(t *testing.T) {
+// A process that shuts down exits once its clients have read their final answers, and in any case before it is killed.
+func TestProcessExitsOnceFinalAnswersWereRead(t *testing.T) {
 	const longest = 2 * time.Second
-	killed := longest + 700*time.Millisecond // the earliest moment, by PROTOCOL's figures
+	killTime := longest + 700*time.Millisecond // the earliest time, from the figures in PROTOCOL
 	for name, c := range map[string]struct {
-		gone      bool
+		allClosed bool
 		after     time.Duration
-		finishing int
+		lingering int
 		want      bool
 	}{
-		"not before it has sent all away":    {after: AcceptOn},
-		"all have taken their last words":    {gone: true, after: AcceptOn, want: true},
-		"one has not":                        {gone: true, after: AcceptOn, finishing: 1},
-		"one has not, to the last moment":    {gone: true, after: StayWithin(longest), finishing: 1},
-		"one never does, and the kill nears": {gone: true, after: killed - 40*time.Millisecond, finishing: 1, want: true},
+		"not before CloseAll":                              {after: AcceptAfterSIGTERM},
+		"no lingering connection":                          {allClosed: true, after: AcceptAfterSIGTERM, want: true},
+		"one lingering connection":                         {allClosed: true, after: AcceptAfterSIGTERM, lingering: 1},
+		"one lingering connection, at the end of the stay": {allClosed: true, after: MaxStay(longest), lingering: 1},
+		"one lingering connection, just before the kill":   {allClosed: true, after: killTime - 40*time.Millisecond, lingering: 1, want: true},
 	} {
-		s := Service{Within: StayWithin(longest)}.Ask(Depart, time.Hour)
-		s.Departure.Gone = c.gone
-		assert.Equal(t, c.want, s.Done(time.Hour+c.after, c.finishing), name)
+		s := Service{MaxStay: MaxStay(longest)}.Apply(Terminate, time.Hour)
+		s.Shutdown.AllClosed = c.allClosed
+		assert.Equal(t, c.want, s.Done(time.Hour+c.after, c.lingering), name)
 	}
 }
--- a/internal/query/bound.go
+++ b/internal/query/bound.go
@@ -92,7 +92,7 @@
 		switch q.state.Phase {
 		case lifecycle.Trying:
 			trying[q.server] = true
-		case lifecycle.Up:
+		case lifecycle.Established:
 			standing[q.server] = true
 		}
 	}
@@ -122,7 +122,7 @@
 	}
 	groups, of := map[string]float64{}, map[string]int{}
 	for _, q := range c.queries {
-		if q.state.Phase == lifecycle.Up {
+		if q.state.Phase == lifecycle.Established {
 			l.Worth[string(q.server)] += worth(q.arrival.Class)
 			if q.arrival.Group != "" {
 				groups[q.arrival.Group] += worth(q.arrival.Class)
--- a/internal/query/count.go
+++ b/internal/query/count.go
@@ -147,12 +147,12 @@
 // note takes a step of a query, from was to where it is now, before its effects are carried out.
 func (n *counter) note(q *Query, was lifecycle.State, k lifecycle.Kind, todo *lifecycle.Effects, d *news) {
 	switch {
-	case todo.Has(lifecycle.Complain):
+	case todo.Has(lifecycle.LogUnexpected):
 		n.fired(GuardImpossible)
 	case q.state.Inherited:
-	case was.Owed() && !q.state.Owed():
+	case was.AwaitsAnswer() && !q.state.AwaitsAnswer():
 		n.answered(q, k, todo)
-	case was.Phase == lifecycle.Up && q.state.Phase == lifecycle.Over:
+	case was.Phase == lifecycle.Established && q.state.Phase == lifecycle.Finished:
 		n.ended(q, k, d)
 	}
 }
@@ -163,7 +163,7 @@
 	left := q.Left()
 	t.offered++
 	switch {
-	case q.state.Phase == lifecycle.Up:
+	case q.state.Phase == lifecycle.Established:
 		t.served++
 		n.stood(a.Class, a.TimeLeft-left)
 	case todo.Has(lifecycle.AnswerServed):
@@ -195,7 +195,7 @@
 func (n *counter) ended(q *Query, k lifecycle.Kind, d *news) {
 	t := n.of(q.arrival.Class, q.arrival.Tenant)
 	switch {
-	case k == lifecycle.ClientGone, k == lifecycle.PassOn, k == lifecycle.HostServed:
+	case k == lifecycle.ClientGone, k == lifecycle.HandOver, k == lifecycle.HostServed:
 	case k == lifecycle.HostEnded && d.outcome == balance.Cancelled:
 		t.moves++
 	case k == lifecycle.HostEnded, k == lifecycle.Move && d.outcome == balance.Reset:
--- a/internal/query/count_test.go
+++ b/internal/query/count_test.go
@@ -308,7 +308,7 @@
 				w.silence = false
 			case n < 13:
 				Try{p.query, p.query.state.Attempts}.Up(nil)
-			case n < 16 && p.query.state.Out():
+			case n < 16 && p.query.state.HasHostConn():
 				p.ends([]balance.Outcome{balance.OK, balance.Reset, balance.Full, balance.Errored, balance.Cancelled}[r.IntN(5)])
 			case n == 16:
 				p.leaves()
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -189,7 +189,7 @@
 func (c *Core) Standing() int {
 	n := 0
 	for _, q := range c.queries {
-		if q.state.Phase == lifecycle.Up {
+		if q.state.Phase == lifecycle.Established {
 			n++
 		}
 	}
@@ -199,7 +199,7 @@
 // oldest returns the oldest connections that stand, so many of them.
 func (c *Core) oldest(n int) (all []*Query) {
 	for _, q := range c.queries {
-		if q.state.Phase == lifecycle.Up {
+		if q.state.Phase == lifecycle.Established {
 			all = append(all, q)
 		}
 	}
@@ -219,7 +219,7 @@
 func (c *Core) Carry(n int, take func(Client, Attempt, balance.Arrival, balance.ServerID) bool) {
 	for _, q := range c.oldest(n) {
 		if take(q.client, q.attempt, q.arrival, q.server) {
-			q.step(lifecycle.Event{Kind: lifecycle.PassOn}, &news{outcome: balance.Cancelled})
+			q.step(lifecycle.Event{Kind: lifecycle.HandOver}, &news{outcome: balance.Cancelled})
 		}
 	}
 }
@@ -420,7 +420,7 @@
 	attempt Attempt
 	sentAt  time.Duration
 	sendBy  time.Duration // when the attempt that is out may not be sent any more; 0: at any time
-	watch   lifecycle.Watch
+	watch   lifecycle.ResponseWatch
 	guard   Timer // of the deadline
 	timer   Timer // of the attempt's time-out, or of the pause before the next
 }
@@ -447,7 +447,7 @@
 	e := lifecycle.Event{Kind: lifecycle.Arrive}
 	if at != "" {
 		a.TimeLeft = inheritedWait
-		e.Kind = lifecycle.ArriveAt
+		e.Kind = lifecycle.ArriveInherited
 	}
 	c.keep()
 	q := &Query{core: c, client: client, arrival: a, at: at, until: c.clock.Now() + a.TimeLeft}
@@ -472,7 +472,7 @@
 	was := q.state
 	next, todo := q.core.rule(was, e)
 	q.state = next
-	if was.Owed() && !next.Owed() {
+	if was.AwaitsAnswer() && !next.AwaitsAnswer() {
 		q.core.owed--
 	}
 	if n := q.core.counter; n != nil {
@@ -486,21 +486,21 @@
 func (q *Query) carryOut(f lifecycle.Effect, k lifecycle.Kind, d *news) {
 	c := q.core
 	switch f {
-	case lifecycle.Guard:
+	case lifecycle.StartDeadline:
 		q.guard = c.clock.After(q.Left()+guardAfter, Due{Kind: DueGuard, Request: q.arrival.Request})
-	case lifecycle.Unguard:
+	case lifecycle.StopDeadline:
 		q.guard.Stop()
-	case lifecycle.Send:
+	case lifecycle.SendAttempt:
 		q.send(d)
-	case lifecycle.Unwatch:
+	case lifecycle.StopTimer:
 		q.timer.Stop()
-	case lifecycle.Pause:
+	case lifecycle.StartRetryPause:
 		q.timer = c.clock.After(inheritedRetry, Due{Kind: DueRetry, Request: q.arrival.Request})
 	case lifecycle.CloseAttempt:
 		q.attempt.End(true)
 	case lifecycle.EndAttempt:
 		q.attempt.End(d.clean)
-	case lifecycle.AnswerUp:
+	case lifecycle.AnswerEstablished:
 		q.client.Up(d.word)
 	case lifecycle.AnswerServed:
 		q.client.Served(d.word)
@@ -520,7 +520,7 @@
 		q.client.End(d.clean)
 	case lifecycle.Forget:
 		delete(c.queries, q.arrival.Request)
-	case lifecycle.Complain:
+	case lifecycle.LogUnexpected:
 		c.log.Warn("an event without a place in a query's life", "event", k.String(), "phase", q.state.Phase.String(),
 			"attempts", q.state.Attempts)
 	default:
@@ -535,17 +535,17 @@
 func (q *Query) tell(f lifecycle.Effect, d *news) {
 	c, id := q.core, q.arrival.Request
 	switch f {
-	case lifecycle.TellArrival:
+	case lifecycle.NotifyArrival:
 		c.feed(q.arrival)
-	case lifecycle.TellInherited:
+	case lifecycle.NotifyInherited:
 		c.feed(balance.Inherited{Arrival: q.arrival, Server: q.at})
-	case lifecycle.TellEstablished:
+	case lifecycle.NotifyEstablished:
 		c.feed(balance.Established{Request: id, Attempt: q.number(), Took: c.clock.Now() - q.sentAt})
-	case lifecycle.TellDeparted:
+	case lifecycle.NotifyDeparted:
 		c.feed(balance.Departed{Request: id})
-	case lifecycle.TellEnded, lifecycle.TellOver:
+	case lifecycle.NotifyEnded, lifecycle.NotifyOver:
 		c.feed(balance.Ended{Request: id, Attempt: q.number(), Outcome: d.outcome, Took: c.clock.Now() - q.sentAt,
-			Final: f == lifecycle.TellOver, Report: d.report})
+			Final: f == lifecycle.NotifyOver, Report: d.report})
 	}
 }
 
@@ -576,7 +576,7 @@
 	case DueGuard:
 		q.step(lifecycle.Event{Kind: lifecycle.Deadline}, &news{outcome: balance.TimedOut, after: q.core.comeBack})
 	case DueAttempt:
-		q.step(lifecycle.Event{Kind: lifecycle.AttemptLate, Attempt: q.state.Attempts}, &news{outcome: q.lateOutcome()})
+		q.step(lifecycle.Event{Kind: lifecycle.AttemptTimedOut, Attempt: q.state.Attempts}, &news{outcome: q.lateOutcome()})
 	case DueRetry:
 		q.step(lifecycle.Event{Kind: lifecycle.Retry}, &news{})
 	}
@@ -605,14 +605,14 @@
 
 // stands says whether the try is the one that stands.
 func (t Try) stands() bool {
-	return t.query.state.Phase == lifecycle.Up && t.query.state.Attempts == t.number
+	return t.query.state.Phase == lifecycle.Established && t.query.state.Attempts == t.number
 }
 
 // Open asks, just before the first line is written, whether the host may still be sent anything. Where not, the try is
 // over when Open returns.
 func (t Try) Open() bool {
 	if c := t.query.core; c.drained(t.query.server) || c.withheld(t.query.server) || t.query.expired() {
-		t.step(lifecycle.HostDrained, &news{outcome: balance.Unsent})
+		t.step(lifecycle.HostDrainExpired, &news{outcome: balance.Unsent})
 		return false
 	}
 	return true
@@ -624,13 +624,13 @@
 }
 
 // Up says that the connection stands, with the host's own word for the client.
-func (t Try) Up(word []byte) { t.step(lifecycle.HostUp, &news{word: word}) }
+func (t Try) Up(word []byte) { t.step(lifecycle.HostEstablished, &news{word: word}) }
 
 // Lines passes lines of the host on.
 func (t Try) Lines(lines []byte) {
 	if t.stands() {
 		q := t.query
-		q.watch.Hear()
+		q.watch.HostAnswered()
 		q.core.heard[q.server] = q.core.clock.Now()
 		q.client.Pass(lines)
 	}
@@ -659,12 +659,12 @@
 
 // Behind says that the host does not take what the client sends, at the speed at which it is sent. The host may be
 // sound and still answer: the client is moved, and nothing is held against the host.
-func (t Try) Behind() { t.step(lifecycle.HostBehind, &news{outcome: balance.Cancelled}) }
+func (t Try) Behind() { t.step(lifecycle.HostNotReading, &news{outcome: balance.Cancelled}) }
 
 // ClientLines passes lines of the client on.
 func (q *Query) ClientLines(lines []byte) {
-	if q.state.Phase == lifecycle.Up {
-		q.watch.Ask(q.core.clock.Now())
+	if q.state.Phase == lifecycle.Established {
+		q.watch.LineSent(q.core.clock.Now())
 		q.attempt.Pass(lines)
 	}
 }
@@ -685,13 +685,13 @@
 func (c *Core) Leave(passThrough bool) {
 	var all []*Query
 	for _, q := range c.queries {
-		if q.state.Owed() || !passThrough {
+		if q.state.AwaitsAnswer() || !passThrough {
 			all = append(all, q)
 		}
 	}
 	inOrder(all)
 	for _, q := range all {
-		q.step(lifecycle.Event{Kind: lifecycle.Leave}, &news{outcome: balance.Cancelled, after: c.comeBack})
+		q.step(lifecycle.Event{Kind: lifecycle.NodeStopping}, &news{outcome: balance.Cancelled, after: c.comeBack})
 	}
 }
 
@@ -708,17 +708,17 @@
 	now := c.clock.Now()
 	silent, held := make(map[balance.ServerID]bool), make(map[balance.ServerID]bool)
 	for _, q := range c.queries {
-		if q.state.Phase != lifecycle.Up {
+		if q.state.Phase != lifecycle.Established {
 			continue
 		}
 		held[q.server] = true
-		if q.watch.HostSilent(c.heard[q.server], now) {
+		if q.watch.HostUnresponsive(c.heard[q.server], now) {
 			silent[q.server] = true
 		}
 	}
 	var lost []*Query
 	for _, q := range c.queries {
-		if q.state.Phase == lifecycle.Up && (silent[q.server] || q.watch.Stuck(now)) {
+		if q.state.Phase == lifecycle.Established && (silent[q.server] || q.watch.Stuck(now)) {
 			lost = append(lost, q)
 		}
 	}
--- a/rehearsal/coremodel/model.go
+++ b/rehearsal/coremodel/model.go
@@ -351,13 +351,13 @@
 		}
 	}
 	for i := range s.Clients {
-		if s.Clients[i].Life.Phase == lifecycle.Up {
+		if s.Clients[i].Life.Phase == lifecycle.Established {
 			r.covered |= 1 << sawUp
 		}
 		if q := &s.Clients[i]; q.Life.Phase == lifecycle.Trying && !q.Life.Inherited && int(q.Life.Attempts) == most {
 			r.covered |= 1 << sawLast
 		}
-		if i < w.Clients() && w.Held(i) && s.Clients[i].Life.Owed() {
+		if i < w.Clients() && w.Held(i) && s.Clients[i].Life.AwaitsAnswer() {
 			r.covered |= 1 << sawHeld
 		}
 	}
@@ -402,7 +402,7 @@
 		case stage == lifemodel.Dialing:
 			add(lifemodel.Connect, c, g, 0)
 			add(lifemodel.NoLuck, c, g, 0)
-		case stage == lifemodel.Sent && q.Phase == lifecycle.Up:
+		case stage == lifemodel.Sent && q.Phase == lifecycle.Established:
 			add(lifemodel.Clog, c, g, 0)
 			add(lifemodel.Garble, c, g, 0)
 			add(lifemodel.Break, c, g, 0)
@@ -563,7 +563,7 @@
 	for c := range min(n, w.Clients()) {
 		q, seen, stage, g := w.State(c)
 		m := &f.s.Clients[c]
-		over := q.Phase == lifecycle.Over
+		over := q.Phase == lifecycle.Finished
 		tries := q.Attempts
 		if q.Inherited {
 			tries = min(tries, 2)
--- a/rehearsal/lifemodel/describe.go
+++ b/rehearsal/lifemodel/describe.go
@@ -124,7 +124,7 @@
 		all = append(all, "the first line is written")
 	case a.Link != NoLink && b.Link == NoLink && (b.Held || a.Link == Dialing):
 		all = append(all, "the connection is closed")
-	case b.Link != NoLink && b.Life.Phase == lifecycle.Over:
+	case b.Link != NoLink && b.Life.Phase == lifecycle.Finished:
 		all = append(all, "the connection is left open")
 	}
 	return strings.Join(all, ", ")
--- a/rehearsal/lifemodel/model.go
+++ b/rehearsal/lifemodel/model.go
@@ -18,7 +18,7 @@
 	scenario   *Scenario
 	only       *[ops]bool // the steps that a scenario has; nil: all
 	rule       func(lifecycle.State, lifecycle.Event) (lifecycle.State, lifecycle.Effects)
-	depart     func(d lifecycle.Departure, after time.Duration, owed, standing int) (lifecycle.Departure, lifecycle.Order)
+	depart     func(d lifecycle.Shutdown, after time.Duration, owed, standing int) (lifecycle.Shutdown, lifecycle.Command)
 }
 
 // New returns the model for a fleet, with a planted bug if one is named.
@@ -31,7 +31,7 @@
 	case attempts < 1 || attempts > MaxAttempts:
 		return nil, fmt.Errorf("attempts: %d is not within 1 to %d", attempts, MaxAttempts)
 	}
-	m := &Model{Gateways: gateways, Clients: clients, Attempts: attempts, rule: lifecycle.Step, depart: lifecycle.Departure.Step}
+	m := &Model{Gateways: gateways, Clients: clients, Attempts: attempts, rule: lifecycle.Step, depart: lifecycle.Shutdown.Step}
 	if plantName == "" {
 		return m, nil
 	}
@@ -94,9 +94,9 @@
 			bit[uint64](q.Seen == Finished, sawThrottled) |
 			bit[uint64](q.Life.Phase == lifecycle.Trying && int(q.Life.Attempts) == m.Attempts && q.Class != Inherited,
 				sawLastAttempt) |
-			bit[uint64](q.Held && q.Life.Owed(), sawHeld) |
-			bit[uint64](q.Life.Owed() && s.Stay != Serving && s.Stay != Stopped, sawLeavingOwed) |
-			bit[uint64](q.Life.Phase == lifecycle.Up && s.Stay == Stopped, sawPassed) |
+			bit[uint64](q.Held && q.Life.AwaitsAnswer(), sawHeld) |
+			bit[uint64](q.Life.AwaitsAnswer() && s.Stay != Serving && s.Stay != Stopped, sawLeavingOwed) |
+			bit[uint64](q.Life.Phase == lifecycle.Established && s.Stay == Stopped, sawPassed) |
 			bit[uint64](q.Life.Phase == lifecycle.Waiting && q.Life.Inherited, sawInherited)
 		if q.Link == NoLink {
 			continue
@@ -110,7 +110,7 @@
 				bit[uint64](q.Link == Dialing && gw.Told.past(), sawPastDial) |
 				bit[uint64](gw.Stale, sawStaleOut) |
 				bit[uint64](q.Life.Phase == lifecycle.Trying && gw.Told >= Gone, sawGoneOut) |
-				bit[uint64](q.Life.Phase == lifecycle.Up && gw.Cond == Silent, sawSilentUp) |
+				bit[uint64](q.Life.Phase == lifecycle.Established && gw.Cond == Silent, sawSilentUp) |
 				bit[uint64](q.Class != Inherited && gw.Told == Ready && !gw.Tried[c], sawBackTried)
 		}
 	}
--- a/rehearsal/lifemodel/plants.go
+++ b/rehearsal/lifemodel/plants.go
@@ -10,7 +10,7 @@
 // plant is a planted bug, by its place in plants. Plants are changes of the model's copy of a rule; the daemon has none.
 type plant int
 
-// The plants that change the world's side of a rule. All others wrap lifecycle.Step or lifecycle.Departure.Step.
+// The plants that change the world's side of a rule. All others wrap lifecycle.Step or lifecycle.Shutdown.Step.
 const (
 	plantNone plant = iota
 	plantGuardLate
@@ -28,7 +28,7 @@
 	name   string
 	about  string
 	rule   rule
-	depart func(lifecycle.Departure, time.Duration, int, int) (lifecycle.Departure, lifecycle.Order)
+	depart func(lifecycle.Shutdown, time.Duration, int, int) (lifecycle.Shutdown, lifecycle.Command)
 }
 
 // Plant tells of a planted bug.
@@ -106,53 +106,53 @@
 	{name: "answer-twice", about: "a refused query goes on waiting, and is answered again",
 		rule: staying(lifecycle.Waiting, lifecycle.Refuse)},
 	{name: "time-out-leaves-attempt", about: "the time-out does not close the attempt",
-		rule: dropping(lifecycle.CloseAttempt, lifecycle.AttemptLate)},
+		rule: dropping(lifecycle.CloseAttempt, lifecycle.AttemptTimedOut)},
 	{name: "deadline-leaves-attempt", about: "the guard answers and leaves the attempt out",
 		rule: dropping(lifecycle.CloseAttempt, lifecycle.Deadline)},
 	{name: "answer-to-the-gone", about: "a client that leaves while its attempt is out is not noted as gone",
 		rule: staying(lifecycle.Trying, lifecycle.ClientGone)},
 	{name: "late-words", about: "words of an attempt that is over are taken for the present one's",
 		rule: func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
-			if e.Kind >= lifecycle.HostUp {
+			if e.Kind >= lifecycle.HostEstablished {
 				e.Attempt = s.Attempts
 			}
 			return lifecycle.Step(s, e)
 		}},
 	{name: "served-in-silence", about: "a query that is served to its end at once gets no line",
 		rule: dropping(lifecycle.AnswerServed)},
-	{name: "guard-forgotten", about: "the guard of the deadline is not started", rule: dropping(lifecycle.Guard)},
-	{name: "guard-goes-on", about: "the guard is not stopped by the answer", rule: dropping(lifecycle.Unguard, lifecycle.HostUp)},
+	{name: "guard-forgotten", about: "the guard of the deadline is not started", rule: dropping(lifecycle.StartDeadline)},
+	{name: "guard-goes-on", about: "the guard is not stopped by the answer", rule: dropping(lifecycle.StopDeadline, lifecycle.HostEstablished)},
 	{name: "time-out-goes-on", about: "the time-out of an attempt is not stopped when the host is up",
-		rule: dropping(lifecycle.Unwatch, lifecycle.HostUp)},
+		rule: dropping(lifecycle.StopTimer, lifecycle.HostEstablished)},
 	{name: "told-too-early", about: "the balancer hears of the time-out before the attempt is closed",
 		rule: func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
 			next, todo := lifecycle.Step(s, e)
-			if e.Kind == lifecycle.AttemptLate && todo.Has(lifecycle.TellEnded) {
+			if e.Kind == lifecycle.AttemptTimedOut && todo.Has(lifecycle.NotifyEnded) {
 				todo = without(todo, lifecycle.CloseAttempt)
 				todo.Add(lifecycle.CloseAttempt)
 			}
 			return next, todo
 		}},
 	{name: "end-not-told", about: "the balancer does not hear that an attempt timed out",
-		rule: dropping(lifecycle.TellEnded, lifecycle.AttemptLate)},
+		rule: dropping(lifecycle.NotifyEnded, lifecycle.AttemptTimedOut)},
 	{name: "end-told-twice", about: "the balancer hears twice that a connection ended",
 		rule: func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
 			next, todo := lifecycle.Step(s, e)
-			if s.Phase == lifecycle.Up && e.Kind == lifecycle.HostEnded && todo.Len() > 0 {
-				todo.Add(lifecycle.TellOver)
+			if s.Phase == lifecycle.Established && e.Kind == lifecycle.HostEnded && todo.Len() > 0 {
+				todo.Add(lifecycle.NotifyOver)
 			}
 			return next, todo
 		}},
 	{name: "cut-without-move", about: "a client is cut off without MOVE when its host does not keep up",
-		rule: dropping(lifecycle.MoveClient, lifecycle.HostBehind)},
+		rule: dropping(lifecycle.MoveClient, lifecycle.HostNotReading)},
 	{name: "end-without-word", about: "the host's end of a connection does not reach the client",
 		rule: dropping(lifecycle.EndClient)},
 	{name: "left-unanswered", about: "a node that stops leaves a waiting client without an answer",
-		rule: dropping(lifecycle.AnswerFail, lifecycle.Leave)},
+		rule: dropping(lifecycle.AnswerFail, lifecycle.NodeStopping)},
 	{name: "never-leaves", about: "a leaving node waits for the last connection for ever",
-		depart: func(d lifecycle.Departure, after time.Duration, owed, standing int) (lifecycle.Departure, lifecycle.Order) {
+		depart: func(d lifecycle.Shutdown, after time.Duration, owed, standing int) (lifecycle.Shutdown, lifecycle.Command) {
 			if owed+standing > 0 {
-				after = min(after, lifecycle.AcceptOn)
+				after = min(after, lifecycle.AcceptAfterSIGTERM)
 			}
 			return d.Step(after, owed+standing, standing)
 		}},
@@ -160,10 +160,10 @@
 		rule: func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
 			next, todo := lifecycle.Step(s, e)
 			if s.Phase == lifecycle.Trying && e.Kind == lifecycle.HostEnded && next.Phase == lifecycle.Waiting {
-				next.Phase = lifecycle.Over
-				todo = without(todo, lifecycle.TellEnded)
-				todo.Add(lifecycle.Unguard)
-				todo.Add(lifecycle.TellOver)
+				next.Phase = lifecycle.Finished
+				todo = without(todo, lifecycle.NotifyEnded)
+				todo.Add(lifecycle.StopDeadline)
+				todo.Add(lifecycle.NotifyOver)
 			}
 			return next, todo
 		}},
--- a/rehearsal/lifemodel/steps.go
+++ b/rehearsal/lifemodel/steps.go
@@ -153,14 +153,14 @@
 	b := uint32(s.Bad)
 	for c := range m.Clients {
 		q := &s.Clients[c]
-		over := q.Life.Phase == lifecycle.Over
+		over := q.Life.Phase == lifecycle.Finished
 		if over && q.Link != NoLink {
 			b |= 1 << badLeftOut
 		}
 		if over && q.Seen == Served && s.Stay != Stopped {
 			b |= 1 << badCut
 		}
-		if q.Guard != q.Life.Owed() || q.Timer != (q.Life.Phase == lifecycle.Trying ||
+		if q.Guard != q.Life.AwaitsAnswer() || q.Timer != (q.Life.Phase == lifecycle.Trying ||
 			q.Life.Phase == lifecycle.Waiting && q.Life.Inherited) {
 			b |= 1 << badTimer
 		}
@@ -180,7 +180,7 @@
 // expected is what the balancer should know of a query.
 func (q *Client) expected() Book {
 	switch {
-	case q.Life.Phase == lifecycle.Up:
+	case q.Life.Phase == lifecycle.Established:
 		return Standing
 	case q.Life.Inherited:
 		return NoEntry
@@ -258,7 +258,7 @@
 // keeps its gateway in mind.
 func (r *run) settle() {
 	q := &r.s.Clients[r.c]
-	if q.Link == NoLink && !(q.Class == Inherited && q.Life.Owed()) {
+	if q.Link == NoLink && !(q.Class == Inherited && q.Life.AwaitsAnswer()) {
 		for g := range r.s.Gateways {
 			r.s.Gateways[g].Out[r.c] = false
 		}
@@ -266,7 +266,7 @@
 	if q.Life.Inherited && q.Life.Attempts > 2 {
 		q.Life.Attempts = 2 // only which is the one that is out matters
 	}
-	if q.Life.Phase != lifecycle.Over || q.Link != NoLink {
+	if q.Life.Phase != lifecycle.Finished || q.Link != NoLink {
 		return
 	}
 	q.Life.Attempts, q.Life.Inherited, q.Class = min(q.Life.Attempts, 1), false, Safe
@@ -283,15 +283,15 @@
 		return
 	}
 	switch f {
-	case lifecycle.Guard:
+	case lifecycle.StartDeadline:
 		q.Guard = true
-	case lifecycle.Unguard:
+	case lifecycle.StopDeadline:
 		q.Guard = false
-	case lifecycle.Send:
+	case lifecycle.SendAttempt:
 		r.send()
-	case lifecycle.Unwatch:
+	case lifecycle.StopTimer:
 		q.Timer = false
-	case lifecycle.Pause:
+	case lifecycle.StartRetryPause:
 		q.Timer = true
 	case lifecycle.CloseAttempt, lifecycle.EndAttempt:
 		r.hangUp()
@@ -299,24 +299,24 @@
 		if q.Seen == Served {
 			q.Seen = Finished
 		}
-	case lifecycle.Complain:
+	case lifecycle.LogUnexpected:
 		r.bad(badPlace)
-	case lifecycle.TellArrival:
+	case lifecycle.NotifyArrival:
 		r.book(Open, NoEntry)
-	case lifecycle.TellInherited:
+	case lifecycle.NotifyInherited:
 		r.book(Standing, NoEntry)
-	case lifecycle.TellEstablished:
+	case lifecycle.NotifyEstablished:
 		r.book(Standing, Pending)
-	case lifecycle.TellEnded:
+	case lifecycle.NotifyEnded:
 		r.closed()
 		r.book(Open, Pending)
-	case lifecycle.TellDeparted:
+	case lifecycle.NotifyDeparted:
 		if q.Book == Pending {
 			q.Book = Parted
 		} else {
 			r.book(NoEntry, Open)
 		}
-	case lifecycle.TellOver:
+	case lifecycle.NotifyOver:
 		r.closed()
 		if q.Book != Parted && q.Book != Standing {
 			r.book(NoEntry, Pending)
@@ -355,7 +355,7 @@
 	if f == lifecycle.AnswerThrottle && q.Ran && !q.Class.refusable() && q.Class != Inherited {
 		r.bad(badRefusal)
 	}
-	if q.Seen = Finished; f == lifecycle.AnswerUp {
+	if q.Seen = Finished; f == lifecycle.AnswerEstablished {
 		q.Seen = Served
 	}
 }
@@ -415,7 +415,7 @@
 			t := &r.s.Clients[c]
 			sent := t.Link == Sent // an attempt whose connection never came up has not run
 			t.MayRun, t.Ran, t.Timer = t.MayRun || sent, t.Ran || sent, false
-			r.event(lifecycle.AttemptLate)
+			r.event(lifecycle.AttemptTimedOut)
 			yield(Code(Overdue, c, 0, 0), r.s)
 		case q.Life.Inherited:
 			r := run{m: m, s: *s, c: c, to: s.link(c)}
@@ -460,7 +460,7 @@
 	n.Clients[c].Class = Inherited
 	for g := range m.Gateways {
 		r := run{m: m, s: n, c: c, to: g}
-		r.event(lifecycle.ArriveAt)
+		r.event(lifecycle.ArriveInherited)
 		yield(Code(Ask, c, g, int(Inherited)), r.s)
 	}
 }
@@ -520,9 +520,9 @@
 		}
 		return
 	}
-	up := q.Life.Phase == lifecycle.Up
+	up := q.Life.Phase == lifecycle.Established
 	if gw.Cond == Sound && !up {
-		said(SayUp, lifecycle.HostUp, false, true)
+		said(SayUp, lifecycle.HostEstablished, false, true)
 		said(SayServed, lifecycle.HostServed, true, true)
 		said(SayFull, lifecycle.HostEnded, true, false)
 		said(SayError, lifecycle.HostEnded, true, true)
@@ -531,7 +531,7 @@
 		said(Garble, lifecycle.HostFaulty, false, true)
 	}
 	if up {
-		said(Clog, lifecycle.HostBehind, false, true)
+		said(Clog, lifecycle.HostNotReading, false, true)
 	}
 	said(Break, lifecycle.HostEnded, true, true)
 }
@@ -541,7 +541,7 @@
 	r := run{m: m, s: *s, c: c}
 	gw := &r.s.Gateways[g]
 	if gw.Told.past() && !gw.Unseen && m.plant != plantDrainedDial {
-		r.event(lifecycle.HostDrained)
+		r.event(lifecycle.HostDrainExpired)
 	} else {
 		if gw.Told.past() {
 			r.bad(badDrain)
@@ -555,13 +555,13 @@
 func (m *Model) lateWords(s *State, c int, yield func(model.Step, State)) {
 	q := &s.Clients[c].Life
 	number := q.Attempts
-	if q.Out() {
+	if q.HasHostConn() {
 		if number < 2 {
 			return
 		}
 		number--
 	}
-	for i, k := range [...]lifecycle.Kind{lifecycle.HostUp, lifecycle.HostEnded} {
+	for i, k := range [...]lifecycle.Kind{lifecycle.HostEstablished, lifecycle.HostEnded} {
 		r := run{m: m, s: *s, c: c, late: true}
 		r.numbered(k, number)
 		yield(Code(LateUp+Op(i), c, 0, 0), r.s)
@@ -629,11 +629,11 @@
 func (m *Model) nodeSteps(s *State, yield func(model.Step, State)) {
 	owed, standing := 0, 0
 	for c := range m.Clients {
-		owed += bit2int(s.Clients[c].Life.Owed())
-		standing += bit2int(s.Clients[c].Life.Phase == lifecycle.Up)
+		owed += bit2int(s.Clients[c].Life.AwaitsAnswer())
+		standing += bit2int(s.Clients[c].Life.Phase == lifecycle.Established)
 	}
-	const within = 4 * lifecycle.AcceptOn
-	looks := [...]time.Duration{lifecycle.AcceptOn, within}
+	const within = 4 * lifecycle.AcceptAfterSIGTERM
+	looks := [...]time.Duration{lifecycle.AcceptAfterSIGTERM, within}
 	switch s.Stay {
 	case Serving:
 		n := *s
@@ -641,17 +641,17 @@
 		yield(Code(Term, 0, 0, 0), n)
 	case Leaving:
 		for i, pass := range []bool{false, true} {
-			d := lifecycle.Departure{PassThrough: pass, Within: within}
-			if _, order := m.depart(d, lifecycle.AcceptOn, owed, standing); order == lifecycle.CloseDoor {
+			d := lifecycle.Shutdown{PassThrough: pass, MaxStay: within}
+			if _, order := m.depart(d, lifecycle.AcceptAfterSIGTERM, owed, standing); order == lifecycle.StopAccepting {
 				n := *s
 				n.Stay = DoorShut + Stay(i)
 				yield(Code(ShutDoor, 0, 0, i), n)
 			}
 		}
 	case DoorShut, DoorShut2:
-		d := lifecycle.Departure{PassThrough: s.Stay == DoorShut2, Within: within, Closed: true}
+		d := lifecycle.Shutdown{PassThrough: s.Stay == DoorShut2, MaxStay: within, AcceptStopped: true}
 		for i, after := range looks {
-			if _, order := m.depart(d, after, owed, standing); order == lifecycle.SendAway {
+			if _, order := m.depart(d, after, owed, standing); order == lifecycle.CloseAll {
 				yield(Code(SendOff, 0, 0, i), m.sendOff(s, d.PassThrough))
 				return
 			}
@@ -664,8 +664,8 @@
 	r := run{m: m, s: *s}
 	for c := range m.Clients {
 		r.c = c
-		if q := &r.s.Clients[c]; q.Life.Owed() || q.Life.Phase == lifecycle.Up && !pass {
-			r.event(lifecycle.Leave)
+		if q := &r.s.Clients[c]; q.Life.AwaitsAnswer() || q.Life.Phase == lifecycle.Established && !pass {
+			r.event(lifecycle.NodeStopping)
 		}
 	}
 	for c := range m.Clients {
--- a/rehearsal/script/do.go
+++ b/rehearsal/script/do.go
@@ -479,10 +479,10 @@
 		is, should bool
 		yes, no    string // what is wrong when it is so, and when it is not
 	}{
-		{c.seen == lifemodel.Asking, q.Owed(), "its client waits for an answer", "its client does not wait for an answer"},
-		{c.seen == lifemodel.Served, q.Phase == lifecycle.Up, "its client is served", "its client is not served"},
-		{c.link != nil, q.Out(), "a connection to a host is open", "no connection to a host is open"},
-		{running[query.DueGuard], q.Owed(), "the guard of its deadline runs", "no guard of its deadline runs"},
+		{c.seen == lifemodel.Asking, q.AwaitsAnswer(), "its client waits for an answer", "its client does not wait for an answer"},
+		{c.seen == lifemodel.Served, q.Phase == lifecycle.Established, "its client is served", "its client is not served"},
+		{c.link != nil, q.HasHostConn(), "a connection to a host is open", "no connection to a host is open"},
+		{running[query.DueGuard], q.AwaitsAnswer(), "the guard of its deadline runs", "no guard of its deadline runs"},
 		{running[query.DueAttempt], q.Phase == lifecycle.Trying, "the time-out of an attempt runs", "no time-out of its attempt runs"},
 		{running[query.DueRetry], q.Phase == lifecycle.Waiting && q.Inherited, "the pause between two tries runs",
 			"no pause between two tries runs"},
@@ -491,7 +491,7 @@
 			w.Rules.Note(w.now, fmt.Sprintf("query %d is %s, and %s", c.id+1, q.Phase, map[bool]string{true: fit.yes, false: fit.no}[fit.is]))
 		}
 	}
-	if b := w.tap.books[balance.RequestID(c.id+1)]; b != nil && b.pending != q.Out() {
+	if b := w.tap.books[balance.RequestID(c.id+1)]; b != nil && b.pending != q.HasHostConn() {
 		w.Rules.Note(w.now, fmt.Sprintf("query %d is %s, and for the balancer an attempt is pending: %v", c.id+1, q.Phase, b.pending))
 	}
 }
--- a/rehearsal/script/world.go
+++ b/rehearsal/script/world.go
@@ -46,7 +46,7 @@
 // How long a connection may bring nothing back for a line of the client's: where nothing else comes from its host, and
 // in any case. The sweep adds a moment.
 const (
-	silentFor = lifecycle.SilentAfter + 200*time.Millisecond
+	silentFor = lifecycle.UnresponsiveAfter + 200*time.Millisecond
 	stuckFor  = lifecycle.StuckAfter + 200*time.Millisecond
 )
 
@@ -308,7 +308,7 @@
 // hostSilent says whether some connection at a client's host has waited for a second, with nothing heard from there.
 func (w *World) hostSilent(c *client) bool {
 	for _, o := range w.client {
-		if o.askedAt > 0 && o.server == c.server && w.now-o.askedAt >= lifecycle.SilentAfter && w.heard[o.server] < o.askedAt {
+		if o.askedAt > 0 && o.server == c.server && w.now-o.askedAt >= lifecycle.UnresponsiveAfter && w.heard[o.server] < o.askedAt {
 			return true
 		}
 	}
