--- a/cmd/lichenhitch/affairs_test.go
+++ b/cmd/lichenhitch/affairs_test.go
@@ -188,7 +188,7 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		require.Equal(t, "UP r1\r\nBYE\r\n", ask(n.addr))
-		n.loop.Call(func() { held = n.loop.Links() })
+		n.loop.Call(func() { held = n.loop.Conns() })
 		most = max(most, held)
 	}
 	assert.LessOrEqual(t, most, cfg.Sockets-ownSockets-of.All)
--- a/cmd/lichenhitch/main.go
+++ b/cmd/lichenhitch/main.go
@@ -135,7 +135,7 @@
 	n.publishSettings()
 	links := n.sockets - ownSockets
 	var err error
-	n.loop, err = evloop.Start(log, evloop.Limits{Links: links, Queued: cfg.MemoryMB << 20 / queuedPart / n.sockets})
+	n.loop, err = evloop.Start(log, evloop.Limits{Conns: links, Queued: cfg.MemoryMB << 20 / queuedPart / n.sockets})
 	if err != nil {
 		return nil, err
 	}
@@ -295,7 +295,7 @@
 	if !n.pacing {
 		return
 	}
-	if n.service.Done(n.loop.Now(), n.loop.Finishing()) {
+	if n.service.Done(n.loop.Now(), n.loop.Lingering()) {
 		close(n.empty)
 		return
 	}
@@ -308,7 +308,7 @@
 		n.core.Ease(count)
 	case lifecycle.StopAccepting:
 		if n.listener != nil {
-			n.listener.Retire()
+			n.listener.DrainAndClose()
 			n.retired, n.listener = n.listener, nil
 		}
 	case lifecycle.ResumeAccepting:
--- a/cmd/lichenhitch/operate_test.go
+++ b/cmd/lichenhitch/operate_test.go
@@ -196,6 +196,6 @@
 		does(t, n.desk.Addr(), "POST /v1/hosts/a/resume")
 	}
 	var held int
-	n.loop.Call(func() { held = n.loop.Links() })
+	n.loop.Call(func() { held = n.loop.Conns() })
 	assert.LessOrEqual(t, held, cfg.Sockets-ownSockets)
 }
--- a/cmd/lichenhitch/pass.go
+++ b/cmd/lichenhitch/pass.go
@@ -130,7 +130,7 @@
 func (n *node) adopt(p handover.Passed) {
 	var host *backend.Adopted
 	var client *clientconn.Conn
-	if err := n.loop.Adopt(p.Host, p.HostUnread, func(link *evloop.Link) evloop.Handler {
+	if err := n.loop.Adopt(p.Host, p.HostUnread, func(link *evloop.Conn) evloop.Handler {
 		host = n.connector.Adopt(link)
 		return host
 	}); err != nil {
@@ -139,7 +139,7 @@
 		_ = unix.Close(p.Client)
 		return
 	}
-	err := n.loop.Adopt(p.Client, p.ClientUnread, func(link *evloop.Link) evloop.Handler {
+	err := n.loop.Adopt(p.Client, p.ClientUnread, func(link *evloop.Conn) evloop.Handler {
 		client = n.acceptor.Adopt(link, p.ID)
 		return client
 	})
--- a/cmd/lichenhitch/scarcity_test.go
+++ b/cmd/lichenhitch/scarcity_test.go
@@ -47,7 +47,7 @@
 		assert.Equal(t, "UP r1", c.hear())
 	}
 	assert.Len(t, second.firstLines(), 5)
-	n.loop.Call(func() { assert.LessOrEqual(t, n.loop.Links(), fewSockets-ownSockets) })
+	n.loop.Call(func() { assert.LessOrEqual(t, n.loop.Conns(), fewSockets-ownSockets) })
 }
 
 // All nodes start at once, and discovery takes its time for each call: they are ready without it.
--- a/cmd/lichenhitch/share.go
+++ b/cmd/lichenhitch/share.go
@@ -126,7 +126,7 @@
 		return
 	}
 	links := max(n.sockets-ownSockets-held-n.governs, fewestLinks)
-	n.loop.Limit(links)
+	n.loop.SetMaxConns(links)
 	n.acceptor.Limit(max(links-probeSockets, fewestLinks))
 	if others != n.others {
 		debug.SetMemoryLimit(memoryLimit(n.cfg.MemoryMB) / int64(others+1))
@@ -148,7 +148,7 @@
 
 // publish tells how many descriptors this process holds, unless that is known.
 func (n *node) publish() {
-	mine := n.loop.Links() + ownSockets + n.governs
+	mine := n.loop.Conns() + ownSockets + n.governs
 	i := slices.IndexFunc(n.shared.Processes, func(p handover.Process) bool { return p.Number == n.number })
 	if i >= 0 && n.shared.Processes[i].Links != mine {
 		n.store.Own(func(p *handover.Process) { p.Links = mine }, func(handover.State, error) {})
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -22,7 +22,7 @@
 type Adopted struct{ attempt }
 
 // Adopt makes a handler of such a connection.
-func (h *Connector) Adopt(link *evloop.Link) *Adopted {
+func (h *Connector) Adopt(link *evloop.Conn) *Adopted {
 	return &Adopted{attempt{connector: h, link: link, sent: true, up: true}}
 }
 
@@ -32,7 +32,7 @@
 // Resume hands on what has come.
 func (a *Adopted) Resume() { a.link.Resume() }
 
-// Detach takes the connection of an attempt out of the loop for another process; see evloop.Link.Detach.
+// Detach takes the connection of an attempt out of the loop for another process; see evloop.Conn.Detach.
 func Detach(q query.Attempt) (fd int, unread []byte, ok bool) {
 	a := of(q)
 	if a == nil || !a.up || a.last != none {
@@ -61,7 +61,7 @@
 type attempt struct {
 	connector *Connector
 	try       query.Try
-	link      *evloop.Link
+	link      *evloop.Conn
 	until     time.Duration
 	sent      bool // the first line is written
 	up        bool
@@ -203,11 +203,11 @@
 		return
 	}
 	o := a.outcome()
-	if errors.Is(err, evloop.ErrNoRoom) {
+	if errors.Is(err, evloop.ErrTooManyConns) {
 		o = balance.Unsent // no fault of the host's
 	}
 	// A host that has said its last word has ended in good order, whatever broke on the way.
-	a.try.Ended(o, evloop.Clean(err) || a.last != none, a.said, nil)
+	a.try.Ended(o, evloop.ClosedCleanly(err) || a.last != none, a.said, nil)
 }
 
 // Pass implements query.Attempt.
@@ -220,7 +220,7 @@
 	case !clean:
 		a.link.Abort()
 	case a.up:
-		a.link.Finish()
+		a.link.LingeringClose()
 	default:
 		a.link.Close()
 	}
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -18,7 +18,7 @@
 	connector *Connector
 	server    balance.ServerID
 	endpoint  string
-	link      *evloop.Link
+	link      *evloop.Conn
 	open      bool
 	asking    bool
 	fresh     bool // nothing was answered yet on this connection
@@ -111,7 +111,7 @@
 // Closed implements evloop.Handler. A connection that idled may be closed by the host just as it is asked.
 func (p *probe) Closed(err error) {
 	switch {
-	case errors.Is(err, evloop.ErrNoRoom):
+	case errors.Is(err, evloop.ErrTooManyConns):
 		p.end(balance.Unsent)
 	case !p.asking:
 		p.drop()
--- a/internal/clientconn/acceptor.go
+++ b/internal/clientconn/acceptor.go
@@ -68,12 +68,12 @@
 func (a *Acceptor) Limit(maxLinks int) { a.maxLinks = maxLinks }
 
 // Accept gives a connection its handler. Until it has a request, it is the first to go when there are too many.
-func (a *Acceptor) Accept(link *evloop.Link) evloop.Handler {
+func (a *Acceptor) Accept(link *evloop.Conn) evloop.Handler {
 	c := &Conn{acceptor: a, link: link}
 	c.rests = a.resting.PushBack(c)
 	c.late = a.loop.After(firstWithin, func() { c.Reject(errLate) })
-	link.LastWord(line.AppendBusy(nil, a.retry))
-	link.Spare(true)
+	link.SetEvictionMessage(line.AppendBusy(nil, a.retry))
+	link.SetEvictable(true)
 	return c
 }
 
@@ -88,7 +88,7 @@
 }
 
 // Adopt makes a Conn of a connection that stood at another process of the node, under its id. Resume must follow.
-func (a *Acceptor) Adopt(link *evloop.Link, id string) *Conn {
+func (a *Acceptor) Adopt(link *evloop.Conn, id string) *Conn {
 	a.ids[id] = true
 	return &Conn{acceptor: a, link: link, open: line.Open{ID: id}, up: true}
 }
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -24,7 +24,7 @@
 // Conn is the connection of one client.
 type Conn struct {
 	acceptor *Acceptor
-	link     *evloop.Link
+	link     *evloop.Conn
 	late     *evloop.Timer // of the first line
 	open     line.Open
 	rests    *list.Element // among the acceptor's resting clients, until a request has come
@@ -45,7 +45,7 @@
 // Idle says whether Detach would say yes.
 func (c *Conn) Idle() bool { return c.up && !c.over && c.link.Idle() }
 
-// Detach takes the connection out of the loop for another process; see evloop.Link.Detach.
+// Detach takes the connection out of the loop for another process; see evloop.Conn.Detach.
 func (c *Conn) Detach() (fd int, unread []byte, ok bool) {
 	if fd, unread, ok = c.link.Detach(); ok {
 		c.leave()
@@ -103,7 +103,7 @@
 
 // arrive brings the request to the core.
 func (c *Conn) arrive(open line.Open) {
-	if c.acceptor.loop.Held() >= c.acceptor.maxLinks {
+	if c.acceptor.loop.ActiveConns() >= c.acceptor.maxLinks {
 		c.acceptor.note(errFull)
 		c.acceptor.core.TurnedAway(open.Class, open.Tenant)
 		c.Throttle(c.acceptor.retry)
@@ -114,7 +114,7 @@
 	}
 	c.late.Stop()
 	c.endRest()
-	c.link.Spare(false)
+	c.link.SetEvictable(false)
 	c.open = open
 	c.acceptor.ids[open.ID] = true
 	c.query = c.acceptor.core.Arrive(c, balance.Arrival{Class: open.Class, Tenant: open.Tenant, Key: open.Key,
@@ -146,7 +146,7 @@
 func (c *Conn) finish(last []byte) {
 	c.leave()
 	c.link.Write(last)
-	c.link.Finish()
+	c.link.LingeringClose()
 }
 
 // leave notes that the client is gone, or as good as gone.
@@ -174,7 +174,7 @@
 func (c *Conn) Closed(err error) {
 	c.leave()
 	if c.query != nil {
-		c.query.ClientGone(evloop.Clean(err))
+		c.query.ClientGone(evloop.ClosedCleanly(err))
 	}
 }
 
@@ -206,7 +206,7 @@
 func (c *Conn) End(clean bool) {
 	c.leave()
 	if clean {
-		c.link.Finish()
+		c.link.LingeringClose()
 	} else {
 		c.link.Abort()
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -42,7 +42,7 @@
 	hosts    map[balance.ServerID]string
 	watch    watch.Watch
 	timer    *evloop.Timer // of the watch
-	link     *evloop.Link
+	link     *evloop.Conn
 	open     bool
 	first    func() // to be called once discovery has told a list
 }
--- /dev/null
+++ b/internal/evloop/close.go
@@ -0,0 +1,201 @@
+package evloop
+
+import (
+	"errors"
+	"io"
+	"os"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// This file holds every way in which a connection ends. If a socket is closed with unread input, the kernel sends a reset,
+// which can destroy data that the peer has not read yet. Each method therefore states what happens to input and output.
+
+const (
+	// lingerTimeout and lingerMaxBytes limit the time and the bytes for which a peer may still send after LingeringClose.
+	// The peer may have 60 MB in transit, and a reset would destroy an answer that it has not read yet.
+	lingerTimeout  = 3 * time.Second
+	lingerMaxBytes = 64 << 20
+	// flushPollInterval is how often LingeringClose checks whether the peer has taken all output.
+	flushPollInterval = 20 * time.Millisecond
+)
+
+// Errors of connections that this process ends itself.
+var (
+	ErrNotReading   = errors.New("peer does not read")
+	ErrTooManyConns = errors.New("too many open connections")
+)
+
+// SetEvictable sets whether the connection may be closed when there are too many. The oldest one is evicted first.
+func (k *Conn) SetEvictable(evictable bool) {
+	switch {
+	case evictable && k.evictable == nil && !k.closed:
+		k.evictable = k.loop.evictable.PushBack(k)
+	case !evictable && k.evictable != nil:
+		k.loop.evictable.Remove(k.evictable)
+		k.evictable = nil
+	}
+}
+
+// SetEvictionMessage sets what is sent to the peer if the connection is evicted. It answers a request that the peer sent
+// just before the close.
+func (k *Conn) SetEvictionMessage(message []byte) { k.evictionMessage = message }
+
+// LingeringClose shuts down the sending side once all output is sent, discards further input, and closes when the peer
+// closes or after lingerTimeout. Closing at once with unread input would send a reset, which can destroy the last output
+// before the peer has read it. The handler is not called back any more.
+func (k *Conn) LingeringClose() {
+	if k == nil || k.lingerTimer != nil {
+		return
+	}
+	if k.closed || k.conn == nil {
+		k.Close()
+		return
+	}
+	k.noCallbacks, k.inbuf, k.consumed = true, nil, 0
+	k.SetEvictable(true)
+	if k.accept != nil {
+		k.loop.lingering++
+	}
+	until := k.loop.Now() + lingerTimeout
+	var flushed func()
+	flushed = func() {
+		switch left := until - k.loop.Now(); {
+		case left <= 0:
+			k.closeNow()
+		case k.conn.OutboundBuffered() > 0:
+			k.lingerTimer = k.loop.After(min(left, flushPollInterval), flushed)
+		default:
+			_ = unix.Shutdown(k.conn.Fd(), unix.SHUT_WR)
+			k.lingerTimer = k.loop.After(left, k.closeNow)
+		}
+	}
+	flushed()
+}
+
+// Close closes the connection. Output is sent first: gnet's close writes what is queued once more.
+func (k *Conn) Close() {
+	if k != nil {
+		k.noCallbacks = true
+		k.closeNow()
+	}
+}
+
+// Abort closes the connection with a reset, as the kernel does for a process that died.
+func (k *Conn) Abort() {
+	if k != nil && !k.closed && k.conn != nil && k.conn.OutboundBuffered() == 0 {
+		_ = k.conn.SetLinger(0)
+	}
+	k.Close()
+}
+
+// closeNow closes the descriptor, or cancels the dial.
+func (k *Conn) closeNow() {
+	if k.closed {
+		return
+	}
+	k.release()
+	k.inbuf = nil
+	if k.dial != nil {
+		k.dial.cancel()
+	}
+	if k.conn != nil {
+		_ = k.loop.el.Close(k.conn)
+	}
+}
+
+// release updates the loop's counters and stops the connection's timer.
+func (k *Conn) release() {
+	k.closed = true
+	k.loop.conns--
+	k.SetEvictable(false)
+	if k.lingerTimer != nil && k.accept != nil {
+		k.loop.lingering--
+	}
+	k.lingerTimer.Stop()
+}
+
+// fail closes the connection and notifies its handler.
+func (k *Conn) fail(err error) {
+	if k.closed {
+		return
+	}
+	k.closeNow()
+	k.loop.Defer(func() { k.notifyClosed(err) })
+}
+
+// evict closes an evictable connection because there are too many.
+func (k *Conn) evict() {
+	if k.lingerTimer == nil {
+		k.Write(k.evictionMessage)
+	}
+	k.fail(ErrTooManyConns)
+}
+
+// notifyClosed calls the handler back for the last time, unless the handler has closed the connection in the meantime.
+func (k *Conn) notifyClosed(err error) {
+	if !k.noCallbacks {
+		k.handler.Closed(err)
+	}
+}
+
+// onClose handles gnet's OnClose, which gnet also calls for closes that this package requested.
+func (k *Conn) onClose(err error) {
+	if k.closed {
+		return
+	}
+	if err == nil {
+		err = io.EOF
+	}
+	if isWriteError(err) && k.lingerTimer == nil {
+		k.readUnread()
+	}
+	if k.paused {
+		k.pausedErr, k.conn = err, nil
+		return
+	}
+	k.release()
+	k.loop.Defer(func() {
+		k.deliverUnread()
+		k.notifyClosed(err)
+	})
+}
+
+// isWriteError reports whether gnet closed a connection because a write failed. Input that the peer sent before that is
+// still unread, since gnet reads no more.
+func isWriteError(err error) bool {
+	var call *os.SyscallError
+	return errors.As(err, &call) && (call.Syscall == "write" || call.Syscall == "writev")
+}
+
+// readUnread reads the input that the kernel has buffered, bypassing gnet, and returns the number of bytes. They are kept
+// for the handler.
+func (k *Conn) readUnread() int {
+	total := 0
+	for total < readUnreadMax {
+		n, err := unix.Read(k.conn.Fd(), k.loop.scratch[:])
+		if n <= 0 || err != nil {
+			break
+		}
+		k.inbuf = append(k.inbuf, k.loop.scratch[:n]...)
+		total += n
+	}
+	return total
+}
+
+// deliverUnread calls the handler for the input that arrived before the connection ended.
+func (k *Conn) deliverUnread() {
+	if len(k.inbuf) > k.consumed && !k.noCallbacks {
+		k.delivering = true
+		k.handler.Received()
+		k.delivering = false
+	}
+	k.inbuf, k.consumed = nil, 0
+}
+
+// ClosedCleanly reports whether the error of Handler.Closed is that of a peer that closed without a reset.
+func ClosedCleanly(err error) bool {
+	return errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET)
+}
--- a/internal/evloop/ending_test.go
+++ b/internal/evloop/close_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// recorder is a handler that keeps what its connection receives.
+// recorder is a handler that records what its connection receives.
 type recorder struct {
-	link     *Link
+	link     *Conn
 	received []byte
 	closed   chan error
 }
@@ -28,12 +28,12 @@
 }
 func (h *recorder) Closed(err error) { h.closed <- err }
 
-// accepted listens and returns the first connection, with its handler, and the client's end of it.
-func accepted(t *testing.T, l *Loop, prepare func(*Link)) (*recorder, *net.TCPConn) {
+// accepted opens a connection to a new listener and returns the handler of the accepted side and the client's side.
+func accepted(t *testing.T, l *Loop, prepare func(*Conn)) (*recorder, *net.TCPConn) {
 	t.Helper()
 	h := newRecorder()
 	ready := make(chan struct{})
-	ln, err := l.Listen("127.0.0.1:0", func(k *Link) Handler {
+	ln, err := l.Listen("127.0.0.1:0", func(k *Conn) Handler {
 		h.link = k
 		prepare(k)
 		close(ready)
@@ -48,8 +48,8 @@
 	return h, c.(*net.TCPConn)
 }
 
-// awaitUnread waits until the kernel holds so many bytes that the loop has not read. The loop is held meanwhile.
-func awaitUnread(t *testing.T, k *Link, want int) {
+// awaitUnread waits until the kernel has buffered at least want bytes. It runs on the loop, which reads nothing meanwhile.
+func awaitUnread(t *testing.T, k *Conn, want int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		n, err := unix.IoctlGetInt(k.conn.Fd(), unix.TIOCINQ)
@@ -57,8 +57,8 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// awaitState waits until the kernel's side of a connection is in a state of TCP.
-func awaitState(t *testing.T, k *Link, state uint8) {
+// awaitState waits until a connection is in the given TCP state.
+func awaitState(t *testing.T, k *Conn, state uint8) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		info, err := unix.GetsockoptTCPInfo(k.conn.Fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -66,12 +66,12 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-const tcpClosed = 7 // TCP_CLOSE of the kernel's tcp_states.h
+const tcpClosed = 7 // TCP_CLOSE in the kernel's tcp_states.h
 
-// A peer says its last words and resets; a write fails before the loop has read them.
-func TestWhatCameBeforeAFailedWriteIsDelivered(t *testing.T) {
+// The peer sends a last line and resets the connection, and a write fails before the loop has read that line.
+func TestInputBeforeAFailedWriteIsDelivered(t *testing.T) {
 	l := startLoop(t)
-	h, c := accepted(t, l, func(*Link) {})
+	h, c := accepted(t, l, func(*Conn) {})
 	l.Call(func() { // the loop reads nothing while this runs
 		_, err := io.WriteString(c, "BYE\r\n")
 		require.NoError(t, err)
@@ -84,59 +84,59 @@
 	assert.Error(t, <-h.closed)
 	l.Call(func() {
 		assert.Equal(t, "BYE\r\n", string(h.received))
-		assert.Zero(t, l.links)
+		assert.Zero(t, l.conns)
 	})
 }
 
-// A spare connection whose request is in the kernel's buffer when room is wanted is not closed over it.
-func TestASpareConnectionWithUnreadInputIsReadFirst(t *testing.T) {
+// An evictable connection whose request is still in the kernel's buffer is read before it may be evicted.
+func TestEvictableConnWithUnreadInputIsReadFirst(t *testing.T) {
 	l := startLoop(t)
-	h, c := accepted(t, l, func(k *Link) { k.Spare(true) })
+	h, c := accepted(t, l, func(k *Conn) { k.SetEvictable(true) })
 	l.Call(func() {
 		_, err := io.WriteString(c, "OPEN\r\n")
 		require.NoError(t, err)
 		awaitUnread(t, h.link, len("OPEN\r\n"))
-		assert.False(t, l.shed(), "there is no idle connection")
-		assert.Equal(t, 1, l.spare.Len())
+		assert.False(t, l.evictOldest(), "evicted a connection that is not idle")
+		assert.Equal(t, 1, l.evictable.Len())
 	})
 	l.Call(func() {
 		assert.Equal(t, "OPEN\r\n", string(h.received))
-		assert.True(t, l.shed(), "it sent nothing since")
+		assert.True(t, l.evictOldest(), "did not evict a connection that has sent nothing since")
 	})
-	assert.ErrorIs(t, <-h.closed, ErrNoRoom)
+	assert.ErrorIs(t, <-h.closed, ErrTooManyConns)
 }
 
-// A client that is dismissed for want of room is told so, for a request of its may be under way.
-func TestADismissedConnectionGetsItsLastWord(t *testing.T) {
+// An evicted client gets the eviction message, since it may have sent a request just before.
+func TestEvictedConnGetsItsMessage(t *testing.T) {
 	l := startLoop(t)
-	h, c := accepted(t, l, func(k *Link) {
-		k.LastWord([]byte("BUSY 1000\r\n"))
-		k.Spare(true)
+	h, c := accepted(t, l, func(k *Conn) {
+		k.SetEvictionMessage([]byte("BUSY 1000\r\n"))
+		k.SetEvictable(true)
 	})
-	l.Call(func() { require.True(t, l.shed()) })
-	assert.ErrorIs(t, <-h.closed, ErrNoRoom)
+	l.Call(func() { require.True(t, l.evictOldest()) })
+	assert.ErrorIs(t, <-h.closed, ErrTooManyConns)
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Equal(t, "BUSY 1000\r\n", string(got))
 }
 
-// A finished connection counts until its peer has closed: until then the peer may not have read its last words.
-func TestFinishingCountsUntilThePeerHasClosed(t *testing.T) {
+// A lingering connection counts until its peer has closed: until then the peer may not have read the last output.
+func TestLingeringCountsUntilThePeerHasClosed(t *testing.T) {
 	l := startLoop(t)
-	h, c := accepted(t, l, func(*Link) {})
+	h, c := accepted(t, l, func(*Conn) {})
 	l.Call(func() {
 		h.link.Write([]byte("BUSY\r\n"))
-		h.link.Finish()
-		assert.Equal(t, 1, l.Finishing())
+		h.link.LingeringClose()
+		assert.Equal(t, 1, l.Lingering())
 	})
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Equal(t, "BUSY\r\n", string(got))
-	l.Call(func() { assert.Equal(t, 1, l.Finishing(), "the client has not closed") })
+	l.Call(func() { assert.Equal(t, 1, l.Lingering(), "the client has not closed yet") })
 	require.NoError(t, c.Close())
 	require.Eventually(t, func() bool {
-		finishing := -1
-		l.Call(func() { finishing = l.Finishing() })
-		return finishing == 0
+		lingering := -1
+		l.Call(func() { lingering = l.Lingering() })
+		return lingering == 0
 	}, 10*time.Second, time.Millisecond)
 }
--- a/internal/evloop/evloop_test.go
+++ b/internal/evloop/evloop_test.go
@@ -16,29 +16,29 @@
 
 func startLoop(t *testing.T) *Loop {
 	t.Helper()
-	l, err := Start(slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{Links: 1000, Queued: 1 << 16})
+	l, err := Start(slog.New(slog.NewTextHandler(io.Discard, nil)), Limits{Conns: 1000, Queued: 1 << 16})
 	require.NoError(t, err)
 	t.Cleanup(l.Stop)
 	return l
 }
 
-// told is a handler that tells what happened to its connection.
-type told struct {
+// eventRecorder is a handler that reports the events of its connection on a channel.
+type eventRecorder struct {
 	name   string
 	events chan string
 	err    error
 }
 
-func (h *told) Opened()   { h.events <- h.name + " opened" }
-func (h *told) Received() {}
-func (h *told) Closed(err error) {
+func (h *eventRecorder) Opened()   { h.events <- h.name + " opened" }
+func (h *eventRecorder) Received() {}
+func (h *eventRecorder) Closed(err error) {
 	h.err = err
 	h.events <- h.name + " closed"
 }
 
-// hanging returns an address where connecting hangs, as at a host that vanished: its queue of new connections is
-// full and nobody accepts.
-func hanging(t *testing.T) string {
+// hangingAddr returns an address where connecting hangs, as with a host that has vanished: the accept queue of its
+// listener is full, and nothing accepts.
+func hangingAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -55,59 +55,59 @@
 	return ln.Addr().String()
 }
 
-// gnet's own dial waits in a worker and without a time-out. Here a dial that hangs neither holds up the loop nor
-// the dials after it, and ends.
-func TestADialThatHangsHoldsNothingUp(t *testing.T) {
+// A dial that hangs blocks neither the loop nor later dials, and fails at its time-out. gnet's own dial waits in a worker
+// without a time-out.
+func TestHangingDialBlocksNothing(t *testing.T) {
 	l := startLoop(t)
-	sound, err := net.Listen("tcp", "127.0.0.1:0")
+	reachable, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer sound.Close()
-	vanished := hanging(t)
+	defer reachable.Close()
+	vanished := hangingAddr(t)
 	events := make(chan string, 10)
-	dead, alive := &told{name: "dead", events: events}, &told{name: "alive", events: events}
+	dead, alive := &eventRecorder{name: "dead", events: events}, &eventRecorder{name: "alive", events: events}
 	l.Call(func() {
 		l.Dial(vanished, 2*time.Second, dead)
-		l.Dial(sound.Addr().String(), 20*time.Second, alive)
+		l.Dial(reachable.Addr().String(), 20*time.Second, alive)
 	})
 	assert.Equal(t, "alive opened", <-events)
 	assert.Equal(t, "dead closed", <-events)
 	assert.ErrorIs(t, dead.err, ErrConnectTimeout)
-	l.Call(func() { assert.Equal(t, 1, l.Held()) })
+	l.Call(func() { assert.Equal(t, 1, l.ActiveConns()) })
 }
 
-func TestADialGivenUpOrRefusedIsForgotten(t *testing.T) {
+func TestClosedOrRefusedDialIsReleased(t *testing.T) {
 	l := startLoop(t)
 	events := make(chan string, 10)
-	h := &told{name: "refused", events: events}
+	h := &eventRecorder{name: "refused", events: events}
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	refusing.Close()
 	l.Call(func() {
-		l.Dial(hanging(t), time.Second, &told{name: "given up", events: events}).Close()
+		l.Dial(hangingAddr(t), time.Second, &eventRecorder{name: "closed", events: events}).Close()
 		l.Dial(refusing.Addr().String(), time.Second, h)
 	})
 	assert.Equal(t, "refused closed", <-events)
 	assert.ErrorIs(t, h.err, unix.ECONNREFUSED)
 	l.Call(func() {
 		l.Dial("nowhere", time.Second, h)
-		assert.Empty(t, events, "a handler is never called back from inside its own call")
+		assert.Empty(t, events, "a handler must not be called back from inside its own call")
 	})
 	assert.Equal(t, "refused closed", <-events)
 	l.Call(func() {
-		assert.Equal(t, 0, l.Held())
+		assert.Equal(t, 0, l.ActiveConns())
 		assert.Empty(t, l.dialer.dials)
 		assert.Empty(t, l.timers)
 	})
 	assert.Empty(t, events)
 }
 
-// What is written before a close must reach the peer: MOVE, BUSY and a passed-on line are.
-func TestClosingSendsWhatWasWritten(t *testing.T) {
+// Output before a close must reach the peer, such as MOVE, BUSY or a passed-on line.
+func TestCloseSendsQueuedOutput(t *testing.T) {
 	l := startLoop(t)
-	ln, err := l.Listen("127.0.0.1:0", func(k *Link) Handler {
+	ln, err := l.Listen("127.0.0.1:0", func(k *Conn) Handler {
 		k.Write([]byte("MOVE\r\n"))
 		k.Close()
-		return &told{events: make(chan string, 2)}
+		return &eventRecorder{events: make(chan string, 2)}
 	})
 	require.NoError(t, err)
 	defer ln.Close()
@@ -119,13 +119,14 @@
 	assert.Equal(t, "MOVE\r\n", string(got))
 }
 
-// A peer that is still sending reads the last words all the same: a close with unread input would reset them away.
-func TestFinishingDrainsWhatThePeerStillSends(t *testing.T) {
+// A peer that is still sending can read the last output: a close with unread input would reset the connection and
+// destroy it.
+func TestLingeringCloseDiscardsFurtherInput(t *testing.T) {
 	l := startLoop(t)
-	ln, err := l.Listen("127.0.0.1:0", func(k *Link) Handler {
+	ln, err := l.Listen("127.0.0.1:0", func(k *Conn) Handler {
 		k.Write([]byte("ERR\r\n"))
-		k.Finish()
-		return &told{events: make(chan string, 2)}
+		k.LingeringClose()
+		return &eventRecorder{events: make(chan string, 2)}
 	})
 	require.NoError(t, err)
 	defer ln.Close()
@@ -139,25 +140,25 @@
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Equal(t, "ERR\r\n", string(got))
-	l.Call(func() { assert.Equal(t, 0, l.Held(), "a finished connection makes way for others") })
+	l.Call(func() { assert.Equal(t, 0, l.ActiveConns(), "a lingering connection must be evictable") })
 }
 
-// A peer that takes its time gets all that was written, and then the end.
-func TestTheEndFollowsWhatThePeerHasNotRead(t *testing.T) {
+// A peer that reads slowly gets all output before the end of the stream.
+func TestLingeringCloseSendsAllOutputFirst(t *testing.T) {
 	l := startLoop(t)
 	last := append(make([]byte, 1<<15), "MOVE\r\n"...)
 	queued := make(chan int, 1)
-	ln, err := l.Listen("127.0.0.1:0", func(k *Link) Handler {
+	ln, err := l.Listen("127.0.0.1:0", func(k *Conn) Handler {
 		_ = k.conn.SetWriteBuffer(1 << 12)
 		k.Write(last)
 		queued <- k.conn.OutboundBuffered()
-		k.Finish()
-		return &told{events: make(chan string, 2)}
+		k.LingeringClose()
+		return &eventRecorder{events: make(chan string, 2)}
 	})
 	require.NoError(t, err)
 	defer ln.Close()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return onSocket(raw, func(fd int) error { return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, 1<<12) })
+		return withFD(raw, func(fd int) error { return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, 1<<12) })
 	}}
 	c, err := dialer.Dial("tcp", ln.Addr())
 	require.NoError(t, err)
@@ -168,16 +169,16 @@
 	assert.Equal(t, last, got)
 }
 
-// Connections that say nothing must not eat the descriptors that queries need: the oldest of them go.
-func TestTheOldestSpareConnectionsMakeWay(t *testing.T) {
+// Idle connections must not use up the descriptors that requests need: the oldest of them are evicted.
+func TestOldestEvictableConnsAreEvicted(t *testing.T) {
 	l := startLoop(t)
-	l.limits.Links = 3
+	l.limits.Conns = 3
 	events := make(chan string, 100)
 	n := 0
-	ln, err := l.Listen("127.0.0.1:0", func(k *Link) Handler {
+	ln, err := l.Listen("127.0.0.1:0", func(k *Conn) Handler {
 		n++
-		k.Spare(n > 1) // the first one has a query
-		return &told{name: fmt.Sprint(n), events: events}
+		k.SetEvictable(n > 1) // the first one has a request
+		return &eventRecorder{name: fmt.Sprint(n), events: events}
 	})
 	require.NoError(t, err)
 	defer ln.Close()
@@ -194,15 +195,15 @@
 	}
 	assert.Equal(t, "4 closed", <-events)
 	l.Call(func() {
-		assert.Equal(t, 1, l.Held())
-		assert.Equal(t, 3, l.links)
-		l.Dial("127.0.0.1:1", time.Second, &told{name: "dial", events: events})
-		assert.Equal(t, 3, l.links, "a dial takes a spare one's place")
+		assert.Equal(t, 1, l.ActiveConns())
+		assert.Equal(t, 3, l.conns)
+		l.Dial("127.0.0.1:1", time.Second, &eventRecorder{name: "dial", events: events})
+		assert.Equal(t, 3, l.conns, "a dial must evict a connection at the limit")
 	})
 }
 
-// A second stop must not close descriptors again: another loop may have been given their numbers.
-func TestASecondStopDisturbsNoOtherLoop(t *testing.T) {
+// A second Stop must not close descriptor numbers again, since they may belong to another loop by then.
+func TestSecondStopDoesNotAffectAnotherLoop(t *testing.T) {
 	first := startLoop(t)
 	first.Stop()
 	second := startLoop(t)
@@ -231,13 +232,13 @@
 	}
 }
 
-// A system without Unix sockets must not keep the node from starting.
-func TestTheLoopStartsWithoutUnixSockets(t *testing.T) {
+// The node must also start on a system without Unix sockets.
+func TestLoopStartsWithoutUnixSockets(t *testing.T) {
 	before := socketpair
 	t.Cleanup(func() { socketpair = before })
-	tried := 0
+	calls := 0
 	socketpair = func() ([2]int, error) {
-		tried++
+		calls++
 		return [2]int{}, unix.EAFNOSUPPORT
 	}
 	l := startLoop(t)
@@ -246,8 +247,8 @@
 	t.Cleanup(ln.Close)
 	c, err := net.Dial("tcp", ln.Addr())
 	require.NoError(t, err)
-	said, err := io.ReadAll(c)
+	got, err := io.ReadAll(c)
 	require.NoError(t, err)
-	assert.Equal(t, "here", string(said))
-	assert.Equal(t, 1, tried)
+	assert.Equal(t, "here", string(got))
+	assert.Equal(t, 1, calls)
 }
--- a/internal/evloop/listen.go
+++ b/internal/evloop/listen.go
@@ -12,54 +12,54 @@
 	"golang.org/x/sys/unix"
 )
 
-// retireAfter is how long a listener that retires goes on accepting: a connection whose set-up was under way when the
-// other process began to listen comes up at once.
-const retireAfter = 20 * time.Millisecond
+// drainTime is how long DrainAndClose keeps accepting. A connection whose handshake was in progress when the other process
+// started to listen is established within that time.
+const drainTime = 20 * time.Millisecond
 
 // Listener accepts connections for the loop.
 type Listener struct {
 	loop   *Loop
 	ln     *net.TCPListener
-	accept func(*Link) Handler
-	done   chan struct{} // closed once nothing is accepted any more
+	accept func(*Conn) Handler
+	done   chan struct{} // closed when no more connections are accepted
 }
 
-// Listen accepts connections at addr until the listener is closed; accept gives each its handler. Accepting has
-// one goroutine of its own, since enrolling waits for the loop.
-func (l *Loop) Listen(addr string, accept func(*Link) Handler) (*Listener, error) {
+// Listen accepts connections at addr until the listener is closed; accept returns the handler of each. Accepting runs in
+// a goroutine of its own, since enrolling a connection waits for the loop.
+func (l *Loop) Listen(addr string, accept func(*Conn) Handler) (*Listener, error) {
 	return l.listen(net.ListenConfig{}, addr, accept)
 }
 
-// ListenShared is Listen for an address at which another process of this user may listen too, as long as both do so by
-// ListenShared. Of two, the later gets all connections that come from then on. Unless another is expected, the address
-// is asked for alone first: it is an error then if somebody listens there already.
-func (l *Loop) ListenShared(addr string, expected bool, accept func(*Link) Handler) (*Listener, error) {
-	if !expected {
+// ListenShared is like Listen, but another process of this user may listen at the same address if both use ListenShared.
+// The process that listens later gets all new connections. If otherExpected is false, it is an error if the address is
+// already in use.
+func (l *Loop) ListenShared(addr string, otherExpected bool, accept func(*Conn) Handler) (*Listener, error) {
+	if !otherExpected {
 		var err error
-		if addr, err = unshared(addr); err != nil {
+		if addr, err = exclusiveAddr(addr); err != nil {
 			return nil, err
 		}
 	}
 	n, err := l.listen(net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return onSocket(raw, func(fd int) error { return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
+		return withFD(raw, func(fd int) error { return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	}}, addr, accept)
 	if err != nil {
 		return nil, err
 	}
 	raw, err := n.ln.SyscallConn()
 	if err == nil {
-		err = onSocket(raw, dealToLatest)
+		err = withFD(raw, steerToLatest)
 	}
-	if err != nil { // the kernel then deals them out evenly until the other closes
-		l.log.Info("new connections cannot be kept from another process at this address", "error", err)
+	if err != nil { // the kernel then spreads new connections over both listeners until the other one closes
+		l.log.Info("cannot steer all new connections to this process; another one that listens at this address gets a share of them", "error", err)
 	}
 	return n, nil
 }
 
-// unshared says whether an address is nobody else's, and returns it with a port where it left that open. The address is
-// bound and not listened at: a listener that is closed again would take connections in between, with queries on them, and
-// reset them.
-func unshared(addr string) (string, error) {
+// exclusiveAddr returns an error if the address is in use, and otherwise the address with its port, which the kernel
+// chooses for port 0. It binds a socket without listening: a listener that is closed again would accept connections in
+// between and then reset them, with the requests on them.
+func exclusiveAddr(addr string) (string, error) {
 	tcp, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return "", err
@@ -70,7 +70,7 @@
 		return "", os.NewSyscallError("socket", err)
 	}
 	defer unix.Close(fd)
-	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil { // of an earlier run, closed just now
+	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil { // connections of an earlier run may still be in TIME_WAIT
 		return "", os.NewSyscallError("setsockopt", err)
 	}
 	if err := unix.Bind(fd, to); err != nil {
@@ -89,17 +89,17 @@
 	return tcp.String(), nil
 }
 
-// dealToLatest attaches a filter to the group of sockets that listen at an address: it names the socket that takes a
-// connection by its place. Two at most are there, and the later is the second; the kernel deals by hash where the
-// place named is empty, that is, where there is one only.
-func dealToLatest(fd int) error {
+// steerToLatest attaches a filter to the SO_REUSEPORT group of an address that selects the socket at index 1 for every new
+// connection. The group has two sockets at most, and the later one has index 1. If there is only one socket, index 1 is
+// empty, and the kernel selects by hash.
+func steerToLatest(fd int) error {
 	second := [1]unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
 	return os.NewSyscallError("setsockopt", unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 		&unix.SockFprog{Len: 1, Filter: &second[0]}))
 }
 
-// onSocket runs f with the descriptor of a connection.
-func onSocket(raw syscall.RawConn, f func(fd int) error) error {
+// withFD runs f with the descriptor of a socket.
+func withFD(raw syscall.RawConn, f func(fd int) error) error {
 	var err error
 	if outer := raw.Control(func(fd uintptr) { err = f(int(fd)) }); outer != nil {
 		return outer
@@ -107,8 +107,8 @@
 	return err
 }
 
-func (l *Loop) listen(by net.ListenConfig, addr string, accept func(*Link) Handler) (*Listener, error) {
-	ln, err := by.Listen(context.Background(), "tcp", addr)
+func (l *Loop) listen(config net.ListenConfig, addr string, accept func(*Conn) Handler) (*Listener, error) {
+	ln, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -125,59 +125,59 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			n.takeQueued()
+			n.acceptQueued()
 			n.Close()
 			return
 		case err == nil:
-			err = n.enrol(conn)
+			err = n.enroll(conn)
 		}
-		if err != nil { // out of descriptors, most likely: free some, and go on
-			n.loop.log.Warn("accepting a connection failed", "error", err)
-			n.loop.Do(func() { n.loop.shed() })
+		if err != nil { // most likely out of descriptors: free one and continue
+			n.loop.log.Warn("accept failed; closing the oldest evictable connection, if there is one", "error", err)
+			n.loop.Do(func() { n.loop.evictOldest() })
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-// enrol hands a connection to the loop.
-func (n *Listener) enrol(conn net.Conn) error {
-	_, err := n.loop.client.EnrollContext(conn, &Link{loop: n.loop, accept: n.accept})
+// enroll passes a connection to the loop.
+func (n *Listener) enroll(conn net.Conn) error {
+	_, err := n.loop.client.EnrollContext(conn, &Conn{loop: n.loop, accept: n.accept})
 	return err
 }
 
-// takeQueued accepts what is still queued, and waits for nothing.
-func (n *Listener) takeQueued() {
+// acceptQueued accepts the connections that are queued at the listener, without waiting for more.
+func (n *Listener) acceptQueued() {
 	raw, err := n.ln.SyscallConn()
 	for err == nil {
 		var fd int
-		if err = onSocket(raw, func(ln int) (err error) {
+		if err = withFD(raw, func(ln int) (err error) {
 			fd, _, err = unix.Accept4(ln, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			return err
 		}); err != nil {
 			break
 		}
 		var conn net.Conn
-		if conn, err = connOf(fd); err == nil {
-			err = n.enrol(conn)
+		if conn, err = connFromFD(fd); err == nil {
+			err = n.enroll(conn)
 		} else if errors.Is(err, syscall.ECONNRESET) {
-			err = nil // its client has gone already
+			err = nil // its client has closed it already
 		}
 	}
 	if err != nil && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, net.ErrClosed) {
-		n.loop.log.Warn("accepting what was queued failed", "error", err)
+		n.loop.log.Warn("accepting the queued connections failed", "error", err)
 	}
 }
 
-// Addr returns the address, with the port that was given where 0 was asked for.
+// Addr returns the address, with the port that the kernel chose for port 0.
 func (n *Listener) Addr() string { return n.ln.Addr().String() }
 
-// Close stops accepting. Connections that were accepted stay; those that are queued are reset.
+// Close stops accepting. Accepted connections stay open; queued ones are reset.
 func (n *Listener) Close() { _ = n.ln.Close() }
 
-// Wait waits until nothing is accepted any more, after Close or Retire. The loop must be running.
+// Wait waits until no more connections are accepted, after Close or DrainAndClose. The loop must be running.
 func (n *Listener) Wait() { <-n.done }
 
-// Done says whether nothing is accepted any more.
+// Done reports whether the listener has stopped accepting.
 func (n *Listener) Done() bool {
 	select {
 	case <-n.done:
@@ -187,17 +187,17 @@
 	}
 }
 
-// Retire stops accepting in a moment, once what is queued has been accepted.
-func (n *Listener) Retire() { _ = n.ln.SetDeadline(time.Now().Add(retireAfter)) }
+// DrainAndClose closes the listener after drainTime, once the queued connections have been accepted. It does not wait.
+func (n *Listener) DrainAndClose() { _ = n.ln.SetDeadline(time.Now().Add(drainTime)) }
 
-// Adopt brings a connection that another process had into the loop, as an accepted one, with what that process received
-// and did not use up. What comes is called back after Link.Resume. The descriptor is the loop's from then on. It is for
-// other goroutines, and returns once accept was called, or with an error.
-func (l *Loop) Adopt(fd int, unread []byte, accept func(*Link) Handler) error {
-	conn, err := connOf(fd)
+// Adopt adds a connection of another process to the loop, as an accepted one. unread is what that process received and did
+// not discard. The handler is called back only after Conn.Resume. The loop owns the descriptor from then on. Adopt is for
+// other goroutines; it returns after accept was called, or with an error.
+func (l *Loop) Adopt(fd int, unread []byte, accept func(*Conn) Handler) error {
+	conn, err := connFromFD(fd)
 	if err != nil {
 		return err
 	}
-	_, err = l.client.EnrollContext(conn, &Link{loop: l, accept: accept, in: unread, paused: true})
+	_, err = l.client.EnrollContext(conn, &Conn{loop: l, accept: accept, inbuf: unread, paused: true})
 	return err
 }
--- a/internal/evloop/loop.go
+++ b/internal/evloop/loop.go
@@ -1,5 +1,5 @@
-// Package evloop runs the node's one event loop on gnet: its connections, its dials and its timers. Everything
-// that a callback touches belongs to the loop, so nothing here or above needs a lock.
+// Package evloop runs the node's single event loop on gnet, with its connections, dials and timers. All state that
+// callbacks touch belongs to the loop, so that neither this package nor its callers need locks.
 package evloop
 
 import (
@@ -17,52 +17,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// Loop is the event loop. Its methods are for callbacks on the loop, but for Do, Call, Listen and Stop, which
-// are for other goroutines.
+// Loop is the event loop. Its methods are for callbacks on the loop, except for Do, Call, Adopt, Listen, ListenShared and
+// Stop, which are for other goroutines.
 type Loop struct {
 	gnet.BuiltinEventEngine
 
 	log    *slog.Logger
 	client *gnet.Client
 	el     gnet.EventLoop
-	base   time.Time // now counts from here, on the monotonic clock
+	start  time.Time // Now counts from here, on the monotonic clock
 
-	timers   timerHeap
-	timerSeq uint64
-	alarm    *time.Timer
-	dialer   *dialer
-	stop     sync.Once
+	timers      timerHeap
+	timerSeq    uint64
+	systemTimer *time.Timer
+	dialer      *dialer
+	stop        sync.Once
 
-	limits Limits
-	links  int       // open connections and dials under way
-	spare  list.List // of links that may be ended for want of room, the oldest first
-	// finishing counts the accepted connections whose last words were said and whose peers have not closed yet.
-	finishing int
-	scratch   [readSize]byte // of Link.pull
-	depth     int
-	pending   []func() // run when the callback under way is done
+	limits    Limits
+	conns     int       // open connections and pending dials
+	evictable list.List // connections that may be closed when there are too many, oldest first
+	// lingering counts the accepted connections in LingeringClose whose peers have not closed yet.
+	lingering     int
+	scratch       [readSize]byte // for Conn.readUnread
+	callbackDepth int
+	deferred      []func() // run when the current callback returns
 }
 
-// Limits bound what the loop holds.
+// Limits are the resource limits of a loop.
 type Limits struct {
-	Links  int // open connections and dials under way
-	Queued int // bytes that wait for a peer to read; its connection is given up beyond that
+	Conns  int // open connections and pending dials
+	Queued int // output bytes that may wait for one peer; beyond that its connection is closed
 }
 
-// Start starts the loop. It is a gnet client without addresses of its own: with gnet's server, one accept that
-// fails, as for want of descriptors, ends the whole engine (acceptor_unix.go), and a listener cannot be closed
-// before its connections. Here Listen accepts, and enrols what it accepted.
+// Start starts the loop. It is a gnet client, without listeners: in gnet's server one failed accept, such as for lack of
+// descriptors, stops the whole engine (acceptor_unix.go), and a listener cannot be closed before its connections. Listen
+// accepts connections instead and enrols them in the client.
 func Start(log *slog.Logger, limits Limits) (*Loop, error) {
-	l := &Loop{log: log, base: time.Now(), limits: limits}
+	l := &Loop{log: log, start: time.Now(), limits: limits}
 	var err error
-	if l.client, err = gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithLogger(gnetLog{log}),
+	if l.client, err = gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithLogger(gnetLogger{log}),
 		gnet.WithReadBufferCap(readSize), gnet.WithTCPNoDelay(gnet.TCPNoDelay)); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	if err := l.client.Start(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	if err := l.attach(); err != nil {
+	if err := l.learnEventLoop(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	if l.dialer, err = newDialer(l); err != nil {
@@ -71,17 +71,18 @@
 	return l, nil
 }
 
-// attach learns the handle of gnet's loop, which only a connection tells: one to ourselves serves as one.
-func (l *Loop) attach() error {
+// learnEventLoop obtains the handle of gnet's event loop. gnet exposes it only through a connection, so that this opens
+// one to the process itself.
+func (l *Loop) learnEventLoop() error {
 	conn, other, err := unixPair()
-	if err != nil { // some systems have no Unix sockets
-		l.log.Info("no socket pair here; a loopback connection takes its place", "error", err)
+	if err != nil { // some systems do not support Unix sockets
+		l.log.Info("cannot create a Unix socket pair; using a loopback connection instead", "error", err)
 		if conn, other, err = loopbackPair(); err != nil {
 			return err
 		}
 	}
 	defer other.Close()
-	c, err := l.client.EnrollContext(conn, &Link{loop: l, closed: true})
+	c, err := l.client.EnrollContext(conn, &Conn{loop: l, closed: true})
 	if err != nil {
 		return err
 	}
@@ -127,18 +128,18 @@
 	return conn, other, err
 }
 
-// Stop ends the loop. Connections are cut. A second call does nothing: gnet would close its descriptors again, which
-// others may hold by then.
-func (l *Loop) Stop() { l.stop.Do(l.end) }
+// Stop stops the loop and closes its connections. A second call does nothing: gnet would close its descriptor numbers
+// again, which may belong to other files by then.
+func (l *Loop) Stop() { l.stop.Do(l.shutdown) }
 
-func (l *Loop) end() {
+func (l *Loop) shutdown() {
 	if err := l.client.Stop(); err != nil {
-		l.log.Warn("event loop stopped with an error", "error", err)
+		l.log.Warn("stopping the event loop failed", "error", err)
 	}
 	l.dialer.stop()
 }
 
-// Do runs f on the loop soon. It says whether there is still a loop to run it.
+// Do schedules f on the loop. It returns false if the loop has stopped.
 func (l *Loop) Do(f func()) bool {
 	run := gnet.RunnableFunc(func(context.Context) error {
 		l.enter()
@@ -147,13 +148,13 @@
 		return nil
 	})
 	if err := l.el.Execute(context.Background(), run); err != nil {
-		l.log.Debug("event loop is closed", "error", err)
+		l.log.Debug("cannot schedule a call; the event loop has stopped", "error", err)
 		return false
 	}
 	return true
 }
 
-// Call runs f on the loop and waits for its end. It is for other goroutines only.
+// Call runs f on the loop and waits until it returns. It is for other goroutines only.
 func (l *Loop) Call(f func()) {
 	done := make(chan struct{})
 	if l.Do(func() {
@@ -164,40 +165,41 @@
 	}
 }
 
-// Now returns the time since the start of 1970. It goes on from the system's clock at the start, never steps,
-// and compares with the Unix times that discovery gives.
+// Now returns the time since the Unix epoch. It is the system time at the start plus the monotonic time since, so that it
+// never steps and can be compared with the Unix times that discovery gives.
 func (l *Loop) Now() time.Duration {
-	return time.Duration(l.base.UnixNano()) + time.Since(l.base)
+	return time.Duration(l.start.UnixNano()) + time.Since(l.start)
 }
 
-// Held returns how many connections are open or being made, but for those that may be ended for want of room.
-func (l *Loop) Held() int { return l.links - l.spare.Len() }
+// ActiveConns returns the number of open connections and pending dials, without the evictable ones.
+func (l *Loop) ActiveConns() int { return l.conns - l.evictable.Len() }
 
-// Links returns how many connections are open or being made.
-func (l *Loop) Links() int { return l.links }
+// Conns returns the number of open connections and pending dials.
+func (l *Loop) Conns() int { return l.conns }
 
-// Limit changes how many connections there may be.
-func (l *Loop) Limit(links int) {
-	l.limits.Links = links
-	l.makeRoom()
+// SetMaxConns changes the limit on the number of connections.
+func (l *Loop) SetMaxConns(conns int) {
+	l.limits.Conns = conns
+	l.enforceLimit()
 }
 
-// makeRoom ends spare connections while there are too many. Descriptors that run out would fail dials and accepts.
-func (l *Loop) makeRoom() {
-	for l.links > l.limits.Links && l.shed() {
+// enforceLimit evicts connections while there are too many. Without descriptors, dials and accepts would fail.
+func (l *Loop) enforceLimit() {
+	for l.conns > l.limits.Conns && l.evictOldest() {
 	}
 }
 
-// shed ends the oldest spare connection. One whose peer has sent something meanwhile is no longer idle: its handler looks
-// at that first, since a close over unread input would reset the connection and leave a request without an answer.
-func (l *Loop) shed() bool {
-	for range l.spare.Len() {
-		k := l.spare.Front().Value.(*Link)
-		if k.ending != nil || k.pull() == 0 {
-			k.dismiss()
+// evictOldest closes the oldest evictable connection and returns false if there is none. A connection with unread input is
+// not idle: its handler receives that input instead, since a close would reset the connection and leave a request
+// unanswered.
+func (l *Loop) evictOldest() bool {
+	for range l.evictable.Len() {
+		k := l.evictable.Front().Value.(*Conn)
+		if k.lingerTimer != nil || k.readUnread() == 0 {
+			k.evict()
 			return true
 		}
-		l.spare.MoveToBack(k.spare)
+		l.evictable.MoveToBack(k.evictable)
 		l.Defer(func() {
 			if !k.closed {
 				k.receive()
@@ -207,41 +209,41 @@
 	return false
 }
 
-// Finishing returns how many accepted connections have been told their last words by Finish and are not closed by their
-// peers yet. A process that ends now would reset those that still send.
-func (l *Loop) Finishing() int { return l.finishing }
+// Lingering returns the number of accepted connections in LingeringClose whose peers have not closed yet. A process that
+// exits now would reset those whose peers still send.
+func (l *Loop) Lingering() int { return l.lingering }
 
-// Defer runs f when the callback under way is done.
-func (l *Loop) Defer(f func()) { l.pending = append(l.pending, f) }
+// Defer runs f when the current callback returns.
+func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
-// enter and leave enclose all that runs on the loop. Closed callbacks wait for the end of the callback under
-// way, so that no object is called back from inside its own call.
-func (l *Loop) enter() { l.depth++ }
+// enter and leave enclose everything that runs on the loop. Deferred calls, such as Closed callbacks, wait until the
+// current callback returns, so that no object is called back from inside its own call.
+func (l *Loop) enter() { l.callbackDepth++ }
 
 func (l *Loop) leave() {
-	if l.depth == 1 {
-		for len(l.pending) > 0 {
-			f := l.pending[0]
-			l.pending = l.pending[1:]
+	if l.callbackDepth == 1 {
+		for len(l.deferred) > 0 {
+			f := l.deferred[0]
+			l.deferred = l.deferred[1:]
 			f()
 		}
-		l.pending = nil
+		l.deferred = nil
 	}
-	l.depth--
+	l.callbackDepth--
 }
 
 // OnOpen implements gnet.EventHandler.
 func (l *Loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	l.enter()
 	defer l.leave()
-	return nil, c.Context().(*Link).opened(c)
+	return nil, c.Context().(*Conn).onOpen(c)
 }
 
 // OnTraffic implements gnet.EventHandler.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
 	l.enter()
 	defer l.leave()
-	c.Context().(*Link).traffic(c)
+	c.Context().(*Conn).onTraffic(c)
 	return gnet.None
 }
 
@@ -249,16 +251,16 @@
 func (l *Loop) OnClose(c gnet.Conn, err error) gnet.Action {
 	l.enter()
 	defer l.leave()
-	c.Context().(*Link).ended(err)
+	c.Context().(*Conn).onClose(err)
 	return gnet.None
 }
 
-// gnetLog hands gnet's log lines on. It warns of each event that waited for a connection when another one's callback
-// closed it, which is nothing to warn of.
-type gnetLog struct{ log *slog.Logger }
+// gnetLogger passes on gnet's log lines. Warnings become debug lines: gnet warns of every event that was pending for a
+// connection when another connection's callback closed it, which is normal.
+type gnetLogger struct{ log *slog.Logger }
 
-func (g gnetLog) Debugf(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
-func (g gnetLog) Infof(format string, args ...any)  { g.log.Debug(fmt.Sprintf(format, args...)) }
-func (g gnetLog) Warnf(format string, args ...any)  { g.log.Debug(fmt.Sprintf(format, args...)) }
-func (g gnetLog) Errorf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
-func (g gnetLog) Fatalf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
+func (g gnetLogger) Debugf(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
+func (g gnetLogger) Infof(format string, args ...any)  { g.log.Debug(fmt.Sprintf(format, args...)) }
+func (g gnetLogger) Warnf(format string, args ...any)  { g.log.Debug(fmt.Sprintf(format, args...)) }
+func (g gnetLogger) Errorf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
+func (g gnetLogger) Fatalf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
--- a/internal/evloop/share_test.go
+++ b/internal/evloop/share_test.go
@@ -10,26 +10,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// greeter answers each connection with the name of its listener and ends it.
+// greeter sends the name of its listener on each connection and closes it.
 type greeter struct {
 	name string
-	link *Link
+	link *Conn
 }
 
 func (g *greeter) Opened() {
 	g.link.Write([]byte(g.name))
-	g.link.Finish()
+	g.link.LingeringClose()
 }
 func (g *greeter) Received()    {}
 func (g *greeter) Closed(error) {}
 
-func greet(name string) func(*Link) Handler {
-	return func(k *Link) Handler { return &greeter{name, k} }
+func greet(name string) func(*Conn) Handler {
+	return func(k *Conn) Handler { return &greeter{name, k} }
 }
 
-// What waits at a listener that retires is accepted, and the other one takes all that comes later. Whoever does not
-// expect another listener there is told of it.
-func TestAListenerRetiresOnceItsQueueIsEmpty(t *testing.T) {
+// Connections that are queued at a listener are accepted by DrainAndClose, and the other listener gets all later ones. A
+// caller that expects no other listener at the address gets an error.
+func TestListenerDrainsItsQueueBeforeItCloses(t *testing.T) {
 	l := startLoop(t)
 	first, err := l.ListenShared("127.0.0.1:0", false, greet("first"))
 	require.NoError(t, err)
@@ -37,58 +37,58 @@
 	require.ErrorContains(t, err, "address already in use")
 	second, err := l.ListenShared(first.Addr(), true, greet("second"))
 	require.NoError(t, err)
-	var waiting []net.Conn
+	var queued []net.Conn
 	for range 50 {
 		c, err := net.Dial("tcp", second.Addr())
 		require.NoError(t, err)
-		waiting = append(waiting, c)
+		queued = append(queued, c)
 	}
-	first.Retire()
+	first.DrainAndClose()
 	first.Wait()
 	for range 50 {
 		c, err := net.Dial("tcp", second.Addr())
 		require.NoError(t, err)
-		said, err := io.ReadAll(c)
+		got, err := io.ReadAll(c)
 		require.NoError(t, err)
-		require.Equal(t, "second", string(said))
+		require.Equal(t, "second", string(got))
 		c.Close()
 	}
-	for _, c := range waiting {
-		said, err := io.ReadAll(c)
+	for _, c := range queued {
+		got, err := io.ReadAll(c)
 		require.NoError(t, err)
-		require.Contains(t, []string{"first", "second"}, string(said))
+		require.Contains(t, []string{"first", "second"}, string(got))
 		c.Close()
 	}
-	second.Retire()
+	second.DrainAndClose()
 	second.Wait()
 	_, err = net.Dial("tcp", second.Addr())
 	require.Error(t, err)
 }
 
-// keeper notes what came to its connection.
-type keeper struct {
-	link *Link
+// collector is a handler that keeps the input of its connection.
+type collector struct {
+	link *Conn
 	got  string
 	end  chan error
 }
 
-func (k *keeper) Opened() {}
-func (k *keeper) Received() {
+func (k *collector) Opened() {}
+func (k *collector) Received() {
 	k.got += string(k.link.Peek())
 	k.link.Discard(len(k.link.Peek()))
 }
-func (k *keeper) Closed(err error) { k.end <- err }
+func (k *collector) Closed(err error) { k.end <- err }
 
-// A connection goes from one loop to another, as between two processes. Nothing of it is lost: not what the first had
-// read, nor what came and ended on the way, before the second was ready for it.
-func TestAConnectionGoesFromOneLoopToAnother(t *testing.T) {
+// A connection is detached from one loop and adopted by another, as between two processes. Nothing is lost: neither the
+// input that the first loop has read and not discarded, nor input and a close that arrive before Resume.
+func TestConnMovesFromOneLoopToAnother(t *testing.T) {
 	from, to := startLoop(t), startLoop(t)
-	first := &keeper{end: make(chan error, 1)}
+	first := &collector{end: make(chan error, 1)}
 	opened := make(chan bool, 1)
-	ln, err := from.Listen("127.0.0.1:0", func(k *Link) Handler {
+	ln, err := from.Listen("127.0.0.1:0", func(k *Conn) Handler {
 		first.link = k
 		opened <- true
-		return half{first}
+		return partialReader{first}
 	})
 	require.NoError(t, err)
 	c, err := net.Dial("tcp", ln.Addr())
@@ -109,39 +109,39 @@
 		})
 	}
 	assert.Equal(t, "left ", string(unread))
-	from.Call(func() { assert.Zero(t, from.Links()) })
+	from.Call(func() { assert.Zero(t, from.Conns()) })
 
 	_, err = io.WriteString(c, "more")
 	require.NoError(t, err)
 	require.NoError(t, c.(*net.TCPConn).CloseWrite())
-	second := &keeper{end: make(chan error, 1)}
-	require.NoError(t, to.Adopt(fd, unread, func(k *Link) Handler {
+	second := &collector{end: make(chan error, 1)}
+	require.NoError(t, to.Adopt(fd, unread, func(k *Conn) Handler {
 		second.link = k
 		return second
 	}))
-	to.Call(func() { assert.Empty(t, second.got, "it has to wait for Resume") })
-	for more := false; !more; { // until the end has come as well
-		to.Call(func() { more = second.link.late != nil })
+	to.Call(func() { assert.Empty(t, second.got, "input was delivered before Resume") })
+	for more := false; !more; { // until the close has arrived as well
+		to.Call(func() { more = second.link.pausedErr != nil })
 	}
 	to.Call(second.link.Resume)
 	assert.ErrorIs(t, <-second.end, io.EOF)
 	to.Call(func() { assert.Equal(t, "left more", second.got) })
-	assert.Empty(t, first.end, "the first has no part in it any more")
+	assert.Empty(t, first.end, "the first handler must not be called back after Detach")
 }
 
-// half uses up the first word only.
-type half struct{ *keeper }
+// partialReader discards only the first word.
+type partialReader struct{ *collector }
 
-func (h half) Received() {
+func (h partialReader) Received() {
 	if h.got == "" && len(h.link.Peek()) == len("used left ") {
 		h.got = "used "
 		h.link.Discard(len(h.got))
 	}
 }
 
-// Clients that come at the very moment at which the door opens are turned away before it does and answered from then on.
-// None is taken by the system and cut off: the address used to be tried by a listener that was closed again.
-func TestNobodyIsCutOffWhileTheDoorOpens(t *testing.T) {
+// Clients that connect while a listener opens are either refused or served. None is accepted by the kernel and then
+// reset, which happens if the address is first probed with a listener that is closed again.
+func TestNoConnIsResetWhileAListenerOpens(t *testing.T) {
 	l := startLoop(t)
 	first, err := l.ListenShared("127.0.0.1:0", false, greet("here"))
 	require.NoError(t, err)
@@ -149,7 +149,7 @@
 	first.Close()
 	first.Wait()
 	for range 100 {
-		var cut atomic.Int32
+		var resets atomic.Int32
 		stop, done := make(chan bool), make(chan bool)
 		for range 4 {
 			go func() {
@@ -162,10 +162,10 @@
 					}
 					c, err := net.Dial("tcp", addr)
 					if err != nil {
-						continue // the door is closed
+						continue // not listening yet
 					}
-					if said, err := io.ReadAll(c); err != nil || string(said) != "here" {
-						cut.Add(1)
+					if got, err := io.ReadAll(c); err != nil || string(got) != "here" {
+						resets.Add(1)
 					}
 					c.Close()
 				}
@@ -179,6 +179,6 @@
 		}
 		n.Close()
 		n.Wait()
-		require.Zero(t, cut.Load(), "connections were taken and cut off")
+		require.Zero(t, resets.Load(), "connections were accepted and then reset")
 	}
 }
--- a/internal/evloop/timer.go
+++ b/internal/evloop/timer.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// Timer is a call to be made later.
+// Timer is a call scheduled for later.
 type Timer struct {
-	loop *Loop
-	at   time.Duration
-	seq  uint64 // of two that are due at once, the one set first comes first
-	run  func()
-	pos  int // in the heap, or -1
+	loop  *Loop
+	at    time.Duration
+	seq   uint64 // breaks ties: of two timers due at the same time, the one created first runs first
+	run   func()
+	index int // in the heap, or -1 if not scheduled
 }
 
-// After runs f on the loop after d. gnet's own ticker runs beside the loop and at a fixed pace; here one
-// system timer, set to the earliest of all, hops onto the loop.
+// After runs f on the loop after d. gnet's own ticker runs outside the loop and at a fixed interval. Here one system timer,
+// set to the earliest Timer, schedules runDue on the loop.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
 	t := &Timer{loop: l, at: l.Now() + max(d, 0), seq: l.timerSeq, run: f}
 	l.timerSeq++
 	heap.Push(&l.timers, t)
-	if t.pos == 0 {
-		l.setAlarm()
+	if t.index == 0 {
+		l.setSystemTimer()
 	}
 	return t
 }
 
-// Stop takes the timer back. A nil, fired or stopped timer is fine.
+// Stop cancels the timer. It may be called on a timer that is nil, has fired or is stopped.
 func (t *Timer) Stop() {
-	if t != nil && t.pos >= 0 {
-		heap.Remove(&t.loop.timers, t.pos)
+	if t != nil && t.index >= 0 {
+		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-func (l *Loop) setAlarm() {
+func (l *Loop) setSystemTimer() {
 	d := l.timers[0].at - l.Now()
-	if l.alarm == nil {
-		l.alarm = time.AfterFunc(d, func() { l.Do(l.fire) })
+	if l.systemTimer == nil {
+		l.systemTimer = time.AfterFunc(d, func() { l.Do(l.runDue) })
 		return
 	}
-	l.alarm.Reset(max(d, 0))
+	l.systemTimer.Reset(max(d, 0))
 }
 
-// fire runs what is due. A timer that a due one sets for now waits for the next round.
-func (l *Loop) fire() {
+// runDue runs the timers that are due. A timer that one of them creates with no delay waits for the next call.
+func (l *Loop) runDue() {
 	now := l.Now()
 	for len(l.timers) > 0 && l.timers[0].at <= now {
 		heap.Pop(&l.timers).(*Timer).run()
 	}
 	if len(l.timers) > 0 {
-		l.setAlarm()
+		l.setSystemTimer()
 	}
 }
 
@@ -61,12 +61,12 @@
 }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].pos, h[j].pos = i, j
+	h[i].index, h[j].index = i, j
 }
 
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
-	t.pos = len(*h)
+	t.index = len(*h)
 	*h = append(*h, t)
 }
 
@@ -75,6 +75,6 @@
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	t.pos = -1
+	t.index = -1
 	return t
 }
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -56,10 +56,10 @@
 
 // Accept gives a connection its handler. It is the first to go when there are too many, as those of clients are that
 // have not asked yet.
-func (d *Desk) Accept(link *evloop.Link) evloop.Handler {
+func (d *Desk) Accept(link *evloop.Conn) evloop.Handler {
 	c := &caller{desk: d, link: link}
 	c.late = d.loop.After(callWithin, func() { c.fail(408, errors.New("no call has come")) })
-	link.Spare(true)
+	link.SetEvictable(true)
 	if d.links = append(d.links, c); len(d.links) > maxLinks {
 		d.makeRoom()
 	}
@@ -82,7 +82,7 @@
 // caller is one connection.
 type caller struct {
 	desk  *Desk
-	link  *evloop.Link
+	link  *evloop.Conn
 	late  *evloop.Timer // of the call, then of its answer
 	waits bool          // for the node
 	over  bool          // answered
@@ -159,7 +159,7 @@
 		return
 	}
 	c.waits = true
-	c.link.Spare(false)
+	c.link.SetEvictable(false)
 	c.late.Stop()
 	c.late = c.desk.loop.After(answerWithin, func() { c.done(call, errLate) })
 	do(func(err error) { c.done(call, err) })
@@ -194,7 +194,7 @@
 	c.waits, c.over = false, true
 	c.late.Stop()
 	c.link.Write(http1.AppendAnswer(nil, status, allow, text))
-	c.link.Finish()
+	c.link.LingeringClose()
 }
 
 // body is an object of one key.
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -44,7 +44,7 @@
 func startDesk(t *testing.T) (*scripted, string) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	loop, err := evloop.Start(log, evloop.Limits{Links: 100, Queued: 1 << 16})
+	loop, err := evloop.Start(log, evloop.Limits{Conns: 100, Queued: 1 << 16})
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
 	n := &scripted{loop: loop, asked: make(chan string, 1000)}
@@ -151,7 +151,7 @@
 		require.Equal(t, "suspend s-1", <-n.asked)
 	}
 	var held int
-	n.loop.Call(func() { held = n.loop.Held() })
+	n.loop.Call(func() { held = n.loop.ActiveConns() })
 	assert.Zero(t, held, "all of them may be ended when clients need the room")
 	_, err := stalled[0].Read(make([]byte, 1))
 	require.Error(t, err, "the oldest had to go")
