--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -165,7 +165,7 @@
 
 // Received implements evloop.Handler. The time of a call is that of its whole answer: bytes do not renew it.
 func (c *Client) Received() {
-	a, err := http1.ParseAnswer(c.link.Peek())
+	a, err := http1.ParseResponse(c.link.Peek())
 	if err != nil {
 		c.fail(watch.Refused, err)
 		return
@@ -194,7 +194,7 @@
 
 // answer takes a list that discovery has told, and goes on watching at once: a watch lasts only as long as the next call
 // follows.
-func (c *Client) answer(list List, a http1.Answer) {
+func (c *Client) answer(list List, a http1.Response) {
 	if c.link.Discard(a.Size); a.Close || len(c.link.Peek()) > 0 {
 		c.drop() // what came unasked would be taken for the next answer
 	}
--- a/internal/evloop/close.go
+++ b/internal/evloop/close.go
@@ -60,19 +60,19 @@
 		k.loop.lingering++
 	}
 	until := k.loop.Now() + lingerTimeout
-	var flushed func()
-	flushed = func() {
+	var checkFlushed func()
+	checkFlushed = func() {
 		switch left := until - k.loop.Now(); {
 		case left <= 0:
 			k.closeNow()
 		case k.conn.OutboundBuffered() > 0:
-			k.lingerTimer = k.loop.After(min(left, flushPollInterval), flushed)
+			k.lingerTimer = k.loop.After(min(left, flushPollInterval), checkFlushed)
 		default:
 			_ = unix.Shutdown(k.conn.Fd(), unix.SHUT_WR)
 			k.lingerTimer = k.loop.After(left, k.closeNow)
 		}
 	}
-	flushed()
+	checkFlushed()
 }
 
 // Close closes the connection. Output is sent first: gnet's close writes what is queued once more.
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 reads the messages of HTTP/1.1: their heads, the answers that discovery gives and the calls that
-// operators make. It keeps nothing and reads from one buffer, from its start, as far as that has come.
+// Package http1 parses HTTP/1.1 messages: the responses of discovery and the requests of operators. It keeps no state. Each
+// function parses one message at the start of a buffer that may hold only part of it.
 package http1
 
 import (
@@ -9,42 +9,42 @@
 	"strconv"
 )
 
-// The faults of a message. An error that is returned wraps one of them and names the place.
+// Errors of malformed or oversized messages. A returned error may wrap one of them with the faulty text.
 var (
-	ErrHead    = errors.New("the head is malformed")
-	ErrHeadMax = errors.New("the head is too long")
-	ErrChunk   = errors.New("the chunks are malformed")
-	ErrLength  = errors.New("the length is not told")
-	ErrTooLong = errors.New("the body is too long")
+	ErrHead        = errors.New("message head is malformed")
+	ErrHeadTooLong = errors.New("message head is too long")
+	ErrChunk       = errors.New("chunked body is malformed")
+	ErrNoLength    = errors.New("message has no body length")
+	ErrBodyTooLong = errors.New("message body is too long")
 )
 
 const (
-	// HeadMax is how long the head of an answer may be, in bytes.
-	HeadMax = 16 << 10
-	bodyMax = 2 << 20
-	// chunkedMax is how long a chunked body may be with all that stands between its chunks, in bytes: sizes, extensions and
-	// trailers may go on without end.
+	// ResponseHeadMax is the maximum size of the head of a response, in bytes.
+	ResponseHeadMax = 16 << 10
+	bodyMax         = 2 << 20
+	// chunkedMax is the maximum size of a chunked body in its encoded form, in bytes. Chunk sizes, extensions and trailers
+	// could otherwise go on without end.
 	chunkedMax = 4 * bodyMax
 )
 
-// head is a message up to its body.
+// head is the parsed head of a message: the start line and the header fields.
 type head struct {
-	first   []byte // the first line
-	size    int    // bytes that it takes up; 0: it is not complete
-	length  int    // of the body; -1: not told
+	first   []byte // the start line
+	size    int    // bytes in the input; 0: incomplete
+	length  int    // of the body; -1: no Content-Length
 	chunked bool
-	closes  bool // the connection is to end
-	keeps   bool // the connection is to be kept
+	closes  bool // Connection: close
+	keeps   bool // Connection: keep-alive
 }
 
-// parseHead reads a head of at most so many bytes at the start of data. Lines end in CRLF.
-func parseHead(data []byte, most int) (head, error) {
+// parseHead parses a head of at most maxSize bytes at the start of data. Lines end in CRLF.
+func parseHead(data []byte, maxSize int) (head, error) {
 	end := bytes.Index(data, []byte("\r\n\r\n"))
-	if end < 0 && len(data) <= most {
+	if end < 0 && len(data) <= maxSize {
 		return head{}, nil
 	}
-	if end < 0 || end > most {
-		return head{}, ErrHeadMax
+	if end < 0 || end > maxSize {
+		return head{}, ErrHeadTooLong
 	}
 	first, rest, _ := bytes.Cut(data[:end], []byte("\r\n"))
 	h := head{first: first, size: end + 4, length: -1}
@@ -58,7 +58,7 @@
 	return h, nil
 }
 
-// field takes one line of the head.
+// field parses one header field.
 func (h *head) field(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") || bytes.ContainsAny(line, "\x00\r\n") {
@@ -80,5 +80,5 @@
 	return nil
 }
 
-// isVersion says whether a text names a version that is read here.
+// isVersion reports whether text is a supported HTTP version.
 func isVersion(text []byte) bool { return string(text) == "HTTP/1.1" || string(text) == "HTTP/1.0" }
--- a/internal/http1/answer.go
+++ b/internal/http1/response.go
@@ -6,55 +6,55 @@
 	"strconv"
 )
 
-// Answer is what a server answered.
-type Answer struct {
+// Response is the response of a server.
+type Response struct {
 	Status int
 	Body   []byte
-	Size   int  // bytes that it takes up; 0: it is not complete
-	Close  bool // the connection ends after it
+	Size   int  // bytes in the input; 0: incomplete
+	Close  bool // the server closes the connection after it
 }
 
-// ParseAnswer reads an answer at the start of data; its Size is 0 while it is not complete. The body's length must be
-// told: an answer that only the end of the connection ends cannot be told from one that was cut.
-func ParseAnswer(data []byte) (Answer, error) {
-	h, err := parseHead(data, HeadMax)
+// ParseResponse parses a response at the start of data; its Size is 0 while it is incomplete. The response must give the
+// length of its body: one that extends to the end of the connection cannot be distinguished from a truncated one.
+func ParseResponse(data []byte) (Response, error) {
+	h, err := parseHead(data, ResponseHeadMax)
 	if err != nil || h.size == 0 {
-		return Answer{}, err
+		return Response{}, err
 	}
 	version, rest, _ := bytes.Cut(h.first, []byte(" "))
 	code, _, _ := bytes.Cut(rest, []byte(" "))
 	status, err := strconv.Atoi(string(code))
 	if err != nil || status < 100 || status > 999 || !isVersion(version) {
-		return Answer{}, fmt.Errorf("%w: %.40q", ErrHead, h.first)
+		return Response{}, fmt.Errorf("%w: %.40q", ErrHead, h.first)
 	}
-	a := Answer{Status: status, Close: h.closes || string(version) == "HTTP/1.0" && !h.keeps}
+	a := Response{Status: status, Close: h.closes || string(version) == "HTTP/1.0" && !h.keeps}
 	body := data[h.size:]
 	switch {
 	case status == 204 || status == 304:
 		a.Size = h.size
 	case h.chunked && len(body) > chunkedMax:
-		return Answer{}, ErrTooLong
+		return Response{}, ErrBodyTooLong
 	case h.chunked:
-		n, err := a.dechunk(body)
+		n, err := a.decodeChunked(body)
 		if n == 0 || err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 		a.Size = h.size + n
 	case h.length > bodyMax || len(body) > bodyMax:
-		return Answer{}, ErrTooLong
+		return Response{}, ErrBodyTooLong
 	case h.length < 0:
-		return Answer{}, ErrLength
+		return Response{}, ErrNoLength
 	case len(body) < h.length:
-		return Answer{}, nil
+		return Response{}, nil
 	default:
 		a.Body, a.Size = body[:h.length], h.size+h.length
 	}
 	return a, nil
 }
 
-// dechunk reads a chunked body and returns how many bytes it takes up, or 0 while it is not complete. The body is put
-// together only once it is: an answer that comes in many pieces is looked at with each of them.
-func (a *Answer) dechunk(data []byte) (int, error) {
+// decodeChunked decodes a chunked body and returns its encoded size, or 0 while it is incomplete. The body is assembled only
+// when it is complete, since a response that arrives in many pieces is parsed again with each of them.
+func (a *Response) decodeChunked(data []byte) (int, error) {
 	total := 0
 	n, err := eachChunk(data, func(piece []byte) { total += len(piece) })
 	if n == 0 || err != nil {
@@ -64,8 +64,8 @@
 	return eachChunk(data, func(piece []byte) { a.Body = append(a.Body, piece...) })
 }
 
-// eachChunk hands on the chunks of a body and returns how many bytes they take up with all that stands between them, or 0
-// while the last one has not come.
+// eachChunk calls take with each chunk of a body and returns the encoded size of the body with its trailers, or 0 while it
+// is incomplete.
 func eachChunk(data []byte, take func([]byte)) (int, error) {
 	at, total := 0, 0
 	for {
@@ -80,10 +80,10 @@
 		}
 		at += end + 2
 		if total += int(size); total > bodyMax {
-			return 0, ErrTooLong
+			return 0, ErrBodyTooLong
 		}
 		if size == 0 {
-			return trailers(data, at), nil
+			return trailersEnd(data, at), nil
 		}
 		if len(data) < at+int(size)+2 {
 			return 0, nil
@@ -96,8 +96,9 @@
 	}
 }
 
-// trailers returns where the trailers that begin at a place end, or 0 while they have not. An empty line ends them.
-func trailers(data []byte, at int) int {
+// trailersEnd returns the end of the trailers that begin at index at, or 0 while they are incomplete. An empty line ends
+// them.
+func trailersEnd(data []byte, at int) int {
 	if bytes.HasPrefix(data[at:], []byte("\r\n")) {
 		return at + 2
 	}
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -97,9 +97,9 @@
 		c.link.Discard(len(c.link.Peek()))
 		return
 	}
-	call, err := http1.ParseCall(c.link.Peek())
+	call, err := http1.ParseRequest(c.link.Peek())
 	switch {
-	case errors.Is(err, http1.ErrHeadMax):
+	case errors.Is(err, http1.ErrHeadTooLong):
 		c.fail(431, err)
 	case err != nil:
 		c.fail(400, err)
@@ -116,7 +116,7 @@
 }
 
 // route finds what a path names.
-func (c *caller) route(call http1.Call) {
+func (c *caller) route(call http1.Request) {
 	node := c.desk.node
 	host, isHost := strings.CutPrefix(call.Path, "/v1/hosts/")
 	id, verb := cutLast(host)
@@ -145,7 +145,7 @@
 }
 
 // permit says whether the call comes with the method that its path takes, and answers where it does not.
-func (c *caller) permit(call http1.Call, method string) bool {
+func (c *caller) permit(call http1.Request, method string) bool {
 	if call.Method == method {
 		return true
 	}
@@ -154,7 +154,7 @@
 }
 
 // post has the node do something and answers once that stands.
-func (c *caller) post(call http1.Call, do func(done func(error))) {
+func (c *caller) post(call http1.Request, do func(done func(error))) {
 	if !c.permit(call, "POST") {
 		return
 	}
@@ -165,7 +165,7 @@
 	do(func(err error) { c.done(call, err) })
 }
 
-func (c *caller) done(call http1.Call, err error) {
+func (c *caller) done(call http1.Request, err error) {
 	switch {
 	case c.over:
 		return
@@ -193,7 +193,7 @@
 func (c *caller) answer(status int, allow string, text []byte) {
 	c.waits, c.over = false, true
 	c.late.Stop()
-	c.link.Write(http1.AppendAnswer(nil, status, allow, text))
+	c.link.Write(http1.AppendResponse(nil, status, allow, text))
 	c.link.LingeringClose()
 }
 
