--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -109,7 +109,7 @@
 		c.Throttle(c.acceptor.retry)
 		return
 	}
-	if !open.Told {
+	if !open.HasWait {
 		open.Wait = c.acceptor.classes[open.Class].Deadline
 	}
 	c.late.Stop()
@@ -118,7 +118,7 @@
 	c.open = open
 	c.acceptor.ids[open.ID] = true
 	c.query = c.acceptor.core.Arrive(c, balance.Arrival{Class: open.Class, Tenant: open.Tenant, Key: open.Key,
-		Group: open.Group, Load: open.Load, MidFlow: open.MidFlow, Returning: open.Again, Repeat: open.Retry},
+		Group: open.Group, Load: open.Load, MidFlow: open.MidFlow, Returning: open.Returning, Repeat: open.Retry},
 		open.At, open.Wait)
 }
 
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -1,4 +1,4 @@
-// Package line reads and writes the platform's lines of text. It holds no state and does no I/O.
+// Package line parses and formats the lines of the platform's text protocol. It has no state and does no I/O.
 package line
 
 import (
@@ -13,21 +13,21 @@
 	"lichenhitch/balance"
 )
 
-// Max is the longest line, with its CRLF.
+// Max is the maximum length of a line in bytes, including its CRLF.
 const Max = 4 << 10
 
-// maxWait is the longest wait that a client may tell, in milliseconds: a day. Clients wait for seconds, but one without a
-// deadline, as of a connection that stood before, tells the longest time that fits 32 bits of microseconds, 4,294,967 ms.
-const maxWait = 24 * 60 * 60 * 1000
+// maxWaitMS is the longest wait that a client may give, in milliseconds: one day. Clients wait for seconds, but a client
+// without a deadline, such as that of a connection that was established before, gives the longest time that fits 32 bits of
+// microseconds, 4,294,967 ms.
+const maxWaitMS = 24 * 60 * 60 * 1000
 
-// The faults of a line.
+// Errors of lines. Clients receive these texts in ERR lines.
 var (
 	ErrTooLong   = errors.New("the line is longer than 4 KiB")
 	ErrMalformed = errors.New("the line is malformed")
 )
 
-// Next cuts the first line off data. It returns the line without its CRLF and how many bytes it takes up, or 0
-// while it is not complete.
+// Next returns the first line of data without its CRLF, and its length with it, which is 0 while the line is incomplete.
 func Next(data []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(data, '\n')
 	switch {
@@ -43,7 +43,7 @@
 	return text, end + 1, nil
 }
 
-// Complete returns how many bytes the complete lines at the start of data take up.
+// Complete returns the total length of the complete lines at the start of data.
 func Complete(data []byte) (int, error) {
 	n := bytes.LastIndexByte(data, '\n') + 1
 	if len(data)-n >= Max {
@@ -52,40 +52,40 @@
 	return n, nil
 }
 
-// Word cuts the first word off a line.
+// Word splits a line at its first space.
 func Word(text []byte) (word, rest []byte) {
 	word, rest, _ = bytes.Cut(text, []byte(" "))
 	return word, rest
 }
 
-// Open is a client's first line.
+// Open is an OPEN line, the first line of a client, which makes its request.
 type Open struct {
-	ID, Key       string
-	Class, Tenant string
-	Group         string
-	At            balance.ServerID // the host that holds the connection from before
-	Wait          time.Duration    // how long the client waits, where it is told
-	Told          bool
-	Load          float64
-	Retry, Again  bool
-	MidFlow       bool
-
-	text       []byte // the line
-	from, upTo int    // where the value of d stands in it
+	ID, Key          string
+	Class, Tenant    string
+	Group            string
+	At               balance.ServerID // the host that already has the connection
+	Wait             time.Duration    // how long the client waits, if HasWait
+	HasWait          bool
+	Load             float64
+	Retry, Returning bool
+	MidFlow          bool
+
+	text               []byte // the line without its CRLF
+	waitStart, waitEnd int    // position of the value of d in text; 0 without d
 }
 
-// ParseOpen reads an OPEN line. Names that are not known are passed over.
+// ParseOpen parses an OPEN line. Unknown names are ignored.
 func ParseOpen(text []byte) (Open, error) {
 	word, rest := Word(text)
 	if string(word) != "OPEN" {
 		return Open{}, fmt.Errorf("%w: it does not begin with OPEN", ErrMalformed)
 	}
 	id, rest := Word(rest)
-	flow, list := Word(rest)
-	if len(id) == 0 || len(flow) == 0 || len(list) == 0 || bytes.ContainsAny(list, " ") || !isText(text) {
+	key, list := Word(rest)
+	if len(id) == 0 || len(key) == 0 || len(list) == 0 || bytes.ContainsAny(list, " ") || !isPlainText(text) {
 		return Open{}, fmt.Errorf("%w: an id, a key and a list are wanted", ErrMalformed)
 	}
-	o := Open{ID: string(id), Key: string(flow), text: bytes.Clone(text)}
+	o := Open{ID: string(id), Key: string(key), text: bytes.Clone(text)}
 	at := len(text) - len(list)
 	for len(list) > 0 {
 		pair, rest, _ := bytes.Cut(list, []byte(","))
@@ -97,7 +97,7 @@
 			return Open{}, err
 		}
 		if string(name) == "d" {
-			o.from, o.upTo = at+len(name)+1, at+len(pair)
+			o.waitStart, o.waitEnd = at+len(name)+1, at+len(pair)
 		}
 		at += len(pair) + 1
 		list = rest
@@ -108,8 +108,9 @@
 	return o, nil
 }
 
-// isText says whether a text is one, without control characters: a lone CR might pass for the end of a line elsewhere.
-func isText(text []byte) bool {
+// isPlainText reports whether text is valid UTF-8 without control characters. A lone CR might be taken for the end of a line
+// elsewhere.
+func isPlainText(text []byte) bool {
 	return utf8.Valid(text) && !bytes.ContainsFunc(text, func(r rune) bool { return r < ' ' || r == 0x7f })
 }
 
@@ -127,7 +128,7 @@
 	case "r":
 		o.Retry = value == "1"
 	case "again":
-		o.Again = value == "1"
+		o.Returning = value == "1"
 	case "mid":
 		o.MidFlow = value == "1"
 	case "h":
@@ -137,10 +138,10 @@
 		}
 	case "d":
 		var ms uint64
-		if ms, err = strconv.ParseUint(value, 10, 64); err == nil && ms > maxWait {
+		if ms, err = strconv.ParseUint(value, 10, 64); err == nil && ms > maxWaitMS {
 			err = strconv.ErrRange
 		}
-		o.Wait, o.Told = time.Duration(ms)*time.Millisecond, true
+		o.Wait, o.HasWait = time.Duration(ms)*time.Millisecond, true
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %s=%.40q", ErrMalformed, name, value)
@@ -148,17 +149,18 @@
 	return nil
 }
 
-// Append appends the line as it goes to a host: d tells what is left, and every other byte is the client's.
+// Append appends the line as it is sent to a host: d gives the time that is left, and every other byte is the client's.
 func (o *Open) Append(to []byte, left time.Duration) []byte {
-	if o.upTo == 0 {
+	if o.waitEnd == 0 {
 		return append(append(to, o.text...), "\r\n"...)
 	}
-	to = append(to, o.text[:o.from]...)
+	to = append(to, o.text[:o.waitStart]...)
 	to = strconv.AppendInt(to, max(left.Milliseconds(), 1), 10)
-	return append(append(to, o.text[o.upTo:]...), "\r\n"...)
+	return append(append(to, o.text[o.waitEnd:]...), "\r\n"...)
 }
 
-// AppendBusy appends the answer of a throttle; after is rounded up, 0 gives no advice.
+// AppendBusy appends a BUSY line. after is the time to wait before another try, rounded up to milliseconds; with 0 the line
+// has none.
 func AppendBusy(to []byte, after time.Duration) []byte {
 	to = append(to, "BUSY"...)
 	if after > 0 {
@@ -168,13 +170,13 @@
 	return append(to, "\r\n"...)
 }
 
-// ParseReport reads a load report, as in inflight=7,queue=2. What it does not know it passes over; a figure
-// that is no number makes the report empty.
+// ParseReport parses a load report such as inflight=7,queue=2. Unknown names are ignored. A value that is not a finite number
+// makes the whole report empty.
 func ParseReport(text []byte) balance.Report {
 	var out balance.Report
 	for pair := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, _ := bytes.Cut(pair, []byte("="))
-		to, has := field(&out, string(name))
+		to, has := metricField(&out, string(name))
 		if to == nil {
 			continue
 		}
@@ -188,7 +190,7 @@
 	return out
 }
 
-func field(r *balance.Report, name string) (*float64, balance.Metric) {
+func metricField(r *balance.Report, name string) (*float64, balance.Metric) {
 	switch name {
 	case "x0":
 		return &r.Ratio, balance.HasRatio
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -12,7 +12,7 @@
 	"lichenhitch/balance"
 )
 
-func TestOpenIsReadAndPassedOnUnchangedButForD(t *testing.T) {
+func TestOpenIsPassedOnUnchangedExceptForD(t *testing.T) {
 	const text = "OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,h=12.5,r=1,again=1,mid=1,at=s-1,x9=new"
 	o, err := ParseOpen([]byte(text))
 	require.NoError(t, err)
@@ -20,21 +20,21 @@
 	assert.Equal(t, balance.ServerID("s-1"), o.At)
 	assert.Equal(t, 2*time.Second, o.Wait)
 	assert.Equal(t, 12.5, o.Load)
-	assert.True(t, o.Retry && o.Again && o.MidFlow)
+	assert.True(t, o.Retry && o.Returning && o.MidFlow)
 	assert.Equal(t, strings.Replace(text, "d=2000", "d=1234", 1)+"\r\n", string(o.Append(nil, 1234*time.Millisecond)))
 
 	o, err = ParseOpen([]byte("OPEN 1 2 c=chat,dd=7"))
 	require.NoError(t, err)
-	assert.Equal(t, "OPEN 1 2 c=chat,dd=7\r\n", string(o.Append(nil, time.Second)), "no d, nothing to tell")
+	assert.Equal(t, "OPEN 1 2 c=chat,dd=7\r\n", string(o.Append(nil, time.Second)), "no time is added to a line without d")
 }
 
-func TestLinesAreCut(t *testing.T) {
+func TestNextAndComplete(t *testing.T) {
 	text, n, err := Next([]byte("UP r1\r\nM"))
 	require.NoError(t, err)
 	assert.Equal(t, "UP r1", string(text))
 	assert.Equal(t, 7, n)
 	_, n, err = Next([]byte("UP r"))
-	assert.True(t, n == 0 && err == nil, "an incomplete line waits")
+	assert.True(t, n == 0 && err == nil, "an incomplete line is not an error")
 	_, _, err = Next(bytes.Repeat([]byte("x"), Max))
 	assert.ErrorIs(t, err, ErrTooLong)
 	_, _, err = Next([]byte("UP\n"))
@@ -55,8 +55,8 @@
 	assert.Equal(t, "BUSY 2\r\n", string(AppendBusy(nil, 1500*time.Microsecond)))
 }
 
-// FuzzOpen checks that a line that is taken goes on whole: two lines or a changed byte would reach a host as
-// what no client sent.
+// FuzzOpen checks that a parsed line is passed on as one line with only the value of d changed. Otherwise a host would
+// receive something that no client sent.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte("OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f\r\n"))
 	f.Add([]byte("OPEN 1 2 d=5,c=x,d=7\r\n"))
@@ -72,11 +72,11 @@
 		}
 		sent := o.Append(nil, 1234*time.Millisecond)
 		require.Equal(t, 1, bytes.Count(sent, []byte("\n")))
-		if o.upTo == 0 {
+		if o.waitEnd == 0 {
 			require.Equal(t, string(text)+"\r\n", string(sent))
 			return
 		}
-		want := string(text[:o.from]) + "1234" + string(text[o.upTo:]) + "\r\n"
+		want := string(text[:o.waitStart]) + "1234" + string(text[o.waitEnd:]) + "\r\n"
 		require.Equal(t, want, string(sent))
 	})
 }
