--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -9,10 +9,11 @@
 	"strconv"
 )
 
-// Errors of malformed or oversized messages. A returned error may wrap one of them with the faulty text.
+// Errors of malformed or oversized messages. A returned error may wrap one of them with the faulty text. Operators receive the
+// texts of ErrHead and ErrHeadTooLong in responses.
 var (
-	ErrHead        = errors.New("message head is malformed")
-	ErrHeadTooLong = errors.New("message head is too long")
+	ErrHead        = errors.New("the head is malformed")
+	ErrHeadTooLong = errors.New("the head is too long")
 	ErrChunk       = errors.New("chunked body is malformed")
 	ErrNoLength    = errors.New("message has no body length")
 	ErrBodyTooLong = errors.New("message body is too long")
--- a/internal/wire/host.go
+++ b/internal/wire/serve.go
@@ -11,47 +11,47 @@
 	"lichenhitch/balance"
 )
 
-// Serve hosts balancers: it reads batches from in until its end and writes a reply to each to out. Instances
-// share nothing. An error names the message that could not be taken.
+// Serve runs balancer instances: it reads batches from in until the end of input and writes a reply to each to out. The
+// instances share no state. An error names the line and the message that could not be handled.
 func Serve(in io.Reader, out io.Writer) error {
-	h := host{
+	s := session{
 		in:        bufio.NewReaderSize(in, 1<<16),
 		out:       bufio.NewWriterSize(out, 1<<16),
 		instances: map[string]*balance.Balancer{},
 	}
 	for {
-		line, err := h.readLine()
+		line, err := s.readLine()
 		if err == nil {
-			err = h.take(line)
+			err = s.handle(line)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return fmt.Errorf("line %d: %w", h.lines, err)
+			return fmt.Errorf("line %d: %w", s.lines, err)
 		}
 	}
 }
 
-type host struct {
+type session struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
 	instances map[string]*balance.Balancer
 	lines     int
 	clock     time.Duration
-	open      bool // inside a batch
+	inBatch   bool // between a mark and its commit
 	buf       []byte
 }
 
-// readLine returns the next line that is not blank. The end of input is fine between batches only.
-func (h *host) readLine() ([]byte, error) {
+// readLine returns the next line that is not blank. The end of input is an error inside a batch.
+func (s *session) readLine() ([]byte, error) {
 	for {
-		line, err := h.in.ReadBytes('\n')
-		h.lines++
+		line, err := s.in.ReadBytes('\n')
+		s.lines++
 		if line = bytes.TrimSpace(line); len(line) > 0 {
 			return line, nil
 		}
-		if errors.Is(err, io.EOF) && h.open {
+		if errors.Is(err, io.EOF) && s.inBatch {
 			return nil, errors.New("commit: the input ends inside a batch")
 		}
 		if err != nil {
@@ -60,52 +60,52 @@
 	}
 }
 
-func (h *host) take(line []byte) error {
+func (s *session) handle(line []byte) error {
 	m, err := Decode(line)
 	if err != nil {
 		return err
 	}
-	if (m.Kind == Mark) == h.open {
-		if h.open {
+	if (m.Kind == Mark) == s.inBatch {
+		if s.inBatch {
 			return fmt.Errorf("%s: the batch before is not closed", m.Name)
 		}
 		return fmt.Errorf("%s: outside a batch", m.Name)
 	}
 	switch m.Kind {
 	case Mark:
-		h.open, h.clock, h.buf = true, m.Clock, h.buf[:0]
+		s.inBatch, s.clock, s.buf = true, m.Clock, s.buf[:0]
 	case Commit:
-		h.open = false
-		return h.reply()
+		s.inBatch = false
+		return s.reply()
 	case Start:
-		h.instances[m.Instance] = balance.New(m.Settings, m.Seed)
+		s.instances[m.Instance] = balance.New(m.Settings, m.Seed)
 	default:
-		return h.deliver(m)
+		return s.deliver(m)
 	}
 	return nil
 }
 
-func (h *host) deliver(m Message) error {
-	b := h.instances[m.Instance]
+func (s *session) deliver(m Message) error {
+	b := s.instances[m.Instance]
 	if b == nil {
 		return fmt.Errorf("%s: unknown instance %q", m.Name, m.Instance)
 	}
 	if m.Kind == Stop {
-		delete(h.instances, m.Instance)
+		delete(s.instances, m.Instance)
 		return nil
 	}
-	for _, a := range b.Handle(h.clock, m.Event) {
-		h.buf = Encode(h.buf, m.Instance, a)
+	for _, a := range b.Handle(s.clock, m.Event) {
+		s.buf = Encode(s.buf, m.Instance, a)
 	}
 	return nil
 }
 
-func (h *host) reply() error {
-	h.buf = append(h.buf, Next...)
-	if _, err := h.out.Write(h.buf); err != nil {
+func (s *session) reply() error {
+	s.buf = append(s.buf, Next...)
+	if _, err := s.out.Write(s.buf); err != nil {
 		return fmt.Errorf("reply: %w", err)
 	}
-	if err := h.out.Flush(); err != nil {
+	if err := s.out.Flush(); err != nil {
 		return fmt.Errorf("reply: %w", err)
 	}
 	return nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the batches of a proxy host and maps them to the events and actions of
-// package balance. It decides nothing.
+// Package wire converts between the batches of JSON lines that a proxy host exchanges with its balancers and the events and
+// actions of package balance. It makes no decisions.
 package wire
 
 import (
@@ -15,14 +15,14 @@
 	"lichenhitch/internal/settings"
 )
 
-// Kind says what a line of input is.
+// Kind is the kind of an input line.
 type Kind int
 
 // The kinds of lines.
 const (
-	Mark   Kind = iota // opens a batch and gives its clock
-	Commit             // closes a batch
-	Start              // an instance starts
+	Mark   Kind = iota // starts a batch and sets its clock
+	Commit             // ends a batch
+	Start              // a balancer instance starts
 	Stop               // an instance is killed
 	Event              // an event of a running instance
 )
@@ -31,11 +31,11 @@
 type Message struct {
 	Name     string
 	Kind     Kind
-	Clock    time.Duration // of a Mark
+	Clock    time.Duration // for Mark
 	Instance string
-	Seed     uint64           // of a Start
-	Settings balance.Settings // of a Start
-	Event    balance.Event    // of an Event
+	Seed     uint64           // for Start
+	Settings balance.Settings // for Start
+	Event    balance.Event    // for Event
 }
 
 type entry struct {
@@ -47,7 +47,7 @@
 	State    string  `json:"state"`
 }
 
-// fields holds every field of every incoming message; each message uses some.
+// fields holds the fields of all incoming messages; each message uses some of them.
 type fields struct {
 	TimeUS    *int64          `json:"t_us"`
 	Instance  *string         `json:"proxy_id"`
@@ -78,7 +78,7 @@
 	Data      string          `json:"data"`
 }
 
-// tenantName is a name, or the number 0 where there are no tenants.
+// tenantName is decoded from a name, or from the number 0 if there are no tenants.
 type tenantName string
 
 func (t *tenantName) UnmarshalJSON(data []byte) error {
@@ -133,7 +133,7 @@
 	"unavailable": balance.ListFailed,
 }
 
-// Decode reads one line. An error names the message and says what is wrong with it.
+// Decode parses one line. An error names the message and what is wrong with it.
 func Decode(line []byte) (Message, error) {
 	name, body, ok := split(line)
 	if !ok {
@@ -146,8 +146,8 @@
 	return m, nil
 }
 
-// split takes {"name":body} apart without looking into the body, which is then decoded once only: lists of
-// servers make up nearly all of the input, and reading them is nearly all of the adapter's time.
+// split splits {"name":body} without parsing the body, so that the body is parsed only once. Server lists are nearly all of
+// the input, and parsing them takes nearly all of the adapter's time.
 func split(line []byte) (name string, body []byte, ok bool) {
 	rest, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("{"))
 	if !ok {
@@ -194,8 +194,8 @@
 
 func missing(field string) error { return fmt.Errorf("%s is missing", field) }
 
-// need reports the first of the fields that is absent.
-func need(pairs ...any) error {
+// requireFields returns an error for the first missing field. pairs alternates field names and whether each is present.
+func requireFields(pairs ...any) error {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if !pairs[i+1].(bool) {
 			return missing(pairs[i].(string))
@@ -209,9 +209,9 @@
 func init() {
 	decoders = map[string]func(*fields, *Message) error{
 		"mark": decodeMark, "commit": decodeCommit, "start": decodeStart, "power_off": decodeStop,
-		"targets": decodeTargets, "arrival": decodeArrival, "open": decodeOpen, "established": decodeEstablished,
-		"progress": decodeProgress, "completed": decodeCompleted, "lapsed": decodeLapsed,
-		"tick_due": decodeTick, "pong": decodePong, "datagram": decodeDatagram,
+		"targets": decodeServerList, "arrival": decodeArrival, "open": decodeInherited, "established": decodeEstablished,
+		"progress": decodeProgress, "completed": decodeEnded, "lapsed": decodeDeparted,
+		"tick_due": decodeWoken, "pong": decodeProbed, "datagram": decodePeerMessage,
 	}
 }
 
@@ -238,7 +238,7 @@
 
 func decodeStart(f *fields, m *Message) (err error) {
 	m.Kind = Start
-	if err := need("random_seed", f.Seed != nil, "info", f.Info != nil); err != nil {
+	if err := requireFields("random_seed", f.Seed != nil, "info", f.Info != nil); err != nil {
 		return err
 	}
 	m.Seed = *f.Seed
@@ -248,7 +248,7 @@
 	return nil
 }
 
-func decodeTargets(f *fields, m *Message) error {
+func decodeServerList(f *fields, m *Message) error {
 	if f.Kind == nil {
 		return missing("kind")
 	}
@@ -259,7 +259,7 @@
 	list := balance.ServerList{Kind: kind, Entries: make([]balance.Listing, 0, len(f.Entries))}
 	for i, e := range f.Entries {
 		if e.Server == "" || e.State == "" {
-			return fmt.Errorf("entry %d: %w", i, need("server", e.Server != "", "state", e.State != ""))
+			return fmt.Errorf("entry %d: %w", i, requireFields("server", e.Server != "", "state", e.State != ""))
 		}
 		state, ok := states[e.State]
 		if !ok {
@@ -273,7 +273,7 @@
 }
 
 func (f *fields) arrival() (balance.Arrival, error) {
-	if err := need("corr", f.Request != nil, "lane", f.Class != nil); err != nil {
+	if err := requireFields("corr", f.Request != nil, "lane", f.Class != nil); err != nil {
 		return balance.Arrival{}, err
 	}
 	a := balance.Arrival{Request: balance.RequestID(*f.Request), Class: *f.Class, Tenant: string(f.Tenant),
@@ -294,7 +294,7 @@
 	return err
 }
 
-func decodeOpen(f *fields, m *Message) error {
+func decodeInherited(f *fields, m *Message) error {
 	a, err := f.arrival()
 	if err == nil && f.Server == nil {
 		err = missing("server")
@@ -306,10 +306,12 @@
 	return nil
 }
 
-func (f *fields) attempt() error { return need("corr", f.Request != nil, "n", f.Attempt != nil) }
+func (f *fields) requireAttempt() error {
+	return requireFields("corr", f.Request != nil, "n", f.Attempt != nil)
+}
 
 func decodeEstablished(f *fields, m *Message) error {
-	if err := f.attempt(); err != nil {
+	if err := f.requireAttempt(); err != nil {
 		return err
 	}
 	m.Event = balance.Established{Request: balance.RequestID(*f.Request), Attempt: *f.Attempt,
@@ -317,20 +319,20 @@
 	return nil
 }
 
-// The notes of a progress message.
+// The values of the field "what" of a progress message.
 const (
-	noteLoad = 1
-	noteSlow = 2
+	noteLoadChanged  = 1
+	noteMessagesSlow = 2
 )
 
 func decodeProgress(f *fields, m *Message) error {
-	if err := need("corr", f.Request != nil, "what", f.Note != nil, "amount", f.Amount != nil); err != nil {
+	if err := requireFields("corr", f.Request != nil, "what", f.Note != nil, "amount", f.Amount != nil); err != nil {
 		return err
 	}
 	switch id := balance.RequestID(*f.Request); *f.Note {
-	case noteLoad:
+	case noteLoadChanged:
 		m.Event = balance.LoadChanged{Request: id, Load: *f.Amount}
-	case noteSlow:
+	case noteMessagesSlow:
 		m.Event = balance.MessagesSlow{Request: id, Took: time.Duration(*f.Amount * float64(time.Millisecond))}
 	default:
 		return fmt.Errorf("unknown note %d", *f.Note)
@@ -349,8 +351,8 @@
 	return o, nil
 }
 
-func decodeCompleted(f *fields, m *Message) error {
-	if err := f.attempt(); err != nil {
+func decodeEnded(f *fields, m *Message) error {
+	if err := f.requireAttempt(); err != nil {
 		return err
 	}
 	o, err := f.outcome()
@@ -359,7 +361,7 @@
 	return err
 }
 
-func decodeLapsed(f *fields, m *Message) error {
+func decodeDeparted(f *fields, m *Message) error {
 	if f.Request == nil {
 		return missing("corr")
 	}
@@ -367,7 +369,7 @@
 	return nil
 }
 
-func decodeTick(f *fields, m *Message) error {
+func decodeWoken(f *fields, m *Message) error {
 	if f.Token == nil {
 		return missing("label")
 	}
@@ -375,7 +377,7 @@
 	return nil
 }
 
-func decodePong(f *fields, m *Message) error {
+func decodeProbed(f *fields, m *Message) error {
 	if f.Server == nil {
 		return missing("server")
 	}
@@ -385,7 +387,7 @@
 	return err
 }
 
-func decodeDatagram(f *fields, m *Message) error {
+func decodePeerMessage(f *fields, m *Message) error {
 	if f.From == nil {
 		return missing("who")
 	}
@@ -393,23 +395,23 @@
 	return nil
 }
 
-// Encode appends the line of one action of an instance.
+// Encode appends the line for one action of an instance.
 func Encode(to []byte, instance string, action balance.Action) []byte {
 	var name string
 	var body any
 	switch a := action.(type) {
 	case balance.Place:
 		name, body = "dispatch", struct {
-			I string `json:"proxy_id"`
-			R uint64 `json:"corr"`
-			S string `json:"server"`
-			T int64  `json:"timeout_us"`
+			Instance  string `json:"proxy_id"`
+			Request   uint64 `json:"corr"`
+			Server    string `json:"server"`
+			TimeoutUS int64  `json:"timeout_us"`
 		}{instance, uint64(a.Request), string(a.Server), a.Timeout.Microseconds()}
 	case balance.Refuse:
 		name, body = "decline", struct {
-			I string `json:"proxy_id"`
-			R uint64 `json:"corr"`
-			B int64  `json:"backoff_us,omitempty"`
+			Instance  string `json:"proxy_id"`
+			Request   uint64 `json:"corr"`
+			BackoffUS int64  `json:"backoff_us,omitempty"`
 		}{instance, uint64(a.Request), a.RetryAfter.Microseconds()}
 	case balance.Fail:
 		name, body = "fail", requestBody{instance, uint64(a.Request)}
@@ -417,26 +419,26 @@
 		name, body = "transfer", requestBody{instance, uint64(a.Request)}
 	case balance.Wake:
 		name, body = "sleep", struct {
-			I string `json:"proxy_id"`
-			W int64  `json:"wait_us"`
-			L uint64 `json:"label"`
+			Instance string `json:"proxy_id"`
+			WaitUS   int64  `json:"wait_us"`
+			Label    uint64 `json:"label"`
 		}{instance, a.After.Microseconds(), a.Token}
 	case balance.Probe:
 		name, body = "poll", struct {
-			I string `json:"proxy_id"`
-			S string `json:"server"`
+			Instance string `json:"proxy_id"`
+			Server   string `json:"server"`
 		}{instance, string(a.Server)}
 	case balance.Subscribe:
 		name, body = "tail", struct {
-			I string `json:"proxy_id"`
-			E bool   `json:"enable"`
+			Instance string `json:"proxy_id"`
+			Enable   bool   `json:"enable"`
 		}{instance, true}
 	case balance.Tell:
 		name, body = "publish", struct {
-			I string `json:"proxy_id"`
-			P any    `json:"peer"`
-			D string `json:"data"`
-		}{instance, peer(a.Peer), strings.ToValidUTF8(a.Data, "")}
+			Instance string `json:"proxy_id"`
+			Peer     any    `json:"peer"`
+			Data     string `json:"data"`
+		}{instance, peerValue(a.Peer), strings.ToValidUTF8(a.Data, "")}
 	}
 	line, err := json.Marshal(map[string]any{name: body})
 	if err != nil || name == "" {
@@ -446,16 +448,16 @@
 }
 
 type requestBody struct {
-	I string `json:"proxy_id"`
-	R uint64 `json:"corr"`
+	Instance string `json:"proxy_id"`
+	Request  uint64 `json:"corr"`
 }
 
-func peer(n int) any {
+func peerValue(n int) any {
 	if n == balance.AllPeers {
 		return "*"
 	}
 	return n
 }
 
-// Next is the line that closes a reply.
+// Next is the line that ends a reply.
 const Next = `{"next":{}}` + "\n"
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -135,11 +135,11 @@
 		t.Errorf("%d replies to 4 batches:\n%s", got, out.String())
 	}
 	if !strings.Contains(out.String(), `"sleep"`) {
-		t.Error("no timer for the subscription")
+		t.Error("no reply has a sleep action")
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestErrorsNameTheMalformedMessage(t *testing.T) {
 	for name, tc := range map[string]struct{ in, want string }{
 		"not json":         {batch(`hello`), "not a message"},
 		"two names":        {batch(`{"lapsed":{},"pong":{}}`), "lapsed: fields"},
@@ -175,7 +175,7 @@
 	}
 }
 
-// FuzzServe feeds the decoder and the balancers behind it: an error is fine, a panic is not.
+// FuzzServe checks that neither the decoder nor the balancers panic on any input; errors are fine.
 func FuzzServe(f *testing.F) {
 	f.Add(batch(startLine))
 	f.Add(batch(startLine, `{"arrival":{"proxy_id":"proxy/1","corr":1,"lane":"c","time_budget_us":-5}}`))
