--- a/internal/evloop/loop.go
+++ b/internal/evloop/loop.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// Now returns the time since the Unix epoch. It is the system time at the start plus the monotonic time since, so that it
+// Now returns the time since the Unix epoch (1970). It is the system time at the start plus the monotonic time since, so that it
 // never steps and can be compared with the Unix times that discovery gives.
 func (l *Loop) Now() time.Duration {
 	return time.Duration(l.start.UnixNano()) + time.Since(l.start)
