--- a/internal/evloop/close_test.go
+++ b/internal/evloop/close_test.go
@@ -13,7 +13,7 @@
 
 // recorder is a handler that records what its connection receives.
 type recorder struct {
-	link     *Conn
+	conn     *Conn
 	received []byte
 	closed   chan error
 }
@@ -22,9 +22,9 @@
 
 func (h *recorder) Opened() {}
 func (h *recorder) Received() {
-	data := h.link.Peek()
+	data := h.conn.Peek()
 	h.received = append(h.received, data...)
-	h.link.Discard(len(data))
+	h.conn.Discard(len(data))
 }
 func (h *recorder) Closed(err error) { h.closed <- err }
 
@@ -34,7 +34,7 @@
 	h := newRecorder()
 	ready := make(chan struct{})
 	ln, err := l.Listen("127.0.0.1:0", func(k *Conn) Handler {
-		h.link = k
+		h.conn = k
 		prepare(k)
 		close(ready)
 		return h
@@ -75,11 +75,11 @@
 	l.Call(func() { // the loop reads nothing while this runs
 		_, err := io.WriteString(c, "BYE\r\n")
 		require.NoError(t, err)
-		awaitUnread(t, h.link, len("BYE\r\n"))
+		awaitUnread(t, h.conn, len("BYE\r\n"))
 		require.NoError(t, c.SetLinger(0))
 		require.NoError(t, c.Close())
-		awaitState(t, h.link, tcpClosed)
-		h.link.Write([]byte("M 1 ab\r\n"))
+		awaitState(t, h.conn, tcpClosed)
+		h.conn.Write([]byte("M 1 ab\r\n"))
 	})
 	assert.Error(t, <-h.closed)
 	l.Call(func() {
@@ -95,7 +95,7 @@
 	l.Call(func() {
 		_, err := io.WriteString(c, "OPEN\r\n")
 		require.NoError(t, err)
-		awaitUnread(t, h.link, len("OPEN\r\n"))
+		awaitUnread(t, h.conn, len("OPEN\r\n"))
 		assert.False(t, l.evictOldest(), "evicted a connection that is not idle")
 		assert.Equal(t, 1, l.evictable.Len())
 	})
@@ -125,8 +125,8 @@
 	l := startLoop(t)
 	h, c := accepted(t, l, func(*Conn) {})
 	l.Call(func() {
-		h.link.Write([]byte("BUSY\r\n"))
-		h.link.LingeringClose()
+		h.conn.Write([]byte("BUSY\r\n"))
+		h.conn.LingeringClose()
 		assert.Equal(t, 1, l.Lingering())
 	})
 	got, err := io.ReadAll(c)
--- a/internal/evloop/dial.go
+++ b/internal/evloop/dial.go
@@ -31,7 +31,7 @@
 // pendingDial is a connection that is being established.
 type pendingDial struct {
 	dialer *dialer
-	link   *Conn
+	conn   *Conn
 	token  uint64
 	fd     int // -1 after it was passed to gnet or closed
 	timer  *Timer
@@ -98,7 +98,7 @@
 		return k
 	}
 	l.dialer.lastToken++
-	c := &pendingDial{dialer: l.dialer, link: k, token: l.dialer.lastToken, fd: fd}
+	c := &pendingDial{dialer: l.dialer, conn: k, token: l.dialer.lastToken, fd: fd}
 	l.dialer.dials[c.token] = c
 	k.dial = c
 	c.timer = l.After(timeout, func() { k.fail(ErrConnectTimeout) })
@@ -145,7 +145,7 @@
 		err = syscall.Errno(status)
 	}
 	if err != nil {
-		c.link.fail(os.NewSyscallError("connect", err))
+		c.conn.fail(os.NewSyscallError("connect", err))
 		return
 	}
 	delete(d.dials, token)
@@ -153,10 +153,10 @@
 	conn, err := connFromFD(c.fd)
 	if c.fd = -1; err == nil {
 		// The timer runs until the connection is enrolled, since gnet does not report an enrolment that fails later.
-		_, err = d.loop.el.Enroll(gnet.NewContext(context.Background(), c.link), conn)
+		_, err = d.loop.el.Enroll(gnet.NewContext(context.Background(), c.conn), conn)
 	}
 	if err != nil {
-		c.link.fail(err)
+		c.conn.fail(err)
 	}
 }
 
@@ -181,5 +181,5 @@
 		_ = unix.Close(c.fd) // also removes it from the epoll set
 		c.fd = -1
 	}
-	c.link.dial = nil
+	c.conn.dial = nil
 }
--- a/internal/evloop/listen.go
+++ b/internal/evloop/listen.go
@@ -51,7 +51,7 @@
 		err = withFD(raw, steerToLatest)
 	}
 	if err != nil { // the kernel then spreads new connections over both listeners until the other one closes
-		l.log.Info("cannot steer all new connections to this process; another one that listens at this address gets a share of them", "error", err)
+		l.log.Info("cannot steer new connections away from another process at this address", "error", err)
 	}
 	return n, nil
 }
@@ -70,7 +70,8 @@
 		return "", os.NewSyscallError("socket", err)
 	}
 	defer unix.Close(fd)
-	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil { // connections of an earlier run may still be in TIME_WAIT
+	// Connections of an earlier run that has just closed may still be in TIME_WAIT.
+	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return "", os.NewSyscallError("setsockopt", err)
 	}
 	if err := unix.Bind(fd, to); err != nil {
--- a/internal/evloop/share_test.go
+++ b/internal/evloop/share_test.go
@@ -13,12 +13,12 @@
 // greeter sends the name of its listener on each connection and closes it.
 type greeter struct {
 	name string
-	link *Conn
+	conn *Conn
 }
 
 func (g *greeter) Opened() {
-	g.link.Write([]byte(g.name))
-	g.link.LingeringClose()
+	g.conn.Write([]byte(g.name))
+	g.conn.LingeringClose()
 }
 func (g *greeter) Received()    {}
 func (g *greeter) Closed(error) {}
@@ -67,15 +67,15 @@
 
 // collector is a handler that keeps the input of its connection.
 type collector struct {
-	link *Conn
+	conn *Conn
 	got  string
 	end  chan error
 }
 
 func (k *collector) Opened() {}
 func (k *collector) Received() {
-	k.got += string(k.link.Peek())
-	k.link.Discard(len(k.link.Peek()))
+	k.got += string(k.conn.Peek())
+	k.conn.Discard(len(k.conn.Peek()))
 }
 func (k *collector) Closed(err error) { k.end <- err }
 
@@ -86,7 +86,7 @@
 	first := &collector{end: make(chan error, 1)}
 	opened := make(chan bool, 1)
 	ln, err := from.Listen("127.0.0.1:0", func(k *Conn) Handler {
-		first.link = k
+		first.conn = k
 		opened <- true
 		return partialReader{first}
 	})
@@ -103,7 +103,7 @@
 		from.Call(func() {
 			if first.got != "" {
 				var ok bool
-				fd, unread, ok = first.link.Detach()
+				fd, unread, ok = first.conn.Detach()
 				assert.True(t, ok)
 			}
 		})
@@ -116,14 +116,14 @@
 	require.NoError(t, c.(*net.TCPConn).CloseWrite())
 	second := &collector{end: make(chan error, 1)}
 	require.NoError(t, to.Adopt(fd, unread, func(k *Conn) Handler {
-		second.link = k
+		second.conn = k
 		return second
 	}))
 	to.Call(func() { assert.Empty(t, second.got, "input was delivered before Resume") })
 	for more := false; !more; { // until the close has arrived as well
-		to.Call(func() { more = second.link.pausedErr != nil })
+		to.Call(func() { more = second.conn.pausedErr != nil })
 	}
-	to.Call(second.link.Resume)
+	to.Call(second.conn.Resume)
 	assert.ErrorIs(t, <-second.end, io.EOF)
 	to.Call(func() { assert.Equal(t, "left more", second.got) })
 	assert.Empty(t, first.end, "the first handler must not be called back after Detach")
@@ -133,9 +133,9 @@
 type partialReader struct{ *collector }
 
 func (h partialReader) Received() {
-	if h.got == "" && len(h.link.Peek()) == len("used left ") {
+	if h.got == "" && len(h.conn.Peek()) == len("used left ") {
 		h.got = "used "
-		h.link.Discard(len(h.got))
+		h.conn.Discard(len(h.got))
 	}
 }
 
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -49,7 +49,7 @@
 	Place                        // the balancer wants an attempt
 	Refuse                       // the balancer refuses the request: trying again is harmless
 	GiveUp                       // the balancer gives up, without promising that trying again is harmless
-	Move                         // the client of an established connection shall reconnect: the balancer wants it, or the host is unresponsive
+	Move                         // move the client elsewhere: the balancer wants it, or the host is unresponsive
 	Retry                        // the pause between two attempts at the host of an inherited connection is over
 	Deadline                     // the client's deadline is close
 	NodeStopping                 // the node must stop now
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -157,7 +157,8 @@
 		pass  bool
 		steps []step
 	}{
-		"all answered": {false, []step{{0, 0, 3, NoCommand}, {AcceptAfterSIGTERM - 1, 0, 3, NoCommand}, {AcceptAfterSIGTERM, 1, 3, StopAccepting},
+		"all answered": {false, []step{{0, 0, 3, NoCommand}, {AcceptAfterSIGTERM - 1, 0, 3, NoCommand},
+			{AcceptAfterSIGTERM, 1, 3, StopAccepting},
 			{AcceptAfterSIGTERM, 1, 3, NoCommand}, {AcceptAfterSIGTERM + 1, 0, 3, CloseAll}, {AcceptAfterSIGTERM + 2, 0, 0, NoCommand}}},
 		"deadline reached": {false, []step{{AcceptAfterSIGTERM, 1, 0, StopAccepting}, {MaxStay(time.Minute) - 1, 1, 0, NoCommand},
 			{MaxStay(time.Minute), 1, 0, CloseAll}}},
