--- a/cmd/lichenhitch/operate.go
+++ b/cmd/lichenhitch/operate.go
@@ -30,7 +30,7 @@
 	switch {
 	case n.service.Leaving:
 		return errLeaving
-	case n.service.Drained:
+	case n.service.Draining:
 		return errDrained
 	case n.service.Superseded:
 		return errSucceeded
--- a/cmd/lichenhitch/share.go
+++ b/cmd/lichenhitch/share.go
@@ -57,7 +57,7 @@
 	} else {
 		n.resume()
 	}
-	if st.Drained != n.service.Drained {
+	if st.Drained != n.service.Draining {
 		wish := lifecycle.Activate
 		if st.Drained {
 			wish = lifecycle.Drain
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -30,12 +30,12 @@
 
 // head is the parsed head of a message: the start line and the header fields.
 type head struct {
-	first   []byte // the start line
-	size    int    // bytes in the input; 0: incomplete
-	length  int    // of the body; -1: no Content-Length
-	chunked bool
-	closes  bool // Connection: close
-	keeps   bool // Connection: keep-alive
+	startLine []byte
+	size      int // bytes in the input; 0: incomplete
+	length    int // of the body; -1: no Content-Length
+	chunked   bool
+	connClose bool // Connection: close
+	keepAlive bool // Connection: keep-alive
 }
 
 // parseHead parses a head of at most maxSize bytes at the start of data. Lines end in CRLF.
@@ -47,8 +47,8 @@
 	if end < 0 || end > maxSize {
 		return head{}, ErrHeadTooLong
 	}
-	first, rest, _ := bytes.Cut(data[:end], []byte("\r\n"))
-	h := head{first: first, size: end + 4, length: -1}
+	startLine, rest, _ := bytes.Cut(data[:end], []byte("\r\n"))
+	h := head{startLine: startLine, size: end + 4, length: -1}
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
@@ -76,7 +76,7 @@
 	case bytes.EqualFold(name, []byte("transfer-encoding")):
 		h.chunked = bytes.EqualFold(value, []byte("chunked"))
 	case bytes.EqualFold(name, []byte("connection")):
-		h.closes, h.keeps = bytes.EqualFold(value, []byte("close")), bytes.EqualFold(value, []byte("keep-alive"))
+		h.connClose, h.keepAlive = bytes.EqualFold(value, []byte("close")), bytes.EqualFold(value, []byte("keep-alive"))
 	}
 	return nil
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -23,9 +23,9 @@
 	if err != nil || h.size == 0 {
 		return Request{}, err
 	}
-	words := bytes.Split(h.first, []byte(" "))
+	words := bytes.Split(h.startLine, []byte(" "))
 	if len(words) != 3 || !isMethod(words[0]) || !isVersion(words[2]) {
-		return Request{}, fmt.Errorf("%w: %.40q", ErrHead, h.first)
+		return Request{}, fmt.Errorf("%w: %.40q", ErrHead, h.startLine)
 	}
 	path, _, _ := bytes.Cut(words[1], []byte("?"))
 	text, ok := unescape(path)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -21,13 +21,13 @@
 	if err != nil || h.size == 0 {
 		return Response{}, err
 	}
-	version, rest, _ := bytes.Cut(h.first, []byte(" "))
+	version, rest, _ := bytes.Cut(h.startLine, []byte(" "))
 	code, _, _ := bytes.Cut(rest, []byte(" "))
 	status, err := strconv.Atoi(string(code))
 	if err != nil || status < 100 || status > 999 || !isVersion(version) {
-		return Response{}, fmt.Errorf("%w: %.40q", ErrHead, h.first)
+		return Response{}, fmt.Errorf("%w: %.40q", ErrHead, h.startLine)
 	}
-	a := Response{Status: status, Close: h.closes || string(version) == "HTTP/1.0" && !h.keeps}
+	a := Response{Status: status, Close: h.connClose || string(version) == "HTTP/1.0" && !h.keepAlive}
 	body := data[h.size:]
 	switch {
 	case status == 204 || status == 304:
--- a/internal/lifecycle/service.go
+++ b/internal/lifecycle/service.go
@@ -30,7 +30,7 @@
 type Service struct {
 	PassThrough  bool
 	MaxStay      time.Duration // how long the process may stay after SIGTERM; see the function MaxStay
-	Drained      bool
+	Draining     bool
 	Superseded   bool
 	Leaving      bool          // Terminate was requested
 	NotAccepting bool          // the listener is closed
@@ -45,9 +45,9 @@
 	switch w {
 	case Drain:
 		s = s.startMoving(now)
-		s.Drained = true
+		s.Draining = true
 	case Activate:
-		s.Drained = false
+		s.Draining = false
 	case Terminate:
 		if !s.Leaving {
 			s.Leaving, s.LeavingSince = true, now
@@ -68,7 +68,7 @@
 
 // startMoving records when the process begins to move its clients, unless it already does.
 func (s Service) startMoving(now time.Duration) Service {
-	if !s.Drained && !s.Superseded {
+	if !s.Draining && !s.Superseded {
 		s.MovingSince, s.MovedAt = now, 0
 	}
 	return s
@@ -76,7 +76,7 @@
 
 // Serving reports whether the node's address takes new clients; the answer to PING depends on it. A superseded process
 // that is asked answers for the process that took over.
-func (s Service) Serving() bool { return !s.Drained && (!s.Leaving || s.Superseded) }
+func (s Service) Serving() bool { return !s.Draining && (!s.Leaving || s.Superseded) }
 
 // Done reports whether a process that shuts down may exit now; see Shutdown.Done.
 func (s Service) Done(now time.Duration, lingering int) bool {
@@ -85,7 +85,7 @@
 
 // Idle reports whether there is nothing to do until the next call of Apply or SetSuperseded, so that Step need not be
 // called.
-func (s Service) Idle() bool { return !s.Drained && !s.Leaving && !s.Superseded && !s.NotAccepting }
+func (s Service) Idle() bool { return !s.Draining && !s.Leaving && !s.Superseded && !s.NotAccepting }
 
 // Step returns what to do now, for the given numbers of requests that wait for their final answer and of established
 // connections, and with MoveSome the number of clients to move. It must be called every few milliseconds while the
@@ -107,7 +107,7 @@
 			return s, command, 0
 		}
 	}
-	if !s.Drained && !s.Superseded || s.PassThrough || established == 0 || now-s.MovedAt < moveInterval {
+	if !s.Draining && !s.Superseded || s.PassThrough || established == 0 || now-s.MovedAt < moveInterval {
 		return s, NoCommand, 0
 	}
 	s.MovedAt = now
