--- a/cmd/lichenhitch/main.go
+++ b/cmd/lichenhitch/main.go
@@ -24,7 +24,7 @@
 	"lichenhitch/internal/discovery"
 	"lichenhitch/internal/evloop"
 	"lichenhitch/internal/handover"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 	"lichenhitch/internal/management"
 	"lichenhitch/internal/query"
 	"lichenhitch/internal/settings"
@@ -107,7 +107,7 @@
 	listener *evloop.Listener // nil while the door is closed
 	retired  *evloop.Listener // the last one; what is queued there may still come
 	shared   handover.State   // as this process has taken it over
-	service  life.Service
+	service  lifecycle.Service
 	pacing   bool               // step is going to be called
 	ready    bool               // the others know that the door is open and there is a list
 	passing  *passing           // connections on their way to a successor; nil where there are none
@@ -129,13 +129,13 @@
 // start wires the parts and serves. Where an earlier process of the node serves, the door opens later; see arrive.
 func start(log *slog.Logger, cfg config.Config) (*node, error) {
 	n := &node{log: log, cfg: cfg, addr: cfg.Listen, sockets: socketLimit(cfg.Sockets), empty: make(chan struct{}),
-		service: life.Service{PassThrough: cfg.Settings.PassThrough,
-			Within: life.StayWithin(longestDeadline(cfg.Settings))},
+		service: lifecycle.Service{PassThrough: cfg.Settings.PassThrough,
+			MaxStay: lifecycle.MaxStay(longestDeadline(cfg.Settings))},
 		tuning: tuning{set: cfg.Settings}}
 	n.publishSettings()
 	links := n.sockets - ownSockets
 	var err error
-	n.loop, err = evloop.Start(log, evloop.Limits{Links: links, Queued: cfg.MemoryMB << 20 / queuedPart / n.sockets})
+	n.loop, err = evloop.Start(log, evloop.Limits{Conns: links, Queued: cfg.MemoryMB << 20 / queuedPart / n.sockets})
 	if err != nil {
 		return nil, err
 	}
@@ -271,14 +271,14 @@
 
 // leave answers all that was taken and stops.
 func (n *node) leave() {
-	n.loop.Call(func() { n.ask(life.Depart) })
+	n.loop.Call(func() { n.ask(lifecycle.Terminate) })
 	<-n.empty
 	n.stop()
 }
 
 // ask takes a wish for the node as a whole.
-func (n *node) ask(w life.Wish) {
-	n.service = n.service.Ask(w, n.loop.Now())
+func (n *node) ask(w lifecycle.Operation) {
+	n.service = n.service.Apply(w, n.loop.Now())
 	n.pace()
 }
 
@@ -289,34 +289,34 @@
 	}
 }
 
-// step does what life.Service orders, again and again for as long as the process does not simply serve.
+// step does what lifecycle.Service orders, again and again for as long as the process does not simply serve.
 func (n *node) step() {
-	n.pacing = !n.service.Quiet()
+	n.pacing = !n.service.Idle()
 	if !n.pacing {
 		return
 	}
-	if n.service.Done(n.loop.Now(), n.loop.Finishing()) {
+	if n.service.Done(n.loop.Now(), n.loop.Lingering()) {
 		close(n.empty)
 		return
 	}
 	n.pass()
-	var order life.Order
+	var order lifecycle.Command
 	var count int
 	n.service, order, count = n.service.Step(n.loop.Now(), n.owed(), n.core.Standing())
 	switch order {
-	case life.Ease:
+	case lifecycle.MoveSome:
 		n.core.Ease(count)
-	case life.CloseDoor:
+	case lifecycle.StopAccepting:
 		if n.listener != nil {
-			n.listener.Retire()
+			n.listener.DrainAndClose()
 			n.retired, n.listener = n.listener, nil
 		}
-	case life.OpenDoor:
+	case lifecycle.ResumeAccepting:
 		if err := n.openDoor(); err != nil {
 			n.log.Error("the door stays closed", "error", err)
-			n.service.Shut = true // so that it is tried again
+			n.service.NotAccepting = true // so that it is tried again
 		}
-	case life.SendAway:
+	case lifecycle.CloseAll:
 		n.core.Leave(n.service.PassThrough)
 		n.acceptor.TurnAway()
 	}
--- a/cmd/lichenhitch/operate.go
+++ b/cmd/lichenhitch/operate.go
@@ -30,9 +30,9 @@
 	switch {
 	case n.service.Leaving:
 		return errLeaving
-	case n.service.Drained:
+	case n.service.Draining:
 		return errDrained
-	case n.service.Succeeded:
+	case n.service.Superseded:
 		return errSucceeded
 	case !n.ready || n.listener == nil:
 		if err := n.usable(); err != nil {
--- a/cmd/lichenhitch/share.go
+++ b/cmd/lichenhitch/share.go
@@ -7,7 +7,7 @@
 
 	"lichenhitch/balance"
 	"lichenhitch/internal/handover"
-	"lichenhitch/internal/life"
+	"lichenhitch/internal/lifecycle"
 )
 
 // This file is what this process shares with another one of the same node, while a new version takes over from an old
@@ -57,16 +57,16 @@
 	} else {
 		n.resume()
 	}
-	if st.Drained != n.service.Drained {
-		wish := life.Activate
+	if st.Drained != n.service.Draining {
+		wish := lifecycle.Activate
 		if st.Drained {
-			wish = life.Drain
+			wish = lifecycle.Drain
 		}
-		n.service = n.service.Ask(wish, n.loop.Now())
+		n.service = n.service.Apply(wish, n.loop.Now())
 	}
-	if succeeded := st.Succeeded(n.number); succeeded != n.service.Succeeded {
+	if succeeded := st.Succeeded(n.number); succeeded != n.service.Superseded {
 		n.log.Info("another process has the address", "yes", succeeded)
-		n.service = n.service.Succeed(succeeded, n.loop.Now())
+		n.service = n.service.SetSuperseded(succeeded, n.loop.Now())
 	}
 	n.budget()
 	n.pace()
@@ -98,7 +98,7 @@
 		return
 	}
 	usable := n.usable() == nil
-	if n.listener == nil && !n.service.Shut && (usable || !n.shared.Preceded(n.number)) {
+	if n.listener == nil && !n.service.NotAccepting && (usable || !n.shared.Preceded(n.number)) {
 		if err := n.openDoor(); err != nil {
 			n.log.Error("the door stays closed", "error", err)
 		}
@@ -126,7 +126,7 @@
 		return
 	}
 	links := max(n.sockets-ownSockets-held-n.governs, fewestLinks)
-	n.loop.Limit(links)
+	n.loop.SetMaxConns(links)
 	n.acceptor.Limit(max(links-probeSockets, fewestLinks))
 	if others != n.others {
 		debug.SetMemoryLimit(memoryLimit(n.cfg.MemoryMB) / int64(others+1))
@@ -148,7 +148,7 @@
 
 // publish tells how many descriptors this process holds, unless that is known.
 func (n *node) publish() {
-	mine := n.loop.Links() + ownSockets + n.governs
+	mine := n.loop.Conns() + ownSockets + n.governs
 	i := slices.IndexFunc(n.shared.Processes, func(p handover.Process) bool { return p.Number == n.number })
 	if i >= 0 && n.shared.Processes[i].Links != mine {
 		n.store.Own(func(p *handover.Process) { p.Links = mine }, func(handover.State, error) {})
