--- a/cmd/lichenhitch/affairs.go
+++ b/cmd/lichenhitch/affairs.go
@@ -8,8 +8,8 @@
 
 	"lichenhitch/balance"
 	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/consensus/store"
 	"lichenhitch/internal/control"
-	"lichenhitch/internal/council/store"
 	"lichenhitch/internal/site"
 )
 
--- a/cmd/lichenhitch/affairs_test.go
+++ b/cmd/lichenhitch/affairs_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"lichenhitch/internal/consensus/store"
 	"lichenhitch/internal/control"
-	"lichenhitch/internal/council/store"
 	"lichenhitch/internal/peer"
 	"lichenhitch/internal/site"
 )
--- a/internal/council/council.go
+++ b/internal/consensus/consensus.go
@@ -15,7 +15,7 @@
 //
 // raft takes the jitter of elections from crypto/rand: who wins an election in virtual time is not settled by a seed,
 // what holds whoever wins is. Options has no seed for that reason.
-package council
+package consensus
 
 import (
 	"encoding/binary"
--- a/internal/council/norace_test.go
+++ b/internal/consensus/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package council
+package consensus
 
 const racing = false
--- a/internal/council/seats_test.go
+++ b/internal/consensus/seats_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"encoding/binary"
--- a/internal/council/store/bench_test.go
+++ b/internal/consensus/store/bench_test.go
@@ -7,23 +7,23 @@
 
 	"github.com/stretchr/testify/require"
 
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 )
 
 // BenchmarkAgree: three seats over three stores, one entry of 100 bytes agreed on after the other, with compaction.
 func BenchmarkAgree(b *testing.B) {
 	dir := b.TempDir()
 	var stores []*Store
-	var ids []council.SeatID
+	var ids []consensus.SeatID
 	for _, name := range []string{"a", "b", "c"} {
 		s, _, err := Open(filepath.Join(dir, name), Identity{Site: "s", Node: name})
 		require.NoError(b, err)
 		defer s.Close()
 		stores, ids = append(stores, s), append(ids, s.Identity().Seat)
 	}
-	seats := map[council.SeatID]*council.Seat{}
+	seats := map[consensus.SeatID]*consensus.Seat{}
 	for _, id := range ids {
-		s, err := council.New(council.Options{Self: id, Seats: ids, Boot: 1, Run: 1, SnapshotEvery: 1000}, council.Durable{})
+		s, err := consensus.New(consensus.Options{Self: id, Seats: ids, Boot: 1, Run: 1, SnapshotEvery: 1000}, consensus.Durable{})
 		require.NoError(b, err)
 		seats[id] = s
 	}
--- a/internal/council/store/store.go
+++ b/internal/consensus/store/store.go
@@ -27,7 +27,7 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
 
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 )
 
 // Identity is whose store it is. Site and Node are given; the rest comes from the store.
@@ -39,7 +39,7 @@
 	SeatLife uint64
 	Boot     uint64 // the how manieth opening this is, from 1
 	Run      uint64 // random, of this opening
-	Seat     council.SeatID
+	Seat     consensus.SeatID
 	// Witness is given: a file on a file system in memory, which no copy of a disk brings back. While the machine runs it
 	// proves to the next process that the store is the one that the last process left, and Proven is set. Empty: none.
 	Witness string
@@ -81,13 +81,13 @@
 )
 
 // Open opens the store at path, and makes a new one where there is no file. It counts the opening.
-func Open(path string, who Identity) (*Store, council.Durable, error) {
+func Open(path string, who Identity) (*Store, consensus.Durable, error) {
 	return open(path, who, bbolt.Options{})
 }
 
-func open(path string, who Identity, opts bbolt.Options) (_ *Store, _ council.Durable, err error) {
+func open(path string, who Identity, opts bbolt.Options) (_ *Store, _ consensus.Durable, err error) {
 	s := &Store{path: path}
-	var d council.Durable
+	var d consensus.Durable
 	if s.lock, err = lock(path); err != nil {
 		return nil, d, err
 	}
@@ -148,9 +148,9 @@
 		fresh := d.Snapshot == nil && !s.who.Proven
 		if fresh {
 			s.who.SeatLife = random()
-			d, s.put, s.first, s.last = council.Durable{}, nil, 0, 0
+			d, s.put, s.first, s.last = consensus.Durable{}, nil, 0, 0
 		}
-		s.who.Seat = council.SeatOf(s.who.Site+"/"+s.who.Node, s.who.SeatLife)
+		s.who.Seat = consensus.SeatOf(s.who.Site+"/"+s.who.Node, s.who.SeatLife)
 		err = s.update(func(t *transaction) error {
 			if fresh {
 				for _, gone := range [][2][]byte{{bucketState, keyHard}, {bucketWho, keyRefused}} {
@@ -163,7 +163,7 @@
 		})
 	}
 	if err != nil {
-		return nil, council.Durable{}, err
+		return nil, consensus.Durable{}, err
 	}
 	return s, d, nil
 }
@@ -361,7 +361,7 @@
 // content is all that a store has for the seat.
 type content struct {
 	who         Identity
-	d           council.Durable
+	d           consensus.Durable
 	first, last uint64
 	count       uint64
 	records     []record
@@ -574,7 +574,7 @@
 
 // Save makes all of v durable, in one transaction; nothing of it stands where it fails, and the store takes no more then.
 // Where only the commit index moved it is kept for the next transaction: raft finds it again by itself.
-func (s *Store) Save(v council.Save) error {
+func (s *Store) Save(v consensus.Save) error {
 	if s.failed != nil {
 		return s.failed
 	}
@@ -589,7 +589,7 @@
 	return s.save(v)
 }
 
-func (s *Store) save(v council.Save) error {
+func (s *Store) save(v consensus.Save) error {
 	if v.HardState == nil {
 		v.HardState = s.held
 	}
@@ -722,7 +722,7 @@
 func (s *Store) Close() error {
 	var err error
 	if s.held != nil && s.failed == nil {
-		err = s.save(council.Save{HardState: s.held})
+		err = s.save(consensus.Save{HardState: s.held})
 	}
 	if s.db != nil {
 		err = errors.Join(err, s.db.Close())
--- a/internal/council/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 )
 
 func TestMain(m *testing.M) {
@@ -46,7 +46,7 @@
 	}}
 }
 
-func reopen(t testing.TB, path string) (*Store, council.Durable) {
+func reopen(t testing.TB, path string) (*Store, consensus.Durable) {
 	t.Helper()
 	s, d, err := Open(path, node)
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 }
 
 // text is what a seat would start from.
-func text(d council.Durable) string {
+func text(d consensus.Durable) string {
 	out := fmt.Sprintf("%v %v", d.HardState, d.Snapshot)
 	for _, e := range d.Entries {
 		out += fmt.Sprintf(" %d/%d/%x", e.GetTerm(), e.GetIndex(), e.Data)
@@ -74,11 +74,11 @@
 		defer func() { _ = s.Close() }()
 		var log []*raftpb.Entry
 		h, snap, book := hard(1, 0, 1), uint64(1), snapshot(1, 1, "")
-		require.NoError(t, s.Save(council.Save{HardState: h, Snapshot: book, Replace: true}))
+		require.NoError(t, s.Save(consensus.Save{HardState: h, Snapshot: book, Replace: true}))
 		term, boots := uint64(1), uint64(1)
 		last := func() uint64 { return snap + uint64(len(log)) }
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			v := council.Save{}
+			v := consensus.Save{}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1: // append, from anywhere after the snapshot
 				term++
@@ -102,16 +102,16 @@
 			case 4: // from a leader
 				snap = last() + 3
 				log, book, h = nil, snapshot(term, snap, "leader's"), hard(term, 2, snap)
-				v = council.Save{HardState: h, Snapshot: book, Replace: true}
+				v = consensus.Save{HardState: h, Snapshot: book, Replace: true}
 			}
 			require.NoError(t, s.Save(v))
 			if rapid.Bool().Draw(t, "reopen") {
 				require.NoError(t, s.Close())
-				var d council.Durable
+				var d consensus.Durable
 				s, d, err = Open(path, node)
 				require.NoError(t, err)
 				boots++
-				require.Equal(t, text(council.Durable{HardState: h, Snapshot: book, Entries: log}), text(d))
+				require.Equal(t, text(consensus.Durable{HardState: h, Snapshot: book, Entries: log}), text(d))
 				require.Equal(t, boots, s.Identity().Boot)
 			}
 		}
@@ -125,7 +125,7 @@
 	require.NoError(t, os.WriteFile(path+".new", []byte("of a start that did not come far"), 0o600))
 	_, _, err := Open(path, node)
 	assert.ErrorAs(t, err, new(*InUseError))
-	require.NoError(t, s.Save(council.Save{Snapshot: snapshot(1, 1, "")}))
+	require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(1, 1, "")}))
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
 	require.NoError(t, s.Put("rights", "gone", []byte("v")))
 	require.NoError(t, s.Put("rights", "gone", nil))
@@ -150,12 +150,12 @@
 	require.NoError(t, os.Remove(path))
 	s, _ = reopen(t, path)
 	empty := s.Identity()
-	require.NoError(t, s.Save(council.Save{HardState: hard(3, 2, 0)}))
+	require.NoError(t, s.Save(consensus.Save{HardState: hard(3, 2, 0)}))
 	require.NoError(t, s.Close())
 	s, d = reopen(t, path)
 	assert.Equal(t, empty.Life, s.Identity().Life)
 	assert.NotEqual(t, empty.Seat, s.Identity().Seat, "a store that no snapshot came to may be one from before")
-	assert.Equal(t, council.Durable{}, d)
+	assert.Equal(t, consensus.Durable{}, d)
 	assert.NotEqual(t, who.Seat, s.Identity().Seat, "an empty store is another seat")
 	require.NoError(t, s.Close())
 }
@@ -179,9 +179,9 @@
 	run := func(term uint64) bool {
 		s, _, err := Open(path, who)
 		require.NoError(t, err)
-		require.NoError(t, s.Save(council.Save{HardState: hard(term, 1, 1), Snapshot: snapshot(1, 1, "")}))
+		require.NoError(t, s.Save(consensus.Save{HardState: hard(term, 1, 1), Snapshot: snapshot(1, 1, "")}))
 		copyFile(t, path, path+".copy") // as it runs
-		require.NoError(t, s.Save(council.Save{HardState: hard(term+1, 1, 0)}))
+		require.NoError(t, s.Save(consensus.Save{HardState: hard(term+1, 1, 0)}))
 		require.NoError(t, s.Close())
 		return s.Identity().Proven
 	}
@@ -219,12 +219,12 @@
 	s, _ := reopen(t, path)
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
 	for i := uint64(1); i <= 60; i++ {
-		require.NoError(t, s.Save(council.Save{HardState: hard(i, 1, i-1), Entries: []*raftpb.Entry{entry(i, i, 300)}}))
+		require.NoError(t, s.Save(consensus.Save{HardState: hard(i, 1, i-1), Entries: []*raftpb.Entry{entry(i, i, 300)}}))
 		if i%20 == 0 {
-			require.NoError(t, s.Save(council.Save{Snapshot: snapshot(i, i, "book"), CutTo: i - 5}))
+			require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(i, i, "book"), CutTo: i - 5}))
 		}
 	}
-	require.NoError(t, s.Save(council.Save{HardState: hard(61, 1, 60), Entries: []*raftpb.Entry{entry(61, 61, 9000), entry(61, 62, 10)}}))
+	require.NoError(t, s.Save(consensus.Save{HardState: hard(61, 1, 60), Entries: []*raftpb.Entry{entry(61, 61, 9000), entry(61, 62, 10)}}))
 	require.NoError(t, s.Close())
 	s, d := reopen(t, path)
 	require.NoError(t, s.Close())
@@ -309,10 +309,10 @@
 		s, _ := reopen(t, path)
 		require.NoError(t, s.Put("rights", "k", []byte("v")))
 		for j := range uint64(3) {
-			require.NoError(t, s.Save(council.Save{HardState: hard(i, j, 1), Entries: []*raftpb.Entry{entry(i, 3*i+j, 900)}}))
+			require.NoError(t, s.Save(consensus.Save{HardState: hard(i, j, 1), Entries: []*raftpb.Entry{entry(i, 3*i+j, 900)}}))
 		}
 		if i%4 == 1 {
-			require.NoError(t, s.Save(council.Save{Snapshot: snapshot(i, 3*i+1, "book"), CutTo: 3 * i}))
+			require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(i, 3*i+1, "book"), CutTo: 3 * i}))
 		}
 		require.NoError(t, s.Close())
 		b, err := os.ReadFile(path)
@@ -348,8 +348,8 @@
 	path := filepath.Join(dir, "db")
 	s, _ := reopen(t, path)
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
-	require.NoError(t, s.Save(council.Save{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
-	v := council.Save{}
+	require.NoError(t, s.Save(consensus.Save{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
+	v := consensus.Save{}
 	for i := uint64(2); i < 100; i++ {
 		v.Entries = append(v.Entries, entry(1, i, 300))
 	}
@@ -379,7 +379,7 @@
 			}
 			opened++
 			require.Len(t, d.Entries, 98)
-			require.NoError(t, s.Save(council.Save{CutTo: 98}))
+			require.NoError(t, s.Save(consensus.Save{CutTo: 98}))
 			require.NoError(t, s.Close())
 			s, d = reopen(t, bad)
 			require.Len(t, d.Entries, 1, "byte %d of page %d", n, at/page)
@@ -393,17 +393,17 @@
 func TestAWriteThatFailsIsTheEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "db")
 	s, _ := reopen(t, path)
-	require.NoError(t, s.Save(council.Save{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
+	require.NoError(t, s.Save(consensus.Save{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
 	require.NoError(t, s.Close())
 	s, _, err := open(path, node, bbolt.Options{MaxSize: 64 << 10})
 	require.NoError(t, err)
 	i := uint64(2)
 	for ; err == nil; i++ {
-		err = s.Save(council.Save{Entries: []*raftpb.Entry{entry(1, i, 8000)}})
+		err = s.Save(consensus.Save{Entries: []*raftpb.Entry{entry(1, i, 8000)}})
 	}
 	var full *WriteError
 	require.ErrorAs(t, err, &full)
-	assert.ErrorAs(t, s.Save(council.Save{Entries: []*raftpb.Entry{entry(1, i-1, 1)}}), &full, "it takes no more")
+	assert.ErrorAs(t, s.Save(consensus.Save{Entries: []*raftpb.Entry{entry(1, i-1, 1)}}), &full, "it takes no more")
 	assert.ErrorAs(t, s.Put("a", "b", []byte("c")), &full)
 	require.NoError(t, s.Close())
 	_, d := reopen(t, path)
@@ -416,11 +416,11 @@
 		signal.Ignore(syscall.SIGXFSZ)
 		s, _, err := Open(path, node)
 		require.NoError(t, err)
-		require.NoError(t, s.Save(council.Save{Snapshot: snapshot(1, 1, "")}))
+		require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(1, 1, "")}))
 		require.NoError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 100 << 10, Max: 100 << 10}))
 		i := uint64(2)
 		for ; err == nil; i++ {
-			err = s.Save(council.Save{Entries: []*raftpb.Entry{entry(1, i, 5000)}})
+			err = s.Save(consensus.Save{Entries: []*raftpb.Entry{entry(1, i, 5000)}})
 		}
 		require.ErrorAs(t, err, new(*WriteError))
 		require.ErrorContains(t, err, syscall.EFBIG.Error()) // bbolt does not wrap it
@@ -446,13 +446,13 @@
 	require.NoError(t, err)
 	var at10k int64
 	for i := uint64(1); i <= 30000; i += 10 {
-		v := council.Save{HardState: hard(1, 1, i-1)}
+		v := consensus.Save{HardState: hard(1, 1, i-1)}
 		for j := range uint64(10) {
 			v.Entries = append(v.Entries, entry(1, i+j, 200))
 		}
 		require.NoError(t, s.Save(v))
 		if (i+9)%1000 == 0 {
-			require.NoError(t, s.Save(council.Save{Snapshot: snapshot(1, i+9, string(make([]byte, 10000))), CutTo: i + 9 - 250}))
+			require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(1, i+9, string(make([]byte, 10000))), CutTo: i + 9 - 250}))
 		}
 		if i+9 == 10000 {
 			info, err := os.Stat(path)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -20,7 +20,7 @@
 	"lichenhitch/internal/choice/rollout"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
 )
@@ -28,7 +28,7 @@
 // Env is what a Core acts through. Its methods return at once, but for Save and Keep, which return when what they were
 // given is durable; their errors stop the control of this node, never its traffic.
 type Env interface {
-	Save(council.Save) error
+	Save(consensus.Save) error
 	Keep(rights.Saved) error
 	Refused(why string) error                      // the store is to remember that its seat takes no part any more
 	SendRaft(seat string, q *peerpb.RaftRequest)   // answered by Core.RaftReplied, or never
@@ -71,7 +71,7 @@
 	Boot    uint64             // the how manieth opening of the store this is
 	Run     uint64             // of this process, drawn at random
 	Proven  bool               // the store is known to be as the last process left it
-	Durable council.Durable    // what the store had of the council's log
+	Durable consensus.Durable  // what the store had of the council's log
 	Saved   rights.Saved       // and of the node's right
 	Kept    Kept               // and of policies
 	Check   func(Policy) error // whether one fits the node's settings; see Traffic
@@ -119,8 +119,8 @@
 type Core struct {
 	Options
 	env    Env
-	self   council.SeatID
-	seat   *council.Seat     // nil where this node has no seat, or belongs to no council yet
+	self   consensus.SeatID
+	seat   *consensus.Seat   // nil where this node has no seat, or belongs to no council yet
 	others map[string]*other // the other seats, by node
 	parts  map[string]*partly
 	ticks  uint64
@@ -149,7 +149,7 @@
 	leader    string // who leads, as far as is known
 	leading   bool
 	applied   uint64
-	elected   council.SeatID           // who leads as far as this node's seat knows; 0: nobody
+	elected   consensus.SeatID         // who leads as far as this node's seat knows; 0: nobody
 	firstAt   time.Duration            // no question before
 	askAt     time.Duration            // when to ask for the right again
 	asked     []string                 // seats that were, since the last time
@@ -159,7 +159,7 @@
 	acking    map[string]turns.Ack     // the last that was proposed, by node
 	asking    []question               // that no read was begun for
 	reads     map[uint64][]question
-	confirmed []council.Read // by a quorum, and not applied up to yet
+	confirmed []consensus.Read // by a quorum, and not applied up to yet
 	readSeq   uint64
 	seq       uint64
 	waiters   map[uint64]waiter
@@ -298,8 +298,8 @@
 
 // ends says whether an error is the end of the seat whose words it is about.
 func ends(err error) bool {
-	var old *council.OldStoreError
-	var copied *council.CopiedStoreError
+	var old *consensus.OldStoreError
+	var copied *consensus.CopiedStoreError
 	var former *OldCouncilError
 	return errors.As(err, &old) || errors.As(err, &copied) || errors.As(err, &former)
 }
@@ -445,7 +445,7 @@
 	stop := &StoppedError{Cause: err}
 	c.stop = stop
 	event := "control has stopped; the traffic goes on, and the right to send runs out"
-	var refused *council.RefusedError
+	var refused *consensus.RefusedError
 	if errors.As(err, &refused) {
 		event = "control has stopped, and nothing is sent: the store does not tell what is out"
 		c.env.Bind(rights.Verdict{All: true})
@@ -536,7 +536,7 @@
 	}
 }
 
-func (c *Core) carryOut(now time.Duration, out council.Output) {
+func (c *Core) carryOut(now time.Duration, out consensus.Output) {
 	if err := c.env.Save(out.Save); err != nil {
 		c.fail(err)
 		return
@@ -558,7 +558,7 @@
 	st := c.seat.Status()
 	c.applied = st.Applied
 	c.confirmed = append(c.confirmed, out.Reads...)
-	c.confirmed = slices.DeleteFunc(c.confirmed, func(read council.Read) bool {
+	c.confirmed = slices.DeleteFunc(c.confirmed, func(read consensus.Read) bool {
 		if read.Index > c.applied {
 			return false
 		}
@@ -591,7 +591,7 @@
 }
 
 // apply takes one entry of the log over.
-func (c *Core) apply(now time.Duration, e council.Entry) {
+func (c *Core) apply(now time.Duration, e consensus.Entry) {
 	var what entry
 	if err := json.Unmarshal(e.Data, &what); err != nil || what.Turns == nil && what.Writes == nil && what.Policies == nil && what.Seats == nil {
 		c.env.Tell("an entry of the council's log is of a later version, or none", "index", e.Index, "error", err)
@@ -813,9 +813,9 @@
 }
 
 // Seated returns where this node's seat stands, false where it has none or belongs to no council yet.
-func (c *Core) Seated() (council.Status, bool) {
+func (c *Core) Seated() (consensus.Status, bool) {
 	if c.seat == nil {
-		return council.Status{}, false
+		return consensus.Status{}, false
 	}
 	return c.seat.Status(), true
 }
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -12,7 +12,7 @@
 	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
 )
@@ -36,7 +36,7 @@
 	seq     uint64
 }
 
-func (a *alone) Save(council.Save) error { return nil }
+func (a *alone) Save(consensus.Save) error { return nil }
 func (a *alone) Keep(rights.Saved) error {
 	a.did = append(a.did, "kept")
 	return a.full
@@ -364,8 +364,8 @@
 	answers := 0
 	q := &peerpb.RenewRequest{Node: "n2", Life: 1, Seq: 1, Run: 8, LastsUs: uint64(lasts / time.Microsecond)}
 	a.core.reads[5] = []question{{q, func(*peerpb.RenewReply) { answers++ }}}
-	a.core.confirmed = append(a.core.confirmed, council.Read{Ctx: 5, Index: a.core.applied + 2})
-	a.core.carryOut(a.now, council.Output{})
+	a.core.confirmed = append(a.core.confirmed, consensus.Read{Ctx: 5, Index: a.core.applied + 2})
+	a.core.carryOut(a.now, consensus.Output{})
 	require.Zero(t, answers, "a quorum has committed more than is applied here")
 	a.ask("t", "a")
 	assert.Equal(t, 1, answers)
--- a/internal/control/errors_test.go
+++ b/internal/control/errors_test.go
@@ -19,7 +19,7 @@
 // what an operator can do.
 func TestEachErrorSaysWhatToDo(t *testing.T) {
 	methods := map[string]map[string]bool{} // by package and type
-	for _, dir := range []string{".", "../peer", "../site", "../council", "../choice", "../settings"} {
+	for _, dir := range []string{".", "../peer", "../site", "../consensus", "../choice", "../settings"} {
 		require.NoError(t, filepath.WalkDir(dir, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 	"lichenhitch/internal/peer/peerpb"
 )
 
@@ -21,10 +21,10 @@
 
 // other is what is known of another seat.
 type other struct {
-	id      council.SeatID
+	id      consensus.SeatID
 	life    uint64
 	founded bool
-	seats   []council.SeatID
+	seats   []consensus.SeatID
 
 	at             uint64   // when it was heard last, in ticks
 	names          []string // nodes with a seat by its site file, sorted
@@ -41,7 +41,7 @@
 	if !c.Site.Seat && !stored {
 		return nil
 	}
-	c.self = council.SeatOf(c.Site.Own.Name+"/"+c.Site.Node, c.Life)
+	c.self = consensus.SeatOf(c.Site.Own.Name+"/"+c.Site.Node, c.Life)
 	if !stored && c.Durable.Refused == "" {
 		return nil
 	}
@@ -49,8 +49,8 @@
 }
 
 // take makes the seat: founding a council with others, or with what the store has.
-func (c *Core) take(founders []council.SeatID) (err error) {
-	c.seat, err = council.New(council.Options{Self: c.self, Seats: founders, Boot: c.Boot, Run: c.Run, Proven: c.Proven,
+func (c *Core) take(founders []consensus.SeatID) (err error) {
+	c.seat, err = consensus.New(consensus.Options{Self: c.self, Seats: founders, Boot: c.Boot, Run: c.Run, Proven: c.Proven,
 		SnapshotEvery: c.Site.SnapshotEvery}, c.Durable)
 	return err
 }
@@ -60,7 +60,7 @@
 	if c.seat != nil || c.gone || !c.Site.Seat {
 		return
 	}
-	ids, all, stranger := []council.SeatID{c.self}, true, false
+	ids, all, stranger := []consensus.SeatID{c.self}, true, false
 	for _, name := range c.Site.Seats {
 		o := c.others[name]
 		switch {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (c *Core) settle(seats []council.SeatID) {
+func (c *Core) settle(seats []consensus.SeatID) {
 	if err := c.take(seats); err != nil {
 		c.fail(err)
 		return
@@ -107,7 +107,7 @@
 		return h
 	}
 	h.Founded, h.Foundings = true, c.seating.Foundings
-	var id council.SeatID
+	var id consensus.SeatID
 	if o := c.others[to]; o != nil {
 		id = o.id
 	}
@@ -130,11 +130,11 @@
 	if h == nil || h.Node == c.Site.Node {
 		return &NoSeatError{Node: h.GetNode()}
 	}
-	o := &other{id: council.SeatOf(c.Site.Own.Name+"/"+h.Node, h.Life), life: h.Life, founded: h.Founded, at: c.ticks,
+	o := &other{id: consensus.SeatOf(c.Site.Own.Name+"/"+h.Node, h.Life), life: h.Life, founded: h.Founded, at: c.ticks,
 		names: h.Seats, foundings: h.Foundings, lastTerm: h.GetClaim().GetLastTerm(), last: h.GetClaim().GetLast(),
 		committed: h.GetClaim().GetCommit()}
 	for _, s := range h.GetClaim().GetSeats() {
-		o.seats = append(o.seats, council.SeatID(s))
+		o.seats = append(o.seats, consensus.SeatID(s))
 	}
 	if !slices.Contains(c.circle, h.Node) && !c.counts(h.Node, o) {
 		return &NoSeatError{Node: h.Node}
@@ -143,15 +143,15 @@
 		return err
 	}
 	if k := h.Claim; h.Founded && k != nil {
-		if o.id != council.SeatID(k.Seat) {
+		if o.id != consensus.SeatID(k.Seat) {
 			return &NoSeatError{Node: h.Node}
 		}
-		claim := council.Claim{Seat: o.id, Boot: k.Boot, Run: k.Run, Sent: k.Sent, Echo: k.Echo, EchoRun: k.EchoRun,
-			Term: k.Term, Vote: council.SeatID(k.Vote), LastTerm: k.LastTerm, Last: k.Last, Commit: k.Commit,
-			Leader: council.SeatID(k.Leader), Waiting: k.Waiting, Seats: o.seats}
+		claim := consensus.Claim{Seat: o.id, Boot: k.Boot, Run: k.Run, Sent: k.Sent, Echo: k.Echo, EchoRun: k.EchoRun,
+			Term: k.Term, Vote: consensus.SeatID(k.Vote), LastTerm: k.LastTerm, Last: k.Last, Commit: k.Commit,
+			Leader: consensus.SeatID(k.Leader), Waiting: k.Waiting, Seats: o.seats}
 		if of := k.Of; of != nil {
-			claim.Of = council.Remembered{Seat: council.SeatID(of.Seat), Boot: of.Boot, Run: of.Run, Term: of.Term,
-				Vote: council.SeatID(of.Vote), Acked: of.Acked, Committed: of.Committed}
+			claim.Of = consensus.Remembered{Seat: consensus.SeatID(of.Seat), Boot: of.Boot, Run: of.Run, Term: of.Term,
+				Vote: consensus.SeatID(of.Vote), Acked: of.Acked, Committed: of.Committed}
 		}
 		if c.seat != nil {
 			if err := c.hearClaim(h.Node, claim); err != nil {
@@ -168,7 +168,7 @@
 
 // hearClaim takes in what another seat says of itself. Of a process that was not heard before the log tells how far its store is, and how far
 // this seat remembers it to have been: one with less is refused.
-func (c *Core) hearClaim(node string, claim council.Claim) error {
+func (c *Core) hearClaim(node string, claim consensus.Claim) error {
 	was := c.seat.Remembered(claim.Seat)
 	if err := c.seat.Hear(claim); err != nil {
 		return err
@@ -206,11 +206,11 @@
 	c.found()
 	if c.seat != nil {
 		st := c.seat.Status()
-		unknown := slices.ContainsFunc(st.Seats, func(id council.SeatID) bool {
+		unknown := slices.ContainsFunc(st.Seats, func(id consensus.SeatID) bool {
 			return id != c.self && c.nameOf(id) == ""
 		})
 		missing := c.leading && slices.ContainsFunc(c.Site.Seats, func(name string) bool {
-			return !slices.ContainsFunc(st.Seats, func(id council.SeatID) bool { return c.called(id) == name })
+			return !slices.ContainsFunc(st.Seats, func(id consensus.SeatID) bool { return c.called(id) == name })
 		})
 		if !unknown && !missing && !st.Waiting && !st.Behind && st.Leader != 0 && c.out == 0 && slices.Contains(st.Seats, c.self) {
 			return
@@ -224,7 +224,7 @@
 }
 
 // nameOf returns the node of a seat, or "" where it is not known yet.
-func (c *Core) nameOf(id council.SeatID) string {
+func (c *Core) nameOf(id consensus.SeatID) string {
 	if id == c.self && id != 0 {
 		return c.Site.Node
 	}
@@ -238,21 +238,21 @@
 
 // send hands messages to the seats that they are for, as many in a call as it takes. Those for a seat that is not known yet are
 // lost, as raft bears.
-func (c *Core) send(now time.Duration, messages []council.Message) {
+func (c *Core) send(now time.Duration, messages []consensus.Message) {
 	for _, name := range c.circle {
 		var raw [][]byte
-		room := council.CallBytes
+		room := consensus.CallBytes
 		flush := func() {
 			if len(raw) > 0 {
 				c.env.SendRaft(name, &peerpb.RaftRequest{Hello: c.hello(name), Messages: raw})
 			}
-			raw, room = nil, council.CallBytes
+			raw, room = nil, consensus.CallBytes
 		}
 		for _, m := range messages {
 			if o := c.others[name]; o == nil || o.id != m.To {
 				continue
 			}
-			if len(m.Raw) > council.CallBytes {
+			if len(m.Raw) > consensus.CallBytes {
 				c.partly(name).out.Add(m.Raw)
 				c.pieces(now, name)
 				continue
@@ -269,14 +269,14 @@
 
 // partly is what goes in pieces to another seat, and comes from it.
 type partly struct {
-	out *council.Cutter
-	in  council.Joiner
+	out *consensus.Cutter
+	in  consensus.Joiner
 }
 
 func (c *Core) partly(name string) *partly {
 	p := c.parts[name]
 	if p == nil {
-		p = &partly{out: council.NewCutter(c.Run)}
+		p = &partly{out: consensus.NewCutter(c.Run)}
 		c.parts[name] = p
 	}
 	return p
@@ -306,7 +306,7 @@
 	if p == nil {
 		return q.Messages
 	}
-	whole, has := c.partly(q.Hello.GetNode()).in.Take(now, council.Piece{Run: p.Run, Of: p.Of, Number: p.Number, Count: p.Count, Part: p.Part})
+	whole, has := c.partly(q.Hello.GetNode()).in.Take(now, consensus.Piece{Run: p.Run, Of: p.Of, Number: p.Number, Count: p.Count, Part: p.Part})
 	r.Has = &peerpb.Piece{Run: has.Run, Of: has.Of, Number: has.Number}
 	if whole == nil {
 		return q.Messages
@@ -319,7 +319,7 @@
 	name := r.GetHello().GetNode()
 	o := c.others[name]
 	if h := r.Has; h != nil && o != nil && c.seat != nil {
-		if c.partly(name).out.Had(council.Has{Run: h.Run, Of: h.Of, Number: h.Number}) {
+		if c.partly(name).out.Had(consensus.Has{Run: h.Run, Of: h.Of, Number: h.Number}) {
 			c.seat.Going(o.id)
 		}
 		c.pieces(now, name)
--- a/internal/control/seats.go
+++ b/internal/control/seats.go
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
 )
@@ -42,26 +42,26 @@
 type seating struct {
 	// Foundings are drawn at random: by the first leader, and by each FoundAnew. A council whose list is longer than another's that
 	// it begins with has come after it, and the seats of that one are refused.
-	Foundings []uint64                  `json:"foundings,omitempty"`
-	Names     map[council.SeatID]string `json:"names,omitempty"` // the nodes of the seats
-	By        string                    `json:"by,omitempty"`    // who had it founded anew, and why
-	Why       string                    `json:"why,omitempty"`
+	Foundings []uint64                    `json:"foundings,omitempty"`
+	Names     map[consensus.SeatID]string `json:"names,omitempty"` // the nodes of the seats
+	By        string                      `json:"by,omitempty"`    // who had it founded anew, and why
+	Why       string                      `json:"why,omitempty"`
 }
 
 // seats is what a node knows of its council's seats, besides seat and others.
 type seats struct {
-	hinted  map[council.SeatID]string // names of seats, as the store has them before it is applied
+	hinted  map[consensus.SeatID]string // names of seats, as the store has them before it is applied
 	seating seating
-	circle  []string         // nodes that have a seat by the file or by the council, sorted: those that this seat talks to
-	were    []council.SeatID // the seats at the last look
-	gone    bool             // the seat was taken out while it was away
-	out     uint64           // it was taken out, as is known at this place of the log; 0: it was not
+	circle  []string           // nodes that have a seat by the file or by the council, sorted: those that this seat talks to
+	were    []consensus.SeatID // the seats at the last look
+	gone    bool               // the seat was taken out while it was away
+	out     uint64             // it was taken out, as is known at this place of the log; 0: it was not
 
-	entering council.SeatID // that an operator has taken in; 0: none
-	noteAt   time.Duration  // when to have the seats' names agreed on again
-	steerAt  time.Duration  // when to look at the seats again
-	steered  string         // why they are not as they should be, as told last
-	handed   int            // how often this seat has handed over
+	entering consensus.SeatID // that an operator has taken in; 0: none
+	noteAt   time.Duration    // when to have the seats' names agreed on again
+	steerAt  time.Duration    // when to look at the seats again
+	steered  string           // why they are not as they should be, as told last
+	handed   int              // how often this seat has handed over
 
 	council []uint64 // foundings of the council that this node has its right of
 	warned  bool     // that another council's right was not taken
@@ -69,8 +69,8 @@
 
 // seated is an entry about seats.
 type seated struct {
-	Founding uint64                    `json:"founding,omitempty"` // the first one, where there is none yet
-	Names    map[council.SeatID]string `json:"names"`              // whole
+	Founding uint64                      `json:"founding,omitempty"` // the first one, where there is none yet
+	Names    map[consensus.SeatID]string `json:"names"`              // whole
 }
 
 // reseat takes an entry about seats over.
@@ -109,7 +109,7 @@
 }
 
 // called returns the node of a seat, "" where it is not known.
-func (c *Core) called(id council.SeatID) string {
+func (c *Core) called(id consensus.SeatID) string {
 	if name := c.seating.Names[id]; name != "" {
 		return name
 	}
@@ -117,7 +117,7 @@
 }
 
 // answers says whether a seat was heard lately, with this store.
-func (c *Core) answers(id council.SeatID) bool {
+func (c *Core) answers(id consensus.SeatID) bool {
 	if id == c.self {
 		return true
 	}
@@ -236,7 +236,7 @@
 // ---- Steps of the leader ----
 
 // steer takes the next step towards the seats of the site file, or of an operator's word. It says why there is none, once.
-func (c *Core) steer(now time.Duration, st council.Status) {
+func (c *Core) steer(now time.Duration, st consensus.Status) {
 	if now < c.steerAt {
 		return
 	}
@@ -252,8 +252,8 @@
 }
 
 // noteSeats has the council agree on the names of its seats, and says whether it has to.
-func (c *Core) noteSeats(now time.Duration, st council.Status) bool {
-	names := map[council.SeatID]string{}
+func (c *Core) noteSeats(now time.Duration, st consensus.Status) bool {
+	names := map[consensus.SeatID]string{}
 	for _, id := range slices.Concat(st.Seats, st.Learning) {
 		if name := c.called(id); name != "" {
 			names[id] = name
@@ -274,14 +274,14 @@
 }
 
 // step takes a step, or says why the seats stay other ones than they should be, and what can be done.
-func (c *Core) step(st council.Status) (why, action string) {
+func (c *Core) step(st consensus.Status) (why, action string) {
 	comes, goes, why, action := c.wanted(st)
 	for _, id := range st.Learning { // one whose store is a new one by now, or that is not wanted any more
 		if id != comes && (comes != 0 || c.stale(id) || len(goes) == 0 && why == "") {
 			return c.change(0, id)
 		}
 	}
-	fit := func(add bool, but council.SeatID) bool { // a majority answers after the step
+	fit := func(add bool, but consensus.SeatID) bool { // a majority answers after the step
 		n, answer := 0, 0
 		for _, id := range st.Seats {
 			if id != but {
@@ -297,7 +297,7 @@
 		return answer > n/2
 	}
 	const few = "see that the nodes of the seats run and reach each other"
-	silent := slices.IndexFunc(goes, func(id council.SeatID) bool { return !c.answers(id) })
+	silent := slices.IndexFunc(goes, func(id consensus.SeatID) bool { return !c.answers(id) })
 	switch {
 	case comes != 0 && !slices.Contains(st.Learning, comes):
 		if err := c.seat.Learn(comes); err != nil {
@@ -328,7 +328,7 @@
 	if !fit(false, c.self) {
 		return "without this one no majority of the seats would answer", few
 	}
-	var heirs []council.SeatID
+	var heirs []consensus.SeatID
 	for _, id := range st.Seats {
 		if id != c.self && c.answers(id) && c.seat.HasAll(id) {
 			heirs = append(heirs, id)
@@ -347,7 +347,7 @@
 }
 
 // change has raft take a seat in or out.
-func (c *Core) change(add, remove council.SeatID) (why, action string) {
+func (c *Core) change(add, remove consensus.SeatID) (why, action string) {
 	if err := c.seat.Change(add, remove); err != nil {
 		return err.Error(), "nothing: it is tried again"
 	}
@@ -355,13 +355,13 @@
 }
 
 // stale says whether the node of a seat has another store by now.
-func (c *Core) stale(id council.SeatID) bool {
+func (c *Core) stale(id consensus.SeatID) bool {
 	o := c.others[c.called(id)]
 	return o != nil && o.id != id
 }
 
 // wanted returns the seat that comes next and all that go, those that are not this one first; or why none does.
-func (c *Core) wanted(st council.Status) (comes council.SeatID, goes []council.SeatID, why, action string) {
+func (c *Core) wanted(st consensus.Status) (comes consensus.SeatID, goes []consensus.SeatID, why, action string) {
 	if e := c.entering; e != 0 { // an operator's word
 		name := c.nameOf(e)
 		if slices.Contains(st.Seats, e) || name == "" {
@@ -385,7 +385,7 @@
 			goes = append(goes, id)
 		}
 	}
-	slices.SortFunc(goes, func(a, b council.SeatID) int { // this one last
+	slices.SortFunc(goes, func(a, b consensus.SeatID) int { // this one last
 		return strings.Compare(c.last(a), c.last(b))
 	})
 	if others := c.otherFiles(st); others != nil {
@@ -418,7 +418,7 @@
 	return 0, goes, why, action
 }
 
-func (c *Core) last(id council.SeatID) string {
+func (c *Core) last(id consensus.SeatID) string {
 	if id == c.self {
 		return "~"
 	}
@@ -426,7 +426,7 @@
 }
 
 // former are the seats that a node had before with another store; where the council does not know names, one that nobody has.
-func (c *Core) former(st council.Status, name string) (ids []council.SeatID) {
+func (c *Core) former(st consensus.Status, name string) (ids []consensus.SeatID) {
 	for _, id := range st.Seats {
 		if c.seating.Names[id] == name {
 			ids = append(ids, id)
@@ -435,7 +435,7 @@
 	if len(ids) == 0 && len(st.Seats) >= len(c.Site.Seats) {
 		for _, id := range st.Seats {
 			if c.called(id) == "" {
-				return []council.SeatID{id}
+				return []consensus.SeatID{id}
 			}
 		}
 	}
@@ -443,7 +443,7 @@
 }
 
 // otherFiles are the present seats whose files name other seats than this one's, or are not known.
-func (c *Core) otherFiles(st council.Status) (names []string) {
+func (c *Core) otherFiles(st consensus.Status) (names []string) {
 	for _, id := range st.Seats {
 		o := c.others[c.nameOf(id)]
 		if id != c.self && (!c.answers(id) || !slices.Equal(o.names, c.Site.Seats)) {
@@ -458,7 +458,7 @@
 
 // heardOut takes note of a seat's word that this one is none of the council's any more. Whoever takes a seat out stops telling it
 // what is agreed on, this included.
-func (c *Core) heardOut(claim council.Claim) {
+func (c *Core) heardOut(claim consensus.Claim) {
 	st := c.seat.Status()
 	if claim.Commit > st.Committed && len(claim.Seats) > 0 && slices.Contains(st.Seats, c.self) && c.out < claim.Commit &&
 		!slices.Contains(claim.Seats, c.self) && slices.Contains(st.Seats, claim.Seat) {
@@ -468,7 +468,7 @@
 
 // parted has this node go on without a seat where that was taken out while it was away.
 func (c *Core) parted(err error) bool {
-	var stranger *council.StrangerError
+	var stranger *consensus.StrangerError
 	if !errors.As(err, &stranger) {
 		return false
 	}
@@ -492,7 +492,7 @@
 }
 
 // notice takes note of what this seat's own log says of the seats, this one among them.
-func (c *Core) notice(st council.Status) {
+func (c *Core) notice(st consensus.Status) {
 	if !slices.Equal(st.Seats, c.were) {
 		for _, id := range st.Seats {
 			if len(c.were) > 0 && !slices.Contains(c.were, id) {
@@ -652,8 +652,8 @@
 		c.seating.Foundings = []uint64{1}
 	}
 	c.seating = seating{Foundings: append(slices.Clone(c.seating.Foundings), drawn(c.Run, st.Term)),
-		Names: map[council.SeatID]string{c.self: c.Site.Node}, By: q.By, Why: q.Why}
-	c.others, c.entering, c.were, c.out = map[string]*other{}, 0, []council.SeatID{c.self}, 0
+		Names: map[consensus.SeatID]string{c.self: c.Site.Node}, By: q.By, Why: q.Why}
+	c.others, c.entering, c.were, c.out = map[string]*other{}, 0, []consensus.SeatID{c.self}, 0
 	c.known()
 	raw, err := c.encode()
 	if err != nil {
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 	"lichenhitch/internal/peer/peerpb"
 )
 
@@ -39,7 +39,7 @@
 	return s
 }
 
-func (c *Core) role(st council.Status) string {
+func (c *Core) role(st consensus.Status) string {
 	switch {
 	case st.Waiting:
 		return roleWaiting
@@ -111,7 +111,7 @@
 }
 
 // tellRelease logs that the wait of this seat for other seats' word is over.
-func (c *Core) tellRelease(st council.Status) {
+func (c *Core) tellRelease(st consensus.Status) {
 	if c.waits && !st.Waiting {
 		c.env.Tell("the seat waits no more", "seat", c.Site.Node, "term", st.Term, "applied", st.Applied)
 	}
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -14,8 +14,8 @@
 	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
-	"lichenhitch/internal/council"
-	"lichenhitch/internal/council/store"
+	"lichenhitch/internal/consensus"
+	"lichenhitch/internal/consensus/store"
 	"lichenhitch/internal/peer"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
@@ -71,7 +71,7 @@
 func Start(log *slog.Logger, s *site.Site, loop Loop, traffic Traffic, wait time.Duration, links int) (*Thread, error) {
 	t := &Thread{log: log, site: s, tick: s.Tick, loop: loop, traffic: traffic, peers: map[string]*peer.Client{},
 		inbox: make(chan func(), waiting), stop: make(chan struct{}), stopped: make(chan struct{})}
-	var durable council.Durable
+	var durable consensus.Durable
 	var err error
 	t.store, durable, err = store.Open(filepath.Join(s.Store, "council.db"), store.Identity{Site: s.Own.Name, Node: s.Node,
 		Witness: s.Witness})
@@ -152,7 +152,7 @@
 // election's time and leaveWithin. A thread that is stuck is left behind: its store stays locked until the process ends.
 func (t *Thread) Stop() {
 	t.once.Do(func() {
-		t.leave(min(council.ElectionTicks*t.tick, leaveWithin))
+		t.leave(min(consensus.ElectionTicks*t.tick, leaveWithin))
 		t.server.Close()
 		close(t.stop)
 		late := time.NewTimer(stopWithin)
@@ -244,7 +244,7 @@
 // ---- Env ----
 
 // Save implements Env.
-func (t *Thread) Save(s council.Save) error { return t.store.Save(s) }
+func (t *Thread) Save(s consensus.Save) error { return t.store.Save(s) }
 
 // Keep implements Env.
 func (t *Thread) Keep(s rights.Saved) error {
--- a/rehearsal/processes/older.go
+++ b/rehearsal/processes/older.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"lichenhitch/internal/council/store"
+	"lichenhitch/internal/consensus/store"
 	"lichenhitch/internal/peer/peerpb"
 )
 
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/consensus"
 	"lichenhitch/internal/control"
-	"lichenhitch/internal/council"
 	"lichenhitch/internal/site"
 )
 
@@ -25,7 +25,7 @@
 	life    uint64
 	boot    uint64
 	run     uint64
-	store   council.Durable
+	store   consensus.Durable
 	saved   rights.Saved
 	kept    control.Kept
 	goes    control.Policy // that its loop goes by
@@ -169,7 +169,7 @@
 }
 
 // Save implements control.Env over memory.
-func (n *node) Save(s council.Save) error {
+func (n *node) Save(s consensus.Save) error {
 	d := &n.store
 	if s.HardState != nil {
 		d.HardState = proto.CloneOf(s.HardState)
