--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // NotLeaderError says that this seat does not lead, or has not applied yet all that was agreed on before.
-type NotLeaderError struct{ Leader SeatID } // 0: none known
+type NotLeaderError struct{ Leader ReplicaID } // 0: none known
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader == 0 {
@@ -36,50 +36,50 @@
 }
 
 // BrokenError says that raft found its own state to be impossible. The seat takes no part any more.
-type BrokenError struct{ What string }
+type InvalidStateError struct{ What string }
 
-func (e *BrokenError) Error() string { return "council: the seat is broken: " + e.What }
+func (e *InvalidStateError) Error() string { return "council: the seat is broken: " + e.What }
 
 // Action says what an operator can do.
-func (e *BrokenError) Action() string {
+func (e *InvalidStateError) Action() string {
 	return "stop the node, put its store aside, start it with an empty one and take its new seat in; keep the old store for a look"
 }
 
 // StrangerError says that a seat is not one of the council's: its store is new, or it was taken out.
-type StrangerError struct{ Seat SeatID }
+type NotMemberError struct{ Replica ReplicaID }
 
-func (e *StrangerError) Error() string {
-	return fmt.Sprintf("council: seat %x is not one of the council's", uint64(e.Seat))
+func (e *NotMemberError) Error() string {
+	return fmt.Sprintf("council: seat %x is not one of the council's", uint64(e.Replica))
 }
 
 // Action says what an operator can do.
-func (e *StrangerError) Action() string {
+func (e *NotMemberError) Action() string {
 	return "if the node lost its store or is a new one, take its seat in, and take the seat of its former store out"
 }
 
 // OldStoreError says that a seat's store is behind what the seat has said before: it was restored from a copy.
-type OldStoreError struct {
-	Seat SeatID
-	Why  string
+type StaleStoreError struct {
+	Replica ReplicaID
+	Why     string
 }
 
-func (e *OldStoreError) Error() string {
-	return fmt.Sprintf("council: the store of seat %x is an older one: %s", uint64(e.Seat), e.Why)
+func (e *StaleStoreError) Error() string {
+	return fmt.Sprintf("council: the store of seat %x is an older one: %s", uint64(e.Replica), e.Why)
 }
 
 // Action says what an operator can do.
-func (e *OldStoreError) Action() string {
+func (e *StaleStoreError) Action() string {
 	return "stop the node, put its store aside, start it with an empty one and take its new seat in"
 }
 
 // CopiedStoreError says that two processes run with copies of one store.
 type CopiedStoreError struct {
-	Seat SeatID
-	Runs [2]uint64
+	Replica ReplicaID
+	RunIDs  [2]uint64
 }
 
 func (e *CopiedStoreError) Error() string {
-	return fmt.Sprintf("council: two processes run with the store of seat %x: runs %x and %x", uint64(e.Seat), e.Runs[0], e.Runs[1])
+	return fmt.Sprintf("council: two processes run with the store of seat %x: runs %x and %x", uint64(e.Replica), e.RunIDs[0], e.RunIDs[1])
 }
 
 // Action says what an operator can do.
@@ -98,11 +98,11 @@
 }
 
 // LateError says that a message is from the process before the one that a seat runs in now.
-type LateError struct{ Seat SeatID }
+type LateMessageError struct{ Replica ReplicaID }
 
-func (e *LateError) Error() string {
-	return fmt.Sprintf("council: a late message of seat %x, from before it was started anew", uint64(e.Seat))
+func (e *LateMessageError) Error() string {
+	return fmt.Sprintf("council: a late message of seat %x, from before it was started anew", uint64(e.Replica))
 }
 
 // Action says what an operator can do.
-func (e *LateError) Action() string { return "nothing: it is dropped" }
+func (e *LateMessageError) Action() string { return "nothing: it is dropped" }
--- a/internal/consensus/norace_test.go
+++ b/internal/consensus/norace_test.go
@@ -2,4 +2,4 @@
 
 package consensus
 
-const racing = false
+const raceEnabled = false
--- a/internal/consensus/race_test.go
+++ b/internal/consensus/race_test.go
@@ -2,4 +2,4 @@
 
 package consensus
 
-const racing = true
+const raceEnabled = true
--- a/internal/consensus/store/bench_test.go
+++ b/internal/consensus/store/bench_test.go
@@ -14,16 +14,16 @@
 func BenchmarkAgree(b *testing.B) {
 	dir := b.TempDir()
 	var stores []*Store
-	var ids []consensus.SeatID
+	var ids []consensus.ReplicaID
 	for _, name := range []string{"a", "b", "c"} {
 		s, _, err := Open(filepath.Join(dir, name), Identity{Site: "s", Node: name})
 		require.NoError(b, err)
 		defer s.Close()
-		stores, ids = append(stores, s), append(ids, s.Identity().Seat)
+		stores, ids = append(stores, s), append(ids, s.Identity().Replica)
 	}
-	seats := map[consensus.SeatID]*consensus.Seat{}
+	seats := map[consensus.ReplicaID]*consensus.Replica{}
 	for _, id := range ids {
-		s, err := consensus.New(consensus.Options{Self: id, Seats: ids, Boot: 1, Run: 1, SnapshotEvery: 1000}, consensus.Durable{})
+		s, err := consensus.New(consensus.Options{Self: id, InitialVoters: ids, OpenCount: 1, RunID: 1, SnapshotEvery: 1000}, consensus.StoredState{})
 		require.NoError(b, err)
 		seats[id] = s
 	}
@@ -41,9 +41,9 @@
 						require.NoError(b, seats[m.To].Step(m.Raw))
 					}
 					applied += len(o.Apply)
-					s.Done(o)
+					s.Advance(o)
 				}
-				if st := s.Status(); st.Compact {
+				if st := s.Status(); st.SnapshotDue {
 					v, err := s.Compact(st.Applied, make([]byte, 10_000))
 					require.NoError(b, err)
 					require.NoError(b, stores[i].Save(v))
@@ -59,7 +59,7 @@
 	}
 	count := func() (n uint64) {
 		for _, s := range stores {
-			n += s.count
+			n += s.transactions
 		}
 		return n
 	}
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -32,64 +32,64 @@
 
 // Identity is whose store it is. Site and Node are given; the rest comes from the store.
 type Identity struct {
-	Site, Node string
-	Life       uint64 // random, of this store
+	Site, Node  string
+	Incarnation uint64 // random, of this store
 	// SeatLife is random too, and Seat is derived from it. A store that has no snapshot yet is given another one with every
 	// opening: nothing tells it from one put back from before its seat was taken in, and this way it is a stranger.
-	SeatLife uint64
-	Boot     uint64 // the how manieth opening this is, from 1
-	Run      uint64 // random, of this opening
-	Seat     consensus.SeatID
+	ReplicaIncarnation uint64
+	OpenCount          uint64 // the how manieth opening this is, from 1
+	RunID              uint64 // random, of this opening
+	Replica            consensus.ReplicaID
 	// Witness is given: a file on a file system in memory, which no copy of a disk brings back. While the machine runs it
 	// proves to the next process that the store is the one that the last process left, and Proven is set. Empty: none.
-	Witness string
-	Proven  bool
+	Witness  string
+	Verified bool
 }
 
 // Store is open in one process at a time. Its methods may be called from one thread at a time.
 type Store struct {
-	path   string
-	db     *bbolt.DB
-	who    Identity
-	put    *raftpb.HardState // the durable one
-	held   *raftpb.HardState // newer by its commit index alone: goes with the next transaction
-	last   uint64            // of the log
-	first  uint64
-	count  uint64   // of transactions, since the store was made
-	seen   *os.File // the witness, or nil
-	lock   *os.File
-	failed error
+	path             string
+	db               *bbolt.DB
+	identity         Identity
+	hardState        *raftpb.HardState // the durable one
+	pendingHardState *raftpb.HardState // newer by its commit index alone: goes with the next transaction
+	lastIndex        uint64            // of the log
+	firstIndex       uint64
+	transactions     uint64   // of transactions, since the store was made
+	witness          *os.File // the witness, or nil
+	lock             *os.File
+	failed           error
 }
 
 const (
-	version    = 1
-	lockWithin = 200 * time.Millisecond // what another process is given to let go of the file
-	own        = "own/"                 // prefix of the buckets of Put and Get
+	version     = 1
+	lockTimeout = 200 * time.Millisecond // what another process is given to let go of the file
+	notePrefix  = "own/"                 // prefix of the buckets of Put and Get
 )
 
 var (
-	bucketWho   = []byte("identity")
-	bucketState = []byte("state")
-	bucketLog   = []byte("log")
-	bucketSum   = []byte("sum")
-
-	keyWho     = []byte("who")
-	keyRefused = []byte("refused")
-	keyHard    = []byte("hard")
-	keySnap    = []byte("snapshot")
-	keySum     = []byte("sum")
+	bucketIdentity = []byte("identity")
+	bucketState    = []byte("state")
+	bucketLog      = []byte("log")
+	bucketSum      = []byte("sum")
+
+	keyIdentity = []byte("who")
+	keyRefused  = []byte("refused")
+	keyHard     = []byte("hard")
+	keySnap     = []byte("snapshot")
+	keySum      = []byte("sum")
 )
 
 // Open opens the store at path, and makes a new one where there is no file. It counts the opening.
-func Open(path string, who Identity) (*Store, consensus.Durable, error) {
-	return open(path, who, bbolt.Options{})
+func Open(path string, want Identity) (*Store, consensus.StoredState, error) {
+	return open(path, want, bbolt.Options{})
 }
 
-func open(path string, who Identity, opts bbolt.Options) (_ *Store, _ consensus.Durable, err error) {
+func open(path string, want Identity, opts bbolt.Options) (_ *Store, _ consensus.StoredState, err error) {
 	s := &Store{path: path}
-	var d consensus.Durable
+	var state consensus.StoredState
 	if s.lock, err = lock(path); err != nil {
-		return nil, d, err
+		return nil, state, err
 	}
 	defer func() {
 		if err != nil {
@@ -99,82 +99,82 @@
 	records, count := []record{}, uint64(0)
 	if _, err := os.Stat(path); err == nil {
 		// A look without the right to write: of damaged pages bbolt would free some that are in use, or die of them.
-		if err := s.look(func(tx *bbolt.Tx) error {
-			c, err := read(path, tx)
-			records, count = c.records, c.count
+		if err := s.readOnly(func(tx *bbolt.Tx) error {
+			c, err := readAll(path, tx)
+			records, count = c.records, c.transactions
 			return err
 		}); err != nil {
-			return nil, d, err
+			return nil, state, err
 		}
 	} else if errors.Is(err, os.ErrNotExist) {
-		made := Identity{Site: who.Site, Node: who.Node, Life: random()}
-		records = []record{{bucketWho, keyWho, made.bytes()}}
+		created := Identity{Site: want.Site, Node: want.Node, Incarnation: random()}
+		records = []record{{bucketIdentity, keyIdentity, created.bytes()}}
 	} else {
-		return nil, d, &WriteError{Path: path, Err: err}
+		return nil, state, &WriteError{Path: path, Err: err}
 	}
-	if err := build(path, records, count); err != nil {
-		return nil, d, err
+	if err := rebuild(path, records, count); err != nil {
+		return nil, state, err
 	}
-	opts.Timeout, opts.NoFreelistSync, opts.FreelistType = lockWithin, true, bbolt.FreelistMapType
-	err = guarded(path, func() (err error) {
+	opts.Timeout, opts.NoFreelistSync, opts.FreelistType = lockTimeout, true, bbolt.FreelistMapType
+	err = catchFaults(path, func() (err error) {
 		s.db, err = bbolt.Open(path, 0o600, &opts)
 		return err
 	})
 	if err != nil {
-		return nil, d, err
+		return nil, state, err
 	}
-	err = guarded(path, func() error {
+	err = catchFaults(path, func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
-			c, err := read(path, tx)
+			c, err := readAll(path, tx)
 			if err != nil {
 				return err
 			}
-			s.who = c.who
-			s.put, d = c.d.HardState, c.d
-			s.first, s.last, s.count = c.first, c.last, c.count
+			s.identity = c.identity
+			s.hardState, state = c.state.HardState, c.state
+			s.firstIndex, s.lastIndex, s.transactions = c.firstIndex, c.lastIndex, c.transactions
 			return nil
 		})
 	})
-	if err == nil && (s.who.Site != who.Site || s.who.Node != who.Node) {
-		err = &WrongStoreError{Path: path, Has: s.who, Want: who}
+	if err == nil && (s.identity.Site != want.Site || s.identity.Node != want.Node) {
+		err = &WrongStoreError{Path: path, Has: s.identity, Want: want}
 	}
-	if err == nil && who.Witness != "" {
-		s.who.Witness = who.Witness
-		s.seen, s.who.Proven, err = witness(who.Witness, s.who, s.count)
+	if err == nil && want.Witness != "" {
+		s.identity.Witness = want.Witness
+		s.witness, s.identity.Verified, err = openWitness(want.Witness, s.identity, s.transactions)
 	}
 	if err == nil {
-		s.who.Boot++
-		s.who.Run = random()
-		fresh := d.Snapshot == nil && !s.who.Proven
-		if fresh {
-			s.who.SeatLife = random()
-			d, s.put, s.first, s.last = consensus.Durable{}, nil, 0, 0
+		s.identity.OpenCount++
+		s.identity.RunID = random()
+		reset := state.Snapshot == nil && !s.identity.Verified
+		if reset {
+			s.identity.ReplicaIncarnation = random()
+			state, s.hardState, s.firstIndex, s.lastIndex = consensus.StoredState{}, nil, 0, 0
 		}
-		s.who.Seat = consensus.SeatOf(s.who.Site+"/"+s.who.Node, s.who.SeatLife)
+		s.identity.Replica = consensus.ReplicaIDOf(s.identity.Site+"/"+s.identity.Node, s.identity.ReplicaIncarnation)
 		err = s.update(func(t *transaction) error {
-			if fresh {
-				for _, gone := range [][2][]byte{{bucketState, keyHard}, {bucketWho, keyRefused}} {
-					if err := t.put(gone[0], gone[1], nil); err != nil {
+			if reset {
+				for _, key := range [][2][]byte{{bucketState, keyHard}, {bucketIdentity, keyRefused}} {
+					if err := t.put(key[0], key[1], nil); err != nil {
 						return err
 					}
 				}
 			}
-			return t.put(bucketWho, keyWho, s.who.bytes())
+			return t.put(bucketIdentity, keyIdentity, s.identity.bytes())
 		})
 	}
 	if err != nil {
-		return nil, consensus.Durable{}, err
+		return nil, consensus.StoredState{}, err
 	}
-	return s, d, nil
+	return s, state, nil
 }
 
 // look opens the file for reading alone and calls f.
-func (s *Store) look(f func(tx *bbolt.Tx) error) error {
-	if err := whole(s.path); err != nil {
+func (s *Store) readOnly(f func(tx *bbolt.Tx) error) error {
+	if err := checkLength(s.path); err != nil {
 		return err
 	}
-	return guarded(s.path, func() error {
-		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockWithin})
+	return catchFaults(s.path, func() error {
+		db, err := bbolt.Open(s.path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 		if err != nil {
 			return err
 		}
@@ -184,14 +184,14 @@
 			return err
 		}
 		// A panic must not leave the file open: its map would keep the lock for good.
-		err = guarded(s.path, func() error { return f(tx) })
+		err = catchFaults(s.path, func() error { return f(tx) })
 		_ = tx.Rollback()
 		return errors.Join(err, db.Close())
 	})
 }
 
 // guarded turns what bbolt does about a bad file into errors: its own, its panics and faults on pages that are not there.
-func guarded(path string, f func() error) (err error) {
+func catchFaults(path string, f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -199,9 +199,9 @@
 		}
 	}()
 	err = f()
-	var known interface{ Action() string }
+	var actionable interface{ Action() string }
 	switch {
-	case err == nil || errors.As(err, &known):
+	case err == nil || errors.As(err, &actionable):
 		return err
 	case errors.Is(err, berrors.ErrTimeout):
 		return &InUseError{Path: path}
@@ -217,7 +217,7 @@
 
 // whole says whether the file is as long as bbolt's newest sound meta page has it. A page beyond the end of the file would
 // be a fault in the middle of a read.
-func whole(path string) error {
+func checkLength(path string) error {
 	const head, sumAt = 16, 56 // of a page; of the checksum in a meta page: what is before it is summed up
 	f, err := os.Open(path)
 	if err != nil {
@@ -228,7 +228,7 @@
 	if err != nil {
 		return &WriteError{Path: path, Err: err}
 	}
-	var need, newest, pageSize uint64
+	var expected, newest, pageSize uint64
 	meta := func(at int64) bool {
 		var b [head + sumAt + 8]byte
 		if _, err := f.ReadAt(b[:], at); err != nil {
@@ -241,7 +241,7 @@
 		}
 		pageSize = uint64(n.Uint32(m[8:]))
 		if tx := n.Uint64(m[48:]); tx >= newest {
-			newest, need = tx, n.Uint64(m[40:])*pageSize
+			newest, expected = tx, n.Uint64(m[40:])*pageSize
 		}
 		return true
 	}
@@ -252,8 +252,8 @@
 	if !meta(int64(pageSize)) && !ok {
 		return &DamagedError{Path: path, Why: fmt.Sprintf("no sound meta page in its %d bytes", info.Size())}
 	}
-	if uint64(info.Size()) < max(need, 2*pageSize) {
-		return &DamagedError{Path: path, Why: fmt.Sprintf("it has %d bytes of %d", info.Size(), need)}
+	if uint64(info.Size()) < max(expected, 2*pageSize) {
+		return &DamagedError{Path: path, Why: fmt.Sprintf("it has %d bytes of %d", info.Size(), expected)}
 	}
 	return nil
 }
@@ -267,11 +267,11 @@
 	if err != nil {
 		return nil, &WriteError{Path: path, Err: err}
 	}
-	for until := time.Now().Add(lockWithin); ; time.Sleep(lockWithin / 10) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 10) {
 		if err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
 			return f, nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			_ = f.Close()
 			return nil, &InUseError{Path: path}
 		}
@@ -280,18 +280,18 @@
 
 // build writes a file of these records under another name and puts it in the place of the store: pages that were damaged,
 // and do no harm to the records yet, are not written to any more, and the file is as small as it can be.
-func build(path string, records []record, count uint64) error {
+func rebuild(path string, records []record, count uint64) error {
 	temp := path + ".new"
 	if err := os.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return &WriteError{Path: path, Err: err}
 	}
 	defer os.Remove(temp)
-	err := guarded(temp, func() error {
-		db, err := bbolt.Open(temp, 0o600, &bbolt.Options{Timeout: lockWithin, NoFreelistSync: true})
+	err := catchFaults(temp, func() error {
+		db, err := bbolt.Open(temp, 0o600, &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true})
 		if err != nil {
 			return err
 		}
-		s := &Store{path: path, db: db, count: count - 1} // the same transactions, counted: update adds one
+		s := &Store{path: path, db: db, transactions: count - 1} // the same transactions, counted: update adds one
 		err = s.update(func(t *transaction) error {
 			for _, r := range records {
 				if err := t.put(r.bucket, r.key, r.value); err != nil {
@@ -335,15 +335,15 @@
 // bytes are version, life, boot, run, the seat's life, then site and node with a zero byte between.
 func (w Identity) bytes() []byte {
 	b := []byte{version}
-	b = binary.BigEndian.AppendUint64(b, w.Life)
-	b = binary.BigEndian.AppendUint64(b, w.Boot)
-	b = binary.BigEndian.AppendUint64(b, w.Run)
-	b = binary.BigEndian.AppendUint64(b, w.SeatLife)
+	b = binary.BigEndian.AppendUint64(b, w.Incarnation)
+	b = binary.BigEndian.AppendUint64(b, w.OpenCount)
+	b = binary.BigEndian.AppendUint64(b, w.RunID)
+	b = binary.BigEndian.AppendUint64(b, w.ReplicaIncarnation)
 	b = append(append(append(b, w.Site...), 0), w.Node...)
 	return b
 }
 
-func identity(b []byte) (Identity, error) {
+func parseIdentity(b []byte) (Identity, error) {
 	if len(b) < 34 || b[0] != version {
 		return Identity{}, errors.New("its identity is none of this release's")
 	}
@@ -353,40 +353,40 @@
 	}
 	n := binary.BigEndian
 	return Identity{
-		Life: n.Uint64(b[1:]), Boot: n.Uint64(b[9:]), Run: n.Uint64(b[17:]), SeatLife: n.Uint64(b[25:]),
+		Incarnation: n.Uint64(b[1:]), OpenCount: n.Uint64(b[9:]), RunID: n.Uint64(b[17:]), ReplicaIncarnation: n.Uint64(b[25:]),
 		Site: string(site), Node: string(node),
 	}, nil
 }
 
 // content is all that a store has for the seat.
-type content struct {
-	who         Identity
-	d           consensus.Durable
-	first, last uint64
-	count       uint64
-	records     []record
+type contents struct {
+	identity              Identity
+	state                 consensus.StoredState
+	firstIndex, lastIndex uint64
+	transactions          uint64
+	records               []record
 }
 
 type record struct{ bucket, key, value []byte }
 
 // read goes through all records of the file, checks them, and returns those of the seat.
-func read(path string, tx *bbolt.Tx) (content, error) {
-	var c content
-	bad := func(format string, a ...any) (content, error) {
+func readAll(path string, tx *bbolt.Tx) (contents, error) {
+	var c contents
+	damaged := func(format string, a ...any) (contents, error) {
 		return c, &DamagedError{Path: path, Why: fmt.Sprintf(format, a...)}
 	}
 	var sum, want uint64
-	most := tx.Size() // more records than bytes: the pages go round in a circle
+	remaining := tx.Size() // more records than bytes: the pages go round in a circle
 	err := tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
 		isSum := bytes.Equal(name, bucketSum)
-		cur := b.Cursor()
-		for k, v := cur.First(); k != nil; k, v = cur.Next() {
-			if most--; most < 0 {
+		cursor := b.Cursor()
+		for k, v := cursor.First(); k != nil; k, v = cursor.Next() {
+			if remaining--; remaining < 0 {
 				return errors.New("its pages go round in a circle")
 			}
 			if isSum {
 				if len(v) == 16 {
-					want, c.count = binary.BigEndian.Uint64(v), binary.BigEndian.Uint64(v[8:])
+					want, c.transactions = binary.BigEndian.Uint64(v), binary.BigEndian.Uint64(v[8:])
 				}
 				continue
 			}
@@ -396,53 +396,53 @@
 			}
 			sum += hash(name, k, value)
 			c.records = append(c.records, record{bytes.Clone(name), bytes.Clone(k), append([]byte{}, value...)})
-			if err := c.take(name, k, value); err != nil {
+			if err := c.addRecord(name, k, value); err != nil {
 				return fmt.Errorf("record %q of %q: %w", k, name, err)
 			}
 		}
 		return nil
 	})
 	if err != nil {
-		return bad("%v", err)
+		return damaged("%v", err)
 	}
 	if sum != want {
-		return bad("the sum over its records is %x and has to be %x", sum, want)
+		return damaged("the sum over its records is %x and has to be %x", sum, want)
 	}
-	if c.who.Life == 0 {
-		return bad("it has no identity")
+	if c.identity.Incarnation == 0 {
+		return damaged("it has no identity")
 	}
-	c.d.Applied = c.d.Snapshot.GetMetadata().GetIndex()
+	c.state.Applied = c.state.Snapshot.GetMetadata().GetIndex()
 	// Entries that were kept behind the snapshot are of no use any more.
-	for len(c.d.Entries) > 0 && c.d.Entries[0].GetIndex() <= c.d.Applied {
-		c.d.Entries = c.d.Entries[1:]
+	for len(c.state.Entries) > 0 && c.state.Entries[0].GetIndex() <= c.state.Applied {
+		c.state.Entries = c.state.Entries[1:]
 	}
 	return c, nil
 }
 
-func (c *content) take(bucket, key, value []byte) (err error) {
+func (c *contents) addRecord(bucket, key, value []byte) (err error) {
 	switch {
-	case bytes.Equal(bucket, bucketWho) && bytes.Equal(key, keyWho):
-		c.who, err = identity(value)
-	case bytes.Equal(bucket, bucketWho) && bytes.Equal(key, keyRefused):
-		c.d.Refused = string(value)
+	case bytes.Equal(bucket, bucketIdentity) && bytes.Equal(key, keyIdentity):
+		c.identity, err = parseIdentity(value)
+	case bytes.Equal(bucket, bucketIdentity) && bytes.Equal(key, keyRefused):
+		c.state.Refused = string(value)
 	case bytes.Equal(bucket, bucketState) && bytes.Equal(key, keyHard):
-		c.d.HardState = &raftpb.HardState{}
-		err = proto.Unmarshal(value, c.d.HardState)
+		c.state.HardState = &raftpb.HardState{}
+		err = proto.Unmarshal(value, c.state.HardState)
 	case bytes.Equal(bucket, bucketState) && bytes.Equal(key, keySnap):
-		c.d.Snapshot = &raftpb.Snapshot{}
-		err = proto.Unmarshal(value, c.d.Snapshot)
+		c.state.Snapshot = &raftpb.Snapshot{}
+		err = proto.Unmarshal(value, c.state.Snapshot)
 	case bytes.Equal(bucket, bucketLog):
 		e := &raftpb.Entry{}
 		if err = proto.Unmarshal(value, e); err != nil {
 			return err
 		}
-		if len(key) != 8 || binary.BigEndian.Uint64(key) != e.GetIndex() || c.last != 0 && e.GetIndex() != c.last+1 {
-			return fmt.Errorf("entry %d follows entry %d", e.GetIndex(), c.last)
+		if len(key) != 8 || binary.BigEndian.Uint64(key) != e.GetIndex() || c.lastIndex != 0 && e.GetIndex() != c.lastIndex+1 {
+			return fmt.Errorf("entry %d follows entry %d", e.GetIndex(), c.lastIndex)
 		}
-		if c.last = e.GetIndex(); c.first == 0 {
-			c.first = c.last
+		if c.lastIndex = e.GetIndex(); c.firstIndex == 0 {
+			c.firstIndex = c.lastIndex
 		}
-		c.d.Entries = append(c.d.Entries, e)
+		c.state.Entries = append(c.state.Entries, e)
 	}
 	return err
 }
@@ -473,7 +473,7 @@
 // witness opens the witness, and says whether it proves the store: it was written last by the process that opened the store
 // last, and the store has all transactions that it tells of. The witness is written after each transaction and before
 // anything that rests on it is sent.
-func witness(path string, who Identity, count uint64) (*os.File, bool, error) {
+func openWitness(path string, who Identity, count uint64) (*os.File, bool, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, false, &WriteError{Path: path, Err: err}
@@ -492,17 +492,17 @@
 	if _, err := f.ReadAt(b[:], 0); err != nil || n.Uint64(b[16:]) != xxhash.Sum64(b[:16]) {
 		return f, false, nil
 	}
-	return f, n.Uint64(b[:]) == who.Run && n.Uint64(b[8:]) <= count, nil
+	return f, n.Uint64(b[:]) == who.RunID && n.Uint64(b[8:]) <= count, nil
 }
 
 // testify writes the witness: run, transactions, checksum.
-func (s *Store) testify() error {
-	if s.seen == nil {
+func (s *Store) writeWitness() error {
+	if s.witness == nil {
 		return nil
 	}
-	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.who.Run), s.count)
-	if _, err := s.seen.WriteAt(binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)), 0); err != nil {
-		return &WriteError{Path: s.who.Witness, Err: err}
+	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.identity.RunID), s.transactions)
+	if _, err := s.witness.WriteAt(binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)), 0); err != nil {
+		return &WriteError{Path: s.identity.Witness, Err: err}
 	}
 	return nil
 }
@@ -513,7 +513,7 @@
 	sum uint64
 }
 
-func (t *transaction) drop(b *bbolt.Bucket, name, key []byte) error {
+func (t *transaction) remove(b *bbolt.Bucket, name, key []byte) error {
 	old := b.Get(key)
 	if old == nil {
 		return nil
@@ -532,7 +532,7 @@
 	if err != nil {
 		return err
 	}
-	if err := t.drop(b, name, key); err != nil || value == nil {
+	if err := t.remove(b, name, key); err != nil || value == nil {
 		return err
 	}
 	t.sum += hash(name, key, value)
@@ -545,7 +545,7 @@
 	if s.failed != nil {
 		return s.failed
 	}
-	err := guarded(s.path, func() error {
+	err := catchFaults(s.path, func() error {
 		err := s.db.Update(func(tx *bbolt.Tx) error {
 			b, err := tx.CreateBucketIfNotExists(bucketSum)
 			if err != nil {
@@ -558,13 +558,13 @@
 			if err := f(t); err != nil {
 				return err
 			}
-			return b.Put(keySum, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, t.sum), s.count+1))
+			return b.Put(keySum, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, t.sum), s.transactions+1))
 		})
 		if err != nil {
 			return &WriteError{Path: s.path, Err: err}
 		}
-		s.count++
-		return s.testify()
+		s.transactions++
+		return s.writeWitness()
 	})
 	if err != nil {
 		s.failed = err
@@ -574,42 +574,42 @@
 
 // Save makes all of v durable, in one transaction; nothing of it stands where it fails, and the store takes no more then.
 // Where only the commit index moved it is kept for the next transaction: raft finds it again by itself.
-func (s *Store) Save(v consensus.Save) error {
+func (s *Store) Save(batch consensus.WriteBatch) error {
 	if s.failed != nil {
 		return s.failed
 	}
-	if v.Empty() {
+	if batch.Empty() {
 		return nil
 	}
-	if h := v.HardState; h != nil && v.Snapshot == nil && len(v.Entries) == 0 && v.CutTo == 0 &&
-		h.GetTerm() == s.put.GetTerm() && h.GetVote() == s.put.GetVote() {
-		s.held = h
+	if h := batch.HardState; h != nil && batch.Snapshot == nil && len(batch.Entries) == 0 && batch.CompactTo == 0 &&
+		h.GetTerm() == s.hardState.GetTerm() && h.GetVote() == s.hardState.GetVote() {
+		s.pendingHardState = h
 		return nil
 	}
-	return s.save(v)
+	return s.save(batch)
 }
 
-func (s *Store) save(v consensus.Save) error {
-	if v.HardState == nil {
-		v.HardState = s.held
+func (s *Store) save(batch consensus.WriteBatch) error {
+	if batch.HardState == nil {
+		batch.HardState = s.pendingHardState
 	}
-	first, last := s.first, s.last
+	first, last := s.firstIndex, s.lastIndex
 	err := s.update(func(t *transaction) error {
-		if v.HardState != nil {
-			if err := t.message(bucketState, keyHard, v.HardState); err != nil {
+		if batch.HardState != nil {
+			if err := t.putMessage(bucketState, keyHard, batch.HardState); err != nil {
 				return err
 			}
 		}
-		if v.Snapshot != nil {
-			if err := t.message(bucketState, keySnap, v.Snapshot); err != nil {
+		if batch.Snapshot != nil {
+			if err := t.putMessage(bucketState, keySnap, batch.Snapshot); err != nil {
 				return err
 			}
 		}
-		cut := v.CutTo
-		if v.Replace {
-			cut = last
+		compactTo := batch.CompactTo
+		if batch.Replace {
+			compactTo = last
 		}
-		for ; first != 0 && first <= min(cut, last); first++ {
+		for ; first != 0 && first <= min(compactTo, last); first++ {
 			if err := t.put(bucketLog, key(first), nil); err != nil {
 				return err
 			}
@@ -617,10 +617,10 @@
 		if first > last {
 			first, last = 0, 0
 		}
-		if len(v.Entries) == 0 {
+		if len(batch.Entries) == 0 {
 			return nil
 		}
-		from := v.Entries[0].GetIndex()
+		from := batch.Entries[0].GetIndex()
 		if last != 0 && (from > last+1 || from < first) {
 			return fmt.Errorf("entry %d does not follow a log of %d to %d", from, first, last)
 		}
@@ -629,12 +629,12 @@
 				return err
 			}
 		}
-		for _, e := range v.Entries {
-			if err := t.message(bucketLog, key(e.GetIndex()), e); err != nil {
+		for _, e := range batch.Entries {
+			if err := t.putMessage(bucketLog, key(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
-		last = v.Entries[len(v.Entries)-1].GetIndex()
+		last = batch.Entries[len(batch.Entries)-1].GetIndex()
 		if first == 0 {
 			first = from
 		}
@@ -643,14 +643,14 @@
 	if err != nil {
 		return err
 	}
-	s.first, s.last, s.held = first, last, nil
-	if v.HardState != nil {
-		s.put = proto.CloneOf(v.HardState)
+	s.firstIndex, s.lastIndex, s.pendingHardState = first, last, nil
+	if batch.HardState != nil {
+		s.hardState = proto.CloneOf(batch.HardState)
 	}
 	return nil
 }
 
-func (t *transaction) message(bucket, key []byte, m proto.Message) error {
+func (t *transaction) putMessage(bucket, key []byte, m proto.Message) error {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return err
@@ -664,23 +664,23 @@
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // Refuse keeps why the others refused this store: the seat takes no part any more, also when the node starts anew.
-func (s *Store) Refuse(why string) error {
-	return s.update(func(t *transaction) error { return t.put(bucketWho, keyRefused, []byte(why)) })
+func (s *Store) MarkRefused(why string) error {
+	return s.update(func(t *transaction) error { return t.put(bucketIdentity, keyRefused, []byte(why)) })
 }
 
 // Identity is whose store it is, with this opening's boot and run.
-func (s *Store) Identity() Identity { return s.who }
+func (s *Store) Identity() Identity { return s.identity }
 
 // Put keeps a note of the rest of control, durable when it returns. A value of nil deletes it.
 func (s *Store) Put(bucket, key string, value []byte) error {
-	return s.update(func(t *transaction) error { return t.put([]byte(own+bucket), []byte(key), value) })
+	return s.update(func(t *transaction) error { return t.put([]byte(notePrefix+bucket), []byte(key), value) })
 }
 
 // Get returns a note, or nil.
 func (s *Store) Get(bucket, key string) (value []byte, err error) {
-	err = guarded(s.path, func() error {
+	err = catchFaults(s.path, func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
-			b := tx.Bucket([]byte(own + bucket))
+			b := tx.Bucket([]byte(notePrefix + bucket))
 			if b == nil {
 				return nil
 			}
@@ -688,7 +688,7 @@
 			if sealed == nil {
 				return nil
 			}
-			v, err := unseal([]byte(own+bucket), []byte(key), sealed)
+			v, err := unseal([]byte(notePrefix+bucket), []byte(key), sealed)
 			value = append([]byte{}, v...)
 			if err != nil {
 				return &DamagedError{Path: s.path, Why: err.Error()}
@@ -701,14 +701,14 @@
 
 // Each calls f with all notes of a bucket, in the order of their keys. value is f's only until it returns.
 func (s *Store) Each(bucket string, f func(key string, value []byte) error) error {
-	return guarded(s.path, func() error {
+	return catchFaults(s.path, func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
-			b := tx.Bucket([]byte(own + bucket))
+			b := tx.Bucket([]byte(notePrefix + bucket))
 			if b == nil {
 				return nil
 			}
 			return b.ForEach(func(k, sealed []byte) error {
-				v, err := unseal([]byte(own+bucket), k, sealed)
+				v, err := unseal([]byte(notePrefix+bucket), k, sealed)
 				if err != nil {
 					return &DamagedError{Path: s.path, Why: err.Error()}
 				}
@@ -721,13 +721,13 @@
 // Close lets go of the store.
 func (s *Store) Close() error {
 	var err error
-	if s.held != nil && s.failed == nil {
-		err = s.save(consensus.Save{HardState: s.held})
+	if s.pendingHardState != nil && s.failed == nil {
+		err = s.save(consensus.WriteBatch{HardState: s.pendingHardState})
 	}
 	if s.db != nil {
 		err = errors.Join(err, s.db.Close())
 	}
-	for _, f := range []*os.File{s.seen, s.lock} {
+	for _, f := range []*os.File{s.witness, s.lock} {
 		if f != nil {
 			err = errors.Join(err, f.Close())
 		}
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -46,7 +46,7 @@
 	}}
 }
 
-func reopen(t testing.TB, path string) (*Store, consensus.Durable) {
+func reopen(t testing.TB, path string) (*Store, consensus.StoredState) {
 	t.Helper()
 	s, d, err := Open(path, node)
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 }
 
 // text is what a seat would start from.
-func text(d consensus.Durable) string {
+func text(d consensus.StoredState) string {
 	out := fmt.Sprintf("%v %v", d.HardState, d.Snapshot)
 	for _, e := range d.Entries {
 		out += fmt.Sprintf(" %d/%d/%x", e.GetTerm(), e.GetIndex(), e.Data)
@@ -74,11 +74,11 @@
 		defer func() { _ = s.Close() }()
 		var log []*raftpb.Entry
 		h, snap, book := hard(1, 0, 1), uint64(1), snapshot(1, 1, "")
-		require.NoError(t, s.Save(consensus.Save{HardState: h, Snapshot: book, Replace: true}))
+		require.NoError(t, s.Save(consensus.WriteBatch{HardState: h, Snapshot: book, Replace: true}))
 		term, boots := uint64(1), uint64(1)
 		last := func() uint64 { return snap + uint64(len(log)) }
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			v := consensus.Save{}
+			v := consensus.WriteBatch{}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1: // append, from anywhere after the snapshot
 				term++
@@ -97,22 +97,22 @@
 				if len(log) > 0 {
 					at := rapid.Uint64Range(snap+1, last()).Draw(t, "at")
 					log, snap, book = log[at-snap:], at, snapshot(term, at, fmt.Sprint(at))
-					v.Snapshot, v.CutTo = book, at-min(at, 2)
+					v.Snapshot, v.CompactTo = book, at-min(at, 2)
 				}
 			case 4: // from a leader
 				snap = last() + 3
 				log, book, h = nil, snapshot(term, snap, "leader's"), hard(term, 2, snap)
-				v = consensus.Save{HardState: h, Snapshot: book, Replace: true}
+				v = consensus.WriteBatch{HardState: h, Snapshot: book, Replace: true}
 			}
 			require.NoError(t, s.Save(v))
 			if rapid.Bool().Draw(t, "reopen") {
 				require.NoError(t, s.Close())
-				var d consensus.Durable
+				var d consensus.StoredState
 				s, d, err = Open(path, node)
 				require.NoError(t, err)
 				boots++
-				require.Equal(t, text(consensus.Durable{HardState: h, Snapshot: book, Entries: log}), text(d))
-				require.Equal(t, boots, s.Identity().Boot)
+				require.Equal(t, text(consensus.StoredState{HardState: h, Snapshot: book, Entries: log}), text(d))
+				require.Equal(t, boots, s.Identity().OpenCount)
 			}
 		}
 	})
@@ -121,24 +121,24 @@
 func TestWhoseStoreItIs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a", "council.db")
 	s, _ := reopen(t, path)
-	who := s.Identity()
+	original := s.Identity()
 	require.NoError(t, os.WriteFile(path+".new", []byte("of a start that did not come far"), 0o600))
 	_, _, err := Open(path, node)
 	assert.ErrorAs(t, err, new(*InUseError))
-	require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(1, 1, "")}))
+	require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(1, 1, "")}))
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
 	require.NoError(t, s.Put("rights", "gone", []byte("v")))
 	require.NoError(t, s.Put("rights", "gone", nil))
-	require.NoError(t, s.Refuse("old"))
+	require.NoError(t, s.MarkRefused("old"))
 	require.NoError(t, s.Close())
 
 	_, _, err = Open(path, Identity{Site: "s", Node: "n2"})
 	assert.ErrorAs(t, err, new(*WrongStoreError))
 	s, d := reopen(t, path)
 	assert.Equal(t, "old", d.Refused)
-	assert.Equal(t, who.Seat, s.Identity().Seat)
-	assert.Equal(t, who.Boot+1, s.Identity().Boot)
-	assert.NotEqual(t, who.Run, s.Identity().Run)
+	assert.Equal(t, original.Replica, s.Identity().Replica)
+	assert.Equal(t, original.OpenCount+1, s.Identity().OpenCount)
+	assert.NotEqual(t, original.RunID, s.Identity().RunID)
 	v, err := s.Get("rights", "k")
 	require.NoError(t, err)
 	assert.Equal(t, "v", string(v))
@@ -150,13 +150,13 @@
 	require.NoError(t, os.Remove(path))
 	s, _ = reopen(t, path)
 	empty := s.Identity()
-	require.NoError(t, s.Save(consensus.Save{HardState: hard(3, 2, 0)}))
+	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(3, 2, 0)}))
 	require.NoError(t, s.Close())
 	s, d = reopen(t, path)
-	assert.Equal(t, empty.Life, s.Identity().Life)
-	assert.NotEqual(t, empty.Seat, s.Identity().Seat, "a store that no snapshot came to may be one from before")
-	assert.Equal(t, consensus.Durable{}, d)
-	assert.NotEqual(t, who.Seat, s.Identity().Seat, "an empty store is another seat")
+	assert.Equal(t, empty.Incarnation, s.Identity().Incarnation)
+	assert.NotEqual(t, empty.Replica, s.Identity().Replica, "a store that no snapshot came to may be one from before")
+	assert.Equal(t, consensus.StoredState{}, d)
+	assert.NotEqual(t, original.Replica, s.Identity().Replica, "an empty store is another seat")
 	require.NoError(t, s.Close())
 }
 
@@ -169,75 +169,75 @@
 
 func TestTheWitnessProvesTheStoreThatWasLeft(t *testing.T) {
 	dir := t.TempDir()
-	memory, err := os.MkdirTemp("/dev/shm", "council")
+	tmpfs, err := os.MkdirTemp("/dev/shm", "council")
 	if err != nil {
 		t.Skip("no file system in memory")
 	}
-	defer os.RemoveAll(memory)
-	path, who := filepath.Join(dir, "db"), node
-	who.Witness = filepath.Join(memory, "witness")
+	defer os.RemoveAll(tmpfs)
+	path, withWitness := filepath.Join(dir, "db"), node
+	withWitness.Witness = filepath.Join(tmpfs, "witness")
 	run := func(term uint64) bool {
-		s, _, err := Open(path, who)
+		s, _, err := Open(path, withWitness)
 		require.NoError(t, err)
-		require.NoError(t, s.Save(consensus.Save{HardState: hard(term, 1, 1), Snapshot: snapshot(1, 1, "")}))
+		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(term, 1, 1), Snapshot: snapshot(1, 1, "")}))
 		copyFile(t, path, path+".copy") // as it runs
-		require.NoError(t, s.Save(consensus.Save{HardState: hard(term+1, 1, 0)}))
+		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(term+1, 1, 0)}))
 		require.NoError(t, s.Close())
-		return s.Identity().Proven
+		return s.Identity().Verified
 	}
 	assert.False(t, run(1), "nothing tells of it")
 	assert.True(t, run(3))
 	require.NoError(t, os.Rename(path+".copy", path))
 	assert.False(t, run(5), "a copy that is behind")
 	assert.True(t, run(7))
-	before, err := os.ReadFile(path)
+	oldFile, err := os.ReadFile(path)
 	require.NoError(t, err)
 	assert.True(t, run(9))
-	require.NoError(t, os.WriteFile(path, before, 0o600))
+	require.NoError(t, os.WriteFile(path, oldFile, 0o600))
 	assert.False(t, run(11), "a copy of a store at rest, from before")
 	copyFile(t, path, path+".copy")
 	assert.True(t, run(12))
 	require.NoError(t, os.Rename(path+".copy", path))
-	elsewhere := who
-	elsewhere.Witness = ""
+	withoutWitness := withWitness
+	withoutWitness.Witness = ""
 	for range 20 {
-		s, _, err := Open(path, elsewhere)
+		s, _, err := Open(path, withoutWitness)
 		require.NoError(t, err)
 		require.NoError(t, s.Close())
 	}
 	assert.False(t, run(12), "a copy that went its own way, and further")
-	require.NoError(t, os.Remove(who.Witness))
+	require.NoError(t, os.Remove(withWitness.Witness))
 	assert.False(t, run(13), "the machine has started anew")
-	who.Witness = filepath.Join(dir, "witness")
-	_, _, err = Open(path, who)
+	withWitness.Witness = filepath.Join(dir, "witness")
+	_, _, err = Open(path, withWitness)
 	assert.ErrorAs(t, err, new(*WitnessError), "a copy of the folder would have it")
 }
 
 // filled makes a store with some history, and returns its file and what it holds.
-func filled(t testing.TB) (path, holds string) {
+func filledStore(t testing.TB) (path, holds string) {
 	path = filepath.Join(t.TempDir(), "db")
 	s, _ := reopen(t, path)
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
 	for i := uint64(1); i <= 60; i++ {
-		require.NoError(t, s.Save(consensus.Save{HardState: hard(i, 1, i-1), Entries: []*raftpb.Entry{entry(i, i, 300)}}))
+		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(i, 1, i-1), Entries: []*raftpb.Entry{entry(i, i, 300)}}))
 		if i%20 == 0 {
-			require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(i, i, "book"), CutTo: i - 5}))
+			require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(i, i, "book"), CompactTo: i - 5}))
 		}
 	}
-	require.NoError(t, s.Save(consensus.Save{HardState: hard(61, 1, 60), Entries: []*raftpb.Entry{entry(61, 61, 9000), entry(61, 62, 10)}}))
+	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(61, 1, 60), Entries: []*raftpb.Entry{entry(61, 61, 9000), entry(61, 62, 10)}}))
 	require.NoError(t, s.Close())
 	s, d := reopen(t, path)
 	require.NoError(t, s.Close())
-	return path, fmt.Sprint(s.Identity().Boot+1, text(d))
+	return path, fmt.Sprint(s.Identity().OpenCount+1, text(d))
 }
 
 // opens says what a damaged file opens as: an error that an operator can act on, or what it held.
-func opens(t testing.TB, path string) (string, error) {
+func openDamaged(t testing.TB, path string) (string, error) {
 	t.Helper()
 	s, d, err := Open(path, node)
 	if err != nil {
-		var known interface{ Action() string }
-		require.ErrorAs(t, err, &known)
+		var actionable interface{ Action() string }
+		require.ErrorAs(t, err, &actionable)
 		require.NotErrorAs(t, err, new(*InUseError))
 		return "", err
 	}
@@ -245,32 +245,32 @@
 	v, err := s.Get("rights", "k")
 	require.NoError(t, err)
 	require.Equal(t, "v", string(v))
-	return fmt.Sprint(s.Identity().Boot, text(d)), nil
+	return fmt.Sprint(s.Identity().OpenCount, text(d)), nil
 }
 
 func TestACutFile(t *testing.T) {
-	path, holds := filled(t)
+	path, contents := filledStore(t)
 	b, err := os.ReadFile(path)
 	require.NoError(t, err)
-	cut := filepath.Join(t.TempDir(), "cut")
-	whole := 0
+	truncated := filepath.Join(t.TempDir(), "cut")
+	opened := 0
 	for n := 0; n < len(b); n += 512 {
-		require.NoError(t, os.WriteFile(cut, b[:n], 0o600))
-		if got, err := opens(t, cut); err == nil {
-			whole++
-			require.Equal(t, holds, got, "cut to %d of %d bytes", n, len(b))
+		require.NoError(t, os.WriteFile(truncated, b[:n], 0o600))
+		if got, err := openDamaged(t, truncated); err == nil {
+			opened++
+			require.Equal(t, contents, got, "cut to %d of %d bytes", n, len(b))
 		}
 	}
-	t.Logf("%d bytes, cut at %d places: %d open, with all that was held", len(b), len(b)/512, whole)
+	t.Logf("%d bytes, cut at %d places: %d open, with all that was held", len(b), len(b)/512, opened)
 }
 
 // A torn write leaves a sector of zeros, of another time, or of noise: what opens was held at some time, as a whole.
 func TestATornSector(t *testing.T) {
-	path, holds := filled(t)
+	path, contents := filledStore(t)
 	b, err := os.ReadFile(path)
 	require.NoError(t, err)
 	torn := filepath.Join(t.TempDir(), "torn")
-	opened, older := 0, 0
+	opened, rolledBack := 0, 0
 	for n := 0; n+512 <= len(b); n += 512 {
 		for kind := range 3 {
 			c := append([]byte{}, b...)
@@ -285,18 +285,18 @@
 				}
 			}
 			require.NoError(t, os.WriteFile(torn, c, 0o600))
-			got, err := opens(t, torn)
+			got, err := openDamaged(t, torn)
 			if err != nil {
 				continue
 			}
 			opened++
-			if got != holds {
-				older++
+			if got != contents {
+				rolledBack++
 				require.Less(t, n, 2*os.Getpagesize(), "only a meta page that is lost takes the file back by one transaction")
 			}
 		}
 	}
-	t.Logf("%d places, 3 kinds: %d open, %d of them one transaction older", len(b)/512, opened, older)
+	t.Logf("%d places, 3 kinds: %d open, %d of them one transaction older", len(b)/512, opened, rolledBack)
 }
 
 // A page that was never written leaves that of another time in its place: sound by itself, and its records too.
@@ -309,10 +309,10 @@
 		s, _ := reopen(t, path)
 		require.NoError(t, s.Put("rights", "k", []byte("v")))
 		for j := range uint64(3) {
-			require.NoError(t, s.Save(consensus.Save{HardState: hard(i, j, 1), Entries: []*raftpb.Entry{entry(i, 3*i+j, 900)}}))
+			require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(i, j, 1), Entries: []*raftpb.Entry{entry(i, 3*i+j, 900)}}))
 		}
 		if i%4 == 1 {
-			require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(i, 3*i+1, "book"), CutTo: 3 * i}))
+			require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(i, 3*i+1, "book"), CompactTo: 3 * i}))
 		}
 		require.NoError(t, s.Close())
 		b, err := os.ReadFile(path)
@@ -329,7 +329,7 @@
 			c := append([]byte{}, files[i]...)
 			copy(c[at:at+page], files[i-1][at:])
 			require.NoError(t, os.WriteFile(mixed, c, 0o600))
-			got, err := opens(t, mixed)
+			got, err := openDamaged(t, mixed)
 			if err != nil {
 				refused++
 				continue
@@ -348,8 +348,8 @@
 	path := filepath.Join(dir, "db")
 	s, _ := reopen(t, path)
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
-	require.NoError(t, s.Save(consensus.Save{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
-	v := consensus.Save{}
+	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
+	v := consensus.WriteBatch{}
 	for i := uint64(2); i < 100; i++ {
 		v.Entries = append(v.Entries, entry(1, i, 300))
 	}
@@ -379,7 +379,7 @@
 			}
 			opened++
 			require.Len(t, d.Entries, 98)
-			require.NoError(t, s.Save(consensus.Save{CutTo: 98}))
+			require.NoError(t, s.Save(consensus.WriteBatch{CompactTo: 98}))
 			require.NoError(t, s.Close())
 			s, d = reopen(t, bad)
 			require.Len(t, d.Entries, 1, "byte %d of page %d", n, at/page)
@@ -393,17 +393,17 @@
 func TestAWriteThatFailsIsTheEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "db")
 	s, _ := reopen(t, path)
-	require.NoError(t, s.Save(consensus.Save{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
+	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
 	require.NoError(t, s.Close())
 	s, _, err := open(path, node, bbolt.Options{MaxSize: 64 << 10})
 	require.NoError(t, err)
 	i := uint64(2)
 	for ; err == nil; i++ {
-		err = s.Save(consensus.Save{Entries: []*raftpb.Entry{entry(1, i, 8000)}})
+		err = s.Save(consensus.WriteBatch{Entries: []*raftpb.Entry{entry(1, i, 8000)}})
 	}
 	var full *WriteError
 	require.ErrorAs(t, err, &full)
-	assert.ErrorAs(t, s.Save(consensus.Save{Entries: []*raftpb.Entry{entry(1, i-1, 1)}}), &full, "it takes no more")
+	assert.ErrorAs(t, s.Save(consensus.WriteBatch{Entries: []*raftpb.Entry{entry(1, i-1, 1)}}), &full, "it takes no more")
 	assert.ErrorAs(t, s.Put("a", "b", []byte("c")), &full)
 	require.NoError(t, s.Close())
 	_, d := reopen(t, path)
@@ -416,11 +416,11 @@
 		signal.Ignore(syscall.SIGXFSZ)
 		s, _, err := Open(path, node)
 		require.NoError(t, err)
-		require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(1, 1, "")}))
+		require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(1, 1, "")}))
 		require.NoError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 100 << 10, Max: 100 << 10}))
 		i := uint64(2)
 		for ; err == nil; i++ {
-			err = s.Save(consensus.Save{Entries: []*raftpb.Entry{entry(1, i, 5000)}})
+			err = s.Save(consensus.WriteBatch{Entries: []*raftpb.Entry{entry(1, i, 5000)}})
 		}
 		require.ErrorAs(t, err, new(*WriteError))
 		require.ErrorContains(t, err, syscall.EFBIG.Error()) // bbolt does not wrap it
@@ -446,13 +446,13 @@
 	require.NoError(t, err)
 	var at10k int64
 	for i := uint64(1); i <= 30000; i += 10 {
-		v := consensus.Save{HardState: hard(1, 1, i-1)}
+		v := consensus.WriteBatch{HardState: hard(1, 1, i-1)}
 		for j := range uint64(10) {
 			v.Entries = append(v.Entries, entry(1, i+j, 200))
 		}
 		require.NoError(t, s.Save(v))
 		if (i+9)%1000 == 0 {
-			require.NoError(t, s.Save(consensus.Save{Snapshot: snapshot(1, i+9, string(make([]byte, 10000))), CutTo: i + 9 - 250}))
+			require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(1, i+9, string(make([]byte, 10000))), CompactTo: i + 9 - 250}))
 		}
 		if i+9 == 10000 {
 			info, err := os.Stat(path)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -28,7 +28,7 @@
 // Env is what a Core acts through. Its methods return at once, but for Save and Keep, which return when what they were
 // given is durable; their errors stop the control of this node, never its traffic.
 type Env interface {
-	Save(consensus.Save) error
+	Save(consensus.WriteBatch) error
 	Keep(rights.Saved) error
 	Refused(why string) error                      // the store is to remember that its seat takes no part any more
 	SendRaft(seat string, q *peerpb.RaftRequest)   // answered by Core.RaftReplied, or never
@@ -67,15 +67,15 @@
 // Options is what a Core is made of.
 type Options struct {
 	Site    *site.Site
-	Life    uint64             // of the store, for its seat; see council/store
-	Boot    uint64             // the how manieth opening of the store this is
-	Run     uint64             // of this process, drawn at random
-	Proven  bool               // the store is known to be as the last process left it
-	Durable consensus.Durable  // what the store had of the council's log
-	Saved   rights.Saved       // and of the node's right
-	Kept    Kept               // and of policies
-	Check   func(Policy) error // whether one fits the node's settings; see Traffic
-	Wait    time.Duration      // before the first question: an earlier process of the node may act on its right for so long
+	Life    uint64                // of the store, for its seat; see council/store
+	Boot    uint64                // the how manieth opening of the store this is
+	Run     uint64                // of this process, drawn at random
+	Proven  bool                  // the store is known to be as the last process left it
+	Durable consensus.StoredState // what the store had of the council's log
+	Saved   rights.Saved          // and of the node's right
+	Kept    Kept                  // and of policies
+	Check   func(Policy) error    // whether one fits the node's settings; see Traffic
+	Wait    time.Duration         // before the first question: an earlier process of the node may act on its right for so long
 }
 
 const (
@@ -119,9 +119,9 @@
 type Core struct {
 	Options
 	env    Env
-	self   consensus.SeatID
-	seat   *consensus.Seat   // nil where this node has no seat, or belongs to no council yet
-	others map[string]*other // the other seats, by node
+	self   consensus.ReplicaID
+	seat   *consensus.Replica // nil where this node has no seat, or belongs to no council yet
+	others map[string]*other  // the other seats, by node
 	parts  map[string]*partly
 	ticks  uint64
 	holder *rights.Holder
@@ -149,7 +149,7 @@
 	leader    string // who leads, as far as is known
 	leading   bool
 	applied   uint64
-	elected   consensus.SeatID         // who leads as far as this node's seat knows; 0: nobody
+	elected   consensus.ReplicaID      // who leads as far as this node's seat knows; 0: nobody
 	firstAt   time.Duration            // no question before
 	askAt     time.Duration            // when to ask for the right again
 	asked     []string                 // seats that were, since the last time
@@ -159,7 +159,7 @@
 	acking    map[string]turns.Ack     // the last that was proposed, by node
 	asking    []question               // that no read was begun for
 	reads     map[uint64][]question
-	confirmed []consensus.Read // by a quorum, and not applied up to yet
+	confirmed []consensus.ReadState // by a quorum, and not applied up to yet
 	readSeq   uint64
 	seq       uint64
 	waiters   map[uint64]waiter
@@ -189,9 +189,9 @@
 		switch st := c.seat.Status(); {
 		case st.Err != nil:
 			c.fail(st.Err)
-		case st.Waiting:
+		case st.Unconfirmed:
 			c.waits = true
-			env.Tell("the seat waits for other seats' word that its store is not an older one", "wanted", len(st.Seats)-len(st.Seats)/2,
+			env.Tell("the seat waits for other seats' word that its store is not an older one", "wanted", len(st.Voters)-len(st.Voters)/2,
 				"action", "if others are down, start them: until so many have answered it takes no part")
 		}
 	}
@@ -288,7 +288,7 @@
 			c.fail(err)
 			return
 		}
-		c.seat.Refuse(r.Refused)
+		c.seat.MarkRefused(r.Refused)
 	case r.Refused != "" && r.Refused != c.refused:
 		c.refused = r.Refused
 		c.env.Tell("another seat refuses what this one says", "seat", r.GetHello().GetNode(), "why", r.Refused, "action", r.Action)
@@ -298,7 +298,7 @@
 
 // ends says whether an error is the end of the seat whose words it is about.
 func ends(err error) bool {
-	var old *consensus.OldStoreError
+	var old *consensus.StaleStoreError
 	var copied *consensus.CopiedStoreError
 	var former *OldCouncilError
 	return errors.As(err, &old) || errors.As(err, &copied) || errors.As(err, &former)
@@ -425,7 +425,7 @@
 // once, when this node leads no more, which may be never: whoever calls has a bound of its own.
 func (c *Core) Leave(now time.Duration, left func()) {
 	c.left = left
-	if c.stop != nil || !c.leading || !c.seat.HandOver() {
+	if c.stop != nil || !c.leading || !c.seat.TransferLeadership() {
 		c.hasLeft()
 		return
 	}
@@ -554,11 +554,11 @@
 	for _, e := range out.Apply {
 		c.apply(now, e)
 	}
-	c.seat.Done(out)
+	c.seat.Advance(out)
 	st := c.seat.Status()
 	c.applied = st.Applied
 	c.confirmed = append(c.confirmed, out.Reads...)
-	c.confirmed = slices.DeleteFunc(c.confirmed, func(read consensus.Read) bool {
+	c.confirmed = slices.DeleteFunc(c.confirmed, func(read consensus.ReadState) bool {
 		if read.Index > c.applied {
 			return false
 		}
@@ -569,7 +569,7 @@
 		delete(c.reads, read.Ctx)
 		return true
 	})
-	if st.Compact {
+	if st.SnapshotDue {
 		c.compact()
 	}
 }
@@ -718,7 +718,7 @@
 	if len(c.asking) > 0 && len(c.reads) < 4 {
 		c.readSeq++
 		ctx := c.Run<<20 | c.readSeq&(1<<20-1)
-		if c.seat.Read(ctx) == nil {
+		if c.seat.ReadIndex(ctx) == nil {
 			c.reads[ctx], c.asking = c.asking, nil
 			c.beginRound(now, ctx)
 		}
@@ -805,7 +805,7 @@
 // before. It says whether there was anything to take in.
 func (c *Core) TakeIn(node string) bool {
 	o := c.others[node]
-	if !c.leading || o == nil || !o.founded || slices.Contains(c.seat.Status().Seats, o.id) {
+	if !c.leading || o == nil || !o.founded || slices.Contains(c.seat.Status().Voters, o.id) {
 		return false
 	}
 	c.entering = o.id
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -36,7 +36,7 @@
 	seq     uint64
 }
 
-func (a *alone) Save(consensus.Save) error { return nil }
+func (a *alone) Save(consensus.WriteBatch) error { return nil }
 func (a *alone) Keep(rights.Saved) error {
 	a.did = append(a.did, "kept")
 	return a.full
@@ -364,7 +364,7 @@
 	answers := 0
 	q := &peerpb.RenewRequest{Node: "n2", Life: 1, Seq: 1, Run: 8, LastsUs: uint64(lasts / time.Microsecond)}
 	a.core.reads[5] = []question{{q, func(*peerpb.RenewReply) { answers++ }}}
-	a.core.confirmed = append(a.core.confirmed, consensus.Read{Ctx: 5, Index: a.core.applied + 2})
+	a.core.confirmed = append(a.core.confirmed, consensus.ReadState{Ctx: 5, Index: a.core.applied + 2})
 	a.core.carryOut(a.now, consensus.Output{})
 	require.Zero(t, answers, "a quorum has committed more than is applied here")
 	a.ask("t", "a")
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -21,10 +21,10 @@
 
 // other is what is known of another seat.
 type other struct {
-	id      consensus.SeatID
+	id      consensus.ReplicaID
 	life    uint64
 	founded bool
-	seats   []consensus.SeatID
+	seats   []consensus.ReplicaID
 
 	at             uint64   // when it was heard last, in ticks
 	names          []string // nodes with a seat by its site file, sorted
@@ -41,7 +41,7 @@
 	if !c.Site.Seat && !stored {
 		return nil
 	}
-	c.self = consensus.SeatOf(c.Site.Own.Name+"/"+c.Site.Node, c.Life)
+	c.self = consensus.ReplicaIDOf(c.Site.Own.Name+"/"+c.Site.Node, c.Life)
 	if !stored && c.Durable.Refused == "" {
 		return nil
 	}
@@ -49,8 +49,8 @@
 }
 
 // take makes the seat: founding a council with others, or with what the store has.
-func (c *Core) take(founders []consensus.SeatID) (err error) {
-	c.seat, err = consensus.New(consensus.Options{Self: c.self, Seats: founders, Boot: c.Boot, Run: c.Run, Proven: c.Proven,
+func (c *Core) take(founders []consensus.ReplicaID) (err error) {
+	c.seat, err = consensus.New(consensus.Options{Self: c.self, InitialVoters: founders, OpenCount: c.Boot, RunID: c.Run, StoreVerified: c.Proven,
 		SnapshotEvery: c.Site.SnapshotEvery}, c.Durable)
 	return err
 }
@@ -60,7 +60,7 @@
 	if c.seat != nil || c.gone || !c.Site.Seat {
 		return
 	}
-	ids, all, stranger := []consensus.SeatID{c.self}, true, false
+	ids, all, stranger := []consensus.ReplicaID{c.self}, true, false
 	for _, name := range c.Site.Seats {
 		o := c.others[name]
 		switch {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (c *Core) settle(seats []consensus.SeatID) {
+func (c *Core) settle(seats []consensus.ReplicaID) {
 	if err := c.take(seats); err != nil {
 		c.fail(err)
 		return
@@ -107,19 +107,19 @@
 		return h
 	}
 	h.Founded, h.Foundings = true, c.seating.Foundings
-	var id consensus.SeatID
+	var id consensus.ReplicaID
 	if o := c.others[to]; o != nil {
 		id = o.id
 	}
-	k := c.seat.Claim(id)
-	h.Claim = &peerpb.Claim{Seat: uint64(k.Seat), Boot: k.Boot, Run: k.Run, Sent: k.Sent, Echo: k.Echo, EchoRun: k.EchoRun,
-		Term: k.Term, Vote: uint64(k.Vote), LastTerm: k.LastTerm, Last: k.Last, Commit: k.Commit, Leader: uint64(k.Leader),
-		Waiting: k.Waiting}
-	for _, s := range k.Seats {
+	k := c.seat.SelfReport(id)
+	h.Claim = &peerpb.Claim{Seat: uint64(k.Replica), Boot: k.OpenCount, Run: k.RunID, Sent: k.Sequence, Echo: k.Echo, EchoRun: k.EchoRunID,
+		Term: k.Term, Vote: uint64(k.Vote), LastTerm: k.LastTerm, Last: k.LastIndex, Commit: k.Commit, Leader: uint64(k.Leader),
+		Waiting: k.Unconfirmed}
+	for _, s := range k.Voters {
 		h.Claim.Seats = append(h.Claim.Seats, uint64(s))
 	}
-	if o := k.Of; o.Seat != 0 {
-		h.Claim.Of = &peerpb.Remembered{Seat: uint64(o.Seat), Boot: o.Boot, Run: o.Run, Term: o.Term, Vote: uint64(o.Vote), Acked: o.Acked,
+	if o := k.Relayed; o.Replica != 0 {
+		h.Claim.Of = &peerpb.Remembered{Seat: uint64(o.Replica), Boot: o.OpenCount, Run: o.RunID, Term: o.Term, Vote: uint64(o.Vote), Acked: o.Acked,
 			Committed: o.Committed}
 	}
 	return h
@@ -130,11 +130,11 @@
 	if h == nil || h.Node == c.Site.Node {
 		return &NoSeatError{Node: h.GetNode()}
 	}
-	o := &other{id: consensus.SeatOf(c.Site.Own.Name+"/"+h.Node, h.Life), life: h.Life, founded: h.Founded, at: c.ticks,
+	o := &other{id: consensus.ReplicaIDOf(c.Site.Own.Name+"/"+h.Node, h.Life), life: h.Life, founded: h.Founded, at: c.ticks,
 		names: h.Seats, foundings: h.Foundings, lastTerm: h.GetClaim().GetLastTerm(), last: h.GetClaim().GetLast(),
 		committed: h.GetClaim().GetCommit()}
 	for _, s := range h.GetClaim().GetSeats() {
-		o.seats = append(o.seats, consensus.SeatID(s))
+		o.seats = append(o.seats, consensus.ReplicaID(s))
 	}
 	if !slices.Contains(c.circle, h.Node) && !c.counts(h.Node, o) {
 		return &NoSeatError{Node: h.Node}
@@ -143,15 +143,15 @@
 		return err
 	}
 	if k := h.Claim; h.Founded && k != nil {
-		if o.id != consensus.SeatID(k.Seat) {
+		if o.id != consensus.ReplicaID(k.Seat) {
 			return &NoSeatError{Node: h.Node}
 		}
-		claim := consensus.Claim{Seat: o.id, Boot: k.Boot, Run: k.Run, Sent: k.Sent, Echo: k.Echo, EchoRun: k.EchoRun,
-			Term: k.Term, Vote: consensus.SeatID(k.Vote), LastTerm: k.LastTerm, Last: k.Last, Commit: k.Commit,
-			Leader: consensus.SeatID(k.Leader), Waiting: k.Waiting, Seats: o.seats}
+		claim := consensus.SelfReport{Replica: o.id, OpenCount: k.Boot, RunID: k.Run, Sequence: k.Sent, Echo: k.Echo, EchoRunID: k.EchoRun,
+			Term: k.Term, Vote: consensus.ReplicaID(k.Vote), LastTerm: k.LastTerm, LastIndex: k.Last, Commit: k.Commit,
+			Leader: consensus.ReplicaID(k.Leader), Unconfirmed: k.Waiting, Voters: o.seats}
 		if of := k.Of; of != nil {
-			claim.Of = consensus.Remembered{Seat: consensus.SeatID(of.Seat), Boot: of.Boot, Run: of.Run, Term: of.Term,
-				Vote: consensus.SeatID(of.Vote), Acked: of.Acked, Committed: of.Committed}
+			claim.Relayed = consensus.PeerRecord{Replica: consensus.ReplicaID(of.Seat), OpenCount: of.Boot, RunID: of.Run, Term: of.Term,
+				Vote: consensus.ReplicaID(of.Vote), Acked: of.Acked, Committed: of.Committed}
 		}
 		if c.seat != nil {
 			if err := c.hearClaim(h.Node, claim); err != nil {
@@ -168,14 +168,14 @@
 
 // hearClaim takes in what another seat says of itself. Of a process that was not heard before the log tells how far its store is, and how far
 // this seat remembers it to have been: one with less is refused.
-func (c *Core) hearClaim(node string, claim consensus.Claim) error {
-	was := c.seat.Remembered(claim.Seat)
-	if err := c.seat.Hear(claim); err != nil {
+func (c *Core) hearClaim(node string, claim consensus.SelfReport) error {
+	was := c.seat.PeerRecord(claim.Replica)
+	if err := c.seat.Observe(claim); err != nil {
 		return err
 	}
-	if was.Run != claim.Run {
-		c.env.Tell("hears a process of a seat for the first time", "seat", node, "boot", claim.Boot, "term", claim.Term, "last", claim.Last,
-			"committed", claim.Commit, "remembered", fmt.Sprintf("boot=%d term=%d acked=%d committed=%d", was.Boot, was.Term, was.Acked, was.Committed))
+	if was.RunID != claim.RunID {
+		c.env.Tell("hears a process of a seat for the first time", "seat", node, "boot", claim.OpenCount, "term", claim.Term, "last", claim.LastIndex,
+			"committed", claim.Commit, "remembered", fmt.Sprintf("boot=%d term=%d acked=%d committed=%d", was.OpenCount, was.Term, was.Acked, was.Committed))
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 	if !o.founded || !slices.Contains(c.Site.Members, node) {
 		return false
 	}
-	return c.seat == nil || !c.hasLog() || slices.Contains(c.seat.Status().Seats, o.id) || c.takenInSince(o)
+	return c.seat == nil || !c.hasLog() || slices.Contains(c.seat.Status().Voters, o.id) || c.takenInSince(o)
 }
 
 // takenInSince says whether another seat tells of a council in which both count, as agreed on further than this seat's log.
@@ -206,13 +206,13 @@
 	c.found()
 	if c.seat != nil {
 		st := c.seat.Status()
-		unknown := slices.ContainsFunc(st.Seats, func(id consensus.SeatID) bool {
+		unknown := slices.ContainsFunc(st.Voters, func(id consensus.ReplicaID) bool {
 			return id != c.self && c.nameOf(id) == ""
 		})
 		missing := c.leading && slices.ContainsFunc(c.Site.Seats, func(name string) bool {
-			return !slices.ContainsFunc(st.Seats, func(id consensus.SeatID) bool { return c.called(id) == name })
+			return !slices.ContainsFunc(st.Voters, func(id consensus.ReplicaID) bool { return c.called(id) == name })
 		})
-		if !unknown && !missing && !st.Waiting && !st.Behind && st.Leader != 0 && c.out == 0 && slices.Contains(st.Seats, c.self) {
+		if !unknown && !missing && !st.Unconfirmed && !st.Behind && st.Leader != 0 && c.out == 0 && slices.Contains(st.Voters, c.self) {
 			return
 		}
 	}
@@ -224,7 +224,7 @@
 }
 
 // nameOf returns the node of a seat, or "" where it is not known yet.
-func (c *Core) nameOf(id consensus.SeatID) string {
+func (c *Core) nameOf(id consensus.ReplicaID) string {
 	if id == c.self && id != 0 {
 		return c.Site.Node
 	}
@@ -241,19 +241,19 @@
 func (c *Core) send(now time.Duration, messages []consensus.Message) {
 	for _, name := range c.circle {
 		var raw [][]byte
-		room := consensus.CallBytes
+		room := consensus.MaxCallBytes
 		flush := func() {
 			if len(raw) > 0 {
 				c.env.SendRaft(name, &peerpb.RaftRequest{Hello: c.hello(name), Messages: raw})
 			}
-			raw, room = nil, consensus.CallBytes
+			raw, room = nil, consensus.MaxCallBytes
 		}
 		for _, m := range messages {
 			if o := c.others[name]; o == nil || o.id != m.To {
 				continue
 			}
-			if len(m.Raw) > consensus.CallBytes {
-				c.partly(name).out.Add(m.Raw)
+			if len(m.Raw) > consensus.MaxCallBytes {
+				c.partly(name).out.Enqueue(m.Raw)
 				c.pieces(now, name)
 				continue
 			}
@@ -269,14 +269,14 @@
 
 // partly is what goes in pieces to another seat, and comes from it.
 type partly struct {
-	out *consensus.Cutter
-	in  consensus.Joiner
+	out *consensus.ChunkSender
+	in  consensus.ChunkReceiver
 }
 
 func (c *Core) partly(name string) *partly {
 	p := c.parts[name]
 	if p == nil {
-		p = &partly{out: consensus.NewCutter(c.Run)}
+		p = &partly{out: consensus.NewChunkSender(c.Run)}
 		c.parts[name] = p
 	}
 	return p
@@ -285,7 +285,7 @@
 // pieces sends a seat the piece that is due, if any, and forgets what it began to send and did not go on with.
 func (c *Core) pieces(now time.Duration, name string) {
 	p := c.partly(name)
-	p.in.Forget(now)
+	p.in.Expire(now)
 	piece, lost := p.out.Next(now)
 	if lost > 0 {
 		c.env.Tell("a long message did not reach another seat, and is made anew", "seat", name, "bytes", lost,
@@ -295,8 +295,8 @@
 		}
 	}
 	if piece != nil {
-		c.env.SendRaft(name, &peerpb.RaftRequest{Hello: c.hello(name), Piece: &peerpb.Piece{Run: piece.Run, Of: piece.Of,
-			Number: piece.Number, Count: piece.Count, Part: piece.Part}})
+		c.env.SendRaft(name, &peerpb.RaftRequest{Hello: c.hello(name), Piece: &peerpb.Piece{Run: piece.RunID, Of: piece.MessageID,
+			Number: piece.Index, Count: piece.Count, Part: piece.Data}})
 	}
 }
 
@@ -306,8 +306,8 @@
 	if p == nil {
 		return q.Messages
 	}
-	whole, has := c.partly(q.Hello.GetNode()).in.Take(now, consensus.Piece{Run: p.Run, Of: p.Of, Number: p.Number, Count: p.Count, Part: p.Part})
-	r.Has = &peerpb.Piece{Run: has.Run, Of: has.Of, Number: has.Number}
+	whole, has := c.partly(q.Hello.GetNode()).in.Receive(now, consensus.Chunk{RunID: p.Run, MessageID: p.Of, Index: p.Number, Count: p.Count, Data: p.Part})
+	r.Has = &peerpb.Piece{Run: has.RunID, Of: has.MessageID, Number: has.Received}
 	if whole == nil {
 		return q.Messages
 	}
@@ -319,8 +319,8 @@
 	name := r.GetHello().GetNode()
 	o := c.others[name]
 	if h := r.Has; h != nil && o != nil && c.seat != nil {
-		if c.partly(name).out.Had(consensus.Has{Run: h.Run, Of: h.Of, Number: h.Number}) {
-			c.seat.Going(o.id)
+		if c.partly(name).out.Ack(consensus.ChunkAck{RunID: h.Run, MessageID: h.Of, Received: h.Number}) {
+			c.seat.SnapshotProgress(o.id)
 		}
 		c.pieces(now, name)
 	}
--- a/internal/control/seats.go
+++ b/internal/control/seats.go
@@ -42,26 +42,26 @@
 type seating struct {
 	// Foundings are drawn at random: by the first leader, and by each FoundAnew. A council whose list is longer than another's that
 	// it begins with has come after it, and the seats of that one are refused.
-	Foundings []uint64                    `json:"foundings,omitempty"`
-	Names     map[consensus.SeatID]string `json:"names,omitempty"` // the nodes of the seats
-	By        string                      `json:"by,omitempty"`    // who had it founded anew, and why
-	Why       string                      `json:"why,omitempty"`
+	Foundings []uint64                       `json:"foundings,omitempty"`
+	Names     map[consensus.ReplicaID]string `json:"names,omitempty"` // the nodes of the seats
+	By        string                         `json:"by,omitempty"`    // who had it founded anew, and why
+	Why       string                         `json:"why,omitempty"`
 }
 
 // seats is what a node knows of its council's seats, besides seat and others.
 type seats struct {
-	hinted  map[consensus.SeatID]string // names of seats, as the store has them before it is applied
+	hinted  map[consensus.ReplicaID]string // names of seats, as the store has them before it is applied
 	seating seating
-	circle  []string           // nodes that have a seat by the file or by the council, sorted: those that this seat talks to
-	were    []consensus.SeatID // the seats at the last look
-	gone    bool               // the seat was taken out while it was away
-	out     uint64             // it was taken out, as is known at this place of the log; 0: it was not
+	circle  []string              // nodes that have a seat by the file or by the council, sorted: those that this seat talks to
+	were    []consensus.ReplicaID // the seats at the last look
+	gone    bool                  // the seat was taken out while it was away
+	out     uint64                // it was taken out, as is known at this place of the log; 0: it was not
 
-	entering consensus.SeatID // that an operator has taken in; 0: none
-	noteAt   time.Duration    // when to have the seats' names agreed on again
-	steerAt  time.Duration    // when to look at the seats again
-	steered  string           // why they are not as they should be, as told last
-	handed   int              // how often this seat has handed over
+	entering consensus.ReplicaID // that an operator has taken in; 0: none
+	noteAt   time.Duration       // when to have the seats' names agreed on again
+	steerAt  time.Duration       // when to look at the seats again
+	steered  string              // why they are not as they should be, as told last
+	handed   int                 // how often this seat has handed over
 
 	council []uint64 // foundings of the council that this node has its right of
 	warned  bool     // that another council's right was not taken
@@ -69,8 +69,8 @@
 
 // seated is an entry about seats.
 type seated struct {
-	Founding uint64                      `json:"founding,omitempty"` // the first one, where there is none yet
-	Names    map[consensus.SeatID]string `json:"names"`              // whole
+	Founding uint64                         `json:"founding,omitempty"` // the first one, where there is none yet
+	Names    map[consensus.ReplicaID]string `json:"names"`              // whole
 }
 
 // reseat takes an entry about seats over.
@@ -105,11 +105,11 @@
 		return false
 	}
 	st := c.seat.Status()
-	return !st.Waiting && slices.Contains(st.Seats, c.self)
+	return !st.Unconfirmed && slices.Contains(st.Voters, c.self)
 }
 
 // called returns the node of a seat, "" where it is not known.
-func (c *Core) called(id consensus.SeatID) string {
+func (c *Core) called(id consensus.ReplicaID) string {
 	if name := c.seating.Names[id]; name != "" {
 		return name
 	}
@@ -117,7 +117,7 @@
 }
 
 // answers says whether a seat was heard lately, with this store.
-func (c *Core) answers(id consensus.SeatID) bool {
+func (c *Core) answers(id consensus.ReplicaID) bool {
 	if id == c.self {
 		return true
 	}
@@ -130,7 +130,7 @@
 	if c.seat == nil {
 		return nil
 	}
-	for _, id := range c.seat.Status().Seats {
+	for _, id := range c.seat.Status().Voters {
 		name := c.called(id)
 		if name == "" {
 			name = fmt.Sprintf("%016x", uint64(id))
@@ -182,7 +182,7 @@
 			c.fail(err)
 			return err
 		}
-		c.seat.Refuse(err.Error())
+		c.seat.MarkRefused(err.Error())
 		return err
 	case foreign:
 		return &OtherCouncilError{Node: h.Node, Site: c.Site.Own.Name}
@@ -253,8 +253,8 @@
 
 // noteSeats has the council agree on the names of its seats, and says whether it has to.
 func (c *Core) noteSeats(now time.Duration, st consensus.Status) bool {
-	names := map[consensus.SeatID]string{}
-	for _, id := range slices.Concat(st.Seats, st.Learning) {
+	names := map[consensus.ReplicaID]string{}
+	for _, id := range slices.Concat(st.Voters, st.Learners) {
 		if name := c.called(id); name != "" {
 			names[id] = name
 		}
@@ -276,14 +276,14 @@
 // step takes a step, or says why the seats stay other ones than they should be, and what can be done.
 func (c *Core) step(st consensus.Status) (why, action string) {
 	comes, goes, why, action := c.wanted(st)
-	for _, id := range st.Learning { // one whose store is a new one by now, or that is not wanted any more
+	for _, id := range st.Learners { // one whose store is a new one by now, or that is not wanted any more
 		if id != comes && (comes != 0 || c.stale(id) || len(goes) == 0 && why == "") {
 			return c.change(0, id)
 		}
 	}
-	fit := func(add bool, but consensus.SeatID) bool { // a majority answers after the step
+	fit := func(add bool, but consensus.ReplicaID) bool { // a majority answers after the step
 		n, answer := 0, 0
-		for _, id := range st.Seats {
+		for _, id := range st.Voters {
 			if id != but {
 				n++
 				if c.answers(id) {
@@ -297,17 +297,17 @@
 		return answer > n/2
 	}
 	const few = "see that the nodes of the seats run and reach each other"
-	silent := slices.IndexFunc(goes, func(id consensus.SeatID) bool { return !c.answers(id) })
+	silent := slices.IndexFunc(goes, func(id consensus.ReplicaID) bool { return !c.answers(id) })
 	switch {
-	case comes != 0 && !slices.Contains(st.Learning, comes):
-		if err := c.seat.Learn(comes); err != nil {
+	case comes != 0 && !slices.Contains(st.Learners, comes):
+		if err := c.seat.AddLearner(comes); err != nil {
 			return err.Error(), "nothing: it is tried again"
 		}
 		c.env.Tell("a seat learns what was agreed on, and counts once it has it", "seat", c.called(comes))
 		return "", ""
-	case comes != 0 && (!c.answers(comes) || !c.seat.HasAll(comes) || c.seating.Names[comes] == ""):
+	case comes != 0 && (!c.answers(comes) || !c.seat.CaughtUp(comes) || c.seating.Names[comes] == ""):
 		return c.called(comes) + " has not all yet that was agreed on", "see that it runs and that the seats reach it"
-	case silent >= 0 && len(st.Seats) > 1:
+	case silent >= 0 && len(st.Voters) > 1:
 		if !fit(false, goes[silent]) {
 			return "without " + c.called(goes[silent]) + " no majority of the seats would answer", few
 		}
@@ -328,9 +328,9 @@
 	if !fit(false, c.self) {
 		return "without this one no majority of the seats would answer", few
 	}
-	var heirs []consensus.SeatID
-	for _, id := range st.Seats {
-		if id != c.self && c.answers(id) && c.seat.HasAll(id) {
+	var heirs []consensus.ReplicaID
+	for _, id := range st.Voters {
+		if id != c.self && c.answers(id) && c.seat.CaughtUp(id) {
 			heirs = append(heirs, id)
 		}
 	}
@@ -340,38 +340,38 @@
 	c.handed++
 	heir := heirs[c.handed%len(heirs)]
 	c.env.Tell("this seat goes, and hands over before", "to", c.called(heir))
-	if err := c.seat.HandOverTo(heir); err != nil {
+	if err := c.seat.TransferLeadershipTo(heir); err != nil {
 		return err.Error(), "nothing: it is tried again"
 	}
 	return "", ""
 }
 
 // change has raft take a seat in or out.
-func (c *Core) change(add, remove consensus.SeatID) (why, action string) {
-	if err := c.seat.Change(add, remove); err != nil {
+func (c *Core) change(add, remove consensus.ReplicaID) (why, action string) {
+	if err := c.seat.ChangeVoters(add, remove); err != nil {
 		return err.Error(), "nothing: it is tried again"
 	}
 	return "", ""
 }
 
 // stale says whether the node of a seat has another store by now.
-func (c *Core) stale(id consensus.SeatID) bool {
+func (c *Core) stale(id consensus.ReplicaID) bool {
 	o := c.others[c.called(id)]
 	return o != nil && o.id != id
 }
 
 // wanted returns the seat that comes next and all that go, those that are not this one first; or why none does.
-func (c *Core) wanted(st consensus.Status) (comes consensus.SeatID, goes []consensus.SeatID, why, action string) {
+func (c *Core) wanted(st consensus.Status) (comes consensus.ReplicaID, goes []consensus.ReplicaID, why, action string) {
 	if e := c.entering; e != 0 { // an operator's word
 		name := c.nameOf(e)
-		if slices.Contains(st.Seats, e) || name == "" {
+		if slices.Contains(st.Voters, e) || name == "" {
 			c.entering = 0
 		} else {
 			return e, c.former(st, name), "", ""
 		}
 	}
 	has := map[string]bool{}
-	for _, id := range st.Seats {
+	for _, id := range st.Voters {
 		has[c.called(id)] = true
 	}
 	var missing []string
@@ -380,19 +380,19 @@
 			missing = append(missing, name)
 		}
 	}
-	for _, id := range st.Seats {
+	for _, id := range st.Voters {
 		if name := c.called(id); name != "" && !slices.Contains(c.Site.Seats, name) {
 			goes = append(goes, id)
 		}
 	}
-	slices.SortFunc(goes, func(a, b consensus.SeatID) int { // this one last
+	slices.SortFunc(goes, func(a, b consensus.ReplicaID) int { // this one last
 		return strings.Compare(c.last(a), c.last(b))
 	})
 	if others := c.otherFiles(st); others != nil {
-		if len(goes) == 0 && len(missing) == 0 && 2*len(others) < len(st.Seats) {
+		if len(goes) == 0 && len(missing) == 0 && 2*len(others) < len(st.Voters) {
 			return 0, nil, "", ""
 		}
-		if 2*len(others) >= len(st.Seats) {
+		if 2*len(others) >= len(st.Voters) {
 			return 0, nil, "no majority of the seats has a site file that names the same seats as that of " + c.Site.Node + ": " +
 				strings.Join(others, " ") + " differ, or do not answer", "give all nodes of the site the same seats, and have them reload"
 		}
@@ -418,7 +418,7 @@
 	return 0, goes, why, action
 }
 
-func (c *Core) last(id consensus.SeatID) string {
+func (c *Core) last(id consensus.ReplicaID) string {
 	if id == c.self {
 		return "~"
 	}
@@ -426,16 +426,16 @@
 }
 
 // former are the seats that a node had before with another store; where the council does not know names, one that nobody has.
-func (c *Core) former(st consensus.Status, name string) (ids []consensus.SeatID) {
-	for _, id := range st.Seats {
+func (c *Core) former(st consensus.Status, name string) (ids []consensus.ReplicaID) {
+	for _, id := range st.Voters {
 		if c.seating.Names[id] == name {
 			ids = append(ids, id)
 		}
 	}
-	if len(ids) == 0 && len(st.Seats) >= len(c.Site.Seats) {
-		for _, id := range st.Seats {
+	if len(ids) == 0 && len(st.Voters) >= len(c.Site.Seats) {
+		for _, id := range st.Voters {
 			if c.called(id) == "" {
-				return []consensus.SeatID{id}
+				return []consensus.ReplicaID{id}
 			}
 		}
 	}
@@ -444,7 +444,7 @@
 
 // otherFiles are the present seats whose files name other seats than this one's, or are not known.
 func (c *Core) otherFiles(st consensus.Status) (names []string) {
-	for _, id := range st.Seats {
+	for _, id := range st.Voters {
 		o := c.others[c.nameOf(id)]
 		if id != c.self && (!c.answers(id) || !slices.Equal(o.names, c.Site.Seats)) {
 			names = append(names, c.called(id))
@@ -458,17 +458,17 @@
 
 // heardOut takes note of a seat's word that this one is none of the council's any more. Whoever takes a seat out stops telling it
 // what is agreed on, this included.
-func (c *Core) heardOut(claim consensus.Claim) {
+func (c *Core) heardOut(claim consensus.SelfReport) {
 	st := c.seat.Status()
-	if claim.Commit > st.Committed && len(claim.Seats) > 0 && slices.Contains(st.Seats, c.self) && c.out < claim.Commit &&
-		!slices.Contains(claim.Seats, c.self) && slices.Contains(st.Seats, claim.Seat) {
+	if claim.Commit > st.Committed && len(claim.Voters) > 0 && slices.Contains(st.Voters, c.self) && c.out < claim.Commit &&
+		!slices.Contains(claim.Voters, c.self) && slices.Contains(st.Voters, claim.Replica) {
 		c.leave(claim.Commit)
 	}
 }
 
 // parted has this node go on without a seat where that was taken out while it was away.
 func (c *Core) parted(err error) bool {
-	var stranger *consensus.StrangerError
+	var stranger *consensus.NotMemberError
 	if !errors.As(err, &stranger) {
 		return false
 	}
@@ -493,25 +493,25 @@
 
 // notice takes note of what this seat's own log says of the seats, this one among them.
 func (c *Core) notice(st consensus.Status) {
-	if !slices.Equal(st.Seats, c.were) {
-		for _, id := range st.Seats {
+	if !slices.Equal(st.Voters, c.were) {
+		for _, id := range st.Voters {
 			if len(c.were) > 0 && !slices.Contains(c.were, id) {
 				c.env.Tell("a seat is taken in", "seat", c.called(id), "seats", strings.Join(c.Seats(), " "))
 			}
 		}
 		for _, id := range c.were {
-			if !slices.Contains(st.Seats, id) {
+			if !slices.Contains(st.Voters, id) {
 				c.env.Tell("a seat is taken out", "seat", c.called(id), "seats", strings.Join(c.Seats(), " "))
 			}
 		}
-		c.were = st.Seats
+		c.were = st.Voters
 		c.known()
 	}
-	in := slices.Contains(st.Seats, c.self) || slices.Contains(st.Learning, c.self)
+	in := slices.Contains(st.Voters, c.self) || slices.Contains(st.Learners, c.self)
 	switch {
 	case c.out != 0 && in && st.Applied >= c.out:
 		c.out = 0
-	case c.out == 0 && !in && len(st.Seats) > 0:
+	case c.out == 0 && !in && len(st.Voters) > 0:
 		c.leave(st.Applied)
 	}
 }
@@ -583,10 +583,10 @@
 	if err != nil {
 		return err
 	}
-	if st := c.seat.Status(); !st.Waiting && !st.Behind {
+	if st := c.seat.Status(); !st.Unconfirmed && !st.Behind {
 		return &NotNeededError{Node: q.Node, Why: "its seat does not wait"}
 	}
-	if err := c.seat.Vouch(); err != nil {
+	if err := c.seat.ConfirmStore(); err != nil {
 		return err
 	}
 	c.env.Tell("an operator vouches for the store of this seat; it waits for nobody", "seat", q.Node, "by", q.By, "why", q.Why)
@@ -608,15 +608,15 @@
 		return c.stop
 	}
 	st := c.seat.Status()
-	if !slices.Contains(st.Seats, c.self) {
+	if !slices.Contains(st.Voters, c.self) {
 		return &NoSeatError{Node: c.Site.Node}
 	}
 	if st.Leader != 0 && c.answers(st.Leader) {
 		return &NotNeededError{Node: q.Node, Why: c.called(st.Leader) + " leads the council"}
 	}
-	own := c.seat.Claim(0)
+	own := c.seat.SelfReport(0)
 	var lost, silent []string
-	for _, id := range st.Seats {
+	for _, id := range st.Voters {
 		name := c.called(id)
 		if name == "" {
 			name = fmt.Sprintf("%016x", uint64(id))
@@ -630,18 +630,18 @@
 			lost = append(lost, name)
 		case !c.answers(id):
 			silent = append(silent, name)
-		case o.lastTerm > own.LastTerm || o.lastTerm == own.LastTerm && o.last > own.Last:
+		case o.lastTerm > own.LastTerm || o.lastTerm == own.LastTerm && o.last > own.LastIndex:
 			return &FurtherError{Node: name}
 		}
 	}
 	switch {
 	case len(silent) > 0:
 		return &SilentError{Nodes: silent}
-	case 2*(len(st.Seats)-len(lost)) > len(st.Seats):
-		return &NotNeededError{Node: q.Node, Why: fmt.Sprintf("the stores of %d of %d seats are not named as lost", len(st.Seats)-len(lost), len(st.Seats))}
+	case 2*(len(st.Voters)-len(lost)) > len(st.Voters):
+		return &NotNeededError{Node: q.Node, Why: fmt.Sprintf("the stores of %d of %d seats are not named as lost", len(st.Voters)-len(lost), len(st.Voters))}
 	}
 	slices.Sort(lost)
-	rest, err := c.seat.Rest()
+	rest, err := c.seat.UnappliedEntries()
 	if err != nil {
 		return err
 	}
@@ -652,15 +652,15 @@
 		c.seating.Foundings = []uint64{1}
 	}
 	c.seating = seating{Foundings: append(slices.Clone(c.seating.Foundings), drawn(c.Run, st.Term)),
-		Names: map[consensus.SeatID]string{c.self: c.Site.Node}, By: q.By, Why: q.Why}
-	c.others, c.entering, c.were, c.out = map[string]*other{}, 0, []consensus.SeatID{c.self}, 0
+		Names: map[consensus.ReplicaID]string{c.self: c.Site.Node}, By: q.By, Why: q.Why}
+	c.others, c.entering, c.were, c.out = map[string]*other{}, 0, []consensus.ReplicaID{c.self}, 0
 	c.known()
 	raw, err := c.encode()
 	if err != nil {
 		c.fail(err)
 		return c.stop
 	}
-	save, err := c.seat.FoundAnew(raw)
+	save, err := c.seat.Rebootstrap(raw)
 	if err == nil {
 		err = c.env.Save(save)
 	}
--- a/internal/control/seats_test.go
+++ b/internal/control/seats_test.go
@@ -53,7 +53,7 @@
 	a := newAlone(t)
 	a.core.circle = append(a.core.circle, "n2")
 	hello := func(foundings ...uint64) *peerpb.RaftRequest {
-		id := consensus.SeatOf("s/n2", 5)
+		id := consensus.ReplicaIDOf("s/n2", 5)
 		return &peerpb.RaftRequest{Hello: &peerpb.Hello{Node: "n2", Life: 5, Founded: true, Foundings: foundings,
 			Claim: &peerpb.Claim{Seat: uint64(id), Boot: 1, Run: 2, Sent: 1, Term: 1, Last: 9, Commit: 9, Seats: []uint64{uint64(id)}}}}
 	}
@@ -120,16 +120,16 @@
 // 400 rounds, in storm 40 with seats that change.
 func TestOnlyASeatThatCountsAnswersFromItsOwnState(t *testing.T) {
 	a := newAlone(t)
-	self, other := uint64(a.core.self), uint64(consensus.SeatOf("s/n2", 5))
-	seatOf := func(boot uint64, conf *raftpb.ConfState) *consensus.Seat {
+	self, other := uint64(a.core.self), uint64(consensus.ReplicaIDOf("s/n2", 5))
+	seatOf := func(boot uint64, conf *raftpb.ConfState) *consensus.Replica {
 		snapshot := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(9)), Term: new(uint64(2)), ConfState: conf}}
-		seat, err := consensus.New(consensus.Options{Self: consensus.SeatID(self), Boot: boot, Run: 1}, consensus.Durable{Snapshot: snapshot, Applied: 9,
+		seat, err := consensus.New(consensus.Options{Self: consensus.ReplicaID(self), OpenCount: boot, RunID: 1}, consensus.StoredState{Snapshot: snapshot, Applied: 9,
 			HardState: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(0)), Commit: new(uint64(9))}})
 		require.NoError(t, err)
 		return seat
 	}
 	for name, c := range map[string]struct {
-		seat    *consensus.Seat
+		seat    *consensus.Replica
 		answers bool
 	}{
 		"counts":                 {seatOf(1, &raftpb.ConfState{Voters: []uint64{self, other}}), true},
@@ -159,7 +159,7 @@
 // TestASeatThatWasTakenInSinceIsHeard by one that is behind and whose site file does not name it: it may lead, and nobody else tells of it.
 func TestASeatThatWasTakenInSinceIsHeard(t *testing.T) {
 	a := newAlone(t)
-	id, self := consensus.SeatOf("s/n2", 5), uint64(a.core.self)
+	id, self := consensus.ReplicaIDOf("s/n2", 5), uint64(a.core.self)
 	committed := a.core.seat.Status().Committed
 	refused := func(commit uint64, seats ...uint64) string {
 		return a.core.Raft(a.now, &peerpb.RaftRequest{Hello: &peerpb.Hello{Node: "n2", Life: 5, Founded: true,
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -41,15 +41,15 @@
 
 func (c *Core) role(st consensus.Status) string {
 	switch {
-	case st.Waiting:
+	case st.Unconfirmed:
 		return roleWaiting
 	case c.leading:
 		return roleLeader
 	case st.Behind:
 		return roleBehind
-	case slices.Contains(st.Learning, c.self):
+	case slices.Contains(st.Learners, c.self):
 		return roleLearner
-	case !slices.Contains(st.Seats, c.self):
+	case !slices.Contains(st.Voters, c.self):
 		return roleNone
 	}
 	return roleFollower
@@ -69,7 +69,7 @@
 
 // unreached returns the nodes of the seats that have not answered a call of this leader for freshTicks.
 func (c *Core) unreached() (nodes []string) {
-	for _, id := range c.seat.Status().Seats {
+	for _, id := range c.seat.Status().Voters {
 		name := c.called(id)
 		if id != c.self && c.ticks-max(c.reach.answered[name], c.reach.since) >= freshTicks {
 			nodes = append(nodes, name)
@@ -112,8 +112,8 @@
 
 // tellRelease logs that the wait of this seat for other seats' word is over.
 func (c *Core) tellRelease(st consensus.Status) {
-	if c.waits && !st.Waiting {
+	if c.waits && !st.Unconfirmed {
 		c.env.Tell("the seat waits no more", "seat", c.Site.Node, "term", st.Term, "applied", st.Applied)
 	}
-	c.waits = st.Waiting
+	c.waits = st.Unconfirmed
 }
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -71,7 +71,7 @@
 func Start(log *slog.Logger, s *site.Site, loop Loop, traffic Traffic, wait time.Duration, links int) (*Thread, error) {
 	t := &Thread{log: log, site: s, tick: s.Tick, loop: loop, traffic: traffic, peers: map[string]*peer.Client{},
 		inbox: make(chan func(), waiting), stop: make(chan struct{}), stopped: make(chan struct{})}
-	var durable consensus.Durable
+	var durable consensus.StoredState
 	var err error
 	t.store, durable, err = store.Open(filepath.Join(s.Store, "council.db"), store.Identity{Site: s.Own.Name, Node: s.Node,
 		Witness: s.Witness})
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	who := t.store.Identity()
-	t.core, err = New(loop.Now(), Options{Site: s, Life: who.SeatLife, Boot: who.Boot, Run: who.Run, Proven: who.Proven,
+	t.core, err = New(loop.Now(), Options{Site: s, Life: who.ReplicaIncarnation, Boot: who.OpenCount, Run: who.RunID, Proven: who.Verified,
 		Durable: durable, Saved: saved, Kept: kept, Check: traffic.Check, Wait: wait}, t)
 	if err != nil {
 		t.store.Close()
@@ -103,7 +103,7 @@
 		t.store.Close()
 		return nil, err
 	}
-	log.Info("open to peers", "listen", t.server.Addr(), "site", s.Own.Name, "seat", s.Seat, "store", s.Store, "boot", who.Boot)
+	log.Info("open to peers", "listen", t.server.Addr(), "site", s.Own.Name, "seat", s.Seat, "store", s.Store, "boot", who.OpenCount)
 	go t.run()
 	return t, nil
 }
@@ -244,7 +244,7 @@
 // ---- Env ----
 
 // Save implements Env.
-func (t *Thread) Save(s consensus.Save) error { return t.store.Save(s) }
+func (t *Thread) Save(s consensus.WriteBatch) error { return t.store.Save(s) }
 
 // Keep implements Env.
 func (t *Thread) Keep(s rights.Saved) error {
@@ -273,7 +273,7 @@
 func (t *Thread) GoBy(p Policy) { t.policy.hand(p, t.loop, t.traffic.GoBy) }
 
 // Refused implements Env.
-func (t *Thread) Refused(why string) error { return t.store.Refuse(why) }
+func (t *Thread) Refused(why string) error { return t.store.MarkRefused(why) }
 
 // SendRaft implements Env.
 func (t *Thread) SendRaft(seat string, q *peerpb.RaftRequest) {
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -25,7 +25,7 @@
 	life    uint64
 	boot    uint64
 	run     uint64
-	store   consensus.Durable
+	store   consensus.StoredState
 	saved   rights.Saved
 	kept    control.Kept
 	goes    control.Policy // that its loop goes by
@@ -169,7 +169,7 @@
 }
 
 // Save implements control.Env over memory.
-func (n *node) Save(s consensus.Save) error {
+func (n *node) Save(s consensus.WriteBatch) error {
 	d := &n.store
 	if s.HardState != nil {
 		d.HardState = proto.CloneOf(s.HardState)
@@ -187,7 +187,7 @@
 		d.Entries = slices.DeleteFunc(d.Entries, func(old *raftpb.Entry) bool { return old.GetIndex() >= e.GetIndex() })
 		d.Entries = append(d.Entries, proto.CloneOf(e))
 	}
-	cut := max(s.CutTo, 0)
+	cut := max(s.CompactTo, 0)
 	if s.Snapshot != nil { // the store keeps what follows the snapshot
 		cut = max(cut, d.Applied)
 	}
--- a/rehearsal/province/where.go
+++ b/rehearsal/province/where.go
@@ -85,7 +85,7 @@
 // seated says whether a node's seat takes part.
 func seated(n *node) bool {
 	st, ok := n.core.Seated()
-	return ok && !st.Waiting && st.Err == nil
+	return ok && !st.Unconfirmed && st.Err == nil
 }
 
 // council returns how a site's council stands, and the node that leads it with a majority.
@@ -128,7 +128,7 @@
 		}
 		st, ok := n.core.Seated()
 		begun = begun || ok
-		if !ok || !st.Waiting {
+		if !ok || !st.Unconfirmed {
 			continue
 		}
 		reach, by := 0, 0
