--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -1,20 +1,20 @@
-// Package council is one seat of a site's council: etcd's raft as a machine without I/O. Whoever drives it hands in
-// ticks, messages and proposals, makes what Output.Save holds durable before it sends what Output.Send holds, and
-// applies what Output.Apply holds. The same seat runs in the process, over bbolt and calls, and in virtual time.
+// Package consensus implements one replica of a site's consensus group: etcd's raft without any I/O of its own. The
+// driver passes in ticks, messages and proposals, makes Output.Save durable before it sends Output.Send, and applies
+// Output.Apply. The same code runs in the node's process, over bbolt and RPCs, and in tests in virtual time.
 //
-// One thread drives a seat. Its order is always the same:
+// One thread drives a replica, always in this order:
 //
-//	for out, ok := seat.Ready(); ok; out, ok = seat.Ready() {
-//		store.Save(out.Save)              // durable; an error is the end of control
-//		send(out.Send)                    // any of it may be lost
-//		restore(out.Snapshot)             // where it is not nil: the whole book
+//	for out, ok := replica.Ready(); ok; out, ok = replica.Ready() {
+//		store.Save(out.Save)              // durable; after an error the control plane stops
+//		send(out.Send)                    // any message may be lost
+//		restore(out.Snapshot)             // if not nil: the complete state
 //		apply(out.Apply)
-//		seat.Done(out)
-//		answer(out.Reads)                 // those whose Index is applied
+//		replica.Advance(out)
+//		answer(out.Reads)                 // those whose Index has been applied
 //	}
 //
-// raft takes the jitter of elections from crypto/rand: who wins an election in virtual time is not settled by a seed,
-// what holds whoever wins is. Options has no seed for that reason.
+// raft takes its election jitter from crypto/rand, so a seed does not determine who wins an election in virtual time.
+// Options therefore has no seed, and tests check what must hold whoever wins.
 package consensus
 
 import (
@@ -28,131 +28,134 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Entry is something that the council has agreed on, in the order of Index.
+// Entry is a committed log entry. Entries are delivered in the order of Index.
 type Entry struct {
 	Index uint64
-	Term  uint64 // in which it was proposed: a leader of another term did not propose it
-	Data  []byte // as proposed; empty entries of raft's own are not handed out
+	Term  uint64 // in which the entry was proposed; a leader of another term did not propose it
+	Data  []byte // as proposed; the empty entries that raft adds itself are not delivered
 }
 
-// SeatID is a seat's number in raft; 0 is none. It is derived from the node's name and the life of its store, so that a
-// seat that comes back with another store is another one until it is taken in anew.
+// ReplicaID is a replica's raft ID; 0 means none. It is derived from the node's name and the incarnation of its store,
+// so a replica that comes back with another store has a new ID and must be added to the group again.
 type ReplicaID uint64
 
-// Options are how a seat takes part.
+// Options configure a replica.
 type Options struct {
 	Self ReplicaID
-	// Seats found the council: the same on all of them, each with an empty store. Empty for a seat that joins, or that
-	// has a store.
+	// InitialVoters bootstrap the group: the same list on all of them, each with an empty store. Empty for a replica
+	// that joins an existing group or that already has a store.
 	InitialVoters  []ReplicaID
-	ElectionTicks  int                      // without a leader until a seat stands for election; 0: ElectionTicks
+	ElectionTicks  int                      // without a leader, after which a replica starts an election; 0: ElectionTicks
 	HeartbeatTicks int                      // between two heartbeats of a leader; 0: 1
-	SnapshotEvery  uint64                   // entries applied after which Status.Compact asks for a snapshot; 0: 1000
-	OpenCount      uint64                   // the how manieth opening of the store this is; above 1 the seat waits for the others' word
-	RunID          uint64                   // random, of this process
-	StoreVerified  bool                     // the store is known to be as the last process left it: it does not wait
-	Log            func(level, text string) // raft's own words; nil: none
+	SnapshotEvery  uint64                   // applied entries after which Status.SnapshotDue is set; 0: 1000
+	OpenCount      uint64                   // how often the store has been opened; above 1 the other replicas must confirm the store first
+	RunID          uint64                   // random, identifies this process
+	StoreVerified  bool                     // the store is known to be as the last process left it: no confirmation needed
+	Log            func(level, text string) // receives raft's log lines; nil: none
 }
 
-// Durable is what the store had. Nothing of it is set for an empty store.
+// StoredState is what the store holds when a replica starts. For an empty store it is the zero value.
 type StoredState struct {
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
-	Entries   []*raftpb.Entry // after the snapshot, without gaps
-	Applied   uint64          // the snapshot's index: what follows is applied anew
-	Refused   string          // why the others refused this store, if they did: it takes no part any more
+	Entries   []*raftpb.Entry // follow the snapshot without gaps
+	Applied   uint64          // the snapshot's index; later entries are applied again
+	Refused   string          // why the other replicas refused this store, if they did; the replica then no longer takes part
 }
 
-// Save is what has to be durable, all of it or nothing, before the messages of the same Output go out.
+// WriteBatch must be made durable atomically before the messages of the same Output are sent.
 type WriteBatch struct {
 	HardState *raftpb.HardState
-	Snapshot  *raftpb.Snapshot // replaces the former; entries up to its index are gone where Replace is set
+	Snapshot  *raftpb.Snapshot // replaces the previous one; if Replace is set, entries up to its index are deleted
 	Entries   []*raftpb.Entry  // replace all entries from the first one's index on
-	Replace   bool             // the snapshot came from a leader: no entry of before remains
-	CompactTo uint64           // entries up to here may be deleted
+	Replace   bool             // the snapshot came from a leader: all earlier entries are deleted
+	CompactTo uint64           // entries up to this index may be deleted
 }
 
-// Empty says that there is nothing to save.
+// Empty reports whether there is nothing to save.
 func (s WriteBatch) Empty() bool {
 	return s.HardState == nil && s.Snapshot == nil && len(s.Entries) == 0 && s.CompactTo == 0
 }
 
-// Message is for another seat. It may be lost, come twice or late.
+// Message is addressed to another replica. It may be lost, duplicated or delayed.
 type Message struct {
 	To  ReplicaID
 	Raw []byte
 }
 
-// Read is a question of Seat.Read that a quorum has confirmed: it may be answered once Index is applied.
+// ReadState is a read request (see Replica.ReadIndex) that a quorum has confirmed. It may be answered once Index has
+// been applied.
 type ReadState struct {
 	Ctx   uint64
 	Index uint64
 }
 
-// Output is what the driver has to do next.
+// Output is what the driver must do next.
 type Output struct {
 	Save     WriteBatch
-	MustSync bool // else Save may be put off until the next one: only the commit index moved
+	MustSync bool // otherwise Save may wait for the next Output: only the commit index moved
 	Send     []Message
-	Snapshot []byte // not nil: the book to restore before Apply; empty for the book that nothing was written to yet
+	Snapshot []byte // if not nil, the state to restore before Apply; empty stands for the initial state, before any write
 	Apply    []Entry
 	Reads    []ReadState
 
 	rd *raft.Ready
 }
 
-// Status is where a seat stands.
+// Status describes the state of a replica.
 type Status struct {
 	Leader      ReplicaID // 0: none known
-	Leading     bool      // it leads, and has applied all that was agreed on before
+	Leading     bool      // it is the leader and has applied everything committed in earlier terms
 	Term        uint64
 	Applied     uint64
 	Committed   uint64
-	Voters      []ReplicaID // in ascending order; of a seat that waits, as those have them that it has heard
-	Learners    []ReplicaID // without a vote, in ascending order
-	SnapshotDue bool        // a snapshot is due: call Compact(Applied, book)
-	Unconfirmed bool        // for the others' word that its store is not behind
-	Behind      bool        // its log has not come up to theirs yet: it does not stand, and votes for no seat that is behind too
-	Err         error       // why it takes no part any more
+	Voters      []ReplicaID // in ascending order; while Unconfirmed, as reported by the other replicas
+	Learners    []ReplicaID // learners, in ascending order
+	SnapshotDue bool        // a snapshot is due: call Compact(Applied, state)
+	Unconfirmed bool        // waiting for the other replicas to confirm that its store is not stale
+	Behind      bool        // its log has not caught up with theirs yet: it does not campaign, and votes only for replicas that have caught up
+	Err         error       // why it no longer takes part
 }
 
-// Seat is one seat. It is not safe for use by more than one thread.
+// Replica is one member of the consensus group. It is not safe for concurrent use.
 type Replica struct {
 	opts              Options
 	storage           *raft.MemoryStorage
-	node              *raft.RawNode // nil while it waits
+	node              *raft.RawNode // nil while the store is unconfirmed
 	confState         *raftpb.ConfState
 	initial           *Output
-	outputPending     bool // an Output is out
+	outputPending     bool // Ready has returned an Output and Advance has not been called yet
 	applied           uint64
 	appliedTerm       uint64
 	snapshotIndex     uint64 // index of the last snapshot
-	confChanged       bool   // the seats, since then: raft brings in a new seat only by a snapshot that knows of it
+	confChanged       bool   // the configuration changed since the last snapshot; raft adds a replica only through a snapshot that includes it
 	hardState         *raftpb.HardState
 	err               error
 	peers             *PeerTable
 	confirming        *confirmation
 	catchUpTo         position
 	ticks             int
-	leaderless        map[ReplicaID]int // others that know of no leader, by the tick that they said so last; they are no better than this one
-	campaignFrom      int               // ticks before which it does not ask for votes before its time
-	reportsSent       uint64            // its claims up to the last half of an election's time that is over
-	reportsSentBefore uint64            // and to the one before
-	leaderSeenAt      int               // the tick that the leader was heard at last
-	electionTerm      uint64            // the last term that an election was seen in
-	pendingSnapshots  map[uint64]bool   // seats that a snapshot was under way to at the last look
+	leaderless        map[ReplicaID]int // replicas without a known leader and with a log no newer than this one's, with the tick of their last report
+	campaignFrom      int               // tick before which it starts no early election
+	reportsSent       uint64            // sequence number of its last report at the end of the last completed half election timeout
+	reportsSentBefore uint64            // the same for the half election timeout before
+	leaderSeenAt      int               // tick of the leader's last message
+	electionTerm      uint64            // the latest term in which it saw an election
+	pendingSnapshots  map[uint64]bool   // replicas to which a snapshot was being sent at the last check
 }
 
-// ElectionTicks is how many ticks a leader may be silent, where Options say nothing else.
+// ElectionTicks is the default for Options.ElectionTicks: how many ticks pass without a leader before an election.
 const ElectionTicks = 10
 
-// Entries that stay in the log behind a snapshot, as a part of SnapshotEvery: a seat that is a little behind needs none.
+// Log entries kept behind a snapshot, as a fraction (1/4) of SnapshotEvery: a replica that lags a little needs no
+// snapshot.
 const keepFraction = 4
 
-// New starts a seat. Without a store and without Seats it belongs to no council yet and takes what a leader sends.
+// New starts a replica. Without a store and without InitialVoters it belongs to no group yet and accepts what a leader
+// sends.
 func New(opts Options, stored StoredState) (*Replica, error) {
 	if opts.Self == 0 {
-		return nil, fmt.Errorf("council: a seat needs a number")
+		return nil, fmt.Errorf("consensus: a replica needs a nonzero ID")
 	}
 	if opts.ElectionTicks == 0 {
 		opts.ElectionTicks = ElectionTicks
@@ -180,7 +183,7 @@
 	}
 	if snap := stored.Snapshot; snap.GetMetadata().GetIndex() > 0 {
 		if err := s.storage.ApplySnapshot(snap); err != nil {
-			return nil, fmt.Errorf("council: the store's snapshot: %w", err)
+			return nil, fmt.Errorf("consensus: cannot load the stored snapshot: %w", err)
 		}
 		s.snapshotIndex, s.applied, s.appliedTerm = snap.Metadata.GetIndex(), snap.Metadata.GetIndex(), snap.Metadata.GetTerm()
 		s.confState = snap.Metadata.GetConfState()
@@ -189,17 +192,17 @@
 	next := s.snapshotIndex
 	for _, e := range stored.Entries {
 		if next++; e.GetIndex() != next {
-			return nil, fmt.Errorf("council: the store's log has entry %d where %d has to be", e.GetIndex(), next)
+			return nil, fmt.Errorf("consensus: the stored log has entry %d in place of entry %d", e.GetIndex(), next)
 		}
 	}
 	if s.hardState.GetCommit() < s.snapshotIndex {
-		s.hardState.Commit = new(s.snapshotIndex) // a snapshot is of what was agreed on
+		s.hardState.Commit = new(s.snapshotIndex) // a snapshot holds only committed entries
 	}
 	if s.hardState.GetCommit() > next {
-		return nil, fmt.Errorf("council: the store's log has %d to %d, and %d were agreed on", s.snapshotIndex, next, s.hardState.GetCommit())
+		return nil, fmt.Errorf("consensus: the stored log goes from %d to %d, but entries up to %d are committed", s.snapshotIndex, next, s.hardState.GetCommit())
 	}
 	if err := s.storage.Append(stored.Entries); err != nil {
-		return nil, fmt.Errorf("council: the store's log: %w", err)
+		return nil, fmt.Errorf("consensus: cannot load the stored log: %w", err)
 	}
 	if opts.OpenCount > 1 && !opts.StoreVerified && s.err == nil && len(s.others()) > 0 {
 		s.confirming = &confirmation{reports: map[ReplicaID]SelfReport{}}
@@ -215,7 +218,7 @@
 	return b
 }
 
-// found makes the state that all founding seats begin with: an empty book at index 1 of term 1.
+// bootstrap creates the state that all initial replicas start from: an empty state at index 1 of term 1.
 func (s *Replica) bootstrap() error {
 	ids := make([]uint64, 0, len(s.opts.InitialVoters))
 	for _, id := range s.opts.InitialVoters {
@@ -224,7 +227,7 @@
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
 	if !slices.Contains(ids, uint64(s.opts.Self)) || ids[0] == 0 {
-		return fmt.Errorf("council: seat %x is not one of those that found the council", uint64(s.opts.Self))
+		return fmt.Errorf("consensus: replica %x is not among the initial voters", uint64(s.opts.Self))
 	}
 	s.confState = &raftpb.ConfState{Voters: ids}
 	snapshot := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{
@@ -254,8 +257,8 @@
 	return err
 }
 
-// caught turns a panic of raft into the end of this seat: raft panics where what it was told cannot be, and a seat that
-// went on would be the worse thing.
+// recoverPanic turns a panic of raft into a permanent error of this replica. raft panics when its input contradicts its
+// state; continuing after that would be worse than stopping.
 func (s *Replica) recoverPanic(err *error) {
 	if p := recover(); p != nil {
 		s.err = &InvalidStateError{What: fmt.Sprint(p)}
@@ -263,7 +266,7 @@
 	}
 }
 
-// Tick lets one tick pass.
+// Tick advances the replica's clock by one tick.
 func (s *Replica) Tick() {
 	if s.node == nil || s.err != nil {
 		return
@@ -277,7 +280,7 @@
 	}
 }
 
-// unstick has a snapshot sent again that was under way at the last look and still is: it may be lost.
+// retrySnapshots resends each snapshot that was already being sent at the last check and still is: it may be lost.
 func (s *Replica) retrySnapshots() {
 	pending := map[uint64]bool{}
 	var retry []uint64
@@ -299,18 +302,19 @@
 	s.pendingSnapshots = pending
 }
 
-// Going says that a part of what was sent to a seat has arrived: a snapshot under way to it is not lost.
+// SnapshotProgress records that part of what was sent to a replica has arrived, so that a snapshot on its way is not
+// taken for lost.
 func (s *Replica) SnapshotProgress(to ReplicaID) { delete(s.pendingSnapshots, uint64(to)) }
 
-// Unreachable says that what was sent to a seat did not arrive.
+// Unreachable records that a message to a replica was not delivered.
 func (s *Replica) Unreachable(to ReplicaID) {
 	if s.node != nil && s.err == nil {
 		s.node.ReportUnreachable(uint64(to))
 	}
 }
 
-// Step takes a message from another seat: a raftpb.Message. Call Hear with its sender's claim first. Messages that come
-// while the seat waits are dropped; they come again.
+// Step processes a message from another replica, a raftpb.Message. Call Observe with the sender's report first. While
+// this replica's store is unconfirmed, messages are dropped; raft sends them again.
 func (s *Replica) Step(raw []byte) (err error) {
 	if s.err != nil {
 		return s.err
@@ -323,20 +327,20 @@
 		return &MessageError{Why: err.Error()}
 	}
 	if m.GetTo() != uint64(s.opts.Self) || m.GetFrom() == 0 || raft.IsLocalMsg(m.GetType()) {
-		return &MessageError{Why: fmt.Sprintf("%v from seat %x to seat %x", m.GetType(), m.GetFrom(), m.GetTo())}
+		return &MessageError{Why: fmt.Sprintf("%v from replica %x to replica %x", m.GetType(), m.GetFrom(), m.GetTo())}
 	}
 	switch m.GetType() {
 	case raftpb.MessageType_MsgProp, raftpb.MessageType_MsgReadIndex, raftpb.MessageType_MsgTransferLeader,
 		raftpb.MessageType_MsgReadIndexResp, raftpb.MessageType_MsgForgetLeader:
-		return &MessageError{Why: fmt.Sprintf("seats send no %v", m.GetType())}
-	case raftpb.MessageType_MsgTimeoutNow: // only its leader hands over to a seat; one that was, late, does not
+		return &MessageError{Why: fmt.Sprintf("replicas do not send %v to each other", m.GetType())}
+	case raftpb.MessageType_MsgTimeoutNow: // only the current leader may transfer leadership; a late message of a former leader is ignored
 		if !s.fromLeader(m) {
 			return nil
 		}
 	case raftpb.MessageType_MsgVote, raftpb.MessageType_MsgPreVote:
 		theirs := position{Term: m.GetLogTerm(), Index: m.GetIndex()}
-		// This seat's own log may lack the entry that took the other one in, so that only the log decides, as raft has it: a seat that
-		// is behind may be needed for the majority of a council that it does not know yet.
+		// This replica's log may lack the entry that added the sender, so only the logs are compared, as raft itself
+		// does: a replica that lags may be needed for the majority of a configuration that it does not know yet.
 		if !slices.Contains(s.confState.GetVoters(), m.GetFrom()) && theirs.before(s.lastPosition()) {
 			return &NotMemberError{Replica: ReplicaID(m.GetFrom())}
 		}
@@ -358,8 +362,8 @@
 	return nil
 }
 
-// Propose puts data up for agreement. That it was taken promises nothing: it stands when it comes back in Output.Apply,
-// and may be lost with the leader. Only a seat that leads takes it.
+// Propose submits data for agreement. A nil error promises nothing: the entry is committed when it appears in
+// Output.Apply, and may be lost with the leader. Only the leader accepts proposals.
 func (s *Replica) Propose(data []byte) (err error) {
 	if err := s.checkLeader(); err != nil {
 		return err
@@ -371,8 +375,9 @@
 	return nil
 }
 
-// HandOver has another seat stand for election at once, the one that has most of the log of those that answer, and says
-// whether there is one. Until that one leads, or the time of an election is over, this seat leads and takes no proposals.
+// TransferLeadership makes another voter campaign at once: of the recently active ones, the one with the longest
+// replicated log. It reports whether there is one. Until that replica leads or an election timeout passes, this replica
+// remains leader and accepts no proposals.
 func (s *Replica) TransferLeadership() (found bool) {
 	if s.checkLeader() != nil {
 		return false
@@ -396,21 +401,22 @@
 	return nil
 }
 
-// Read asks a quorum whether this seat still leads; ctx comes back in Output.Reads, or never: whoever asks forgets it
-// when the seat does not lead any more. No ctx is used twice by a process.
+// ReadIndex asks a quorum whether this replica is still the leader. ctx comes back in Output.Reads, or never: the
+// caller discards its request when the replica is no longer the leader. A process must not reuse a ctx.
 func (s *Replica) ReadIndex(ctx uint64) (err error) {
 	if err := s.checkLeader(); err != nil {
 		return err
 	}
 	defer s.recoverPanic(&err)
-	// raft tells questions apart by these bytes alone, in all seats and processes.
+	// raft distinguishes read requests by these bytes alone, across all replicas and processes.
 	b := binary.BigEndian.AppendUint64(nil, ctx)
 	b = binary.BigEndian.AppendUint64(b, uint64(s.opts.Self))
 	s.node.ReadIndex(binary.BigEndian.AppendUint64(b, s.opts.RunID))
 	return nil
 }
 
-// Change takes one seat in or out; the other is 0. One change at a time: the next one when this one is applied.
+// ChangeVoters adds or removes one replica; the other argument is 0. Only one change may be in progress: propose the
+// next one after this one has been applied.
 func (s *Replica) ChangeVoters(add, remove ReplicaID) (err error) {
 	if err := s.checkLeader(); err != nil {
 		return err
@@ -418,13 +424,13 @@
 	cc := &raftpb.ConfChange{Type: raftpb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: new(uint64(add))}
 	switch {
 	case (add == 0) == (remove == 0):
-		return fmt.Errorf("council: a change takes in one seat, or takes one out")
+		return fmt.Errorf("consensus: a change must add or remove exactly one replica")
 	case add != 0 && slices.Contains(s.confState.GetVoters(), uint64(add)):
 		return nil
 	case remove != 0 && !slices.Contains(s.confState.GetVoters(), uint64(remove)) && !slices.Contains(s.confState.GetLearners(), uint64(remove)):
 		return nil
 	case remove != 0 && len(s.confState.GetVoters()) == 1 && s.confState.GetVoters()[0] == uint64(remove):
-		return fmt.Errorf("council: the last seat cannot be taken out")
+		return fmt.Errorf("consensus: the last voter cannot be removed")
 	case remove != 0:
 		cc = &raftpb.ConfChange{Type: raftpb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: new(uint64(remove))}
 	}
@@ -435,7 +441,7 @@
 	return nil
 }
 
-// Ready returns what is to be done next, and false when there is nothing. The next one comes after Done.
+// Ready returns what to do next, or false if there is nothing. It returns the next Output only after Advance.
 func (s *Replica) Ready() (o Output, ok bool) {
 	if s.outputPending {
 		return Output{}, false
@@ -493,7 +499,7 @@
 	return o, true
 }
 
-// Done says that an Output was saved, sent and applied.
+// Advance reports that an Output has been saved, sent and applied.
 func (s *Replica) Advance(o Output) {
 	s.outputPending = false
 	if o.rd == nil {
@@ -536,14 +542,14 @@
 	}
 }
 
-// Compact puts book, the state with all entries up to index applied, in the place of the log before it. index is
-// Status.Applied, and no Output is out. What it returns has to be made durable.
+// Compact replaces the log up to index by state, which has all entries up to index applied. index must be
+// Status.Applied, and no Output may be pending. The returned batch must be made durable.
 func (s *Replica) Compact(index uint64, state []byte) (save WriteBatch, err error) {
 	if s.err != nil {
 		return WriteBatch{}, s.err
 	}
 	if index != s.applied || s.outputPending || s.node == nil {
-		return WriteBatch{}, fmt.Errorf("council: the book is of entry %d, %d is applied", index, s.applied)
+		return WriteBatch{}, fmt.Errorf("consensus: snapshot of the state at entry %d refused: %d is applied", index, s.applied)
 	}
 	if index <= s.snapshotIndex {
 		return WriteBatch{}, nil
@@ -551,7 +557,7 @@
 	defer s.recoverPanic(&err)
 	snap, err := s.storage.CreateSnapshot(index, s.confState, slices.Clone(state))
 	if err != nil {
-		return WriteBatch{}, fmt.Errorf("council: snapshot of entry %d: %w", index, err)
+		return WriteBatch{}, fmt.Errorf("consensus: snapshot at entry %d: %w", index, err)
 	}
 	s.snapshotIndex, s.confChanged = index, false
 	compactTo := index - min(index, s.opts.SnapshotEvery/keepFraction)
@@ -561,7 +567,6 @@
 	return WriteBatch{Snapshot: snap, CompactTo: compactTo}, nil
 }
 
-// Status says where the seat stands.
 func (s *Replica) Status() Status {
 	st := Status{Term: s.hardState.GetTerm(), Committed: s.hardState.GetCommit(), Applied: s.applied, Err: s.err, Unconfirmed: s.confirming != nil, Behind: s.catchingUp()}
 	for _, id := range s.confState.GetVoters() {
@@ -585,7 +590,7 @@
 	return st
 }
 
-// others are the seats of the council besides this one, as its log has them: also by changes not known to be agreed on.
+// others returns the other voters in this replica's configuration, which may include changes not known to be committed.
 func (s *Replica) others() []ReplicaID {
 	var ids []ReplicaID
 	for _, id := range s.confState.GetVoters() {
@@ -596,17 +601,17 @@
 	return ids
 }
 
-// end is the last entry of the log that is durable.
+// lastPosition is the position of the last durable log entry.
 func (s *Replica) lastPosition() position {
 	last, _ := s.storage.LastIndex()
 	term, _ := s.storage.Term(last)
 	return position{Term: term, Index: last}
 }
 
-// below says that the log has not come up yet to what the others had when this seat came back.
+// catchingUp reports whether the log is still behind what the other replicas had when this replica restarted.
 func (s *Replica) catchingUp() bool { return s.lastPosition().before(s.catchUpTo) }
 
-// mark is a place in a log.
+// position is a position in the log.
 type position struct{ Term, Index uint64 }
 
 func (m position) before(n position) bool {
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -2,107 +2,112 @@
 
 import "fmt"
 
-// NotLeaderError says that this seat does not lead, or has not applied yet all that was agreed on before.
+// NotLeaderError says that this replica is not the leader, or has not applied all entries of earlier terms yet.
 type NotLeaderError struct{ Leader ReplicaID } // 0: none known
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader == 0 {
-		return "council: no leader is known"
+		return "consensus: no leader is known"
 	}
-	return fmt.Sprintf("council: seat %x leads", uint64(e.Leader))
+	return fmt.Sprintf("consensus: replica %x is the leader", uint64(e.Leader))
 }
 
 // Action says what an operator can do.
 func (e *NotLeaderError) Action() string {
-	return "ask the leader; while none is known, see that a majority of the council's nodes run and reach each other"
+	return "ask the leader; while none is known, check that a majority of the site's nodes with a replica run and reach each other"
 }
 
-// BusyError says that raft takes no more for now: too much waits for agreement, or another change of seats does.
+// BusyError says that raft accepts no more for now: too much is uncommitted, or another configuration change is in
+// progress.
 type BusyError struct{}
 
-func (e *BusyError) Error() string { return "council: it takes no more for now" }
+func (e *BusyError) Error() string { return "consensus: raft accepts no more proposals for now" }
 
 // Action says what an operator can do.
-func (e *BusyError) Action() string { return "try again when what is under way is agreed on" }
+func (e *BusyError) Action() string {
+	return "try again when the entries and changes in progress are committed"
+}
 
-// MessageError says that a message is none that seats send.
+// MessageError says that a received message is not one that replicas send to each other.
 type MessageError struct{ Why string }
 
-func (e *MessageError) Error() string { return "council: a message that is none: " + e.Why }
+func (e *MessageError) Error() string { return "consensus: invalid message: " + e.Why }
 
 // Action says what an operator can do.
 func (e *MessageError) Action() string {
-	return "see that only nodes of this site call the peer address, all of one release"
+	return "check that only nodes of this site call the peer address, and that all run the same release"
 }
 
-// BrokenError says that raft found its own state to be impossible. The seat takes no part any more.
+// InvalidStateError says that raft found its own state to be inconsistent. The replica no longer takes part.
 type InvalidStateError struct{ What string }
 
-func (e *InvalidStateError) Error() string { return "council: the seat is broken: " + e.What }
+func (e *InvalidStateError) Error() string { return "consensus: raft state is inconsistent: " + e.What }
 
 // Action says what an operator can do.
 func (e *InvalidStateError) Action() string {
-	return "stop the node, put its store aside, start it with an empty one and take its new seat in; keep the old store for a look"
+	return "stop the node, put its store aside, start it with an empty one and take its new replica in; keep the old store for analysis"
 }
 
-// StrangerError says that a seat is not one of the council's: its store is new, or it was taken out.
+// NotMemberError says that a replica is not a member of the group: its store is new, or it was removed.
 type NotMemberError struct{ Replica ReplicaID }
 
 func (e *NotMemberError) Error() string {
-	return fmt.Sprintf("council: seat %x is not one of the council's", uint64(e.Replica))
+	return fmt.Sprintf("consensus: replica %x is not a member of the group", uint64(e.Replica))
 }
 
 // Action says what an operator can do.
 func (e *NotMemberError) Action() string {
-	return "if the node lost its store or is a new one, take its seat in, and take the seat of its former store out"
+	return "if the node is new or lost its store, take its replica in, and take the replica of its former store out"
 }
 
-// OldStoreError says that a seat's store is behind what the seat has said before: it was restored from a copy.
+// StaleStoreError says that a replica's store is behind what the replica reported before: it was restored from a copy.
 type StaleStoreError struct {
 	Replica ReplicaID
 	Why     string
 }
 
 func (e *StaleStoreError) Error() string {
-	return fmt.Sprintf("council: the store of seat %x is an older one: %s", uint64(e.Replica), e.Why)
+	return fmt.Sprintf("consensus: the store of replica %x is an older one, restored from a copy: %s", uint64(e.Replica), e.Why)
 }
 
 // Action says what an operator can do.
 func (e *StaleStoreError) Action() string {
-	return "stop the node, put its store aside, start it with an empty one and take its new seat in"
+	return "stop the node, put its store aside, start it with an empty one and take its new replica in"
 }
 
-// CopiedStoreError says that two processes run with copies of one store.
+// CopiedStoreError says that two processes run with copies of the same store.
 type CopiedStoreError struct {
 	Replica ReplicaID
 	RunIDs  [2]uint64
 }
 
 func (e *CopiedStoreError) Error() string {
-	return fmt.Sprintf("council: two processes run with the store of seat %x: runs %x and %x", uint64(e.Replica), e.RunIDs[0], e.RunIDs[1])
+	return fmt.Sprintf("consensus: two processes run with the store of replica %x: run IDs %x and %x", uint64(e.Replica), e.RunIDs[0], e.RunIDs[1])
 }
 
 // Action says what an operator can do.
 func (e *CopiedStoreError) Action() string {
-	return "stop both nodes; put both stores aside, start each node with an empty one and take their new seats in"
+	return "stop both nodes; put both stores aside, start each node with an empty one and take their new replicas in"
 }
 
-// RefusedError says that the others refused this seat's store. It stays refused, also when the node starts anew.
+// RefusedError says that the other replicas refused this replica's store. The refusal survives restarts.
 type RefusedError struct{ Why string }
 
-func (e *RefusedError) Error() string { return "council: the others refused this store: " + e.Why }
+func (e *RefusedError) Error() string {
+	return "consensus: the other replicas refused this store: " + e.Why
+}
 
 // Action says what an operator can do.
 func (e *RefusedError) Action() string {
-	return "stop the node, put its store aside, start it with an empty one and take its new seat in"
+	return "stop the node, put its store aside, start it with an empty one and take its new replica in"
 }
 
-// LateError says that a message is from the process before the one that a seat runs in now.
+// LateMessageError says that a message comes from the process that ran before the replica's current one.
 type LateMessageError struct{ Replica ReplicaID }
 
 func (e *LateMessageError) Error() string {
-	return fmt.Sprintf("council: a late message of seat %x, from before it was started anew", uint64(e.Replica))
+	return fmt.Sprintf("consensus: late message of replica %x, sent before it restarted", uint64(e.Replica))
 }
 
 // Action says what an operator can do.
-func (e *LateMessageError) Action() string { return "nothing: it is dropped" }
+func (e *LateMessageError) Action() string { return "nothing: the message is dropped" }
