--- a/internal/consensus/chunks.go
+++ b/internal/consensus/chunks.go
@@ -2,56 +2,58 @@
 
 import "time"
 
-// This file takes messages apart that are too long for one call, and puts them together again: raft wants a snapshot in
-// one message. To each seat one message is under way, one piece of it at a time, which is sent again until the receiver
-// has it or the tries are used up; then the message is lost, as any may be, and raft says anew what it said. Of further
-// long messages the newest waits.
+// This file splits messages that are too long for one RPC into chunks and reassembles them: raft needs a snapshot in
+// one message. Each replica is sent one message at a time, one chunk at a time. A chunk is resent until the receiver
+// has it or the attempts are used up; the message is then lost, as any message may be, and raft sends its content
+// again. Of the long messages that arrive meanwhile only the newest is queued.
 
 const (
-	// CallBytes is what messages in one call may take together, and so one that is not cut: of the 1 MiB that a peer takes in a
-	// call (peer.Limits.Body), a quarter is left for what seats say of themselves.
+	// MaxCallBytes limits the total size of the messages in one RPC, and so of a message that is not split. A peer
+	// accepts 1 MiB per RPC (peer.Limits.Body); a quarter of that is left for the replicas' reports.
 	MaxCallBytes = 768 << 10
-	// pieceBytes is the length of a piece. It has to arrive within peer.ClientLimits.Quick, 1 s: over 2 Mbit/s it does.
+	// chunkBytes is the size of a chunk. It must arrive within peer.ClientLimits.Quick, 1 s, which it does above 2
+	// Mbit/s.
 	chunkBytes = 256 << 10
-	// mostMessage is the longest message that is put together: a state with 3,000 records of 60 KiB, twice in base64, is 312 MiB.
+	// maxMessageBytes is the longest message that is reassembled: a state with 3,000 records of 60 KiB, base64-encoded
+	// twice, is 312 MiB.
 	maxMessageBytes = 512 << 20
-	// pieceAgain is when a piece is sent again: a little after the call with it was given up.
+	// chunkResendAfter is when a chunk is resent: a little after the RPC that carried it has timed out.
 	chunkResendAfter = 1500 * time.Millisecond
-	// pieceTries is how often a piece is sent, and how often a message is begun.
+	// chunkAttempts is how often a chunk is sent, and how often a message is started.
 	chunkAttempts = 4
-	// pieceForget is when a message of which nothing more comes is given up by its receiver: its sender has done so before.
+	// chunkExpiry is when the receiver discards an incomplete message; by then its sender has given up.
 	chunkExpiry = chunkResendAfter * (chunkAttempts + 1)
 )
 
-// Piece is a part of a message.
+// Chunk is a part of a long message; peerpb.Piece is its wire form.
 type Chunk struct {
-	RunID     uint64 // of the sender's process
-	MessageID uint64 // the message: counts up in a run
+	RunID     uint64 // ID of the sender's process
+	MessageID uint64 // number of the message, increasing within a process
 	Index     uint64 // from 0
 	Count     uint64
 	Data      []byte
 }
 
-// Has is what a receiver answers to a piece: how many pieces of the message it has, from the first one on.
+// ChunkAck is the receiver's answer to a chunk: how many chunks of the message it has, counted from the first.
 type ChunkAck struct{ RunID, MessageID, Received uint64 }
 
-// Cutter sends long messages to one seat.
+// ChunkSender sends long messages to one replica.
 type ChunkSender struct {
 	runID     uint64
 	messageID uint64
-	current   []byte // nil: nothing is under way
-	queued    []byte // the newest that came since
-	index     uint64 // of the piece that is due or out
+	current   []byte // nil: no message is being sent
+	queued    []byte // the newest message enqueued since
+	index     uint64 // of the chunk to send next, or in flight
 	inFlight  bool
 	sentAt    time.Duration
-	attempts  int // of this piece
-	starts    int // how often the message was
+	attempts  int // of this chunk
+	starts    int // how often sending the message was started
 }
 
-// NewCutter returns the sender of a process.
+// NewChunkSender returns a sender for the process with this ID.
 func NewChunkSender(run uint64) *ChunkSender { return &ChunkSender{runID: run} }
 
-// Add takes a message to send.
+// Enqueue adds a message to send.
 func (c *ChunkSender) Enqueue(raw []byte) {
 	if c.current != nil {
 		c.queued = raw
@@ -62,7 +64,7 @@
 
 func (c *ChunkSender) count() uint64 { return uint64((len(c.current) + chunkBytes - 1) / chunkBytes) }
 
-// Next returns the piece that is to be sent now, if any; lost is the length of a message that was given up.
+// Next returns the chunk to send now, if any. dropped is the length of a message that was given up, or 0.
 func (c *ChunkSender) Next(now time.Duration) (chunk *Chunk, dropped int) {
 	if c.current == nil || c.inFlight && now-c.sentAt < chunkResendAfter {
 		return nil, 0
@@ -87,7 +89,7 @@
 	}
 }
 
-// Had takes a receiver's word in, and says whether more of the message has arrived.
+// Ack processes a receiver's acknowledgement and reports whether more of the message has arrived.
 func (c *ChunkSender) Ack(ack ChunkAck) bool {
 	switch {
 	case c.current == nil || ack.RunID != c.runID || ack.MessageID != c.messageID || ack.Received > c.count():
@@ -97,31 +99,31 @@
 	case ack.Received > c.index:
 		c.index, c.inFlight, c.attempts = ack.Received, false, 0
 		return true
-	case ack.Received == 0 && c.index > 0: // it has lost what it had
+	case ack.Received == 0 && c.index > 0: // the receiver has lost the chunks that it had
 		c.index, c.inFlight, c.attempts = 0, false, 0
 		c.starts++
 	}
 	return false
 }
 
-// Joiner puts the long messages of one seat together.
+// ChunkReceiver reassembles the long messages of one replica.
 type ChunkReceiver struct {
 	runID, messageID uint64
 	count            uint64
 	received         uint64
 	data             []byte
-	lastAt           time.Duration // of the last piece
+	lastAt           time.Duration // when the last chunk arrived
 }
 
-// Take takes a piece in. Whole is not nil once, with the last piece.
+// Receive processes a chunk. whole is the complete message when its last chunk arrives, otherwise nil.
 func (j *ChunkReceiver) Receive(now time.Duration, chunk Chunk) (whole []byte, ack ChunkAck) {
 	ack = ChunkAck{RunID: chunk.RunID, MessageID: chunk.MessageID}
 	if len(chunk.Data) == 0 || len(chunk.Data) > chunkBytes || chunk.Index >= chunk.Count || chunk.Count > maxMessageBytes/chunkBytes ||
-		chunk.RunID == j.runID && chunk.MessageID < j.messageID { // the last one is late: its sender has gone on
+		chunk.RunID == j.runID && chunk.MessageID < j.messageID { // a late chunk: its sender has moved on to the next message
 		return nil, ack
 	}
 	if chunk.RunID != j.runID || chunk.MessageID != j.messageID {
-		if chunk.Index > 0 { // what came before it is not here
+		if chunk.Index > 0 { // the earlier chunks are missing
 			return nil, ack
 		}
 		*j = ChunkReceiver{runID: chunk.RunID, messageID: chunk.MessageID, count: chunk.Count}
@@ -138,7 +140,7 @@
 	return whole, ack
 }
 
-// Forget gives up a message of which nothing has come for long.
+// Expire discards an incomplete message of which nothing has arrived for chunkExpiry.
 func (j *ChunkReceiver) Expire(now time.Duration) {
 	if j.data != nil && now-j.lastAt > chunkExpiry {
 		*j = ChunkReceiver{}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -10,8 +10,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// HandOverTo has another seat lead in the place of this one: before this one is taken out. It takes no proposals until that has
-// happened or an election's time has passed; what became of it, Status tells.
+// TransferLeadershipTo makes another replica the leader in place of this one, for example before this one is removed.
+// This replica accepts no proposals until that has happened or an election timeout has passed; see Status for the
+// result.
 func (s *Replica) TransferLeadershipTo(to ReplicaID) (err error) {
 	if err := s.checkLeader(); err != nil {
 		return err
@@ -24,15 +25,15 @@
 	return nil
 }
 
-// handed says whether a leader's word to stand for election at once is from who leads: anybody else's would be an election for
-// nothing.
+// fromLeader reports whether a request to campaign at once comes from the current leader. From any other replica it
+// would cause a needless election.
 func (s *Replica) fromLeader(m *raftpb.Message) bool {
 	status := s.node.BasicStatus()
 	return m.GetFrom() == status.Lead && m.GetTerm() == status.GetTerm() && !s.catchingUp()
 }
 
-// Learn has a seat learn what was agreed on, without a vote: before Change takes it in, so that at no time a seat counts whose store
-// has nothing. Taken out again by Change.
+// AddLearner adds a replica as a learner, without a vote, before ChangeVoters makes it a voter: so a replica with an
+// empty store never counts towards a quorum. ChangeVoters also removes a learner.
 func (s *Replica) AddLearner(id ReplicaID) (err error) {
 	if err := s.checkLeader(); err != nil {
 		return err
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// HasAll says whether a seat is known to have in its store all that was agreed on when it was heard last, give or take what is
-// under way. Only a seat that leads knows.
+// CaughtUp reports whether a replica had all committed entries in its store when it last responded, except for those
+// still in flight. Only the leader knows; on any other replica the result is false.
 func (s *Replica) CaughtUp(id ReplicaID) (caughtUp bool) {
 	if s.checkLeader() != nil {
 		return false
@@ -62,11 +63,12 @@
 	return caughtUp
 }
 
-// underWay is how many entries a seat may lack that has all, since it gets them one round later than they are agreed on.
+// maxInFlightEntries is how many entries a caught-up replica may lack: it learns of committed entries one round trip
+// later than the leader.
 const maxInFlightEntries = 16
 
-// Rest are the entries of this seat's log that are not applied yet, whether or not they were agreed on: for FoundAnew. No Output
-// is out.
+// UnappliedEntries returns the entries of this replica's log that have not been applied yet, committed or not, for
+// Rebootstrap. No Output may be pending.
 func (s *Replica) UnappliedEntries() ([]Entry, error) {
 	if s.err != nil {
 		return nil, s.err
@@ -80,7 +82,7 @@
 	}
 	logEntries, err := s.storage.Entries(s.applied+1, last+1, 1<<62)
 	if err != nil {
-		return nil, fmt.Errorf("council: the rest of the log: %w", err)
+		return nil, fmt.Errorf("consensus: cannot read the unapplied log entries: %w", err)
 	}
 	var unapplied []Entry
 	for _, e := range logEntries {
@@ -91,13 +93,14 @@
 	return unapplied, nil
 }
 
-// beyond is by how much the log of a council that is founded anew begins later: above all places that the lost stores may have
-// told of, so that whoever goes by the newest goes by the new council.
+// rebootstrapIndexGap is how far the log index jumps when a group is re-bootstrapped: above every index that the lost
+// stores may have reported, so that whoever follows the newest index follows the new group.
 const rebootstrapIndexGap = 1 << 32
 
-// FoundAnew makes this seat the only one of a council that begins with book: its own state with all of Rest applied. What it
-// returns has to be durable before anything else is done. The other seats of the council of before, if they ever run again with
-// their stores, are another council, and raft does not tell the two apart: whoever carries messages has to.
+// Rebootstrap makes this replica the only member of a new group that starts with state: its own state with all of
+// UnappliedEntries applied. The returned batch must be made durable before anything else is done. If the other replicas
+// of the old group ever run again with their stores, they form a separate group. raft cannot tell the two groups apart:
+// the transport must keep their messages separate.
 func (s *Replica) Rebootstrap(state []byte) (WriteBatch, error) {
 	if _, err := s.UnappliedEntries(); err != nil {
 		return WriteBatch{}, err
--- a/internal/consensus/peerrecord.go
+++ b/internal/consensus/peerrecord.go
@@ -5,22 +5,25 @@
 	"slices"
 )
 
-// This file is what a seat remembers of another one, and tells a third: an older store is refused by it.
+// This file holds what a replica remembers about another one. It relays these records to third replicas, which refuse a
+// stale store on their evidence.
 
-// tellAnewEvery is how many claims come between two that tell the same once more: one may have been lost.
+// relayAgainEvery is the interval, in relayed records, at which an unchanged record is relayed again: one may have been
+// lost.
 const relayAgainEvery = 16
 
-// Remembered is what a seat remembers of another one. The zero value: nothing.
+// PeerRecord is what a replica remembers about another one; peerpb.Remembered is its wire form. The zero value means
+// that nothing is known.
 type PeerRecord struct {
 	Replica          ReplicaID
-	OpenCount, RunID uint64 // of the store's opening and of the process that was heard last
+	OpenCount, RunID uint64 // of the latest process that reported: its store's open count and its random ID
 	Term             uint64
 	Vote             ReplicaID // in Term; 0: none known
-	Acked            uint64    // the log's end in Term, by its own word or an acknowledgement
+	Acked            uint64    // last log index in Term, as reported by the replica or acknowledged in a raft message
 	Committed        uint64
 }
 
-// Remembered returns what this seat remembers of another one.
+// PeerRecord returns what this replica remembers about another one.
 func (s *Replica) PeerRecord(id ReplicaID) PeerRecord {
 	peer := s.peers.replicas[id]
 	if peer == nil {
@@ -33,7 +36,7 @@
 	return PeerRecord{Replica: id, OpenCount: h.openCount, RunID: h.runID, Term: h.term, Vote: h.vote, Acked: h.acked, Committed: h.committed}
 }
 
-// merge takes in what another seat remembers of the same one.
+// merge adds what another replica remembers about the same one.
 func (m *PeerRecord) merge(other PeerRecord) {
 	if other.OpenCount > m.OpenCount {
 		m.OpenCount, m.RunID = other.OpenCount, other.RunID
@@ -50,28 +53,28 @@
 	m.Committed = max(m.Committed, other.Committed)
 }
 
-// lacking returns what a store lacks, by the claim of a process of it, that an earlier process of the seat is remembered to have had; nil
-// where it lacks nothing.
+// missingFrom compares a report from a new process of the replica with what is remembered of its earlier processes. It
+// returns a *StaleStoreError that names the first thing the store has lost, or nil if nothing is missing.
 func (m PeerRecord) missingFrom(report SelfReport) error {
 	reason := ""
 	switch {
 	case report.OpenCount < m.OpenCount:
-		reason = fmt.Sprintf("opened for the %dth time, and has been for the %dth", report.OpenCount, m.OpenCount)
+		reason = fmt.Sprintf("this is opening number %d of the store, but opening number %d was seen before", report.OpenCount, m.OpenCount)
 	case report.Term < m.Term:
-		reason = fmt.Sprintf("it stands in term %d, and stood in %d", report.Term, m.Term)
+		reason = fmt.Sprintf("it is in term %d, and was in term %d before", report.Term, m.Term)
 	case report.Term == m.Term && m.Vote != 0 && report.Vote != m.Vote:
-		reason = fmt.Sprintf("its vote in term %d is another one", report.Term)
+		reason = fmt.Sprintf("its vote in term %d differs from the one it gave before", report.Term)
 	case report.Term == m.Term && report.LastIndex < m.Acked:
-		reason = fmt.Sprintf("its log ends at %d, and in term %d it had %d", report.LastIndex, m.Term, m.Acked)
+		reason = fmt.Sprintf("its log ends at %d, but in term %d it reached %d", report.LastIndex, m.Term, m.Acked)
 	case report.LastIndex < m.Committed:
-		reason = fmt.Sprintf("its log ends at %d, and it knew that %d were agreed on", report.LastIndex, m.Committed)
+		reason = fmt.Sprintf("its log ends at %d, but it knew of commit index %d", report.LastIndex, m.Committed)
 	default:
 		return nil
 	}
 	return &StaleStoreError{Replica: report.Replica, Why: reason}
 }
 
-// hearOf takes in what another seat remembers of a third one.
+// observeRelayed stores what another replica remembers about a third one.
 func (r *PeerTable) observeRelayed(relayed PeerRecord) {
 	if relayed.Replica == 0 || relayed.Replica == r.self {
 		return
@@ -84,8 +87,9 @@
 	peer.relayed.merge(relayed)
 }
 
-// tellOf returns what is remembered of a third seat, each in its turn, for another one that may have to refuse it: none where there is no
-// third, or where it was told so last.
+// nextRelayed returns what is remembered about a third replica, for replica to, which may have to refuse that replica's
+// store. It cycles through all third replicas. The result is the zero value if there is none, or if to was last sent
+// the same record.
 func (r *PeerTable) nextRelayed(to ReplicaID) PeerRecord {
 	others := make([]ReplicaID, 0, len(r.replicas))
 	for id, peer := range r.replicas {
--- a/internal/consensus/peertable.go
+++ b/internal/consensus/peertable.go
@@ -10,93 +10,101 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// What raft takes for granted is that a seat never forgets what it has promised: a vote, an entry that it acknowledged. A
-// store that is empty, or was put back from a copy, has forgotten. Three things stand against it.
+// raft assumes that a replica never forgets what it has promised: a vote, or an entry that it acknowledged. A store
+// that is empty or was restored from a copy has forgotten. Three mechanisms protect against that.
 //
-// An empty store has another life, and so is another seat: it neither votes nor counts until Change takes it in. So is one
-// put back from before its seat was taken in (store.Identity.SeatLife).
+// Empty stores: an empty store has a new incarnation and therefore a new replica ID. That replica neither votes nor
+// counts until ChangeVoters adds it. The same holds for a store restored from before its replica was added
+// (store.Identity.ReplicaIncarnation).
 //
-// Every seat keeps a Register of what it heard from each of the others: the number of its store's openings (boot), the
-// process (run), its highest term, whom it voted for there, how far its log is by its own word and what it acknowledged to this
-// seat, and what it knew to be agreed on. A seat that comes back
-// with less is refused with an *OldStoreError; two processes with one store with a *CopiedStoreError. Who is refused keeps
-// that in its store and takes no part any more.
+// Stale stores: every replica keeps a PeerTable with what it observed of each other replica: how often its store was
+// opened, its process, its highest term, its vote in that term, how far its log reaches (as it reported, and as it
+// acknowledged to this replica), and its commit index. A replica that restarts with less is refused with a
+// *StaleStoreError; two processes that use the same store are refused with a *CopiedStoreError. A refused replica
+// records that in its store and no longer takes part.
 //
-// The Register is soft: it goes with its process. So that it does not go with the one process that heard the most, a leader tells the others
-// what it remembers of each seat, and so does whoever knows of no leader (Claim.Of): an older store is refused while any seat runs on
-// that heard of it so. Where all others have started anew since, nobody can refuse it. So a seat that comes back with a store first waits (Status.Waiting). It
-// answers others' claims from its store, but takes no message of raft, until n-q+1 of the others (of n seats, with
-// majority q: two of two, three of four) have answered a claim of this very process, among them the leader, if they know
-// one. Each majority that this seat was ever part of has a member among them. Then it begins above what they had:
-//   - it never votes in their highest term or below, where it has no vote on record;
-//   - until its log has come up to the furthest of theirs, it votes only for seats whose log has, and does not stand.
+// The PeerTable is held in memory only. So that its contents outlive the one process that observed them, a leader, and
+// any replica that knows of no leader, relays to the others what it remembers about each replica (SelfReport.Relayed).
+// A stale store is refused as long as any replica still runs that observed it or received its record. If all others
+// have restarted since, none can refuse it.
 //
-// So even a store that nobody remembers the last state of does no harm. All seats may start at once: each answers while it
-// waits, and one round later all take part. A process that starts anew while its machine runs need not wait: its store has a
-// witness in memory (Options.Proven, package store). When a machine starts anew while one seat of three is down, its seat
-// waits for that one, or for an operator's word (Vouch) that its store is the one it left.
+// Confirmation after a restart: therefore a replica that restarts with a store is at first unconfirmed
+// (Status.Unconfirmed). It answers the reports of others from its store but processes no raft messages until n-q+1 of
+// the other replicas (n voters, majority q: two of two, or three of four) have answered a report of this very process,
+// among them the leader if they know one. Every majority that this replica was ever part of has a member among them.
+// The replica then starts with these restrictions:
+//   - It never votes in their highest term or below unless it has a recorded vote there.
+//   - Until its log has caught up with the furthest of theirs, it votes only for replicas whose log has, and does not
+//     campaign.
 //
-// What is not closed:
-//   - A vote or acknowledgement that was on its way when the seat stopped, and that is counted after the seat was restored
-//     and has heard from the others, by one that was not among them: with three seats all others are asked; with five it
-//     takes a candidate or a leader that nobody asked knows of.
-//   - Two stores put back at once, in a council of three: the majority has forgotten, and nobody is left who knows.
-//   - Copies of one running store: until the second one has been heard by the one who counts, both are one seat. It is
-//     noticed, not prevented.
-//   - Vouch trusts its operator, and the witness that memory and disk of a machine are not put back together, as with the
-//     saved state of a virtual machine.
+// So even a stale store that no other replica remembers does no harm. All replicas may restart at once: each answers
+// while it is unconfirmed, and one round later all take part. A process that restarts while its machine keeps running
+// needs no confirmation: a witness file in memory vouches for its store (Options.StoreVerified, package store). If a
+// machine reboots while one of three replicas is down, its replica waits for that one, or until an operator confirms
+// that the store is current (ConfirmStore).
+//
+// Cases that remain open:
+//   - A vote or acknowledgement that was in flight when the replica stopped, and that is counted by a replica it did not
+//     hear from after the store was restored. With three replicas, all others are asked; with five, it takes a candidate
+//     or leader that none of the replicas asked knows of.
+//   - Two stores restored at once in a group of three: the majority has forgotten, and no replica is left that knows.
+//   - Copies of one running store: until the counting replica has heard from the second copy, both are one replica to it.
+//     This is detected, not prevented.
+//   - ConfirmStore trusts its operator. The witness assumes that memory and disk of a machine are not restored together,
+//     as happens with a saved virtual machine state.
 
-// Claim is what a seat says of itself with every exchange, requests and replies alike. Build it by Seat.Claim.
+// SelfReport is what a replica reports about itself in every exchange, in requests and replies alike; peerpb.Hello is
+// its wire form. Create it with Replica.SelfReport.
 type SelfReport struct {
 	Replica   ReplicaID
-	OpenCount uint64 // the how manieth opening of its store
-	RunID     uint64 // random, of its process
-	Sequence  uint64 // counts the claims of this run, from 1
-	Echo      uint64 // the highest Sent heard from the one this is for, in that one's run EchoRun
+	OpenCount uint64 // how often its store has been opened
+	RunID     uint64 // random ID of its process
+	Sequence  uint64 // numbers the reports of this process, from 1
+	Echo      uint64 // the highest Sequence received from the addressee's process EchoRunID
 	EchoRunID uint64
 
-	Term        uint64    // from here on: what is durable
+	Term        uint64    // this and the following fields come from durable state
 	Vote        ReplicaID // in Term
-	LastTerm    uint64    // of the log's last entry
+	LastTerm    uint64    // of the last log entry
 	LastIndex   uint64
 	Commit      uint64
 	Leader      ReplicaID // as far as it knows; 0: none
 	Voters      []ReplicaID
-	Unconfirmed bool // it only asks, and takes no messages yet
+	Unconfirmed bool // its store is not confirmed yet: it sends reports but processes no raft messages
 
-	Relayed PeerRecord // of who leads or knows of no leader: what it remembers of a third seat, each in its turn
+	Relayed PeerRecord // from a leader, or from a replica that knows of no leader: what it remembers about a third replica, cycling through all
 }
 
-// heard is what is remembered of one other seat.
+// peerState is what is remembered about one other replica.
 type peerState struct {
 	openCount, runID, sequence uint64
-	previousRunID              uint64 // the run before this one
-	firstReportAfter           uint64 // this seat's own claims from this one on were made when the run had been heard
+	previousRunID              uint64 // ID of the process before the current one
+	firstReportAfter           uint64 // own reports from this Sequence on were sent after the current process was first heard from
 	term                       uint64
 	vote                       ReplicaID // in term; 0: none known
-	acked                      uint64    // in term: its log has all up to here
-	committed                  uint64    // its log has all up to here, in whichever term
+	acked                      uint64    // in term: its log has all entries up to this index
+	committed                  uint64    // its log has all entries up to this index, in any term
 	copiedErr                  *CopiedStoreError
-	relayed                    PeerRecord // what others remembered of it, who may have started anew since
+	relayed                    PeerRecord // what other replicas remember about it; they may have restarted since
 }
 
-// Register is what a seat remembers of the others. The zero value is not ready for use.
+// PeerTable holds what a replica remembers about the others. Create it with NewPeerTable.
 type PeerTable struct {
 	self        ReplicaID
 	runID       uint64
 	sequence    uint64
 	replicas    map[ReplicaID]*peerState
-	relayTurn   int                         // counts what was told on
-	lastRelayed map[[2]ReplicaID]PeerRecord // what a seat was told of a third one last
+	relayTurn   int                         // counts the relayed records
+	lastRelayed map[[2]ReplicaID]PeerRecord // the record last relayed, by addressee and third replica
 }
 
-// NewRegister returns a register that remembers nothing, of a seat in a process.
+// NewPeerTable returns an empty table for a replica and the ID of its process.
 func NewPeerTable(self ReplicaID, run uint64) *PeerTable {
 	return &PeerTable{self: self, runID: run, replicas: map[ReplicaID]*peerState{}, lastRelayed: map[[2]ReplicaID]PeerRecord{}}
 }
 
-// Hear takes a claim in. An error says that nothing of what came with the claim may be used, and is to be told to its
-// sender: *OldStoreError, *CopiedStoreError; a *LateError need not be.
+// Observe processes a report. After an error, nothing that came with the report may be used. A *StaleStoreError or
+// *CopiedStoreError must be returned to the sender; a *LateMessageError need not be.
 func (r *PeerTable) Observe(report SelfReport) error {
 	if report.Replica == r.self {
 		return &CopiedStoreError{Replica: report.Replica, RunIDs: [2]uint64{r.runID, report.RunID}}
@@ -119,8 +127,9 @@
 		}
 		peer.sequence = report.Sequence
 	case report.OpenCount == peer.openCount, report.RunID == peer.previousRunID && report.EchoRunID == r.runID && report.Echo >= peer.firstReportAfter:
-		// Every opening counts the boot up by one; and a process before this one does not speak any more, as it does
-		// where it has heard something that was said after its successor spoke.
+		// Every opening of a store increments its open count, so two processes with equal counts use copies. A previous
+		// process no longer sends, unless its store was copied: here it has received a report that was sent after its
+		// successor was heard from.
 		peer.copiedErr = &CopiedStoreError{Replica: report.Replica, RunIDs: [2]uint64{peer.runID, report.RunID}}
 		return peer.copiedErr
 	case report.RunID == peer.previousRunID:
@@ -141,9 +150,9 @@
 	return nil
 }
 
-// remember takes in how far a seat's log is by its own word. A leader acknowledges nothing to anybody: this is all that the others have
-// of it. In one term only one seat leads, so that a log whose last entry is of its term loses nothing in that term; and what is known
-// to be agreed on is lost in none.
+// observeLog records how far a replica's log reaches by its own report. A leader acknowledges nothing to anyone, so
+// this is all that the others know of its log. A term has only one leader, so a log whose last entry is of its current
+// term loses nothing in that term; committed entries are never lost.
 func (h *peerState) observeLog(report SelfReport) {
 	h.enterTerm(report.Term)
 	if report.Term == h.term && report.LastTerm == report.Term {
@@ -158,7 +167,7 @@
 	}
 }
 
-// note remembers what a message promises. Those that ask or answer before a vote promise nothing: their term is one to come.
+// observeMessage records what a raft message promises. Pre-vote messages promise nothing: their term has not begun.
 func (r *PeerTable) observeMessage(m *raftpb.Message) {
 	peer := r.replicas[ReplicaID(m.GetFrom())]
 	if peer == nil {
@@ -183,14 +192,14 @@
 	}
 }
 
-// waiting is a seat's wait for the others' word.
+// confirmation is the state of a replica that waits for the others to confirm its store.
 type confirmation struct {
 	reports map[ReplicaID]SelfReport
-	voters  []ReplicaID // as those that answered have them, where they know more: they are asked too
+	voters  []ReplicaID // the voters according to replicas with a higher commit index; they are asked too
 }
 
-// Claim is what this seat says of itself to another one. Send one with every request and every reply; while Status.Waiting
-// holds, and while Status.Leader is 0, send it to all of Status.Seats again and again, without messages.
+// SelfReport returns this replica's report for another one. Send one with every request and every reply. While
+// Status.Unconfirmed is set or Status.Leader is 0, send it repeatedly to all of Status.Voters, even without messages.
 func (s *Replica) SelfReport(to ReplicaID) SelfReport {
 	peers := s.peers
 	peers.sequence++
@@ -209,8 +218,8 @@
 	return report
 }
 
-// Hear takes in the claim that came with a request or a reply. After an error nothing else of it may be used; tell an
-// *OldStoreError or *CopiedStoreError to the sender, for which it is the end (Refuse).
+// Observe processes the report that came with a request or reply. After an error, nothing else that came with it may be
+// used. Return a *StaleStoreError or *CopiedStoreError to the sender, which then stops taking part (MarkRefused).
 func (s *Replica) Observe(report SelfReport) error {
 	if s.err != nil {
 		return s.err
@@ -226,8 +235,8 @@
 	return s.finishConfirmation()
 }
 
-// leaderless takes note of another seat that knows of no leader either, and hears this one. Where it is the one that this seat
-// takes for the leader, that one leads no more.
+// observeLeaderless records another replica that knows of no leader either and receives this one's reports. If it is
+// the replica that this one takes for the leader, that one has stepped down.
 func (s *Replica) observeLeaderless(report SelfReport) {
 	if report.Unconfirmed || report.Leader != 0 {
 		delete(s.leaderless, report.Replica)
@@ -239,25 +248,26 @@
 		}
 	}
 	if report.EchoRunID != s.opts.RunID || report.Echo <= s.reportsSentBefore {
-		delete(s.leaderless, report.Replica) // it has heard nothing of late
+		delete(s.leaderless, report.Replica) // it has received no recent report from this replica
 		return
 	}
 	theirs, ours := (position{Term: report.LastTerm, Index: report.LastIndex}), s.lastPosition()
 	if ours.before(theirs) || ours == theirs && report.Replica < s.opts.Self {
-		s.campaignFrom = s.ticks + s.opts.ElectionTicks // that one stands
+		s.campaignFrom = s.ticks + s.opts.ElectionTicks // that replica campaigns first
 		return
 	}
 	s.leaderless[report.Replica] = s.ticks
 }
 
-// forget has this seat know of no leader: it votes for whoever asks. A message of the leader brings it back.
+// forgetLeader makes this replica forget its leader, so that it votes for any candidate. The next message of the leader
+// restores it.
 func (s *Replica) forgetLeader() { _ = s.node.ForgetLeader() }
 
-// stand has this seat ask for votes at once, not when its time is up, where a majority with it is known to have no leader: nobody
-// is waited for then. The one whose log is the furthest stands, or else the first of them, so that they do not get into each
-// other's way; where that one cannot win, time decides as ever. It asks before it votes for itself (PreVote), so that a seat
-// which is not needed disturbs nobody. An election under way has half the time that one is given: who stands in the midst of it
-// would unseat whom it brings.
+// campaignEarly starts an election before the election timeout if a majority, including this replica, is known to have
+// no leader: there is nothing to wait for then. To avoid competing candidates, the replica with the most advanced log
+// campaigns, or the one with the lowest ID among equals. If it cannot win, the election timeout decides as usual. With
+// PreVote it asks for votes before it raises its term, so a needless candidate disturbs nobody. It waits half an
+// election timeout after it has seen an election: a new candidate in the middle of an election would unseat its winner.
 func (s *Replica) campaignEarly() {
 	voters, half := s.confState.GetVoters(), max(1, s.opts.ElectionTicks/2)
 	if s.ticks%half == 0 {
@@ -265,7 +275,8 @@
 	}
 	status := s.node.BasicStatus()
 	if status.RaftState == raft.StateFollower && status.Lead != 0 && s.ticks-s.leaderSeenAt >= s.opts.ElectionTicks {
-		// Silent for so long it is nobody's leader: raft lets this seat vote from here on, and stand at up to twice the time.
+		// A leader silent for this long has lost its authority. raft lets this replica vote from now on, and campaign
+		// after at most twice this time.
 		s.forgetLeader()
 		status = s.node.BasicStatus()
 	}
@@ -283,13 +294,13 @@
 	}
 	if supporters > len(voters)/2 {
 		s.campaignFrom = s.ticks + half
-		_ = s.node.Campaign() // where it cannot, time decides
+		_ = s.node.Campaign() // if the replica cannot campaign, the election timeout decides
 	}
 }
 
-// release ends the wait when enough of the others have answered.
+// finishConfirmation ends the unconfirmed state once enough of the other replicas have answered.
 func (s *Replica) finishConfirmation() error {
-	var newest SelfReport // of those that answered, by what was agreed on
+	var newest SelfReport // the report with the highest commit index
 	var term uint64
 	var last position
 	answered := make([]ReplicaID, 0, len(s.confirming.reports))
@@ -313,7 +324,7 @@
 		s.confirming.voters = slices.Clone(voters)
 	}
 	if !slices.Contains(voters, s.opts.Self) && !slices.Contains(s.confState.GetLearners(), uint64(s.opts.Self)) {
-		s.err = &NotMemberError{Replica: s.opts.Self} // it was taken out while it was away
+		s.err = &NotMemberError{Replica: s.opts.Self} // it was removed while it was down
 		return nil
 	}
 	n, confirmed := len(voters), 0
@@ -322,7 +333,7 @@
 			confirmed++
 		}
 	}
-	if confirmed < min(n-n/2, n-1) { // n - (n/2+1) + 1; of one that is the only seat by now, there are no others
+	if confirmed < min(n-n/2, n-1) { // n - (n/2+1) + 1; a replica that has become the only voter has no others to ask
 		return nil
 	}
 	for _, id := range answered {
@@ -336,7 +347,7 @@
 	if term > hardState.GetTerm() {
 		hardState.Term, hardState.Vote = new(term), new(uint64(s.opts.Self))
 	} else if hardState.GetTerm() > 0 && hardState.GetVote() == 0 {
-		hardState.Vote = new(uint64(s.opts.Self)) // without standing for election: a vote that no other seat gets
+		hardState.Vote = new(uint64(s.opts.Self)) // votes for itself without campaigning, so that no other replica gets this vote
 	}
 	return s.resume(hardState)
 }
@@ -353,8 +364,9 @@
 	return s.start()
 }
 
-// Vouch is an operator's word that the store is the one that this seat left when it stopped last, and not a copy put
-// back: the seat waits for nobody (Status.Waiting), and for nobody's log (Status.Behind). If that is not true, what was agreed on may be lost.
+// ConfirmStore records an operator's confirmation that the store is the one this replica left when it last stopped, and
+// not a restored copy. The replica then waits for no confirmation (Status.Unconfirmed) and for no log to catch up with
+// (Status.Behind). If the confirmation is wrong, committed entries may be lost.
 func (s *Replica) ConfirmStore() error {
 	if s.err != nil {
 		return s.err
@@ -366,14 +378,15 @@
 	return s.resume(s.hardState)
 }
 
-// Refuse is the end of this seat: another one has refused its store. The driver has the store remember it.
+// MarkRefused makes this replica stop taking part: another replica has refused its store. The driver must record the
+// refusal in the store.
 func (s *Replica) MarkRefused(why string) {
 	if s.err == nil {
 		s.err = &RefusedError{Why: why}
 	}
 }
 
-// SeatOf is the seat of a node, named with its site, whose store has that life.
-func ReplicaIDOf(node string, life uint64) ReplicaID {
-	return ReplicaID(max(1, xxhash.Sum64String(fmt.Sprintf("%s\x00%016x", node, life))))
+// ReplicaIDOf returns the ID of the replica of a node (named with its site) whose store has that incarnation.
+func ReplicaIDOf(node string, incarnation uint64) ReplicaID {
+	return ReplicaID(max(1, xxhash.Sum64String(fmt.Sprintf("%s\x00%016x", node, incarnation))))
 }
