--- a/internal/consensus/peertable.go
+++ b/internal/consensus/peertable.go
@@ -63,7 +63,7 @@
 	Echo      uint64 // the highest Sequence received from the addressee's process EchoRunID
 	EchoRunID uint64
 
-	Term        uint64    // this and the following fields come from durable state
+	Term        uint64    // Term to Commit: as in the durable state
 	Vote        ReplicaID // in Term
 	LastTerm    uint64    // of the last log entry
 	LastIndex   uint64
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -1,11 +1,12 @@
-// Package store keeps a seat's log, hard state, snapshot and identity in one bbolt file, and the notes of the rest of
-// control beside them. What Save returned for is durable.
+// Package store keeps a replica's log, hard state, snapshot and identity in one bbolt file, together with records of
+// the rest of the control plane. When Save returns without an error, the batch is durable.
 //
-// bbolt trusts its file. So Open looks first, and then writes a file anew from what it read: the file has to be as long as its newest meta page says, every record
-// carries a checksum of its own, and a sum over all records, changed in the same transaction as they are, has to come out
-// right. What opens is a state that was committed as a whole. That it is the *last* one cannot be told from the file
-// alone: a file from a copy is sound too, and if the newest meta page is damaged bbolt takes the transaction before it.
-// Both are old stores, which package council's Register and Seat.Hear are there for.
+// bbolt trusts its file, so Open checks the file first and then rewrites it from the records that it read. The file
+// must be as long as its newest meta page says, every record must match its own checksum, and a sum over all records,
+// updated in the same transaction as they are, must match. A store that opens is therefore in a state that was
+// committed as a whole. Whether it is the *latest* state cannot be told from the file alone: a copied file is
+// consistent too, and if the newest meta page is damaged, bbolt falls back to the transaction before it. Both are stale
+// stores, which PeerTable and Replica.Observe of package consensus detect.
 package store
 
 import (
@@ -30,40 +31,43 @@
 	"lichenhitch/internal/consensus"
 )
 
-// Identity is whose store it is. Site and Node are given; the rest comes from the store.
+// Identity says which node and which replica a store belongs to. Site and Node are given by the caller; the other
+// fields come from the store, except for Witness.
 type Identity struct {
 	Site, Node  string
-	Incarnation uint64 // random, of this store
-	// SeatLife is random too, and Seat is derived from it. A store that has no snapshot yet is given another one with every
-	// opening: nothing tells it from one put back from before its seat was taken in, and this way it is a stranger.
+	Incarnation uint64 // random, chosen when the store is created
+	// ReplicaIncarnation is random too, and Replica is derived from it. A store that has no snapshot yet gets a new one
+	// at every opening: it cannot be told from a store that was restored from before its replica was added, and with a
+	// new ID it is no member of the group.
 	ReplicaIncarnation uint64
-	OpenCount          uint64 // the how manieth opening this is, from 1
-	RunID              uint64 // random, of this opening
+	OpenCount          uint64 // how often the store has been opened, this time included
+	RunID              uint64 // random, chosen at this opening
 	Replica            consensus.ReplicaID
-	// Witness is given: a file on a file system in memory, which no copy of a disk brings back. While the machine runs it
-	// proves to the next process that the store is the one that the last process left, and Proven is set. Empty: none.
+	// Witness is given by the caller: a file on an in-memory file system, which no copy of a disk restores. As long as
+	// the machine runs, it proves to the next process that the store is the one that the last process left; Verified is
+	// then set. Empty: no witness.
 	Witness  string
 	Verified bool
 }
 
-// Store is open in one process at a time. Its methods may be called from one thread at a time.
+// Store is open in one process at a time. Its methods must not be called concurrently.
 type Store struct {
 	path             string
 	db               *bbolt.DB
 	identity         Identity
-	hardState        *raftpb.HardState // the durable one
-	pendingHardState *raftpb.HardState // newer by its commit index alone: goes with the next transaction
+	hardState        *raftpb.HardState // the durable hard state
+	pendingHardState *raftpb.HardState // newer only in its commit index: written with the next transaction
 	lastIndex        uint64            // of the log
 	firstIndex       uint64
-	transactions     uint64   // of transactions, since the store was made
-	witness          *os.File // the witness, or nil
+	transactions     uint64   // number of transactions since the store was created
+	witness          *os.File // the witness file, or nil
 	lock             *os.File
 	failed           error
 }
 
 const (
 	version     = 1
-	lockTimeout = 200 * time.Millisecond // what another process is given to let go of the file
+	lockTimeout = 200 * time.Millisecond // how long to wait for another process to release the file
 	notePrefix  = "own/"                 // prefix of the buckets of Put and Get
 )
 
@@ -80,7 +84,7 @@
 	keySum      = []byte("sum")
 )
 
-// Open opens the store at path, and makes a new one where there is no file. It counts the opening.
+// Open opens the store at path, or creates one if there is no file. It increments the open count.
 func Open(path string, want Identity) (*Store, consensus.StoredState, error) {
 	return open(path, want, bbolt.Options{})
 }
@@ -98,7 +102,7 @@
 	}()
 	records, count := []record{}, uint64(0)
 	if _, err := os.Stat(path); err == nil {
-		// A look without the right to write: of damaged pages bbolt would free some that are in use, or die of them.
+		// Read-only: on damaged pages, a writable bbolt would free pages that are in use, or crash.
 		if err := s.readOnly(func(tx *bbolt.Tx) error {
 			c, err := readAll(path, tx)
 			records, count = c.records, c.transactions
@@ -168,7 +172,7 @@
 	return s, state, nil
 }
 
-// look opens the file for reading alone and calls f.
+// readOnly opens the file for reading only and calls f.
 func (s *Store) readOnly(f func(tx *bbolt.Tx) error) error {
 	if err := checkLength(s.path); err != nil {
 		return err
@@ -183,14 +187,15 @@
 			_ = db.Close()
 			return err
 		}
-		// A panic must not leave the file open: its map would keep the lock for good.
+		// A panic must not leave the file open: its mapping would keep the lock for good.
 		err = catchFaults(s.path, func() error { return f(tx) })
 		_ = tx.Rollback()
 		return errors.Join(err, db.Close())
 	})
 }
 
-// guarded turns what bbolt does about a bad file into errors: its own, its panics and faults on pages that are not there.
+// catchFaults turns bbolt's reactions to a bad file into errors: its own errors, its panics, and memory faults on pages
+// that do not exist.
 func catchFaults(path string, f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -215,10 +220,10 @@
 	return &DamagedError{Path: path, Why: err.Error()}
 }
 
-// whole says whether the file is as long as bbolt's newest sound meta page has it. A page beyond the end of the file would
-// be a fault in the middle of a read.
+// checkLength checks that the file is as long as bbolt's newest valid meta page says. A page beyond the end of the file
+// would cause a memory fault in the middle of a read.
 func checkLength(path string) error {
-	const head, sumAt = 16, 56 // of a page; of the checksum in a meta page: what is before it is summed up
+	const pageHeader, checksumAt = 16, 56 // size of a page header; offset of the checksum in a meta page, which covers the bytes before it
 	f, err := os.Open(path)
 	if err != nil {
 		return &WriteError{Path: path, Err: err}
@@ -230,13 +235,13 @@
 	}
 	var expected, newest, pageSize uint64
 	meta := func(at int64) bool {
-		var b [head + sumAt + 8]byte
+		var b [pageHeader + checksumAt + 8]byte
 		if _, err := f.ReadAt(b[:], at); err != nil {
 			return false
 		}
-		m := b[head:]
+		m := b[pageHeader:]
 		n := binary.NativeEndian
-		if n.Uint32(m) != 0xED0CDAED || n.Uint64(m[sumAt:]) != fnv1a(m[:sumAt]) {
+		if n.Uint32(m) != 0xED0CDAED || n.Uint64(m[checksumAt:]) != fnv1a(m[:checksumAt]) {
 			return false
 		}
 		pageSize = uint64(n.Uint32(m[8:]))
@@ -250,15 +255,15 @@
 		pageSize = uint64(os.Getpagesize())
 	}
 	if !meta(int64(pageSize)) && !ok {
-		return &DamagedError{Path: path, Why: fmt.Sprintf("no sound meta page in its %d bytes", info.Size())}
+		return &DamagedError{Path: path, Why: fmt.Sprintf("none of its meta pages is valid (file of %d bytes)", info.Size())}
 	}
 	if uint64(info.Size()) < max(expected, 2*pageSize) {
-		return &DamagedError{Path: path, Why: fmt.Sprintf("it has %d bytes of %d", info.Size(), expected)}
+		return &DamagedError{Path: path, Why: fmt.Sprintf("file truncated: it has %d of %d bytes", info.Size(), expected)}
 	}
 	return nil
 }
 
-// lock takes the lock of the store, which is on a file beside it: the store itself is replaced.
+// lock locks the store through a separate file beside it, since the store file itself is replaced.
 func lock(path string) (*os.File, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, &WriteError{Path: path, Err: err}
@@ -278,8 +283,8 @@
 	}
 }
 
-// build writes a file of these records under another name and puts it in the place of the store: pages that were damaged,
-// and do no harm to the records yet, are not written to any more, and the file is as small as it can be.
+// rebuild writes the records to a new file and replaces the store by it. So pages that are damaged, but do not affect
+// the records yet, are never written to again, and the file is as small as possible.
 func rebuild(path string, records []record, count uint64) error {
 	temp := path + ".new"
 	if err := os.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -291,7 +296,7 @@
 		if err != nil {
 			return err
 		}
-		s := &Store{path: path, db: db, transactions: count - 1} // the same transactions, counted: update adds one
+		s := &Store{path: path, db: db, transactions: count - 1} // keeps the transaction count: update adds one
 		err = s.update(func(t *transaction) error {
 			for _, r := range records {
 				if err := t.put(r.bucket, r.key, r.value); err != nil {
@@ -319,7 +324,7 @@
 	return nil
 }
 
-// random is never 0.
+// random returns a random number other than 0.
 func random() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
@@ -332,7 +337,8 @@
 	return h.Sum64()
 }
 
-// bytes are version, life, boot, run, the seat's life, then site and node with a zero byte between.
+// bytes encodes the identity: version, incarnation, open count, run ID, replica incarnation, then site and node with a
+// zero byte between them.
 func (w Identity) bytes() []byte {
 	b := []byte{version}
 	b = binary.BigEndian.AppendUint64(b, w.Incarnation)
@@ -345,11 +351,11 @@
 
 func parseIdentity(b []byte) (Identity, error) {
 	if len(b) < 34 || b[0] != version {
-		return Identity{}, errors.New("its identity is none of this release's")
+		return Identity{}, errors.New("its identity record is not of this release's format")
 	}
 	site, node, ok := bytes.Cut(b[33:], []byte{0})
 	if !ok {
-		return Identity{}, errors.New("its identity names no node")
+		return Identity{}, errors.New("its identity record names no node")
 	}
 	n := binary.BigEndian
 	return Identity{
@@ -358,7 +364,7 @@
 	}, nil
 }
 
-// content is all that a store has for the seat.
+// contents is everything that a store holds for its replica, and all its records.
 type contents struct {
 	identity              Identity
 	state                 consensus.StoredState
@@ -369,20 +375,20 @@
 
 type record struct{ bucket, key, value []byte }
 
-// read goes through all records of the file, checks them, and returns those of the seat.
+// readAll reads and checks all records of the file.
 func readAll(path string, tx *bbolt.Tx) (contents, error) {
 	var c contents
 	damaged := func(format string, a ...any) (contents, error) {
 		return c, &DamagedError{Path: path, Why: fmt.Sprintf(format, a...)}
 	}
 	var sum, want uint64
-	remaining := tx.Size() // more records than bytes: the pages go round in a circle
+	remaining := tx.Size() // more records than bytes would mean that the pages form a cycle
 	err := tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
 		isSum := bytes.Equal(name, bucketSum)
 		cursor := b.Cursor()
 		for k, v := cursor.First(); k != nil; k, v = cursor.Next() {
 			if remaining--; remaining < 0 {
-				return errors.New("its pages go round in a circle")
+				return errors.New("its pages form a cycle")
 			}
 			if isSum {
 				if len(v) == 16 {
@@ -397,7 +403,7 @@
 			sum += hash(name, k, value)
 			c.records = append(c.records, record{bytes.Clone(name), bytes.Clone(k), append([]byte{}, value...)})
 			if err := c.addRecord(name, k, value); err != nil {
-				return fmt.Errorf("record %q of %q: %w", k, name, err)
+				return fmt.Errorf("record %q of bucket %q: %w", k, name, err)
 			}
 		}
 		return nil
@@ -406,13 +412,13 @@
 		return damaged("%v", err)
 	}
 	if sum != want {
-		return damaged("the sum over its records is %x and has to be %x", sum, want)
+		return damaged("the sum over its records is %x, expected %x", sum, want)
 	}
 	if c.identity.Incarnation == 0 {
-		return damaged("it has no identity")
+		return damaged("it has no identity record")
 	}
 	c.state.Applied = c.state.Snapshot.GetMetadata().GetIndex()
-	// Entries that were kept behind the snapshot are of no use any more.
+	// Entries that were kept behind the snapshot are not needed after a restart.
 	for len(c.state.Entries) > 0 && c.state.Entries[0].GetIndex() <= c.state.Applied {
 		c.state.Entries = c.state.Entries[1:]
 	}
@@ -447,7 +453,7 @@
 	return err
 }
 
-// hash is of one record: where it is and what it says.
+// hash returns the checksum of one record, over its bucket, key and value.
 func hash(bucket, key, value []byte) uint64 {
 	var n [8]byte
 	h := xxhash.New()
@@ -465,14 +471,14 @@
 
 func unseal(bucket, key, sealed []byte) ([]byte, error) {
 	if len(sealed) < 8 || binary.BigEndian.Uint64(sealed) != hash(bucket, key, sealed[8:]) {
-		return nil, fmt.Errorf("record %q of %q has another checksum", key, bucket)
+		return nil, fmt.Errorf("checksum mismatch in record %q of bucket %q", key, bucket)
 	}
 	return sealed[8:], nil
 }
 
-// witness opens the witness, and says whether it proves the store: it was written last by the process that opened the store
-// last, and the store has all transactions that it tells of. The witness is written after each transaction and before
-// anything that rests on it is sent.
+// openWitness opens the witness file and reports whether it verifies the store: it was last written by the process that
+// last opened the store, and the store has all transactions that it counts. The witness is written after each
+// transaction and before any message that depends on the transaction is sent.
 func openWitness(path string, who Identity, count uint64) (*os.File, bool, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -495,7 +501,7 @@
 	return f, n.Uint64(b[:]) == who.RunID && n.Uint64(b[8:]) <= count, nil
 }
 
-// testify writes the witness: run, transactions, checksum.
+// writeWitness writes the witness file: run ID, transaction count, checksum.
 func (s *Store) writeWitness() error {
 	if s.witness == nil {
 		return nil
@@ -507,7 +513,7 @@
 	return nil
 }
 
-// transaction keeps the sum over all records up with what it changes.
+// transaction updates the sum over all records along with the records.
 type transaction struct {
 	tx  *bbolt.Tx
 	sum uint64
@@ -526,7 +532,7 @@
 	return b.Delete(key)
 }
 
-// put writes a record; a value of nil deletes it.
+// put writes a record; a nil value deletes it.
 func (t *transaction) put(name, key, value []byte) error {
 	b, err := t.tx.CreateBucketIfNotExists(name)
 	if err != nil {
@@ -539,8 +545,8 @@
 	return b.Put(key, seal(name, key, value))
 }
 
-// update runs one transaction. A store that once failed to write stays failed: after a failed sync nobody knows what is
-// on the disk.
+// update runs one transaction. A store that failed to write once stays failed: after a failed sync the contents of the
+// disk are unknown.
 func (s *Store) update(f func(t *transaction) error) error {
 	if s.failed != nil {
 		return s.failed
@@ -572,8 +578,8 @@
 	return err
 }
 
-// Save makes all of v durable, in one transaction; nothing of it stands where it fails, and the store takes no more then.
-// Where only the commit index moved it is kept for the next transaction: raft finds it again by itself.
+// Save makes the batch durable in one transaction. If that fails, nothing of it is kept and the store accepts no more
+// writes. If only the commit index moved, it is written with the next transaction: raft recovers it by itself.
 func (s *Store) Save(batch consensus.WriteBatch) error {
 	if s.failed != nil {
 		return s.failed
@@ -663,20 +669,20 @@
 
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// Refuse keeps why the others refused this store: the seat takes no part any more, also when the node starts anew.
+// MarkRefused records why the other replicas refused this store. The refusal survives restarts of the node.
 func (s *Store) MarkRefused(why string) error {
 	return s.update(func(t *transaction) error { return t.put(bucketIdentity, keyRefused, []byte(why)) })
 }
 
-// Identity is whose store it is, with this opening's boot and run.
+// Identity returns the store's identity, with the open count and run ID of this opening.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Put keeps a note of the rest of control, durable when it returns. A value of nil deletes it.
+// Put stores a record of the rest of the control plane, durable when it returns. A nil value deletes it.
 func (s *Store) Put(bucket, key string, value []byte) error {
 	return s.update(func(t *transaction) error { return t.put([]byte(notePrefix+bucket), []byte(key), value) })
 }
 
-// Get returns a note, or nil.
+// Get returns a record stored with Put, or nil.
 func (s *Store) Get(bucket, key string) (value []byte, err error) {
 	err = catchFaults(s.path, func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
@@ -699,7 +705,7 @@
 	return value, err
 }
 
-// Each calls f with all notes of a bucket, in the order of their keys. value is f's only until it returns.
+// Each calls f for all records of a bucket, in the order of their keys. value is valid only until f returns.
 func (s *Store) Each(bucket string, f func(key string, value []byte) error) error {
 	return catchFaults(s.path, func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
@@ -718,7 +724,7 @@
 	})
 }
 
-// Close lets go of the store.
+// Close writes a pending commit index and closes the store.
 func (s *Store) Close() error {
 	var err error
 	if s.pendingHardState != nil && s.failed == nil {
