--- a/internal/consensus/chunks_test.go
+++ b/internal/consensus/chunks_test.go
@@ -12,17 +12,18 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// long returns a message of so many pieces that differs from others.
-func longMessage(pieces int, mark byte) []byte {
-	raw := make([]byte, pieces*chunkBytes-7)
+// longMessage returns a message of this many chunks that differs from messages with another mark.
+func longMessage(chunks int, mark byte) []byte {
+	raw := make([]byte, chunks*chunkBytes-7)
 	for i := range raw {
 		raw[i] = byte(i>>8) ^ byte(i>>16) ^ mark
 	}
 	return raw
 }
 
-// TestLongMessagesArriveWhole over a network that loses, doubles and delays pieces and answers, to a receiver that loses
-// what it has once. Each arrives at most once and none is mixed up; the last one arrives when the network is whole.
+// Long messages are sent over a network that loses, duplicates and delays chunks and acknowledgements, to a receiver
+// that sometimes loses its state. Each message must arrive unmixed and at most once, except after a loss of the
+// receiver's state; the last one must arrive once the network is reliable.
 func TestLongMessagesArriveWhole(t *testing.T) {
 	type inTransit struct {
 		at time.Duration
@@ -38,7 +39,7 @@
 			for range 1 + btoi(lossy && rng.IntN(8) == 0) {
 				packet.at = now + time.Duration(1+rng.IntN(40))*time.Millisecond
 				if lossy && rng.IntN(8) == 0 {
-					packet.at += 2 * time.Second // late: the piece has been sent again
+					packet.at += 2 * time.Second // late: the chunk has been resent
 				}
 				if !lossy || rng.IntN(8) > 0 {
 					network = append(network, packet)
@@ -58,7 +59,7 @@
 			if rng.IntN(5000) == 0 && lossy {
 				receiver = &ChunkReceiver{}
 			}
-			if lossy && rng.IntN(3000) == 0 { // all is cut off for longer than a message is tried
+			if lossy && rng.IntN(3000) == 0 { // everything is cut off for longer than a message is retried
 				network = nil
 				for range 20 {
 					now += chunkResendAfter
@@ -87,25 +88,25 @@
 				whole, ack := receiver.Receive(now, *packet.p)
 				if whole != nil {
 					mark := whole[0]
-					require.True(t, bytes.Equal(whole, longMessage((len(whole)+7)/chunkBytes, mark)), "it is not what was sent")
+					require.True(t, bytes.Equal(whole, longMessage((len(whole)+7)/chunkBytes, mark)), "the reassembled message differs from what was sent")
 					received[mark]++
 					arrived++
 				}
 				transmit(now, inTransit{h: &ack}, lossy)
 			}
 		}
-		assert.Equal(t, 1, received[last], "the last one has not come")
-		for mark, n := range received { // a receiver that forgot all may get one twice, as raft bears
+		assert.Equal(t, 1, received[last], "the last message has not arrived exactly once")
+		for mark, n := range received { // a receiver that lost its state may get a message twice, which raft tolerates
 			assert.LessOrEqual(t, n, 2, mark)
 		}
 		assert.True(t, receiver.data == nil && sender.current == nil)
 	})
-	assert.NotZero(t, dropped, "none was given up")
-	t.Logf("%d arrived, %d given up", arrived, dropped)
+	assert.NotZero(t, dropped, "no message was given up")
+	t.Logf("%d messages arrived, %d were given up", arrived, dropped)
 }
 
-// TestPiecesAreBounded: what makes no sense, or would be too long, takes no memory and is given up by its sender.
-func TestPiecesAreBounded(t *testing.T) {
+// Chunks that are invalid, or whose message would be too long, take no memory, and their sender gives up.
+func TestChunksAreBounded(t *testing.T) {
 	receiver := &ChunkReceiver{}
 	part := make([]byte, chunkBytes)
 	for _, p := range []Chunk{
@@ -123,29 +124,29 @@
 	receiver.Receive(0, Chunk{RunID: 1, MessageID: 1, Count: 2, Data: part})
 	assert.Len(t, receiver.data, chunkBytes)
 	_, ack := receiver.Receive(0, Chunk{RunID: 1, MessageID: 1, Index: 1, Count: 3, Data: part})
-	assert.Equal(t, uint64(1), ack.Received, "it is of another message")
+	assert.Equal(t, uint64(1), ack.Received, "a chunk with another count is of another message")
 	receiver.Expire(chunkExpiry + 1)
 	assert.True(t, receiver.data == nil)
 	receiver.Receive(0, Chunk{RunID: 1, MessageID: 2, Count: 2, Data: part})
 	receiver.Receive(0, Chunk{RunID: 1, MessageID: 1, Count: 2, Data: part})
-	assert.Equal(t, uint64(2), receiver.messageID, "a late piece of the message before ends nothing")
+	assert.Equal(t, uint64(2), receiver.messageID, "a late chunk of the previous message does not end the current one")
 
 	sender := NewChunkSender(1)
 	sender.Enqueue(longMessage(3, 1))
 	sender.Enqueue(longMessage(2, 2))
 	sender.Enqueue(longMessage(4, 3))
-	dropped, pieces := 0, 0
+	dropped, chunks := 0, 0
 	for now := time.Duration(0); now < time.Minute; now += chunkResendAfter {
 		p, n := sender.Next(now)
 		dropped += n
 		if p != nil {
-			pieces++
+			chunks++
 		}
 	}
-	assert.Equal(t, 7*chunkBytes-14, dropped, "the second one was overtaken while it waited")
-	assert.Equal(t, 2*chunkAttempts, pieces)
+	assert.Equal(t, 7*chunkBytes-14, dropped, "the second message was replaced by a newer one in the queue")
+	assert.Equal(t, 2*chunkAttempts, chunks)
 	sender.Enqueue(longMessage(3, 4))
-	for begun := range chunkAttempts { // a receiver that loses all each time
+	for begun := range chunkAttempts { // a receiver that loses its state each time
 		p, _ := sender.Next(0)
 		require.True(t, p != nil, begun)
 		assert.Zero(t, p.Index)
@@ -154,15 +155,15 @@
 		sender.Ack(ChunkAck{1, p.MessageID, 0})
 	}
 	p, n := sender.Next(0)
-	assert.True(t, p == nil, "it is begun once more")
+	assert.True(t, p == nil, "the message was started once more than allowed")
 	assert.Equal(t, 3*chunkBytes-7, n)
 }
 
-// TestASnapshotThatGoesOnIsNotBegunAnew, as one is of which nothing more was heard.
-func TestASnapshotThatGoesOnIsNotBegunAnew(t *testing.T) {
+// raft restarts a snapshot transfer of which no progress is reported, but not one that progresses.
+func TestASnapshotInProgressIsNotRestarted(t *testing.T) {
 	for _, progressing := range []bool{false, true} {
 		forEachSeed(t, 5, func(t *testing.T, seed uint64) {
-			cl := newNet(t, seed, 3)
+			cl := newCluster(t, seed, 3)
 			cl.commitEntry()
 			cl.awaitConverged()
 			leader := cl.leader().replica
@@ -180,7 +181,7 @@
 				cl.commitEntry()
 			}
 			clear(cl.cut)
-			cl.runUntil(100, "a snapshot is under way", func() bool { return state() == tracker.StateSnapshot })
+			cl.runUntil(100, "a snapshot is being sent", func() bool { return state() == tracker.StateSnapshot })
 			cl.isolate(id)
 			cl.queue = nil
 			stillSending := true
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// disk is what a store would hold, in memory.
+// memoryStore keeps in memory what a store holds.
 type memoryStore struct {
 	state     StoredState
 	openCount uint64
@@ -43,20 +43,20 @@
 	}
 }
 
-// process is a seat that runs.
+// process is a running replica.
 type process struct {
 	id        ReplicaID
 	replica   *Replica
 	store     *memoryStore
-	chainHash uint64 // a chain over all that was applied
-	applied   uint64 // index of the last applied
+	chainHash uint64 // hash chain over all applied entries
+	applied   uint64 // index of the last applied entry
 	paused    bool
-	reads     map[uint64]uint64 // ctx -> what was agreed on when it was asked
+	reads     map[uint64]uint64 // ctx -> commit index when the read was requested
 	refused   error
 }
 
 type envelope struct {
-	to       *process // nil: whoever runs as this seat when it arrives
+	to       *process // nil: the process that runs this replica when the envelope arrives
 	replica  ReplicaID
 	report   SelfReport
 	messages [][]byte
@@ -65,7 +65,7 @@
 	due      int
 }
 
-// net is a council in virtual time, with faults, and what must hold in it.
+// cluster is a consensus group in virtual time, with faults, and checks of what must always hold in it.
 type cluster struct {
 	t             testing.TB
 	rng           *rand.Rand
@@ -78,12 +78,12 @@
 	duplication   float64
 	delay         int
 	cut           map[[2]ReplicaID]bool
-	chainHashes   map[uint64]uint64 // index -> book after it
+	chainHashes   map[uint64]uint64 // index -> chain hash after it
 	data          map[uint64]string
-	committed     uint64 // the highest index that any seat applied
+	committed     uint64 // the highest index that any replica applied
 	leaders       map[uint64]ReplicaID
-	lastCommitted map[uint64]uint64 // term -> the last entry of it that was agreed on
-	readsDone     int               // reads that came back
+	lastCommitted map[uint64]uint64 // term -> its last committed entry
+	readsDone     int               // reads that were confirmed
 	nextID        uint64
 	snapshotEvery uint64
 	bytes         int
@@ -91,7 +91,7 @@
 	sent          int
 }
 
-func newNet(t testing.TB, seed uint64, n int) *cluster {
+func newCluster(t testing.TB, seed uint64, n int) *cluster {
 	cl := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 1)), stores: map[ReplicaID]*memoryStore{}, cut: map[[2]ReplicaID]bool{},
 		chainHashes: map[uint64]uint64{}, data: map[uint64]string{}, leaders: map[uint64]ReplicaID{}, lastCommitted: map[uint64]uint64{}, snapshotEvery: 20}
 	var ids []ReplicaID
@@ -105,7 +105,7 @@
 	return cl
 }
 
-// run starts a process on a disk.
+// run starts a process on a store, which is not verified.
 func (cl *cluster) run(id ReplicaID, store *memoryStore, initialVoters []ReplicaID) *process {
 	return cl.start(id, store, initialVoters, false)
 }
@@ -175,7 +175,7 @@
 			p.chainHash, p.applied = 0, 1
 			if len(o.Snapshot) > 0 {
 				p.applied, p.chainHash = binary.BigEndian.Uint64(o.Snapshot), binary.BigEndian.Uint64(o.Snapshot[8:])
-				require.Equal(cl.t, cl.chainHashes[p.applied], p.chainHash, "seat %d: the snapshot's book", p.id)
+				require.Equal(cl.t, cl.chainHashes[p.applied], p.chainHash, "replica %d: state of the snapshot", p.id)
 			}
 		}
 		for _, e := range o.Apply {
@@ -184,7 +184,7 @@
 			}
 			p.applied, p.chainHash = e.Index, xxhash.Sum64(fmt.Appendf(nil, "%x %d %d %s", p.chainHash, e.Index, e.Term, e.Data))
 			if got, ok := cl.chainHashes[e.Index]; ok && got != p.chainHash {
-				require.Equal(cl.t, got, p.chainHash, "seat %d: entry %d", p.id, e.Index)
+				require.Equal(cl.t, got, p.chainHash, "replica %d: entry %d", p.id, e.Index)
 			}
 			cl.chainHashes[e.Index], cl.data[e.Index] = p.chainHash, string(e.Data)
 			cl.committed, cl.lastCommitted[e.Term] = max(cl.committed, e.Index), max(cl.lastCommitted[e.Term], e.Index)
@@ -193,7 +193,7 @@
 		for _, r := range o.Reads {
 			was, ok := p.reads[r.Ctx]
 			require.True(cl.t, ok)
-			require.GreaterOrEqual(cl.t, r.Index, was, "seat %d: a question answered from the past", p.id)
+			require.GreaterOrEqual(cl.t, r.Index, was, "replica %d: a read returned an old state", p.id)
 			delete(p.reads, r.Ctx)
 			cl.readsDone++
 		}
@@ -211,18 +211,18 @@
 	if st.Leading {
 		for term, last := range cl.lastCommitted {
 			if term < st.Term && last > st.Applied {
-				require.Failf(cl.t, "leading too soon", "seat %d in term %d at %d: entry %d of term %d", p.id, st.Term, st.Applied, last, term)
+				require.Failf(cl.t, "leader before it applied all earlier entries", "replica %d leads term %d with %d applied: entry %d of term %d is committed", p.id, st.Term, st.Applied, last, term)
 			}
 		}
 	}
 	if st.SnapshotDue {
-		v, err := p.replica.Compact(st.Applied, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, p.applied), p.chainHash))
+		batch, err := p.replica.Compact(st.Applied, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, p.applied), p.chainHash))
 		require.NoError(cl.t, err)
-		p.store.save(v)
+		p.store.save(batch)
 	}
 }
 
-// step lets a tick pass for all that run.
+// tick advances all running processes by one tick and delivers the messages that are due.
 func (cl *cluster) tick() {
 	cl.now++
 	for _, p := range slices.Clone(cl.processes) {
@@ -253,7 +253,7 @@
 				continue
 			}
 			if p.paused {
-				if cl.rng.IntN(10) > 0 { // it comes when the process goes on, if it is not too much
+				if cl.rng.IntN(10) > 0 { // usually arrives when the process resumes, as from a limited buffer
 					later = append(later, e)
 				}
 				continue
@@ -285,7 +285,7 @@
 		}
 		for _, q := range cl.processes {
 			if q.replica.opts.RunID == e.report.RunID {
-				r.to = q // a reply goes to the process that asked
+				r.to = q // a reply goes to the process that sent the request
 				cl.send(r)
 			}
 		}
@@ -299,17 +299,18 @@
 	}
 }
 
-// until steps until it holds; it fails where it does not within n.
-func (cl *cluster) runUntil(n int, what string, holds func() bool) int {
+// runUntil ticks until the condition holds, and fails the test if it does not within n ticks. It returns the number of
+// ticks.
+func (cl *cluster) runUntil(n int, what string, condition func() bool) int {
 	cl.t.Helper()
 	for i := range n {
-		if holds() {
+		if condition() {
 			return i
 		}
 		cl.tick()
 	}
 	for _, p := range cl.processes {
-		cl.t.Logf("seat %d: %+v, end %v, floor %v", p.id, p.replica.Status(), p.replica.lastPosition(), p.replica.catchUpTo)
+		cl.t.Logf("replica %d: %+v, last position %v, catch up to %v", p.id, p.replica.Status(), p.replica.lastPosition(), p.replica.catchUpTo)
 	}
 	require.FailNow(cl.t, "not within "+fmt.Sprint(n)+" ticks", what)
 	return n
@@ -327,7 +328,7 @@
 
 func (cl *cluster) propose(p *process) bool {
 	cl.nextID++
-	return p.replica.Propose(fmt.Appendf(nil, "entry %d of seat %d", cl.nextID, p.id)) == nil
+	return p.replica.Propose(fmt.Appendf(nil, "entry %d of replica %d", cl.nextID, p.id)) == nil
 }
 
 func (cl *cluster) read(p *process) bool {
@@ -339,7 +340,7 @@
 	return true
 }
 
-// agree has one more entry agreed on.
+// commitEntry proposes until one more entry is committed.
 func (cl *cluster) commitEntry() {
 	cl.t.Helper()
 	was := cl.committed
@@ -351,10 +352,10 @@
 	})
 }
 
-// same waits until all that run have applied the same.
+// awaitConverged waits until all running processes have applied the same entries.
 func (cl *cluster) awaitConverged() {
 	cl.t.Helper()
-	cl.runUntil(5000, "all seats at one index", func() bool {
+	cl.runUntil(5000, "all replicas at one index", func() bool {
 		return !slices.ContainsFunc(cl.processes, func(p *process) bool { return p.applied != cl.committed || p.replica.Status().Unconfirmed })
 	})
 }
@@ -365,11 +366,11 @@
 
 func forEachSeed(t *testing.T, n int, f func(t *testing.T, seed uint64)) {
 	if raceEnabled {
-		n = (n + 9) / 10 // one thread: there is little to find, and it takes ten times as long
+		n = (n + 9) / 10 // the code is single-threaded, so the race detector finds little and takes ten times as long
 	}
 	for seed := range uint64(n) {
 		if !t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			cryptotest.SetGlobalRandom(t, seed) // raft's jitter
+			cryptotest.SetGlobalRandom(t, seed) // makes raft's election jitter reproducible
 			f(t, seed)
 		}) {
 			return
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -11,11 +11,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Faults of all kinds, then none: logs agree, no term has two leaders, no question is answered from the past, and the
-// council goes on in the end.
+// Runs faults of all kinds, then none: logs must agree, no term may have two leaders, no read may return an old state,
+// and the group must make progress in the end.
 func TestFaults(t *testing.T) {
 	for _, n := range []int{3, 5} {
-		forEachSeed(t, 120, func(t *testing.T, seed uint64) { faults(t, seed, n) })
+		forEachSeed(t, 120, func(t *testing.T, seed uint64) { runFaults(t, seed, n) })
 	}
 }
 
@@ -24,8 +24,8 @@
 	m.Run()
 }
 
-func faults(t *testing.T, seed uint64, n int) {
-	cl := newNet(t, seed, n)
+func runFaults(t *testing.T, seed uint64, n int) {
+	cl := newCluster(t, seed, n)
 	cl.loss, cl.duplication, cl.delay = cl.rng.Float64()*0.2, cl.rng.Float64()*0.2, cl.rng.IntN(4)
 	for range 400 {
 		cl.tick()
@@ -82,7 +82,7 @@
 		assert.NoError(t, p.refused)
 	}
 	read := cl.readsDone
-	cl.runUntil(1000, "a question answered", func() bool {
+	cl.runUntil(1000, "a read answered", func() bool {
 		if p := cl.leader(); p != nil {
 			cl.read(p)
 		}
@@ -92,13 +92,13 @@
 
 func TestAStoppedLeaderAnswersNothing(t *testing.T) {
 	forEachSeed(t, 50, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		old := cl.leader()
-		require.True(t, cl.read(old), "asked, and stopped before anybody heard of it")
+		require.True(t, cl.read(old), "the read was accepted, and the leader stopped before any other replica received it")
 		old.paused = true
 		committed := cl.committed
-		cl.runUntil(1000, "a new leader, and what it agreed on", func() bool {
+		cl.runUntil(1000, "a new leader with a committed entry", func() bool {
 			if p := cl.leader(); p != nil {
 				cl.propose(p)
 			}
@@ -107,7 +107,7 @@
 		done := cl.readsDone
 		old.paused = false
 		cl.read(old)
-		cl.runUntil(1000, "it follows", func() bool { return old.replica.Status().Leader != old.id && old.applied == cl.committed })
+		cl.runUntil(1000, "the old leader follows", func() bool { return old.replica.Status().Leader != old.id && old.applied == cl.committed })
 		cl.ticks(50)
 		assert.Equal(t, done, cl.readsDone)
 		assert.Len(t, old.reads, 2)
@@ -115,43 +115,43 @@
 	})
 }
 
-func TestSeatsAreTakenInAndOut(t *testing.T) {
+func TestVotersAreAddedAndRemoved(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		for range 60 {
 			cl.commitEntry()
 		}
-		lost := cl.processOf(3)
-		cl.kill(lost)
+		failed := cl.processOf(3)
+		cl.kill(failed)
 		cl.stores[4] = &memoryStore{}
-		fresh := cl.run(4, cl.stores[4], nil) // the node of seat 3, with an empty store
+		added := cl.run(4, cl.stores[4], nil) // the node of replica 3, with an empty store
 		cl.commitEntry()
 		cl.ticks(100)
-		assert.Zero(t, fresh.applied, "a stranger learns nothing")
-		assert.Empty(t, fresh.replica.Status().Voters)
-		cl.runUntil(1000, "taken in", func() bool {
+		assert.Zero(t, added.applied, "a replica that is not a member receives no entries")
+		assert.Empty(t, added.replica.Status().Voters)
+		cl.runUntil(1000, "replica 4 added", func() bool {
 			if p := cl.leader(); p != nil {
 				_ = p.replica.ChangeVoters(4, 0)
 			}
-			return len(fresh.replica.Status().Voters) == 4
+			return len(added.replica.Status().Voters) == 4
 		})
-		cl.runUntil(1000, "taken out", func() bool {
+		cl.runUntil(1000, "replica 3 removed", func() bool {
 			if p := cl.leader(); p != nil {
 				_ = p.replica.ChangeVoters(0, 3)
 			}
-			return len(fresh.replica.Status().Voters) == 3
+			return len(added.replica.Status().Voters) == 3
 		})
 		cl.awaitConverged()
 		cl.kill(cl.processOf(1))
 		cl.commitEntry()
-		assert.Equal(t, []ReplicaID{1, 2, 4}, fresh.replica.Status().Voters)
+		assert.Equal(t, []ReplicaID{1, 2, 4}, added.replica.Status().Voters)
 	})
 }
 
-// A seat that is far behind gets a snapshot, also when the first ones are lost.
-func TestASeatFarBehindGetsASnapshot(t *testing.T) {
+// A replica that lags far behind gets a snapshot, even if the first ones are lost.
+func TestALaggingReplicaGetsASnapshot(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		cl.awaitConverged()
 		id := cl.leader().id%3 + 1
@@ -163,34 +163,35 @@
 		cl.loss = 0.7
 		cl.ticks(30)
 		cl.loss = 0
-		cl.runUntil(100, "it has come up", func() bool { return cl.processOf(id).applied == cl.committed })
+		cl.runUntil(100, "the replica has caught up", func() bool { return cl.processOf(id).applied == cl.committed })
 	})
 }
 
-// How long a council is without a leader that leads when its leader is killed, in ticks, 10 to an election.
-func TestNextLeader(t *testing.T) {
+// Measures how long a group is without a leader after its leader is killed, in ticks, with 10 ticks to an election
+// timeout.
+func TestTimeToNextLeader(t *testing.T) {
 	for _, n := range []int{3, 5} {
-		var took []int
+		var ticks []int
 		forEachSeed(t, 200, func(t *testing.T, seed uint64) {
-			cl := newNet(t, seed, n)
+			cl := newCluster(t, seed, n)
 			cl.delay = 1
 			cl.commitEntry()
 			cl.awaitConverged()
 			cl.kill(cl.leader())
-			took = append(took, cl.runUntil(200, "the next leader", func() bool { return cl.leader() != nil }))
+			ticks = append(ticks, cl.runUntil(200, "a new leader", func() bool { return cl.leader() != nil }))
 		})
-		slices.Sort(took)
-		t.Logf("%d seats: ticks from a killed leader to the next: %d at least, %d median, %d in 99 of 100, %d at most", n, took[0],
-			took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
-		assert.LessOrEqual(t, took[len(took)/2], 25)
-		assert.LessOrEqual(t, took[len(took)*99/100], 45, "two that stand at once do not go on getting into each other's way")
+		slices.Sort(ticks)
+		t.Logf("%d replicas: ticks from a killed leader to the next: minimum %d, median %d, 99th percentile %d, maximum %d", n, ticks[0],
+			ticks[len(ticks)/2], ticks[len(ticks)*99/100], ticks[len(ticks)-1])
+		assert.LessOrEqual(t, ticks[len(ticks)/2], 25)
+		assert.LessOrEqual(t, ticks[len(ticks)*99/100], 45, "two candidates must not keep splitting the vote")
 	}
 }
 
-// What one entry costs in messages and writes that have to be synced, with the next one proposed when it is agreed on.
+// Measures what one entry costs in messages and synced writes if the next one is proposed when it is committed.
 func TestCostOfAnEntry(t *testing.T) {
 	forEachSeed(t, 1, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.snapshotEvery = 1000
 		cl.commitEntry()
 		cl.awaitConverged()
@@ -200,45 +201,46 @@
 				for range batch {
 					require.NoError(t, cl.leader().replica.Propose(make([]byte, 100)))
 				}
-				at := cl.committed + uint64(batch)
-				cl.runUntil(20, "agreed on", func() bool { return cl.committed == at })
+				target := cl.committed + uint64(batch)
+				cl.runUntil(20, "the batch is committed", func() bool { return cl.committed == target })
 			}
 			cl.awaitConverged()
 			n := 200 * batch
-			t.Logf("three seats, entries of 100 bytes, %d at a time: for each entry %.1f requests with %.0f bytes of messages (heartbeats among them), %.2f syncs on all seats, %.1f ticks",
+			t.Logf("three replicas, entries of 100 bytes, %d at a time: for each entry %.1f requests with %.0f bytes of messages (heartbeats among them), %.2f syncs on all replicas, %.1f ticks",
 				batch, float64(cl.sent-sent)/float64(n), float64(cl.bytes-bytes)/float64(n), float64(cl.syncs-syncs)/float64(n), float64(cl.now-from)/float64(n))
-			assert.LessOrEqual(t, cl.syncs-syncs, 3*200+10, "one on each seat, however many entries")
+			assert.LessOrEqual(t, cl.syncs-syncs, 3*200+10, "one sync on each replica, however many entries")
 		}
 	})
 }
 
-// A leader that is about to end hands over: the next one leads in a few messages, and what was agreed on stands.
-func TestALeaderHandsOver(t *testing.T) {
+// A leader that is about to stop transfers its leadership: the next one leads after a few messages, and committed
+// entries are kept.
+func TestALeaderTransfersLeadership(t *testing.T) {
 	forEachSeed(t, 50, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3+2*int(seed%2))
+		cl := newCluster(t, seed, 3+2*int(seed%2))
 		cl.commitEntry()
 		cl.awaitConverged()
 		old := cl.leader()
 		cl.ticks(2)
 		require.True(t, old.replica.TransferLeadership())
 		cl.drive(old)
-		assert.ErrorAs(t, old.replica.Propose([]byte("x")), new(*BusyError), "not while another one takes over")
-		cl.runUntil(9, "another one leads, in less than an election's time", func() bool {
+		assert.ErrorAs(t, old.replica.Propose([]byte("x")), new(*BusyError), "no proposals during a leadership transfer")
+		cl.runUntil(9, "another replica leads, in less than an election timeout", func() bool {
 			p := cl.leader()
 			return p != nil && p != old
 		})
 		cl.kill(old)
 		cl.commitEntry()
 		for _, p := range cl.processes {
-			assert.Equal(t, p == cl.leader(), p.replica.TransferLeadership(), "only a leader does")
+			assert.Equal(t, p == cl.leader(), p.replica.TransferLeadership(), "only the leader transfers leadership")
 		}
 	})
 }
 
-// Nobody but its leader has a seat stand.
-func TestOnlyItsLeaderHandsOverToASeat(t *testing.T) {
+// A replica campaigns at once only if its current leader asks for it.
+func TestOnlyTheLeaderTransfersLeadership(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		cl.awaitConverged()
 		lead := cl.leader()
--- a/internal/consensus/membership_test.go
+++ b/internal/consensus/membership_test.go
@@ -12,8 +12,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// towards has the leader take the next step to a set of seats, as control does: who comes learns first, a leader that goes hands
-// over. It says whether the seats are those.
+// changeVotersTowards makes the leader take the next step towards a set of voters, as the control package does: a new
+// replica is a learner first, and a leader that is to be removed transfers its leadership. It reports whether the
+// voters are the wanted ones.
 func (cl *cluster) changeVotersTowards(want []ReplicaID) bool {
 	p := cl.leader()
 	if p == nil {
@@ -57,13 +58,14 @@
 	return slices.Equal(st.Voters, want)
 }
 
-// Seats change to sets drawn at random while links are cut, processes killed and started again, and seats that do not count yet
-// lose their stores. net checks that no term has two leaders and that all that was agreed on is the same everywhere and stays; here
-// also that the seats become the wanted ones, and that a council goes on with them alone.
-func TestSeatsChangeUnderFaults(t *testing.T) {
+// Voters change to randomly drawn sets while links are cut, processes are killed and restarted, and replicas that do
+// not count yet lose their stores. cluster checks that no term has two leaders and that committed entries are the same
+// everywhere and are kept. This test also checks that the voters become the wanted ones, and that the group makes
+// progress with them alone.
+func TestVotersChangeUnderFaults(t *testing.T) {
 	forEachSeed(t, 80, func(t *testing.T, seed uint64) {
 		n := []int{1, 3, 5}[seed%3]
-		cl := newNet(t, seed, n)
+		cl := newCluster(t, seed, n)
 		cl.commitEntry()
 		newest, removed := ReplicaID(n), map[ReplicaID]bool{}
 		var want []ReplicaID
@@ -71,7 +73,7 @@
 			want = append(want, id)
 		}
 		for range 4 {
-			// One more or fewer pair, or some replaced: a majority stays wherever somebody comes.
+			// Two voters more or fewer, or some replaced: if any replica is added, a majority stays.
 			size := []int{1, 3, 5}[cl.rng.IntN(3)]
 			cl.rng.Shuffle(len(want), func(i, j int) { want[i], want[j] = want[j], want[i] })
 			keep := min(len(want), size)
@@ -101,7 +103,7 @@
 					}
 				}
 				cl.injectFault(removed)
-				// A seat that has nothing yet loses its store: the node's next one is another seat.
+				// A replica with an empty store loses it: the node's next store makes another replica.
 				if i := cl.rng.IntN(len(target)); cl.rng.IntN(60) == 0 && cl.processOf(target[i]) != nil && len(cl.processOf(target[i]).replica.Status().Voters) == 0 {
 					cl.kill(cl.processOf(target[i]))
 					removed[target[i]] = true
@@ -113,12 +115,12 @@
 				}
 			}
 			cl.endFaults(removed)
-			cl.runUntil(3000, "the seats are the wanted ones", func() bool {
+			cl.runUntil(3000, "the voters are the wanted ones", func() bool {
 				return cl.now%5 == 0 && cl.changeVotersTowards(target)
 			})
 			want = target
 		}
-		for _, p := range slices.Clone(cl.processes) { // those that went run on until here, and disturb nobody
+		for _, p := range slices.Clone(cl.processes) { // removed replicas keep running until here and must disturb nobody
 			if !slices.Contains(want, p.id) {
 				cl.kill(p)
 			}
@@ -132,7 +134,7 @@
 	})
 }
 
-// trouble does one of some faults, now and then.
+// injectFault injects one of several faults with some probability.
 func (cl *cluster) injectFault(removed map[ReplicaID]bool) {
 	ids := make([]ReplicaID, 0, len(cl.stores))
 	for id := ReplicaID(1); int(id) <= len(cl.stores); id++ {
@@ -175,10 +177,10 @@
 	}
 }
 
-// A new seat that dies before it has anything does not hold a council of one up.
-func TestASeatThatLearnsDoesNotCount(t *testing.T) {
+// A new replica that dies before it has any entries does not block a group of one.
+func TestALearnerDoesNotCount(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 1)
+		cl := newCluster(t, seed, 1)
 		cl.commitEntry()
 		cl.stores[2] = &memoryStore{}
 		fresh := cl.run(2, cl.stores[2], nil)
@@ -191,28 +193,28 @@
 		assert.Equal(t, []ReplicaID{1}, st.Voters)
 		assert.Equal(t, []ReplicaID{2}, st.Learners)
 		assert.False(t, cl.leader().replica.CaughtUp(2))
-		cl.runUntil(100, "it is taken out again", func() bool {
+		cl.runUntil(100, "the learner is removed again", func() bool {
 			_ = cl.leader().replica.ChangeVoters(0, 2)
 			return len(cl.leader().replica.Status().Learners) == 0
 		})
 	})
 }
 
-// A seat that learns cannot lead: a leader that ends does not wait for it.
-func TestALeaderHandsOverToNobodyWhoLearns(t *testing.T) {
-	cl := newNet(t, 1, 1)
+// A learner cannot lead: a leader that stops does not transfer its leadership to it.
+func TestLeadershipIsNotTransferredToALearner(t *testing.T) {
+	cl := newCluster(t, 1, 1)
 	cl.commitEntry()
 	cl.stores[2] = &memoryStore{}
 	cl.run(2, cl.stores[2], nil)
 	lead := cl.leader()
 	require.NoError(t, lead.replica.AddLearner(2))
-	cl.runUntil(100, "it has all", func() bool { return lead.replica.CaughtUp(2) })
+	cl.runUntil(100, "the learner has caught up", func() bool { return lead.replica.CaughtUp(2) })
 	assert.False(t, lead.replica.TransferLeadership())
 }
 
-func TestALeaderHandsOverToOne(t *testing.T) {
+func TestLeadershipTransferToAGivenReplica(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		cl.awaitConverged()
 		old := cl.leader()
@@ -226,7 +228,7 @@
 		assert.ErrorAs(t, follower.replica.TransferLeadershipTo(successor), new(*NotLeaderError))
 		assert.ErrorAs(t, old.replica.TransferLeadershipTo(9), new(*NotMemberError))
 
-		// Only who leads may have another seat stand at once.
+		// Only the current leader may make another replica campaign at once.
 		term := old.replica.Status().Term
 		raw, err := proto.Marshal(&raftpb.Message{Type: raftpb.MessageType_MsgTimeoutNow.Enum(), Term: new(term),
 			From: new(uint64(follower.id)), To: new(uint64(successor))})
@@ -237,26 +239,26 @@
 
 		require.NoError(t, old.replica.TransferLeadershipTo(successor))
 		cl.drive(old)
-		took := cl.runUntil(10, "the heir leads", func() bool {
+		took := cl.runUntil(10, "the successor leads", func() bool {
 			return cl.leader() == cl.processOf(successor) && cl.processOf(successor).replica.Status().Leading
 		})
-		assert.Less(t, took, 10, "sooner than an election")
+		assert.Less(t, took, 10, "sooner than an election timeout")
 		cl.commitEntry()
 	})
 }
 
-// A council most of whose stores are lost is founded anew by the seat that is left, with all that its log has; the seats of before
-// get nowhere among themselves when they start again.
-func TestASeatFoundsTheCouncilAnew(t *testing.T) {
+// A group that has lost the majority of its stores is re-bootstrapped by the remaining replica, with everything in its
+// log. The old replicas reach no majority among themselves when they restart.
+func TestAReplicaRebootstrapsTheGroup(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		forEachSeed(t, 30, func(t *testing.T, seed uint64) {
-			cl := newNet(t, seed, n)
+			cl := newCluster(t, seed, n)
 			for range 30 {
 				cl.commitEntry()
 			}
 			cl.awaitConverged()
 			survivor := cl.processOf(1 + ReplicaID(seed)%ReplicaID(n))
-			cl.propose(survivor) // where it leads, its log has an entry that nobody else has
+			cl.propose(survivor) // if it is the leader, its log has an entry that no other replica has
 			cl.drive(survivor)
 			last := survivor.replica.lastPosition()
 			var lost []ReplicaID
@@ -266,7 +268,7 @@
 					cl.kill(p)
 				}
 			}
-			if seed%2 == 0 { // it starts again, and waits
+			if seed%2 == 0 { // it restarts, and its store is unconfirmed
 				cl.kill(survivor)
 				survivor = cl.start(survivor.id, survivor.store, nil, false)
 				require.True(t, survivor.replica.Status().Unconfirmed)
@@ -283,31 +285,32 @@
 			require.NoError(t, err)
 			survivor.store.save(batch)
 			cl.chainHashes[survivor.applied] = survivor.chainHash
-			for _, p := range slices.Clone(cl.processes) { // what came of the old council is refused by whoever carries messages
+			for _, p := range slices.Clone(cl.processes) { // the transport refuses the messages of the old group
 				if p != survivor {
 					cl.kill(p)
 				}
 			}
 			cl.queue = nil
-			cl.runUntil(100, "it leads", func() bool { return cl.leader() == survivor })
+			cl.runUntil(100, "the survivor leads", func() bool { return cl.leader() == survivor })
 			st := survivor.replica.Status()
 			assert.Equal(t, []ReplicaID{survivor.id}, st.Voters)
 			assert.Greater(t, st.Term, oldTerm)
 			assert.False(t, st.Unconfirmed || st.Behind)
 			assert.GreaterOrEqual(t, st.Applied, last.Index+rebootstrapIndexGap)
 
-			// The lost ones come back after all, and do not reach it: each needs the word of as many others as they are.
+			// The lost replicas restart after all and do not reach the survivor: each needs confirmation by as many
+			// others as there are lost ones.
 			for _, id := range lost {
 				cl.cut[[2]ReplicaID{id, survivor.id}], cl.cut[[2]ReplicaID{survivor.id, id}] = true, true
 				cl.run(id, cl.stores[id], nil)
 			}
 			cl.ticks(300)
 			for _, id := range lost {
-				assert.True(t, cl.processOf(id).replica.Status().Unconfirmed, "seat %d of the lost %v", id, lost)
+				assert.True(t, cl.processOf(id).replica.Status().Unconfirmed, "replica %d of the lost %v", id, lost)
 				cl.kill(cl.processOf(id))
 			}
 
-			cl.kill(survivor) // what it has founded is in its store
+			cl.kill(survivor) // the new group is in its store
 			survivor = cl.run(survivor.id, survivor.store, nil)
 			to := []ReplicaID{survivor.id}
 			for i := range n - 1 {
@@ -316,21 +319,23 @@
 				cl.stores[id] = &memoryStore{}
 				cl.run(id, cl.stores[id], nil)
 			}
-			cl.runUntil(2000, "the council has its seats again", func() bool { return cl.now%5 == 0 && cl.changeVotersTowards(to) })
+			cl.runUntil(2000, "the group has its voters again", func() bool { return cl.now%5 == 0 && cl.changeVotersTowards(to) })
 			cl.commitEntry()
 			cl.awaitConverged()
 		})
 	}
 }
 
-// A leader adds a seat, tells the new one and one other, and is gone: one that is left behind has a council without the new seat. Those
-// three are a majority of four, and the new seat has the furthest log. The one that is behind did not vote for who is not of its own
-// council, and nobody led any more, for good: "p0 ['p0' 'p1' 'p3'] committed 417, p2 ['p0' 'p1' 'p2' 'p3'] 421, p3 419", all followers of
-// term 2, in storm 9 with seats that change. Raft's rule is that the log decides, as a seat's own council may be an older one.
-func TestASeatThatIsBehindVotesForOneThatItDoesNotKnowYet(t *testing.T) {
-	const behind, added, between = ReplicaID(1), ReplicaID(2), ReplicaID(3) // 4 is gone
+// A leader adds a voter, replicates that to the new replica and one other, and fails: one replica lags and has a
+// configuration without the new voter. Those three are a majority of four, and the new replica has the most advanced
+// log. The lagging replica refused its vote to a candidate outside its own configuration, and the group stayed without
+// a leader for good: "p0 ['p0' 'p1' 'p3'] committed 417, p2 ['p0' 'p1' 'p2' 'p3'] 421, p3 419", all followers of term
+// 2, in fault storm 9 with changing voters. By raft's rule only the log decides, since a replica's own configuration
+// may be an older one.
+func TestALaggingReplicaVotesForAnUnknownVoter(t *testing.T) {
+	const behind, added, between = ReplicaID(1), ReplicaID(2), ReplicaID(3) // 4 has failed
 	voters := func(ids ...uint64) *raftpb.ConfState { return &raftpb.ConfState{Voters: ids} }
-	entry := func(index uint64) *raftpb.Entry {
+	newEntry := func(index uint64) *raftpb.Entry {
 		return &raftpb.Entry{Index: new(index), Term: new(uint64(2)), Type: raftpb.EntryType_EntryNormal.Enum()}
 	}
 	newReplica := func(id ReplicaID, conf *raftpb.ConfState, snapshot uint64, more ...*raftpb.Entry) *Replica {
@@ -343,7 +348,7 @@
 	replicas := map[ReplicaID]*Replica{
 		behind:  newReplica(behind, voters(1, 3, 4), 10),
 		between: newReplica(between, voters(1, 2, 3, 4), 11),
-		added:   newReplica(added, voters(1, 2, 3, 4), 11, entry(12)),
+		added:   newReplica(added, voters(1, 2, 3, 4), 11, newEntry(12)),
 	}
 	order := []ReplicaID{behind, added, between}
 	leader := func() ReplicaID {
@@ -369,13 +374,13 @@
 				replicas[id].Advance(output)
 				for _, m := range output.Send {
 					if to := replicas[m.To]; to != nil {
-						_ = to.Step(m.Raw) // what is refused is lost
+						_ = to.Step(m.Raw) // a refused message is lost
 					}
 				}
 			}
 		}
 	}
-	assert.Equal(t, added, leader(), "it alone has the furthest log")
-	assert.Equal(t, uint64(13), replicas[behind].lastPosition().Index, "it has the log by now, and what its leader began with, and knows of the seat")
+	assert.Equal(t, added, leader(), "it alone has the most advanced log")
+	assert.Equal(t, uint64(13), replicas[behind].lastPosition().Index, "it has the log by now, and the first entry of its leader, and so knows the added replica")
 	assert.Contains(t, replicas[behind].Status().Voters, added)
 }
--- a/internal/consensus/peertable_test.go
+++ b/internal/consensus/peertable_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// restart kills the process of a seat and starts another one on a disk.
+// restart kills the process of a replica, if any, and starts another one on a store.
 func (cl *cluster) restart(id ReplicaID, store *memoryStore) *process {
 	if p := cl.processOf(id); p != nil {
 		cl.kill(p)
@@ -19,58 +19,61 @@
 	return cl.run(id, store, nil)
 }
 
-// part cuts a seat off from all others.
+// isolate cuts the links between a replica and all others.
 func (cl *cluster) isolate(id ReplicaID) {
 	for other := ReplicaID(1); other <= 5; other++ {
 		cl.cut[[2]ReplicaID{id, other}], cl.cut[[2]ReplicaID{other, id}] = true, true
 	}
 }
 
-// putBack has a seat come back with its store as it was before the last agreement, and waits until it is refused.
+// restoreOldStore restarts a replica with its store as it was before the last committed entry, and waits until it is
+// refused.
 func restoreOldStore(t *testing.T, cl *cluster, id ReplicaID) *process {
 	oldStore := cl.stores[id].copy()
 	cl.commitEntry()
 	cl.awaitConverged()
 	p := cl.restart(id, &oldStore)
-	cl.runUntil(100, "the refusal", func() bool { return p.refused != nil })
+	cl.runUntil(100, "the store is refused", func() bool { return p.refused != nil })
 	assert.ErrorAs(t, p.refused, new(*StaleStoreError))
 	cl.commitEntry()
 	return p
 }
 
-func TestAnOlderStoreIsRefusedByWhoKnowsBetter(t *testing.T) {
+func TestAStaleStoreIsRefusedByAReplicaThatKnowsMore(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		cl.awaitConverged()
 		id := cl.leader().id%3 + 1 // a follower
 		p := restoreOldStore(t, cl, id)
 		assert.Less(t, p.applied, cl.committed)
 		p = cl.restart(id, cl.stores[id])
-		assert.ErrorAs(t, p.replica.Step(nil), new(*RefusedError), "it stays refused")
+		assert.ErrorAs(t, p.replica.Step(nil), new(*RefusedError), "the refusal survives a restart")
 	})
 }
 
-// A leader acknowledges nothing. Its older store, from after its election, is refused by what it said of its log as it led.
-func TestAnOlderStoreOfALeaderIsRefused(t *testing.T) {
+// A leader acknowledges nothing. A stale store of it, copied after its election, is refused because of what it reported
+// of its log while it was the leader.
+func TestAStaleStoreOfALeaderIsRefused(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		cl.awaitConverged()
 		restoreOldStore(t, cl, cl.leader().id)
 	})
 }
 
-// What two of three agreed on stays agreed on when one of the two forgets it and nobody's memory outlives the night.
-func TestAnOlderStoreAtAColdStart(t *testing.T) {
+// What two of three replicas committed stays committed if one of the two loses it and all processes restart, so that no
+// peer table is left.
+func TestAStaleStoreAtAColdStart(t *testing.T) {
 	forEachSeed(t, 40, func(t *testing.T, seed uint64) {
-		verified := seed%2 == 0 // of the seat that is behind: it has no floor, and may stand and vote
-		cl := newNet(t, seed, 3)
+		verified := seed%2 == 0 // of the lagging replica: if verified, it has no position to catch up to, and may campaign and vote
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		cl.awaitConverged()
 		lead := cl.leader().id
-		stale, behind := lead%3+1, (lead+1)%3+1
-		cl.isolate(behind)
+		stale, lagging := lead%3+1, (lead+1)%3+1
+		cl.isolate(lagging)
 		oldStore := cl.stores[stale].copy()
 		cl.commitEntry()
 		cl.commitEntry()
@@ -80,36 +83,36 @@
 		clear(cl.cut)
 		cl.queue = nil
 		p := cl.restart(stale, &oldStore)
-		cl.start(behind, cl.stores[behind], nil, verified)
+		cl.start(lagging, cl.stores[lagging], nil, verified)
 		committed := cl.committed
 		cl.ticks(200)
 		assert.Equal(t, committed, cl.committed)
-		assert.True(t, p.replica.Status().Unconfirmed, "two of three answered nothing yet")
+		assert.True(t, p.replica.Status().Unconfirmed, "the third replica, whose answer is needed, is down")
 		cl.restart(lead, cl.stores[lead])
-		cl.runUntil(20, "the wait is over", func() bool { return !p.replica.Status().Unconfirmed })
+		cl.runUntil(20, "the stores are confirmed", func() bool { return !p.replica.Status().Unconfirmed })
 		cl.kill(cl.processOf(lead))
 		for range 200 {
 			cl.tick()
 			for _, p := range cl.processes {
-				cl.propose(p) // those who could overwrite it
+				cl.propose(p) // they could overwrite it
 			}
 		}
-		assert.Equal(t, committed, cl.committed, "neither of the two has it, and one of them helped to agree on it")
+		assert.Equal(t, committed, cl.committed, "no entry may be committed: neither of the two has the last one, and one of them helped to commit it")
 		cl.restart(lead, cl.stores[lead])
 		cl.commitEntry()
 		cl.awaitConverged()
 	})
 }
 
-func TestAllSeatsStartAtOnce(t *testing.T) {
+func TestAllReplicasStartAtOnce(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 5)
+		cl := newCluster(t, seed, 5)
 		cl.commitEntry()
 		cl.awaitConverged()
 		for id := ReplicaID(1); id <= 5; id++ {
 			cl.restart(id, cl.stores[id])
 		}
-		cl.runUntil(4, "the wait is over", func() bool {
+		cl.runUntil(4, "the stores are confirmed", func() bool {
 			for _, p := range cl.processes {
 				if p.replica.Status().Unconfirmed {
 					return false
@@ -121,9 +124,9 @@
 	})
 }
 
-func TestWithOneSeatDownAMachineThatStartsAnewWaits(t *testing.T) {
+func TestWithOneReplicaDownARebootedMachineWaits(t *testing.T) {
 	forEachSeed(t, 5, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		cl.awaitConverged()
 		id := cl.leader().id%3 + 1
@@ -139,10 +142,10 @@
 	})
 }
 
-// Whoever counts what this seat once acknowledged has to be among those that are asked.
+// The leader, which may count what this replica once acknowledged, must be among the replicas that are asked.
 func TestTheLeaderIsAmongThoseThatAnswer(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 5)
+		cl := newCluster(t, seed, 5)
 		cl.commitEntry()
 		cl.awaitConverged()
 		lead := cl.leader().id
@@ -152,11 +155,11 @@
 		cl.ticks(5)
 		assert.Len(t, p.replica.confirming.reports, 3)
 		clear(cl.cut)
-		cl.runUntil(5, "the wait is over", func() bool { return !p.replica.Status().Unconfirmed })
+		cl.runUntil(5, "the stores are confirmed", func() bool { return !p.replica.Status().Unconfirmed })
 	})
 }
 
-// A seat that has forgotten its vote does not vote in that term again.
+// A replica that may have forgotten its vote does not vote in that term again.
 func TestNoSecondVote(t *testing.T) {
 	conf := &raftpb.ConfState{Voters: []uint64{1, 2, 3}}
 	d := StoredState{
@@ -164,7 +167,7 @@
 		Snapshot:  &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(7)), Term: new(uint64(3)), ConfState: conf}},
 	}
 	for _, try := range [][2]uint64{{3, 3}, {4, 3}, {3, 5}, {4, 5}, {5, 5}, {6, 5}} {
-		term, highest := try[0], try[1] // of the candidate; the highest of the others
+		term, highest := try[0], try[1] // of the candidate; the highest of the other replicas
 		s, err := New(Options{Self: 1, OpenCount: 2, RunID: 9}, d)
 		require.NoError(t, err)
 		for id := ReplicaID(2); id <= 3; id++ {
@@ -192,7 +195,7 @@
 func TestACopiedStoreStartedTwice(t *testing.T) {
 	for _, running := range []bool{true, false} {
 		forEachSeed(t, 20, func(t *testing.T, seed uint64) {
-			cl := newNet(t, seed, 3)
+			cl := newCluster(t, seed, 3)
 			cl.commitEntry()
 			cl.awaitConverged()
 			id := cl.leader().id%3 + 1
@@ -211,8 +214,8 @@
 	}
 }
 
-// A process that is followed by another one on the same store is no copy, however late its last messages come.
-func TestLateMessagesOfTheProcessBefore(t *testing.T) {
+// A process whose successor runs on the same store is no copy, however late its last messages arrive.
+func TestLateMessagesOfThePreviousProcess(t *testing.T) {
 	r := NewPeerTable(1, 100)
 	r.sequence = 5
 	require.NoError(t, r.Observe(SelfReport{Replica: 2, OpenCount: 3, RunID: 7, Sequence: 1, Echo: 4, EchoRunID: 100}))
@@ -221,17 +224,17 @@
 	require.NoError(t, r.Observe(SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Sequence: 2}))
 	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 2, OpenCount: 2, RunID: 6, Sequence: 9}), new(*StaleStoreError))
 	r.sequence = 6
-	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 2, OpenCount: 3, RunID: 7, Sequence: 10, Echo: 6, EchoRunID: 100}), new(*CopiedStoreError), "it heard what came after")
+	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 2, OpenCount: 3, RunID: 7, Sequence: 10, Echo: 6, EchoRunID: 100}), new(*CopiedStoreError), "it received a report sent after its successor was heard from")
 	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Sequence: 3}), new(*CopiedStoreError))
-	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 1, OpenCount: 4, RunID: 8, Sequence: 3}), new(*CopiedStoreError), "somebody else is this seat")
+	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 1, OpenCount: 4, RunID: 8, Sequence: 3}), new(*CopiedStoreError), "another process reports as this replica")
 }
 
-// Older stores among all other faults: what was agreed on stays so.
-func TestFaultsWithAnOlderStore(t *testing.T) {
+// Runs stale stores among all other faults: committed entries stay committed.
+func TestFaultsWithAStaleStore(t *testing.T) {
 	refused := 0
 	for _, n := range []int{3, 5} {
 		forEachSeed(t, 60, func(t *testing.T, seed uint64) {
-			cl := newNet(t, seed, n)
+			cl := newCluster(t, seed, n)
 			cl.loss, cl.delay = cl.rng.Float64()*0.1, cl.rng.IntN(3)
 			victim := ReplicaID(1 + cl.rng.IntN(n))
 			copied := cl.stores[victim].copy()
@@ -265,7 +268,7 @@
 			for _, p := range cl.processes {
 				st := p.replica.Status()
 				if p.id != victim && (st.Unconfirmed || st.Behind) && cl.processOf(victim).replica.Status().Err != nil {
-					_ = p.replica.ConfirmStore() // an operator's word: the seat that is refused does not answer
+					_ = p.replica.ConfirmStore() // an operator confirms the store, since the refused replica does not answer
 				}
 			}
 			cl.commitEntry()
@@ -274,24 +277,24 @@
 			cl.awaitConverged()
 		})
 	}
-	t.Logf("refused in %d of 120", refused)
+	t.Logf("stale store refused in %d of 120 runs", refused)
 }
 
-func TestWhatASeatMustNotHaveForgotten(t *testing.T) {
+func TestWhatAReplicaMustNotHaveForgotten(t *testing.T) {
 	earlier := SelfReport{Replica: 2, OpenCount: 3, RunID: 7, Sequence: 1, Term: 5, LastTerm: 5, LastIndex: 10}
 	for name, tc := range map[string]struct {
 		then SelfReport
 		want any
 	}{
-		"all is there":       {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 5, Vote: 1, LastIndex: 10}, nil},
-		"a later term":       {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 6, Vote: 3, LastIndex: 9}, nil},
-		"the term":           {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 4, Vote: 1, LastIndex: 10}, new(*StaleStoreError)},
-		"the vote":           {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 5, LastIndex: 10}, new(*StaleStoreError)},
-		"another vote":       {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 5, Vote: 3, LastIndex: 10}, new(*StaleStoreError)},
-		"an entry":           {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 5, Vote: 1, LastIndex: 9}, new(*StaleStoreError)},
-		"an opening":         {SelfReport{Replica: 2, OpenCount: 2, RunID: 8, Term: 5, Vote: 1, LastIndex: 10}, new(*StaleStoreError)},
-		"the same opening":   {SelfReport{Replica: 2, OpenCount: 3, RunID: 8, Term: 5, Vote: 1, LastIndex: 10}, new(*CopiedStoreError)},
-		"nothing, it is one": {SelfReport{Replica: 2, OpenCount: 3, RunID: 7, Sequence: 2, Term: 5}, nil},
+		"nothing is missing":     {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 5, Vote: 1, LastIndex: 10}, nil},
+		"a later term":           {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 6, Vote: 3, LastIndex: 9}, nil},
+		"the term":               {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 4, Vote: 1, LastIndex: 10}, new(*StaleStoreError)},
+		"the vote":               {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 5, LastIndex: 10}, new(*StaleStoreError)},
+		"another vote":           {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 5, Vote: 3, LastIndex: 10}, new(*StaleStoreError)},
+		"an entry":               {SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Term: 5, Vote: 1, LastIndex: 9}, new(*StaleStoreError)},
+		"an opening":             {SelfReport{Replica: 2, OpenCount: 2, RunID: 8, Term: 5, Vote: 1, LastIndex: 10}, new(*StaleStoreError)},
+		"the same opening":       {SelfReport{Replica: 2, OpenCount: 3, RunID: 8, Term: 5, Vote: 1, LastIndex: 10}, new(*CopiedStoreError)},
+		"same process, no check": {SelfReport{Replica: 2, OpenCount: 3, RunID: 7, Sequence: 2, Term: 5}, nil},
 	} {
 		r := NewPeerTable(1, 100)
 		require.NoError(t, r.Observe(earlier))
@@ -311,24 +314,24 @@
 	}
 }
 
-func TestASeatThatWasTakenOutWhileItWasAway(t *testing.T) {
+func TestAReplicaRemovedWhileItWasDown(t *testing.T) {
 	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
-		cl := newNet(t, seed, 3)
+		cl := newCluster(t, seed, 3)
 		cl.commitEntry()
 		cl.awaitConverged()
 		id := cl.leader().id%3 + 1
 		cl.kill(cl.processOf(id))
 		require.NoError(t, cl.leader().replica.ChangeVoters(0, id))
-		cl.runUntil(100, "taken out", func() bool { return len(cl.leader().replica.Status().Voters) == 2 })
+		cl.runUntil(100, "replica removed", func() bool { return len(cl.leader().replica.Status().Voters) == 2 })
 		cl.commitEntry()
 		p := cl.run(id, cl.stores[id], nil)
-		cl.runUntil(100, "it knows", func() bool { return p.replica.Status().Err != nil })
+		cl.runUntil(100, "the removed replica notices", func() bool { return p.replica.Status().Err != nil })
 		assert.ErrorAs(t, p.replica.Status().Err, new(*NotMemberError))
 		cl.commitEntry()
 	})
 }
 
-func TestMessagesThatCannotBe(t *testing.T) {
+func TestInvalidMessages(t *testing.T) {
 	start := func() *Replica {
 		s, err := New(Options{Self: 1, InitialVoters: []ReplicaID{1, 2, 3}, OpenCount: 1, RunID: 1}, StoredState{})
 		require.NoError(t, err)
@@ -342,9 +345,9 @@
 	}
 	for _, kind := range []raftpb.MessageType{raftpb.MessageType_MsgVote, raftpb.MessageType_MsgPreVote} {
 		vote := &raftpb.Message{Type: kind.Enum(), From: new(uint64(4)), Term: new(uint64(9)), LogTerm: new(uint64(0)), Index: new(uint64(9))}
-		assert.ErrorAs(t, start().Step(raw(vote)), new(*NotMemberError), "who is not of the council, and has less of a log, is not voted for")
+		assert.ErrorAs(t, start().Step(raw(vote)), new(*NotMemberError), "no vote for a candidate that is not a member and has a shorter log")
 		vote.LogTerm = new(uint64(9))
-		assert.NoError(t, start().Step(raw(vote)), "who has more may be of a council that came later")
+		assert.NoError(t, start().Step(raw(vote)), "a candidate with a longer log may be of a later configuration")
 	}
 	for _, m := range []*raftpb.Message{
 		{Type: raftpb.MessageType_MsgProp.Enum(), From: new(uint64(2)), Entries: []*raftpb.Entry{{Data: []byte("x")}}},
@@ -357,10 +360,10 @@
 
 	s := start()
 	beyond := &raftpb.Message{Type: raftpb.MessageType_MsgHeartbeat.Enum(), From: new(uint64(2)), Term: new(uint64(2)), Commit: new(uint64(99))}
-	assert.ErrorAs(t, s.Step(raw(beyond)), new(*InvalidStateError), "raft dies of it, the process does not")
+	assert.ErrorAs(t, s.Step(raw(beyond)), new(*InvalidStateError), "raft panics on it, the process does not")
 	s.Tick()
 	_, ok := s.Ready()
-	assert.True(t, ok, "what was to be saved before")
+	assert.True(t, ok, "the initial state that is still to be saved")
 	assert.ErrorAs(t, s.Status().Err, new(*InvalidStateError))
 	assert.ErrorAs(t, s.Propose(nil), new(*InvalidStateError))
 }
--- a/internal/consensus/stalestore_test.go
+++ b/internal/consensus/stalestore_test.go
@@ -7,33 +7,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// When the processes of the other seats end and start again: between the copy of a store and its return.
+// When the processes of the other replicas stop and restart, between the copy of a store and its return.
 const (
 	atCopy       = "after the copy"
-	atNewEntries = "after more was agreed on"
-	atKill       = "after the seat's end"
+	atNewEntries = "after more entries were committed"
+	atKill       = "after the replica's process was killed"
 	atElection   = "after the next election"
 )
 
-// Which of them do.
+// Which of the other replicas restart.
 const (
-	noReplica   = "nobody"
-	nextReplica = "the next seat"
-	lastReplica = "the last seat"
+	noReplica   = "none"
+	nextReplica = "the next replica"
+	lastReplica = "the last replica"
 	oneByOne    = "both, one after the other"
 	allAtOnce   = "both at once"
 )
 
-// forgetting is an older store that comes back to a council of three, whose other seats start anew meanwhile.
+// staleStoreScenario is a stale store that returns to a group of three, whose other replicas restart meanwhile.
 type staleStoreScenario struct {
-	wasLeader, verified  bool // the seat with the older store led; processes that start anew need no others' word
+	wasLeader, verified  bool // the replica with the stale store was the leader; restarting processes need no confirmation
 	restartAt, restarted string
 }
 
-// play plays one and returns the process with the older store.
+// run runs the scenario and returns the cluster and the process with the stale store.
 func (f staleStoreScenario) run(t *testing.T, seed uint64) (*cluster, *process) {
 	const settle = 60 // ticks
-	cl := newNet(t, seed, 3)
+	cl := newCluster(t, seed, 3)
 	cl.commitEntry()
 	cl.awaitConverged()
 	id := cl.leader().id
@@ -67,7 +67,7 @@
 	restart(atNewEntries)
 	cl.ticks(settle) // heartbeats
 	cl.kill(cl.processOf(id))
-	cl.queue = nil // what it said last reaches nobody
+	cl.queue = nil // its last messages are lost
 	restart(atKill)
 	if f.restartAt == atElection {
 		cl.ticks(settle)
@@ -78,8 +78,9 @@
 	return cl, p
 }
 
-// TestAnOlderStoreIsRefusedWhileAnySeatRunsOnThatHeardOfIt: what the leader alone had heard went with its process.
-func TestAnOlderStoreIsRefusedWhileAnySeatRunsOnThatHeardOfIt(t *testing.T) {
+// What only the leader had observed was lost with its process, so that a stale store was accepted: observations must be
+// relayed to the other replicas.
+func TestAStaleStoreIsRefusedWhileAnyReplicaRunsThatKnowsOfIt(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
 		for _, restartAt := range []string{atCopy, atNewEntries, atKill, atElection} {
 			for _, restarted := range []string{noReplica, nextReplica, lastReplica, oneByOne, allAtOnce} {
@@ -88,8 +89,8 @@
 						f := staleStoreScenario{wasLeader, verified, restartAt, restarted}
 						cl, p := f.run(t, seed)
 						if restarted == allAtOnce && (restartAt == atKill || restartAt == atElection) {
-							assert.NoError(t, p.refused, "%+v: nobody is left who heard of it", f)
-							cl.commitEntry() // and nothing that was agreed on is lost: see net.drive
+							assert.NoError(t, p.refused, "%+v: no replica is left that knows of it", f)
+							cl.commitEntry() // and no committed entry is lost: see cluster.drive
 							cl.awaitConverged()
 							continue
 						}
--- a/internal/consensus/store/bench_test.go
+++ b/internal/consensus/store/bench_test.go
@@ -10,8 +10,8 @@
 	"lichenhitch/internal/consensus"
 )
 
-// BenchmarkAgree: three seats over three stores, one entry of 100 bytes agreed on after the other, with compaction.
-func BenchmarkAgree(b *testing.B) {
+// BenchmarkCommit commits entries of 100 bytes one after the other on three replicas with stores, with compaction.
+func BenchmarkCommit(b *testing.B) {
 	dir := b.TempDir()
 	var stores []*Store
 	var ids []consensus.ReplicaID
@@ -21,24 +21,24 @@
 		defer s.Close()
 		stores, ids = append(stores, s), append(ids, s.Identity().Replica)
 	}
-	seats := map[consensus.ReplicaID]*consensus.Replica{}
+	replicas := map[consensus.ReplicaID]*consensus.Replica{}
 	for _, id := range ids {
 		s, err := consensus.New(consensus.Options{Self: id, InitialVoters: ids, OpenCount: 1, RunID: 1, SnapshotEvery: 1000}, consensus.StoredState{})
 		require.NoError(b, err)
-		seats[id] = s
+		replicas[id] = s
 	}
 	applied, bytes := 0, 0
 	settle := func() {
 		for again := true; again; {
 			again = false
 			for i, id := range ids {
-				s := seats[id]
+				s := replicas[id]
 				for o, ok := s.Ready(); ok; o, ok = s.Ready() {
 					again = true
 					require.NoError(b, stores[i].Save(o.Save))
 					for _, m := range o.Send {
 						bytes += len(m.Raw)
-						require.NoError(b, seats[m.To].Step(m.Raw))
+						require.NoError(b, replicas[m.To].Step(m.Raw))
 					}
 					applied += len(o.Apply)
 					s.Advance(o)
@@ -52,9 +52,9 @@
 		}
 	}
 	settle()
-	lead := seats[ids[0]]
-	for !lead.Status().Leading {
-		lead.Tick()
+	leader := replicas[ids[0]]
+	for !leader.Status().Leading {
+		leader.Tick()
 		settle()
 	}
 	count := func() (n uint64) {
@@ -67,7 +67,7 @@
 	before := count()
 	data := make([]byte, 100)
 	for b.Loop() {
-		require.NoError(b, lead.Propose(data))
+		require.NoError(b, leader.Propose(data))
 		settle()
 	}
 	require.Equal(b, 3*b.N, applied)
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -22,11 +22,11 @@
 )
 
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // verdicts do not vary
+	_ = flag.Set("rapid.seed", "1") // makes verdicts reproducible
 	m.Run()
 }
 
-var node = Identity{Site: "s", Node: "n1"}
+var testNode = Identity{Site: "s", Node: "n1"}
 
 func entry(term, index uint64, size int) *raftpb.Entry {
 	data := make([]byte, size)
@@ -36,25 +36,25 @@
 	return &raftpb.Entry{Term: new(term), Index: new(index), Data: data, Type: raftpb.EntryType_EntryNormal.Enum()}
 }
 
-func hard(term, vote, commit uint64) *raftpb.HardState {
+func hardState(term, vote, commit uint64) *raftpb.HardState {
 	return &raftpb.HardState{Term: new(term), Vote: new(vote), Commit: new(commit)}
 }
 
-func snapshot(term, index uint64, book string) *raftpb.Snapshot {
-	return &raftpb.Snapshot{Data: []byte(book), Metadata: &raftpb.SnapshotMetadata{
+func snapshot(term, index uint64, state string) *raftpb.Snapshot {
+	return &raftpb.Snapshot{Data: []byte(state), Metadata: &raftpb.SnapshotMetadata{
 		Index: new(index), Term: new(term), ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}},
 	}}
 }
 
 func reopen(t testing.TB, path string) (*Store, consensus.StoredState) {
 	t.Helper()
-	s, d, err := Open(path, node)
+	s, d, err := Open(path, testNode)
 	require.NoError(t, err)
 	return s, d
 }
 
-// text is what a seat would start from.
-func text(d consensus.StoredState) string {
+// describe returns the state that a replica would start from, as text.
+func describe(d consensus.StoredState) string {
 	out := fmt.Sprintf("%v %v", d.HardState, d.Snapshot)
 	for _, e := range d.Entries {
 		out += fmt.Sprintf(" %d/%d/%x", e.GetTerm(), e.GetIndex(), e.Data)
@@ -62,68 +62,68 @@
 	return out
 }
 
-// The store gives back what a plain model in memory has, over any course of saves and openings.
-func TestStoreIsAsTheModel(t *testing.T) {
+// The store returns what a plain in-memory model holds, over any sequence of saves and openings.
+func TestStoreMatchesModel(t *testing.T) {
 	dir := t.TempDir()
 	runs := 0
 	rapid.Check(t, func(t *rapid.T) {
 		runs++
 		path := filepath.Join(dir, fmt.Sprint(runs))
-		s, _, err := Open(path, node)
+		s, _, err := Open(path, testNode)
 		require.NoError(t, err)
 		defer func() { _ = s.Close() }()
 		var log []*raftpb.Entry
-		h, snap, book := hard(1, 0, 1), uint64(1), snapshot(1, 1, "")
-		require.NoError(t, s.Save(consensus.WriteBatch{HardState: h, Snapshot: book, Replace: true}))
-		term, boots := uint64(1), uint64(1)
+		hard, snap, state := hardState(1, 0, 1), uint64(1), snapshot(1, 1, "")
+		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard, Snapshot: state, Replace: true}))
+		term, openCount := uint64(1), uint64(1)
 		last := func() uint64 { return snap + uint64(len(log)) }
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			v := consensus.WriteBatch{}
+			batch := consensus.WriteBatch{}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
-			case 0, 1: // append, from anywhere after the snapshot
+			case 0, 1: // append at any index after the snapshot
 				term++
 				from := rapid.Uint64Range(snap+1, last()+1).Draw(t, "from")
 				log = log[:from-snap-1]
 				for i := range rapid.Uint64Range(1, 5).Draw(t, "n") {
-					v.Entries = append(v.Entries, entry(term, from+i, 20))
+					batch.Entries = append(batch.Entries, entry(term, from+i, 20))
 				}
-				log = append(log, v.Entries...)
-				h = hard(term, 1, snap)
-				v.HardState = h
+				log = append(log, batch.Entries...)
+				hard = hardState(term, 1, snap)
+				batch.HardState = hard
 			case 2: // only the commit index moves
-				h = hard(term, h.GetVote(), last())
-				v.HardState = h
+				hard = hardState(term, hard.GetVote(), last())
+				batch.HardState = hard
 			case 3: // compaction
 				if len(log) > 0 {
 					at := rapid.Uint64Range(snap+1, last()).Draw(t, "at")
-					log, snap, book = log[at-snap:], at, snapshot(term, at, fmt.Sprint(at))
-					v.Snapshot, v.CompactTo = book, at-min(at, 2)
+					log, snap, state = log[at-snap:], at, snapshot(term, at, fmt.Sprint(at))
+					batch.Snapshot, batch.CompactTo = state, at-min(at, 2)
 				}
-			case 4: // from a leader
+			case 4: // snapshot from a leader
 				snap = last() + 3
-				log, book, h = nil, snapshot(term, snap, "leader's"), hard(term, 2, snap)
-				v = consensus.WriteBatch{HardState: h, Snapshot: book, Replace: true}
+				log, state, hard = nil, snapshot(term, snap, "leader's"), hardState(term, 2, snap)
+				batch = consensus.WriteBatch{HardState: hard, Snapshot: state, Replace: true}
 			}
-			require.NoError(t, s.Save(v))
+			require.NoError(t, s.Save(batch))
 			if rapid.Bool().Draw(t, "reopen") {
 				require.NoError(t, s.Close())
 				var d consensus.StoredState
-				s, d, err = Open(path, node)
+				s, d, err = Open(path, testNode)
 				require.NoError(t, err)
-				boots++
-				require.Equal(t, text(consensus.StoredState{HardState: h, Snapshot: book, Entries: log}), text(d))
-				require.Equal(t, boots, s.Identity().OpenCount)
+				openCount++
+				require.Equal(t, describe(consensus.StoredState{HardState: hard, Snapshot: state, Entries: log}), describe(d))
+				require.Equal(t, openCount, s.Identity().OpenCount)
 			}
 		}
 	})
 }
 
-func TestWhoseStoreItIs(t *testing.T) {
+func TestStoreIdentity(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a", "council.db")
 	s, _ := reopen(t, path)
 	original := s.Identity()
-	require.NoError(t, os.WriteFile(path+".new", []byte("of a start that did not come far"), 0o600))
-	_, _, err := Open(path, node)
+	require.NoError(t, os.WriteFile(path+".new", []byte("left by an interrupted start"), 0o600))
+	_, _, err := Open(path, testNode)
 	assert.ErrorAs(t, err, new(*InUseError))
 	require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(1, 1, "")}))
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
@@ -150,13 +150,13 @@
 	require.NoError(t, os.Remove(path))
 	s, _ = reopen(t, path)
 	empty := s.Identity()
-	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(3, 2, 0)}))
+	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hardState(3, 2, 0)}))
 	require.NoError(t, s.Close())
 	s, d = reopen(t, path)
 	assert.Equal(t, empty.Incarnation, s.Identity().Incarnation)
-	assert.NotEqual(t, empty.Replica, s.Identity().Replica, "a store that no snapshot came to may be one from before")
+	assert.NotEqual(t, empty.Replica, s.Identity().Replica, "a store without a snapshot may have been restored from before its replica was added")
 	assert.Equal(t, consensus.StoredState{}, d)
-	assert.NotEqual(t, original.Replica, s.Identity().Replica, "an empty store is another seat")
+	assert.NotEqual(t, original.Replica, s.Identity().Replica, "an empty store is another replica")
 	require.NoError(t, s.Close())
 }
 
@@ -167,34 +167,34 @@
 	require.NoError(t, os.WriteFile(to, b, 0o600))
 }
 
-func TestTheWitnessProvesTheStoreThatWasLeft(t *testing.T) {
+func TestWitnessVerifiesTheLatestStore(t *testing.T) {
 	dir := t.TempDir()
 	tmpfs, err := os.MkdirTemp("/dev/shm", "council")
 	if err != nil {
-		t.Skip("no file system in memory")
+		t.Skip("no in-memory file system")
 	}
 	defer os.RemoveAll(tmpfs)
-	path, withWitness := filepath.Join(dir, "db"), node
+	path, withWitness := filepath.Join(dir, "db"), testNode
 	withWitness.Witness = filepath.Join(tmpfs, "witness")
 	run := func(term uint64) bool {
 		s, _, err := Open(path, withWitness)
 		require.NoError(t, err)
-		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(term, 1, 1), Snapshot: snapshot(1, 1, "")}))
-		copyFile(t, path, path+".copy") // as it runs
-		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(term+1, 1, 0)}))
+		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hardState(term, 1, 1), Snapshot: snapshot(1, 1, "")}))
+		copyFile(t, path, path+".copy") // while the store is open
+		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hardState(term+1, 1, 0)}))
 		require.NoError(t, s.Close())
 		return s.Identity().Verified
 	}
-	assert.False(t, run(1), "nothing tells of it")
+	assert.False(t, run(1), "there is no witness yet")
 	assert.True(t, run(3))
 	require.NoError(t, os.Rename(path+".copy", path))
-	assert.False(t, run(5), "a copy that is behind")
+	assert.False(t, run(5), "a stale copy")
 	assert.True(t, run(7))
 	oldFile, err := os.ReadFile(path)
 	require.NoError(t, err)
 	assert.True(t, run(9))
 	require.NoError(t, os.WriteFile(path, oldFile, 0o600))
-	assert.False(t, run(11), "a copy of a store at rest, from before")
+	assert.False(t, run(11), "a stale copy of a closed store")
 	copyFile(t, path, path+".copy")
 	assert.True(t, run(12))
 	require.NoError(t, os.Rename(path+".copy", path))
@@ -205,36 +205,36 @@
 		require.NoError(t, err)
 		require.NoError(t, s.Close())
 	}
-	assert.False(t, run(12), "a copy that went its own way, and further")
+	assert.False(t, run(12), "a copy that diverged and has more transactions")
 	require.NoError(t, os.Remove(withWitness.Witness))
-	assert.False(t, run(13), "the machine has started anew")
+	assert.False(t, run(13), "the machine has rebooted")
 	withWitness.Witness = filepath.Join(dir, "witness")
 	_, _, err = Open(path, withWitness)
-	assert.ErrorAs(t, err, new(*WitnessError), "a copy of the folder would have it")
+	assert.ErrorAs(t, err, new(*WitnessError), "a copy of the folder would contain the witness")
 }
 
-// filled makes a store with some history, and returns its file and what it holds.
-func filledStore(t testing.TB) (path, holds string) {
+// filledStore creates a store with some history, and returns its path and contents.
+func filledStore(t testing.TB) (path, contents string) {
 	path = filepath.Join(t.TempDir(), "db")
 	s, _ := reopen(t, path)
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
 	for i := uint64(1); i <= 60; i++ {
-		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(i, 1, i-1), Entries: []*raftpb.Entry{entry(i, i, 300)}}))
+		require.NoError(t, s.Save(consensus.WriteBatch{HardState: hardState(i, 1, i-1), Entries: []*raftpb.Entry{entry(i, i, 300)}}))
 		if i%20 == 0 {
 			require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(i, i, "book"), CompactTo: i - 5}))
 		}
 	}
-	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(61, 1, 60), Entries: []*raftpb.Entry{entry(61, 61, 9000), entry(61, 62, 10)}}))
+	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hardState(61, 1, 60), Entries: []*raftpb.Entry{entry(61, 61, 9000), entry(61, 62, 10)}}))
 	require.NoError(t, s.Close())
 	s, d := reopen(t, path)
 	require.NoError(t, s.Close())
-	return path, fmt.Sprint(s.Identity().OpenCount+1, text(d))
+	return path, fmt.Sprint(s.Identity().OpenCount+1, describe(d))
 }
 
-// opens says what a damaged file opens as: an error that an operator can act on, or what it held.
+// openDamaged returns what a damaged file opens as: its contents, or an error that an operator can act on.
 func openDamaged(t testing.TB, path string) (string, error) {
 	t.Helper()
-	s, d, err := Open(path, node)
+	s, d, err := Open(path, testNode)
 	if err != nil {
 		var actionable interface{ Action() string }
 		require.ErrorAs(t, err, &actionable)
@@ -245,10 +245,10 @@
 	v, err := s.Get("rights", "k")
 	require.NoError(t, err)
 	require.Equal(t, "v", string(v))
-	return fmt.Sprint(s.Identity().OpenCount, text(d)), nil
+	return fmt.Sprint(s.Identity().OpenCount, describe(d)), nil
 }
 
-func TestACutFile(t *testing.T) {
+func TestTruncatedFile(t *testing.T) {
 	path, contents := filledStore(t)
 	b, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -258,14 +258,15 @@
 		require.NoError(t, os.WriteFile(truncated, b[:n], 0o600))
 		if got, err := openDamaged(t, truncated); err == nil {
 			opened++
-			require.Equal(t, contents, got, "cut to %d of %d bytes", n, len(b))
+			require.Equal(t, contents, got, "truncated to %d of %d bytes", n, len(b))
 		}
 	}
-	t.Logf("%d bytes, cut at %d places: %d open, with all that was held", len(b), len(b)/512, opened)
+	t.Logf("%d bytes, truncated at %d places: %d open, with all contents", len(b), len(b)/512, opened)
 }
 
-// A torn write leaves a sector of zeros, of another time, or of noise: what opens was held at some time, as a whole.
-func TestATornSector(t *testing.T) {
+// A torn write leaves a sector of zeros, of older data, or of noise. Whatever opens must be a state that was committed
+// as a whole.
+func TestTornSector(t *testing.T) {
 	path, contents := filledStore(t)
 	b, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -292,24 +293,25 @@
 			opened++
 			if got != contents {
 				rolledBack++
-				require.Less(t, n, 2*os.Getpagesize(), "only a meta page that is lost takes the file back by one transaction")
+				require.Less(t, n, 2*os.Getpagesize(), "only the loss of a meta page may roll the file back by one transaction")
 			}
 		}
 	}
-	t.Logf("%d places, 3 kinds: %d open, %d of them one transaction older", len(b)/512, opened, rolledBack)
+	t.Logf("%d places, 3 kinds of damage: %d open, %d of them one transaction older", len(b)/512, opened, rolledBack)
 }
 
-// A page that was never written leaves that of another time in its place: sound by itself, and its records too.
-func TestAPageOfAnotherTime(t *testing.T) {
+// A page write that never reached the disk leaves an older page in its place, which is valid by itself, as are its
+// records.
+func TestStalePage(t *testing.T) {
 	dir := t.TempDir()
 	path, mixed := filepath.Join(dir, "db"), filepath.Join(dir, "mixed")
-	var states []string
+	var contents []string
 	var files [][]byte
 	for i := uint64(1); i <= 12; i++ {
 		s, _ := reopen(t, path)
 		require.NoError(t, s.Put("rights", "k", []byte("v")))
 		for j := range uint64(3) {
-			require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(i, j, 1), Entries: []*raftpb.Entry{entry(i, 3*i+j, 900)}}))
+			require.NoError(t, s.Save(consensus.WriteBatch{HardState: hardState(i, j, 1), Entries: []*raftpb.Entry{entry(i, 3*i+j, 900)}}))
 		}
 		if i%4 == 1 {
 			require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(i, 3*i+1, "book"), CompactTo: 3 * i}))
@@ -320,7 +322,7 @@
 		require.NoError(t, os.WriteFile(mixed, b, 0o600))
 		s, d := reopen(t, mixed)
 		require.NoError(t, s.Close())
-		states, files = append(states, fmt.Sprint(i+1, text(d))), append(files, b)
+		contents, files = append(contents, fmt.Sprint(i+1, describe(d))), append(files, b)
 	}
 	page := os.Getpagesize()
 	opened, refused := 0, 0
@@ -335,33 +337,33 @@
 				continue
 			}
 			opened++
-			require.Equal(t, states[i], got, "file %d with page %d of the one before", i, at/page)
+			require.Equal(t, contents[i], got, "file %d with page %d of the previous file", i, at/page)
 		}
 	}
-	t.Logf("%d open with all that was held, %d refused", opened, refused)
+	t.Logf("%d open with all contents, %d refused", opened, refused)
 	assert.Positive(t, refused)
 }
 
-// A flipped bit outside the records, in what leads to them and in the heads of pages: what opens is whole, and stays so.
-func TestABitOutsideTheRecords(t *testing.T) {
+// Flips bits outside the records, in branch pages and in page headers. Whatever opens must be complete and stay so.
+func TestFlippedBitOutsideTheRecords(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "db")
 	s, _ := reopen(t, path)
 	require.NoError(t, s.Put("rights", "k", []byte("v")))
-	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
-	v := consensus.WriteBatch{}
+	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hardState(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
+	batch := consensus.WriteBatch{}
 	for i := uint64(2); i < 100; i++ {
-		v.Entries = append(v.Entries, entry(1, i, 300))
+		batch.Entries = append(batch.Entries, entry(1, i, 300))
 	}
-	require.NoError(t, s.Save(v))
+	require.NoError(t, s.Save(batch))
 	require.NoError(t, s.Close())
 	b, err := os.ReadFile(path)
 	require.NoError(t, err)
 	page, bad := os.Getpagesize(), filepath.Join(dir, "bad")
 	opened, refused := 0, 0
 	for at := 2 * page; at < len(b); at += page {
-		end := 16         // the page's head
-		if b[at+8] == 1 { // one of bbolt's branch pages
+		end := 16         // the page header
+		if b[at+8] == 1 { // a branch page of bbolt
 			end = 16 + 16*11 + 8*11
 		}
 		if b[at+8] == 0 {
@@ -371,7 +373,7 @@
 			c := append([]byte{}, b...)
 			c[at+n] ^= 4
 			require.NoError(t, os.WriteFile(bad, c, 0o600))
-			s, d, err := Open(bad, node)
+			s, d, err := Open(bad, testNode)
 			if err != nil {
 				require.ErrorAs(t, err, new(*DamagedError))
 				refused++
@@ -386,16 +388,16 @@
 			require.NoError(t, s.Close())
 		}
 	}
-	t.Logf("%d open and go on, %d refused", opened, refused)
+	t.Logf("%d open and stay usable, %d refused", opened, refused)
 	assert.Positive(t, refused)
 }
 
-func TestAWriteThatFailsIsTheEnd(t *testing.T) {
+func TestFailedWriteStopsTheStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "db")
 	s, _ := reopen(t, path)
-	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hard(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
+	require.NoError(t, s.Save(consensus.WriteBatch{HardState: hardState(1, 1, 1), Snapshot: snapshot(1, 1, "")}))
 	require.NoError(t, s.Close())
-	s, _, err := open(path, node, bbolt.Options{MaxSize: 64 << 10})
+	s, _, err := open(path, testNode, bbolt.Options{MaxSize: 64 << 10})
 	require.NoError(t, err)
 	i := uint64(2)
 	for ; err == nil; i++ {
@@ -403,18 +405,18 @@
 	}
 	var full *WriteError
 	require.ErrorAs(t, err, &full)
-	assert.ErrorAs(t, s.Save(consensus.WriteBatch{Entries: []*raftpb.Entry{entry(1, i-1, 1)}}), &full, "it takes no more")
+	assert.ErrorAs(t, s.Save(consensus.WriteBatch{Entries: []*raftpb.Entry{entry(1, i-1, 1)}}), &full, "the store accepts no more writes")
 	assert.ErrorAs(t, s.Put("a", "b", []byte("c")), &full)
 	require.NoError(t, s.Close())
 	_, d := reopen(t, path)
-	assert.Len(t, d.Entries, int(i-3), "all that was said to be saved, and nothing else")
+	assert.Len(t, d.Entries, int(i-3), "exactly the entries whose save succeeded")
 }
 
-// The operating system refuses to let the file grow, in a process of its own.
-func TestADiskThatIsFull(t *testing.T) {
+// The operating system refuses to let the file grow. Runs in a separate process, since it sets a resource limit.
+func TestFullDisk(t *testing.T) {
 	if path := os.Getenv("COUNCIL_STORE_FULL"); path != "" {
 		signal.Ignore(syscall.SIGXFSZ)
-		s, _, err := Open(path, node)
+		s, _, err := Open(path, testNode)
 		require.NoError(t, err)
 		require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(1, 1, "")}))
 		require.NoError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 100 << 10, Max: 100 << 10}))
@@ -423,12 +425,12 @@
 			err = s.Save(consensus.WriteBatch{Entries: []*raftpb.Entry{entry(1, i, 5000)}})
 		}
 		require.ErrorAs(t, err, new(*WriteError))
-		require.ErrorContains(t, err, syscall.EFBIG.Error()) // bbolt does not wrap it
+		require.ErrorContains(t, err, syscall.EFBIG.Error()) // bbolt does not wrap the error
 		fmt.Printf("saved=%d\n", i-3)
 		return
 	}
 	path := filepath.Join(t.TempDir(), "db")
-	c := exec.Command(os.Args[0], "-test.run=^TestADiskThatIsFull$")
+	c := exec.Command(os.Args[0], "-test.run=^TestFullDisk$")
 	c.Env = append(os.Environ(), "COUNCIL_STORE_FULL="+path)
 	out, err := c.CombinedOutput()
 	require.NoError(t, err, string(out))
@@ -442,15 +444,15 @@
 
 func TestSizeStaysBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "db")
-	s, _, err := open(path, node, bbolt.Options{NoSync: true})
+	s, _, err := open(path, testNode, bbolt.Options{NoSync: true})
 	require.NoError(t, err)
 	var at10k int64
 	for i := uint64(1); i <= 30000; i += 10 {
-		v := consensus.WriteBatch{HardState: hard(1, 1, i-1)}
+		batch := consensus.WriteBatch{HardState: hardState(1, 1, i-1)}
 		for j := range uint64(10) {
-			v.Entries = append(v.Entries, entry(1, i+j, 200))
+			batch.Entries = append(batch.Entries, entry(1, i+j, 200))
 		}
-		require.NoError(t, s.Save(v))
+		require.NoError(t, s.Save(batch))
 		if (i+9)%1000 == 0 {
 			require.NoError(t, s.Save(consensus.WriteBatch{Snapshot: snapshot(1, i+9, string(make([]byte, 10000))), CompactTo: i + 9 - 250}))
 		}
@@ -468,5 +470,5 @@
 	defer s.Close()
 	assert.Empty(t, d.Entries)
 	assert.Equal(t, uint64(30000), d.Snapshot.Metadata.GetIndex())
-	assert.True(t, proto.Equal(hard(1, 1, 29990), d.HardState), d.HardState)
+	assert.True(t, proto.Equal(hardState(1, 1, 29990), d.HardState), d.HardState)
 }
