--- a/internal/consensus/chunks_test.go
+++ b/internal/consensus/chunks_test.go
@@ -26,9 +26,9 @@
 // receiver's state; the last one must arrive once the network is reliable.
 func TestLongMessagesArriveWhole(t *testing.T) {
 	type inTransit struct {
-		at time.Duration
-		p  *Chunk
-		h  *ChunkAck
+		at    time.Duration
+		chunk *Chunk
+		ack   *ChunkAck
 	}
 	arrived, dropped := 0, 0
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
@@ -70,7 +70,7 @@
 			}
 			receiver.Expire(now)
 			if p, n := sender.Next(now); p != nil {
-				transmit(now, inTransit{p: p}, lossy)
+				transmit(now, inTransit{chunk: p}, lossy)
 			} else if n > 0 {
 				dropped++
 			}
@@ -81,18 +81,18 @@
 				}
 				network = append(network[:i:i], network[i+1:]...)
 				i--
-				if packet.h != nil {
-					sender.Ack(*packet.h)
+				if packet.ack != nil {
+					sender.Ack(*packet.ack)
 					continue
 				}
-				whole, ack := receiver.Receive(now, *packet.p)
+				whole, ack := receiver.Receive(now, *packet.chunk)
 				if whole != nil {
 					mark := whole[0]
 					require.True(t, bytes.Equal(whole, longMessage((len(whole)+7)/chunkBytes, mark)), "the reassembled message differs from what was sent")
 					received[mark]++
 					arrived++
 				}
-				transmit(now, inTransit{h: &ack}, lossy)
+				transmit(now, inTransit{ack: &ack}, lossy)
 			}
 		}
 		assert.Equal(t, 1, received[last], "the last message has not arrived exactly once")
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -36,11 +36,11 @@
 type Identity struct {
 	Site, Node  string
 	Incarnation uint64 // random, chosen when the store is created
-	// ReplicaIncarnation is random too, and Replica is derived from it. A store that has no snapshot yet gets a new one
-	// at every opening: it cannot be told from a store that was restored from before its replica was added, and with a
-	// new ID it is no member of the group.
+	// ReplicaIncarnation is random too, and Replica is derived from it. A store that has no snapshot yet, and that
+	// no witness verifies, gets a new one at every opening: it cannot be told from a store that was restored from before
+	// its replica was added, and with a new ID it is no member of the group.
 	ReplicaIncarnation uint64
-	OpenCount          uint64 // how often the store has been opened, this time included
+	OpenCount          uint64 // how often the store has been opened, from 1
 	RunID              uint64 // random, chosen at this opening
 	Replica            consensus.ReplicaID
 	// Witness is given by the caller: a file on an in-memory file system, which no copy of a disk restores. As long as
