--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -35,8 +35,8 @@
 	Data  []byte // as proposed; the empty entries that raft adds itself are not delivered
 }
 
-// ReplicaID is a replica's raft ID; 0 means none. It is derived from the node's name and the incarnation of its store,
-// so a replica that comes back with another store has a new ID and must be added to the group again.
+// ReplicaID is a replica's raft ID; 0 means none. It is derived from the node's name and the replica incarnation of its
+// store, so a replica that comes back with another store has a new ID and must be added to the group again.
 type ReplicaID uint64
 
 // Options configure a replica.
@@ -66,7 +66,7 @@
 // WriteBatch must be made durable atomically before the messages of the same Output are sent.
 type WriteBatch struct {
 	HardState *raftpb.HardState
-	Snapshot  *raftpb.Snapshot // replaces the previous one; if Replace is set, entries up to its index are deleted
+	Snapshot  *raftpb.Snapshot // replaces the previous one
 	Entries   []*raftpb.Entry  // replace all entries from the first one's index on
 	Replace   bool             // the snapshot came from a leader: all earlier entries are deleted
 	CompactTo uint64           // entries up to this index may be deleted
@@ -109,8 +109,8 @@
 	Term        uint64
 	Applied     uint64
 	Committed   uint64
-	Voters      []ReplicaID // in ascending order; while Unconfirmed, as reported by the other replicas
-	Learners    []ReplicaID // learners, in ascending order
+	Voters      []ReplicaID // in ascending order; while Unconfirmed, as reported by replicas that know more
+	Learners    []ReplicaID // without a vote, in ascending order
 	SnapshotDue bool        // a snapshot is due: call Compact(Applied, state)
 	Unconfirmed bool        // waiting for the other replicas to confirm that its store is not stale
 	Behind      bool        // its log has not caught up with theirs yet: it does not campaign, and votes only for replicas that have caught up
--- a/internal/consensus/peertable.go
+++ b/internal/consensus/peertable.go
@@ -39,7 +39,7 @@
 //
 // So even a stale store that no other replica remembers does no harm. All replicas may restart at once: each answers
 // while it is unconfirmed, and one round later all take part. A process that restarts while its machine keeps running
-// needs no confirmation: a witness file in memory vouches for its store (Options.StoreVerified, package store). If a
+// needs no confirmation: a witness file in memory verifies its store (Options.StoreVerified, package store). If a
 // machine reboots while one of three replicas is down, its replica waits for that one, or until an operator confirms
 // that the store is current (ConfirmStore).
 //
