--- /dev/null
+++ b/internal/consensus/race_test.go
@@ -0,0 +1,5 @@
+//go:build race
+
+package consensus
+
+const raceEnabled = true
--- a/internal/council/store/bench_test.go
+++ b/internal/consensus/store/bench_test.go
@@ -7,43 +7,43 @@
 
 	"github.com/stretchr/testify/require"
 
-	"lichenhitch/internal/council"
+	"lichenhitch/internal/consensus"
 )
 
-// BenchmarkAgree: three seats over three stores, one entry of 100 bytes agreed on after the other, with compaction.
-func BenchmarkAgree(b *testing.B) {
+// BenchmarkCommit commits entries of 100 bytes one after the other on three replicas with stores, with compaction.
+func BenchmarkCommit(b *testing.B) {
 	dir := b.TempDir()
 	var stores []*Store
-	var ids []council.SeatID
+	var ids []consensus.ReplicaID
 	for _, name := range []string{"a", "b", "c"} {
 		s, _, err := Open(filepath.Join(dir, name), Identity{Site: "s", Node: name})
 		require.NoError(b, err)
 		defer s.Close()
-		stores, ids = append(stores, s), append(ids, s.Identity().Seat)
+		stores, ids = append(stores, s), append(ids, s.Identity().Replica)
 	}
-	seats := map[council.SeatID]*council.Seat{}
+	replicas := map[consensus.ReplicaID]*consensus.Replica{}
 	for _, id := range ids {
-		s, err := council.New(council.Options{Self: id, Seats: ids, Boot: 1, Run: 1, SnapshotEvery: 1000}, council.Durable{})
+		s, err := consensus.New(consensus.Options{Self: id, InitialVoters: ids, OpenCount: 1, RunID: 1, SnapshotEvery: 1000}, consensus.StoredState{})
 		require.NoError(b, err)
-		seats[id] = s
+		replicas[id] = s
 	}
 	applied, bytes := 0, 0
 	settle := func() {
 		for again := true; again; {
 			again = false
 			for i, id := range ids {
-				s := seats[id]
+				s := replicas[id]
 				for o, ok := s.Ready(); ok; o, ok = s.Ready() {
 					again = true
 					require.NoError(b, stores[i].Save(o.Save))
 					for _, m := range o.Send {
 						bytes += len(m.Raw)
-						require.NoError(b, seats[m.To].Step(m.Raw))
+						require.NoError(b, replicas[m.To].Step(m.Raw))
 					}
 					applied += len(o.Apply)
-					s.Done(o)
+					s.Advance(o)
 				}
-				if st := s.Status(); st.Compact {
+				if st := s.Status(); st.SnapshotDue {
 					v, err := s.Compact(st.Applied, make([]byte, 10_000))
 					require.NoError(b, err)
 					require.NoError(b, stores[i].Save(v))
@@ -52,14 +52,14 @@
 		}
 	}
 	settle()
-	lead := seats[ids[0]]
-	for !lead.Status().Leading {
-		lead.Tick()
+	leader := replicas[ids[0]]
+	for !leader.Status().Leading {
+		leader.Tick()
 		settle()
 	}
 	count := func() (n uint64) {
 		for _, s := range stores {
-			n += s.count
+			n += s.transactions
 		}
 		return n
 	}
@@ -67,7 +67,7 @@
 	before := count()
 	data := make([]byte, 100)
 	for b.Loop() {
-		require.NoError(b, lead.Propose(data))
+		require.NoError(b, leader.Propose(data))
 		settle()
 	}
 	require.Equal(b, 3*b.N, applied)
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -14,8 +14,8 @@
 	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
-	"lichenhitch/internal/council"
-	"lichenhitch/internal/council/store"
+	"lichenhitch/internal/consensus"
+	"lichenhitch/internal/consensus/store"
 	"lichenhitch/internal/peer"
 	"lichenhitch/internal/peer/peerpb"
 	"lichenhitch/internal/site"
@@ -71,7 +71,7 @@
 func Start(log *slog.Logger, s *site.Site, loop Loop, traffic Traffic, wait time.Duration, links int) (*Thread, error) {
 	t := &Thread{log: log, site: s, tick: s.Tick, loop: loop, traffic: traffic, peers: map[string]*peer.Client{},
 		inbox: make(chan func(), waiting), stop: make(chan struct{}), stopped: make(chan struct{})}
-	var durable council.Durable
+	var durable consensus.StoredState
 	var err error
 	t.store, durable, err = store.Open(filepath.Join(s.Store, "council.db"), store.Identity{Site: s.Own.Name, Node: s.Node,
 		Witness: s.Witness})
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	who := t.store.Identity()
-	t.core, err = New(loop.Now(), Options{Site: s, Life: who.SeatLife, Boot: who.Boot, Run: who.Run, Proven: who.Proven,
+	t.core, err = New(loop.Now(), Options{Site: s, Life: who.ReplicaIncarnation, Boot: who.OpenCount, Run: who.RunID, Proven: who.Verified,
 		Durable: durable, Saved: saved, Kept: kept, Check: traffic.Check, Wait: wait}, t)
 	if err != nil {
 		t.store.Close()
@@ -103,7 +103,7 @@
 		t.store.Close()
 		return nil, err
 	}
-	log.Info("open to peers", "listen", t.server.Addr(), "site", s.Own.Name, "seat", s.Seat, "store", s.Store, "boot", who.Boot)
+	log.Info("open to peers", "listen", t.server.Addr(), "site", s.Own.Name, "seat", s.Seat, "store", s.Store, "boot", who.OpenCount)
 	go t.run()
 	return t, nil
 }
@@ -152,7 +152,7 @@
 // election's time and leaveWithin. A thread that is stuck is left behind: its store stays locked until the process ends.
 func (t *Thread) Stop() {
 	t.once.Do(func() {
-		t.leave(min(council.ElectionTicks*t.tick, leaveWithin))
+		t.leave(min(consensus.ElectionTicks*t.tick, leaveWithin))
 		t.server.Close()
 		close(t.stop)
 		late := time.NewTimer(stopWithin)
@@ -244,7 +244,7 @@
 // ---- Env ----
 
 // Save implements Env.
-func (t *Thread) Save(s council.Save) error { return t.store.Save(s) }
+func (t *Thread) Save(s consensus.WriteBatch) error { return t.store.Save(s) }
 
 // Keep implements Env.
 func (t *Thread) Keep(s rights.Saved) error {
@@ -273,7 +273,7 @@
 func (t *Thread) GoBy(p Policy) { t.policy.hand(p, t.loop, t.traffic.GoBy) }
 
 // Refused implements Env.
-func (t *Thread) Refused(why string) error { return t.store.Refuse(why) }
+func (t *Thread) Refused(why string) error { return t.store.MarkRefused(why) }
 
 // SendRaft implements Env.
 func (t *Thread) SendRaft(seat string, q *peerpb.RaftRequest) {
--- a/internal/council/norace_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !race
-
-package council
-
-const racing = false
