--- a/cmd/lichenhitch/affairs.go
+++ b/cmd/lichenhitch/affairs.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/control"
 	"lichenhitch/internal/council/store"
 	"lichenhitch/internal/site"
@@ -37,7 +37,7 @@
 	if err != nil {
 		return fmt.Errorf("site file: %w", err)
 	}
-	n.loop.Call(func() { n.core.Bind(rights.Verdict{All: true}) })
+	n.loop.Call(func() { n.core.Bind(sendlease.Verdict{All: true}) })
 	if n.shared.Preceded(n.number) {
 		go n.succeed(s)
 		return nil
--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -5,8 +5,8 @@
 	"reflect"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/config"
 	"lichenhitch/internal/control"
 	"lichenhitch/internal/life"
@@ -37,7 +37,7 @@
 var _ control.Traffic = traffic{}
 
 // Bind implements control.Traffic.
-func (t traffic) Bind(v rights.Verdict) { t.core.Bind(v) }
+func (t traffic) Bind(v sendlease.Verdict) { t.core.Bind(v) }
 
 // GoBy implements control.Traffic.
 func (t traffic) GoBy(p control.Policy) {
--- a/internal/choice/census/census.go
+++ b/internal/choice/hostview/hostview.go
@@ -1,4 +1,4 @@
-// Package census settles what the council of a site knows of its hosts: each node tells its leader what its own list of
+// Package hostview settles what the council of a site knows of its hosts: each node tells its leader what its own list of
 // hosts and its own traffic say, and the leader merges what the nodes said lately. It is pure: events and the time in,
 // views out.
 //
@@ -28,7 +28,7 @@
 //	    somebody names them.
 //	C8  Silence takes no group from its homes: what a member named last counts until it tells otherwise or is no member, and while
 //	    a member has told this leader nothing, the groups that were said before stay.
-package census
+package hostview
 
 import (
 	"math"
--- a/internal/choice/census/merge.go
+++ b/internal/choice/hostview/merge.go
@@ -1,4 +1,4 @@
-package census
+package hostview
 
 import (
 	"maps"
--- a/internal/choice/rights/property_test.go
+++ b/internal/choice/sendlease/property_test.go
@@ -1,4 +1,4 @@
-package rights
+package sendlease
 
 import (
 	"fmt"
--- a/internal/choice/rights/rights.go
+++ b/internal/choice/sendlease/sendlease.go
@@ -1,4 +1,4 @@
-// Package rights decides who may send what: a node's right to send is a lease from its site's council. Holder is the
+// Package sendlease decides who may send what: a node's right to send is a lease from its site's council. Holder is the
 // node's side of it, Table that of the council's leader. Both are pure: a time of the caller's own monotonic clock and
 // an event in, a new state and what to do out; no I/O, no clock, nothing started.
 //
@@ -28,7 +28,7 @@
 //   - The store gives back what was last made durable, or nothing. One that gives back something older breaks R2 until the
 //     node's next answer: copies of a node's store are not to be put back.
 //   - The loop places nothing before it has its first verdict.
-package rights
+package sendlease
 
 import "time"
 
--- a/internal/choice/turns/book.go
+++ b/internal/choice/turns/book.go
@@ -9,7 +9,7 @@
 	"time"
 	"unicode/utf8"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 )
 
 const (
@@ -25,11 +25,11 @@
 	hosts    []entry  // sorted by id; replaced whole
 	members  []string // sorted; replaced whole
 	dead     []string // sorted, of the members
-	bans     []rights.Out
-	turns    []*Turn          // not over, sorted by id
-	over     []*Turn          // the last ones, in the order in which they ended
-	horizons []rights.Horizon // by version; the last is the one committed last
-	acks     []Ack            // sorted by node, of the members
+	bans     []sendlease.Out
+	turns    []*Turn             // not over, sorted by id
+	over     []*Turn             // the last ones, in the order in which they ended
+	horizons []sendlease.Horizon // by version; the last is the one committed last
+	acks     []Ack               // sorted by node, of the members
 }
 
 // entry is a host and the step of its worth, which moves only when the worth has moved well beyond it.
@@ -75,9 +75,9 @@
 }
 
 // Horizon returns the one that was committed last.
-func (b *Book) Horizon() rights.Horizon {
+func (b *Book) Horizon() sendlease.Horizon {
 	if len(b.horizons) == 0 {
-		return rights.Horizon{}
+		return sendlease.Horizon{}
 	}
 	return b.horizons[len(b.horizons)-1]
 }
@@ -100,7 +100,7 @@
 // Outs returns the hosts that nothing new goes to, sorted: not one whose work is done and that is in service again, which
 // gets warm by what it is sent, and counts until it is. The round is that of the turn, or the index of the log that
 // brought the ban where no turn has taken the host out.
-func (b *Book) Outs() []rights.Out {
+func (b *Book) Outs() []sendlease.Out {
 	outs := slices.Clone(b.bans)
 	for _, t := range b.turns {
 		if !t.Phase.Out() || t.Serves {
@@ -109,7 +109,7 @@
 		if i, banned := searchOut(outs, t.Host); banned {
 			outs[i].Round = t.Round
 		} else {
-			outs = slices.Insert(outs, i, rights.Out{Host: t.Host, Round: t.Round})
+			outs = slices.Insert(outs, i, sendlease.Out{Host: t.Host, Round: t.Round})
 		}
 	}
 	return outs
@@ -500,7 +500,7 @@
 			b.enter(t, Returning)
 		}
 	case c.Horizon != nil:
-		b.horizons = append(b.horizons, rights.Horizon{Version: c.Horizon.Version, Hosts: list(c.Horizon.Hosts)})
+		b.horizons = append(b.horizons, sendlease.Horizon{Version: c.Horizon.Version, Hosts: list(c.Horizon.Hosts)})
 		b.forgetHorizons()
 	case c.Ack != nil:
 		b.takeAck(*c.Ack)
@@ -539,7 +539,7 @@
 		}
 	}
 	b.hosts = hosts
-	var bans []rights.Out
+	var bans []sendlease.Out
 	for _, e := range hosts {
 		if !e.Banned {
 			continue
@@ -548,7 +548,7 @@
 		if i, before := searchOut(b.bans, e.ID); before {
 			round = b.bans[i].Round
 		}
-		bans = append(bans, rights.Out{Host: e.ID, Round: round})
+		bans = append(bans, sendlease.Out{Host: e.ID, Round: round})
 	}
 	b.bans = bans
 	for _, t := range slices.Clone(b.turns) {
@@ -596,7 +596,7 @@
 func (b *Book) forgetHorizons() {
 	late := len(b.horizons) - keptHorizons
 	i := 0
-	b.horizons = slices.DeleteFunc(b.horizons, func(h rights.Horizon) bool {
+	b.horizons = slices.DeleteFunc(b.horizons, func(h sendlease.Horizon) bool {
 		i++
 		return i <= late && !slices.ContainsFunc(b.acks, func(a Ack) bool { return a.Version == h.Version })
 	})
@@ -639,8 +639,8 @@
 	return slices.BinarySearchFunc(b.hosts, id, func(e entry, id string) int { return strings.Compare(e.ID, id) })
 }
 
-func searchOut(outs []rights.Out, host string) (int, bool) {
-	return slices.BinarySearchFunc(outs, host, func(o rights.Out, host string) int { return strings.Compare(o.Host, host) })
+func searchOut(outs []sendlease.Out, host string) (int, bool) {
+	return slices.BinarySearchFunc(outs, host, func(o sendlease.Out, host string) int { return strings.Compare(o.Host, host) })
 }
 
 // host returns a host by its id.
@@ -669,10 +669,10 @@
 }
 
 // horizon returns one by its version.
-func (b *Book) horizon(version uint64) (rights.Horizon, bool) {
-	i, found := slices.BinarySearchFunc(b.horizons, version, func(h rights.Horizon, v uint64) int { return cmp.Compare(h.Version, v) })
+func (b *Book) horizon(version uint64) (sendlease.Horizon, bool) {
+	i, found := slices.BinarySearchFunc(b.horizons, version, func(h sendlease.Horizon, v uint64) int { return cmp.Compare(h.Version, v) })
 	if !found {
-		return rights.Horizon{}, false
+		return sendlease.Horizon{}, false
 	}
 	return b.horizons[i], true
 }
--- a/internal/choice/turns/state.go
+++ b/internal/choice/turns/state.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 )
 
 // version is that of the snapshot's form. One of another form is not read.
@@ -17,18 +17,18 @@
 // file is a book as it is written: lists sorted, those that are empty left out, so that equal books give equal bytes. End
 // is last: a snapshot that was cut lacks it.
 type file struct {
-	Version  int              `json:"version"`
-	At       time.Duration    `json:"at"`
-	Limits   Limits           `json:"limits"`
-	Hosts    []entry          `json:"hosts,omitempty"`
-	Members  []string         `json:"members,omitempty"`
-	Dead     []string         `json:"dead,omitempty"`
-	Bans     []rights.Out     `json:"bans,omitempty"`
-	Turns    []*Turn          `json:"turns,omitempty"`
-	Over     []*Turn          `json:"over,omitempty"`
-	Horizons []rights.Horizon `json:"horizons,omitempty"`
-	Acks     []Ack            `json:"acks,omitempty"`
-	End      bool             `json:"end"`
+	Version  int                 `json:"version"`
+	At       time.Duration       `json:"at"`
+	Limits   Limits              `json:"limits"`
+	Hosts    []entry             `json:"hosts,omitempty"`
+	Members  []string            `json:"members,omitempty"`
+	Dead     []string            `json:"dead,omitempty"`
+	Bans     []sendlease.Out     `json:"bans,omitempty"`
+	Turns    []*Turn             `json:"turns,omitempty"`
+	Over     []*Turn             `json:"over,omitempty"`
+	Horizons []sendlease.Horizon `json:"horizons,omitempty"`
+	Acks     []Ack               `json:"acks,omitempty"`
+	End      bool                `json:"end"`
 }
 
 // Encode returns the book as a snapshot. Equal books give equal bytes.
@@ -76,5 +76,5 @@
 		ids(len(f.Bans), func(i int) string { return f.Bans[i].Host }) &&
 		ids(len(f.Turns), func(i int) string { return f.Turns[i].ID }) &&
 		ids(len(f.Acks), func(i int) string { return f.Acks[i].Node }) &&
-		slices.IsSortedFunc(f.Horizons, func(x, y rights.Horizon) int { return cmp.Compare(x.Version, y.Version) })
+		slices.IsSortedFunc(f.Horizons, func(x, y sendlease.Horizon) int { return cmp.Compare(x.Version, y.Version) })
 }
--- a/internal/choice/turns/turns_test.go
+++ b/internal/choice/turns/turns_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 )
 
 // council applies commands one after the other.
@@ -256,7 +256,7 @@
 	cmd, _ := c.b.Next(c.now)
 	require.Equal(t, &Widen{Version: 1, Hosts: []string{"h0"}}, cmd.Horizon)
 	c.settle()
-	assert.Equal(t, []rights.Out{{Host: "h0", Round: c.turn("t0").Round}, {Host: "h1", Round: c.turn("t1").Round}}, c.b.Outs())
+	assert.Equal(t, []sendlease.Out{{Host: "h0", Round: c.turn("t0").Round}, {Host: "h1", Round: c.turn("t1").Round}}, c.b.Outs())
 	last := c.b.Horizon()
 	assert.Equal(t, []string{"h0", "h1"}, last.Hosts)
 	c.refused(LacksOut, widen(last.Version+1, []string{"h0", "h2"}))
@@ -517,11 +517,11 @@
 			ban(true)
 			round := c.index
 			ban(true)
-			assert.Equal(t, []rights.Out{{Host: "h0", Round: round}}, c.b.Outs())
+			assert.Equal(t, []sendlease.Out{{Host: "h0", Round: round}}, c.b.Outs())
 		}
 		c.settle()
 		ban(true)
-		assert.Equal(t, []rights.Out{{Host: "h0", Round: c.turn("t0").Round}}, c.b.Outs())
+		assert.Equal(t, []sendlease.Out{{Host: "h0", Round: c.turn("t0").Round}}, c.b.Outs())
 		c.grant("t0")
 		c.do(begin("t0"))
 		ban(banFirst) // else the ban ends before the work
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -15,9 +15,9 @@
 	"strings"
 	"time"
 
-	"lichenhitch/internal/choice/census"
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/hostview"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/council"
@@ -29,14 +29,14 @@
 // given is durable; their errors stop the control of this node, never its traffic.
 type Env interface {
 	Save(council.Save) error
-	Keep(rights.Saved) error
+	Keep(sendlease.Saved) error
 	Refused(why string) error                      // the store is to remember that its seat takes no part any more
 	SendRaft(seat string, q *peerpb.RaftRequest)   // answered by Core.RaftReplied, or never
 	SendRenew(seat string, q *peerpb.RenewRequest) // answered by Core.Renewed, or never
 	// SendReplay is answered by Core.Replayed; what is not answered within a time is given up.
 	SendReplay(seat string, call uint64, within time.Duration, q *peerpb.ReplayRequest)
 	KeepPolicy(Kept) error          // durable as Keep is
-	Bind(rights.Verdict)            // for the loop
+	Bind(sendlease.Verdict)         // for the loop
 	GoBy(Policy)                    // for the loop
 	Tell(event string, args ...any) // for the log: key and value by turns
 }
@@ -55,13 +55,13 @@
 
 // Report is what the loop last told, whole.
 type Report struct {
-	Taken   rights.Verdict // that the loop goes by
-	Clear   []rights.Out   // hosts that nothing new of this node goes to
-	Look    *census.Look   // at the hosts; nil: it has not looked anew
-	Under   rollout.Hash   // the policy that the loop goes by; "": the settings as they are
-	Asked   rollout.Hash   // the one that GoBy asked for last, whether or not it fitted
-	Retuned uint64         // how often the settings as read have changed since the start
-	Counted []Counted      // since the last report that was taken, by policy, the present one last
+	Taken   sendlease.Verdict // that the loop goes by
+	Clear   []sendlease.Out   // hosts that nothing new of this node goes to
+	Look    *hostview.Look    // at the hosts; nil: it has not looked anew
+	Under   rollout.Hash      // the policy that the loop goes by; "": the settings as they are
+	Asked   rollout.Hash      // the one that GoBy asked for last, whether or not it fitted
+	Retuned uint64            // how often the settings as read have changed since the start
+	Counted []Counted         // since the last report that was taken, by policy, the present one last
 }
 
 // Options is what a Core is made of.
@@ -72,7 +72,7 @@
 	Run     uint64             // of this process, drawn at random
 	Proven  bool               // the store is known to be as the last process left it
 	Durable council.Durable    // what the store had of the council's log
-	Saved   rights.Saved       // and of the node's right
+	Saved   sendlease.Saved    // and of the node's right
 	Kept    Kept               // and of policies
 	Check   func(Policy) error // whether one fits the node's settings; see Traffic
 	Wait    time.Duration      // before the first question: an earlier process of the node may act on its right for so long
@@ -124,8 +124,8 @@
 	others map[string]*other // the other seats, by node
 	parts  map[string]*partly
 	ticks  uint64
-	holder *rights.Holder
-	table  *rights.Table
+	holder *sendlease.Holder
+	table  *sendlease.Table
 	book   *turns.Book
 	seats
 	report Report
@@ -153,7 +153,7 @@
 	firstAt   time.Duration            // no question before
 	askAt     time.Duration            // when to ask for the right again
 	asked     []string                 // seats that were, since the last time
-	said      rights.Question          // the last one
+	said      sendlease.Question       // the last one
 	tries     int                      // renewals since the last answer
 	inflight  map[uint64]time.Duration // proposals of the leader's own: since when
 	acking    map[string]turns.Ack     // the last that was proposed, by node
@@ -173,8 +173,8 @@
 
 // New returns the control of a node at a time. The loop is bound at once: by what the store had, with no right yet.
 func New(now time.Duration, o Options, env Env) (*Core, error) {
-	c := &Core{Options: o, env: env, holder: rights.NewHolder(o.Site.Rights, o.Site.Node, o.Saved),
-		table: rights.NewTable(o.Site.Rights), book: turns.New(), inflight: map[uint64]time.Duration{},
+	c := &Core{Options: o, env: env, holder: sendlease.NewHolder(o.Site.Rights, o.Site.Node, o.Saved),
+		table: sendlease.NewTable(o.Site.Rights), book: turns.New(), inflight: map[uint64]time.Duration{},
 		acking: map[string]turns.Ack{}, reads: map[uint64][]question{}, waiters: map[uint64]waiter{},
 		hosts: newSight(now), others: map[string]*other{}, parts: map[string]*partly{}, firstAt: now + o.Wait, askAt: now + o.Wait,
 		reach: newReach(0)}
@@ -397,10 +397,10 @@
 	c.tries = 0
 	c.toldHosts(now, r)
 	c.answered(r)
-	a := rights.Answer{Seq: r.Seq, Applied: r.Applied, Recorded: r.Recorded,
-		Horizon: rights.Horizon{Version: r.HorizonVersion, Hosts: r.HorizonHosts}}
+	a := sendlease.Answer{Seq: r.Seq, Applied: r.Applied, Recorded: r.Recorded,
+		Horizon: sendlease.Horizon{Version: r.HorizonVersion, Hosts: r.HorizonHosts}}
 	for _, o := range r.Outs {
-		a.Outs = append(a.Outs, rights.Out{Host: o.Host, Round: o.Round})
+		a.Outs = append(a.Outs, sendlease.Out{Host: o.Host, Round: o.Round})
 	}
 	save, changed := c.holder.Answer(now, a)
 	if changed {
@@ -448,7 +448,7 @@
 	var refused *council.RefusedError
 	if errors.As(err, &refused) {
 		event = "control has stopped, and nothing is sent: the store does not tell what is out"
-		c.env.Bind(rights.Verdict{All: true})
+		c.env.Bind(sendlease.Verdict{All: true})
 	}
 	c.env.Tell(event, "error", err, "action", stop.Action())
 	for _, w := range c.waiters {
@@ -497,11 +497,11 @@
 		return
 	}
 	r.Census = c.hearHosts(now, ask)
-	holds := make([]rights.Out, 0, len(ask.Holds))
+	holds := make([]sendlease.Out, 0, len(ask.Holds))
 	for _, o := range ask.Holds {
-		holds = append(holds, rights.Out{Host: o.Host, Round: o.Round})
+		holds = append(holds, sendlease.Out{Host: o.Host, Round: o.Round})
 	}
-	c.table.Holds(now, rights.Question{Node: ask.Node, Life: ask.Life, Seq: ask.Seq, Acked: ask.Acked, Holds: holds})
+	c.table.Holds(now, sendlease.Question{Node: ask.Node, Life: ask.Life, Seq: ask.Seq, Acked: ask.Acked, Holds: holds})
 	c.table.Answered(now, ask.Node)
 	ack := turns.Ack{Node: ask.Node, Life: ask.Life, Version: ask.Acked}
 	known := c.book.Acked(ask.Node)
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lichenhitch/internal/choice/census"
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/hostview"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/council"
@@ -26,18 +26,18 @@
 	core    *Core
 	now     time.Duration
 	did     []string
-	verdict rights.Verdict
+	verdict sendlease.Verdict
 	greeted []string
 	goes    Policy
 	full    error // of the store
-	hosts   []census.Host
-	groups  []census.Group
+	hosts   []hostview.Host
+	groups  []hostview.Group
 	stale   bool
 	seq     uint64
 }
 
 func (a *alone) Save(council.Save) error { return nil }
-func (a *alone) Keep(rights.Saved) error {
+func (a *alone) Keep(sendlease.Saved) error {
 	a.did = append(a.did, "kept")
 	return a.full
 }
@@ -48,7 +48,7 @@
 func (a *alone) Tell(string, ...any)                                             {}
 func (a *alone) KeepPolicy(Kept) error                                           { return a.full }
 func (a *alone) GoBy(p Policy)                                                   { a.goes = p }
-func (a *alone) Bind(v rights.Verdict) {
+func (a *alone) Bind(v sendlease.Verdict) {
 	a.did = append(a.did, "bound")
 	a.verdict = v
 }
@@ -63,9 +63,9 @@
 
 // start starts the node; it waits before it asks for its right.
 func start(t *testing.T, wait time.Duration) *alone {
-	a := &alone{t: t, now: 1000 * time.Hour, hosts: []census.Host{{ID: "a", Warm: true}, {ID: "b", Warm: true}}}
-	o := Options{Wait: wait, Life: 1, Boot: 1, Run: 7, Saved: rights.Saved{Life: 1}, Site: &site.Site{Node: "n1", Own: site.Group{Name: "s"},
-		Seats: []string{"n1"}, Members: []string{"n1", "n2"}, Seat: true, Rights: rights.Terms{Lasts: lasts, Drift: 0.1},
+	a := &alone{t: t, now: 1000 * time.Hour, hosts: []hostview.Host{{ID: "a", Warm: true}, {ID: "b", Warm: true}}}
+	o := Options{Wait: wait, Life: 1, Boot: 1, Run: 7, Saved: sendlease.Saved{Life: 1}, Site: &site.Site{Node: "n1", Own: site.Group{Name: "s"},
+		Seats: []string{"n1"}, Members: []string{"n1", "n2"}, Seat: true, Rights: sendlease.Terms{Lasts: lasts, Drift: 0.1},
 		Turns: turns.Limits{Site: 1, Horizon: 2}, Tick: time.Second, SnapshotEvery: 1000,
 		Upstream: upstream.Limits{Number: 100, Bytes: 1 << 20, Batch: 10, Held: 10, Age: time.Hour}}}
 	var err error
@@ -84,7 +84,7 @@
 }
 
 func (a *alone) loop() {
-	a.core.Loop(a.now, Report{Taken: a.verdict, Clear: a.verdict.Outs, Look: &census.Look{Hosts: a.hosts, Groups: a.groups, Stale: a.stale,
+	a.core.Loop(a.now, Report{Taken: a.verdict, Clear: a.verdict.Outs, Look: &hostview.Look{Hosts: a.hosts, Groups: a.groups, Stale: a.stale,
 		Worth: map[string]float64{"a": 2, "b": 2}}})
 }
 
@@ -262,7 +262,7 @@
 		require.Contains(t, refused, "does not lead")
 		a.pass(time.Second)
 	}
-	lapsed := func(after time.Duration) bool { return a.core.table.Standing(a.now+after, "n2") == rights.Lapsed }
+	lapsed := func(after time.Duration) bool { return a.core.table.Standing(a.now+after, "n2") == sendlease.Lapsed }
 	assert.False(t, lapsed(lasts+time.Second))
 	assert.True(t, lapsed(lasts+2*time.Second))
 	a.pass(1000*time.Hour + 24*time.Second - a.now)
@@ -347,7 +347,7 @@
 	report := func() bool {
 		a.now += time.Second
 		a.core.Tick(a.now)
-		a.core.Loop(a.now, Report{Taken: a.verdict, Look: &census.Look{Hosts: a.hosts, Failing: []string{"b"}}})
+		a.core.Loop(a.now, Report{Taken: a.verdict, Look: &hostview.Look{Hosts: a.hosts, Failing: []string{"b"}}})
 		return a.core.Book().Hosts()[1].Failed
 	}
 	for range 10 {
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -4,13 +4,13 @@
 	"slices"
 	"time"
 
-	"lichenhitch/internal/choice/census"
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/hostview"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// This file is what a node tells of its hosts, and what its leader makes of what all nodes tell; see package census.
+// This file is what a node tells of its hosts, and what its leader makes of what all nodes tell; see package hostview.
 
 const (
 	// freshFor is how long what a node reported of its hosts counts, in times that a right lasts.
@@ -21,28 +21,28 @@
 
 // sight is what this node sees of the hosts, and as a leader what the nodes told it.
 type sight struct {
-	reporter *census.Reporter
+	reporter *hostview.Reporter
 	zones    map[string]string // by host, as the last look had them
 	known    uint64            // the log's index up to which the leader had applied at its newest answer to this node
 	answer   uint64            // the newest question that was answered
 	own      uint64            // counts what a leader told itself
-	census   *census.Census
+	census   *hostview.Census
 	at       time.Duration // when the leader looks next
 }
 
 func newSight(now time.Duration) sight {
-	return sight{reporter: census.NewReporter(), census: census.New(now)}
+	return sight{reporter: hostview.NewReporter(), census: hostview.New(now)}
 }
 
 // lead begins anew, at an election.
 func (s *sight) lead(now time.Duration) {
-	s.census, s.at = census.New(now), 0
+	s.census, s.at = hostview.New(now), 0
 	s.reporter.Told(0)
 }
 
 // look takes the loop's look over. What the node knew by then is what it had heard before: the loop's reports and the answers
 // come in one queue.
-func (c *Core) look(l *census.Look) {
+func (c *Core) look(l *hostview.Look) {
 	if l == nil {
 		return
 	}
@@ -95,14 +95,14 @@
 	if q == nil || ask.Node == c.Site.Node { // its own is taken whenever it looks
 		return 0
 	}
-	p := census.Report{Process: census.Process{Life: ask.Life, Boot: q.Boot}, Seq: ask.Seq, Version: q.Version, Since: q.Since,
+	p := hostview.Report{Process: hostview.Process{Life: ask.Life, Boot: q.Boot}, Seq: ask.Seq, Version: q.Version, Since: q.Since,
 		Seen: q.Seen, Stale: q.Stale, Gone: q.Gone, GroupsUnknown: q.GroupsUnknown}
 	for _, h := range q.Hosts {
-		p.Hosts = append(p.Hosts, census.Host{ID: h.Id, Zone: h.Zone, Kind: h.Kind, Start: time.Duration(h.StartUs) * time.Microsecond,
+		p.Hosts = append(p.Hosts, hostview.Host{ID: h.Id, Zone: h.Zone, Kind: h.Kind, Start: time.Duration(h.StartUs) * time.Microsecond,
 			Draining: h.Draining, Warm: h.Warm, Failing: h.Failing, Worth: float64(h.Worth), Groups: h.Groups})
 	}
 	if len(p.Hosts) > 0 && c.returns(func(host string) bool {
-		return slices.ContainsFunc(p.Hosts, func(h census.Host) bool { return h.ID == host && h.Warm })
+		return slices.ContainsFunc(p.Hosts, func(h hostview.Host) bool { return h.ID == host && h.Warm })
 	}) {
 		c.hosts.at = 0 // it may be the word that is waited for
 	}
@@ -124,10 +124,10 @@
 	s.at = now + fleetEvery
 	if p, any := s.reporter.Report(); any {
 		s.own++
-		p.Process, p.Seq = census.Process{Life: c.holder.Saved().Life, Boot: c.Boot}, s.own
+		p.Process, p.Seq = hostview.Process{Life: c.holder.Saved().Life, Boot: c.Boot}, s.own
 		s.reporter.Told(s.census.Take(now, c.Site.Node, p))
 	}
-	terms := census.Terms{Fresh: freshFor * c.Site.Rights.Lasts, Patience: c.Site.Rights.Lasts, Before: c.book.Hosts(),
+	terms := hostview.Terms{Fresh: freshFor * c.Site.Rights.Lasts, Patience: c.Site.Rights.Lasts, Before: c.book.Hosts(),
 		Returning: map[string]uint64{}}
 	for _, node := range c.book.Members() {
 		if !c.book.Dead(node) {
@@ -163,7 +163,7 @@
 // groupsUnknown returns the nodes that may send and have not told this leader yet which groups gather at their hosts.
 func (c *Core) groupsUnknown(now time.Duration) (nodes []string) {
 	for _, node := range c.book.Members() {
-		lapsed := c.book.Dead(node) || c.table.Standing(now, node) == rights.Lapsed
+		lapsed := c.book.Dead(node) || c.table.Standing(now, node) == sendlease.Lapsed
 		if !lapsed && !c.hosts.census.GroupsKnown(node) {
 			nodes = append(nodes, node)
 		}
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lichenhitch/internal/choice/census"
+	"lichenhitch/internal/choice/hostview"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/peer/peerpb"
 )
@@ -26,7 +26,7 @@
 	warm := func(id string) *peerpb.SeenHost { return &peerpb.SeenHost{Id: id, Warm: true} }
 	a.tells(0, nil, warm("a"), warm("b"))
 	a.pass(2 * time.Second)
-	a.stale, a.hosts = true, []census.Host{{ID: "a", Draining: true}}
+	a.stale, a.hosts = true, []hostview.Host{{ID: "a", Draining: true}}
 	a.pass(2 * time.Second)
 	require.Equal(t, []turns.Host{{ID: "a", Warm: true, Worth: 2}, {ID: "b", Warm: true}}, a.core.Book().Hosts())
 
@@ -77,8 +77,8 @@
 	s := *a.core.Site
 	s.Turns.Site = 2
 	a.core.Retune(&s)
-	a.hosts = append(a.hosts, census.Host{ID: "c", Warm: true, Zone: "z", Kind: "m", Start: time.Hour})
-	a.groups = []census.Group{{Name: "room", Worth: 3, Homes: []string{"a", "b"}}}
+	a.hosts = append(a.hosts, hostview.Host{ID: "c", Warm: true, Zone: "z", Kind: "m", Start: time.Hour})
+	a.groups = []hostview.Group{{Name: "room", Worth: 3, Homes: []string{"a", "b"}}}
 	a.pass(10 * time.Second)
 	var homes []string
 	for _, h := range a.core.Book().Hosts() {
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/peer"
@@ -25,7 +25,7 @@
 // Traffic is what control has the loop do, and asks of the node. Where nothing else is said, it is called on the loop.
 type Traffic interface {
 	// Bind takes the council's latest word over.
-	Bind(rights.Verdict)
+	Bind(sendlease.Verdict)
 	// GoBy lays a policy over the node's settings and goes by them from now on; what was counted before is told as counted
 	// under the policy before. A policy that does not fit the settings (any more) changes nothing, and the next report says
 	// under which policy the node goes. From Until on the loop goes by the good policy by itself, whatever control does: it may
@@ -187,7 +187,7 @@
 // disturbed says whether a host that this node would use is out for work: of its own zone, or of any where it has none.
 func (c *Core) disturbed() bool {
 	own, zone := c.zone(), c.hosts.zones
-	return slices.ContainsFunc(c.report.Taken.Outs, func(o rights.Out) bool {
+	return slices.ContainsFunc(c.report.Taken.Outs, func(o sendlease.Out) bool {
 		return own == "" || zone[o.Host] == "" || zone[o.Host] == own
 	})
 }
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lichenhitch/internal/boottime"
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/council"
@@ -58,7 +58,7 @@
 	inbox   chan func()
 	core    *Core // of the thread
 
-	verdict latest[rights.Verdict]
+	verdict latest[sendlease.Verdict]
 	policy  latest[Policy]
 
 	stop    chan struct{}
@@ -109,7 +109,7 @@
 }
 
 // restore reads the node's right from the store; a new store gets a life that comes after that of any before it.
-func (t *Thread) restore() (saved rights.Saved, err error) {
+func (t *Thread) restore() (saved sendlease.Saved, err error) {
 	raw, err := t.store.Get(noteBucket, noteSaved)
 	if err != nil {
 		return saved, err
@@ -247,7 +247,7 @@
 func (t *Thread) Save(s council.Save) error { return t.store.Save(s) }
 
 // Keep implements Env.
-func (t *Thread) Keep(s rights.Saved) error {
+func (t *Thread) Keep(s sendlease.Saved) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
@@ -313,7 +313,7 @@
 }
 
 // Bind implements Env.
-func (t *Thread) Bind(v rights.Verdict) { t.verdict.hand(v, t.loop, t.traffic.Bind) }
+func (t *Thread) Bind(v sendlease.Verdict) { t.verdict.hand(v, t.loop, t.traffic.Bind) }
 
 // latest is what the loop is to take next: one that was not taken yet is replaced.
 type latest[T any] struct {
--- a/internal/control/turns.go
+++ b/internal/control/turns.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 )
 
@@ -55,7 +55,7 @@
 func (c *Core) members(now time.Duration) ([]string, bool) {
 	members := slices.Clone(c.Site.Members)
 	for _, node := range c.book.Members() {
-		if !slices.Contains(members, node) && !c.book.Dead(node) && c.table.Standing(now, node) != rights.Lapsed {
+		if !slices.Contains(members, node) && !c.book.Dead(node) && c.table.Standing(now, node) != sendlease.Lapsed {
 			members = append(members, node)
 		}
 	}
@@ -67,7 +67,7 @@
 func (c *Core) views(now time.Duration) []turns.View {
 	var all []turns.View
 	for _, node := range c.book.Members() {
-		all = append(all, turns.View{Node: node, Lapsed: c.table.Standing(now, node) == rights.Lapsed,
+		all = append(all, turns.View{Node: node, Lapsed: c.table.Standing(now, node) == sendlease.Lapsed,
 			Holds: c.table.Confirmed(node)})
 	}
 	return all
--- a/internal/query/bound.go
+++ b/internal/query/bound.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/choice/census"
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/hostview"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/life"
 )
 
@@ -19,14 +19,14 @@
 // bound is what the site's council allows this node. Nothing is withheld where there is no council.
 type bound struct {
 	on      bool
-	verdict rights.Verdict
+	verdict sendlease.Verdict
 	since   map[balance.ServerID]time.Duration // hosts withheld, since when
 	told    map[balance.ServerID]bool          // of these, those that the balancer knows of
 }
 
 // Bind takes the council's latest word over; it is whole and replaces the one before. When Bind returns, nothing new goes to
 // the hosts that are out: attempts whose first line was not written yet end unsent.
-func (c *Core) Bind(v rights.Verdict) {
+func (c *Core) Bind(v sendlease.Verdict) {
 	if c.bound.since == nil {
 		c.bound.since, c.bound.told = map[balance.ServerID]time.Duration{}, map[balance.ServerID]bool{}
 	}
@@ -83,7 +83,7 @@
 
 // Clear returns those of the hosts that the council has taken out that this node sends nothing new to: no attempt is out
 // there, and the connections that stood are moved, or had their time.
-func (c *Core) Clear() (all []rights.Out) {
+func (c *Core) Clear() (all []sendlease.Out) {
 	if !c.bound.on || len(c.bound.verdict.Outs) == 0 {
 		return nil
 	}
@@ -107,16 +107,16 @@
 }
 
 // Verdict returns the council's word that is in effect here.
-func (c *Core) Verdict() rights.Verdict { return c.bound.verdict }
+func (c *Core) Verdict() sendlease.Verdict { return c.bound.verdict }
 
 // Look returns what this node sees of its hosts, for its council; stale says that discovery does not answer. One that drains,
 // or has started less than coldFor ago, is not warm. Those that have left the list are not among them. Worth is that of the
 // connections that stand.
-func (c *Core) Look(coldFor time.Duration, worth func(class string) float64, stale bool) *census.Look {
-	l := &census.Look{Hosts: make([]census.Host, 0, len(c.told)), Worth: map[string]float64{}, Failing: c.failing(), Stale: stale}
+func (c *Core) Look(coldFor time.Duration, worth func(class string) float64, stale bool) *hostview.Look {
+	l := &hostview.Look{Hosts: make([]hostview.Host, 0, len(c.told)), Worth: map[string]float64{}, Failing: c.failing(), Stale: stale}
 	for _, server := range sorted(c.told) {
 		if t := c.told[server]; t.here {
-			l.Hosts = append(l.Hosts, census.Host{ID: string(server), Zone: t.zone, Kind: t.kind, Start: t.started, Draining: !t.ready,
+			l.Hosts = append(l.Hosts, hostview.Host{ID: string(server), Zone: t.zone, Kind: t.kind, Start: t.started, Draining: !t.ready,
 				Warm: t.ready && c.clock.Now()-t.started >= coldFor})
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // gathering returns the groups that are worth the most with their homes, as many as a council may be told of.
-func (c *Core) gathering(worth map[string]float64) (all []census.Group) {
+func (c *Core) gathering(worth map[string]float64) (all []hostview.Group) {
 	b, tells := c.balancer.(interface {
 		Homes(group string) []balance.ServerID
 	})
@@ -144,10 +144,10 @@
 		return nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(worth)) {
-		all = append(all, census.Group{Name: name, Worth: worth[name]})
+		all = append(all, hostview.Group{Name: name, Worth: worth[name]})
 	}
-	slices.SortStableFunc(all, func(x, y census.Group) int { return cmp.Compare(y.Worth, x.Worth) })
-	all = all[:min(len(all), 2*census.MostGroups)]
+	slices.SortStableFunc(all, func(x, y hostview.Group) int { return cmp.Compare(y.Worth, x.Worth) })
+	all = all[:min(len(all), 2*hostview.MostGroups)]
 	for i := range all {
 		for _, server := range b.Homes(all[i].Name) {
 			all[i].Homes = append(all[i].Homes, string(server))
--- a/internal/query/bound_test.go
+++ b/internal/query/bound_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"lichenhitch/balance"
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 )
 
 // open has the attempt that is out ask whether its first line may go, as a backend connection does, and returns the answer.
@@ -16,10 +16,10 @@
 func TestAHostThatTheCouncilTakesOutGetsNothingFromThatMoment(t *testing.T) {
 	w, c := newCore("a")
 	w.arrive(c, "")
-	c.Bind(rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 7}}, Until: w.now + time.Hour})
+	c.Bind(sendlease.Verdict{Outs: []sendlease.Out{{Host: "a", Round: 7}}, Until: w.now + time.Hour})
 	assert.Empty(t, c.Clear(), "an attempt is out there")
 	assert.False(t, w.open(), "its first line was not written yet, and may not be any more")
-	assert.Equal(t, []rights.Out{{Host: "a", Round: 7}}, c.Clear())
+	assert.Equal(t, []sendlease.Out{{Host: "a", Round: 7}}, c.Clear())
 	w.pass(3 * time.Second)
 	assert.Equal(t, []string{"throttle"}, w.answers)
 }
@@ -28,7 +28,7 @@
 	w, c := newCore("a")
 	w.arrive(c, "")
 	w.last.Up(nil)
-	c.Bind(rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 7}}, Until: w.now + time.Hour})
+	c.Bind(sendlease.Verdict{Outs: []sendlease.Out{{Host: "a", Round: 7}}, Until: w.now + time.Hour})
 	assert.Empty(t, c.Clear())
 	w.pass(clearWithin)
 	assert.Len(t, c.Clear(), 1)
@@ -37,7 +37,7 @@
 
 func TestARightThatHasRunOutIsNotActedOn(t *testing.T) {
 	w, c := newCore("a", "b")
-	c.Bind(rights.Verdict{Lapsed: []string{"a"}, Until: w.now + time.Second})
+	c.Bind(sendlease.Verdict{Lapsed: []string{"a"}, Until: w.now + time.Second})
 	var where []balance.ServerID
 	for range 20 {
 		where = append(where, w.arrive(c, "").server)
@@ -56,14 +56,14 @@
 	for range 20 {
 		assert.NotEqual(t, balance.ServerID("a"), w.arrive(c, "").server)
 	}
-	c.Bind(rights.Verdict{Lapsed: []string{"a"}, Until: w.now + time.Hour})
+	c.Bind(sendlease.Verdict{Lapsed: []string{"a"}, Until: w.now + time.Hour})
 	assert.False(t, c.Lapsed())
 	assert.NotContains(t, c.bound.told, balance.ServerID("a"), "with a new right it is in use again")
 }
 
 func TestANodeThatWasNeverToldWhatIsOutSendsNothing(t *testing.T) {
 	w, c := newCore("a", "b")
-	c.Bind(rights.Verdict{All: true})
+	c.Bind(sendlease.Verdict{All: true})
 	assert.True(t, c.Untold())
 	w.arrive(c, "")
 	for len(w.out) > 0 {
@@ -71,14 +71,14 @@
 	}
 	w.pass(3 * time.Second)
 	assert.Equal(t, []string{"throttle"}, w.answers, "nothing was sent, so that trying again is harmless")
-	c.Bind(rights.Verdict{All: true, Until: w.now + time.Hour})
+	c.Bind(sendlease.Verdict{All: true, Until: w.now + time.Hour})
 	w.arrive(c, "")
 	assert.True(t, w.open())
 }
 
 func TestABanByHandAndATurnEndWithTheLastOfThem(t *testing.T) {
-	out := rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 1}}, Until: 2 * time.Hour}
-	none := rights.Verdict{Until: 2 * time.Hour}
+	out := sendlease.Verdict{Outs: []sendlease.Out{{Host: "a", Round: 1}}, Until: 2 * time.Hour}
+	none := sendlease.Verdict{Until: 2 * time.Hour}
 	for name, steps := range map[string][4]func(*Core, time.Duration){
 		"ban, turn, back, over": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.Bind(out) },
 			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.Bind(none) }},
--- a/internal/site/check.go
+++ b/internal/site/check.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/site/sitepb"
@@ -348,7 +348,7 @@
 // limits reads the allowances and the times.
 func (c *check) limits(s *Site) {
 	f := c.file
-	s.Rights = rights.Terms{
+	s.Rights = sendlease.Terms{
 		Lasts: time.Duration(c.whole("rights.lasts_ms", f.GetRights().GetLastsMs(), 3000, 300, 60000)) * time.Millisecond,
 		Drift: c.part("rights.drift", f.GetRights().GetDrift(), 0.01, 0.2, ends{true, true}),
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -13,8 +13,8 @@
 
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
 	"lichenhitch/internal/site/sitepb"
@@ -36,7 +36,7 @@
 	Members       []string          // nodes of the own site, sorted
 	Seat          bool              // this node has one
 	Peers         map[string]string // address by node; this node is none
-	Rights        rights.Terms
+	Rights        sendlease.Terms
 	Turns         turns.Limits
 	Upstream      upstream.Limits
 	Rollout       rollout.Limits
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"lichenhitch/internal/choice/rights"
 	"lichenhitch/internal/choice/rollout"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/choice/upstream"
 )
@@ -45,7 +45,7 @@
 	bare, err := Parse([]byte(small), "f", "a1")
 	require.NoError(t, err)
 	assert.Equal(t, s.Rights, bare.Rights, "the example has the defaults")
-	assert.Equal(t, rights.Terms{Lasts: 3 * time.Second, Drift: 0.01}, bare.Rights)
+	assert.Equal(t, sendlease.Terms{Lasts: 3 * time.Second, Drift: 0.01}, bare.Rights)
 	assert.Equal(t, s.Turns, bare.Turns)
 	assert.Equal(t, turns.Limits{Site: 1, Horizon: 2, Age: 10 * time.Minute}, bare.Turns)
 	assert.Equal(t, s.Upstream, bare.Upstream)
--- a/rehearsal/province/faults.go
+++ b/rehearsal/province/faults.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/control"
 	"lichenhitch/internal/council"
 )
@@ -113,14 +113,14 @@
 // already comes back when it was going to.
 func (w *World) restart(n *node, after time.Duration, empty bool) {
 	if empty {
-		n.store, n.saved, n.kept, n.boot, n.life = council.Durable{}, rights.Saved{}, control.Kept{}, 0, n.life+1
+		n.store, n.saved, n.kept, n.boot, n.life = council.Durable{}, sendlease.Saved{}, control.Kept{}, 0, n.life+1
 		w.say("the store of " + n.name + " is lost")
 	}
 	if !n.up {
 		return
 	}
 	w.say("kill " + n.name)
-	n.up, n.run, n.taken, n.told, n.knows = false, 0, rights.Verdict{All: true}, nil, false
+	n.up, n.run, n.taken, n.told, n.knows = false, 0, sendlease.Verdict{All: true}, nil, false
 	for _, a := range n.site.asks {
 		if a.at == n {
 			a.lost()
--- a/rehearsal/province/lists.go
+++ b/rehearsal/province/lists.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"lichenhitch/internal/choice/census"
+	"lichenhitch/internal/choice/hostview"
 )
 
 // Lists is how hosts stand in the lists of a world. The zero value: all are there and warm, whatever is done to them.
@@ -62,13 +62,13 @@
 }
 
 // look is what this node sees of its hosts.
-func (n *node) look() *census.Look {
-	l := &census.Look{}
+func (n *node) look() *hostview.Look {
+	l := &hostview.Look{}
 	var at time.Duration
 	at, l.Stale = n.listAt()
 	for _, id := range n.site.ids {
 		if s := n.site.hosts[id].asOf(at); s.here {
-			h := census.Host{ID: id, Kind: "m", Warm: s.start == 0 || n.clock() >= base+s.start+coldFor}
+			h := hostview.Host{ID: id, Kind: "m", Warm: s.start == 0 || n.clock() >= base+s.start+coldFor}
 			if s.start > 0 {
 				h.Start = base + s.start
 			}
--- a/rehearsal/province/lists_test.go
+++ b/rehearsal/province/lists_test.go
@@ -28,7 +28,7 @@
 	for _, l := range listWorlds {
 		for _, faults := range []bool{false, true} {
 			if faults && l.Late > 1 {
-				continue // nodes that are cut off leave more than half of the lists that are heard late: see C4 of package census
+				continue // nodes that are cut off leave more than half of the lists that are heard late: see C4 of package hostview
 			}
 			n := uint64(3)
 			if *figures {
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/control"
 	"lichenhitch/internal/council"
 	"lichenhitch/internal/site"
@@ -26,14 +26,14 @@
 	boot    uint64
 	run     uint64
 	store   council.Durable
-	saved   rights.Saved
+	saved   sendlease.Saved
 	kept    control.Kept
 	goes    control.Policy // that its loop goes by
 	up      bool
 	paused  bool
 	late    []func() // what came while it was stopped
 	cut     map[string]bool
-	taken   rights.Verdict // by its loop
+	taken   sendlease.Verdict // by its loop
 	led     bool
 	ledAt   time.Duration // since when
 	number  int           // among those of its site
@@ -60,7 +60,7 @@
 	n.boot++
 	n.run = w.rng.Uint64()
 	n.up, n.paused, n.late, n.led, n.asked = true, false, nil, false, 0
-	n.taken, n.goes = rights.Verdict{All: true}, control.Policy{}
+	n.taken, n.goes = sendlease.Verdict{All: true}, control.Policy{}
 	n.saved.Life = n.life
 	if w.Plain {
 		n.repeat(0, n.listen)
@@ -196,7 +196,7 @@
 }
 
 // Keep implements control.Env.
-func (n *node) Keep(s rights.Saved) error {
+func (n *node) Keep(s sendlease.Saved) error {
 	n.saved = s
 	return nil
 }
@@ -209,7 +209,7 @@
 }
 
 // Bind implements control.Env: the loop takes the verdict a moment later.
-func (n *node) Bind(v rights.Verdict) {
+func (n *node) Bind(v sendlease.Verdict) {
 	n.later(n.w.any(binding), func() { n.taken = v })
 }
 
--- a/rehearsal/turnsmodel/describe.go
+++ b/rehearsal/turnsmodel/describe.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/rehearsal/model"
 )
 
@@ -109,7 +109,7 @@
 	return b.String()
 }
 
-func outs(list []rights.Out) string {
+func outs(list []sendlease.Out) string {
 	var b strings.Builder
 	for _, o := range list {
 		fmt.Fprintf(&b, " %s of round %d", o.Host, o.Round)
--- a/rehearsal/turnsmodel/model.go
+++ b/rehearsal/turnsmodel/model.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/rehearsal/model"
 )
@@ -27,7 +27,7 @@
 	Alike        bool // nodes are told apart by what they are in, not by their names
 	Promised     bool // the promises are checked
 	plant        planted
-	counted      rights.Terms // of the seats
+	counted      sendlease.Terms // of the seats
 	pool         *pool
 }
 
@@ -76,12 +76,12 @@
 			continue
 		}
 		s := State{Left: m.Budget, Log: m.pool.record(b, uint64(3+m.Asked))}
-		t := rights.NewTable(m.counted)
+		t := sendlease.NewTable(m.counted)
 		t.Lead(0)
 		s.Seats[0] = Seat{Believes: true, Table: t}
 		for i := range m.Nodes {
 			s.Nodes[i].Slow = slow
-			m.start(&s, i, rights.Saved{Life: 1})
+			m.start(&s, i, sendlease.Saved{Life: 1})
 		}
 		m.keep(&s)
 		all = append(all, s)
@@ -225,7 +225,7 @@
 	for i := range m.Nodes {
 		n, now := &s.Nodes[i], s.now(i)
 		runs := now < n.Loop.Until || n.Queue != nil && now < n.Queue.Until
-		if runs && lead.Standing(s.seatNow(), nodeNames[i]) == rights.Lapsed {
+		if runs && lead.Standing(s.seatNow(), nodeNames[i]) == sendlease.Lapsed {
 			b |= 1 << badLapsed
 		}
 		if m.Whole && s.Since != [MaxHosts]uint64{} {
@@ -323,9 +323,9 @@
 		saw(granted && s.Left.Withdrawals+s.Left.Failures < m.Budget.Withdrawals+m.Budget.Failures && h == 0, sawSecondRound)
 		for i := range m.Nodes {
 			n, now := &s.Nodes[i], s.now(i)
-			lapsed := lead.Standing(s.seatNow(), nodeNames[i]) == rights.Lapsed
+			lapsed := lead.Standing(s.seatNow(), nodeNames[i]) == sendlease.Lapsed
 			round := lead.Confirmed(nodeNames[i])[hostNames[h]]
-			holds := slices.Contains(n.Loop.Outs, rights.Out{Host: t.Host, Round: t.Round})
+			holds := slices.Contains(n.Loop.Outs, sendlease.Out{Host: t.Host, Round: t.Round})
 			saw(granted && !lapsed && now < n.Loop.Until && holds, sawConfirmed)
 			saw(granted && lapsed && !holds, sawBeyond)
 			saw(granted && n.Excused && !n.Loop.Withholds(t.Host, now), sawDeadSends)
--- a/rehearsal/turnsmodel/plants.go
+++ b/rehearsal/turnsmodel/plants.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 )
 
@@ -22,11 +22,11 @@
 	ackOnce          bool          // an acknowledgement is proposed once, whatever became of it
 	leadsSince       time.Duration // a new leader counts from so much earlier
 
-	question func(n *Node, q rights.Question) rights.Question
-	answer   func(s *State, node int, a rights.Answer) rights.Answer // before it is taken in
-	verdict  func(n *Node, v rights.Verdict) rights.Verdict
-	outs     func(view *record) []rights.Out // that an answer tells
-	fleet    func(s *State, f *turns.Fleet)  // that the leader looks at
+	question func(n *Node, q sendlease.Question) sendlease.Question
+	answer   func(s *State, node int, a sendlease.Answer) sendlease.Answer // before it is taken in
+	verdict  func(n *Node, v sendlease.Verdict) sendlease.Verdict
+	outs     func(view *record) []sendlease.Out // that an answer tells
+	fleet    func(s *State, f *turns.Fleet)     // that the leader looks at
 	clear    func(s *State, seat int, t turns.Turn, views []turns.View) []turns.Blocker
 }
 
@@ -43,12 +43,12 @@
 }
 
 // known is what a node's control knows, durable or not.
-func (n *Node) known() rights.Saved { return n.Holder.Clone().Saved() }
+func (n *Node) known() sendlease.Saved { return n.Holder.Clone().Saved() }
 
 // newest returns the newest horizon of a store.
-func newest(s rights.Saved) rights.Horizon {
+func newest(s sendlease.Saved) sendlease.Horizon {
 	if len(s.Horizons) == 0 {
-		return rights.Horizon{}
+		return sendlease.Horizon{}
 	}
 	return s.Horizons[len(s.Horizons)-1]
 }
@@ -76,20 +76,20 @@
 
 var plants = []planted{
 	{name: "right-from-arrival", world: "cut-off", about: "a right counts from when its answer came",
-		answer: func(s *State, node int, a rights.Answer) rights.Answer {
+		answer: func(s *State, node int, a sendlease.Answer) sendlease.Answer {
 			if now := s.now(node); a.Applied >= s.Nodes[node].known().Applied {
 				s.Nodes[node].Late = now + terms.Lasts
 			}
 			return a
 		},
-		verdict: func(n *Node, v rights.Verdict) rights.Verdict {
+		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
 			if n.Writing == nil {
 				v.Until = max(v.Until, n.Late)
 			}
 			return v
 		}},
 	{name: "right-without-end", world: "cut-off", about: "a right that has run out is gone by",
-		verdict: func(n *Node, v rights.Verdict) rights.Verdict {
+		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
 			if v.Until > 0 {
 				v.Until = time.Duration(1<<62 - 1)
 			}
@@ -100,39 +100,39 @@
 	{name: "counts-without-drift", world: "cut-off", about: "the council counts a right no longer than the node", noDrift: true},
 	{name: "answers-without-quorum", world: "new-leader", about: "a seat answers that only believes that it leads", noQuorum: true},
 	{name: "acks-before-stored", world: "cut-off", about: "a horizon is acknowledged before it stands in the store", asksWhileWriting: true,
-		question: func(n *Node, q rights.Question) rights.Question {
+		question: func(n *Node, q sendlease.Question) sendlease.Question {
 			q.Acked = newest(n.known()).Version
 			return q
 		}},
 	{name: "acks-before-loop", world: "cut-off", about: "a horizon is acknowledged before the loop goes by it",
-		question: func(n *Node, q rights.Question) rights.Question {
+		question: func(n *Node, q sendlease.Question) sendlease.Question {
 			q.Acked = newest(*n.Durable).Version
 			return q
 		}},
 	{name: "confirms-before-loop", world: "cut-off", about: "a host is confirmed before the loop withholds it",
-		question: func(n *Node, q rights.Question) rights.Question {
+		question: func(n *Node, q sendlease.Question) sendlease.Question {
 			q.Holds = n.Durable.Outs
 			return q
 		}},
 	{name: "horizon-dropped-on-ack", world: "withdrawn", about: "an older horizon is dropped when the newer one is stored, not when it is recorded",
-		verdict: func(n *Node, v rights.Verdict) rights.Verdict {
+		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
 			v.Lapsed = newest(n.known()).Hosts
 			return v
 		}},
 	{name: "right-before-outs", world: "cut-off", about: "the right is taken before the hosts that came with it are withheld",
-		verdict: func(n *Node, v rights.Verdict) rights.Verdict {
+		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
 			if n.Loop != nil && v.Until > n.Loop.Until {
 				v.Outs, v.Horizon = n.Loop.Outs, n.Loop.Horizon
 			}
 			return v
 		}},
 	{name: "empty-store-withholds-nothing", world: "lost-store", about: "a node that was never told anything withholds nothing",
-		verdict: func(_ *Node, v rights.Verdict) rights.Verdict {
+		verdict: func(_ *Node, v sendlease.Verdict) sendlease.Verdict {
 			v.All = false
 			return v
 		}},
 	{name: "told-is-enough", world: "lost-and-withdrawn", about: "a new store's first horizon is taken for the one that the council goes by",
-		verdict: func(n *Node, v rights.Verdict) rights.Verdict {
+		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
 			v.All = v.All && len(n.known().Horizons) == 0
 			return v
 		}},
@@ -156,7 +156,7 @@
 	{name: "horizon-taken-as-lapsed", world: "cut-off", about: "a node whose horizon has the host is taken for clear while its right runs",
 		clear: holding(func(_ turns.Turn, v *turns.View) { v.Lapsed = true })},
 	{name: "answer-of-another-question", world: "late-calls", about: "an answer is taken for that to the last question",
-		answer: func(s *State, node int, a rights.Answer) rights.Answer {
+		answer: func(s *State, node int, a sendlease.Answer) sendlease.Answer {
 			h := s.Nodes[node].Holder
 			a.Seq = h.Clone().Ask(0).Seq - 1
 			return a
@@ -178,8 +178,8 @@
 		}, false)},
 	{name: "dead-holds-up", world: "promises-and-deaths", about: "a node that is declared dead is waited for", waitsForDead: true},
 	{name: "ban-not-told", world: "bans", about: "nodes are not told of a host that is out by hand",
-		outs: func(view *record) []rights.Out {
-			return slices.DeleteFunc(slices.Clone(view.outs), func(o rights.Out) bool { return view.turnOf(o.Host).Round != o.Round })
+		outs: func(view *record) []sendlease.Out {
+			return slices.DeleteFunc(slices.Clone(view.outs), func(o sendlease.Out) bool { return view.turnOf(o.Host).Round != o.Round })
 		}},
 	{name: "ban-lost-in-turn", world: "bans", about: "the council forgets the ban of a host that has a turn",
 		fleet: func(s *State, f *turns.Fleet) {
@@ -188,10 +188,10 @@
 			}
 		}},
 	{name: "round-of-the-ban", world: "promises-and-bans", about: "a host that is banned is told with another round than that of its turn",
-		outs: func(view *record) []rights.Out {
+		outs: func(view *record) []sendlease.Out {
 			outs := slices.Clone(view.outs)
 			for i, h := range view.book.Hosts() {
-				if at := slices.IndexFunc(outs, func(o rights.Out) bool { return o.Host == h.ID }); h.Banned && at >= 0 {
+				if at := slices.IndexFunc(outs, func(o sendlease.Out) bool { return o.Host == h.ID }); h.Banned && at >= 0 {
 					outs[at].Round = uint64(i + 1) // of the log's beginning, where no turn was prepared
 				}
 			}
--- a/rehearsal/turnsmodel/state.go
+++ b/rehearsal/turnsmodel/state.go
@@ -1,4 +1,4 @@
-// Package turnsmodel is a model of the rights to send and of the turns for work: the real rights.Holder, rights.Table and
+// Package turnsmodel is a model of the rights to send and of the turns for work: the real sendlease.Holder, sendlease.Table and
 // turns.Book in a world of nodes that are cut off, stopped and started again, of loops that are late, of messages that are
 // lost, late and repeated, and of a leader that goes on believing that it leads. rehearsal/model visits all of it.
 //
@@ -48,7 +48,7 @@
 	"sync"
 	"time"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 )
 
@@ -62,7 +62,7 @@
 const unit = time.Second
 
 var (
-	terms     = rights.Terms{Lasts: 5 * unit, Drift: 0.5}
+	terms     = sendlease.Terms{Lasts: 5 * unit, Drift: 0.5}
 	nodeNames = [MaxNodes]string{"n1", "n2", "n3"}
 	hostNames = [MaxHosts]string{"a", "b", "c"}
 )
@@ -91,8 +91,8 @@
 	sum      sum              // of the book and the index
 	core     sum              // the same without what is known of single nodes
 	acked    [MaxNodes][]byte // what is known of each node
-	outs     []rights.Out
-	horizons []rights.Horizon
+	outs     []sendlease.Out
+	horizons []sendlease.Horizon
 	turns    [MaxHosts]turns.Turn // not over, by host; without a name: none
 	next     *turns.Command       // what follows from the book; nil: nothing
 
@@ -132,7 +132,7 @@
 
 // apart takes what is known of single nodes out of a book's bytes, and what is over, of which nobody asks again; it returns
 // the horizons that are there.
-func apart(raw []byte) (rest []byte, horizons []rights.Horizon) {
+func apart(raw []byte) (rest []byte, horizons []sendlease.Horizon) {
 	var parts map[string]json.RawMessage
 	err := json.Unmarshal(raw, &parts)
 	if list, any := parts["horizons"]; any && err == nil {
@@ -178,7 +178,7 @@
 // acknowledged returns the hosts of the horizon that is recorded for a node.
 func (r *record) acknowledged(node string) []string {
 	version := r.book.Recorded(node)
-	at := slices.IndexFunc(r.horizons, func(z rights.Horizon) bool { return z.Version == version })
+	at := slices.IndexFunc(r.horizons, func(z sendlease.Horizon) bool { return z.Version == version })
 	if at < 0 {
 		return nil
 	}
@@ -213,7 +213,7 @@
 // Seat is a seat of the council.
 type Seat struct {
 	Believes bool // that it leads
-	Table    *rights.Table
+	Table    *sendlease.Table
 	View     *record             // what it has applied; nil: all
 	Acking   [MaxNodes]turns.Ack // by a planted bug: the last that it proposed
 }
@@ -235,27 +235,27 @@
 	Seat  uint8         // where it is Held
 	Gone  bool          // the process that asked is no more
 	At    time.Duration // when it was asked, by the node's clock; not told apart by Encode, which has it from the holder
-	Q     rights.Question
-	A     rights.Answer
+	Q     sendlease.Question
+	A     sendlease.Answer
 }
 
 // Node is a node: its control, its store and its loop. What pointers lead to is never changed.
 type Node struct {
 	Slow     bool // its clock
 	Told     bool // it was answered since its store is there
-	Holder   *rights.Holder
-	Durable  *rights.Saved
-	Writing  *rights.Saved   // on its way into the store; nil: nothing
-	Older    *rights.Saved   // what stood in the store before, for the bug that puts it back
-	Loop     *rights.Verdict // that the loop goes by
-	Queue    *rights.Verdict // for the loop; nil: none
-	Word     *rights.Verdict // that the loop has taken, not heard of by control; nil: none
-	Calls    [calls]Call     // by their numbers; the first free ones last
-	Cut      bool            // it calls nobody
-	heard    uint64          // up to where the last answer of a call that is one step told, which the holder knows too
-	recorded uint64          // and what it said of the node's horizon
-	Excused  bool            // it was declared dead, and was not answered since it was taken in: it may send anywhere
-	Late     time.Duration   // end of the right by a planted bug
+	Holder   *sendlease.Holder
+	Durable  *sendlease.Saved
+	Writing  *sendlease.Saved   // on its way into the store; nil: nothing
+	Older    *sendlease.Saved   // what stood in the store before, for the bug that puts it back
+	Loop     *sendlease.Verdict // that the loop goes by
+	Queue    *sendlease.Verdict // for the loop; nil: none
+	Word     *sendlease.Verdict // that the loop has taken, not heard of by control; nil: none
+	Calls    [calls]Call        // by their numbers; the first free ones last
+	Cut      bool               // it calls nobody
+	heard    uint64             // up to where the last answer of a call that is one step told, which the holder knows too
+	recorded uint64             // and what it said of the node's horizon
+	Excused  bool               // it was declared dead, and was not answered since it was taken in: it may send anywhere
+	Late     time.Duration      // end of the right by a planted bug
 }
 
 // State is a state of the world. It is a value: a step copies what it changes.
@@ -372,14 +372,14 @@
 	to = n.Holder.Append(to, now, flying[:count])
 	to = binary.AppendUvarint(to, uint64(max(0, n.Late-now)))
 	to = n.Loop.Append(to, now)
-	for _, v := range []*rights.Verdict{n.Queue, n.Word} {
+	for _, v := range []*sendlease.Verdict{n.Queue, n.Word} {
 		if v != nil {
 			to = v.Append(to, now)
 		}
 	}
-	for _, v := range []*rights.Saved{n.Older} {
+	for _, v := range []*sendlease.Saved{n.Older} {
 		if v != nil {
-			h := rights.NewHolder(terms, "", *v)
+			h := sendlease.NewHolder(terms, "", *v)
 			to = h.Append(to, 0, nil)
 		}
 	}
--- a/rehearsal/turnsmodel/steps.go
+++ b/rehearsal/turnsmodel/steps.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"slices"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/rehearsal/model"
 )
@@ -86,7 +86,7 @@
 		next.Left.Changes--
 		next.Lead = 1
 		next.Seats[0].View = s.Log
-		t := rights.NewTable(m.counted)
+		t := sendlease.NewTable(m.counted)
 		t.Lead(s.seatNow() - m.plant.leadsSince)
 		next.Seats[1] = Seat{Believes: true, Table: t}
 		yield(step(Elect, 0, 0), next)
@@ -163,7 +163,7 @@
 }
 
 // verdict is what a node's control says to its loop.
-func (m *Model) verdict(s *State, i int) rights.Verdict {
+func (m *Model) verdict(s *State, i int) sendlease.Verdict {
 	n := &s.Nodes[i]
 	v := n.Holder.Verdict()
 	if m.plant.verdict != nil {
@@ -173,13 +173,13 @@
 }
 
 // inEffect tells a holder what its loop goes by.
-func (n *Node) inEffect(v rights.Verdict) {
+func (n *Node) inEffect(v sendlease.Verdict) {
 	n.Holder = n.Holder.Clone()
 	n.Holder.InEffect(v)
 }
 
 // start starts a node's process with a store.
-func (m *Model) start(s *State, i int, store rights.Saved) {
+func (m *Model) start(s *State, i int, store sendlease.Saved) {
 	n := &s.Nodes[i]
 	n.drop(func(c *Call) bool { return c.Stage != Asked })
 	for c := range n.Calls {
@@ -189,7 +189,7 @@
 		}
 	}
 	n.Durable, n.Writing, n.Queue, n.Word, n.Late, n.heard, n.recorded = &store, nil, nil, nil, 0, 0, 0
-	n.Holder = rights.NewHolder(terms, nodeNames[i], store)
+	n.Holder = sendlease.NewHolder(terms, nodeNames[i], store)
 	v := m.verdict(s, i)
 	n.Loop = &v
 	n.inEffect(v)
@@ -265,7 +265,7 @@
 		next.Nodes[i].Word = nil
 		yield(step(Hear, i, 0), next)
 	}
-	restart := func(how int, store rights.Saved) {
+	restart := func(how int, store sendlease.Saved) {
 		next := *s
 		next.Left.Restarts--
 		m.start(&next, i, store)
@@ -284,7 +284,7 @@
 		next := *s
 		next.Left.Losses--
 		next.Nodes[i].Told = false
-		m.start(&next, i, rights.Saved{Life: n.Durable.Life + 1})
+		m.start(&next, i, sendlease.Saved{Life: n.Durable.Life + 1})
 		yield(step(Restart, i, withNone), next)
 	}
 }
@@ -346,7 +346,7 @@
 	m.offer(next, i)
 }
 
-func saved(s rights.Saved) []byte { return rights.NewHolder(terms, "", s).Append(nil, 0, nil) }
+func saved(s sendlease.Saved) []byte { return sendlease.NewHolder(terms, "", s).Append(nil, 0, nil) }
 
 // commit puts a command into the log, whoever proposed it. It says whether that changed anything.
 func (s *State) commit(name change, c turns.Command) bool {
@@ -356,7 +356,7 @@
 		return false
 	}
 	for h, since := range s.Since {
-		if out := slices.ContainsFunc(s.Log.outs, func(o rights.Out) bool { return o.Host == hostNames[h] }); !out {
+		if out := slices.ContainsFunc(s.Log.outs, func(o sendlease.Out) bool { return o.Host == hostNames[h] }); !out {
 			s.Since[h] = 0
 		} else if since == 0 {
 			s.Since[h] = s.Log.index
@@ -419,7 +419,7 @@
 		seat.Table.Answered(s.seatNow(), c.Q.Node)
 	}
 	c.Stage, c.Seat = Answered, 0
-	c.A = rights.Answer{Seq: c.Q.Seq, Applied: view.index, Outs: view.outs, Horizon: view.book.Horizon(),
+	c.A = sendlease.Answer{Seq: c.Q.Seq, Applied: view.index, Outs: view.outs, Horizon: view.book.Horizon(),
 		Recorded: view.book.RecordedIn(c.Q.Node, c.Q.Life)}
 	if m.plant.outs != nil {
 		c.A.Outs = m.plant.outs(view)
@@ -506,7 +506,7 @@
 	t := s.Seats[seat].Table
 	for i := range views {
 		name := nodeNames[i]
-		views[i] = turns.View{Node: name, Lapsed: t.Standing(s.seatNow(), name) == rights.Lapsed, Holds: t.Confirmed(name)}
+		views[i] = turns.View{Node: name, Lapsed: t.Standing(s.seatNow(), name) == sendlease.Lapsed, Holds: t.Confirmed(name)}
 	}
 	return views
 }
