--- a/cmd/lichenhitch/affairs.go
+++ b/cmd/lichenhitch/affairs.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return fmt.Errorf("site file: %w", err)
 	}
-	n.loop.Call(func() { n.core.Bind(sendlease.Verdict{All: true}) })
+	n.loop.Call(func() { n.core.Bind(sendlease.Restrictions{AllAfterExpiry: true}) })
 	if n.shared.Preceded(n.number) {
 		go n.succeed(s)
 		return nil
@@ -96,7 +96,7 @@
 // it may still have is waited out: this process would confirm what that one does not keep to.
 func (n *node) succeed(s *site.Site) {
 	for told := false; ; {
-		err := n.control(s, s.Rights.Lasts)
+		err := n.control(s, s.Rights.Duration)
 		var used *store.InUseError
 		switch {
 		case err == nil:
--- a/internal/choice/hostview/hostview.go
+++ b/internal/choice/hostview/hostview.go
@@ -1,33 +1,33 @@
-// Package hostview settles what the council of a site knows of its hosts: each node tells its leader what its own list of
-// hosts and its own traffic say, and the leader merges what the nodes said lately. It is pure: events and the time in,
-// views out.
+// Package hostview determines what a site's Raft group knows of its hosts: each node reports to the leader what its own host list
+// and its own traffic show, and the leader merges the recent reports. It is pure: events and the time in, views out.
 //
-// Reporter is the node's side: it takes looks at the list and tells what has changed since what the leader has. Census is
-// the leader's: soft state, empty at its election. What a node tells is a Report with each question for its right, bounded
-// to what has changed; what the leader has of it comes back with the answer.
+// Reporter is the node's side: it observes the list and reports what has changed since the version that the leader has.
+// Aggregator is the leader's side: soft state, empty at its election. A node sends a Report with each request for its send lease,
+// limited to what has changed; the answer names the version that the leader has.
 //
 // The properties:
 //
-//	C1  What the leader holds of a node is what one look of that node had, whole, and never that of an earlier look than
-//	    it held before: calls may be lost, late, repeated and overtake each other, the process and the leader may change.
-//	    What is told of a look counts only while exactly that look is held.
-//	C2  A node counts that is a member and was heard within Terms.Fresh. One whose list is stale (its discovery does not
-//	    answer) says so: its list counts for nothing, neither what is there nor what is not; what its own traffic tells
-//	    (which hosts fail, worth, groups) does count. While no node counts whose list is current, no host comes, goes,
-//	    fails by the lists or comes back.
-//	C3  Out-ness goes by a quorum: a host is gone or draining only if more than half of the nodes say so whose word counts,
-//	    warm only if more than half of them do, and set aside for its failures only if more than half of all fresh nodes have set it aside. So no single
-//	    list, the leader's included, takes a host out or keeps it out.
-//	C4  The youngest start wins: what is told of a host's earlier start counts for nothing, whichever node tells it, while
-//	    a current list has a later one. So late lists mislead only where they are more than half of those heard.
-//	C5  A host whose turn is Returning is said to be in service, and warm, only by nodes that had looked after they knew of
-//	    the Done (Report.Seen): others tell of the host before its work. Until those are more than half of the current lists, and
-//	    while half of them lack it, it is not said to be back.
-//	C6  A new leader takes no list for current before it has heard more than half of the members, or for Terms.Patience.
-//	C7  What hardly matters makes no entry: worth moves when it has doubled or halved, the groups that stand stay while
-//	    somebody names them.
-//	C8  Silence takes no group from its homes: what a member named last counts until it tells otherwise or is no member, and while
-//	    a member has told this leader nothing, the groups that were said before stay.
+//	C1  What the leader holds of a node is one complete observation of that node, and never an earlier one than it held
+//	    before: calls may be lost, late, repeated and overtake each other, the process and the leader may change. Changes
+//	    relative to an observation apply only while exactly that observation is held.
+//	C2  A node counts if it is a member and was heard within MergeParams.MaxAge. A node whose list is stale (its discovery
+//	    does not answer) reports so: its list counts for nothing, neither the hosts in it nor those missing; what its own
+//	    traffic shows (failing hosts, value, groups) does count. While no counted node has a current list, no host comes,
+//	    goes, fails by the lists or comes back.
+//	C3  Leaving service takes a majority: a host is gone or draining only if more than half of the counted nodes report so,
+//	    warm only if more than half of them do, and failed only if more than half of all fresh nodes have set it aside for its
+//	    failures. So no single list, the leader's included, takes a host out of service or keeps it out.
+//	C4  The latest start wins: reports of an earlier start of a host are ignored, whichever node sends them, while a current
+//	    list has a later one. So late lists mislead only where they are more than half of those heard.
+//	C5  A host whose turn is Returning is reported in service, and warm, only by nodes that observed it after they knew of the
+//	    Done (Report.AppliedIndex): the others report its state before the work. Until those are more than half of the current
+//	    lists, and while half of the lists lack the host, it is not considered back.
+//	C6  A new leader treats no list as current before it has heard more than half of the members, or MergeParams.LeaderWait
+//	    has passed.
+//	C7  Insignificant changes make no log entry: a value changes when it has doubled or halved, the recorded groups stay while
+//	    any node names them.
+//	C8  A node that does not report takes no group from its homes: what a member named last counts until it reports otherwise
+//	    or is no longer a member, and while a member has reported nothing to this leader, the groups recorded before stay.
 package hostview
 
 import (
@@ -40,97 +40,97 @@
 )
 
 const (
-	// MostGroups is how many groups a node names, and how many a host is said to be a home of: at most 8 names of 13 bytes
-	// each for a host in the council's log. The names are hashes: clients choose groups as long as they like.
-	MostGroups = 8
-	// keptGone is how many hosts that have left a node remembers to tell of; a leader that has less is told all.
-	keptGone = 256
+	// MaxGroups is how many groups a node names, and how many a host is recorded as a home of: at most 8 names of 13 bytes each
+	// for a host in the Raft log. The names are hashes: clients may choose group names of any length.
+	MaxGroups = 8
+	// keptRemoved is how many removed hosts a node remembers for its reports; a leader with an older version gets a full report.
+	keptRemoved = 256
 )
 
 // Host is a host as one node knows it.
 type Host struct {
 	ID, Zone, Kind string
-	Start          time.Duration // as the list has it; 0: long ago
-	Draining       bool          // the list has it, and it takes nothing new
-	Warm           bool          // it takes new work, and has its full capacity
+	Start          time.Duration // from the list; 0: long ago
+	Draining       bool          // in the list, but takes no new requests
+	Warm           bool          // takes new requests at full capacity
 	Failing        bool          // the node has set it aside for its failures
-	Worth          float64       // a second, of this node's connections there; a power of two, or 0
-	Groups         []string      // whose home it is, sorted
+	Value          float64       // value per second of this node's connections there; a power of two, or 0
+	Groups         []string      // groups that have the host as a home, sorted
 }
 
-// Same says whether two are told alike.
-func (h Host) Same(o Host) bool {
+// Equal reports whether two hosts are reported alike.
+func (h Host) Equal(o Host) bool {
 	return h.ID == o.ID && h.Zone == o.Zone && h.Kind == o.Kind && h.Start == o.Start && h.Draining == o.Draining &&
-		h.Warm == o.Warm && h.Failing == o.Failing && h.Worth == o.Worth && slices.Equal(h.Groups, o.Groups)
+		h.Warm == o.Warm && h.Failing == o.Failing && h.Value == o.Value && slices.Equal(h.Groups, o.Groups)
 }
 
-// Process names one of a node: the life of its store, and the how manieth opening of that it is. Later ones are greater.
-type Process struct{ Life, Boot uint64 }
+// Process identifies a process of a node: the incarnation of its store, and the open count of that store. Later ones are greater.
+type Process struct{ Incarnation, OpenCount uint64 }
 
-// before says whether a process is an earlier one.
+// before reports whether p is an earlier process than q.
 func (p Process) before(q Process) bool {
-	return p.Life < q.Life || p.Life == q.Life && p.Boot < q.Boot
+	return p.Incarnation < q.Incarnation || p.Incarnation == q.Incarnation && p.OpenCount < q.OpenCount
 }
 
-// Report is what a node tells with a question. Since 0: it is whole.
+// Report is what a node reports with a lease request. Since 0: it is complete.
 type Report struct {
-	Process Process
-	Seq     uint64 // of the question, in the process
-	Version uint64 // of the look that it tells of; counts in the process, from 1
-	Since   uint64 // the version that it changes
-	Seen    uint64 // the log's index up to which the node knew at its newest look, which found this version
-	Stale   bool   // its discovery does not answer
-	Hosts   []Host
-
-	GroupsUnknown bool     // it has not looked often enough to tell which groups gather at its hosts
-	Gone          []string // since then, sorted
+	Process      Process
+	Seq          uint64 // of the request, in the process
+	Version      uint64 // of the observation reported; counted in the process, from 1
+	Since        uint64 // the version that the changes are relative to
+	AppliedIndex uint64 // log index up to which the node knew at its newest observation, which had this version
+	Stale        bool   // discovery does not answer
+	Hosts        []Host
+
+	GroupsUnknown bool     // too few observations to know which groups have homes here
+	Removed       []string // since that version, sorted
 }
 
-// Terms are what a merge goes by.
-type Terms struct {
-	Fresh     time.Duration     // how long what a node told counts
-	Patience  time.Duration     // how long a new leader waits for the nodes
-	Members   []string          // that are alive, sorted
-	Before    []turns.Host      // what was said last, sorted by id
-	Returning map[string]uint64 // hosts whose work is reported done: the log's index of the Done
+// MergeParams are the parameters of a merge.
+type MergeParams struct {
+	MaxAge     time.Duration     // how long a report counts
+	LeaderWait time.Duration     // how long a new leader waits for the nodes
+	Members    []string          // living members, sorted
+	Previous   []turns.Host      // the last recorded hosts, sorted by id
+	Returning  map[string]uint64 // hosts whose work is reported done: the log index of the Done
 }
 
-// Census is the leader's side.
-type Census struct {
+// Aggregator is the leader's side.
+type Aggregator struct {
 	since time.Duration
 	nodes map[string]*view
 }
 
 // view is what is held of a node.
 type view struct {
-	at      time.Duration // when it last told something that is held
-	process Process
-	seq     uint64
-	version uint64
-	seen    uint64
-	stale   bool
-	hosts   map[string]Host
+	at           time.Duration // of the last report that was accepted
+	process      Process
+	seq          uint64
+	version      uint64
+	appliedIndex uint64
+	stale        bool
+	hosts        map[string]Host
 
 	groupsUnknown bool
 }
 
-// New returns the census of a leader that was elected at a time.
-func New(now time.Duration) *Census { return &Census{since: now, nodes: map[string]*view{}} }
+// New returns the aggregator of a leader that was elected at the given time.
+func New(now time.Duration) *Aggregator { return &Aggregator{since: now, nodes: map[string]*view{}} }
 
-// Take takes a node's report over and returns the version that is held of its process, 0 for none: what is told next has to
-// begin there.
-func (c *Census) Take(now time.Duration, node string, r Report) (has uint64) {
+// Record records a node's report and returns the version that is held of its process, 0 for none: the next report has to be
+// relative to that.
+func (c *Aggregator) Record(now time.Duration, node string, r Report) (has uint64) {
 	v := c.nodes[node]
 	switch {
 	case v != nil && r.Process.before(v.process):
 		return 0
 	case v == nil || v.process != r.Process:
-		if r.Version == 0 || r.Since != 0 { // nothing to hold of it yet: what the process before told goes on counting
+		if r.Version == 0 || r.Since != 0 { // nothing to apply it to yet: the reports of the previous process still count
 			return 0
 		}
 		v = &view{process: r.Process}
 		c.nodes[node] = v
-	case r.Seq <= v.seq: // it comes late, or once more
+	case r.Seq <= v.seq: // late or repeated
 		return v.version
 	}
 	if r.Since > v.version || r.Version < v.version {
@@ -139,29 +139,30 @@
 	if r.Since == 0 {
 		v.hosts = make(map[string]Host, len(r.Hosts))
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Removed {
 		delete(v.hosts, id)
 	}
 	for _, h := range r.Hosts {
-		if named(h.ID) {
-			v.hosts[h.ID] = sound(h)
+		if validName(h.ID) {
+			v.hosts[h.ID] = sanitized(h)
 		}
 	}
-	v.at, v.seq, v.version, v.seen, v.stale, v.groupsUnknown = now, r.Seq, r.Version, r.Seen, r.Stale, r.GroupsUnknown
+	v.at, v.seq, v.version, v.appliedIndex, v.stale, v.groupsUnknown = now, r.Seq, r.Version, r.AppliedIndex, r.Stale, r.GroupsUnknown
 	return v.version
 }
 
-// GroupsKnown says whether a node has told this leader which groups gather at its hosts, after enough looks to know.
-func (c *Census) GroupsKnown(node string) bool {
+// GroupsKnown reports whether a node has reported to this leader which groups have homes at its hosts, after enough observations
+// to know.
+func (c *Aggregator) GroupsKnown(node string) bool {
 	v := c.nodes[node]
 	return v != nil && !v.groupsUnknown
 }
 
-// steady returns what a worth is said to be that was said to be another one: that one, unless it has doubled or halved, else
-// the nearest power of two.
-func steady(last, now float64) float64 {
+// stableValue returns the value to record after the last recorded one: that one, unless it has doubled or halved, else the
+// nearest power of two.
+func stableValue(last, now float64) float64 {
 	switch {
-	case !(now >= least) || math.IsInf(now, 0):
+	case !(now >= minValue) || math.IsInf(now, 0):
 		return 0
 	case now > last/2 && now < 2*last:
 		return last
@@ -169,22 +170,22 @@
 	return math.Exp2(math.Round(math.Log2(now)))
 }
 
-// least is the worth below which there is none to speak of.
-const least = 1.0 / 16
+// minValue is the value below which 0 is recorded.
+const minValue = 1.0 / 16
 
-// sound is a host as it can stand in the log.
-func sound(h Host) Host {
-	h.Start, h.Worth = max(h.Start, 0).Truncate(time.Microsecond), steady(0, h.Worth) // finer is not told by others
+// sanitized returns a host as it may be stored in the log.
+func sanitized(h Host) Host {
+	h.Start, h.Value = max(h.Start, 0).Truncate(time.Microsecond), stableValue(0, h.Value) // other nodes do not report finer times
 	if len(h.Zone) > turns.MaxText || !utf8.ValidString(h.Zone) {
 		h.Zone = ""
 	}
 	if len(h.Kind) > turns.MaxText || !utf8.ValidString(h.Kind) {
 		h.Kind = ""
 	}
-	h.Groups = slices.DeleteFunc(slices.Clone(h.Groups), func(g string) bool { return !named(g) })
+	h.Groups = slices.DeleteFunc(slices.Clone(h.Groups), func(g string) bool { return !validName(g) })
 	slices.Sort(h.Groups)
 	h.Groups = slices.Compact(h.Groups)
 	return h
 }
 
-func named(id string) bool { return id != "" && len(id) <= turns.MaxText && utf8.ValidString(id) }
+func validName(id string) bool { return id != "" && len(id) <= turns.MaxText && utf8.ValidString(id) }
--- a/internal/choice/hostview/merge.go
+++ b/internal/choice/hostview/merge.go
@@ -9,53 +9,53 @@
 	"lichenhitch/internal/choice/turns"
 )
 
-// Fleet is what the nodes say of the hosts, all together.
+// Fleet is the merged view of the hosts.
 type Fleet struct {
 	Hosts  []turns.Host // sorted by id
-	Unsure []string     // of these, sorted: those that are Returning and that nobody who counts has seen since (C5)
+	Unsure []string     // sorted subset: those that are Returning and not yet observed since by enough nodes that count (C5)
 }
 
-// Merge returns the hosts as those nodes see them that were heard lately. While too little is known, they are as they were
-// said to be before, but for what nodes know by their own traffic.
-func (c *Census) Merge(now time.Duration, t Terms) Fleet {
+// Merge returns the hosts as seen by the nodes heard recently. While too little is known, they are as recorded before, except for
+// what nodes know from their own traffic.
+func (c *Aggregator) Merge(now time.Duration, t MergeParams) Fleet {
 	maps.DeleteFunc(c.nodes, func(node string, _ *view) bool {
 		_, member := slices.BinarySearch(t.Members, node)
 		return !member
 	})
-	var held, fresh, current []*view
+	var views, fresh, current []*view
 	for _, node := range slices.Sorted(maps.Keys(c.nodes)) {
 		v := c.nodes[node]
-		held = append(held, v)
-		if now-v.at <= t.Fresh {
+		views = append(views, v)
+		if now-v.at <= t.MaxAge {
 			fresh = append(fresh, v)
 			if !v.stale {
 				current = append(current, v)
 			}
 		}
 	}
-	if 2*len(fresh) <= len(t.Members) && now-c.since < t.Patience {
+	if 2*len(fresh) <= len(t.Members) && now-c.since < t.LeaderWait {
 		current = nil
 	}
 	before := map[string]turns.Host{}
-	for _, h := range t.Before {
+	for _, h := range t.Previous {
 		if !h.Gone {
 			before[h.ID] = h
 		}
 	}
-	allHeard := len(held) == len(t.Members)
+	allHeard := len(views) == len(t.Members)
 	var f Fleet
 	for _, id := range listed(current, before) {
 		h := before[id]
-		back, unsure := t.Returning[id]
+		doneIndex, unsure := t.Returning[id]
 		if len(current) > 0 {
-			h, unsure = merged(id, current, back)
+			h, unsure = merged(id, current, doneIndex)
 		}
 		if unsure {
 			f.Unsure = append(f.Unsure, id)
 		}
 		failing, worth := 0, 0.0
 		for _, v := range fresh {
-			worth += v.hosts[id].Worth
+			worth += v.hosts[id].Value
 			if v.hosts[id].Failing {
 				failing++
 			}
@@ -63,15 +63,15 @@
 		h.Failed = h.Failed || unsure || 2*failing > len(fresh)
 		h.Warm = h.Warm && !h.Failed
 		if len(fresh) > 0 {
-			h.Worth, h.Groups = steady(before[id].Worth, worth), groups(before[id].Groups, id, held, allHeard)
+			h.Value, h.Groups = stableValue(before[id].Value, worth), groups(before[id].Groups, id, views, allHeard)
 		}
 		f.Hosts = append(f.Hosts, h)
 	}
 	return f
 }
 
-// listed returns the hosts that there are, sorted: those that no more than half of the current lists lack (C3), or those
-// there were where no list is current.
+// listed returns the IDs of the hosts that exist, sorted: those that at most half of the current lists lack (C3), or the previous
+// ones if no list is current.
 func listed(current []*view, before map[string]turns.Host) []string {
 	if len(current) == 0 {
 		return slices.Sorted(maps.Keys(before))
@@ -86,10 +86,10 @@
 	return slices.Sorted(maps.Keys(have))
 }
 
-// merged is a host as those current lists have it that have its youngest start, looked at by nodes that knew of the log up
-// to back. It is unsure where there is none such, or where the host is to be back and no majority of the current lists tells of it
-// so, or half of them lack it.
-func merged(id string, current []*view, back uint64) (h turns.Host, unsure bool) {
+// merged returns a host from the current lists that have its latest start and belong to nodes that knew the log up to index done
+// when they observed it. It is unsure if there are none, or if the host is Returning and no majority of the current lists reports
+// it so, or half of them lack it.
+func merged(id string, current []*view, doneIndex uint64) (h turns.Host, unsure bool) {
 	var youngest time.Duration
 	for _, v := range current {
 		youngest = max(youngest, v.hosts[id].Start)
@@ -97,52 +97,52 @@
 	zones, kinds := map[string]int{}, map[string]int{}
 	counted, draining, cold, lack := 0, 0, 0, 0
 	for _, v := range current {
-		told, has := v.hosts[id]
+		reported, has := v.hosts[id]
 		if !has {
 			lack++
 		}
-		if !has || told.Start != youngest {
+		if !has || reported.Start != youngest {
 			continue
 		}
-		zones[told.Zone]++
-		kinds[told.Kind]++
-		if v.seen < back {
+		zones[reported.Zone]++
+		kinds[reported.Kind]++
+		if v.appliedIndex < doneIndex {
 			continue
 		}
 		counted++
-		if told.Draining {
+		if reported.Draining {
 			draining++
 		}
-		if !told.Warm {
+		if !reported.Warm {
 			cold++
 		}
 	}
-	h = turns.Host{ID: id, Zone: most(zones), Kind: most(kinds), Failed: 2*draining > counted, Warm: 2*cold < counted}
-	return h, counted == 0 || back > 0 && (2*counted <= len(current) || 2*lack >= len(current))
+	h = turns.Host{ID: id, Zone: mostFrequent(zones), Kind: mostFrequent(kinds), Failed: 2*draining > counted, Warm: 2*cold < counted}
+	return h, counted == 0 || doneIndex > 0 && (2*counted <= len(current) || 2*lack >= len(current))
 }
 
-// most returns what was said the most often; of those alike the first by its name.
-func most(said map[string]int) (best string) {
-	for i, s := range slices.Sorted(maps.Keys(said)) {
-		if i == 0 || said[s] > said[best] {
+// mostFrequent returns the most frequent string, of equally frequent ones the first in alphabetical order.
+func mostFrequent(counts map[string]int) (best string) {
+	for i, s := range slices.Sorted(maps.Keys(counts)) {
+		if i == 0 || counts[s] > counts[best] {
 			best = s
 		}
 	}
 	return best
 }
 
-// groups returns whose home a host is: those that were said before, and that a node still names or a member that was not heard
-// yet may name, come first, then those that the most nodes name, MostGroups at most.
-func groups(before []string, id string, held []*view, allHeard bool) []string {
+// groups returns the groups that have a host as a home: first those recorded before that a node still names, or that a member not
+// heard yet may name, then those that the most nodes name; at most MaxGroups.
+func groups(before []string, id string, views []*view, allHeard bool) []string {
 	named := map[string]int{}
-	for _, v := range held {
+	for _, v := range views {
 		for _, g := range v.hosts[id].Groups {
 			named[g]++
 		}
 	}
 	for _, g := range before {
 		if named[g] > 0 || !allHeard {
-			named[g] += len(held)
+			named[g] += len(views)
 		}
 	}
 	all := slices.Collect(maps.Keys(named))
@@ -152,7 +152,7 @@
 		}
 		return strings.Compare(a, b)
 	})
-	all = all[:min(len(all), MostGroups)]
+	all = all[:min(len(all), MaxGroups)]
 	slices.Sort(all)
 	return all
 }
--- a/internal/choice/hostview/reporter.go
+++ b/internal/choice/hostview/reporter.go
@@ -10,153 +10,155 @@
 )
 
 const (
-	// fade is over how many looks worth is smoothed, so that one connection that comes and goes is no news.
-	fade = 8
-	// namedFrom and namedTo are the parts of what a node holds that a group makes from which on the node names it, and below
-	// which it does so no more. So no more than MostGroups begin to be named at a time.
-	namedFrom = 1.0 / MostGroups
-	namedTo   = namedFrom / 2
+	// window is the number of observations over which values are smoothed, so that one connection that comes and goes changes
+	// nothing.
+	window = 8
+	// nameShare is the share of the value that a node holds from which it names a group, and keepShare the share below which it
+	// stops. So no more than MaxGroups start to be named at a time.
+	nameShare = 1.0 / MaxGroups
+	keepShare = nameShare / 2
 )
 
-// Group is what a node's traffic tells of a group of connections.
+// Group is what a node's traffic shows of a group of connections.
 type Group struct {
-	Name  string // as clients name it
-	Worth float64
+	Name  string // as named by clients
+	Value float64
 	Homes []string // hosts where it gathers
 }
 
-// Look is what a node sees when it looks at its hosts. A host's Failing, Worth and Groups come from the other fields.
-type Look struct {
-	Hosts   []Host
-	Failing []string
-	Worth   map[string]float64 // a second, by host
-	Groups  []Group            // those worth the most, 2*MostGroups at least where there are so many
-	Seen    uint64             // the log's index up to which the node knew
-	Stale   bool
+// Observation is what a node sees of its hosts. Failing, Value and Groups of a host come from the other fields.
+type Observation struct {
+	Hosts        []Host
+	Failing      []string
+	Values       map[string]float64 // per second, by host
+	Groups       []Group            // those with the highest value, at least 2*MaxGroups if there are that many
+	AppliedIndex uint64             // log index up to which the node knew
+	Stale        bool
 }
 
 // Reporter is the node's side.
 type Reporter struct {
-	version uint64
-	seen    uint64
-	stale   bool
-	hosts   map[string]told
-	gone    map[string]uint64 // since which version
-	floor   uint64            // of a leader that has less, it is not known what has left since
-	has     uint64            // by the leader, as far as is known
-	groups  map[string]*group
-	sum     float64 // of the worth of all, smoothed
-	looks   int     // taken so far, up to fade
+	version      uint64
+	appliedIndex uint64
+	stale        bool
+	hosts        map[string]reportedHost
+	removed      map[string]uint64 // by the version that removed the host
+	removedFloor uint64            // removals since versions below this one are not known any more
+	leaderHas    uint64            // version the leader has, as far as is known
+	groups       map[string]*group
+	total        float64 // smoothed sum of all values
+	observations int     // observations so far, up to window
 }
 
-// group is one that some connections here belong to, or did a few looks ago.
+// group is a group that has connections here, or had some a few observations ago.
 type group struct {
-	level float64 // worth, smoothed
-	homes []string
-	named bool
+	smoothed float64 // smoothed value
+	homes    []string
+	named    bool
 }
 
-// told is a host as it is told, since which version.
-type told struct {
+// reportedHost is a host as reported, and since which version.
+type reportedHost struct {
 	Host
-	since uint64
-	level float64 // worth, smoothed
+	since    uint64
+	smoothed float64 // smoothed value
 }
 
-// NewReporter returns a reporter that has not looked yet.
+// NewReporter returns a reporter without observations.
 func NewReporter() *Reporter {
-	return &Reporter{hosts: map[string]told{}, gone: map[string]uint64{}, groups: map[string]*group{}}
+	return &Reporter{hosts: map[string]reportedHost{}, removed: map[string]uint64{}, groups: map[string]*group{}}
 }
 
-// Look takes a look over. Names that cannot stand in the log are left out.
-func (r *Reporter) Look(l Look) {
-	r.seen, r.stale = l.Seen, l.Stale
-	r.looks = min(r.looks+1, fade)
+// Observe records an observation. Hosts with invalid names are left out.
+func (r *Reporter) Observe(l Observation) {
+	r.appliedIndex, r.stale = l.AppliedIndex, l.Stale
+	r.observations = min(r.observations+1, window)
 	next, changed := r.version+1, r.version == 0
-	sum := 0.0
-	for _, id := range slices.Sorted(maps.Keys(l.Worth)) {
-		sum += l.Worth[id]
+	total := 0.0
+	for _, id := range slices.Sorted(maps.Keys(l.Values)) {
+		total += l.Values[id]
 	}
 	if r.version == 0 {
-		r.sum = sum
+		r.total = total
 	}
-	r.sum += (sum - r.sum) / fade
-	homes, here := r.homes(l.Groups, sum), map[string]bool{}
+	r.total += (total - r.total) / window
+	homes, here := r.homes(l.Groups, total), map[string]bool{}
 	for _, h := range l.Hosts {
-		if !named(h.ID) {
+		if !validName(h.ID) {
 			continue
 		}
 		here[h.ID] = true
 		old, known := r.hosts[h.ID]
-		level := l.Worth[h.ID]
+		smoothed := l.Values[h.ID]
 		if known {
-			level = old.level + (level-old.level)/fade
+			smoothed = old.smoothed + (smoothed-old.smoothed)/window
 		}
-		h.Failing, h.Worth, h.Groups = slices.Contains(l.Failing, h.ID), 0, homes[h.ID]
-		h = sound(h)
-		h.Worth = steady(old.Worth, level)
-		if known && old.Same(h) {
-			old.level = level
+		h.Failing, h.Value, h.Groups = slices.Contains(l.Failing, h.ID), 0, homes[h.ID]
+		h = sanitized(h)
+		h.Value = stableValue(old.Value, smoothed)
+		if known && old.Equal(h) {
+			old.smoothed = smoothed
 			r.hosts[h.ID] = old
 			continue
 		}
-		r.hosts[h.ID] = told{Host: h, since: next, level: level}
-		delete(r.gone, h.ID)
+		r.hosts[h.ID] = reportedHost{Host: h, since: next, smoothed: smoothed}
+		delete(r.removed, h.ID)
 		changed = true
 	}
 	for id := range r.hosts {
 		if !here[id] {
 			delete(r.hosts, id)
-			r.gone[id] = next
+			r.removed[id] = next
 			changed = true
 		}
 	}
 	if changed {
 		r.version = next
 	}
-	for len(r.gone) > keptGone {
-		oldest := slices.MinFunc(slices.Collect(maps.Keys(r.gone)), func(a, b string) int {
-			if r.gone[a] != r.gone[b] {
-				return int(r.gone[a]) - int(r.gone[b])
+	for len(r.removed) > keptRemoved {
+		oldest := slices.MinFunc(slices.Collect(maps.Keys(r.removed)), func(a, b string) int {
+			if r.removed[a] != r.removed[b] {
+				return int(r.removed[a]) - int(r.removed[b])
 			}
 			return strings.Compare(a, b)
 		})
-		r.floor = max(r.floor, r.gone[oldest])
-		delete(r.gone, oldest)
+		r.removedFloor = max(r.removedFloor, r.removed[oldest])
+		delete(r.removed, oldest)
 	}
 }
 
-// homes returns the groups to be named, by host, sorted: those that have made a good part of what this node holds for some
-// looks. A group begins to be named by what the node holds now (holds) too: after a start the smoothed sum is still far below it.
-func (r *Reporter) homes(all []Group, holds float64) map[string][]string {
+// homes returns the groups to name, by host, sorted: those with a large share of what this node holds for some observations. For
+// a group that is not named yet, the value that the node holds now counts too: after a start the smoothed sum is still far below
+// it.
+func (r *Reporter) homes(all []Group, current float64) map[string][]string {
 	for _, g := range r.groups {
-		g.level -= g.level / fade
+		g.smoothed -= g.smoothed / window
 	}
 	for _, g := range all {
 		known := r.groups[g.Name]
 		if known == nil {
 			known = &group{}
-			if r.version == 0 { // it stood before this process looked
-				known.level = g.Worth * (1 - 1.0/fade)
+			if r.version == 0 { // it existed before this process observed anything
+				known.smoothed = g.Value * (1 - 1.0/window)
 			}
 			r.groups[g.Name] = known
 		}
-		known.level += g.Worth / fade
+		known.smoothed += g.Value / window
 		known.homes = slices.Clone(g.Homes)
 	}
-	maps.DeleteFunc(r.groups, func(_ string, g *group) bool { return g.level < namedTo/fade*r.sum || r.sum == 0 })
+	maps.DeleteFunc(r.groups, func(_ string, g *group) bool { return g.smoothed < keepShare/window*r.total || r.total == 0 })
 	names := slices.Sorted(maps.Keys(r.groups))
-	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(r.groups[b].level, r.groups[a].level) })
+	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(r.groups[b].smoothed, r.groups[a].smoothed) })
 	byHost, n := map[string][]string{}, 0
 	for _, name := range names {
 		g := r.groups[name]
-		g.named = n < MostGroups && (g.level >= namedFrom*max(r.sum, holds) || g.named && g.level >= namedTo*r.sum)
+		g.named = n < MaxGroups && (g.smoothed >= nameShare*max(r.total, current) || g.named && g.smoothed >= keepShare*r.total)
 		if !g.named {
 			continue
 		}
 		n++
 		for _, id := range g.homes {
-			byHost[id] = append(byHost[id], short(name))
+			byHost[id] = append(byHost[id], shortName(name))
 		}
 	}
 	for id := range byHost {
@@ -165,36 +167,36 @@
 	return byHost
 }
 
-// short is a group's name in the log: clients choose theirs as long as they like.
-func short(name string) string {
+// shortName is a group's name in the log: clients may choose names of any length.
+func shortName(name string) string {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return strconv.FormatUint(h.Sum64(), 36)
 }
 
-// Told takes over which version the leader says it has, and says whether the node had better ask again at once: a new
-// leader has nothing.
-func (r *Reporter) Told(has uint64) (again bool) {
-	again = has == 0 && r.has > 0
-	r.has = has
+// Acknowledge records the version that the leader reports to have, and returns whether the node should send another request at
+// once: a new leader has nothing.
+func (r *Reporter) Acknowledge(has uint64) (again bool) {
+	again = has == 0 && r.leaderHas > 0
+	r.leaderHas = has
 	return again
 }
 
-// Report returns what the leader lacks, false before the first look. Process and Seq are the caller's to set.
+// Report returns what the leader lacks, false before the first observation. The caller sets Process and Seq.
 func (r *Reporter) Report() (Report, bool) {
-	since := r.has
-	if since > r.version || since < r.floor {
+	since := r.leaderHas
+	if since > r.version || since < r.removedFloor {
 		since = 0
 	}
-	p := Report{Version: r.version, Since: since, Seen: r.seen, Stale: r.stale, GroupsUnknown: r.looks < fade}
+	p := Report{Version: r.version, Since: since, AppliedIndex: r.appliedIndex, Stale: r.stale, GroupsUnknown: r.observations < window}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		if h := r.hosts[id]; h.since > since {
 			p.Hosts = append(p.Hosts, h.Host)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.gone)) {
-		if since > 0 && r.gone[id] > since {
-			p.Gone = append(p.Gone, id)
+	for _, id := range slices.Sorted(maps.Keys(r.removed)) {
+		if since > 0 && r.removed[id] > since {
+			p.Removed = append(p.Removed, id)
 		}
 	}
 	return p, r.version > 0
--- a/internal/choice/hostview/walk_test.go
+++ b/internal/choice/hostview/walk_test.go
@@ -13,66 +13,66 @@
 	"lichenhitch/internal/choice/turns"
 )
 
-// walk is nodes whose lists are late, stale or current, a leader that changes, and calls that are lost, late, repeated and
-// overtaken, against what each node truly looked at.
+// walk has nodes whose lists are late, stale or current, a leader that changes, and calls that are lost, late, repeated and
+// overtaken, checked against what each node really observed.
 type walk struct {
-	r     *rand.Rand
-	plant string
-	now   time.Duration
-	index uint64
-	c     *Census
-	nodes []*walker
-	hosts map[string][]Host // as discovery had them, the newest last; one without an id: not there
-	back  map[string]uint64
-	calls []func()
-	said  []turns.Host
-	wrong string
-	ended int
+	r      *rand.Rand
+	bug    string
+	now    time.Duration
+	index  uint64
+	c      *Aggregator
+	nodes  []*walker
+	hosts  map[string][]Host // as discovery had them, the newest last; one without an id: not there
+	back   map[string]uint64
+	calls  []func()
+	merged []turns.Host
+	wrong  string
+	ended  int
 }
 
 type walker struct {
-	name  string
-	p     Process
-	seq   uint64
-	r     *Reporter
-	late  int // changes of each host that its list lacks
-	known uint64
-	looks map[held]looked
-	held  held // at the leader
+	name         string
+	p            Process
+	seq          uint64
+	r            *Reporter
+	late         int // newest changes of each host that its list lacks
+	known        uint64
+	observations map[held]observed
+	held         held // at the leader
 }
 
-// held names a look.
+// held identifies an observation.
 type held struct {
 	Process
 	version, seen uint64
 }
 
-type looked struct {
-	hosts map[string]told
-	heads map[[2]any]bool // Seen and Stale, as looks had them that found this version
+type observed struct {
+	hosts map[string]reportedHost
+	heads map[[2]any]bool // AppliedIndex and Stale of the observations that had this version
 
 }
 
-func (w *walk) look(n *walker) {
-	l := Look{Seen: n.known, Stale: n.late > 1, Worth: map[string]float64{}}
+func (w *walk) observe(n *walker) {
+	l := Observation{AppliedIndex: n.known, Stale: n.late > 1, Values: map[string]float64{}}
 
 	for _, id := range []string{"a", "b", "c"} {
 		all := w.hosts[id]
 		if h := all[max(0, len(all)-1-n.late)]; h.ID != "" {
 			l.Hosts = append(l.Hosts, h)
-			l.Worth[id] = float64(w.r.IntN(50))
+			l.Values[id] = float64(w.r.IntN(50))
 
 		}
 	}
-	n.r.Look(l)
+	n.r.Observe(l)
 	key := held{n.p, n.r.version, 0}
-	if _, known := n.looks[key]; !known {
-		n.looks[key] = looked{map[string]told{}, map[[2]any]bool{}}
+	if _, known := n.observations[key]; !known {
+		n.observations[key] = observed{map[string]reportedHost{}, map[[2]any]bool{}}
 	}
 	for id, h := range n.r.hosts {
-		n.looks[key].hosts[id] = h
+		n.observations[key].hosts[id] = h
 	}
-	n.looks[key].heads[[2]any{l.Seen, l.Stale}] = true
+	n.observations[key].heads[[2]any{l.AppliedIndex, l.Stale}] = true
 }
 
 func (w *walk) ask(n *walker) {
@@ -84,7 +84,7 @@
 	p.Process, p.Seq = n.p, n.seq
 	call := func() {
 		v := w.c.nodes[n.name]
-		switch w.plant {
+		switch w.bug {
 		case "late":
 			if v != nil {
 				p.Seq = v.seq + 1
@@ -98,15 +98,15 @@
 				delete(w.c.nodes, n.name)
 			}
 		}
-		has, process, index := w.c.Take(w.now, n.name, p), n.p, w.index
-		if w.plant == "head" && v != nil {
-			v.seen, v.stale = p.Seen, p.Stale
+		has, process, index := w.c.Record(w.now, n.name, p), n.p, w.index
+		if w.bug == "head" && v != nil {
+			v.appliedIndex, v.stale = p.AppliedIndex, p.Stale
 		}
 		w.check(n)
 		w.send(func() {
 			if n.p == process {
 				n.known = max(n.known, index)
-				n.r.Told(has)
+				n.r.Acknowledge(has)
 			}
 		})
 	}
@@ -128,57 +128,57 @@
 	}
 }
 
-// check is C1.
+// check verifies C1.
 func (w *walk) check(n *walker) {
 	v := w.c.nodes[n.name]
 	if v == nil {
 		return
 	}
-	was, known := n.looks[held{v.process, v.version, 0}]
+	was, known := n.observations[held{v.process, v.version, 0}]
 	switch {
-	case !known || !was.heads[[2]any{v.seen, v.stale}]:
-		w.fail("%s never looked at version %d of %v so", n.name, v.version, v.process)
-	case v.process.before(n.held.Process) || v.process == n.held.Process && (v.version < n.held.version || v.seen < n.held.seen):
-		w.fail("%s: an earlier look is held again", n.name)
+	case !known || !was.heads[[2]any{v.appliedIndex, v.stale}]:
+		w.fail("%s never observed version %d of %v like this", n.name, v.version, v.process)
+	case v.process.before(n.held.Process) || v.process == n.held.Process && (v.version < n.held.version || v.appliedIndex < n.held.seen):
+		w.fail("%s: an earlier observation is held again", n.name)
 	case len(was.hosts) != len(v.hosts):
-		w.fail("%s: %d hosts held, %d looked at", n.name, len(v.hosts), len(was.hosts))
+		w.fail("%s: %d hosts held, %d observed", n.name, len(v.hosts), len(was.hosts))
 	}
 	for id, h := range was.hosts {
-		if !v.hosts[id].Same(h.Host) {
+		if !v.hosts[id].Equal(h.Host) {
 			w.fail("%s: %s is held as %+v, was %+v", n.name, id, v.hosts[id], h.Host)
 		}
 	}
-	n.held = held{v.process, v.version, v.seen}
+	n.held = held{v.process, v.version, v.appliedIndex}
 }
 
-// merge has the leader look, and checks C2 to C6 against what the nodes' held looks had.
+// merge merges at the leader and checks C2 to C6 against the nodes' held observations.
 func (w *walk) merge() {
-	t := Terms{Fresh: 20 * time.Second, Patience: 5 * time.Second, Members: []string{"n0", "n1", "n2", "n3", "n4"}, Before: w.said,
+	t := MergeParams{MaxAge: 20 * time.Second, LeaderWait: 5 * time.Second, Members: []string{"n0", "n1", "n2", "n3", "n4"}, Previous: w.merged,
 		Returning: w.back}
-	c, planted := w.c, &Census{since: w.c.since, nodes: map[string]*view{}}
-	if w.plant != "" {
+	c, buggy := w.c, &Aggregator{since: w.c.since, nodes: map[string]*view{}}
+	if w.bug != "" {
 		for name, v := range w.c.nodes {
 			u := *v
-			u.stale = u.stale && w.plant != "stale"
+			u.stale = u.stale && w.bug != "stale"
 			u.hosts = map[string]Host{}
 			for id, h := range v.hosts {
-				if w.plant == "start" {
+				if w.bug == "start" {
 					h.Start = 1
 				}
 				u.hosts[id] = h
 			}
-			if name == "n0" || w.plant != "own" {
-				planted.nodes[name] = &u
+			if name == "n0" || w.bug != "own" {
+				buggy.nodes[name] = &u
 			}
 		}
-		c = planted
-		switch w.plant {
+		c = buggy
+		switch w.bug {
 		case "returning":
 			t.Returning = nil
 		case "patience":
-			t.Patience = 0
+			t.LeaderWait = 0
 		case "fresh":
-			t.Fresh = time.Hour
+			t.MaxAge = time.Hour
 		}
 	}
 	f := c.Merge(w.now, t)
@@ -204,8 +204,8 @@
 		in := func(all []turns.Host) bool {
 			return slices.ContainsFunc(all, func(h turns.Host) bool { return h.ID == id })
 		}
-		if quiet && in(f.Hosts) != in(w.said) || !quiet && in(f.Hosts) != (2*lacks[id] <= len(current)) {
-			w.fail("%s: listed %v, said before %v, %d of %d lists lack it", id, in(f.Hosts), in(w.said), lacks[id], len(current))
+		if quiet && in(f.Hosts) != in(w.merged) || !quiet && in(f.Hosts) != (2*lacks[id] <= len(current)) {
+			w.fail("%s: listed %v, previously %v, %d of %d lists lack it", id, in(f.Hosts), in(w.merged), lacks[id], len(current))
 		}
 	}
 	for _, h := range f.Hosts {
@@ -213,25 +213,25 @@
 		if h.Failed || !returning {
 			continue
 		}
-		knows, so := 0, false // those who looked since, and whether one of them has it so
+		knows, so := 0, false // nodes that observed it since, and whether one of them reports this state
 		for _, v := range current {
-			if seen, has := v.hosts[h.ID]; has && v.seen >= back && seen.Start == youngest[h.ID] {
+			if seen, has := v.hosts[h.ID]; has && v.appliedIndex >= back && seen.Start == youngest[h.ID] {
 				knows++
 				so = so || !seen.Draining && (seen.Warm || !h.Warm)
 			}
 		}
 		if quiet || !so || 2*knows <= len(current) {
-			w.fail("%s is said to be back, and %d of %d know", h.ID, knows, len(current))
+			w.fail("%s is reported back, but only %d of %d lists know", h.ID, knows, len(current))
 		}
 		if h.Warm {
 			delete(w.back, h.ID)
 			w.ended++
 		}
 	}
-	w.said = f.Hosts
+	w.merged = f.Hosts
 }
 
-// step is something that happens.
+// step performs a random event.
 func (w *walk) step() {
 	w.now += time.Duration(w.r.IntN(800)) * time.Millisecond
 	n := w.nodes[w.r.IntN(len(w.nodes))]
@@ -242,18 +242,18 @@
 		for _, n := range w.nodes {
 			n.held = held{}
 		}
-	case k == 1: // the node starts again
-		if n.p.Boot++; w.r.IntN(3) == 0 { // with another store
-			n.p = Process{n.p.Life + 1, 1}
+	case k == 1: // the node restarts
+		if n.p.OpenCount++; w.r.IntN(3) == 0 { // with a new store
+			n.p = Process{n.p.Incarnation + 1, 1}
 		}
 		n.seq, n.r, n.known = 0, NewReporter(), 0
 	case k == 2:
 		n.late = w.r.IntN(3)
-	case k < 5: // a host goes, comes back, drains, or is warm
+	case k < 5: // a host goes, comes back, drains, or becomes warm
 		all := w.hosts[id]
 		h := all[len(all)-1]
 		switch {
-		case h.ID == "" || w.r.IntN(4) == 0: // it has started again
+		case h.ID == "" || w.r.IntN(4) == 0: // it has restarted
 			h = Host{ID: id, Start: w.now}
 			w.index++
 			w.back[id] = w.index // its work is reported done
@@ -269,10 +269,10 @@
 	case k < 8:
 		w.merge()
 	case k < 16:
-		w.look(n)
+		w.observe(n)
 	case k < 26:
 		w.ask(n)
-	case len(w.calls) > 0: // now and then not the first one
+	case len(w.calls) > 0: // sometimes out of order
 		i := min(w.r.IntN(len(w.calls)), w.r.IntN(4)*w.r.IntN(8))
 		f := w.calls[i]
 		w.calls = slices.Delete(w.calls, i, i+1)
@@ -280,14 +280,14 @@
 	}
 }
 
-func walks(plant string, seeds uint64) (wrong string, ended int) {
+func walks(bug string, seeds uint64) (wrong string, ended int) {
 	for seed := range seeds {
-		w := &walk{r: rand.New(rand.NewPCG(seed, 1)), plant: plant, c: New(0), hosts: map[string][]Host{}, back: map[string]uint64{}}
+		w := &walk{r: rand.New(rand.NewPCG(seed, 1)), bug: bug, c: New(0), hosts: map[string][]Host{}, back: map[string]uint64{}}
 		for _, id := range []string{"a", "b", "c"} {
 			w.hosts[id] = []Host{{ID: id, Start: 1, Warm: true}}
 		}
 		for i := range 5 {
-			w.nodes = append(w.nodes, &walker{name: fmt.Sprint("n", i), p: Process{1, 1}, r: NewReporter(), looks: map[held]looked{}})
+			w.nodes = append(w.nodes, &walker{name: fmt.Sprint("n", i), p: Process{1, 1}, r: NewReporter(), observations: map[held]observed{}})
 		}
 		for i := 0; i < 4000 && w.wrong == ""; i++ {
 			w.step()
@@ -299,93 +299,94 @@
 	return "", ended
 }
 
-func TestWhatIsHeldWasLookedAt(t *testing.T) {
+func TestHeldViewsWereObserved(t *testing.T) {
 	wrong, ended := walks("", 40)
 	assert.Empty(t, wrong)
 	assert.Greater(t, ended, 50, "hosts come back")
 }
 
-func TestPlantedBugsAreFound(t *testing.T) {
-	for _, plant := range []string{"late", "gap", "runs", "head", "stale", "start", "own", "returning", "patience", "fresh"} {
-		wrong, _ := walks(plant, 40)
-		assert.NotEmpty(t, wrong, plant)
+func TestInjectedBugsAreFound(t *testing.T) {
+	for _, bug := range []string{"late", "gap", "runs", "head", "stale", "start", "own", "returning", "patience", "fresh"} {
+		wrong, _ := walks(bug, 40)
+		assert.NotEmpty(t, wrong, bug)
 	}
 }
 
-func TestSmallChangesAreNoNews(t *testing.T) {
+func TestSmallChangesAreNotReported(t *testing.T) {
 	r := NewReporter()
-	look := func(worth float64, groups ...Group) uint64 {
-		r.Look(Look{Hosts: []Host{{ID: "a", Warm: true}, {ID: "\xff"}}, Worth: map[string]float64{"a": worth}, Groups: groups})
+	observe := func(worth float64, groups ...Group) uint64 {
+		r.Observe(Observation{Hosts: []Host{{ID: "a", Warm: true}, {ID: "\xff"}}, Values: map[string]float64{"a": worth}, Groups: groups})
 		return r.version
 	}
-	g := func(worth float64) Group { return Group{Name: "g", Worth: worth, Homes: []string{"a"}} }
-	first := look(100, g(13))
+	g := func(worth float64) Group { return Group{Name: "g", Value: worth, Homes: []string{"a"}} }
+	first := observe(100, g(13))
 	p, any := r.Report()
 	require.True(t, any)
-	require.Len(t, p.Hosts, 1, "a name that cannot stand in the log is left out")
+	require.Len(t, p.Hosts, 1, "an invalid name is left out")
 	assert.Len(t, p.Hosts[0].Groups, 1, "an eighth")
 	for _, w := range []float64{101, 0, 130, 90, 100} {
-		assert.Equal(t, first, look(w, g(10)), "worth that comes and goes, and a group that makes a little less")
+		assert.Equal(t, first, observe(w, g(10)), "values that come and go, and a group with a slightly smaller share")
 	}
 	for range 40 {
-		look(100, g(2))
+		observe(100, g(2))
 	}
 	p, _ = r.Report()
 	assert.Empty(t, p.Hosts[0].Groups)
 
-	r.Told(r.version)
-	for i := range keptGone + 10 { // hosts come and go
-		r.Look(Look{Hosts: []Host{{ID: fmt.Sprint("h", i)}}})
+	r.Acknowledge(r.version)
+	for i := range keptRemoved + 10 { // hosts come and go
+		r.Observe(Observation{Hosts: []Host{{ID: fmt.Sprint("h", i)}}})
 	}
 	p, _ = r.Report()
-	assert.Zero(t, p.Since, "it is not known any more what has left since")
+	assert.Zero(t, p.Since, "the removals since then are not known any more")
 }
 
-// TestAPairSeenOnceAfterAStartIsNoGroup: the looks of a node that has just started, as traced, with one chance pair among them.
-func TestAPairSeenOnceAfterAStartIsNoGroup(t *testing.T) {
+// TestChancePairAfterStartIsNoGroup replays the first observations of a node that has just started, from a trace, with one chance
+// pair among them.
+func TestChancePairAfterStartIsNoGroup(t *testing.T) {
 	r := NewReporter()
 	held, pair := []float64{0, 7, 6, 4, 5, 6, 4, 4, 5}, 2
 	for i, sum := range held {
-		l := Look{Hosts: []Host{{ID: "a", Warm: true}}, Worth: map[string]float64{"a": sum}}
+		l := Observation{Hosts: []Host{{ID: "a", Warm: true}}, Values: map[string]float64{"a": sum}}
 		if i == pair {
-			l.Groups = []Group{{Name: "g", Worth: 2, Homes: []string{"a"}}}
+			l.Groups = []Group{{Name: "g", Value: 2, Homes: []string{"a"}}}
 		}
-		r.Look(l)
+		r.Observe(l)
 		p, _ := r.Report()
 		assert.Empty(t, p.Hosts[0].Groups, "look %d", i)
-		assert.Equal(t, i+1 < fade, p.GroupsUnknown, "look %d", i)
+		assert.Equal(t, i+1 < window, p.GroupsUnknown, "look %d", i)
 	}
 }
 
-// TestAGroupIsNamedSoonAfterAStart where it stays: a third of what the node holds.
-func TestAGroupIsNamedSoonAfterAStart(t *testing.T) {
+// TestStableGroupIsNamedSoonAfterStart: the group is a third of what the node holds.
+func TestStableGroupIsNamedSoonAfterStart(t *testing.T) {
 	r := NewReporter()
-	for range fade {
-		r.Look(Look{Hosts: []Host{{ID: "a", Warm: true}}, Worth: map[string]float64{"a": 6},
-			Groups: []Group{{Name: "g", Worth: 2, Homes: []string{"a"}}}})
+	for range window {
+		r.Observe(Observation{Hosts: []Host{{ID: "a", Warm: true}}, Values: map[string]float64{"a": 6},
+			Groups: []Group{{Name: "g", Value: 2, Homes: []string{"a"}}}})
 	}
 	p, _ := r.Report()
 	assert.Len(t, p.Hosts[0].Groups, 1)
 	assert.False(t, p.GroupsUnknown)
 }
 
-// TestAGroupStaysWhileWhoNamesItIsNotHeard: at a new leader, and after the node was cut off.
-func TestAGroupStaysWhileWhoNamesItIsNotHeard(t *testing.T) {
-	terms := Terms{Fresh: time.Second, Members: []string{"n0", "n1"}, Before: []turns.Host{{ID: "a", Groups: []string{"g"}}}}
+// TestGroupStaysWhileItsNodeIsNotHeard covers a new leader, and a node that was cut off.
+func TestGroupStaysWhileItsNodeIsNotHeard(t *testing.T) {
+	terms := MergeParams{MaxAge: time.Second, Members: []string{"n0", "n1"}, Previous: []turns.Host{{ID: "a", Groups: []string{"g"}}}}
 	report := func(groups ...string) Report {
 		return Report{Process: Process{1, 1}, Version: 1, Hosts: []Host{{ID: "a", Groups: groups}}}
 	}
-	groups := func(c *Census, now time.Duration) []string { return c.Merge(now, terms).Hosts[0].Groups }
+	groups := func(c *Aggregator, now time.Duration) []string { return c.Merge(now, terms).Hosts[0].Groups }
 	c := New(0)
-	c.Take(0, "n0", report())
-	assert.Equal(t, []string{"g"}, groups(c, 0), "n1 may name it")
-	c.Take(0, "n1", report("g"))
+	c.Record(0, "n0", report())
+	assert.Equal(t, []string{"g"}, groups(c, 0), "n1 may still name it")
+	c.Record(0, "n1", report("g"))
 	again := report()
 	again.Seq = 1
-	c.Take(time.Minute, "n0", again)
+	c.Record(time.Minute, "n0", again)
 	assert.Equal(t, []string{"g"}, groups(c, time.Minute), "n1 was cut off with its connections")
-	told := report()
-	told.Seq = 1
-	c.Take(time.Minute, "n1", told)
+	changed := report()
+	changed.Seq = 1
+	c.Record(time.Minute, "n1", changed)
 	assert.Empty(t, groups(c, time.Minute))
 }
--- a/internal/choice/sendlease/holder.go
+++ b/internal/choice/sendlease/holder.go
@@ -6,215 +6,215 @@
 	"time"
 )
 
-// Saved is what stands in a node's store.
+// Saved is what a node's store holds.
 type Saved struct {
-	Life     uint64    // of the store, set by the caller when it makes it, above those before; 0: there is none yet
-	Horizons []Horizon // that the council may go by, ascending by version; 0 stands for none. Empty: never told anything
-	Recorded uint64    // the newest that the council is known to have recorded
-	Outs     []Out     // sorted by host
-	Applied  uint64    // the log up to where they were told; may be older than the last answer where that changed nothing
+	Incarnation   uint64         `json:"Life"`     // incarnation of the store, set by the caller when it creates it, higher than earlier ones; 0: no store yet
+	ExclusionSets []ExclusionSet `json:"Horizons"` // those the Raft group may rely on, ascending by version; version 0 means none. Empty: never answered
+	Recorded      uint64         // the newest version that the Raft group is known to have recorded
+	ExcludedHosts []ExcludedHost `json:"Outs"` // sorted by host
+	Applied       uint64         // log index of the answer; may be lower than that of the last answer if that one changed nothing
 }
 
-// told says whether the council ever answered this store.
-func (s *Saved) told() bool { return len(s.Horizons) > 0 }
+// answered reports whether the Raft group ever answered this store.
+func (s *Saved) told() bool { return len(s.ExclusionSets) > 0 }
 
-// covers says whether the store holds every horizon that the council may go by: the one that it has recorded, and all
-// since.
-func (s *Saved) covers() bool { return s.told() && s.Horizons[0].Version <= s.Recorded }
+// coversRecorded reports whether the store holds every exclusion set that the Raft group may rely on: the recorded one and all
+// later ones.
+func (s *Saved) coversRecorded() bool { return s.told() && s.ExclusionSets[0].Version <= s.Recorded }
 
 // newest returns the newest version held.
 func (s *Saved) newest() uint64 {
 	if !s.told() {
 		return 0
 	}
-	return s.Horizons[len(s.Horizons)-1].Version
+	return s.ExclusionSets[len(s.ExclusionSets)-1].Version
 }
 
-// same says whether two stores withhold the same. Applied alone is no reason to write: a host that is out in the same
-// round in two answers was out between them.
-func (s *Saved) same(o *Saved) bool {
-	return s.Life == o.Life && s.Recorded == o.Recorded && slices.Equal(s.Outs, o.Outs) &&
-		slices.EqualFunc(s.Horizons, o.Horizons, func(a, b Horizon) bool {
+// equal reports whether two stores exclude the same hosts. A change of Applied alone needs no write: a host that is excluded in
+// the same round in two answers was excluded in between.
+func (s *Saved) equal(o *Saved) bool {
+	return s.Incarnation == o.Incarnation && s.Recorded == o.Recorded && slices.Equal(s.ExcludedHosts, o.ExcludedHosts) &&
+		slices.EqualFunc(s.ExclusionSets, o.ExclusionSets, func(a, b ExclusionSet) bool {
 			return a.Version == b.Version && slices.Equal(a.Hosts, b.Hosts)
 		})
 }
 
-// clone returns a copy that shares nothing that is written to. The hosts of a horizon are never changed.
+// clone returns a copy that shares nothing that is written to. The hosts of an exclusion set are never changed.
 func (s *Saved) clone() Saved {
 	c := *s
-	c.Horizons, c.Outs = slices.Clone(s.Horizons), slices.Clone(s.Outs)
+	c.ExclusionSets, c.ExcludedHosts = slices.Clone(s.ExclusionSets), slices.Clone(s.ExcludedHosts)
 	return c
 }
 
-// asked is a question that may still bring a right.
-type asked struct {
+// pendingRequest is a request whose answer may still bring a lease.
+type pendingRequest struct {
 	seq uint64
 	at  time.Duration
 }
 
-// Holder is the node's side of its right. It is not safe for concurrent use.
+// Holder is the node's side of its send lease. It is not safe for concurrent use.
 //
-// News goes three ways at three paces: to the loop at once, into the store, and from both of them back to the council.
-// Holder keeps what is durable and what is known apart. The loop goes by what is known: it names all that the council
-// may go by, and what it has dropped the council has dropped before. The right that came with news is taken, and the
-// news confirmed, once it is durable.
+// The contents of an answer take three paths at different speeds: to the event loop at once, into the store, and from both back
+// to the Raft group. Holder keeps what is durable apart from what is known. The event loop applies what is known: it contains
+// every exclusion set that the Raft group may rely on, and what it has dropped was dropped by the group before. The lease that
+// came with an answer is used, and its contents are confirmed, only once they are durable.
 type Holder struct {
 	terms   Terms
 	node    string
-	durable Saved // what stands in the store
-	known   Saved // what the last answer said
-	written Saved // what Saved returned last, on its way into the store
+	durable Saved // contents of the store
+	known   Saved // contents of the last answer
+	written Saved // what Saved returned last, being written to the store
 
-	seq      uint64  // of the last question
-	answered uint64  // of the last answer taken
-	open     []asked // ascending
+	seq      uint64           // of the last request
+	answered uint64           // of the last accepted answer
+	pending  []pendingRequest // ascending
 
-	until      time.Duration // end of the right taken
-	due        time.Duration // end of the right that the last answer brings, once what is known is durable
-	writtenDue time.Duration // the same for what is written
+	leaseEnd   time.Duration // end of the lease in use
+	pendingEnd time.Duration // end of the lease of the last answer, which is used once known is durable
+	writtenEnd time.Duration // the same for written
 
-	confirmed []Out  // nothing new goes to these at the loop
-	inEffect  uint64 // the newest horizon that the loop goes by when the right has run out
+	confirmed []ExcludedHost // the event loop sends these no new work
+	inEffect  uint64         // newest exclusion set that the event loop applies once the lease has expired
 }
 
-// NewHolder returns a node's side that knows what its store holds and has no right. Where the store is empty the caller
-// sets a life, makes it durable and hands in no more than that.
+// NewHolder returns a holder that knows the contents of the node's store and has no lease. If the store is empty, the caller sets
+// an incarnation, makes it durable and passes only that.
 func NewHolder(terms Terms, node string, saved Saved) *Holder {
 	h := &Holder{terms: terms, node: node, durable: saved.clone()}
 	h.known, h.written = saved.clone(), saved.clone()
 	return h
 }
 
-// Ask returns the next question, and notes that it is sent now: a right that comes of it counts from here.
-func (h *Holder) Ask(now time.Duration) Question {
+// NextRequest returns the next request and records that it is sent now: a lease it brings counts from now.
+func (h *Holder) NextRequest(now time.Duration) LeaseRequest {
 	h.seq++
-	for len(h.open) > 0 && h.open[0].at+h.terms.Lasts <= now {
-		h.open = h.open[1:]
+	for len(h.pending) > 0 && h.pending[0].at+h.terms.Duration <= now {
+		h.pending = h.pending[1:]
 	}
-	h.open = append(h.open, asked{h.seq, now})
-	return h.says()
+	h.pending = append(h.pending, pendingRequest{h.seq, now})
+	return h.request()
 }
 
-// Tells says whether a question would acknowledge a newer horizon than one before, or confirm what that did not.
-func (h *Holder) Tells(before Question) bool {
-	q := h.says()
-	return q.Acked > before.Acked || slices.ContainsFunc(q.Holds, func(o Out) bool { return !slices.Contains(before.Holds, o) })
+// HasNews reports whether a request would acknowledge a newer exclusion set than the given one, or confirm hosts that it did not.
+func (h *Holder) HasNews(before LeaseRequest) bool {
+	q := h.request()
+	return q.Acked > before.Acked || slices.ContainsFunc(q.Confirmed, func(o ExcludedHost) bool { return !slices.Contains(before.Confirmed, o) })
 }
 
-// says is what a question tells now.
-func (h *Holder) says() Question {
-	q := Question{Node: h.node, Life: h.durable.Life, Seq: h.seq, Acked: min(h.durable.newest(), h.inEffect)}
+// request returns the contents of a request sent now.
+func (h *Holder) request() LeaseRequest {
+	q := LeaseRequest{Node: h.node, Incarnation: h.durable.Incarnation, Seq: h.seq, Acked: min(h.durable.newest(), h.inEffect)}
 	for _, o := range h.confirmed {
-		if slices.Contains(h.durable.Outs, o) && slices.Contains(h.known.Outs, o) {
-			q.Holds = append(q.Holds, o)
+		if slices.Contains(h.durable.ExcludedHosts, o) && slices.Contains(h.known.ExcludedHosts, o) {
+			q.Confirmed = append(q.Confirmed, o)
 		}
 	}
 	return q
 }
 
-// Answer takes an answer in, unless a newer question was answered already or it tells of an older log. save: Saved is to
-// be made durable, then Stored called, before anything else follows. changed: Verdict differs, and the loop is to have
-// it, before Stored too. An answer that comes after its own right has run out is news like any other.
-func (h *Holder) Answer(now time.Duration, a Answer) (save, changed bool) {
+// HandleResponse handles a response, unless a newer request was answered already or it is from an older log index. save: Saved
+// has to be made durable and MarkStored called before anything else follows. changed: Restrictions differ, and the event loop has
+// to get them, even before MarkStored. The contents of a response count even if its own lease has already expired.
+func (h *Holder) HandleResponse(now time.Duration, a LeaseResponse) (save, changed bool) {
 	if a.Seq <= h.answered || a.Seq > h.seq || a.Applied < h.known.Applied {
 		return false, false
 	}
-	before := h.Verdict()
+	before := h.Restrictions()
 	h.answered = a.Seq
-	for len(h.open) > 0 && h.open[0].seq <= a.Seq {
-		if h.open[0].seq == a.Seq {
-			h.due = h.open[0].at + h.terms.Lasts
+	for len(h.pending) > 0 && h.pending[0].seq <= a.Seq {
+		if h.pending[0].seq == a.Seq {
+			h.pendingEnd = h.pending[0].at + h.terms.Duration
 		}
-		h.open = h.open[1:]
+		h.pending = h.pending[1:]
 	}
-	h.known.take(&a)
-	if save = !h.known.same(&h.durable); !save {
-		h.until = h.due
+	h.known.update(&a)
+	if save = !h.known.equal(&h.durable); !save {
+		h.leaseEnd = h.pendingEnd
 	}
-	return save, !h.Verdict().equal(before)
+	return save, !h.Restrictions().equal(before)
 }
 
-// take makes the news of an answer what is known. A horizon goes only once a newer one is recorded: until then the
-// council may go by either.
-func (s *Saved) take(a *Answer) {
+// update sets what is known from a response. An exclusion set is dropped only once a newer one is recorded: until then the Raft
+// group may rely on either.
+func (s *Saved) update(a *LeaseResponse) {
 	s.Applied = a.Applied
-	s.Outs = slices.Clone(a.Outs)
-	slices.SortFunc(s.Outs, func(x, y Out) int { return cmp.Compare(x.Host, y.Host) })
-	if !s.told() || a.Horizon.Version > s.newest() {
-		hosts := slices.Clone(a.Horizon.Hosts)
+	s.ExcludedHosts = slices.Clone(a.ExcludedHosts)
+	slices.SortFunc(s.ExcludedHosts, func(x, y ExcludedHost) int { return cmp.Compare(x.Host, y.Host) })
+	if !s.told() || a.ExclusionSet.Version > s.newest() {
+		hosts := slices.Clone(a.ExclusionSet.Hosts)
 		slices.Sort(hosts)
-		s.Horizons = append(slices.Clone(s.Horizons), Horizon{a.Horizon.Version, hosts})
+		s.ExclusionSets = append(slices.Clone(s.ExclusionSets), ExclusionSet{a.ExclusionSet.Version, hosts})
 	}
 	s.Recorded = max(s.Recorded, a.Recorded)
-	s.Horizons = slices.DeleteFunc(slices.Clone(s.Horizons), func(z Horizon) bool {
+	s.ExclusionSets = slices.DeleteFunc(slices.Clone(s.ExclusionSets), func(z ExclusionSet) bool {
 		return z.Version < s.Recorded
 	})
 }
 
-// Saved returns what is to stand in the store.
+// Saved returns what the store has to hold.
 func (h *Holder) Saved() Saved {
-	h.written, h.writtenDue = h.known.clone(), h.due
+	h.written, h.writtenEnd = h.known.clone(), h.pendingEnd
 	return h.known.clone()
 }
 
-// Stored says that what Saved returned last is durable: it may be acknowledged in the next question, and the right that
-// came with it is taken.
-func (h *Holder) Stored() {
+// MarkStored records that what Saved returned last is durable: it may be acknowledged in the next request, and the lease that
+// came with it is used.
+func (h *Holder) MarkStored() {
 	h.durable = h.written.clone()
-	h.until = max(h.until, h.writtenDue)
+	h.leaseEnd = max(h.leaseEnd, h.writtenEnd)
 }
 
-// Confirmed says that at the loop nothing new goes to these hosts, whole: the Outs of a verdict that it has taken. The
-// council is told of those that stand in the store and are still out in that round.
-func (h *Holder) Confirmed(holds []Out) { h.confirmed = slices.Clone(holds) }
+// MarkConfirmed records that the event loop sends no new work to exactly these hosts: the ExcludedHosts of the Restrictions that
+// it has applied. The Raft group is told those that are in the store and still excluded in that round.
+func (h *Holder) MarkConfirmed(excluded []ExcludedHost) { h.confirmed = slices.Clone(excluded) }
 
-// InEffect says that the loop goes by a verdict, and by none before it any more: Confirmed, and besides that its
-// horizons, which the council is not told of sooner. A loop that is late would do without those of an older verdict
-// once that one's right has run out.
-func (h *Holder) InEffect(v Verdict) {
-	h.Confirmed(v.Outs)
-	h.inEffect = v.Horizon
+// MarkInEffect records that the event loop applies v and no older Restrictions: MarkConfirmed, and in addition its exclusion
+// sets, which are acknowledged only from then on. An event loop that lags behind would ignore the sets of newer Restrictions once
+// the lease of its older ones has expired.
+func (h *Holder) MarkInEffect(v Restrictions) {
+	h.MarkConfirmed(v.ExcludedHosts)
+	h.inEffect = v.ExclusionSetVersion
 }
 
-// Verdict returns what the loop is to go by, whole.
-func (h *Holder) Verdict() Verdict {
-	v := Verdict{Outs: slices.Clone(h.known.Outs), Until: h.until, All: !h.known.covers(), Horizon: h.known.newest()}
-	for _, z := range h.known.Horizons {
-		v.Lapsed = append(v.Lapsed, z.Hosts...)
+// Restrictions returns the complete restrictions that the event loop has to apply.
+func (h *Holder) Restrictions() Restrictions {
+	v := Restrictions{ExcludedHosts: slices.Clone(h.known.ExcludedHosts), LeaseEnd: h.leaseEnd, AllAfterExpiry: !h.known.coversRecorded(), ExclusionSetVersion: h.known.newest()}
+	for _, z := range h.known.ExclusionSets {
+		v.ExcludedAfterExpiry = append(v.ExcludedAfterExpiry, z.Hosts...)
 	}
-	slices.Sort(v.Lapsed)
-	v.Lapsed = slices.Compact(v.Lapsed)
+	slices.Sort(v.ExcludedAfterExpiry)
+	v.ExcludedAfterExpiry = slices.Compact(v.ExcludedAfterExpiry)
 	return v
 }
 
-// Verdict is what the node's loop goes by: never a change, always whole.
-type Verdict struct {
-	Outs    []Out         // withheld, sorted by host
-	Until   time.Duration // the right's end, by the node's own clock
-	Lapsed  []string      // hosts withheld too once it has passed, sorted
-	All     bool          // every host is withheld once it has passed
-	Horizon uint64        // the newest that is among Lapsed; see Holder.InEffect
+// Restrictions are what the node's event loop applies: always complete, never a difference.
+type Restrictions struct {
+	ExcludedHosts       []ExcludedHost // excluded regardless of the lease, sorted by host
+	LeaseEnd            time.Duration  // by the node's own clock
+	ExcludedAfterExpiry []string       // hosts excluded in addition after LeaseEnd, sorted
+	AllAfterExpiry      bool           // every host is excluded after LeaseEnd
+	ExclusionSetVersion uint64         // newest version among ExcludedAfterExpiry; see Holder.MarkInEffect
 }
 
-// Withholds says whether nothing new may be sent to a host, at a time of the node's own clock.
-func (v Verdict) Withholds(host string, now time.Duration) bool {
-	if has(v.Outs, host) {
+// Excludes reports whether no new work may be sent to a host, at a time of the node's own clock.
+func (v Restrictions) Excludes(host string, now time.Duration) bool {
+	if has(v.ExcludedHosts, host) {
 		return true
 	}
-	if now < v.Until {
+	if now < v.LeaseEnd {
 		return false
 	}
-	_, found := slices.BinarySearch(v.Lapsed, host)
-	return v.All || found
+	_, found := slices.BinarySearch(v.ExcludedAfterExpiry, host)
+	return v.AllAfterExpiry || found
 }
 
-func (v Verdict) equal(o Verdict) bool {
-	return v.Until == o.Until && v.All == o.All && v.Horizon == o.Horizon && slices.Equal(v.Outs, o.Outs) &&
-		slices.Equal(v.Lapsed, o.Lapsed)
+func (v Restrictions) equal(o Restrictions) bool {
+	return v.LeaseEnd == o.LeaseEnd && v.AllAfterExpiry == o.AllAfterExpiry && v.ExclusionSetVersion == o.ExclusionSetVersion && slices.Equal(v.ExcludedHosts, o.ExcludedHosts) &&
+		slices.Equal(v.ExcludedAfterExpiry, o.ExcludedAfterExpiry)
 }
 
-// has says whether a host is among sorted outs.
-func has(outs []Out, host string) bool {
-	_, found := slices.BinarySearchFunc(outs, host, func(o Out, h string) int { return cmp.Compare(o.Host, h) })
+// has reports whether a host is among excluded hosts, which are sorted.
+func has(excluded []ExcludedHost, host string) bool {
+	_, found := slices.BinarySearchFunc(excluded, host, func(o ExcludedHost, h string) int { return cmp.Compare(o.Host, h) })
 	return found
 }
--- a/internal/choice/sendlease/model.go
+++ b/internal/choice/sendlease/model.go
@@ -7,81 +7,81 @@
 	"time"
 )
 
-// What models of the two sides need: copies, and the state as bytes in which times count from now and what cannot
-// matter any more is left out.
+// What model checkers of the two sides need: copies, and the state as bytes, with times relative to now and without what can no
+// longer matter.
 
-// Clone returns a copy that may change apart.
+// Clone returns an independent copy.
 func (h *Holder) Clone() *Holder {
 	c := *h
 	c.durable, c.known, c.written = h.durable.clone(), h.known.clone(), h.written.clone()
-	c.open = slices.Clone(h.open)
+	c.pending = slices.Clone(h.pending)
 	return &c
 }
 
-// Append appends the state, where answers may still come to the questions with these numbers and to no others.
-func (h *Holder) Append(to []byte, now time.Duration, flying []uint64) []byte {
+// Append appends the state, given that only the requests with these sequence numbers may still be answered.
+func (h *Holder) Append(to []byte, now time.Duration, inFlight []uint64) []byte {
 	to = h.durable.append(to)
 	for _, s := range []*Saved{&h.known, &h.written} {
-		if s.same(&h.durable) && s.Applied == h.durable.Applied {
+		if s.equal(&h.durable) && s.Applied == h.durable.Applied {
 			to = append(to, 0)
 		} else {
 			to = s.append(append(to, 1))
 		}
 	}
-	for _, seq := range flying {
+	for _, seq := range inFlight {
 		to = append(to, flag(seq <= h.answered))
 		left := time.Duration(0)
-		if i := slices.IndexFunc(h.open, func(a asked) bool { return a.seq == seq }); i >= 0 {
-			left = h.open[i].at + h.terms.Lasts
+		if i := slices.IndexFunc(h.pending, func(a pendingRequest) bool { return a.seq == seq }); i >= 0 {
+			left = h.pending[i].at + h.terms.Duration
 		}
 		to = appendLeft(to, left, now)
 	}
-	to = appendLeft(to, h.until, now)
-	to = appendLeft(to, h.due, now)
-	if h.writtenDue > h.until {
-		to = appendLeft(to, h.writtenDue, now)
+	to = appendLeft(to, h.leaseEnd, now)
+	to = appendLeft(to, h.pendingEnd, now)
+	if h.writtenEnd > h.leaseEnd {
+		to = appendLeft(to, h.writtenEnd, now)
 	} else {
 		to = appendLeft(to, 0, now)
 	}
-	return binary.AppendUvarint(appendOuts(to, h.confirmed), h.inEffect)
+	return binary.AppendUvarint(appendExcluded(to, h.confirmed), h.inEffect)
 }
 
-// Append appends what a verdict says from now on.
-func (v Verdict) Append(to []byte, now time.Duration) []byte {
-	to = appendLeft(appendOuts(to, v.Outs), v.Until, now)
-	to = append(appendHosts(to, v.Lapsed), flag(v.All))
-	return binary.AppendUvarint(to, v.Horizon)
+// Append appends what the restrictions mean from now on.
+func (v Restrictions) Append(to []byte, now time.Duration) []byte {
+	to = appendLeft(appendExcluded(to, v.ExcludedHosts), v.LeaseEnd, now)
+	to = append(appendHosts(to, v.ExcludedAfterExpiry), flag(v.AllAfterExpiry))
+	return binary.AppendUvarint(to, v.ExclusionSetVersion)
 }
 
-// Append appends a question without its node and number.
-func (q Question) Append(to []byte) []byte {
-	to = binary.AppendUvarint(binary.AppendUvarint(to, q.Life), q.Acked)
-	return appendOuts(to, q.Holds)
+// Append appends a request without its node and sequence number.
+func (q LeaseRequest) Append(to []byte) []byte {
+	to = binary.AppendUvarint(binary.AppendUvarint(to, q.Incarnation), q.Acked)
+	return appendExcluded(to, q.Confirmed)
 }
 
-// Append appends an answer without its number.
-func (a Answer) Append(to []byte) []byte {
+// Append appends a response without its sequence number.
+func (a LeaseResponse) Append(to []byte) []byte {
 	to = binary.AppendUvarint(binary.AppendUvarint(to, a.Applied), a.Recorded)
-	to = binary.AppendUvarint(appendOuts(to, a.Outs), a.Horizon.Version)
-	return appendHosts(to, a.Horizon.Hosts)
+	to = binary.AppendUvarint(appendExcluded(to, a.ExcludedHosts), a.ExclusionSet.Version)
+	return appendHosts(to, a.ExclusionSet.Hosts)
 }
 
 func (s *Saved) append(to []byte) []byte {
-	to = binary.AppendUvarint(binary.AppendUvarint(to, s.Life), s.Recorded)
-	to = binary.AppendUvarint(appendOuts(to, s.Outs), s.Applied)
-	to = append(to, byte(len(s.Horizons)))
-	for _, z := range s.Horizons {
+	to = binary.AppendUvarint(binary.AppendUvarint(to, s.Incarnation), s.Recorded)
+	to = binary.AppendUvarint(appendExcluded(to, s.ExcludedHosts), s.Applied)
+	to = append(to, byte(len(s.ExclusionSets)))
+	for _, z := range s.ExclusionSets {
 		to = appendHosts(binary.AppendUvarint(to, z.Version), z.Hosts)
 	}
 	return to
 }
 
-// Clone returns a copy that may change apart.
+// Clone returns an independent copy.
 func (t *Table) Clone() *Table {
 	c := *t
-	c.answered, c.holds = maps.Clone(t.answered), maps.Clone(t.holds)
-	for node, held := range c.holds {
-		c.holds[node] = maps.Clone(held)
+	c.answered, c.confirmed = maps.Clone(t.answered), maps.Clone(t.confirmed)
+	for node, rounds := range c.confirmed {
+		c.confirmed[node] = maps.Clone(rounds)
 	}
 	return &c
 }
@@ -93,11 +93,11 @@
 		return to
 	}
 	for _, node := range nodes {
-		to = appendLeft(to, max(t.since, t.answered[node])+t.terms.Counted()+1, now)
-		held := t.holds[node]
-		to = append(to, byte(len(held)))
-		for _, host := range slices.Sorted(maps.Keys(held)) {
-			to = appendOuts(to, []Out{{host, held[host]}})
+		to = appendLeft(to, max(t.since, t.answered[node])+t.terms.CountedDuration()+1, now)
+		rounds := t.confirmed[node]
+		to = append(to, byte(len(rounds)))
+		for _, host := range slices.Sorted(maps.Keys(rounds)) {
+			to = appendExcluded(to, []ExcludedHost{{host, rounds[host]}})
 		}
 	}
 	return to
@@ -110,14 +110,14 @@
 	return 0
 }
 
-// appendLeft appends how long it is until a moment, 0 if it has passed.
+// appendLeft appends the time left until a moment, 0 if it has passed.
 func appendLeft(to []byte, moment, now time.Duration) []byte {
 	return binary.AppendUvarint(to, uint64(max(0, moment-now)))
 }
 
-func appendOuts(to []byte, outs []Out) []byte {
-	to = append(to, byte(len(outs)))
-	for _, o := range outs {
+func appendExcluded(to []byte, excluded []ExcludedHost) []byte {
+	to = append(to, byte(len(excluded)))
+	for _, o := range excluded {
 		to = binary.AppendUvarint(append(append(to, byte(len(o.Host))), o.Host...), o.Round)
 	}
 	return to
--- a/internal/choice/sendlease/property_test.go
+++ b/internal/choice/sendlease/property_test.go
@@ -13,57 +13,57 @@
 
 var hosts = []string{"a", "b", "c"}
 
-// entry is the council's log up to one index: what its book would say there.
+// entry is the state of the Raft group's schedule at one log index.
 type entry struct {
-	outs    []Out
-	horizon Horizon
-	ackLife uint64
-	acked   uint64 // 0: none
+	excluded       []ExcludedHost
+	exclusionSet   ExclusionSet
+	ackIncarnation uint64
+	acked          uint64 // 0: none
 }
 
-// call is a question with the process that asked it.
+// call is a request with the process that sent it.
 type call struct {
-	Question
-	run int
+	LeaseRequest
+	process int
 }
 
-// seat is one of two that lead in turn. One that was stopped believes on, and its view stands still.
-type seat struct {
+// replica is one of two that lead alternately. One that was stopped still believes that it leads, and its view does not advance.
+type replica struct {
 	table    *Table
 	believes bool
-	view     int // index into the log
+	view     int // log index
 	pending  []call
 }
 
-// world is one node and its council, by true time. The node's and the seats' clocks run apart by the drift at most.
+// world is one node and its Raft group, in true time. The clocks of the node and the replicas drift apart by at most Terms.Drift.
 type world struct {
 	*rand.Rand
-	t     *testing.T
-	now   time.Duration
-	rate  [3]float64 // of the node's clock and the seats'
-	log   []entry
-	seats [2]*seat
-	lead  int
-	round uint64
-	clear map[string]uint64 // hosts that a seat took for clear of the node, with their rounds: it may have acted on it
+	t        *testing.T
+	now      time.Duration
+	rate     [3]float64 // of the clocks of the node and the replicas
+	log      []entry
+	replicas [2]*replica
+	lead     int
+	round    uint64
+	free     map[string]uint64 // hosts that a replica considered free of the node's new work, with their rounds: it may have acted on it
 
-	h         *Holder
-	durable   Saved
-	writing   *Saved
-	loop      Verdict
-	queue     []Verdict     // latest only
-	taken     []Verdict     // that the loop has taken, on their way back
-	asked     time.Duration // by the node's clock, of the newest question that was answered
-	sent      map[uint64]time.Duration
-	questions []call
-	run       int
-	answers   []Answer
-	news      map[uint64]Answer
-	until     time.Duration // of the last verdict looked at
-	again     bool
-	told      bool
-	seen      map[string]int
-	trace     []string
+	h                 *Holder
+	durable           Saved
+	writing           *Saved
+	loop              Restrictions
+	queue             []Restrictions // the latest only
+	taken             []Restrictions // applied by the loop; the confirmations are still in transit
+	answeredRequestAt time.Duration  // by the node's clock, of the newest answered request
+	sentAt            map[uint64]time.Duration
+	requests          []call
+	process           int
+	responsesInFlight []LeaseResponse
+	responses         map[uint64]LeaseResponse
+	leaseEnd          time.Duration // of the last Restrictions checked
+	saveAgain         bool
+	everAnswered      bool
+	seen              map[string]int
+	trace             []string
 }
 
 func (w *world) node() time.Duration { return time.Duration(float64(w.now) * w.rate[0]) }
@@ -72,17 +72,17 @@
 }
 func (w *world) top() entry { return w.log[len(w.log)-1] }
 
-// commit appends to the log; the seat that leads sees it.
+// commit appends to the log; the leading replica sees it.
 func (w *world) commit(e entry) {
 	w.log = append(w.log, e)
-	w.seats[w.lead].view = len(w.log) - 1
+	w.replicas[w.lead].view = len(w.log) - 1
 }
 
 func (w *world) start() {
-	w.run++
+	w.process++
 	w.h = NewHolder(terms, "n", w.durable)
-	w.loop, w.queue, w.taken, w.answers, w.writing = w.h.Verdict(), nil, nil, nil, nil
-	w.sent, w.asked, w.until, w.news = map[uint64]time.Duration{}, -time.Hour, 0, map[uint64]Answer{}
+	w.loop, w.queue, w.taken, w.responsesInFlight, w.writing = w.h.Restrictions(), nil, nil, nil, nil
+	w.sentAt, w.answeredRequestAt, w.leaseEnd, w.responses = map[uint64]time.Duration{}, -time.Hour, 0, map[uint64]LeaseResponse{}
 }
 
 func pick[T any](w *world, list *[]T, keep bool) (x T, ok bool) {
@@ -98,76 +98,76 @@
 }
 
 func (w *world) step() string {
-	keep := w.IntN(5) == 0 // it comes twice
+	keep := w.IntN(5) == 0 // delivered twice
 	i := w.IntN(2)
-	seat := w.seats[i]
+	rep := w.replicas[i]
 	switch k := w.IntN(40); {
 	case k < 6:
-		q := w.h.Ask(w.node())
-		w.sent[q.Seq] = w.node()
-		w.questions = append(w.questions, call{q, w.run})
-		for _, o := range q.Holds {
-			require.Contains(w.t, w.durable.Outs, o, "R5: confirmed, not in the store")
-			require.Contains(w.t, w.h.Verdict().Outs, o, "confirmed, not out")
-			require.True(w.t, has(w.loop.Outs, o.Host), "R5: confirmed, not withheld at the loop")
+		q := w.h.NextRequest(w.node())
+		w.sentAt[q.Seq] = w.node()
+		w.requests = append(w.requests, call{q, w.process})
+		for _, o := range q.Confirmed {
+			require.Contains(w.t, w.durable.ExcludedHosts, o, "R5: confirmed, not in the store")
+			require.Contains(w.t, w.h.Restrictions().ExcludedHosts, o, "confirmed, not excluded")
+			require.True(w.t, has(w.loop.ExcludedHosts, o.Host), "R5: confirmed, not excluded at the loop")
 		}
-		require.True(w.t, q.Acked == 0 || slices.ContainsFunc(w.durable.Horizons, func(z Horizon) bool { return z.Version == q.Acked }), "R5: acknowledged, not stored")
-		require.LessOrEqual(w.t, q.Acked, w.loop.Horizon, "R5: acknowledged, not in effect")
-		return fmt.Sprint("asks ", q)
-	case k < 12: // a question comes; only a leader that a quorum confirms then may answer it
-		if q, ok := pick(w, &w.questions, keep); ok {
-			if seat.believes {
-				seat.table.Holds(w.at(i), q.Question)
-				if top := w.top(); q.Acked > top.acked || q.Acked == top.acked && q.Acked > 0 && q.Life != top.ackLife {
-					top.ackLife, top.acked = q.Life, q.Acked
-					w.commit(top) // a seat that believes on passes what it proposes on
+		require.True(w.t, q.Acked == 0 || slices.ContainsFunc(w.durable.ExclusionSets, func(z ExclusionSet) bool { return z.Version == q.Acked }), "R5: acknowledged, not stored")
+		require.LessOrEqual(w.t, q.Acked, w.loop.ExclusionSetVersion, "R5: acknowledged, not in effect")
+		return fmt.Sprint("requests ", q)
+	case k < 12: // a request arrives; only a leader that a quorum then confirms may answer it
+		if q, ok := pick(w, &w.requests, keep); ok {
+			if rep.believes {
+				rep.table.RecordConfirmed(w.at(i), q.LeaseRequest)
+				if top := w.top(); q.Acked > top.acked || q.Acked == top.acked && q.Acked > 0 && q.Incarnation != top.ackIncarnation {
+					top.ackIncarnation, top.acked = q.Incarnation, q.Acked
+					w.commit(top) // a replica that still believes that it leads forwards its proposals
 				}
 			}
 			if i == w.lead {
-				seat.pending = append(seat.pending, q)
+				rep.pending = append(rep.pending, q)
 			}
-			return fmt.Sprint("question comes to ", i, q)
+			return fmt.Sprint("request arrives at ", i, q)
 		}
-	case k < 18: // it answers, maybe after it was stopped
-		if q, ok := pick(w, &seat.pending, false); ok {
-			v := w.log[seat.view]
-			a := Answer{Seq: q.Seq, Applied: uint64(seat.view), Outs: v.outs, Horizon: v.horizon}
-			if v.ackLife == q.Life {
+	case k < 18: // the replica answers, possibly after it was stopped
+		if q, ok := pick(w, &rep.pending, false); ok {
+			v := w.log[rep.view]
+			a := LeaseResponse{Seq: q.Seq, Applied: uint64(rep.view), ExcludedHosts: v.excluded, ExclusionSet: v.exclusionSet}
+			if v.ackIncarnation == q.Incarnation {
 				a.Recorded = v.acked
 			}
-			seat.table.Answered(w.at(i), "n")
-			if q.run == w.run {
-				w.answers = append(w.answers, a)
+			rep.table.RecordAnswered(w.at(i), "n")
+			if q.process == w.process {
+				w.responsesInFlight = append(w.responsesInFlight, a)
 			}
-			return fmt.Sprint("seat answers ", i, a)
+			return fmt.Sprint("replica answers ", i, a)
 		}
 	case k < 24:
-		if a, ok := pick(w, &w.answers, keep); ok {
+		if a, ok := pick(w, &w.responsesInFlight, keep); ok {
 			last := w.h.answered
-			save, changed := w.h.Answer(w.node(), a)
+			save, changed := w.h.HandleResponse(w.node(), a)
 			if w.h.answered != last {
-				w.asked, w.told, w.news[a.Seq] = max(w.asked, w.sent[a.Seq]), true, a
+				w.answeredRequestAt, w.everAnswered, w.responses[a.Seq] = max(w.answeredRequestAt, w.sentAt[a.Seq]), true, a
 			}
 			if save {
-				require.LessOrEqual(w.t, w.h.Verdict().Until, w.until, "R5: a right before its news is durable")
-				if w.again = w.writing != nil; !w.again { // the writer is busy, or not
+				require.LessOrEqual(w.t, w.h.Restrictions().LeaseEnd, w.leaseEnd, "R5: a lease in use before its contents are durable")
+				if w.saveAgain = w.writing != nil; !w.saveAgain { // unless a write is in progress
 					sv := w.h.Saved()
 					w.writing = &sv
 				}
 			}
 			if changed {
-				w.queue = []Verdict{w.h.Verdict()}
+				w.queue = []Restrictions{w.h.Restrictions()}
 			}
-			return fmt.Sprint("answer comes ", a, save, changed)
+			return fmt.Sprint("response arrives ", a, save, changed)
 		}
 	case k < 27:
 		if w.writing != nil {
 			w.durable, w.writing = *w.writing, nil
-			w.h.Stored()
-			w.queue = []Verdict{w.h.Verdict()}
-			if w.again {
+			w.h.MarkStored()
+			w.queue = []Restrictions{w.h.Restrictions()}
+			if w.saveAgain {
 				sv := w.h.Saved()
-				w.writing, w.again = &sv, false
+				w.writing, w.saveAgain = &sv, false
 			}
 			return fmt.Sprint("stored ", w.durable)
 		}
@@ -175,50 +175,50 @@
 		if len(w.queue) > 0 {
 			w.loop, w.queue = w.queue[0], nil
 			w.taken = append(w.taken, w.loop)
-			return fmt.Sprint("loop takes ", w.loop)
+			return fmt.Sprint("loop applies ", w.loop)
 		}
 	case k < 33:
 		if len(w.taken) > 0 {
-			w.h.InEffect(w.taken[0])
+			w.h.MarkInEffect(w.taken[0])
 			w.taken = w.taken[1:]
-			return "loop's word comes"
+			return "loop confirms"
 		}
-	case k == 33: // the process starts again, in the middle of a write or not
+	case k == 33: // the process restarts, possibly during a write
 		if w.writing != nil && w.IntN(2) == 0 {
 			w.durable = *w.writing
 		}
 		if w.IntN(4) == 0 {
-			w.durable, w.told = Saved{Life: w.durable.Life + 1}, false
+			w.durable, w.everAnswered = Saved{Incarnation: w.durable.Incarnation + 1}, false
 		}
 		w.start()
 		return fmt.Sprint("node starts with ", w.durable)
-	case k == 34: // leadership moves, or the seat that believes on learns that it has
-		if other := w.seats[1-w.lead]; other.believes {
+	case k == 34: // leadership changes, or the former leader learns that it has
+		if other := w.replicas[1-w.lead]; other.believes {
 			other.table.Resign()
 			other.believes = false
-			return "old leader learns"
+			return "former leader resigns"
 		}
 		w.lead = 1 - w.lead
-		w.seats[w.lead].believes, w.seats[w.lead].view = true, len(w.log)-1
-		w.seats[w.lead].table.Lead(w.at(w.lead))
+		w.replicas[w.lead].believes, w.replicas[w.lead].view = true, len(w.log)-1
+		w.replicas[w.lead].table.BecomeLeader(w.at(w.lead))
 		return fmt.Sprint("leads now: ", w.lead)
-	case k == 35 || k == 36: // a host is taken out, or is back
+	case k == 35 || k == 36: // a host is excluded or is back
 		top, host := w.top(), hosts[w.IntN(3)]
-		if has(top.outs, host) {
-			top.outs = slices.DeleteFunc(slices.Clone(top.outs), func(o Out) bool { return o.Host == host })
-			delete(w.clear, host)
+		if has(top.excluded, host) {
+			top.excluded = slices.DeleteFunc(slices.Clone(top.excluded), func(o ExcludedHost) bool { return o.Host == host })
+			delete(w.free, host)
 		} else {
 			w.round++
-			top.outs = append(slices.Clone(top.outs), Out{host, w.round})
-			slices.SortFunc(top.outs, func(x, y Out) int { return int(x.Host[0]) - int(y.Host[0]) })
+			top.excluded = append(slices.Clone(top.excluded), ExcludedHost{host, w.round})
+			slices.SortFunc(top.excluded, func(x, y ExcludedHost) int { return int(x.Host[0]) - int(y.Host[0]) })
 		}
 		w.commit(top)
-		return fmt.Sprint("out now: ", top.outs)
+		return fmt.Sprint("excluded now: ", top.excluded)
 	case k == 37:
 		top := w.top()
-		top.horizon = Horizon{top.horizon.Version + 1, []string{hosts[w.IntN(3)]}}
+		top.exclusionSet = ExclusionSet{top.exclusionSet.Version + 1, []string{hosts[w.IntN(3)]}}
 		w.commit(top)
-		return fmt.Sprint("horizon ", top.horizon)
+		return fmt.Sprint("exclusion set ", top.exclusionSet)
 	default:
 		w.now += time.Duration(w.Int64N(int64(8 * s)))
 		return fmt.Sprint("time ", w.now)
@@ -226,61 +226,62 @@
 	return ""
 }
 
-// check looks at every property.
+// check verifies every property.
 func (w *world) check() {
 	now, top := w.node(), w.top()
-	if u := w.h.Verdict().Until; u != w.until {
-		w.until = u
-		stored := false // the news of an answer that brings this right
-		for seq, a := range w.news {
-			stored = stored || w.sent[seq]+terms.Lasts == u && (w.durable.Applied >= a.Applied ||
-				slices.Equal(a.Outs, w.durable.Outs) && a.Horizon.Version == w.durable.newest())
+	if u := w.h.Restrictions().LeaseEnd; u != w.leaseEnd {
+		w.leaseEnd = u
+		stored := false // the contents of an answer that brought this lease
+		for seq, a := range w.responses {
+			stored = stored || w.sentAt[seq]+terms.Duration == u && (w.durable.Applied >= a.Applied ||
+				slices.Equal(a.ExcludedHosts, w.durable.ExcludedHosts) && a.ExclusionSet.Version == w.durable.newest())
 		}
-		require.True(w.t, stored, "R5: a right before its news is durable")
+		require.True(w.t, stored, "R5: a lease in use before its contents are durable")
 	}
-	for _, v := range []Verdict{w.loop, w.h.Verdict()} {
-		require.LessOrEqual(w.t, v.Until, max(0, w.asked+terms.Lasts), "R4: counts from the question")
-		if !w.told {
-			require.True(w.t, v.Withholds("x", now), "R3")
+	for _, v := range []Restrictions{w.loop, w.h.Restrictions()} {
+		require.LessOrEqual(w.t, v.LeaseEnd, max(0, w.answeredRequestAt+terms.Duration), "R4: counts from the request")
+		if !w.everAnswered {
+			require.True(w.t, v.Excludes("x", now), "R3")
 		}
-		if now >= v.Until {
+		if now >= v.LeaseEnd {
 			for _, z := range w.log {
-				if z.horizon.Version == top.acked && top.acked > 0 {
-					for _, host := range z.horizon.Hosts {
-						require.True(w.t, v.Withholds(host, now), "R2")
+				if z.exclusionSet.Version == top.acked && top.acked > 0 {
+					for _, host := range z.exclusionSet.Hosts {
+						require.True(w.t, v.Excludes(host, now), "R2")
 					}
 				}
 			}
 		}
-		if w.seats[w.lead].table.Standing(w.at(w.lead), "n") == Lapsed {
-			require.GreaterOrEqual(w.t, now, v.Until, "R4: the council counts longer")
+		if w.replicas[w.lead].table.LeaseState(w.at(w.lead), "n") == Expired {
+			require.GreaterOrEqual(w.t, now, v.LeaseEnd, "R4: the Raft group counts longer")
 		}
 	}
-	for i, s := range w.seats {
+	for i, s := range w.replicas {
 		if !s.believes {
 			continue
 		}
 		view := w.log[s.view]
-		for _, o := range view.outs {
-			byHorizon := s.table.Standing(w.at(i), "n") == Lapsed && view.acked > 0 && slices.ContainsFunc(w.log, func(e entry) bool {
-				return e.horizon.Version == view.acked && slices.Contains(e.horizon.Hosts, o.Host)
+		for _, o := range view.excluded {
+			byExclusionSet := s.table.LeaseState(w.at(i), "n") == Expired && view.acked > 0 && slices.ContainsFunc(w.log, func(e entry) bool {
+				return e.exclusionSet.Version == view.acked && slices.Contains(e.exclusionSet.Hosts, o.Host)
 			})
 			confirmed := s.table.Confirmed("n")[o.Host] == o.Round
-			if (byHorizon || confirmed) && slices.Contains(top.outs, o) {
-				w.clear[o.Host] = o.Round
-				w.seen[fmt.Sprint("horizon ", byHorizon, " confirmed ", confirmed, " leads ", i == w.lead)]++
+			if (byExclusionSet || confirmed) && slices.Contains(top.excluded, o) {
+				w.free[o.Host] = o.Round
+				w.seen[fmt.Sprint("exclusion set ", byExclusionSet, " confirmed ", confirmed, " leads ", i == w.lead)]++
 			}
 		}
 	}
 	for _, host := range hosts {
-		if w.clear[host] > 0 {
-			require.True(w.t, w.loop.Withholds(host, now), "R1: %s is taken for clear", host)
+		if w.free[host] > 0 {
+			require.True(w.t, w.loop.Excludes(host, now), "R1: %s is considered free of new work", host)
 		}
 	}
 }
 
-// TestRightsUnderRandomSchedules walks schedules of loss, delay, repetition, restarts, late loops and two leaders.
-func TestRightsUnderRandomSchedules(t *testing.T) {
+// TestSendLeaseUnderRandomSchedules runs random schedules with loss, delay, repetition, restarts, slow event loops and two
+// leaders.
+func TestSendLeaseUnderRandomSchedules(t *testing.T) {
 	seen := map[string]int{}
 	var w *world
 	t.Cleanup(func() {
@@ -290,26 +291,26 @@
 	})
 	for seed := range uint64(120) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w = &world{Rand: r, t: t, clear: map[string]uint64{}, seen: seen, durable: Saved{Life: 1}, log: []entry{{}}}
+		w = &world{Rand: r, t: t, free: map[string]uint64{}, seen: seen, durable: Saved{Incarnation: 1}, log: []entry{{}}}
 		for i := range w.rate {
 			w.rate[i] = 1 + terms.Drift*float64(r.IntN(2))
 			if i < 2 {
-				w.seats[i] = &seat{table: NewTable(terms)}
+				w.replicas[i] = &replica{table: NewTable(terms)}
 			}
 		}
-		w.seats[0].believes = true
-		w.seats[0].table.Lead(0)
+		w.replicas[0].believes = true
+		w.replicas[0].table.BecomeLeader(0)
 		w.start()
 		for range 1000 {
-			if told := w.step(); told != "" {
-				w.trace = append(w.trace, told)
+			if event := w.step(); event != "" {
+				w.trace = append(w.trace, event)
 			}
 			w.check()
 		}
 	}
 	t.Log(seen)
-	for _, want := range []string{"horizon true confirmed false leads true", "horizon true confirmed false leads false",
-		"horizon false confirmed true leads true", "horizon false confirmed true leads false"} {
+	for _, want := range []string{"exclusion set true confirmed false leads true", "exclusion set true confirmed false leads false",
+		"exclusion set false confirmed true leads true", "exclusion set false confirmed true leads false"} {
 		require.Greater(t, seen[want], 100, want)
 	}
 }
--- a/internal/choice/sendlease/sendlease.go
+++ b/internal/choice/sendlease/sendlease.go
@@ -1,85 +1,86 @@
-// Package sendlease decides who may send what: a node's right to send is a lease from its site's council. Holder is the
-// node's side of it, Table that of the council's leader. Both are pure: a time of the caller's own monotonic clock and
-// an event in, a new state and what to do out; no I/O, no clock, nothing started.
+// Package sendlease decides which nodes may send new work to hosts: a node needs a send lease from its site's Raft group. Holder
+// is the node's side of the lease, Table is the side of the group's leader. Both are pure: they take an event and a time of the
+// caller's own monotonic clock and return a new state and what to do; no I/O, no clock, no goroutines.
 //
-// The property that the two keep together, whatever is lost, late, repeated, stopped or restarted, as long as no two
-// clocks drift apart by more than Terms.Drift:
+// The properties that the two ensure together, whatever is lost, late, repeated, stopped or restarted, as long as no two clocks
+// drift apart by more than Terms.Drift:
 //
-//	R1  While a node may send to a host (Verdict.Withholds is false for it at the node's loop), no council takes the host
-//	    for clear of that node (Table.Standing with the node's acknowledged horizon, or a confirmation of the host's
-//	    round; see turns.Book.Clear).
-//	R2  A node with no right withholds every host of every horizon that the council may believe it has acknowledged.
-//	R3  A node that has never been told anything (no right, empty store) withholds every host. So does one with no right
-//	    that does not know which horizon the council goes by: its store is a new one, or an older one was put back.
-//	R4  A right counts from when it was asked for, by the node's own clock, and lasts Terms.Lasts. The council counts it
-//	    from when it answered, Terms.Lasts and the drift longer. A new leader counts every node's right as running for
+//	R1  While a node may send to a host (Restrictions.Excludes is false for it at the node's event loop), no Raft group
+//	    considers the host free of new work from that node (Table.LeaseState with the node's acknowledged exclusion set, or a
+//	    confirmation of the host's round; see turns.Schedule.Blockers).
+//	R2  A node without a send lease sends to no host of any exclusion set that the Raft group may believe it has acknowledged.
+//	R3  A node that never had an answer (no send lease, empty store) sends to no host. The same holds for one without a send
+//	    lease that does not know which exclusion set the Raft group relies on: its store is new, or was restored from an older
+//	    copy.
+//	R4  A send lease counts from when the node requested it, by the node's own clock, and lasts Terms.Duration. The Raft group
+//	    counts it from its answer, for Terms.Duration plus the drift. A new leader counts every node's lease as running for
 //	    that long from when it became leader.
-//	R5  What a node withholds is widened before the news of it is confirmed and before the right that came with it is
-//	    taken; what is acknowledged to the council stands in the node's store and is in effect at its loop first.
+//	R5  New exclusions take effect before they are confirmed and before the lease that came with them is used; what is
+//	    acknowledged to the Raft group is first in the node's store and in effect at its event loop.
 //
-// What the two need of those around them:
+// Requirements on the callers:
 //
-//   - The caller's clock goes on while the process is stopped and while the machine sleeps.
-//   - An answer is handed to the process that asked, never to a later one of the same node.
-//   - A leader answers only once a quorum has confirmed, by a round that began after the question came, that it leads, and
-//     from a log applied at least up to where it was committed then.
-//   - A horizon that is recorded for a node never goes back to an older version, but to none. Lives rise from one store of
-//     a node to the next, so that a late question of an old life changes nothing (turns.Ack).
-//   - The store gives back what was last made durable, or nothing. One that gives back something older breaks R2 until the
-//     node's next answer: copies of a node's store are not to be put back.
-//   - The loop places nothing before it has its first verdict.
+//   - The caller's clock advances while the process is stopped and while the machine sleeps.
+//   - An answer is delivered to the process that sent the request, never to a later process of the same node.
+//   - A leader answers only once a quorum has confirmed that it leads, in a round that began after the request arrived, and from
+//     a log applied at least up to the commit index of then.
+//   - The exclusion set recorded for a node never goes back to an older version, only to none. Incarnations rise from one store
+//     of a node to the next, so that a late request of an old incarnation has no effect (turns.Ack).
+//   - The store returns what was last made durable, or nothing. A store that returns something older violates R2 until the
+//     node's next answer: copies of a node's store must not be restored.
+//   - The event loop places no requests before it has its first Restrictions.
 package sendlease
 
 import "time"
 
-// Terms are those of the rights of a site.
+// Terms are the terms of a site's send leases.
 type Terms struct {
-	Lasts time.Duration // how long a right lasts, by the clock of the node that asked
-	Drift float64       // how much faster one node's clock may run than another's, as a part: 0.01 is 1%
+	Duration time.Duration // how long a lease lasts, by the clock of the requesting node
+	Drift    float64       // how much faster one node's clock may run than another's, as a fraction: 0.01 is 1%
 }
 
-// Counted is how long the council counts a right after it answered.
-func (t Terms) Counted() time.Duration {
-	return t.Lasts + time.Duration(float64(t.Lasts)*t.Drift) + time.Millisecond
+// CountedDuration is how long the Raft group counts a lease after its answer.
+func (t Terms) CountedDuration() time.Duration {
+	return t.Duration + time.Duration(float64(t.Duration)*t.Drift) + time.Millisecond
 }
 
-// Out is a host that the council has taken out, with the round that it was taken out in. A host that is called back and
-// taken out once more has another round.
-type Out struct {
+// ExcludedHost is a host that the Raft group has taken out of service, with the round in which it did. A host that is excluded
+// again after a revocation has another round.
+type ExcludedHost struct {
 	Host  string
 	Round uint64
 }
 
-// Horizon is the hosts that may be given a turn while a node is cut off. Versions rise; 0 is none.
-type Horizon struct {
+// ExclusionSet is the hosts that a node without a send lease must not use. Versions rise; 0 is none.
+type ExclusionSet struct {
 	Version uint64
 	Hosts   []string // sorted
 }
 
-// Question is what a node asks its council for again and again.
-type Question struct {
-	Node  string
-	Life  uint64 // of the node's store; a later store of the node has a higher one
-	Seq   uint64 // rises with each question of this process
-	Acked uint64 // the newest horizon that stands in the node's store and is in effect at its loop
-	Holds []Out  // hosts that nothing new of this node goes to, in effect at its loop, with their rounds
+// LeaseRequest is what a node sends to its Raft group periodically.
+type LeaseRequest struct {
+	Node        string
+	Incarnation uint64         // incarnation of the node's store; a later store of the node has a higher one
+	Seq         uint64         // rises with each request of this process
+	Acked       uint64         // newest exclusion set that is in the node's store and in effect at its event loop
+	Confirmed   []ExcludedHost // hosts that get no new work from this node, in effect at its event loop, with their rounds
 }
 
-// Answer is what the council's leader says to a question once a quorum has confirmed, after the question came, that it
-// leads: what is applied there, whole. A node that is declared dead gets none before it is taken in anew.
-type Answer struct {
-	Seq      uint64 // of the question
-	Applied  uint64 // the leader's log, up to where; a node takes no answer older than the last
-	Outs     []Out  // sorted by host
-	Horizon  Horizon
-	Recorded uint64 // the newest horizon that is committed as acknowledged by this node; 0: none
+// LeaseResponse is the leader's complete applied state about exclusions, sent once a quorum has confirmed, after the request
+// arrived, that it leads. A node that is declared dead gets none until it is admitted again.
+type LeaseResponse struct {
+	Seq           uint64         // of the request
+	Applied       uint64         // the leader's applied index; a node accepts no response with a lower one than the last
+	ExcludedHosts []ExcludedHost // sorted by host
+	ExclusionSet  ExclusionSet
+	Recorded      uint64 // newest exclusion set that is committed as acknowledged by this node; 0: none
 }
 
-// Standing is what the council's leader knows of a node's right.
-type Standing uint8
+// LeaseState is what the leader knows of a node's send lease.
+type LeaseState uint8
 
-// The standings.
+// The states.
 const (
-	Running Standing = iota // or not known to have run out
-	Lapsed                  // it has run out, by any clock within the drift
+	Running LeaseState = iota // or not known to have expired
+	Expired                   // expired by any clock within the drift
 )
--- a/internal/choice/sendlease/table.go
+++ b/internal/choice/sendlease/table.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// Table is the leader's side: when it answered each node last, and what each has confirmed. It is soft state: a new
-// leader begins with none of it. It is not safe for concurrent use.
+// Table is the leader's side: when it last answered each node, and what each node has confirmed. It is soft state: a new leader
+// starts with none of it. It is not safe for concurrent use.
 type Table struct {
-	terms    Terms
-	leads    bool
-	since    time.Duration
-	answered map[string]time.Duration
-	holds    map[string]map[string]uint64 // node, host: the round
+	terms     Terms
+	leads     bool
+	since     time.Duration
+	answered  map[string]time.Duration
+	confirmed map[string]map[string]uint64 // by node and host: the round
 }
 
-// NewTable returns the table of a seat that does not lead.
+// NewTable returns the table of a replica that does not lead.
 func NewTable(terms Terms) *Table { return &Table{terms: terms} }
 
-// Lead says that this seat has become leader: every node's right counts as running from now. Whatever another leader
-// answered, a quorum confirmed it before it elected this one, and the question came before that.
-func (t *Table) Lead(now time.Duration) {
+// BecomeLeader records that this replica has become leader: every node's lease counts as running from now. Any answer of another
+// leader was confirmed by a quorum before that quorum elected this one, and its request was older still.
+func (t *Table) BecomeLeader(now time.Duration) {
 	t.leads, t.since = true, now
-	t.answered, t.holds = map[string]time.Duration{}, map[string]map[string]uint64{}
+	t.answered, t.confirmed = map[string]time.Duration{}, map[string]map[string]uint64{}
 }
 
-// Resign says that this seat leads no more: it knows nothing of any right.
-func (t *Table) Resign() { t.leads, t.answered, t.holds = false, nil, nil }
+// Resign records that this replica no longer leads: it knows nothing of any lease.
+func (t *Table) Resign() { t.leads, t.answered, t.confirmed = false, nil, nil }
 
-// Answered says that an answer to a node is about to be sent. A quorum has confirmed that this seat leads, after the
-// question came.
-func (t *Table) Answered(now time.Duration, node string) {
+// RecordAnswered records that an answer to a node is about to be sent. A quorum has confirmed, after the request arrived, that
+// this replica leads.
+func (t *Table) RecordAnswered(now time.Duration, node string) {
 	if t.leads {
 		t.answered[node] = max(t.answered[node], now)
 	}
 }
 
-// Holds takes the confirmations of a question in. They are added to those before, in whichever order questions come:
-// what a node has once confirmed stays true for as long as the host is out in that round. It had the host in its store
-// as out before it confirmed it, so that it withholds it after a restart too; only an answer with the turn over takes
-// it off. With its store lost it has no right and withholds all hosts, until an answer that tells the host as out. A
-// host that is taken out once more has a later round, and rounds only rise.
-func (t *Table) Holds(_ time.Duration, q Question) {
-	if !t.leads || len(q.Holds) == 0 {
+// RecordConfirmed adds the confirmations of a request to the earlier ones, in whichever order requests arrive: a confirmation
+// stays true for as long as the host is excluded in that round. The node had the host in its store as excluded before it
+// confirmed, so it excludes it after a restart too; only an answer sent after the turn is over removes it. If the node loses its
+// store, it has no lease and excludes all hosts until an answer names the host as excluded. A host that is excluded again has a
+// later round, and rounds only rise.
+func (t *Table) RecordConfirmed(_ time.Duration, q LeaseRequest) {
+	if !t.leads || len(q.Confirmed) == 0 {
 		return
 	}
-	held := t.holds[q.Node]
-	if held == nil {
-		held = map[string]uint64{}
-		t.holds[q.Node] = held
+	rounds := t.confirmed[q.Node]
+	if rounds == nil {
+		rounds = map[string]uint64{}
+		t.confirmed[q.Node] = rounds
 	}
-	for _, o := range q.Holds {
-		held[o.Host] = max(held[o.Host], o.Round)
+	for _, o := range q.Confirmed {
+		rounds[o.Host] = max(rounds[o.Host], o.Round)
 	}
 }
 
-// Standing returns what is known of a node's right. A seat that does not lead knows of none that it has run out.
-func (t *Table) Standing(now time.Duration, node string) Standing {
-	if t.leads && now > max(t.since, t.answered[node])+t.terms.Counted() {
-		return Lapsed
+// LeaseState returns what is known of a node's lease. A replica that does not lead considers no lease expired.
+func (t *Table) LeaseState(now time.Duration, node string) LeaseState {
+	if t.leads && now > max(t.since, t.answered[node])+t.terms.CountedDuration() {
+		return Expired
 	}
 	return Running
 }
 
-// Confirmed returns the hosts that nothing new of a node goes to, with the rounds in which it said so. The caller may
-// keep it.
-func (t *Table) Confirmed(node string) map[string]uint64 { return maps.Clone(t.holds[node]) }
+// Confirmed returns the hosts that a node sends no new work to, with the rounds in which it confirmed them. The caller may keep
+// the map.
+func (t *Table) Confirmed(node string) map[string]uint64 { return maps.Clone(t.confirmed[node]) }
--- a/internal/choice/turns/acked.go
+++ b/internal/choice/turns/acked.go
@@ -1,7 +1,7 @@
 package turns
 
-// Acked returns the newest acknowledgement that is committed of a node, with the life that it is of; zero for none.
-func (b *Book) Acked(node string) Ack {
+// Acked returns the newest committed acknowledgement of a node, with its incarnation; the zero value if there is none.
+func (b *Schedule) Acked(node string) Ack {
 	a, _ := b.ack(node)
 	return a
 }
--- a/internal/choice/turns/edges_test.go
+++ b/internal/choice/turns/edges_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each of these was broken by hand, one line of the book at a time, and no other test saw it.
+// Each of these covers one line of the schedule whose mutation no other test detects.
 
-func TestTheLastMomentIsInTime(t *testing.T) {
-	c := newCouncil(t, Limits{Site: 1, Horizon: 1})
-	c.ask("t0", "h0", func(a *Ask) { a.FinishBy = c.now + a.Lasts })
+func TestLatestStartIsStillInTime(t *testing.T) {
+	c := newFixture(t, Limits{Site: 1, Lookahead: 1})
+	c.ask("t0", "h0", func(a *Request) { a.FinishBy = c.now + a.Duration })
 	c.settle()
 	c.phases([]Phase{Preparing}, "t0")
 	c.refused(WrongPhase, begin("t0")) // the nodes still send to the host
@@ -20,42 +20,42 @@
 	c.do(begin("t0"))
 }
 
-func TestWhoLeftOrLostItsStoreHasNothingRecorded(t *testing.T) {
-	c := newCouncil(t, Limits{Site: 1, Horizon: 1})
+func TestNoRecordedVersionAfterLeavingOrStoreLoss(t *testing.T) {
+	c := newFixture(t, Limits{Site: 1, Lookahead: 1})
 	c.ask("t0", "h0")
-	c.do(widen(1, nil))
+	c.do(exclusionSet(1, nil))
 	c.settle()
-	assert.Zero(t, c.b.RecordedIn("n1", 2), "of a life that the council has not heard of")
+	assert.Zero(t, c.b.RecordedVersionIn("n1", 2), "of an incarnation that the schedule does not know")
 	c.do(members("n1"), members("n1", "n2"))
-	assert.Zero(t, c.b.Recorded("n2"), "it may have another store by now")
-	c.do(ack("n2", 2, 1), dead("n2")) // its horizon lacks h0
+	assert.Zero(t, c.b.RecordedVersion("n2"), "it may have another store by now")
+	c.do(ack("n2", 2, 1), dead("n2")) // its exclusion set lacks h0
 	c.grant("t0")
 }
 
-func TestAHostThatIsGoneHoldsNothingUp(t *testing.T) {
-	c := newCouncil(t, Limits{Site: 2, Horizon: 1})
-	c.ask("t0", "h0", func(a *Ask) { a.FinishBy = c.now + 2*time.Hour })
+func TestMissingHostBlocksNothing(t *testing.T) {
+	c := newFixture(t, Limits{Site: 2, Lookahead: 1})
+	c.ask("t0", "h0", func(a *Request) { a.FinishBy = c.now + 2*time.Hour })
 	c.hosts[0].Failed, c.hosts[0].Banned = true, true
 	c.fleet()
 	c.hosts = c.hosts[1:]
 	c.fleet()
 	c.ask("t1", "h1")
 	c.settle()
-	c.phases([]Phase{Asked, Preparing}, "t0", "t1") // what is not there has not failed
+	c.phases([]Phase{Requested, Preparing}, "t0", "t1") // a missing host has not failed
 	c.now += 3 * time.Hour
 	c.settle()
 	require.Equal(t, Expired, c.turn("t0").End)
-	require.Len(t, c.b.Outs(), 1, "its ban goes with it")
+	require.Len(t, c.b.ExcludedHosts(), 1, "its ban is removed with it")
 
 	c.grant("t1")
 	c.do(begin("t1"), done("t1"))
 	c.hosts[0].Failed = true
 	c.fleet()
-	c.refused(WrongPhase, withdraw("t1")) // the host is there, and may come back
+	c.refused(WrongPhase, withdraw("t1")) // the host is there and may come back
 }
 
-func TestWhatACallBackFreesAndWhatIsToldOnceMore(t *testing.T) {
-	c := newCouncil(t, Limits{Site: 2, Horizon: 2})
+func TestRevocationFreesCapacityAndNoticesRepeat(t *testing.T) {
+	c := newFixture(t, Limits{Site: 2, Lookahead: 2})
 	c.ask("t0", "h0")
 	c.settle()
 	c.grant("t0")
@@ -66,7 +66,7 @@
 		assert.Equal(t, NoticeIdle, notices[0].Kind)
 	}
 	idle()
-	c.do(callBack("t0"))
+	c.do(revoke("t0"))
 	c.settle()
 	c.grant("t0")
 	idle()
@@ -75,29 +75,29 @@
 	}
 	c.fleet()
 	c.settle()
-	c.phases([]Phase{Granted}, "t0") // it is banned: calling its turn back frees nothing
+	c.phases([]Phase{Granted}, "t0") // it is banned: revoking its turn frees nothing
 }
 
-func TestPatienceIsForNodesThatMayComeBack(t *testing.T) {
-	c := newCouncil(t, Limits{Site: 1, Horizon: 1})
+func TestRevokeBlockedWaitsForLivingNodes(t *testing.T) {
+	c := newFixture(t, Limits{Site: 1, Lookahead: 1})
 	c.ask("t0", "h0")
 	c.settle()
 	c.do(withdraw("t0"))
 	c.ask("t1", "h1")
 	c.settle("n2") // it has acknowledged h0
 	c.ask("t2", "h0")
-	views := []View{{Node: "n1"}, {Node: "n2", Lapsed: true}}
-	_, stuck := c.b.Stuck(c.now+time.Minute, views, time.Minute)
+	views := []NodeView{{Node: "n1"}, {Node: "n2", LeaseExpired: true}}
+	_, stuck := c.b.RevokeBlocked(c.now+time.Minute, views, time.Minute)
 	assert.False(t, stuck)
-	_, stuck = c.b.Stuck(c.now+time.Minute+1, views, time.Minute)
+	_, stuck = c.b.RevokeBlocked(c.now+time.Minute+1, views, time.Minute)
 	assert.True(t, stuck)
 	c.do(dead("n2"))
-	_, stuck = c.b.Stuck(c.now+time.Hour, views, time.Minute)
-	assert.False(t, stuck, "it holds nothing up any more")
+	_, stuck = c.b.RevokeBlocked(c.now+time.Hour, views, time.Minute)
+	assert.False(t, stuck, "it blocks nothing any more")
 }
 
-func TestAWorthLeavesItsStepByAThird(t *testing.T) {
-	for worth, step := range map[float64]int{5.9: 2, 6: 3, 7: 3, 10: 3, 21: 3, 21.4: 4, 0: lowStep} {
+func TestValueLeavesItsStepByAThird(t *testing.T) {
+	for worth, step := range map[float64]int{5.9: 2, 6: 3, 7: 3, 10: 3, 21: 3, 21.4: 4, 0: minStep} {
 		assert.Equal(t, step, moveStep(3, worth), worth)
 	}
 }
--- a/internal/choice/turns/order.go
+++ b/internal/choice/turns/order.go
@@ -10,64 +10,64 @@
 )
 
 const (
-	defaultAge = time.Hour
-	nearness   = time.Hour // latest starts within one of these count as equal
+	defaultAgeStep = time.Hour
+	startStep      = time.Hour // latest starts within the same step count as equal
 )
 
-// The steps of worth: powers of two, so that noise seldom changes the order, and a worth has to leave its step by a third
-// before it counts in another one.
+// The steps of a value: powers of two, so that noise seldom changes the order. A value has to leave its step by a third before it
+// counts in another one.
 const (
-	lowStep, highStep = -4, 40
-	slack             = 4.0 / 3
+	minStep, maxStep = -4, 40
+	stepHysteresis   = 4.0 / 3
 )
 
-// stepOf returns the step of a worth: the largest s with 2^s no more than it, within bounds.
-func stepOf(worth float64) int {
-	if worth <= 0 {
-		return lowStep
+// stepOf returns the step of a value: the largest s with 2^s <= value, within bounds.
+func stepOf(value float64) int {
+	if value <= 0 {
+		return minStep
 	}
-	_, exp := math.Frexp(worth)
-	return min(max(exp-1, lowStep), highStep)
+	_, exp := math.Frexp(value)
+	return min(max(exp-1, minStep), maxStep)
 }
 
-// moveStep returns the step of a host's worth when the last one is known.
-func moveStep(last int, worth float64) int {
-	low, high := math.Ldexp(1/slack, last), math.Ldexp(2*slack, last)
-	if (worth >= low || last == lowStep) && (worth < high || last == highStep) {
+// moveStep returns the step of a host's value, given its last step.
+func moveStep(last int, value float64) int {
+	low, high := math.Ldexp(1/stepHysteresis, last), math.Ldexp(2*stepHysteresis, last)
+	if (value >= low || last == minStep) && (value < high || last == maxStep) {
 		return last
 	}
-	return stepOf(worth)
+	return stepOf(value)
 }
 
-// place is a turn that waits, with what its place in the order depends on.
-type place struct {
+// position is a waiting turn with the sort keys of its position in the order.
+type position struct {
 	*Turn
-	ready bool          // NotBefore has come
-	aged  int           // steps of urgency that it has gained by waiting
-	start time.Duration // the latest, in steps of nearness
-	step  int           // of its host's worth
+	ready    bool          // NotBefore has passed
+	ageSteps int           // steps of urgency gained by waiting
+	start    time.Duration // latest possible start, in units of startStep
+	step     int           // of its host's value
 }
 
-// waiting returns the turns that wait, in their order: those whose time has come first, by urgency with age, the latest
-// possible start, the least worth disturbed, when they were asked for and their names; then the others by NotBefore.
-func (b *Book) waiting(now time.Duration) []place {
-	age := cmp.Or(b.limits.Age, defaultAge)
-	places := make([]place, 0, len(b.turns))
+// waiting returns the waiting turns in their order: first those whose NotBefore has passed, by urgency including age, latest
+// possible start, lowest value disrupted, time of the request and ID; then the others by NotBefore.
+func (b *Schedule) waiting(now time.Duration) []position {
+	ageStep := cmp.Or(b.limits.AgeStep, defaultAgeStep)
+	positions := make([]position, 0, len(b.turns))
 	for _, t := range b.turns {
-		if t.Phase != Asked {
+		if t.Phase != Requested {
 			continue
 		}
 		h, _ := b.host(t.Host)
-		p := place{Turn: t, ready: t.NotBefore <= now, start: math.MaxInt64, step: h.Step}
+		p := position{Turn: t, ready: t.NotBefore <= now, start: math.MaxInt64, step: h.Step}
 		if t.FinishBy != 0 {
-			p.start = (t.FinishBy - t.Lasts) / nearness
+			p.start = (t.FinishBy - t.Duration) / startStep
 		}
 		if p.ready {
-			p.aged = int(max(0, now-t.ripe()) / age)
+			p.ageSteps = int(max(0, now-t.eligibleSince()) / ageStep)
 		}
-		places = append(places, p)
+		positions = append(positions, p)
 	}
-	slices.SortFunc(places, func(x, y place) int {
+	slices.SortFunc(positions, func(x, y position) int {
 		switch {
 		case x.ready != y.ready:
 			if x.ready {
@@ -77,43 +77,43 @@
 		case !x.ready && x.NotBefore != y.NotBefore:
 			return cmp.Compare(x.NotBefore, y.NotBefore)
 		}
-		return cmp.Or(cmp.Compare(y.Urgency+y.aged, x.Urgency+x.aged), cmp.Compare(x.start, y.start), cmp.Compare(x.step, y.step),
-			cmp.Compare(x.AskedAt, y.AskedAt), strings.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(y.Urgency+y.ageSteps, x.Urgency+x.ageSteps), cmp.Compare(x.start, y.start), cmp.Compare(x.step, y.step),
+			cmp.Compare(x.RequestedAt, y.RequestedAt), strings.Compare(x.ID, y.ID))
 	})
-	return places
+	return positions
 }
 
-// ripe is since when a turn could have gone: waiting counts from there.
-func (t *Turn) ripe() time.Duration { return max(t.AskedAt, t.NotBefore) }
+// eligibleSince returns when a turn could first have gone: waiting counts from there.
+func (t *Turn) eligibleSince() time.Duration { return max(t.RequestedAt, t.NotBefore) }
 
-// Order returns the names of the turns that wait, the first first.
-func (b *Book) Order(now time.Duration) []string {
-	places := b.waiting(now)
-	ids := make([]string, len(places))
-	for i, p := range places {
+// Order returns the IDs of the waiting turns in their order.
+func (b *Schedule) Order(now time.Duration) []string {
+	positions := b.waiting(now)
+	ids := make([]string, len(positions))
+	for i, p := range positions {
 		ids[i] = p.ID
 	}
 	return ids
 }
 
-// use is how much of the allowances is taken. A host that is out for several reasons counts once.
-type use struct {
+// usage is how much of the limits is used. A host that is out for several reasons counts once.
+type usage struct {
 	site   int
 	zone   map[string]int
 	kind   map[string]int
-	group  map[string]int // homes of the group that are out
-	failed int            // by themselves: work that is under way is none
+	group  map[string]int // homes of each group that are out
+	failed int            // hosts that failed on their own: not those whose work is under way
 }
 
-// use counts the hosts that are out: by a turn, by hand or by themselves.
-func (b *Book) use() use { return b.useOf(true) }
+// usage counts the hosts that are out by a turn, by a ban or by a failure of their own.
+func (b *Schedule) usage() usage { return b.usageOf(true) }
 
-// useOf leaves the turns out of it where it is not with them.
-func (b *Book) useOf(turns bool) use {
-	u := use{zone: map[string]int{}, kind: map[string]int{}, group: map[string]int{}}
+// usageOf leaves out the hosts that are out only by a turn if turns is false.
+func (b *Schedule) usageOf(turns bool) usage {
+	u := usage{zone: map[string]int{}, kind: map[string]int{}, group: map[string]int{}}
 	out := map[string]Phase{}
 	for _, t := range b.turns {
-		if t.Phase.Out() {
+		if t.Phase.OutOfService() {
 			out[t.Host] = t.Phase
 		}
 	}
@@ -129,14 +129,14 @@
 	return u
 }
 
-// add counts a host, or takes it off with -1.
-func (u *use) add(e entry, n int) {
+// add counts a host, or subtracts it with n = -1.
+func (u *usage) add(e entry, n int) {
 	u.site += n
-	u.addApart(e, n)
+	u.addExceptSite(e, n)
 }
 
-// addApart counts a host in all but the site.
-func (u *use) addApart(e entry, n int) {
+// addExceptSite counts a host in everything but the site.
+func (u *usage) addExceptSite(e entry, n int) {
 	u.zone[e.Zone] += n
 	u.kind[e.Kind] += n
 	for _, g := range e.Groups {
@@ -144,16 +144,16 @@
 	}
 }
 
-// over says whether a host stands where more are out than the allowances.
-func (l Limits) over(u *use, e entry) bool {
+// exceeded reports whether more hosts are out than the site, the host's zone or its kind allows.
+func (l Limits) exceeded(u *usage, e entry) bool {
 	return u.site > l.Site || u.zone[e.Zone] > cmp.Or(l.Zone, l.Site) || u.kind[e.Kind] > cmp.Or(l.Kind, l.Site)
 }
 
-// counts says whether a host is out by itself or by hand, whatever its turn.
-func (e entry) counts() bool { return e.Failed || e.Banned }
+// outWithoutTurn reports whether a host is out by a failure or a ban, whatever its turn.
+func (e entry) outWithoutTurn() bool { return e.Failed || e.Banned }
 
-// fits says whether a turn that waits may be prepared besides what is out, but for T3.
-func (b *Book) fits(u *use, t *Turn, at time.Duration) Reason {
+// fits returns whether a waiting turn may be prepared in addition to the hosts that are out; it does not check T3.
+func (b *Schedule) fits(u *usage, t *Turn, at time.Duration) Reason {
 	e, known := b.host(t.Host)
 	switch {
 	case !known || e.Gone:
@@ -162,69 +162,70 @@
 		return TooEarly
 	}
 	n := 1
-	if e.counts() {
+	if e.outWithoutTurn() {
 		n = 0
 	}
 	u.add(e, n)
 	reason := Accepted
-	if b.limits.over(u, e) {
+	if b.limits.exceeded(u, e) {
 		reason = NoRoom
 	} else if slices.ContainsFunc(e.Groups, func(g string) bool { return u.group[g] > 1 }) {
-		reason = GroupOut
+		reason = GroupHomeOut
 	}
 	u.add(e, -n)
 	return reason
 }
 
-// Next returns what the leader should propose next, as far as it depends on the book alone; false if nothing. In this
-// order: time that has to pass, turns to call back, the next horizon, the next turn.
-func (b *Book) Next(now time.Duration) (Command, bool) {
+// Next returns what the leader should propose next, as far as it depends on the schedule alone; false if nothing. In this order:
+// time that has to pass, turns to revoke, the next exclusion set, the next turn.
+func (b *Schedule) Next(now time.Duration) (Command, bool) {
 	now = max(now, b.at)
 	if b.due(now) {
 		return Command{At: now}, true
 	}
-	if cmd, any := b.CallBack(now); any {
+	if cmd, any := b.NextRevocation(now); any {
 		return cmd, true
 	}
-	u := b.use()
-	places := b.waiting(now)
-	if last, hosts := b.Horizon(), b.nextHosts(places); !slices.Equal(last.Hosts, hosts) {
-		return Command{At: now, Horizon: &Widen{Version: last.Version + 1, Hosts: hosts}}, true
+	u := b.usage()
+	positions := b.waiting(now)
+	if last, hosts := b.ExclusionSet(), b.nextExcluded(positions); !slices.Equal(last.Hosts, hosts) {
+		return Command{At: now, ExclusionSet: &ExclusionSetUpdate{Version: last.Version + 1, Hosts: hosts}}, true
 	}
 	if u.failed <= b.limits.Failed {
-		if t := b.nextTurn(places, u, now); t != nil {
+		if t := b.nextTurn(positions, u, now); t != nil {
 			return Command{At: now, Prepare: &Ref{ID: t.ID, Round: t.Round}}, true
 		}
 	}
 	return Command{}, false
 }
 
-// CallBack returns the call back that is due, false if none: of what has not begun and does not fit any more beside what is out.
-func (b *Book) CallBack(now time.Duration) (Command, bool) {
-	u := b.use()
-	ref, due := b.tooMany(&u)
+// NextRevocation returns the revocation that is due, false if none: of a turn that has not begun and does not fit any more
+// besides the hosts that are out.
+func (b *Schedule) NextRevocation(now time.Duration) (Command, bool) {
+	u := b.usage()
+	ref, due := b.turnToRevoke(&u)
 	if !due {
 		return Command{}, false
 	}
-	return Command{At: max(now, b.at), CallBack: &ref}, true
+	return Command{At: max(now, b.at), Revoke: &ref}, true
 }
 
-// Alone says whether no host is out but that of a turn: by a turn, by hand or by itself.
-func (b *Book) Alone(id string) bool {
+// IsOnlyHostOut reports whether no host is out except the host of a turn: by a turn, a ban or a failure.
+func (b *Schedule) IsOnlyHostOut(id string) bool {
 	t, known := b.Turn(id)
 	if !known {
 		return false
 	}
-	u := b.use()
-	if e, _ := b.host(t.Host); e.counts() || t.Phase.Out() {
+	u := b.usage()
+	if e, _ := b.host(t.Host); e.outWithoutTurn() || t.Phase.OutOfService() {
 		return u.site == 1
 	}
 	return u.site == 0
 }
 
-// tooMany returns the latest turn that has to be called back: any while too many hosts have failed, else one that would
-// free what too many hosts are out of.
-func (b *Book) tooMany(u *use) (Ref, bool) {
+// turnToRevoke returns the latest turn that has to be revoked: any while too many hosts have failed, else one whose revocation
+// frees an exceeded limit.
+func (b *Schedule) turnToRevoke(u *usage) (Ref, bool) {
 	var latest *Turn
 	why := ""
 	for _, t := range b.turns {
@@ -235,9 +236,9 @@
 		switch {
 		case u.failed > b.limits.Failed:
 			latest, why = t, fmt.Sprintf("%d hosts have failed, with %d allowed", u.failed, b.limits.Failed)
-		case !e.counts() && b.limits.over(u, e):
-			latest, why = t, "more hosts are out than the allowances"
-		case !e.counts() && slices.ContainsFunc(e.Groups, func(g string) bool { return u.group[g] > 1 }):
+		case !e.outWithoutTurn() && b.limits.exceeded(u, e):
+			latest, why = t, "more hosts are out than the limits allow"
+		case !e.outWithoutTurn() && slices.ContainsFunc(e.Groups, func(g string) bool { return u.group[g] > 1 }):
 			latest, why = t, "another home of one of its groups is out"
 		}
 	}
@@ -247,22 +248,22 @@
 	return Ref{ID: latest.ID, Round: latest.Round, Why: why}, true
 }
 
-// nextHosts returns what the horizon should be: the hosts that are out and those of the next turns, sorted.
-func (b *Book) nextHosts(places []place) []string {
-	outs := b.Outs()
-	hosts := make([]string, 0, len(outs)+b.limits.Horizon)
-	for _, out := range outs {
+// nextExcluded returns the hosts for the next exclusion set: those that are out and those of the next turns, sorted.
+func (b *Schedule) nextExcluded(positions []position) []string {
+	excluded := b.ExcludedHosts()
+	hosts := make([]string, 0, len(excluded)+b.limits.Lookahead)
+	for _, out := range excluded {
 		hosts = append(hosts, out.Host)
 	}
-	left := b.limits.Horizon
-	for _, p := range places {
+	left := b.limits.Lookahead
+	for _, p := range positions {
 		if left == 0 {
 			break
 		}
 		if e, _ := b.host(p.Host); e.Gone {
 			continue
 		}
-		if _, out := searchOut(outs, p.Host); !out {
+		if _, out := searchExcluded(excluded, p.Host); !out {
 			hosts = append(hosts, p.Host)
 			left--
 		}
@@ -271,46 +272,46 @@
 	return hosts
 }
 
-// nextTurn returns the turn to prepare, or nil: the first that fits, of those whose hosts no node's older horizon lacks;
-// else the first that fits at all, unless one such is being prepared already: a node that is cut off may hold it up for
-// long.
+// nextTurn returns the turn to prepare, or nil: the first that fits, of those whose hosts are in every older exclusion set that a
+// node may still apply; else the first that fits at all, unless one such turn is being prepared already: a node that is cut off
+// may block it for long.
 //
-// Nobody starves: the first that has waited for Age and is kept back by other turns alone has its place in its zone, its
-// kind and its groups kept free, so that it goes as soon as those that keep it back have returned.
-func (b *Book) nextTurn(places []place, u use, now time.Duration) *Turn {
-	var beyond *Turn
+// No turn starves: for the first turn that has waited for AgeStep and is blocked only by other turns, capacity is reserved in its
+// zone, its kind and its groups, so that it goes as soon as those that block it have returned.
+func (b *Schedule) nextTurn(positions []position, u usage, now time.Duration) *Turn {
+	var fallback *Turn
 	reserved := false
-	known := b.knownToAll()
-	for _, p := range places {
+	known := b.excludedByAll()
+	for _, p := range positions {
 		switch b.fits(&u, p.Turn, now) {
 		case Accepted:
 			if known(p.Host) {
 				return p.Turn
 			}
-			if beyond == nil {
-				beyond = p.Turn
+			if fallback == nil {
+				fallback = p.Turn
 			}
-		case NoRoom, GroupOut:
-			if !reserved && p.aged > 0 {
-				if alone := b.useOf(false); b.fits(&alone, p.Turn, now) == Accepted {
+		case NoRoom, GroupHomeOut:
+			if !reserved && p.ageSteps > 0 {
+				if withoutTurns := b.usageOf(false); b.fits(&withoutTurns, p.Turn, now) == Accepted {
 					e, _ := b.host(p.Host)
-					u.addApart(e, 1)
+					u.addExceptSite(e, 1)
 					reserved = true
 				}
 			}
 		}
 	}
-	if beyond != nil && slices.ContainsFunc(b.turns, func(t *Turn) bool { return t.Phase == Preparing && !known(t.Host) }) {
+	if fallback != nil && slices.ContainsFunc(b.turns, func(t *Turn) bool { return t.Phase == Preparing && !known(t.Host) }) {
 		return nil
 	}
-	return beyond
+	return fallback
 }
 
-// knownToAll returns a function that says whether a host stands in the horizon of every living member that has not
-// acknowledged the last one and may be cut off. One that has acknowledged the last is taken for connected, and one that has
-// acknowledged none holds all hosts up alike.
-func (b *Book) knownToAll() func(host string) bool {
-	last := b.Horizon().Version
+// excludedByAll returns a function that reports whether a host is in the exclusion set of every living member that has not
+// acknowledged the last one and may be cut off. A member that has acknowledged the last one is taken for connected, and one that
+// has acknowledged none blocks all hosts alike.
+func (b *Schedule) excludedByAll() func(host string) bool {
+	last := b.ExclusionSet().Version
 	versions := make([]uint64, 0, len(b.acks))
 	for _, a := range b.acks {
 		if a.Version != 0 && a.Version != last && !b.Dead(a.Node) {
@@ -320,20 +321,20 @@
 	slices.Sort(versions)
 	versions = slices.Compact(versions)
 	return func(host string) bool {
-		return !slices.ContainsFunc(versions, func(v uint64) bool { return !b.within(v, host) })
+		return !slices.ContainsFunc(versions, func(v uint64) bool { return !b.contains(v, host) })
 	}
 }
 
-// within says whether a horizon has a host.
-func (b *Book) within(version uint64, host string) bool {
-	h, _ := b.horizon(version)
+// contains reports whether an exclusion set has a host.
+func (b *Schedule) contains(version uint64, host string) bool {
+	h, _ := b.exclusionSet(version)
 	_, found := slices.BinarySearch(h.Hosts, host)
 	return found
 }
 
-// Due returns the next moment after now at which Next, the order or a notice could change by time alone.
-func (b *Book) Due(now time.Duration) (due time.Duration, ok bool) {
-	age := cmp.Or(b.limits.Age, defaultAge)
+// NextChange returns the next moment after now at which Next, the order or a notice could change by time alone.
+func (b *Schedule) NextChange(now time.Duration) (due time.Duration, ok bool) {
+	ageStep := cmp.Or(b.limits.AgeStep, defaultAgeStep)
 	at := func(moment time.Duration) {
 		if moment > now && (!ok || moment < due) {
 			due, ok = moment, true
@@ -341,15 +342,15 @@
 	}
 	for _, t := range b.turns {
 		if t.Phase <= Granted && t.FinishBy != 0 {
-			at(t.FinishBy - t.Lasts + 1)
+			at(t.FinishBy - t.Duration + 1)
 		}
 		switch {
-		case t.Phase == Asked && t.NotBefore > now:
+		case t.Phase == Requested && t.NotBefore > now:
 			at(t.NotBefore)
-		case t.Phase == Asked:
-			at(t.ripe() + (max(0, now-t.ripe())/age+1)*age)
+		case t.Phase == Requested:
+			at(t.eligibleSince() + (max(0, now-t.eligibleSince())/ageStep+1)*ageStep)
 		case (t.Phase == Granted || t.Phase == Working) && !t.Overrun:
-			at(t.Since + t.Lasts + 1)
+			at(t.Since + t.Duration + 1)
 		}
 	}
 	return due, ok
--- a/internal/choice/turns/refused.go
+++ b/internal/choice/turns/refused.go
@@ -10,42 +10,42 @@
 
 // The reasons.
 const (
-	Accepted       Reason = iota
-	Malformed             // the command itself is unsound, whatever the book says
-	UnknownTurn           // no turn of that name, or it has been over for long
-	UnknownHost           // no such host in the fleet
-	UnknownNode           // no such node among the members
-	UnknownHorizon        // no such version, or one that is forgotten
-	HasTurn               // the host has another turn that is not over
-	OtherHost             // the turn's name is taken, for another host
-	TooLong               // the work is to last longer than a turn may
-	TooLate               // FinishBy cannot be met
-	TooMany               // so many turns wait that no more are taken
-	WrongPhase            // the turn stands elsewhere
-	WrongRound            // the turn was called back and prepared again, or not yet
-	TooEarly              // NotBefore has not come
-	TooManyFailed         // T3
-	NoRoom                // T1
-	GroupOut              // T4: another home of one of the host's groups is out
-	OldLife               // of a node's store that a newer one has replaced
-	DeclaredDead          // the node is to be taken in anew first
-	LacksOut              // a horizon without a host that is out, or not newer than the last
+	Accepted            Reason = iota
+	Malformed                  // the command itself is invalid, whatever the schedule
+	UnknownTurn                // no turn with this ID, or it was forgotten after its end
+	UnknownHost                // no such host in the fleet
+	UnknownNode                // no such node among the members
+	UnknownExclusionSet        // no such version, or one that was pruned
+	HasTurn                    // the host has another turn that is not over
+	OtherHost                  // the ID is in use for another host
+	TooLong                    // the work would last longer than MaxDuration
+	TooLate                    // FinishBy cannot be met
+	TooMany                    // MaxTurns turns are not over
+	WrongPhase                 // the turn is in another phase
+	WrongRound                 // the turn was revoked and prepared again, or not prepared yet
+	TooEarly                   // NotBefore has not passed
+	TooManyFailed              // T3
+	NoRoom                     // T1
+	GroupHomeOut               // T4: another home of one of the host's groups is out
+	OldIncarnation             // of a node's store that a newer one has replaced
+	DeclaredDead               // the node has to be admitted again first
+	LacksExcludedHost          // an exclusion set without a host that is out, or not newer than the last
 )
 
-// RefusedError says that a command has no place in the book as it is, and why.
+// RefusedError is a command that was refused, and why.
 type RefusedError struct {
 	Reason Reason
 	Turn   string // may be empty, as may Host and Node
 	Host   string
 	Node   string
-	More   string // particulars
+	Detail string // particulars
 }
 
-var reasonTexts = [...]string{"accepted", "the command is not sound", "no such turn", "no such host in the fleet",
-	"no such node at this site", "no such horizon", "the host has a turn already", "the turn's name is taken, for another host",
-	"the work would last too long", "it could not be done in time", "too many turns wait", "the turn does not stand so",
+var reasonTexts = [...]string{"accepted", "the command is invalid", "no such turn", "no such host in the fleet",
+	"no such node at this site", "no such exclusion set", "the host has a turn already", "the turn's ID is in use for another host",
+	"the work would last too long", "it cannot be finished in time", "too many turns wait", "the turn is in another phase",
 	"the turn is in another round", "it is too early", "too many hosts have failed", "no more hosts may be out",
-	"another home of a group is out", "the node has a newer store", "the node is declared dead", "the horizon is not one to go by"}
+	"another home of a group is out", "the node has a newer store", "the node is declared dead", "the exclusion set lacks a host that is out, or is not newer than the last"}
 
 func (r Reason) String() string { return reasonTexts[r] }
 
@@ -56,49 +56,49 @@
 			s += fmt.Sprintf(", %s %q", part[0], part[1])
 		}
 	}
-	if e.More != "" {
-		s += ": " + e.More
+	if e.Detail != "" {
+		s += ": " + e.Detail
 	}
 	return s
 }
 
-// Action says what an operator can do.
+// Action returns what an operator can do.
 func (e *RefusedError) Action() string {
 	switch e.Reason {
 	case UnknownTurn:
-		return "look at the list of turns for its name"
+		return "look up its ID in the list of turns"
 	case UnknownHost:
 		return "name a host that this site's nodes have in their lists"
 	case UnknownNode:
 		return "name a node of the site file"
 	case HasTurn:
-		return "use the turn that the host has, or withdraw it first"
+		return "use the existing turn of the host, or withdraw it first"
 	case OtherHost:
-		return "ask under another name"
+		return "use another ID"
 	case TooLong:
-		return fmt.Sprintf("ask for at most %v, in several turns if need be", MaxLasts)
+		return fmt.Sprintf("request at most %v, in several turns if necessary", MaxDuration)
 	case TooLate:
-		return "ask with a later end, or for less time"
+		return "request it with a later deadline, or a shorter duration"
 	case TooMany:
-		return "withdraw turns that are not needed, or ask later"
+		return "withdraw turns that are not needed, or request it later"
 	case WrongPhase, WrongRound:
-		return "look at the turn: begin only what is granted, report done only what has begun, withdraw only what has not"
-	case TooEarly, NoRoom, GroupOut:
-		return "wait: the turn comes by itself"
+		return "check the turn: begin only a granted one, report done only one that has begun, withdraw only one that has not"
+	case TooEarly, NoRoom, GroupHomeOut:
+		return "wait: the turn is prepared without further action"
 	case TooManyFailed:
-		return "mend the hosts that have failed, or allow for more of them"
+		return "repair the hosts that have failed, or raise the limit of failed hosts"
 	case DeclaredDead:
-		return "take the node in anew once it is known to be sound"
-	case UnknownHorizon, OldLife, LacksOut:
-		return "none is needed: the leader tries again with what is new"
+		return "admit the node again once it is known to be healthy"
+	case UnknownExclusionSet, OldIncarnation, LacksExcludedHost:
+		return "none is needed: the leader retries with current data"
 	}
 	return "correct the request"
 }
 
-// What a book takes at most.
+// The limits of a schedule.
 const (
-	MaxLasts   = 7 * 24 * time.Hour // of one turn's work
-	MaxUrgency = 100                // and as much below 0
-	MaxTurns   = 4096               // that are not over
-	MaxText    = 256                // bytes of a name or a reason
+	MaxDuration = 7 * 24 * time.Hour // of one turn's work
+	MaxUrgency  = 100                // and -MaxUrgency at least
+	MaxTurns    = 4096               // turns that are not over
+	MaxText     = 256                // bytes of a name or a reason
 )
--- a/internal/choice/turns/turns.go
+++ b/internal/choice/turns/turns.go
@@ -1,195 +1,199 @@
-// Package turns settles in which order hosts are taken out for work, and gives turns. Book is the state that a site's
-// council replicates: commands in, effects out, the same at each seat. It is pure: the time is the one that the council's
-// leader stamped on a command, never a clock.
+// Package turns schedules maintenance work on the hosts of a site. A turn is the permission to do maintenance work on one host.
+// Schedule is the state that the site's Raft group replicates: commands in, notices out, the same at every replica. It is pure:
+// time is what the leader stamped on a command, never a clock.
 //
 // The properties:
 //
-//	T1  Never more hosts are out than the allowances of the site, of a zone and of a kind of machine. A host counts from
-//	    Prepare until it is reported done, in service again and warm. Hosts that failed by themselves count too.
-//	T2  A host is Granted only once every node that could send it anything has confirmed it empty of new work in this
-//	    round, or has lost its right while it had acknowledged a horizon with the host in it, or was declared dead.
-//	T3  While more hosts have failed than Limits.Failed, no turn is given, and turns whose work has not begun are called
-//	    back, the latest first, until the allowances hold.
-//	T4  The order depends on the book alone: urgency, then how late it is for FinishBy, then the least worth disturbed;
-//	    who waits rises with time, so that nobody starves; no two homes of one group are out together.
-//	T5  A turn is not forgotten: its asker may be gone, the leader may change; work that overruns goes on counting and is
-//	    told to operators.
-//	T6  A ban by hand and a turn on one host, in either order, leave the host out until both are over.
+//	T1  The number of hosts that are out never exceeds the limits of the site, of a zone and of a kind of machine. A host
+//	    counts from Prepare until its work is reported done and it is in service again and warm. Hosts that failed on their
+//	    own count too.
+//	T2  A host is Granted only once every node that could send it anything has confirmed that it sends it no new work in this
+//	    round, or has lost its send lease after it had acknowledged an exclusion set that contains the host, or was declared
+//	    dead.
+//	T3  While more hosts have failed than Limits.Failed, no turn is given, and turns whose work has not begun are revoked, the
+//	    latest first, until the limits hold.
+//	T4  The order depends on the schedule alone: urgency, then how close the latest start for FinishBy is, then the lowest
+//	    value disrupted; waiting turns gain urgency with time, so that none starves; no two homes of one group are out
+//	    together.
+//	T5  A turn is not forgotten: its requester may be gone, the leader may change; work that overruns goes on counting and is
+//	    reported to operators.
+//	T6  An operator's ban and a turn on one host, in either order, keep the host out of service until both are over.
 //
-// What is counted: a host is out if it has a turn from Preparing to Returning, is banned, or has failed by itself, and
-// counts once. It has not failed by itself while its work is under way (Working, Returning). T1 and T3 are checked as
-// Prepare is applied, T3 also for Grant, so that leaders who compete cannot go beyond them; bans, failures and new
-// allowances can, and Next calls back for them what has not begun.
+// What is counted: a host is out if it has a turn from Preparing to Returning, is banned, or has failed on its own, and it counts
+// once. A host whose work is under way (Working, Returning) does not count as failed on its own. T1 and T3 are checked as Prepare
+// is applied, T3 also for Grant, so that competing leaders cannot exceed the limits; bans, failures and new limits can, and Next
+// then revokes turns whose work has not begun.
 //
-// What horizons keep: each has all hosts that are out by a turn or by hand, and no acknowledgement is taken of one that
-// lacks a host that is handed over. So whatever horizon a node goes by, it has each host whose work may be under way.
+// What exclusion sets guarantee: each contains all hosts that are out by a turn or a ban, and no acknowledgement is accepted of a
+// set that lacks a granted host. So whichever exclusion set a node applies, it contains every host whose work may be under way.
 package turns
 
 import "time"
 
-// Limits are the allowances of a site.
+// Limits are the limits of a site on hosts that are out.
 type Limits struct {
-	Site    int           // hosts out at once
-	Zone    int           // of one zone; 0: as many as Site
-	Kind    int           // of one kind of machine; 0: as many as Site
-	Failed  int           // hosts that may have failed by themselves while turns are given
-	Horizon int           // how many of the next hosts a node that is cut off has to do without
-	Age     time.Duration // waiting so long is worth one step of urgency; 0: an hour
+	Site      int           // hosts out at once
+	Zone      int           // hosts of one zone out at once; 0: as many as Site
+	Kind      int           // hosts of one kind of machine out at once; 0: as many as Site
+	Failed    int           // hosts that may have failed on their own while turns are given
+	Lookahead int           `json:"Horizon"` // how many of the next hosts a node without a send lease must not use
+	AgeStep   time.Duration `json:"Age"`     // waiting this long adds one step of urgency; 0: an hour
 }
 
-// Phase is where a turn stands.
+// Phase is the state of a turn.
 type Phase uint8
 
-// The phases. Over is left out of the book after a while.
+// The phases. Turns in phase Over are kept for a limited time.
 const (
-	Asked     Phase = iota // it waits for its turn
-	Preparing              // it is its turn: the nodes are emptying the host; counts as out
-	Granted                // handed over: the work may begin
-	Working                // its asker says that the work has begun
-	Returning              // the work is reported done; the host is not known to be in service and warm yet. See Turn.Serves
-	Over                   // done, withdrawn or expired
+	Requested Phase = iota // waits to be prepared
+	Preparing              // the nodes are draining the host; it counts as out
+	Granted                // the work may begin
+	Working                // the requester reported that the work has begun
+	Returning              // the work is reported done; the host is not known to be in service and warm yet, see Turn.InService
+	Over                   // finished, withdrawn or expired
 )
 
 var phaseNames = [...]string{"asked", "preparing", "granted", "working", "returning", "over"}
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Out says whether a turn in this phase counts against the allowances.
-func (p Phase) Out() bool { return p >= Preparing && p <= Returning }
+// OutOfService reports whether a turn in this phase counts against the limits.
+func (p Phase) OutOfService() bool { return p >= Preparing && p <= Returning }
 
-// Host is a host as the council knows it.
+// Host is a host as the site's Raft group knows it.
 type Host struct {
 	ID     string   `json:"id"`
 	Zone   string   `json:"zone,omitempty"`
 	Kind   string   `json:"kind,omitempty"`
-	Groups []string `json:"groups,omitempty"` // whose home it is, sorted
-	Worth  float64  `json:"worth,omitempty"`  // a second, of what it holds: what emptying it disturbs
-	Failed bool     `json:"failed,omitempty"` // it is out of service by itself
-	Warm   bool     `json:"warm,omitempty"`   // it is in service and has its full capacity
-	Banned bool     `json:"banned,omitempty"` // out by hand
-	Gone   bool     `json:"gone,omitempty"`   // the newest fleet lacks it, and it has a turn; set by the book alone
+	Groups []string `json:"groups,omitempty"` // groups that have the host as a home, sorted
+	Value  float64  `json:"worth,omitempty"`  // value per second of the connections it holds, disrupted when it is drained
+	Failed bool     `json:"failed,omitempty"` // out of service on its own
+	Warm   bool     `json:"warm,omitempty"`   // in service at full capacity
+	Banned bool     `json:"banned,omitempty"` // taken out of service by an operator
+	Gone   bool     `json:"gone,omitempty"`   // missing from the newest fleet and kept because it has a turn; set only by the schedule
 }
 
-// Command is one entry of the council's log about turns: one of the pointers is set, or none, and only time passes. At is
-// the leader's time, in Unix time. One that is earlier than that of a command before it counts as that one's.
+// Command is one entry of the Raft log about turns. At most one of the pointers is set; with none, only time passes. At is the
+// leader's time, as Unix time. If it is earlier than that of a preceding command, that command's time applies.
 type Command struct {
-	At       time.Duration `json:"at"`
-	Limits   *Limits       `json:"limits,omitempty"`   // new allowances
-	Fleet    *Fleet        `json:"fleet,omitempty"`    // the hosts, whole
-	Members  *Members      `json:"members,omitempty"`  // the nodes that place queries at this site, whole
-	Ask      *Ask          `json:"ask,omitempty"`      // a turn is asked for
-	Withdraw *Ref          `json:"withdraw,omitempty"` // by its asker, or an operator
-	Prepare  *Ref          `json:"prepare,omitempty"`  // by the leader: the nodes are to empty the host
-	Grant    *Ref          `json:"grant,omitempty"`    // by the leader: every node is clear of it
-	CallBack *Ref          `json:"call_back,omitempty"`
-	Begin    *Ref          `json:"begin,omitempty"`   // by the asker
-	Done     *Ref          `json:"done,omitempty"`    // by the asker
-	Horizon  *Widen        `json:"horizon,omitempty"` // by the leader: the next hosts, in a new version
-	Ack      *Ack          `json:"ack,omitempty"`     // by the leader: a node has a horizon in its store
-	Dead     *Declare      `json:"dead,omitempty"`    // by an operator
-	Alive    *Declare      `json:"alive,omitempty"`   // the node is taken in anew
+	At           time.Duration       `json:"at"`
+	Limits       *Limits             `json:"limits,omitempty"`   // new limits
+	Fleet        *Fleet              `json:"fleet,omitempty"`    // the complete list of hosts
+	Members      *Members            `json:"members,omitempty"`  // the complete list of nodes that place requests at this site
+	Request      *Request            `json:"ask,omitempty"`      // requests a turn
+	Withdraw     *Ref                `json:"withdraw,omitempty"` // by the requester or an operator
+	Prepare      *Ref                `json:"prepare,omitempty"`  // by the leader: the nodes have to drain the host
+	Grant        *Ref                `json:"grant,omitempty"`    // by the leader: no node sends to the host
+	Revoke       *Ref                `json:"call_back,omitempty"`
+	Begin        *Ref                `json:"begin,omitempty"`   // by the requester
+	Done         *Ref                `json:"done,omitempty"`    // by the requester
+	ExclusionSet *ExclusionSetUpdate `json:"horizon,omitempty"` // by the leader: the hosts to exclude, in a new version
+	Ack          *Ack                `json:"ack,omitempty"`     // by the leader: a node has stored an exclusion set
+	Dead         *Declaration        `json:"dead,omitempty"`    // by an operator
+	Alive        *Declaration        `json:"alive,omitempty"`   // the node is admitted again
 }
 
 type (
-	// Fleet is the hosts as the leader sees them, sorted by id. A host that is missing and has a turn stays. Seen is the
-	// log's index up to which the leader had applied when it looked: a host that is said to be warm ends a turn in
-	// Returning only where Seen has its Done, for what was seen earlier may be from before the work.
+	// Fleet is the hosts as the leader sees them, sorted by id. A missing host that has a turn is kept. AppliedIndex is the log
+	// index that the leader had applied when it looked: a host reported warm ends a turn in Returning only if AppliedIndex covers
+	// its Done, because an earlier observation may be from before the work.
 	Fleet struct {
-		Seen  uint64 `json:"seen"`
-		Hosts []Host `json:"hosts"`
+		AppliedIndex uint64 `json:"seen"`
+		Hosts        []Host `json:"hosts"`
 	}
-	// Members are the nodes, sorted. A node that is taken off the file counts until its right has run out: the leader
-	// proposes it only then.
+	// Members are the nodes, sorted. A node that is removed from the site file counts until its send lease has expired: the
+	// leader proposes its removal only then.
 	Members struct {
 		Nodes []string `json:"nodes"`
 	}
-	// Ask asks for a turn. The same ID once more is the same turn, with no effect, also when it is over.
-	Ask struct {
+	// Request requests a turn. A repeated ID means the same turn and has no effect, also when that turn is over.
+	Request struct {
 		ID        string        `json:"id"`
 		Host      string        `json:"host"`
-		Lasts     time.Duration `json:"lasts"`                // of the work
+		Duration  time.Duration `json:"lasts"`                // expected duration of the work
 		NotBefore time.Duration `json:"not_before,omitempty"` // Unix time; 0: at once
-		FinishBy  time.Duration `json:"finish_by,omitempty"`  // Unix time; 0: no matter when
-		Urgency   int           `json:"urgency,omitempty"`    // the higher the sooner
-		By        string        `json:"by,omitempty"`         // who asks
+		FinishBy  time.Duration `json:"finish_by,omitempty"`  // Unix time; 0: no deadline
+		Urgency   int           `json:"urgency,omitempty"`    // higher goes first
+		Requester string        `json:"by,omitempty"`         // who requests it
 	}
-	// Ref names a turn, and for what the leader proposes also the round that it means, so that news of an earlier round
-	// changes nothing.
+	// Ref names a turn. In the leader's proposals it also has the round they refer to, so that a proposal from an earlier round
+	// has no effect.
 	Ref struct {
 		ID    string `json:"id"`
 		Round uint64 `json:"round,omitempty"`
 		Why   string `json:"why,omitempty"`
 	}
-	// Widen is a new horizon.
-	Widen struct {
+	// ExclusionSetUpdate is a new exclusion set.
+	ExclusionSetUpdate struct {
 		Version uint64   `json:"version"`
 		Hosts   []string `json:"hosts"` // sorted
 	}
-	// Ack says that a node of a life has a horizon in its store; version 0: it has a new store with none. An older version
-	// than the one known of the same life changes nothing, a newer life replaces what is known, an older one is refused.
+	// Ack reports that a node's store of one incarnation holds an exclusion set; version 0: a new store that holds none. A
+	// version older than the known one of the same incarnation has no effect, a newer incarnation replaces what is known, and an
+	// older incarnation is refused.
 	Ack struct {
-		Node    string `json:"node"`
-		Life    uint64 `json:"life"`
-		Version uint64 `json:"version"`
+		Node        string `json:"node"`
+		Incarnation uint64 `json:"life"`
+		Version     uint64 `json:"version"`
 	}
-	// Declare names a node, who says so and why.
-	Declare struct {
+	// Declaration names a node, and who declares it dead or alive and why.
+	Declaration struct {
 		Node string `json:"node"`
 		By   string `json:"by"`
 		Why  string `json:"why"`
 	}
 )
 
-// Turn is one entry of the book.
+// Turn is one entry of the schedule.
 type Turn struct {
-	Ask
-	Phase   Phase         `json:"phase"`
-	Round   uint64        `json:"round"` // the log's index of the last Prepare
-	AskedAt time.Duration `json:"asked_at"`
-	Since   time.Duration `json:"since"`             // of the phase
-	Back    uint64        `json:"back,omitempty"`    // the log's index of Done
-	Serves  bool          `json:"serves,omitempty"`  // Returning, and in service again: it is sent to while it gets warm
-	Overrun bool          `json:"overrun,omitempty"` // operators were told that it takes longer than was asked for
-	End     End           `json:"end,omitempty"`     // how it came to be over
-	Why     string        `json:"why,omitempty"`     // the reason of the last call back, withdrawal or end
+	Request
+	Phase       Phase         `json:"phase"`
+	Round       uint64        `json:"round"` // log index of the last Prepare
+	RequestedAt time.Duration `json:"asked_at"`
+	Since       time.Duration `json:"since"`             // start of the phase
+	DoneIndex   uint64        `json:"back,omitempty"`    // log index of Done
+	InService   bool          `json:"serves,omitempty"`  // in Returning: in service again, and sent requests while it warms up
+	Overrun     bool          `json:"overrun,omitempty"` // operators were notified that it takes longer than requested
+	End         End           `json:"end,omitempty"`     // how it ended
+	Why         string        `json:"why,omitempty"`     // reason of the last revocation, withdrawal or end
 }
 
-// End is how a turn came to be over.
+// End is how a turn ended.
 type End uint8
 
 // The ends.
 const (
 	NotEnded  End = iota
 	Finished      // the host is back
-	Withdrawn     // by its asker or an operator
+	Withdrawn     // by the requester or an operator
 	Expired       // FinishBy could not be met
 )
 
-// Notice is something that operators are told.
+// Notice is a report to operators.
 type Notice struct {
-	Turn   string // empty for commands that concern none
+	Turn   string // empty for commands that concern no turn
 	Kind   NoticeKind
 	Reason Reason // of a refusal, else Accepted
 	Why    string
 }
 
-// NoticeKind names what a notice tells.
+// NoticeKind is the kind of a notice.
 type NoticeKind uint8
 
-// The notices.
+// The kinds of notices.
 const (
-	NoticeGranted  NoticeKind = iota // the host is handed over: the work may begin
-	NoticeCalled                     // the turn was called back: do not begin
-	NoticeOverrun                    // the work takes longer than was asked for
-	NoticeExpired                    // FinishBy cannot be met any more; the turn is over unless its work has begun
-	NoticeRefused                    // the command was refused; Why says it
+	NoticeGranted  NoticeKind = iota // the host is granted: the work may begin
+	NoticeRevoked                    // the turn was revoked: do not begin
+	NoticeOverrun                    // the work takes longer than requested
+	NoticeExpired                    // FinishBy cannot be met any more; the turn is over, as its work has not begun
+	NoticeRefused                    // the command was refused; Why has the reason
 	NoticeFinished                   // the host is back and warm
-	NoticeIdle                       // the host was handed over for longer than the work was to last, and it has not begun
+	NoticeIdle                       // the host has been granted for longer than the work was to last, and the work has not begun
 )
 
-// View is what the leader knows of a node, besides the book.
-type View struct {
-	Node   string
-	Lapsed bool              // its right has run out, by any clock within the drift
-	Holds  map[string]uint64 // hosts that it has confirmed empty of new work, with their rounds
+// NodeView is what the leader knows of a node, besides the schedule.
+type NodeView struct {
+	Node         string
+	LeaseExpired bool              // its send lease has expired, by any clock within the drift
+	Confirmed    map[string]uint64 // hosts that it has confirmed to send no new work to, with their rounds
 }
--- a/internal/choice/watch/property_test.go
+++ b/internal/choice/watch/property_test.go
@@ -9,29 +9,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mode is what a call meets while discovery cannot be reached.
-type mode int
+// failureMode is what a call meets while discovery cannot be reached.
+type failureMode int
 
 const (
-	refuses   mode = iota // the connection is refused at once
-	swallows              // the connection does not come up; it is given up after a second
-	resets                // the connection is reset while the call waits
-	fails                 // 503 after the call has waited for its turn
-	keepsMum              // nothing comes
-	modeCount = int(keepsMum) + 1
+	refuses      failureMode = iota // the connection is refused immediately
+	dropsConnect                    // the connection is not established; it is given up after a second
+	resets                          // the connection is reset while the call waits
+	fails                           // 503 after the call was queued
+	noResponse                      // no response
+	modeCount    = int(noResponse) + 1
 )
 
-// dialTimeout is when the client gives a connection up that does not come up.
+// dialTimeout is when the client gives up a connection that is not established.
 const dialTimeout = time.Second
 
-// outage is a time in which discovery cannot be reached.
+// outage is a period in which discovery cannot be reached.
 type outage struct {
-	from, to time.Duration
-	mode     mode
-	silently bool // watches that are open stay open and bring nothing, and are not reset
+	from, to     time.Duration
+	mode         failureMode
+	unresponsive bool // open watches stay open without a response instead of being reset
 }
 
-// world is discovery as one watch meets it, in virtual time.
+// world is discovery as seen by one watch, in virtual time.
 type world struct {
 	rng     *rand.Rand
 	watch   Watch
@@ -40,16 +40,16 @@
 	changes []time.Duration // when discovery had each
 	known   []time.Duration // when the node had it; 0: not yet
 	wake    time.Duration
-	slowest time.Duration // answer
-	end     time.Duration // when that call ends; 0: never by itself
-	kind    Kind          // how
-	patient bool          // the last call that met an outage is one that is given all of CallWithin
+	slowest time.Duration // slowest answer
+	end     time.Duration // when the call in progress ends; 0: never by itself
+	kind    Kind          // how it ends
+	patient bool          // the last call during an outage was given all of CallWithin
 	calls   int
 }
 
 const never = 1000 * time.Hour
 
-// latency is how long discovery takes for a call that it serves.
+// latency returns how long discovery takes for a call that it serves.
 func (w *world) latency() time.Duration {
 	if w.rng.IntN(4) == 0 {
 		return w.slowest
@@ -59,8 +59,8 @@
 
 func (w *world) reachable(at time.Duration) bool { return at < w.out.from || at >= w.out.to }
 
-// news returns when discovery has news that the node does not have.
-func (w *world) news() time.Duration {
+// nextChange returns when discovery has a change that the node does not have.
+func (w *world) nextChange() time.Duration {
 	for i, at := range w.changes {
 		if w.known[i] == 0 {
 			return at
@@ -69,35 +69,35 @@
 	return never
 }
 
-// made decides how a call that is made now is going to end.
-func (w *world) made(form Form) {
+// startCall decides how a call made now will end.
+func (w *world) startCall(form Form) {
 	w.calls++
 	if !w.reachable(w.now) {
-		w.patient = w.watch.Silent%patientEvery == patientEvery-1
-		w.meets()
+		w.patient = w.watch.Unanswered%patientEvery == patientEvery-1
+		w.failCall()
 		return
 	}
 	w.kind, w.end = Answered, w.now+w.latency()
-	if news := w.news(); form == Held && news > w.now {
-		w.end = min(w.now+Hold, news) + min(w.latency(), Overdue/2)
+	if nextChange := w.nextChange(); form == LongPoll && nextChange > w.now {
+		w.end = min(w.now+Hold, nextChange) + min(w.latency(), HoldOverrun/2)
 	}
-	if w.end > w.out.from && w.now < w.out.from { // discovery goes down under the call
-		w.kind, w.end = Broken, w.out.from
-		if w.out.silently {
+	if w.end > w.out.from && w.now < w.out.from { // discovery goes down during the call
+		w.kind, w.end = ConnectionLost, w.out.from
+		if w.out.unresponsive {
 			w.end = never
 		}
 	}
 }
 
-// meets decides how a call ends that discovery cannot take.
-func (w *world) meets() {
+// failCall decides how a call ends during an outage.
+func (w *world) failCall() {
 	switch w.out.mode {
 	case refuses:
-		w.kind, w.end = Broken, w.now+time.Millisecond
-	case swallows:
-		w.kind, w.end = Broken, w.now+dialTimeout
+		w.kind, w.end = ConnectionLost, w.now+time.Millisecond
+	case dropsConnect:
+		w.kind, w.end = ConnectionLost, w.now+dialTimeout
 	case resets:
-		w.kind, w.end = Broken, w.now+time.Duration(w.rng.Int64N(int64(CallWithin)))
+		w.kind, w.end = ConnectionLost, w.now+time.Duration(w.rng.Int64N(int64(CallWithin)))
 	case fails:
 		w.kind, w.end = Refused, w.now+time.Duration(w.rng.Int64N(int64(CallWithin)))
 	default:
@@ -105,7 +105,7 @@
 	}
 }
 
-// step brings an event and carries the order out.
+// step delivers an event and executes the action.
 func (w *world) step(k Kind) {
 	if k == Answered {
 		for i, at := range w.changes {
@@ -114,21 +114,21 @@
 			}
 		}
 	}
-	chance := w.rng.Float64()
+	random := w.rng.Float64()
 	if w.rng.IntN(3) == 0 {
-		chance = most
+		random = maxRandom
 	}
-	var o Order
-	w.watch, o = w.watch.Step(Event{Kind: k, Now: w.now, Chance: chance})
+	var o Action
+	w.watch, o = w.watch.Step(Event{Kind: k, Now: w.now, Random: random})
 	if o.Wake > 0 {
 		w.wake, w.end = o.Wake, never
 	}
 	if o.Call {
-		w.made(o.Form)
+		w.startCall(o.Form)
 	}
 }
 
-// run plays until a time.
+// run simulates until the given time.
 func (w *world) run(until time.Duration) {
 	w.step(Start)
 	for {
@@ -140,17 +140,17 @@
 		if w.end <= w.wake {
 			w.step(w.kind)
 		} else {
-			w.step(Due)
+			w.step(TimerFired)
 		}
 	}
 }
 
 func newWorld(seed uint64, terms Terms) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 0)), watch: Watch{Terms: terms, Listed: true}, now: time.Second, end: never,
+	w := &world{rng: rand.New(rand.NewPCG(seed, 0)), watch: Watch{Terms: terms, HasList: true}, now: time.Second, end: never,
 		wake: never, slowest: CallWithin - 2*time.Millisecond} // the slowest that is still served
 	from := 5*time.Second + time.Duration(w.rng.Int64N(int64(10*time.Second)))
-	w.out = outage{from: from, to: from + time.Duration(w.rng.Int64N(int64(12*time.Second))), mode: mode(w.rng.IntN(modeCount)),
-		silently: w.rng.IntN(2) == 0}
+	w.out = outage{from: from, to: from + time.Duration(w.rng.Int64N(int64(12*time.Second))), mode: failureMode(w.rng.IntN(modeCount)),
+		unresponsive: w.rng.IntN(2) == 0}
 	return w
 }
 
@@ -160,15 +160,15 @@
 
 const seeds = 20000
 
-// Term 1, W1: from whatever moment discovery can be reached again, however it was lost and whatever call, pause or watch was
-// under way, the node has its list within Told. A term of 6 s with Reserve kept back is what is asserted.
+// Term 1, W1: from whatever moment discovery can be reached again, however it was lost and whatever call, pause or watch was in
+// progress, the node has its list within ListWithin. The test asserts 6 s less Reserve.
 func TestTheListIsThereWithinSixSecondsOfTheReturn(t *testing.T) {
 	var worst time.Duration
 	for seed := range uint64(seeds) {
 		terms := asks
 		if seed%3 == 0 {
 			terms = pushed
-			terms.Grace = 4 * time.Second // discovery is as slow as it may be here, other than an agent
+			terms.Grace = 4 * time.Second // discovery is as slow as allowed here, unlike an agent
 		}
 		w := newWorld(seed, terms)
 		w.change(w.out.from + time.Duration(w.rng.Float64()*float64(w.out.to-w.out.from)))
@@ -176,31 +176,33 @@
 		require.NotZero(t, w.known[0], "seed %d: never: %+v", seed, w.out)
 		took := w.known[0] - w.out.to
 		worst = max(worst, took)
-		require.LessOrEqual(t, took, Told-Reserve, "seed %d: %+v", seed, w.out)
+		require.LessOrEqual(t, took, ListWithin-Reserve, "seed %d: %+v", seed, w.out)
 	}
 	t.Logf("worst of %d: %s", seeds, worst)
-	assert.Greater(t, worst, Told-Reserve-Spread, "the worst case is among them")
+	assert.Greater(t, worst, ListWithin-Reserve-Spread, "the worst case is among them")
 }
 
-// Term 2, W2: what a silent watch misses is there 6 s after it fell silent, or 2 s after it was made if that is later.
-func TestWhatASilentWatchMissesIsThereWithinSixSeconds(t *testing.T) {
+// Term 2, W2: a change that an unresponsive watch misses is there 6 s after it stopped responding, or 2 s after the change was
+// made if that is later.
+func TestChangeMissedByUnresponsiveWatchIsThereWithinSixSeconds(t *testing.T) {
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, asks)
-		w.out = outage{from: w.out.from, to: w.out.from, silently: true} // only what is open is hit
+		w.out = outage{from: w.out.from, to: w.out.from, unresponsive: true} // affects only open watches
 		w.change(w.out.from + time.Duration(w.rng.Int64N(int64(8*time.Second))))
 		w.run(w.out.to + 20*time.Second)
 		require.NotZero(t, w.known[0], "seed %d", seed)
-		require.LessOrEqual(t, w.known[0], max(w.out.from+Told-Reserve, w.changes[0]+CallWithin), "seed %d", seed)
+		require.LessOrEqual(t, w.known[0], max(w.out.from+ListWithin-Reserve, w.changes[0]+CallWithin), "seed %d", seed)
 	}
 }
 
-// Term 4, W3: what an agent gets at the return of discovery, which counts at once, is there well within the grace. An agent is
-// local and answers within milliseconds; while discovery is down it says nothing, or its address refuses.
-func TestWhatAnAgentGetsIsThereWithinTheGrace(t *testing.T) {
+// Term 4, W3: what an agent gets when discovery returns, which counts as known at once, is there well within the grace period. An
+// agent is local and answers within milliseconds; while discovery is down it does not respond, or its address refuses
+// connections.
+func TestAgentChangeIsThereWithinTheGrace(t *testing.T) {
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, pushed)
 		if w.out.mode != refuses {
-			w.out.mode = keepsMum
+			w.out.mode = noResponse
 		}
 		w.change(w.out.to)
 		w.slowest = agentTakes
@@ -208,23 +210,23 @@
 		require.NotZero(t, w.known[0], "seed %d: %+v", seed, w.out)
 		within := AgentRetry + agentTakes
 		switch {
-		case w.out.silently: // W2: there is one clock for silence
-			within = Told - Reserve
-		case w.patient && w.out.mode == keepsMum:
+		case w.out.unresponsive: // W2: all unresponsive watches have the same time limit
+			within = ListWithin - Reserve
+		case w.patient && w.out.mode == noResponse:
 			within += CallWithin
-		case w.out.mode == keepsMum:
+		case w.out.mode == noResponse:
 			within += pushed.Grace / 2
 		}
 		require.LessOrEqual(t, w.known[0]-w.out.to, within, "seed %d: %+v", seed, w.out)
 	}
 }
 
-// agentTakes is how long a local agent takes for an answer, at most.
+// agentTakes is the longest time that a local agent takes for an answer.
 const agentTakes = 20 * time.Millisecond
 
-// Three hundred nodes whose watches are lost together call discovery no more than four times a second each while it is down,
-// and less than once a second in the long run.
-func TestTheCallsOfManyNodesStayBearable(t *testing.T) {
+// Three hundred nodes that lose their watches together call discovery at most four times a second each while it is down, and less
+// than once a second in the long run.
+func TestCallRateOfManyNodesIsBounded(t *testing.T) {
 	const nodes, down = 300, 20 * time.Second
 	inSecond, all := map[time.Duration]int{}, 0
 	for seed := range uint64(nodes) {
@@ -236,7 +238,7 @@
 			if w.end <= w.wake {
 				w.step(w.kind)
 			} else {
-				w.step(Due)
+				w.step(TimerFired)
 			}
 			if w.calls > before && !w.reachable(w.now) {
 				inSecond[w.now/time.Second]++
--- a/internal/choice/watch/watch.go
+++ b/internal/choice/watch/watch.go
@@ -1,16 +1,17 @@
-// Package watch decides on the timing of a node's watch on discovery: when to call, when a call that has not been answered
-// counts as silent, and when to call again. It is a pure state machine: Step takes a state and an event and returns the next
-// state and an order. There is no clock, no chance and no I/O here; package discovery carries the orders out.
+// Package watch decides the timing of a node's watch on discovery: when to call, when an unanswered call is given up, and when to
+// call again. It is a pure state machine: Step takes a state and an event and returns the next state and an action. It uses no
+// clock, no randomness and no I/O; package discovery executes the actions.
 //
-// Properties, which hold from whatever moment:
+// Properties, which hold from any moment on:
 //
-//	W1  Once discovery can be reached and answers each call within CallWithin, the node has its list within Told.
-//	W2  What a silent watch misses is there Told after it fell silent, or CallWithin after it was made, whichever is later.
-//	W3  With Terms.Push, a failed call is followed by the next one within AgentRetry, and a call that does not wait is given up
-//	    after half of the grace of a drain, but for every fourth in a row.
-//	W4  After a move of discovery, two calls have their full time within RelocateWithin.
-//	W5  Where the address has not changed, the whole list is asked for only if there is none, or if the changes told were older
-//	    than the list.
+//	W1  Once discovery can be reached and answers each call within CallWithin, the node has its list within ListWithin.
+//	W2  A change that an unresponsive watch misses is there ListWithin after it stopped responding, or CallWithin after the
+//	    change was made, whichever is later.
+//	W3  With Terms.Push, a failed call is followed by the next one within AgentRetry, and a call without a hold is given up
+//	    after half of the drain grace period, except for every fourth in a row.
+//	W4  After discovery's address has changed, two calls have their full time within RelocateWithin.
+//	W5  While the address has not changed, the full list is requested only if there is none, or if the changes received were
+//	    relative to an older list.
 //
 // docs/design/discovery.md derives the figures.
 package watch
@@ -18,118 +19,119 @@
 import "time"
 
 const (
-	// Told is when what discovery has to tell counts as told, whatever failed: 6 s after discovery had it and could be
-	// reached, and 6 s after a watch fell silent. Source: the protocol's figures.
-	Told = 6 * time.Second
-	// CallWithin is how long discovery lets a call wait for its turn before it fails it: 2 s. Source: the protocol, by which
-	// what a call may bring counts as told 2 s after its wait.
+	// ListWithin is the time after which a change at discovery counts as known to the node, whatever failed: 6 s after discovery
+	// had it and could be reached, and 6 s after a watch stopped responding. Source: the protocol's figures.
+	ListWithin = 6 * time.Second
+	// CallWithin is how long discovery queues a call before it fails it: 2 s. Source: the protocol, by which the contents of a
+	// call's answer count as known 2 s after the call's hold.
 	CallWithin = 2 * time.Second
-	// Overdue is how long after its hold a watch may still be answered: 1 s. It is a choice: half of what discovery allows
-	// itself, as a quiet watch has had its turn when it began.
-	Overdue = time.Second
-	// Spread is within which time the nodes that lose their watches together call again: 100 ms, half of the 200 ms in which
-	// the protocol counts the next call as the same watch.
+	// HoldOverrun is how long after its hold a watch may still be answered: 1 s, half of what discovery allows itself, as a watch
+	// without news had left the queue when it began.
+	HoldOverrun = time.Second
+	// Spread is the time over which nodes that lose their watches together call again: 100 ms, half of the 200 ms in which the
+	// protocol counts the next call as the same watch.
 	Spread = 100 * time.Millisecond
-	// Reserve is kept back for timers, connections and the loop's turns: 100 ms, twice what the rules on sockets allow for.
+	// Reserve is kept back for timers, connections and event loop iterations: 100 ms, twice the allowance of the rules on
+	// sockets.
 	Reserve = 100 * time.Millisecond
-	// Hold is how long a watch may wait for news, 2.8 s. A watch that fell silent as it began is noticed after Hold and
-	// Overdue, called anew within Spread and answered within CallWithin; with Reserve, that is Told.
-	Hold = Told - CallWithin - Spread - Reserve - Overdue
-	// Brief is the hold of a call that asks for changes and is not to wait: 1 ms, the shortest that can be told.
-	Brief = time.Millisecond
-	// BackoffLeast and BackoffMost bound the pause after a call that did not wait and failed, which doubles with each. A
-	// call that hangs, the pause, and the next call with Reserve take less than Told.
-	BackoffLeast = 250 * time.Millisecond
-	BackoffMost  = 1500 * time.Millisecond
-	// AgentRetry is the longest pause where lists are pushed: the agent is local, and what it has counts as told at once.
+	// Hold is how long a watch may wait for news, 2.8 s. A watch that stops responding as it begins is noticed after Hold and
+	// HoldOverrun, called again within Spread and answered within CallWithin; with Reserve, that is ListWithin.
+	Hold = ListWithin - CallWithin - Spread - Reserve - HoldOverrun
+	// ShortHold is the hold of a call that asks for changes without waiting: 1 ms, the shortest that can be requested.
+	ShortHold = time.Millisecond
+	// BackoffMin and BackoffMax bound the pause after a failed call without a hold, which doubles with each failure. A call that
+	// hangs, the pause, and the next call with Reserve take less than ListWithin.
+	BackoffMin = 250 * time.Millisecond
+	BackoffMax = 1500 * time.Millisecond
+	// AgentRetry is the longest pause where lists are pushed: the agent is local, and what it has counts as known at once.
 	AgentRetry = 100 * time.Millisecond
-	// RelocateWithin is when what a new address of discovery has counts as told: 4 s after the configuration named it.
-	// Source: the protocol's figures.
+	// RelocateWithin is the time after which the contents of a new discovery address count as known: 4 s after the configuration
+	// named it. Source: the protocol's figures.
 	RelocateWithin = 4 * time.Second
-	// RelocateRetry is the longest pause after a call that failed within that time.
+	// RelocateRetry is the longest pause after a call that failed within RelocateWithin.
 	RelocateRetry = 100 * time.Millisecond
-	// relocateCall is how long such a call may take, so that two fit.
+	// relocateCall is the time limit of such a call; two calls fit into RelocateWithin.
 	relocateCall = RelocateWithin/2 - RelocateRetry
-	// patientEvery is which silent call in a row is given CallWithin whatever the grace: an agent that always needs
-	// longer than half of the grace is to be heard in the end.
+	// patientEvery: every fourth unanswered call in a row gets CallWithin whatever the grace period, so that an agent that always
+	// needs longer than half of it still gets its answer through.
 	patientEvery = 4
 )
 
-// Terms are what the settings say of discovery.
+// Terms are the settings about discovery.
 type Terms struct {
-	Push      bool          // lists are pushed: discovery is a local agent, and what it has counts as told at once
-	AskWithin time.Duration // without a watch, the list has to be asked for this often; 0: not told
-	Grace     time.Duration // how long after a drain was told sends must have ended
+	Push      bool          // lists are pushed: discovery is a local agent, and what it has counts as known at once
+	AskWithin time.Duration // without a watch, the list has to be requested this often; 0: not set
+	Grace     time.Duration // how long after a drain was announced sends must have ended
 }
 
-// Phase is what the node does.
+// Phase is the node's current activity.
 type Phase uint8
 
 // The phases.
 const (
 	Idle    Phase = iota // not started
-	Calling              // a call is out
-	Pausing              // the next call waits for its time
+	Calling              // a call is in progress
+	Pausing              // waiting for the time of the next call
 )
 
-// Form is what a call asks for.
+// Form is what a call requests.
 type Form uint8
 
 // The forms of calls.
 const (
-	Whole   Form = iota // the whole list
-	Changes             // what has changed since the list that is held, without a wait
-	Held                // the same, and to wait for it
+	FullList Form = iota // the full list
+	Changes              // changes since the list that is held, without waiting
+	LongPoll             // the same, waiting for changes
 )
 
-// Kind is a kind of events.
+// Kind is a kind of event.
 type Kind uint8
 
 // The kinds of events.
 const (
-	Start    Kind = iota // the node starts
-	Answered             // the call has brought a list, which is held now
-	Broken               // the connection of the call failed or ended
-	Refused              // the answer was a refusal, or not one at all
-	Outdated             // the answer was of changes to a list that is older than the one that is held
-	Due                  // the time that the last order named
-	Moved                // discovery has another address
+	Start          Kind = iota // the node starts
+	Answered                   // the call has returned a list, which is held now
+	ConnectionLost             // the connection of the call failed or ended
+	Refused                    // the answer was an error or malformed
+	Outdated                   // the answer had changes relative to a list that is older than the one held
+	TimerFired                 // the time set by the last action has come
+	AddressChanged             // discovery has another address
 )
 
-// Event is something that happened to the watch.
+// Event is an event of the watch.
 type Event struct {
 	Kind   Kind
 	Now    time.Duration // on the node's clock, never 0
-	Chance float64       // from 0 to less than 1, drawn anew for each event
+	Random float64       // in [0, 1), drawn for each event
 }
 
-// Order is what to do upon an event.
-type Order struct {
-	Drop bool          // end the connection, so that nothing more comes of the call that was out
-	Call bool          // call discovery, on the connection that there is or on a new one
+// Action is what to do after an event.
+type Action struct {
+	Drop bool          // close the connection, so that nothing more arrives for the call in progress
+	Call bool          // call discovery, on the existing connection or on a new one
 	Form Form          // of that call
-	Wake time.Duration // bring Due then, in place of the Due named before; 0: leave that as it is
+	Wake time.Duration // deliver TimerFired then, instead of at the time set before; 0: no change
 }
 
-// Watch is the state. The zero value with Terms and Listed set is one that has not started.
+// Watch is the state. With Terms and HasList set and all else zero it has not started.
 type Watch struct {
-	Terms  Terms
-	Listed bool // there is a list that changes can build on
-
-	Phase    Phase
-	Form     Form          // of the call that is out, or was last
-	Failures int           // in a row
-	Silent   int           // calls in a row that were given up unanswered
-	Resume   bool          // a watch broke for the first time; the next call is to wait as it did
-	MovedAt  time.Duration // when discovery moved, until it has answered there
+	Terms   Terms
+	HasList bool // there is a list that changes can be applied to
+
+	Phase      Phase
+	Form       Form          // of the call in progress or of the last one
+	Failures   int           // in a row
+	Unanswered int           // calls in a row that were given up unanswered
+	Resume     bool          // a watch lost its connection for the first time; the next call waits for changes again
+	MovedAt    time.Duration // when the address of discovery changed, until it has answered there
 }
 
-// Step takes an event. One that has no place in the phase changes nothing and orders nothing: a late end of a call that was
-// given up, say.
-func (w Watch) Step(e Event) (Watch, Order) {
+// Step handles an event. An event that does not apply in the phase changes nothing and orders no action, for example the late end
+// of a call that was given up.
+func (w Watch) Step(e Event) (Watch, Action) {
 	switch e.Kind {
-	case Moved:
-		w.Listed, w.Failures, w.Silent, w.Resume, w.MovedAt = false, 0, 0, false, e.Now
+	case AddressChanged:
+		w.HasList, w.Failures, w.Unanswered, w.Resume, w.MovedAt = false, 0, 0, false, e.Now
 		w, o := w.call(e.Now)
 		o.Drop = true
 		return w, o
@@ -137,71 +139,71 @@
 		if w.Phase == Idle {
 			return w.start(e)
 		}
-	case Due:
+	case TimerFired:
 		switch w.Phase {
 		case Pausing:
 			return w.call(e.Now)
 		case Calling:
-			w.Silent++
+			w.Unanswered++
 			return w.fail(e)
 		}
 	case Answered:
 		if w.Phase == Calling {
-			w.Listed, w.Failures, w.Silent, w.Resume, w.MovedAt = true, 0, 0, false, 0
+			w.HasList, w.Failures, w.Unanswered, w.Resume, w.MovedAt = true, 0, 0, false, 0
 			return w.call(e.Now)
 		}
 	default:
 		if w.Phase == Calling {
-			w.Silent = 0
+			w.Unanswered = 0
 			return w.fail(e)
 		}
 	}
-	return w, Order{}
+	return w, Action{}
 }
 
-// start makes the first call: at once to an agent, else spread, as many nodes may start together.
-func (w Watch) start(e Event) (Watch, Order) {
+// start schedules the first call: immediately to an agent, otherwise spread, as many nodes may start together.
+func (w Watch) start(e Event) (Watch, Action) {
 	if w.Terms.Push {
 		return w.call(e.Now)
 	}
 	w.Phase = Pausing
-	return w, Order{Wake: e.Now + part(Spread, e.Chance)}
+	return w, Action{Wake: e.Now + scaled(Spread, e.Random)}
 }
 
 // call makes the next call.
-func (w Watch) call(now time.Duration) (Watch, Order) {
+func (w Watch) call(now time.Duration) (Watch, Action) {
 	switch {
-	case !w.Listed:
-		w.Form = Whole
+	case !w.HasList:
+		w.Form = FullList
 	case w.Resume || w.Phase == Calling && w.Failures == 0:
-		w.Form = Held // the watch goes on
+		w.Form = LongPoll // the watch continues
 	default:
 		w.Form = Changes
 	}
 	w.Phase = Calling
-	return w, Order{Call: true, Form: w.Form, Wake: now + w.patience(now)}
+	return w, Action{Call: true, Form: w.Form, Wake: now + w.timeout(now)}
 }
 
-// fail ends the call that is out.
-func (w Watch) fail(e Event) (Watch, Order) {
+// fail ends the call in progress.
+func (w Watch) fail(e Event) (Watch, Action) {
 	if e.Kind == Outdated {
-		w.Listed = false
+		w.HasList = false
 	}
 	w.Failures++
-	// An agent may be silent from now on, which a call that waits would notice too late.
-	w.Resume = e.Kind == Broken && w.Failures == 1 && w.Form == Held && !w.Terms.Push
+	// A call that waits would notice too late that the agent has stopped responding.
+	w.Resume = e.Kind == ConnectionLost && w.Failures == 1 && w.Form == LongPoll && !w.Terms.Push
 	w.Phase = Pausing
-	return w, Order{Drop: true, Wake: e.Now + w.pause(e)}
+	return w, Action{Drop: true, Wake: e.Now + w.pause(e)}
 }
 
-// patience is how long the call that is being made may take, its connection and the last byte of its answer included.
-func (w Watch) patience(now time.Duration) time.Duration {
+// timeout is the time limit of the call being made, including its connection and the last byte of its answer.
+func (w Watch) timeout(now time.Duration) time.Duration {
 	switch {
-	case w.Form == Held:
-		return Hold + Overdue
-	case w.moving(now):
+	case w.Form == LongPoll:
+		return Hold + HoldOverrun
+	case w.relocating(now):
 		return relocateCall
-	case w.Terms.Push && w.Silent%patientEvery != patientEvery-1:
+	case w.Terms.Push && w.Unanswered%patientEvery != patientEvery-1:
 		return min(max(w.Terms.Grace/2, AgentRetry), CallWithin)
 	}
 	return CallWithin
@@ -210,25 +212,27 @@
 // pause is how long after a failure the next call is made.
 func (w Watch) pause(e Event) time.Duration {
 	switch {
-	case w.moving(e.Now):
-		return upper(RelocateRetry, e.Chance)
+	case w.relocating(e.Now):
+		return upperHalf(RelocateRetry, e.Random)
 	case w.Terms.Push:
-		return upper(AgentRetry, e.Chance)
-	case w.Form == Held:
-		return part(Spread, e.Chance)
+		return upperHalf(AgentRetry, e.Random)
+	case w.Form == LongPoll:
+		return scaled(Spread, e.Random)
 	}
-	longest := min(BackoffLeast<<min(w.Failures-1, 4), BackoffMost)
+	longest := min(BackoffMin<<min(w.Failures-1, 4), BackoffMax)
 	if w.Terms.AskWithin > 0 {
 		longest = min(longest, max(w.Terms.AskWithin/2, AgentRetry))
 	}
-	return upper(longest, e.Chance)
+	return upperHalf(longest, e.Random)
 }
 
-// moving says whether discovery has just moved and has not answered yet.
-func (w Watch) moving(now time.Duration) bool { return w.MovedAt > 0 && now < w.MovedAt+RelocateWithin }
+// relocating reports whether the address of discovery has just changed and it has not answered yet.
+func (w Watch) relocating(now time.Duration) bool {
+	return w.MovedAt > 0 && now < w.MovedAt+RelocateWithin
+}
 
-// part returns a part of a time by chance.
-func part(d time.Duration, chance float64) time.Duration { return time.Duration(chance * float64(d)) }
+// scaled returns d scaled by a random factor in [0, 1).
+func scaled(d time.Duration, random float64) time.Duration { return time.Duration(random * float64(d)) }
 
-// upper returns a time from the upper half of d by chance.
-func upper(d time.Duration, chance float64) time.Duration { return d/2 + part(d/2, chance) }
+// upperHalf returns a random time from the upper half of d.
+func upperHalf(d time.Duration, random float64) time.Duration { return d/2 + scaled(d/2, random) }
