--- a/internal/choice/watch/watch_test.go
+++ b/internal/choice/watch/watch_test.go
@@ -7,36 +7,36 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// most is the chance that makes all pauses the longest.
-const most = 0.999999
+// maxRandom is the random value that gives the longest pauses.
+const maxRandom = 0.999999
 
-// play is a watch with the clock of a test.
-type play struct {
+// fixture is a watch with a simulated clock.
+type fixture struct {
 	Watch
 	now  time.Duration
-	last Order
+	last Action
 }
 
-func begin(terms Terms, listed bool) *play {
-	return &play{Watch: Watch{Terms: terms, Listed: listed}, now: time.Hour}
+func begin(terms Terms, listed bool) *fixture {
+	return &fixture{Watch: Watch{Terms: terms, HasList: listed}, now: time.Hour}
 }
 
-// on brings an event now.
-func (p *play) on(k Kind) Order {
-	p.Watch, p.last = p.Step(Event{Kind: k, Now: p.now, Chance: most})
+// on delivers an event now.
+func (p *fixture) on(k Kind) Action {
+	p.Watch, p.last = p.Step(Event{Kind: k, Now: p.now, Random: maxRandom})
 	return p.last
 }
 
-// due goes on to the time of the last order and brings Due. It returns how long that took.
-func (p *play) due() time.Duration {
+// due advances the clock to the time of the last action, delivers TimerFired and returns how long that took.
+func (p *fixture) due() time.Duration {
 	from := p.now
 	p.now = p.last.Wake
-	p.on(Due)
+	p.on(TimerFired)
 	return p.now - from
 }
 
-// watching returns a watch that waits for news.
-func watching(terms Terms) *play {
+// watching returns a watch that waits for changes.
+func watching(terms Terms) *fixture {
 	p := begin(terms, true)
 	if p.on(Start); !p.last.Call {
 		p.due()
@@ -50,30 +50,30 @@
 	pushed = Terms{Push: true, Grace: 2 * time.Second}
 )
 
-// Term 1: discovery's change counts as told 6 s after discovery had it and could be reached.
+// Term 1: a change at discovery counts as known 6 s after discovery had it and could be reached.
 func TestTheFiguresLeaveTimeForTheWorstCase(t *testing.T) {
-	assert.LessOrEqual(t, CallWithin+BackoffMost+CallWithin+Reserve, Told, "a call that hangs, the pause, the next call")
-	assert.LessOrEqual(t, Hold+Overdue+Spread+CallWithin+Reserve, Told, "a watch that hangs, the spread, the next call")
-	assert.LessOrEqual(t, relocateCall+RelocateRetry+relocateCall+RelocateRetry, RelocateWithin, "two calls after a move")
+	assert.LessOrEqual(t, CallWithin+BackoffMax+CallWithin+Reserve, ListWithin, "a call that hangs, the pause, the next call")
+	assert.LessOrEqual(t, Hold+HoldOverrun+Spread+CallWithin+Reserve, ListWithin, "a watch that hangs, the spread, the next call")
+	assert.LessOrEqual(t, relocateCall+RelocateRetry+relocateCall+RelocateRetry, RelocateWithin, "two calls after a change of address")
 	assert.Less(t, Spread, 200*time.Millisecond, "the next call is the same watch")
 	assert.Positive(t, Hold)
 }
 
-// Term 2: a watch that falls silent is broken and is asked anew, in time for an answer within 6 s.
-func TestASilentWatchIsAskedAnew(t *testing.T) {
+// Term 2: an unresponsive watch is ended and called again, in time for an answer within 6 s.
+func TestUnresponsiveWatchIsCalledAgain(t *testing.T) {
 	p := watching(asks)
-	assert.Equal(t, Order{Call: true, Form: Held, Wake: p.now + Hold + Overdue}, p.last)
+	assert.Equal(t, Action{Call: true, Form: LongPoll, Wake: p.now + Hold + HoldOverrun}, p.last)
 	took := p.due()
-	assert.True(t, p.last.Drop, "what it may still bring is not taken")
+	assert.True(t, p.last.Drop, "its late answer is dropped")
 	took += p.due()
 	assert.Equal(t, Changes, p.last.Form, "the next call does not wait")
-	assert.LessOrEqual(t, took+CallWithin+Reserve, Told)
+	assert.LessOrEqual(t, took+CallWithin+Reserve, ListWithin)
 	p.on(Answered)
-	assert.Equal(t, Held, p.last.Form, "and the watch goes on")
+	assert.Equal(t, LongPoll, p.last.Form, "and the watch continues")
 }
 
-// The same for a poll that falls silent, as does each call after it: none is followed by more than BackoffMost.
-func TestASilentPollIsAskedAnew(t *testing.T) {
+// The same for a poll that gets no answer, as does each call after it: none is followed by a pause of more than BackoffMax.
+func TestUnresponsivePollIsCalledAgain(t *testing.T) {
 	p := begin(asks, true)
 	p.on(Start)
 	p.due()
@@ -81,22 +81,22 @@
 		assert.True(t, p.last.Call)
 		assert.Equal(t, CallWithin, p.due(), "given up")
 		pause := p.due()
-		assert.LessOrEqual(t, pause, BackoffMost)
-		assert.LessOrEqual(t, CallWithin+pause+CallWithin+Reserve, Told)
+		assert.LessOrEqual(t, pause, BackoffMax)
+		assert.LessOrEqual(t, CallWithin+pause+CallWithin+Reserve, ListWithin)
 	}
 }
 
-// A watch that broke is called again within the spread, as a watch; from then on calls do not wait and back off.
+// A watch that lost its connection is called again within Spread, as a watch; from then on calls do not wait and back off.
 func TestPausesAfterFailures(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind  Kind
 		forms []Form
 		most  []time.Duration
 	}{
-		"broken": {Broken, []Form{Held, Changes, Changes, Changes, Changes},
-			[]time.Duration{Spread, Spread, time.Second, BackoffMost, BackoffMost}},
+		"broken": {ConnectionLost, []Form{LongPoll, Changes, Changes, Changes, Changes},
+			[]time.Duration{Spread, Spread, time.Second, BackoffMax, BackoffMax}},
 		"refused": {Refused, []Form{Changes, Changes, Changes, Changes},
-			[]time.Duration{Spread, 2 * BackoffLeast, 4 * BackoffLeast, BackoffMost}},
+			[]time.Duration{Spread, 2 * BackoffMin, 4 * BackoffMin, BackoffMax}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := watching(asks)
@@ -106,23 +106,23 @@
 				assert.False(t, p.last.Call)
 				pause := p.due()
 				assert.LessOrEqual(t, pause, c.most[i])
-				assert.Greater(t, pause, c.most[i]*9/10, "by the greatest chance")
+				assert.Greater(t, pause, c.most[i]*9/10, "with the greatest random value")
 				assert.Equal(t, form, p.last.Form)
 			}
 		})
 	}
 }
 
-// Nodes that lose their watches together do not call together.
+// Nodes that lose their watches together do not call at the same time.
 func TestCallsAreSpread(t *testing.T) {
-	for _, p := range []*play{begin(asks, true), watching(asks)} {
+	for _, p := range []*fixture{begin(asks, true), watching(asks)} {
 		seen := map[time.Duration]bool{}
 		for i := range 100 {
 			kind := Refused
 			if p.Phase == Idle {
 				kind = Start
 			}
-			_, o := p.Step(Event{Kind: kind, Now: p.now, Chance: float64(i) / 100})
+			_, o := p.Step(Event{Kind: kind, Now: p.now, Random: float64(i) / 100})
 			seen[o.Wake-p.now] = true
 			assert.Less(t, o.Wake-p.now, Spread)
 		}
@@ -130,35 +130,36 @@
 	}
 }
 
-// Term 3: without a watch, the list is asked for within the polling time in the settings, however short that is.
+// Term 3: without a watch, the list is requested within the polling interval of the settings, however short it is.
 func TestTheBackoffKeepsToThePollingTime(t *testing.T) {
 	for _, within := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second, 10 * time.Minute} {
 		p := watching(Terms{AskWithin: within, Grace: time.Second})
 		for range 20 {
 			p.on(Refused)
-			assert.LessOrEqual(t, p.due(), min(within, BackoffMost), "of %s", within)
+			assert.LessOrEqual(t, p.due(), min(within, BackoffMax), "of %s", within)
 		}
 	}
 }
 
-// Term 4: where lists are pushed, the agent is called at the first moment and again within 100 ms of any failure.
+// Term 4: where lists are pushed, the agent is called immediately and again within 100 ms of any failure.
 func TestAnAgentIsCalledAtOnceAndAgainQuickly(t *testing.T) {
 	p := begin(pushed, true)
-	assert.Equal(t, Order{Call: true, Form: Changes, Wake: p.now + pushed.Grace/2}, p.on(Start))
-	for _, k := range []Kind{Broken, Refused, Outdated, Broken, Broken, Refused, Refused, Refused} {
+	assert.Equal(t, Action{Call: true, Form: Changes, Wake: p.now + pushed.Grace/2}, p.on(Start))
+	for _, k := range []Kind{ConnectionLost, Refused, Outdated, ConnectionLost, ConnectionLost, Refused, Refused, Refused} {
 		p.on(k)
 		pause := p.due()
 		assert.LessOrEqual(t, pause, AgentRetry)
-		assert.GreaterOrEqual(t, pause, AgentRetry/2, "no flood")
+		assert.GreaterOrEqual(t, pause, AgentRetry/2, "not in a tight loop")
 		assert.True(t, p.last.Call)
 	}
 	p.on(Answered)
-	assert.Equal(t, Held, p.last.Form, "a watch is kept")
+	assert.Equal(t, LongPoll, p.last.Form, "a watch is kept")
 }
 
-// While discovery is down the agent is silent. What it gets at the return counts at once, so that a call is not waited for
-// longer than half of the grace, but for every fourth: an agent that always needs longer is to be heard in the end.
-func TestASilentAgentIsNotWaitedForLong(t *testing.T) {
+// While discovery is down the agent does not respond. What it gets when discovery returns counts as known at once, so a call is
+// given up after half of the grace period, except for every fourth: an agent that always needs longer must get its answer through
+// eventually.
+func TestUnresponsiveAgentIsGivenUpSoon(t *testing.T) {
 	for grace, want := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: AgentRetry, time.Second: 500 * time.Millisecond, time.Minute: CallWithin,
 	} {
@@ -176,10 +177,10 @@
 	}
 }
 
-// After SIGHUP the new address is asked at once for the whole list, and again so quickly that two calls have their time
-// within 4 s, whatever was under way: a call, a pause, another move.
-func TestAMoveIsFollowedAtOnce(t *testing.T) {
-	for name, p := range map[string]*play{"a watch": watching(asks), "an agent": watching(pushed), "a call": begin(asks, true),
+// After SIGHUP the new address is asked immediately for the full list, and again so soon that two calls have their time within 4
+// s, whatever was in progress: a call, a pause, another change of address.
+func TestAddressChangeIsFollowedAtOnce(t *testing.T) {
+	for name, p := range map[string]*fixture{"a watch": watching(asks), "an agent": watching(pushed), "a call": begin(asks, true),
 		"a pause": watching(asks), "many failures": watching(asks), "another move": watching(asks)} {
 		t.Run(name, func(t *testing.T) {
 			switch name {
@@ -194,44 +195,44 @@
 					p.due()
 				}
 			case "another move":
-				p.on(Moved)
+				p.on(AddressChanged)
 				p.now += time.Second
 			}
 			p.now += 10 * time.Millisecond
 			from := p.now
-			assert.Equal(t, Order{Drop: true, Call: true, Form: Whole, Wake: p.now + relocateCall}, p.on(Moved))
+			assert.Equal(t, Action{Drop: true, Call: true, Form: FullList, Wake: p.now + relocateCall}, p.on(AddressChanged))
 			p.due()
 			p.due()
-			assert.Equal(t, Whole, p.last.Form)
+			assert.Equal(t, FullList, p.last.Form)
 			assert.LessOrEqual(t, p.last.Wake-from, RelocateWithin, "the second call has its time")
 			for p.now-from < RelocateWithin {
 				p.on(Refused)
 				assert.LessOrEqual(t, p.due(), RelocateRetry)
 			}
 			p.on(Answered)
-			assert.Equal(t, Held, p.last.Form)
+			assert.Equal(t, LongPoll, p.last.Form)
 		})
 	}
 }
 
-// W5: only a move, an empty start and changes to an older list make a call for the whole list.
-func TestTheWholeListIsAskedForOnlyWhereItMust(t *testing.T) {
+// W5: only a change of address, a start without a list and changes relative to an older list make a call for the full list.
+func TestFullListIsRequestedOnlyIfNecessary(t *testing.T) {
 	p := begin(asks, false)
 	p.on(Start)
 	p.due()
-	assert.Equal(t, Whole, p.last.Form)
+	assert.Equal(t, FullList, p.last.Form)
 	p.on(Refused)
 	p.due()
-	assert.Equal(t, Whole, p.last.Form, "there is still none")
+	assert.Equal(t, FullList, p.last.Form, "there is still no list")
 	p.on(Answered)
-	for _, k := range []Kind{Broken, Refused, Due, Refused} {
+	for _, k := range []Kind{ConnectionLost, Refused, TimerFired, Refused} {
 		p.on(k)
 		p.due()
-		assert.NotEqual(t, Whole, p.last.Form)
+		assert.NotEqual(t, FullList, p.last.Form)
 	}
 	p.on(Outdated)
 	p.due()
-	assert.Equal(t, Whole, p.last.Form)
+	assert.Equal(t, FullList, p.last.Form)
 }
 
 // A late end of a call that was given up, or a second start, changes nothing.
@@ -243,14 +244,14 @@
 		w     Watch
 		kinds []Kind
 	}{
-		{Watch{Terms: asks}, []Kind{Answered, Broken, Refused, Outdated, Due}},
-		{pausing.Watch, []Kind{Start, Answered, Broken, Refused, Outdated}},
+		{Watch{Terms: asks}, []Kind{Answered, ConnectionLost, Refused, Outdated, TimerFired}},
+		{pausing.Watch, []Kind{Start, Answered, ConnectionLost, Refused, Outdated}},
 		{calling.Watch, []Kind{Start}},
 	} {
 		for _, k := range c.kinds {
 			after, o := c.w.Step(Event{Kind: k, Now: 2 * time.Hour})
 			assert.Equal(t, c.w, after)
-			assert.Equal(t, Order{}, o)
+			assert.Equal(t, Action{}, o)
 		}
 	}
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -36,7 +36,7 @@
 	// SendReplay is answered by Core.Replayed; what is not answered within a time is given up.
 	SendReplay(seat string, call uint64, within time.Duration, q *peerpb.ReplayRequest)
 	KeepPolicy(Kept) error          // durable as Keep is
-	Bind(sendlease.Verdict)         // for the loop
+	Bind(sendlease.Restrictions)    // for the loop
 	GoBy(Policy)                    // for the loop
 	Tell(event string, args ...any) // for the log: key and value by turns
 }
@@ -55,13 +55,13 @@
 
 // Report is what the loop last told, whole.
 type Report struct {
-	Taken   sendlease.Verdict // that the loop goes by
-	Clear   []sendlease.Out   // hosts that nothing new of this node goes to
-	Look    *hostview.Look    // at the hosts; nil: it has not looked anew
-	Under   rollout.Hash      // the policy that the loop goes by; "": the settings as they are
-	Asked   rollout.Hash      // the one that GoBy asked for last, whether or not it fitted
-	Retuned uint64            // how often the settings as read have changed since the start
-	Counted []Counted         // since the last report that was taken, by policy, the present one last
+	Taken   sendlease.Restrictions   // that the loop goes by
+	Clear   []sendlease.ExcludedHost // hosts that nothing new of this node goes to
+	Look    *hostview.Observation    // at the hosts; nil: it has not looked anew
+	Under   rollout.Hash             // the policy that the loop goes by; "": the settings as they are
+	Asked   rollout.Hash             // the one that GoBy asked for last, whether or not it fitted
+	Retuned uint64                   // how often the settings as read have changed since the start
+	Counted []Counted                // since the last report that was taken, by policy, the present one last
 }
 
 // Options is what a Core is made of.
@@ -126,7 +126,7 @@
 	ticks  uint64
 	holder *sendlease.Holder
 	table  *sendlease.Table
-	book   *turns.Book
+	book   *turns.Schedule
 	seats
 	report Report
 	stop   error // why control has stopped; nil while it works
@@ -153,7 +153,7 @@
 	firstAt   time.Duration            // no question before
 	askAt     time.Duration            // when to ask for the right again
 	asked     []string                 // seats that were, since the last time
-	said      sendlease.Question       // the last one
+	said      sendlease.LeaseRequest   // the last one
 	tries     int                      // renewals since the last answer
 	inflight  map[uint64]time.Duration // proposals of the leader's own: since when
 	acking    map[string]turns.Ack     // the last that was proposed, by node
@@ -184,7 +184,7 @@
 	if err := c.holdPolicies(now); err != nil {
 		return nil, err
 	}
-	env.Bind(c.holder.Verdict())
+	env.Bind(c.holder.Restrictions())
 	if c.seat != nil {
 		switch st := c.seat.Status(); {
 		case st.Err != nil:
@@ -202,7 +202,7 @@
 func (c *Core) Stopped() error { return c.stop }
 
 // Book returns the book as it is applied here, which only a seat has.
-func (c *Core) Book() *turns.Book { return c.book }
+func (c *Core) Book() *turns.Schedule { return c.book }
 
 // Leader returns who leads the council, as far as this node knows.
 func (c *Core) Leader() string { return c.leader }
@@ -313,12 +313,12 @@
 	}
 	r.Counted = nil
 	c.report = r
-	c.holder.InEffect(r.Taken)
-	c.holder.Confirmed(r.Clear)
+	c.holder.MarkInEffect(r.Taken)
+	c.holder.MarkConfirmed(r.Clear)
 	if c.stop != nil {
 		return
 	}
-	if c.holder.Tells(c.said) && now >= c.firstAt { // somebody waits for it
+	if c.holder.HasNews(c.said) && now >= c.firstAt { // somebody waits for it
 		c.renew(now)
 	}
 	c.drive(now) // a turn's end may wait for what was seen
@@ -329,7 +329,7 @@
 // renew asks for the right: whoever is thought to lead, and where a question was not answered another seat too, which knows of
 // a leader or is a way to learn of one.
 func (c *Core) renew(now time.Duration) {
-	c.askAt = now + c.Site.Rights.Lasts/renewals
+	c.askAt = now + c.Site.Rights.Duration/renewals
 	c.asked = c.asked[:0]
 	c.tries++
 	if c.tries > 2 && c.elected == 0 {
@@ -349,11 +349,11 @@
 		return
 	}
 	c.asked = append(c.asked, to)
-	q := c.holder.Ask(now)
+	q := c.holder.NextRequest(now)
 	c.said = q
-	ask := &peerpb.RenewRequest{Node: q.Node, Life: q.Life, Seq: q.Seq, Acked: q.Acked, Run: c.Run,
-		LastsUs: uint64(c.Site.Rights.Lasts / time.Microsecond), Census: c.tellHosts()}
-	for _, o := range q.Holds {
+	ask := &peerpb.RenewRequest{Node: q.Node, Life: q.Incarnation, Seq: q.Seq, Acked: q.Acked, Run: c.Run,
+		LastsUs: uint64(c.Site.Rights.Duration / time.Microsecond), Census: c.tellHosts()}
+	for _, o := range q.Confirmed {
 		ask.Holds = append(ask.Holds, &peerpb.Out{Host: o.Host, Round: o.Round})
 	}
 	c.askPolicy(now, ask)
@@ -397,14 +397,14 @@
 	c.tries = 0
 	c.toldHosts(now, r)
 	c.answered(r)
-	a := sendlease.Answer{Seq: r.Seq, Applied: r.Applied, Recorded: r.Recorded,
-		Horizon: sendlease.Horizon{Version: r.HorizonVersion, Hosts: r.HorizonHosts}}
+	a := sendlease.LeaseResponse{Seq: r.Seq, Applied: r.Applied, Recorded: r.Recorded,
+		ExclusionSet: sendlease.ExclusionSet{Version: r.HorizonVersion, Hosts: r.HorizonHosts}}
 	for _, o := range r.Outs {
-		a.Outs = append(a.Outs, sendlease.Out{Host: o.Host, Round: o.Round})
+		a.ExcludedHosts = append(a.ExcludedHosts, sendlease.ExcludedHost{Host: o.Host, Round: o.Round})
 	}
-	save, changed := c.holder.Answer(now, a)
+	save, changed := c.holder.HandleResponse(now, a)
 	if changed {
-		c.env.Bind(c.holder.Verdict())
+		c.env.Bind(c.holder.Restrictions())
 	}
 	if !save {
 		return
@@ -413,10 +413,10 @@
 		c.fail(err)
 		return
 	}
-	c.holder.Stored()
-	v := c.holder.Verdict()
+	c.holder.MarkStored()
+	v := c.holder.Restrictions()
 	c.env.Bind(v)
-	c.env.Tell("without a right, these hosts are withheld", "hosts", strings.Join(v.Lapsed, " "), "horizon", v.Horizon,
+	c.env.Tell("without a right, these hosts are withheld", "hosts", strings.Join(v.ExcludedAfterExpiry, " "), "horizon", v.ExclusionSetVersion,
 		"recorded", c.holder.Saved().Recorded)
 	c.askAt = min(c.askAt, now) // what stands is acknowledged at once
 }
@@ -448,7 +448,7 @@
 	var refused *council.RefusedError
 	if errors.As(err, &refused) {
 		event = "control has stopped, and nothing is sent: the store does not tell what is out"
-		c.env.Bind(sendlease.Verdict{All: true})
+		c.env.Bind(sendlease.Restrictions{AllAfterExpiry: true})
 	}
 	c.env.Tell(event, "error", err, "action", stop.Action())
 	for _, w := range c.waiters {
@@ -484,9 +484,9 @@
 	case c.book.Dead(ask.Node):
 		r.Refused, r.Leader = fmt.Sprintf("%s was declared dead", ask.Node), ""
 		r.Action = "make sure that it runs as it should, then take it in again: POST /lichenhitch.peer.Desk/TakeIn"
-	case ask.LastsUs != uint64(c.Site.Rights.Lasts/time.Microsecond):
+	case ask.LastsUs != uint64(c.Site.Rights.Duration/time.Microsecond):
 		r.Refused, r.Leader = fmt.Sprintf("%s takes a right to last %v, the council %v", ask.Node,
-			time.Duration(ask.LastsUs)*time.Microsecond, c.Site.Rights.Lasts), ""
+			time.Duration(ask.LastsUs)*time.Microsecond, c.Site.Rights.Duration), ""
 		r.Action = "give rights.lasts_ms the same value at all nodes of the site"
 	case !slices.Contains(c.book.Members(), ask.Node):
 		r.Refused, r.Leader = fmt.Sprintf("%s is not among the nodes of site %s", ask.Node, c.Site.Own.Name), ""
@@ -497,25 +497,25 @@
 		return
 	}
 	r.Census = c.hearHosts(now, ask)
-	holds := make([]sendlease.Out, 0, len(ask.Holds))
+	holds := make([]sendlease.ExcludedHost, 0, len(ask.Holds))
 	for _, o := range ask.Holds {
-		holds = append(holds, sendlease.Out{Host: o.Host, Round: o.Round})
+		holds = append(holds, sendlease.ExcludedHost{Host: o.Host, Round: o.Round})
 	}
-	c.table.Holds(now, sendlease.Question{Node: ask.Node, Life: ask.Life, Seq: ask.Seq, Acked: ask.Acked, Holds: holds})
-	c.table.Answered(now, ask.Node)
-	ack := turns.Ack{Node: ask.Node, Life: ask.Life, Version: ask.Acked}
+	c.table.RecordConfirmed(now, sendlease.LeaseRequest{Node: ask.Node, Incarnation: ask.Life, Seq: ask.Seq, Acked: ask.Acked, Confirmed: holds})
+	c.table.RecordAnswered(now, ask.Node)
+	ack := turns.Ack{Node: ask.Node, Incarnation: ask.Life, Version: ask.Acked}
 	known := c.book.Acked(ask.Node)
-	if (ack.Life != known.Life || ack.Version > known.Version) && ack != c.acking[ask.Node] {
+	if (ack.Incarnation != known.Incarnation || ack.Version > known.Version) && ack != c.acking[ask.Node] {
 		c.acking[ask.Node] = ack
 		c.propose(now, turns.Command{Ack: &ack})
 	}
 	r.Applied = c.applied
-	for _, o := range c.book.Outs() {
+	for _, o := range c.book.ExcludedHosts() {
 		r.Outs = append(r.Outs, &peerpb.Out{Host: o.Host, Round: o.Round})
 	}
-	horizon := c.book.Horizon()
+	horizon := c.book.ExclusionSet()
 	r.HorizonVersion, r.HorizonHosts = horizon.Version, horizon.Hosts
-	r.Recorded = c.book.RecordedIn(ask.Node, ask.Life)
+	r.Recorded = c.book.RecordedVersionIn(ask.Node, ask.Life)
 	r.Told = c.recorded(now, ask.Node, ask.Record)
 	r.Policy = c.assignment(now, ask.Node, ask.Texts)
 	r.Foundings = c.seating.Foundings
@@ -693,7 +693,7 @@
 	}
 	switch {
 	case st.Leading && !c.leading:
-		c.table.Lead(now)
+		c.table.BecomeLeader(now)
 		c.reach = newReach(c.ticks)
 		c.acking = map[string]turns.Ack{}
 		c.hosts.lead(now)
@@ -785,7 +785,7 @@
 		}
 		// Asked for once more it is the same turn, and no entry is made of it. What another leader may know by now is at worst
 		// newer: a grant that was called back is found out by Begin, which does go through the log.
-		if t, known := c.book.Turn(call.ID); known && call.Command.Ask != nil {
+		if t, known := c.book.Turn(call.ID); known && call.Command.Request != nil {
 			done(Reply{Turn: t}, nil)
 			return
 		}
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -26,7 +26,7 @@
 	core    *Core
 	now     time.Duration
 	did     []string
-	verdict sendlease.Verdict
+	verdict sendlease.Restrictions
 	greeted []string
 	goes    Policy
 	full    error // of the store
@@ -48,7 +48,7 @@
 func (a *alone) Tell(string, ...any)                                             {}
 func (a *alone) KeepPolicy(Kept) error                                           { return a.full }
 func (a *alone) GoBy(p Policy)                                                   { a.goes = p }
-func (a *alone) Bind(v sendlease.Verdict) {
+func (a *alone) Bind(v sendlease.Restrictions) {
 	a.did = append(a.did, "bound")
 	a.verdict = v
 }
@@ -64,9 +64,9 @@
 // start starts the node; it waits before it asks for its right.
 func start(t *testing.T, wait time.Duration) *alone {
 	a := &alone{t: t, now: 1000 * time.Hour, hosts: []hostview.Host{{ID: "a", Warm: true}, {ID: "b", Warm: true}}}
-	o := Options{Wait: wait, Life: 1, Boot: 1, Run: 7, Saved: sendlease.Saved{Life: 1}, Site: &site.Site{Node: "n1", Own: site.Group{Name: "s"},
-		Seats: []string{"n1"}, Members: []string{"n1", "n2"}, Seat: true, Rights: sendlease.Terms{Lasts: lasts, Drift: 0.1},
-		Turns: turns.Limits{Site: 1, Horizon: 2}, Tick: time.Second, SnapshotEvery: 1000,
+	o := Options{Wait: wait, Life: 1, Boot: 1, Run: 7, Saved: sendlease.Saved{Incarnation: 1}, Site: &site.Site{Node: "n1", Own: site.Group{Name: "s"},
+		Seats: []string{"n1"}, Members: []string{"n1", "n2"}, Seat: true, Rights: sendlease.Terms{Duration: lasts, Drift: 0.1},
+		Turns: turns.Limits{Site: 1, Lookahead: 2}, Tick: time.Second, SnapshotEvery: 1000,
 		Upstream: upstream.Limits{Number: 100, Bytes: 1 << 20, Batch: 10, Held: 10, Age: time.Hour}}}
 	var err error
 	a.core, err = New(a.now, o, a)
@@ -84,8 +84,8 @@
 }
 
 func (a *alone) loop() {
-	a.core.Loop(a.now, Report{Taken: a.verdict, Clear: a.verdict.Outs, Look: &hostview.Look{Hosts: a.hosts, Groups: a.groups, Stale: a.stale,
-		Worth: map[string]float64{"a": 2, "b": 2}}})
+	a.core.Loop(a.now, Report{Taken: a.verdict, Clear: a.verdict.ExcludedHosts, Look: &hostview.Observation{Hosts: a.hosts, Groups: a.groups, Stale: a.stale,
+		Values: map[string]float64{"a": 2, "b": 2}}})
 }
 
 // asks has n2 ask for its right.
@@ -112,7 +112,7 @@
 }
 
 func (a *alone) ask(id, host string) {
-	a.do(turns.Command{Ask: &turns.Ask{ID: id, Host: host, Lasts: time.Hour}}, id)
+	a.do(turns.Command{Request: &turns.Request{ID: id, Host: host, Duration: time.Hour}}, id)
 }
 
 func (a *alone) phase(id string) turns.Phase {
@@ -137,11 +137,11 @@
 		assert.NotEmpty(t, r.Action)
 		assert.Empty(t, r.Leader, "no other one would answer")
 	}
-	a.do(turns.Command{Dead: &turns.Declare{Node: "n2", By: "desk"}}, "")
+	a.do(turns.Command{Dead: &turns.Declaration{Node: "n2", By: "desk"}}, "")
 	r := a.asks(1, 0)
 	assert.Contains(t, r.Refused, "declared dead")
 	assert.Contains(t, r.Action, "TakeIn")
-	a.do(turns.Command{Alive: &turns.Declare{Node: "n2", By: "desk"}}, "")
+	a.do(turns.Command{Alive: &turns.Declaration{Node: "n2", By: "desk"}}, "")
 	assert.Empty(t, a.asks(1, 0).Refused)
 }
 
@@ -157,14 +157,14 @@
 	assert.Equal(t, version, a.asks(1, version).Recorded)
 	assert.Zero(t, a.asks(2, 0).Recorded, "of another store of the node")
 	a.pass(time.Second)
-	assert.Zero(t, a.core.Book().Recorded("n2"))
+	assert.Zero(t, a.core.Book().RecordedVersion("n2"))
 
-	a.core.acking["n2"] = turns.Ack{Node: "n2", Life: 2, Version: version} // it was proposed, and refused
-	a.do(turns.Command{Dead: &turns.Declare{Node: "n2", By: "desk"}}, "")
-	a.do(turns.Command{Alive: &turns.Declare{Node: "n2", By: "desk"}}, "")
+	a.core.acking["n2"] = turns.Ack{Node: "n2", Incarnation: 2, Version: version} // it was proposed, and refused
+	a.do(turns.Command{Dead: &turns.Declaration{Node: "n2", By: "desk"}}, "")
+	a.do(turns.Command{Alive: &turns.Declaration{Node: "n2", By: "desk"}}, "")
 	a.asks(2, version)
 	a.pass(time.Second)
-	assert.Equal(t, version, a.core.Book().Recorded("n2"))
+	assert.Equal(t, version, a.core.Book().RecordedVersion("n2"))
 }
 
 func TestATurnWaitsForTheLastRightThatMayRun(t *testing.T) {
@@ -196,7 +196,7 @@
 	a.asks(1, r.HorizonVersion, func(q *peerpb.RenewRequest) { q.Holds = r.Outs })
 	a.pass(time.Second)
 	assert.Equal(t, turns.Granted, a.phase("t"))
-	again := a.do(turns.Command{Ask: &turns.Ask{ID: "t", Host: "a", Lasts: time.Hour}}, "t")
+	again := a.do(turns.Command{Request: &turns.Request{ID: "t", Host: "a", Duration: time.Hour}}, "t")
 	assert.Equal(t, turns.Granted, again.Turn.Phase, "asked for once more it is the same")
 
 	// The end: the leader looks once more after Done, however the hosts stood before.
@@ -213,11 +213,11 @@
 	first := a.did[:3]
 	assert.Equal(t, []string{"bound", "kept", "bound"}, first, "wider at the loop, then in the store, then the right")
 	a.full = errors.New("no room")
-	before := a.core.holder.Verdict().Until
+	before := a.core.holder.Restrictions().LeaseEnd
 	a.ask("u", "b") // the horizon has it: news
 	require.Error(t, a.core.Stopped())
-	assert.Equal(t, before, a.core.holder.Verdict().Until, "no right is taken whose news is not kept")
-	assert.Equal(t, before, a.verdict.Until)
+	assert.Equal(t, before, a.core.holder.Restrictions().LeaseEnd, "no right is taken whose news is not kept")
+	assert.Equal(t, before, a.verdict.LeaseEnd)
 }
 
 func TestWhatTheLeaderTakesForFailed(t *testing.T) {
@@ -262,25 +262,25 @@
 		require.Contains(t, refused, "does not lead")
 		a.pass(time.Second)
 	}
-	lapsed := func(after time.Duration) bool { return a.core.table.Standing(a.now+after, "n2") == sendlease.Lapsed }
+	lapsed := func(after time.Duration) bool { return a.core.table.LeaseState(a.now+after, "n2") == sendlease.Expired }
 	assert.False(t, lapsed(lasts+time.Second))
 	assert.True(t, lapsed(lasts+2*time.Second))
 	a.pass(1000*time.Hour + 24*time.Second - a.now)
-	assert.Zero(t, a.verdict.Until, "an earlier process may still act on its right")
+	assert.Zero(t, a.verdict.LeaseEnd, "an earlier process may still act on its right")
 	a.pass(5 * time.Second)
-	assert.NotZero(t, a.verdict.Until)
+	assert.NotZero(t, a.verdict.LeaseEnd)
 }
 
 func TestWhatTheLoopSaysGoesOnAtOnce(t *testing.T) {
 	a := newAlone(t)
 	a.did = nil
-	a.core.Do(a.now, Call{Command: turns.Command{Ask: &turns.Ask{ID: "t", Host: "a", Lasts: time.Hour}}, ID: "t"}, func(Reply, error) {})
-	for len(a.verdict.Outs) == 0 {
+	a.core.Do(a.now, Call{Command: turns.Command{Request: &turns.Request{ID: "t", Host: "a", Duration: time.Hour}}, ID: "t"}, func(Reply, error) {})
+	for len(a.verdict.ExcludedHosts) == 0 {
 		a.now += time.Second
 		a.core.Tick(a.now)
 		a.core.Loop(a.now, Report{Taken: a.verdict}) // clients are still being sent to the host
 	}
-	assert.Equal(t, a.core.Book().Horizon().Version, a.core.Book().Recorded("n1"), "what stands in the store and the loop goes by")
+	assert.Equal(t, a.core.Book().ExclusionSet().Version, a.core.Book().RecordedVersion("n1"), "what stands in the store and the loop goes by")
 	assert.Empty(t, a.core.table.Confirmed("n1"))
 	a.loop()
 	assert.Equal(t, a.turn("t").Round, a.core.table.Confirmed("n1")["a"], "somebody waits for it")
@@ -327,16 +327,16 @@
 func TestATurnThatANodeHoldsUpGivesWay(t *testing.T) {
 	a := newAlone(t)
 	s := *a.core.Site
-	s.Turns.Horizon = 1
+	s.Turns.Lookahead = 1
 	a.core.Retune(&s)
 	a.ask("t", "a")
 	a.asks(1, a.asks(1, 0).HorizonVersion) // n2 knows of a, and is cut off from here on
 	a.do(turns.Command{Withdraw: &turns.Ref{ID: "t"}}, "t")
 	a.ask("u", "b")
 	a.ask("v", "a")
-	require.Equal(t, []turns.Phase{turns.Preparing, turns.Asked}, []turns.Phase{a.phase("u"), a.phase("v")})
+	require.Equal(t, []turns.Phase{turns.Preparing, turns.Requested}, []turns.Phase{a.phase("u"), a.phase("v")})
 	a.pass(3 * lasts)
-	assert.Equal(t, []turns.Phase{turns.Asked, turns.Granted}, []turns.Phase{a.phase("u"), a.phase("v")})
+	assert.Equal(t, []turns.Phase{turns.Requested, turns.Granted}, []turns.Phase{a.phase("u"), a.phase("v")})
 }
 
 func TestReportsGoStale(t *testing.T) {
@@ -347,7 +347,7 @@
 	report := func() bool {
 		a.now += time.Second
 		a.core.Tick(a.now)
-		a.core.Loop(a.now, Report{Taken: a.verdict, Look: &hostview.Look{Hosts: a.hosts, Failing: []string{"b"}}})
+		a.core.Loop(a.now, Report{Taken: a.verdict, Look: &hostview.Observation{Hosts: a.hosts, Failing: []string{"b"}}})
 		return a.core.Book().Hosts()[1].Failed
 	}
 	for range 10 {
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -26,7 +26,7 @@
 	known    uint64            // the log's index up to which the leader had applied at its newest answer to this node
 	answer   uint64            // the newest question that was answered
 	own      uint64            // counts what a leader told itself
-	census   *hostview.Census
+	census   *hostview.Aggregator
 	at       time.Duration // when the leader looks next
 }
 
@@ -37,17 +37,17 @@
 // lead begins anew, at an election.
 func (s *sight) lead(now time.Duration) {
 	s.census, s.at = hostview.New(now), 0
-	s.reporter.Told(0)
+	s.reporter.Acknowledge(0)
 }
 
 // look takes the loop's look over. What the node knew by then is what it had heard before: the loop's reports and the answers
 // come in one queue.
-func (c *Core) look(l *hostview.Look) {
+func (c *Core) look(l *hostview.Observation) {
 	if l == nil {
 		return
 	}
-	l.Seen = max(c.applied, c.hosts.known)
-	c.hosts.reporter.Look(*l)
+	l.AppliedIndex = max(c.applied, c.hosts.known)
+	c.hosts.reporter.Observe(*l)
 	c.hosts.zones = make(map[string]string, len(l.Hosts))
 	for _, h := range l.Hosts {
 		c.hosts.zones[h.ID] = h.Zone
@@ -68,11 +68,11 @@
 	if !any {
 		return nil
 	}
-	q := &peerpb.Census{Boot: c.Boot, Version: p.Version, Since: p.Since, Seen: p.Seen, Stale: p.Stale, Gone: p.Gone,
+	q := &peerpb.Census{Boot: c.Boot, Version: p.Version, Since: p.Since, Seen: p.AppliedIndex, Stale: p.Stale, Gone: p.Removed,
 		GroupsUnknown: p.GroupsUnknown}
 	for _, h := range p.Hosts {
 		q.Hosts = append(q.Hosts, &peerpb.SeenHost{Id: h.ID, Zone: h.Zone, Kind: h.Kind, StartUs: uint64(h.Start / time.Microsecond),
-			Draining: h.Draining, Warm: h.Warm, Failing: h.Failing, Worth: float32(h.Worth), Groups: h.Groups})
+			Draining: h.Draining, Warm: h.Warm, Failing: h.Failing, Worth: float32(h.Value), Groups: h.Groups})
 	}
 	return q
 }
@@ -84,7 +84,7 @@
 		return
 	}
 	c.hosts.answer, c.hosts.known = r.Seq, r.Applied
-	if r.Leader != c.Site.Node && c.hosts.reporter.Told(r.Census) {
+	if r.Leader != c.Site.Node && c.hosts.reporter.Acknowledge(r.Census) {
 		c.askAt = min(c.askAt, now)
 	}
 }
@@ -95,18 +95,18 @@
 	if q == nil || ask.Node == c.Site.Node { // its own is taken whenever it looks
 		return 0
 	}
-	p := hostview.Report{Process: hostview.Process{Life: ask.Life, Boot: q.Boot}, Seq: ask.Seq, Version: q.Version, Since: q.Since,
-		Seen: q.Seen, Stale: q.Stale, Gone: q.Gone, GroupsUnknown: q.GroupsUnknown}
+	p := hostview.Report{Process: hostview.Process{Incarnation: ask.Life, OpenCount: q.Boot}, Seq: ask.Seq, Version: q.Version, Since: q.Since,
+		AppliedIndex: q.Seen, Stale: q.Stale, Removed: q.Gone, GroupsUnknown: q.GroupsUnknown}
 	for _, h := range q.Hosts {
 		p.Hosts = append(p.Hosts, hostview.Host{ID: h.Id, Zone: h.Zone, Kind: h.Kind, Start: time.Duration(h.StartUs) * time.Microsecond,
-			Draining: h.Draining, Warm: h.Warm, Failing: h.Failing, Worth: float64(h.Worth), Groups: h.Groups})
+			Draining: h.Draining, Warm: h.Warm, Failing: h.Failing, Value: float64(h.Worth), Groups: h.Groups})
 	}
 	if len(p.Hosts) > 0 && c.returns(func(host string) bool {
 		return slices.ContainsFunc(p.Hosts, func(h hostview.Host) bool { return h.ID == host && h.Warm })
 	}) {
 		c.hosts.at = 0 // it may be the word that is waited for
 	}
-	return c.hosts.census.Take(now, ask.Node, p)
+	return c.hosts.census.Record(now, ask.Node, p)
 }
 
 // fleet is fleetNow once a second, and where a turn's end may wait for it.
@@ -124,10 +124,10 @@
 	s.at = now + fleetEvery
 	if p, any := s.reporter.Report(); any {
 		s.own++
-		p.Process, p.Seq = hostview.Process{Life: c.holder.Saved().Life, Boot: c.Boot}, s.own
-		s.reporter.Told(s.census.Take(now, c.Site.Node, p))
+		p.Process, p.Seq = hostview.Process{Incarnation: c.holder.Saved().Incarnation, OpenCount: c.Boot}, s.own
+		s.reporter.Acknowledge(s.census.Record(now, c.Site.Node, p))
 	}
-	terms := hostview.Terms{Fresh: freshFor * c.Site.Rights.Lasts, Patience: c.Site.Rights.Lasts, Before: c.book.Hosts(),
+	terms := hostview.MergeParams{MaxAge: freshFor * c.Site.Rights.Duration, LeaderWait: c.Site.Rights.Duration, Previous: c.book.Hosts(),
 		Returning: map[string]uint64{}}
 	for _, node := range c.book.Members() {
 		if !c.book.Dead(node) {
@@ -137,7 +137,7 @@
 	all := c.book.Turns()
 	for _, t := range all {
 		if t.Phase == turns.Returning {
-			terms.Returning[t.Host] = t.Back
+			terms.Returning[t.Host] = t.DoneIndex
 		}
 	}
 	f := s.census.Merge(now, terms)
@@ -145,11 +145,11 @@
 		f.Hosts[i].Banned = c.banned(f.Hosts[i].ID)
 	}
 	unsure := func(host string) bool { _, is := slices.BinarySearch(f.Unsure, host); return is }
-	news := !slices.EqualFunc(f.Hosts, slices.DeleteFunc(terms.Before, func(h turns.Host) bool { return h.Gone }),
+	news := !slices.EqualFunc(f.Hosts, slices.DeleteFunc(terms.Previous, func(h turns.Host) bool { return h.Gone }),
 		func(a, b turns.Host) bool { return equalHosts(a, b, unsure(a.ID)) })
 	for _, h := range f.Hosts {
 		news = news || slices.ContainsFunc(all, func(t turns.Turn) bool {
-			return t.Phase == turns.Returning && t.Host == h.ID && !h.Failed && !h.Banned && (h.Warm || !t.Serves)
+			return t.Phase == turns.Returning && t.Host == h.ID && !h.Failed && !h.Banned && (h.Warm || !t.InService)
 		})
 	}
 	return f.Hosts, news
@@ -157,13 +157,13 @@
 
 // knowsHomes says whether a command takes no host out beside another one before it is known which groups gather at them.
 func (c *Core) knowsHomes(now time.Duration, cmd turns.Command) bool {
-	return cmd.Prepare == nil || c.book.Alone(cmd.Prepare.ID) || len(c.groupsUnknown(now)) == 0
+	return cmd.Prepare == nil || c.book.IsOnlyHostOut(cmd.Prepare.ID) || len(c.groupsUnknown(now)) == 0
 }
 
 // groupsUnknown returns the nodes that may send and have not told this leader yet which groups gather at their hosts.
 func (c *Core) groupsUnknown(now time.Duration) (nodes []string) {
 	for _, node := range c.book.Members() {
-		lapsed := c.book.Dead(node) || c.table.Standing(now, node) == sendlease.Lapsed
+		lapsed := c.book.Dead(node) || c.table.LeaseState(now, node) == sendlease.Expired
 		if !lapsed && !c.hosts.census.GroupsKnown(node) {
 			nodes = append(nodes, node)
 		}
@@ -173,6 +173,6 @@
 
 // equalHosts says whether nothing is news of a host; of one that nobody is sure of, whether it is in service is none.
 func equalHosts(a, b turns.Host, unsure bool) bool {
-	return a.ID == b.ID && a.Zone == b.Zone && a.Kind == b.Kind && a.Worth == b.Worth && a.Banned == b.Banned &&
+	return a.ID == b.ID && a.Zone == b.Zone && a.Kind == b.Kind && a.Value == b.Value && a.Banned == b.Banned &&
 		slices.Equal(a.Groups, b.Groups) && (unsure || a.Failed == b.Failed && a.Warm == b.Warm)
 }
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -14,7 +14,7 @@
 
 // tells has n2 ask with what it sees of its hosts, whole, and with what it confirms.
 func (a *alone) tells(seen uint64, holds []*peerpb.Out, hosts ...*peerpb.SeenHost) *peerpb.RenewReply {
-	return a.asks(1, a.core.Book().Horizon().Version, func(q *peerpb.RenewRequest) {
+	return a.asks(1, a.core.Book().ExclusionSet().Version, func(q *peerpb.RenewRequest) {
 		q.Holds, q.Census = holds, &peerpb.Census{Version: a.seq, Seen: seen, Hosts: hosts}
 	})
 }
@@ -28,7 +28,7 @@
 	a.pass(2 * time.Second)
 	a.stale, a.hosts = true, []hostview.Host{{ID: "a", Draining: true}}
 	a.pass(2 * time.Second)
-	require.Equal(t, []turns.Host{{ID: "a", Warm: true, Worth: 2}, {ID: "b", Warm: true}}, a.core.Book().Hosts())
+	require.Equal(t, []turns.Host{{ID: "a", Warm: true, Value: 2}, {ID: "b", Warm: true}}, a.core.Book().Hosts())
 
 	a.ask("t", "a")
 	a.tells(0, nil, warm("a"), warm("b"))
@@ -37,7 +37,7 @@
 	require.Equal(t, turns.Granted, a.phase("t"))
 	a.do(turns.Command{Begin: &turns.Ref{ID: "t"}}, "t")
 	a.do(turns.Command{Done: &turns.Ref{ID: "t"}}, "t")
-	back := a.turn("t").Back
+	back := a.turn("t").DoneIndex
 	a.tells(back-1, nil, warm("a"), warm("b"))
 	a.pass(3 * time.Second)
 	assert.Equal(t, turns.Returning, a.phase("t"), "it was seen before the work was done")
@@ -64,7 +64,7 @@
 
 	node := a.core
 	node.report.Look = nil
-	node.hosts.reporter.Told(3)
+	node.hosts.reporter.Acknowledge(3)
 	node.askAt = a.now + time.Hour
 	node.toldHosts(a.now, &peerpb.RenewReply{Seq: 1 << 30, Leader: "n2"})
 	assert.Equal(t, a.now, node.askAt, "another leader has nothing: it is told all at once")
@@ -78,7 +78,7 @@
 	s.Turns.Site = 2
 	a.core.Retune(&s)
 	a.hosts = append(a.hosts, hostview.Host{ID: "c", Warm: true, Zone: "z", Kind: "m", Start: time.Hour})
-	a.groups = []hostview.Group{{Name: "room", Worth: 3, Homes: []string{"a", "b"}}}
+	a.groups = []hostview.Group{{Name: "room", Value: 3, Homes: []string{"a", "b"}}}
 	a.pass(10 * time.Second)
 	var homes []string
 	for _, h := range a.core.Book().Hosts() {
@@ -87,20 +87,20 @@
 		}
 	}
 	require.Equal(t, []string{"a", "b"}, homes)
-	a.core.hosts.reporter.Told(0) // as to another leader
+	a.core.hosts.reporter.Acknowledge(0) // as to another leader
 	p := a.core.tellHosts()
 	require.Len(t, p.Hosts, 3)
 	assert.Len(t, p.Hosts[0].Groups, 1)
 	assert.NotZero(t, p.Hosts[0].Worth)
 	assert.Equal(t, []any{"z", "m", uint64(time.Hour / time.Microsecond)}, []any{p.Hosts[2].Zone, p.Hosts[2].Kind, p.Hosts[2].StartUs})
 	entries := a.core.Applied()
-	a.groups[0].Worth = 2
+	a.groups[0].Value = 2
 	a.pass(10 * time.Second)
 	assert.Equal(t, entries, a.core.Applied(), "what hardly changes makes no entry")
 	for _, id := range []string{"a", "b", "c"} {
 		a.ask("t-"+id, id)
 	}
-	assert.Equal(t, []turns.Phase{turns.Preparing, turns.Asked, turns.Preparing}, []turns.Phase{a.phase("t-a"), a.phase("t-b"), a.phase("t-c")})
+	assert.Equal(t, []turns.Phase{turns.Preparing, turns.Requested, turns.Preparing}, []turns.Phase{a.phase("t-a"), a.phase("t-b"), a.phase("t-c")})
 }
 
 // besides has two turns asked for where two hosts may be out, and n2 tell whether it knows its groups.
@@ -117,7 +117,7 @@
 
 // tellsGroups has n2 tell which groups gather at both hosts, and confirm what it is told.
 func (a *alone) tellsGroups(holds []*peerpb.Out, unknown bool, groups ...string) *peerpb.RenewReply {
-	return a.asks(1, a.core.Book().Horizon().Version, func(q *peerpb.RenewRequest) {
+	return a.asks(1, a.core.Book().ExclusionSet().Version, func(q *peerpb.RenewRequest) {
 		q.Holds, q.Census = holds, &peerpb.Census{Version: a.seq, GroupsUnknown: unknown, Hosts: []*peerpb.SeenHost{
 			{Id: "a", Warm: true, Groups: groups}, {Id: "b", Warm: true, Groups: groups}}}
 	})
@@ -127,7 +127,7 @@
 func TestASecondHostWaitsUntilItsGroupsAreKnown(t *testing.T) {
 	a := newAlone(t)
 	a.besides(true)
-	require.Equal(t, []turns.Phase{turns.Preparing, turns.Asked}, []turns.Phase{a.phase("t-a"), a.phase("t-b")})
+	require.Equal(t, []turns.Phase{turns.Preparing, turns.Requested}, []turns.Phase{a.phase("t-a"), a.phase("t-b")})
 	blockers := a.core.HeldUp(a.now, a.turn("t-b"))
 	require.Len(t, blockers, 1)
 	assert.Equal(t, "n2", blockers[0].Node)
@@ -144,6 +144,6 @@
 	require.Len(t, outs, 2)
 	a.tellsGroups(nil, false) // its horizon is recorded
 	a.tellsGroups(outs, false, "room")
-	assert.Equal(t, []turns.Phase{turns.Granted, turns.Asked}, []turns.Phase{a.phase("t-a"), a.phase("t-b")})
+	assert.Equal(t, []turns.Phase{turns.Granted, turns.Requested}, []turns.Phase{a.phase("t-a"), a.phase("t-b")})
 	assert.Equal(t, "another home of one of its groups is out", a.turn("t-b").Why)
 }
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -25,7 +25,7 @@
 // Traffic is what control has the loop do, and asks of the node. Where nothing else is said, it is called on the loop.
 type Traffic interface {
 	// Bind takes the council's latest word over.
-	Bind(sendlease.Verdict)
+	Bind(sendlease.Restrictions)
 	// GoBy lays a policy over the node's settings and goes by them from now on; what was counted before is told as counted
 	// under the policy before. A policy that does not fit the settings (any more) changes nothing, and the next report says
 	// under which policy the node goes. From Until on the loop goes by the good policy by itself, whatever control does: it may
@@ -179,7 +179,7 @@
 	if lapsed, _ := p.holder.Lapse(now); lapsed {
 		c.changed(unheard)
 	}
-	p.teller.Tick(now, p.slice, p.holder.Seen(c.Site.Node), p.holder.Starts(), len(c.report.Taken.Outs),
+	p.teller.Tick(now, p.slice, p.holder.Seen(c.Site.Node), p.holder.Starts(), len(c.report.Taken.ExcludedHosts),
 		c.disturbed() || p.retuned)
 	p.retuned = false
 }
@@ -187,7 +187,7 @@
 // disturbed says whether a host that this node would use is out for work: of its own zone, or of any where it has none.
 func (c *Core) disturbed() bool {
 	own, zone := c.zone(), c.hosts.zones
-	return slices.ContainsFunc(c.report.Taken.Outs, func(o sendlease.Out) bool {
+	return slices.ContainsFunc(c.report.Taken.ExcludedHosts, func(o sendlease.ExcludedHost) bool {
 		return own == "" || zone[o.Host] == "" || zone[o.Host] == own
 	})
 }
@@ -500,7 +500,7 @@
 	if c.policies.top == nil {
 		return rollout.Command{}, false
 	}
-	return c.policies.top.NextKnowing(max(c.stamp, now), c.Site.Rollout, c.tree(), c.Site.Own.Name, len(c.book.Outs()))
+	return c.policies.top.NextKnowing(max(c.stamp, now), c.Site.Rollout, c.tree(), c.Site.Own.Name, len(c.book.ExcludedHosts()))
 }
 
 // proposePolicy brings a command about policies before the council and returns its number, 0 where this seat does not lead.
@@ -516,7 +516,7 @@
 		return true
 	}
 	d, any := c.document()
-	return !any || len(c.book.Outs())+d.Disturbed(max(c.stamp, now)) < most
+	return !any || len(c.book.ExcludedHosts())+d.Disturbed(max(c.stamp, now)) < most
 }
 
 // ---- Calls ----
--- a/internal/control/seats_test.go
+++ b/internal/control/seats_test.go
@@ -69,7 +69,7 @@
 	require.NoError(t, a.core.Stopped())
 	a.core.Raft(a.now, hello(first, 9, 11))
 	require.ErrorAs(t, a.core.Stopped(), new(*council.RefusedError))
-	assert.True(t, a.verdict.All, "it sends nowhere")
+	assert.True(t, a.verdict.AllAfterExpiry, "it sends nowhere")
 }
 
 // TestARightOfTheCouncilBeforeIsNotTaken once one of the later council was.
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -23,7 +23,7 @@
 // Standing tells where this node stands in its council.
 func (c *Core) Standing(now time.Duration) *peerpb.SeatStatus {
 	s := &peerpb.SeatStatus{Node: c.Site.Node, Role: roleNone}
-	if left := c.holder.Verdict().Until - now; left > 0 {
+	if left := c.holder.Restrictions().LeaseEnd - now; left > 0 {
 		s.RightMs = left.Milliseconds()
 	}
 	if c.seat != nil {
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -58,7 +58,7 @@
 	inbox   chan func()
 	core    *Core // of the thread
 
-	verdict latest[sendlease.Verdict]
+	verdict latest[sendlease.Restrictions]
 	policy  latest[Policy]
 
 	stop    chan struct{}
@@ -115,7 +115,7 @@
 		return saved, err
 	}
 	if raw == nil {
-		saved.Life = uint64(time.Now().UnixNano())
+		saved.Incarnation = uint64(time.Now().UnixNano())
 		return saved, t.Keep(saved)
 	}
 	return saved, json.Unmarshal(raw, &saved)
@@ -313,7 +313,7 @@
 }
 
 // Bind implements Env.
-func (t *Thread) Bind(v sendlease.Verdict) { t.verdict.hand(v, t.loop, t.traffic.Bind) }
+func (t *Thread) Bind(v sendlease.Restrictions) { t.verdict.hand(v, t.loop, t.traffic.Bind) }
 
 // latest is what the loop is to take next: one that was not taken yet is replaced.
 type latest[T any] struct {
@@ -440,10 +440,10 @@
 	if q.Id == "" {
 		q.Id = fmt.Sprintf("%s-%x", q.Host, d.loop.Now()/time.Millisecond)
 	}
-	ask := &turns.Ask{ID: q.Id, Host: q.Host, Lasts: time.Duration(q.Minutes) * time.Minute,
+	ask := &turns.Request{ID: q.Id, Host: q.Host, Duration: time.Duration(q.Minutes) * time.Minute,
 		NotBefore: time.Duration(q.NotBeforeS) * time.Second, FinishBy: time.Duration(q.FinishByS) * time.Second,
-		Urgency: int(q.Urgency), By: q.By}
-	d.call(Call{turns.Command{Ask: ask}, q.Id}, q.Forwarded, done, func(p *peer.Client) {
+		Urgency: int(q.Urgency), Requester: q.By}
+	d.call(Call{turns.Command{Request: ask}, q.Id}, q.Forwarded, done, func(p *peer.Client) {
 		q.Forwarded = true
 		p.Ask(q, done)
 	})
@@ -495,9 +495,9 @@
 
 // told is a turn as operators are told of it.
 func (d desk) told(t turns.Turn) *peerpb.Turn {
-	return &peerpb.Turn{Id: t.ID, Host: t.Host, Phase: t.Phase.String(), By: t.By, Round: t.Round,
+	return &peerpb.Turn{Id: t.ID, Host: t.Host, Phase: t.Phase.String(), By: t.Requester, Round: t.Round,
 		WaitsFor: d.core.Blockers(d.loop.Now(), t), SinceMs: int64(t.Since / time.Millisecond),
-		Minutes: uint32(t.Lasts / time.Minute)}
+		Minutes: uint32(t.Duration / time.Minute)}
 }
 
 // Turns implements peer.Node. The leader's book tells most; where it is not reached, another seat's own serves.
@@ -577,8 +577,8 @@
 	}
 }
 
-func declaration(q *peerpb.DeclareRequest) *turns.Declare {
-	return &turns.Declare{Node: q.Node, By: q.By, Why: q.Why}
+func declaration(q *peerpb.DeclareRequest) *turns.Declaration {
+	return &turns.Declaration{Node: q.Node, By: q.By, Why: q.Why}
 }
 
 func (d desk) declare(cmd turns.Command, q *peerpb.DeclareRequest, dead bool, done func(*peerpb.DeclareReply, error),
--- a/internal/control/turns.go
+++ b/internal/control/turns.go
@@ -18,7 +18,7 @@
 		return cmd, any
 	}
 	if fleet, changed := c.fleetNow(now); changed {
-		return turns.Command{Fleet: &turns.Fleet{Hosts: fleet, Seen: c.applied}}, true
+		return turns.Command{Fleet: &turns.Fleet{Hosts: fleet, AppliedIndex: c.applied}}, true
 	}
 	return cmd, true
 }
@@ -33,29 +33,29 @@
 		return turns.Command{Members: &turns.Members{Nodes: members}}, true
 	}
 	if fleet, changed := c.fleet(now); changed {
-		return turns.Command{Fleet: &turns.Fleet{Hosts: fleet, Seen: c.applied}}, true
+		return turns.Command{Fleet: &turns.Fleet{Hosts: fleet, AppliedIndex: c.applied}}, true
 	}
 	stamp := max(c.stamp, now)
-	if cmd, any := c.book.CallBack(stamp); any {
+	if cmd, any := c.book.NextRevocation(stamp); any {
 		return cmd, true
 	}
 	views := c.views(now)
 	for _, t := range c.book.Turns() {
-		if t.Phase == turns.Preparing && len(c.book.Clear(t.ID, views)) == 0 {
+		if t.Phase == turns.Preparing && len(c.book.Blockers(t.ID, views)) == 0 {
 			return turns.Command{Grant: &turns.Ref{ID: t.ID, Round: t.Round}}, true
 		}
 	}
 	if cmd, any := c.book.Next(stamp); any && c.keepsRoom(now, cmd) && c.knowsHomes(now, cmd) {
 		return cmd, true
 	}
-	return c.book.Stuck(stamp, views, stuckAfter*c.Site.Rights.Lasts)
+	return c.book.RevokeBlocked(stamp, views, stuckAfter*c.Site.Rights.Duration)
 }
 
 // members returns the nodes that count: those on the file, and those taken off it whose right may still run.
 func (c *Core) members(now time.Duration) ([]string, bool) {
 	members := slices.Clone(c.Site.Members)
 	for _, node := range c.book.Members() {
-		if !slices.Contains(members, node) && !c.book.Dead(node) && c.table.Standing(now, node) != sendlease.Lapsed {
+		if !slices.Contains(members, node) && !c.book.Dead(node) && c.table.LeaseState(now, node) != sendlease.Expired {
 			members = append(members, node)
 		}
 	}
@@ -64,11 +64,11 @@
 }
 
 // views returns what is known of each node.
-func (c *Core) views(now time.Duration) []turns.View {
-	var all []turns.View
+func (c *Core) views(now time.Duration) []turns.NodeView {
+	var all []turns.NodeView
 	for _, node := range c.book.Members() {
-		all = append(all, turns.View{Node: node, Lapsed: c.table.Standing(now, node) == sendlease.Lapsed,
-			Holds: c.table.Confirmed(node)})
+		all = append(all, turns.NodeView{Node: node, LeaseExpired: c.table.LeaseState(now, node) == sendlease.Expired,
+			Confirmed: c.table.Confirmed(node)})
 	}
 	return all
 }
@@ -91,8 +91,8 @@
 	case !c.leading:
 		return nil
 	case t.Phase == turns.Preparing:
-		return c.book.Clear(t.ID, c.views(now))
-	case t.Phase == turns.Asked:
+		return c.book.Blockers(t.ID, c.views(now))
+	case t.Phase == turns.Requested:
 		return c.keptBack(now, t)
 	}
 	return nil
@@ -107,7 +107,7 @@
 	if !c.keepsRoom(now, cmd) {
 		return []turns.Blocker{{Why: "work and policies under way disturb as much as the site may bear"}}
 	}
-	if !c.book.Alone(t.ID) {
+	if !c.book.IsOnlyHostOut(t.ID) {
 		return c.unknownHomes(now)
 	}
 	return nil
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -76,7 +76,7 @@
 // Restore takes the list as this node last had it.
 func (c *Client) Restore(l List) {
 	c.take(l, balance.ListSaved)
-	c.watch.Listed = true
+	c.watch.HasList = true
 }
 
 // Start begins to watch, for as long as the loop runs.
@@ -107,14 +107,14 @@
 func (c *Client) Relocate(address string) {
 	if address != c.address {
 		c.address, c.silent = address, true
-		c.step(watch.Moved)
+		c.step(watch.AddressChanged)
 	}
 }
 
 // step brings an event to the watch and carries its order out.
 func (c *Client) step(k watch.Kind) {
-	var order watch.Order
-	c.watch, order = c.watch.Step(watch.Event{Kind: k, Now: c.loop.Now(), Chance: c.chance.Float64()})
+	var order watch.Action
+	c.watch, order = c.watch.Step(watch.Event{Kind: k, Now: c.loop.Now(), Random: c.chance.Float64()})
 	if order.Drop {
 		c.drop()
 	}
@@ -130,10 +130,10 @@
 // due is the time that the watch named: that of the next call, or the end of one that was not answered.
 func (c *Client) due() {
 	if c.watch.Phase == watch.Calling {
-		c.fail(watch.Due, errLate)
+		c.fail(watch.TimerFired, errLate)
 		return
 	}
-	c.step(watch.Due)
+	c.step(watch.TimerFired)
 }
 
 // call asks on the connection that there is, or on a new one.
@@ -149,10 +149,10 @@
 func (c *Client) ask() {
 	path := "/v1/servers"
 	switch c.watch.Form {
-	case watch.Held:
+	case watch.LongPoll:
 		path = fmt.Sprintf("/v1/servers?from=%d&hold_ms=%d", c.rev, watch.Hold.Milliseconds())
 	case watch.Changes:
-		path = fmt.Sprintf("/v1/servers?from=%d&hold_ms=%d", c.rev, watch.Brief.Milliseconds())
+		path = fmt.Sprintf("/v1/servers?from=%d&hold_ms=%d", c.rev, watch.ShortHold.Milliseconds())
 	}
 	c.link.Write(fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, c.address))
 }
@@ -178,7 +178,7 @@
 		return
 	}
 	list, err := ParseList(a.Body)
-	if err == nil && !list.All && !c.watch.Listed {
+	if err == nil && !list.All && !c.watch.HasList {
 		err = errNoList
 	}
 	if err != nil {
@@ -244,5 +244,5 @@
 // Closed implements evloop.Handler.
 func (c *Client) Closed(err error) {
 	c.link, c.open = nil, false
-	c.fail(watch.Broken, fmt.Errorf("%w: %w", errCallEnded, err))
+	c.fail(watch.ConnectionLost, fmt.Errorf("%w: %w", errCallEnded, err))
 }
--- a/internal/query/bound.go
+++ b/internal/query/bound.go
@@ -19,14 +19,14 @@
 // bound is what the site's council allows this node. Nothing is withheld where there is no council.
 type bound struct {
 	on      bool
-	verdict sendlease.Verdict
+	verdict sendlease.Restrictions
 	since   map[balance.ServerID]time.Duration // hosts withheld, since when
 	told    map[balance.ServerID]bool          // of these, those that the balancer knows of
 }
 
 // Bind takes the council's latest word over; it is whole and replaces the one before. When Bind returns, nothing new goes to
 // the hosts that are out: attempts whose first line was not written yet end unsent.
-func (c *Core) Bind(v sendlease.Verdict) {
+func (c *Core) Bind(v sendlease.Restrictions) {
 	if c.bound.since == nil {
 		c.bound.since, c.bound.told = map[balance.ServerID]time.Duration{}, map[balance.ServerID]bool{}
 	}
@@ -35,15 +35,15 @@
 }
 
 // Lapsed says whether this node is bound by a council and its right to send has run out.
-func (c *Core) Lapsed() bool { return c.bound.on && c.clock.Now() >= c.bound.verdict.Until }
+func (c *Core) Lapsed() bool { return c.bound.on && c.clock.Now() >= c.bound.verdict.LeaseEnd }
 
 // Untold says whether this node has never been told what is out, so that it may send nothing.
-func (c *Core) Untold() bool { return c.Lapsed() && c.bound.verdict.All }
+func (c *Core) Untold() bool { return c.Lapsed() && c.bound.verdict.AllAfterExpiry }
 
 // withheld says whether the council's word, or the end of the right, forbids to send anything new to a host. It is asked
 // with the clock of this moment, so that a process that was stopped does not go on with a right that has run out.
 func (c *Core) withheld(server balance.ServerID) bool {
-	return c.bound.on && c.bound.verdict.Withholds(string(server), c.clock.Now())
+	return c.bound.on && c.bound.verdict.Excludes(string(server), c.clock.Now())
 }
 
 // keep has the balancer know what is withheld now. A node that was never told anything withholds all, which the balancer
@@ -54,11 +54,11 @@
 	}
 	now := c.clock.Now()
 	want := map[balance.ServerID]bool{}
-	for _, o := range c.bound.verdict.Outs {
+	for _, o := range c.bound.verdict.ExcludedHosts {
 		want[balance.ServerID(o.Host)] = true
 	}
-	if now >= c.bound.verdict.Until && !c.bound.verdict.All {
-		for _, host := range c.bound.verdict.Lapsed {
+	if now >= c.bound.verdict.LeaseEnd && !c.bound.verdict.AllAfterExpiry {
+		for _, host := range c.bound.verdict.ExcludedAfterExpiry {
 			want[balance.ServerID(host)] = true
 		}
 	}
@@ -83,8 +83,8 @@
 
 // Clear returns those of the hosts that the council has taken out that this node sends nothing new to: no attempt is out
 // there, and the connections that stood are moved, or had their time.
-func (c *Core) Clear() (all []sendlease.Out) {
-	if !c.bound.on || len(c.bound.verdict.Outs) == 0 {
+func (c *Core) Clear() (all []sendlease.ExcludedHost) {
+	if !c.bound.on || len(c.bound.verdict.ExcludedHosts) == 0 {
 		return nil
 	}
 	trying, standing := map[balance.ServerID]bool{}, map[balance.ServerID]bool{}
@@ -97,7 +97,7 @@
 		}
 	}
 	now := c.clock.Now()
-	for _, o := range c.bound.verdict.Outs {
+	for _, o := range c.bound.verdict.ExcludedHosts {
 		server := balance.ServerID(o.Host)
 		if !trying[server] && (!standing[server] || now-c.bound.since[server] >= clearWithin) {
 			all = append(all, o)
@@ -107,13 +107,13 @@
 }
 
 // Verdict returns the council's word that is in effect here.
-func (c *Core) Verdict() sendlease.Verdict { return c.bound.verdict }
+func (c *Core) Verdict() sendlease.Restrictions { return c.bound.verdict }
 
 // Look returns what this node sees of its hosts, for its council; stale says that discovery does not answer. One that drains,
 // or has started less than coldFor ago, is not warm. Those that have left the list are not among them. Worth is that of the
 // connections that stand.
-func (c *Core) Look(coldFor time.Duration, worth func(class string) float64, stale bool) *hostview.Look {
-	l := &hostview.Look{Hosts: make([]hostview.Host, 0, len(c.told)), Worth: map[string]float64{}, Failing: c.failing(), Stale: stale}
+func (c *Core) Look(coldFor time.Duration, worth func(class string) float64, stale bool) *hostview.Observation {
+	l := &hostview.Observation{Hosts: make([]hostview.Host, 0, len(c.told)), Values: map[string]float64{}, Failing: c.failing(), Stale: stale}
 	for _, server := range sorted(c.told) {
 		if t := c.told[server]; t.here {
 			l.Hosts = append(l.Hosts, hostview.Host{ID: string(server), Zone: t.zone, Kind: t.kind, Start: t.started, Draining: !t.ready,
@@ -123,7 +123,7 @@
 	groups, of := map[string]float64{}, map[string]int{}
 	for _, q := range c.queries {
 		if q.state.Phase == life.Up {
-			l.Worth[string(q.server)] += worth(q.arrival.Class)
+			l.Values[string(q.server)] += worth(q.arrival.Class)
 			if q.arrival.Group != "" {
 				groups[q.arrival.Group] += worth(q.arrival.Class)
 				of[q.arrival.Group]++
@@ -144,10 +144,10 @@
 		return nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(worth)) {
-		all = append(all, hostview.Group{Name: name, Worth: worth[name]})
+		all = append(all, hostview.Group{Name: name, Value: worth[name]})
 	}
-	slices.SortStableFunc(all, func(x, y hostview.Group) int { return cmp.Compare(y.Worth, x.Worth) })
-	all = all[:min(len(all), 2*hostview.MostGroups)]
+	slices.SortStableFunc(all, func(x, y hostview.Group) int { return cmp.Compare(y.Value, x.Value) })
+	all = all[:min(len(all), 2*hostview.MaxGroups)]
 	for i := range all {
 		for _, server := range b.Homes(all[i].Name) {
 			all[i].Homes = append(all[i].Homes, string(server))
--- a/internal/query/bound_test.go
+++ b/internal/query/bound_test.go
@@ -16,10 +16,10 @@
 func TestAHostThatTheCouncilTakesOutGetsNothingFromThatMoment(t *testing.T) {
 	w, c := newCore("a")
 	w.arrive(c, "")
-	c.Bind(sendlease.Verdict{Outs: []sendlease.Out{{Host: "a", Round: 7}}, Until: w.now + time.Hour})
+	c.Bind(sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 7}}, LeaseEnd: w.now + time.Hour})
 	assert.Empty(t, c.Clear(), "an attempt is out there")
 	assert.False(t, w.open(), "its first line was not written yet, and may not be any more")
-	assert.Equal(t, []sendlease.Out{{Host: "a", Round: 7}}, c.Clear())
+	assert.Equal(t, []sendlease.ExcludedHost{{Host: "a", Round: 7}}, c.Clear())
 	w.pass(3 * time.Second)
 	assert.Equal(t, []string{"throttle"}, w.answers)
 }
@@ -28,16 +28,16 @@
 	w, c := newCore("a")
 	w.arrive(c, "")
 	w.last.Up(nil)
-	c.Bind(sendlease.Verdict{Outs: []sendlease.Out{{Host: "a", Round: 7}}, Until: w.now + time.Hour})
+	c.Bind(sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 7}}, LeaseEnd: w.now + time.Hour})
 	assert.Empty(t, c.Clear())
 	w.pass(clearWithin)
 	assert.Len(t, c.Clear(), 1)
-	assert.Empty(t, c.Look(0, func(string) float64 { return 1 }, false).Worth, "it was moved")
+	assert.Empty(t, c.Look(0, func(string) float64 { return 1 }, false).Values, "it was moved")
 }
 
 func TestARightThatHasRunOutIsNotActedOn(t *testing.T) {
 	w, c := newCore("a", "b")
-	c.Bind(sendlease.Verdict{Lapsed: []string{"a"}, Until: w.now + time.Second})
+	c.Bind(sendlease.Restrictions{ExcludedAfterExpiry: []string{"a"}, LeaseEnd: w.now + time.Second})
 	var where []balance.ServerID
 	for range 20 {
 		where = append(where, w.arrive(c, "").server)
@@ -56,14 +56,14 @@
 	for range 20 {
 		assert.NotEqual(t, balance.ServerID("a"), w.arrive(c, "").server)
 	}
-	c.Bind(sendlease.Verdict{Lapsed: []string{"a"}, Until: w.now + time.Hour})
+	c.Bind(sendlease.Restrictions{ExcludedAfterExpiry: []string{"a"}, LeaseEnd: w.now + time.Hour})
 	assert.False(t, c.Lapsed())
 	assert.NotContains(t, c.bound.told, balance.ServerID("a"), "with a new right it is in use again")
 }
 
 func TestANodeThatWasNeverToldWhatIsOutSendsNothing(t *testing.T) {
 	w, c := newCore("a", "b")
-	c.Bind(sendlease.Verdict{All: true})
+	c.Bind(sendlease.Restrictions{AllAfterExpiry: true})
 	assert.True(t, c.Untold())
 	w.arrive(c, "")
 	for len(w.out) > 0 {
@@ -71,14 +71,14 @@
 	}
 	w.pass(3 * time.Second)
 	assert.Equal(t, []string{"throttle"}, w.answers, "nothing was sent, so that trying again is harmless")
-	c.Bind(sendlease.Verdict{All: true, Until: w.now + time.Hour})
+	c.Bind(sendlease.Restrictions{AllAfterExpiry: true, LeaseEnd: w.now + time.Hour})
 	w.arrive(c, "")
 	assert.True(t, w.open())
 }
 
 func TestABanByHandAndATurnEndWithTheLastOfThem(t *testing.T) {
-	out := sendlease.Verdict{Outs: []sendlease.Out{{Host: "a", Round: 1}}, Until: 2 * time.Hour}
-	none := sendlease.Verdict{Until: 2 * time.Hour}
+	out := sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 1}}, LeaseEnd: 2 * time.Hour}
+	none := sendlease.Restrictions{LeaseEnd: 2 * time.Hour}
 	for name, steps := range map[string][4]func(*Core, time.Duration){
 		"ban, turn, back, over": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.Bind(out) },
 			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.Bind(none) }},
@@ -116,13 +116,13 @@
 	assert.Equal(t, []bool{true, false}, []bool{l.Hosts[3].Draining, l.Hosts[3].Warm})
 	assert.Equal(t, w.now, l.Hosts[3].Start)
 	sum := 0.0
-	for _, worth := range l.Worth {
+	for _, worth := range l.Values {
 		sum += worth
 	}
 	assert.Equal(t, 8.0, sum)
 	if assert.Len(t, l.Groups, 1, "one alone is with nobody") {
 		assert.Equal(t, "room", l.Groups[0].Name)
-		assert.Equal(t, 4.0, l.Groups[0].Worth)
+		assert.Equal(t, 4.0, l.Groups[0].Value)
 		assert.Len(t, l.Groups[0].Homes, 3)
 	}
 }
--- a/internal/site/check.go
+++ b/internal/site/check.go
@@ -349,18 +349,18 @@
 func (c *check) limits(s *Site) {
 	f := c.file
 	s.Rights = sendlease.Terms{
-		Lasts: time.Duration(c.whole("rights.lasts_ms", f.GetRights().GetLastsMs(), 3000, 300, 60000)) * time.Millisecond,
-		Drift: c.part("rights.drift", f.GetRights().GetDrift(), 0.01, 0.2, ends{true, true}),
+		Duration: time.Duration(c.whole("rights.lasts_ms", f.GetRights().GetLastsMs(), 3000, 300, 60000)) * time.Millisecond,
+		Drift:    c.part("rights.drift", f.GetRights().GetDrift(), 0.01, 0.2, ends{true, true}),
 	}
 	s.Tick = time.Duration(c.whole("council.tick_ms", f.GetCouncil().GetTickMs(), 100, 10, 5000)) * time.Millisecond
 	s.SnapshotEvery = uint64(c.whole("council.snapshot_every", f.GetCouncil().GetSnapshotEvery(), 4096, 16, many))
 
 	t := f.GetTurns()
 	s.Turns = turns.Limits{
-		Site:    c.whole("turns.site", t.GetSite(), 1, 1, many),
-		Failed:  c.whole("turns.failed", t.GetFailed(), 0, 0, many),
-		Horizon: c.whole("turns.horizon", t.GetHorizon(), 2, 1, 64),
-		Age:     time.Duration(c.whole("turns.age_s", t.GetAgeS(), 600, 1, week)) * time.Second,
+		Site:      c.whole("turns.site", t.GetSite(), 1, 1, many),
+		Failed:    c.whole("turns.failed", t.GetFailed(), 0, 0, many),
+		Lookahead: c.whole("turns.horizon", t.GetHorizon(), 2, 1, 64),
+		AgeStep:   time.Duration(c.whole("turns.age_s", t.GetAgeS(), 600, 1, week)) * time.Second,
 	}
 	s.Turns.Zone = c.within("turns.zone", t.GetZone(), s.Turns.Site)
 	s.Turns.Kind = c.within("turns.kind", t.GetKind(), s.Turns.Site)
--- a/rehearsal/province/askers.go
+++ b/rehearsal/province/askers.go
@@ -21,7 +21,7 @@
 		p.lock.list = append(p.lock.list, a)
 		return
 	}
-	w.call(p, a, turns.Command{Ask: &turns.Ask{ID: a.id, Host: a.host, Lasts: 2 * time.Second, By: "staff"}})
+	w.call(p, a, turns.Command{Request: &turns.Request{ID: a.id, Host: a.host, Duration: 2 * time.Second, Requester: "staff"}})
 }
 
 // call brings a command before the council, through any node, and then looks again and again.
@@ -143,6 +143,6 @@
 		a.granted = false // it may be called back before the work begins
 		w.call(p, a, turns.Command{Begin: &turns.Ref{ID: a.id}})
 	default:
-		w.call(p, a, turns.Command{Ask: &turns.Ask{ID: a.id, Host: a.host, Lasts: 2 * time.Second, By: "staff"}})
+		w.call(p, a, turns.Command{Request: &turns.Request{ID: a.id, Host: a.host, Duration: 2 * time.Second, Requester: "staff"}})
 	}
 }
--- a/rehearsal/province/faults.go
+++ b/rehearsal/province/faults.go
@@ -120,7 +120,7 @@
 		return
 	}
 	w.say("kill " + n.name)
-	n.up, n.run, n.taken, n.told, n.knows = false, 0, sendlease.Verdict{All: true}, nil, false
+	n.up, n.run, n.taken, n.told, n.knows = false, 0, sendlease.Restrictions{AllAfterExpiry: true}, nil, false
 	for _, a := range n.site.asks {
 		if a.at == n {
 			a.lost()
--- a/rehearsal/province/figures_test.go
+++ b/rehearsal/province/figures_test.go
@@ -25,7 +25,7 @@
 
 // large is 35 regencies below a province: 300 nodes, and 92 hosts, 20 of them common to all.
 var large = Options{Seed: 1, Levels: []Level{{1, 20, 5}, {35, 8, 3}}, Hosts: 2, Hand: 20, Lasts: 3 * time.Second,
-	Limits: turns.Limits{Site: 1, Horizon: 2, Age: time.Minute}}
+	Limits: turns.Limits{Site: 1, Lookahead: 2, AgeStep: time.Minute}}
 
 // TestWhatManyNodesSay counts messages and bytes, and how long turns wait, with nothing broken:
 // go test ./rehearsal/province -run ManyNodes -v -args -figures
@@ -43,7 +43,7 @@
 		{Levels: []Level{{1, 3000, 5}}, Hosts: 90, Asks: 20},
 	} {
 		o.Seed, o.Lasts, o.For, o.Quiet = 1, 3*time.Second, 20*time.Second, 40*time.Second
-		o.Limits = turns.Limits{Site: max(1, o.Hosts/10), Horizon: 2, Age: time.Minute}
+		o.Limits = turns.Limits{Site: max(1, o.Hosts/10), Lookahead: 2, AgeStep: time.Minute}
 		began := time.Now()
 		got := Run(o, nil)
 		nodes, sites := 0, 1
--- a/rehearsal/province/leaders_test.go
+++ b/rehearsal/province/leaders_test.go
@@ -46,7 +46,7 @@
 
 func askFor(i int) control.Call {
 	id := fmt.Sprintf("t%d", i)
-	return control.Call{ID: id, Command: turns.Command{Ask: &turns.Ask{ID: id, Host: fmt.Sprintf("site00-g%02d", i), Lasts: time.Second}}}
+	return control.Call{ID: id, Command: turns.Command{Request: &turns.Request{ID: id, Host: fmt.Sprintf("site00-g%02d", i), Duration: time.Second}}}
 }
 
 // A call that a leader took and that can come to nothing there is answered when that one leads no more: its caller has to call
@@ -65,7 +65,7 @@
 }
 
 // has says whether a node's loop goes by a right that runs.
-func (n *node) has() bool { return n.clock() < n.taken.Until }
+func (n *node) has() bool { return n.clock() < n.taken.LeaseEnd }
 
 // A node that was cut off for long has its right again with its first question that arrives: whichever seat that comes to knows
 // who leads.
@@ -176,7 +176,7 @@
 			w, p := aSite(t, seed)
 			old := w.leads(p)
 			soon := askFor(0) // all nodes know of it by then, the one that ends too
-			soon.Command.Ask.NotBefore = old.clock() + w.Lasts
+			soon.Command.Request.NotBefore = old.clock() + w.Lasts
 			old.core.Do(old.clock(), soon, func(_ control.Reply, err error) { require.NoError(t, err) })
 			w.until(w.now + w.Lasts - w.any(w.Lasts/4))
 			ended := w.now
--- a/rehearsal/province/lists.go
+++ b/rehearsal/province/lists.go
@@ -62,8 +62,8 @@
 }
 
 // look is what this node sees of its hosts.
-func (n *node) look() *hostview.Look {
-	l := &hostview.Look{}
+func (n *node) look() *hostview.Observation {
+	l := &hostview.Observation{}
 	var at time.Duration
 	at, l.Stale = n.listAt()
 	for _, id := range n.site.ids {
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -33,7 +33,7 @@
 	paused  bool
 	late    []func() // what came while it was stopped
 	cut     map[string]bool
-	taken   sendlease.Verdict // by its loop
+	taken   sendlease.Restrictions // by its loop
 	led     bool
 	ledAt   time.Duration // since when
 	number  int           // among those of its site
@@ -60,8 +60,8 @@
 	n.boot++
 	n.run = w.rng.Uint64()
 	n.up, n.paused, n.late, n.led, n.asked = true, false, nil, false, 0
-	n.taken, n.goes = sendlease.Verdict{All: true}, control.Policy{}
-	n.saved.Life = n.life
+	n.taken, n.goes = sendlease.Restrictions{AllAfterExpiry: true}, control.Policy{}
+	n.saved.Incarnation = n.life
 	if w.Plain {
 		n.repeat(0, n.listen)
 		n.repeat(w.any(60*time.Millisecond), n.placing)
@@ -135,7 +135,7 @@
 
 // report is what a loop tells. A stand-in has no attempts under way: what it has taken is in effect.
 func (n *node) report() control.Report {
-	r := control.Report{Taken: n.taken, Clear: n.taken.Outs, Under: n.goes.Hash, Asked: n.goes.Hash}
+	r := control.Report{Taken: n.taken, Clear: n.taken.ExcludedHosts, Under: n.goes.Hash, Asked: n.goes.Hash}
 	if len(n.w.trials) > 0 {
 		r.Counted = n.count()
 	}
@@ -153,7 +153,7 @@
 	var open []string
 	now := n.clock()
 	for _, id := range n.site.ids {
-		if n.w.Plain && n.knows && !slices.Contains(n.told, id) || !n.w.Plain && !n.taken.Withholds(id, now) {
+		if n.w.Plain && n.knows && !slices.Contains(n.told, id) || !n.w.Plain && !n.taken.Excludes(id, now) {
 			open = append(open, id)
 		}
 	}
@@ -209,7 +209,7 @@
 }
 
 // Bind implements control.Env: the loop takes the verdict a moment later.
-func (n *node) Bind(v sendlease.Verdict) {
+func (n *node) Bind(v sendlease.Restrictions) {
 	n.later(n.w.any(binding), func() { n.taken = v })
 }
 
--- a/rehearsal/province/province_test.go
+++ b/rehearsal/province/province_test.go
@@ -12,7 +12,7 @@
 )
 
 var small = Options{Seed: 1, Levels: []Level{{1, 5, 3}}, Hosts: 8, Asks: 6, Lasts: 3 * time.Second, Overrun: true,
-	Limits: turns.Limits{Site: 2, Horizon: 2, Age: time.Minute}, For: 60 * time.Second, Quiet: 120 * time.Second}
+	Limits: turns.Limits{Site: 2, Lookahead: 2, AgeStep: time.Minute}, For: 60 * time.Second, Quiet: 120 * time.Second}
 
 func TestOneSiteGivesTurns(t *testing.T) {
 	got := Run(small, nil)
--- a/rehearsal/province/where.go
+++ b/rehearsal/province/where.go
@@ -198,7 +198,7 @@
 	switch {
 	case !known:
 		return "e: asked for: " + a.waitsOn(leader)
-	case t.Phase == turns.Asked:
+	case t.Phase == turns.Requested:
 		return p.waitsForRoom(t, leader)
 	case t.Phase == turns.Preparing:
 		return p.waitsForNodes(t, leader)
@@ -257,7 +257,7 @@
 	count := map[turns.Phase]int{}
 	var preparing turns.Turn
 	for _, o := range book.Turns() {
-		if o.Phase.Out() {
+		if o.Phase.OutOfService() {
 			count[o.Phase]++
 			if o.Phase == turns.Preparing {
 				preparing = o
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -285,7 +285,7 @@
 	for a := up; a != nil; a = a.up {
 		above = append(above, a.group)
 	}
-	terms := sendlease.Terms{Lasts: w.Lasts, Drift: 0.01}
+	terms := sendlease.Terms{Duration: w.Lasts, Drift: 0.01}
 	for i, node := range p.group.Nodes {
 		n := w.add(p, node, &site.Site{Node: node, Own: p.group, Above: above, Seats: p.group.Seats, Members: p.group.Nodes,
 			Seat: i < l.Seats, Rights: terms, Turns: w.Limits, Tick: 100 * time.Millisecond, SnapshotEvery: 64,
--- a/rehearsal/turnsmodel/describe.go
+++ b/rehearsal/turnsmodel/describe.go
@@ -22,7 +22,7 @@
 	case AskRight:
 		for _, c := range next.Nodes[n].Calls {
 			if c.Stage == Asked && !c.Gone {
-				what = fmt.Sprintf("%s asks, number %d: horizon %d acknowledged, holds%s", node, c.Q.Seq, c.Q.Acked, outs(c.Q.Holds))
+				what = fmt.Sprintf("%s asks, number %d: horizon %d acknowledged, holds%s", node, c.Q.Seq, c.Q.Acked, outs(c.Q.Confirmed))
 			}
 		}
 	case Receive, Repeat, Unheard:
@@ -41,7 +41,7 @@
 		c := s.Nodes[n].Calls[arg]
 		what = fmt.Sprintf("seat %d answers question %d of %s", c.Seat+1, c.Q.Seq, node)
 		a := next.Nodes[n].Calls[arg].A
-		what += fmt.Sprintf(": log %d, out%s, horizon %d%v, recorded %d", a.Applied, outs(a.Outs), a.Horizon.Version, a.Horizon.Hosts,
+		what += fmt.Sprintf(": log %d, out%s, horizon %d%v, recorded %d", a.Applied, outs(a.ExcludedHosts), a.ExclusionSet.Version, a.ExclusionSet.Hosts,
 			a.Recorded)
 	case Deliver:
 		what = fmt.Sprintf("the answer to question %d comes to %s", s.Nodes[n].Calls[arg].Q.Seq, node)
@@ -95,13 +95,13 @@
 			fmt.Fprintf(&b, "; turn of %s: %v, round %d", hostNames[h], after.Phase, after.Round)
 		}
 	}
-	if z := next.Log.book.Horizon(); z.Version != s.Log.book.Horizon().Version {
+	if z := next.Log.book.ExclusionSet(); z.Version != s.Log.book.ExclusionSet().Version {
 		fmt.Fprintf(&b, "; horizon %d%v", z.Version, z.Hosts)
 	}
 	for i := range m.Nodes {
 		if v, w := s.Nodes[i].Loop, next.Nodes[i].Loop; v != w {
-			fmt.Fprintf(&b, "; %s withholds%s, %v more from %v on", nodeNames[i], outs(w.Outs), w.Lapsed, w.Until)
-			if w.All {
+			fmt.Fprintf(&b, "; %s withholds%s, %v more from %v on", nodeNames[i], outs(w.ExcludedHosts), w.ExcludedAfterExpiry, w.LeaseEnd)
+			if w.AllAfterExpiry {
 				b.WriteString(", and all others")
 			}
 		}
@@ -109,7 +109,7 @@
 	return b.String()
 }
 
-func outs(list []sendlease.Out) string {
+func outs(list []sendlease.ExcludedHost) string {
 	var b strings.Builder
 	for _, o := range list {
 		fmt.Fprintf(&b, " %s of round %d", o.Host, o.Round)
--- a/rehearsal/turnsmodel/model.go
+++ b/rehearsal/turnsmodel/model.go
@@ -61,14 +61,14 @@
 func (m *Model) Initial() []State {
 	b := turns.New()
 	for i, c := range []turns.Command{
-		{Limits: &turns.Limits{Site: 1, Horizon: m.Horizon}},
+		{Limits: &turns.Limits{Site: 1, Lookahead: m.Horizon}},
 		{Fleet: &turns.Fleet{Hosts: m.fleet(false, [MaxHosts]bool{})}},
 		{Members: &turns.Members{Nodes: nodeNames[:m.Nodes]}},
 	} {
 		b.Apply(uint64(i+1), c)
 	}
 	for h := range m.Asked {
-		b.Apply(uint64(h+4), turns.Command{Ask: &turns.Ask{ID: "first-" + hostNames[h], Host: hostNames[h], Lasts: unit}})
+		b.Apply(uint64(h+4), turns.Command{Request: &turns.Request{ID: "first-" + hostNames[h], Host: hostNames[h], Duration: unit}})
 	}
 	var all []State
 	for _, slow := range [...]bool{true, false} {
@@ -77,11 +77,11 @@
 		}
 		s := State{Left: m.Budget, Log: m.pool.record(b, uint64(3+m.Asked))}
 		t := sendlease.NewTable(m.counted)
-		t.Lead(0)
+		t.BecomeLeader(0)
 		s.Seats[0] = Seat{Believes: true, Table: t}
 		for i := range m.Nodes {
 			s.Nodes[i].Slow = slow
-			m.start(&s, i, sendlease.Saved{Life: 1})
+			m.start(&s, i, sendlease.Saved{Incarnation: 1})
 		}
 		m.keep(&s)
 		all = append(all, s)
@@ -200,12 +200,12 @@
 		if s.Since[h] == 0 && (s.Banned[h] || t.Phase == turns.Granted || t.Phase == turns.Working) {
 			b |= 1 << badBan
 		}
-		if !t.Phase.Out() {
+		if !t.Phase.OutOfService() {
 			continue
 		}
 		out++
 		for i := range m.Nodes {
-			if s.Nodes[i].Excused || s.Nodes[i].Loop.Withholds(t.Host, s.now(i)) {
+			if s.Nodes[i].Excused || s.Nodes[i].Loop.Excludes(t.Host, s.now(i)) {
 				continue
 			}
 			if t.Phase == turns.Granted || t.Phase == turns.Working {
@@ -224,18 +224,18 @@
 	lead := s.Seats[s.Lead].Table
 	for i := range m.Nodes {
 		n, now := &s.Nodes[i], s.now(i)
-		runs := now < n.Loop.Until || n.Queue != nil && now < n.Queue.Until
-		if runs && lead.Standing(s.seatNow(), nodeNames[i]) == sendlease.Lapsed {
+		runs := now < n.Loop.LeaseEnd || n.Queue != nil && now < n.Queue.LeaseEnd
+		if runs && lead.LeaseState(s.seatNow(), nodeNames[i]) == sendlease.Expired {
 			b |= 1 << badLapsed
 		}
 		if m.Whole && s.Since != [MaxHosts]uint64{} {
 			for h, since := range s.Since[:m.Hosts] {
-				if since > 0 && n.heard >= since && !n.Loop.Withholds(hostNames[h], now) {
+				if since > 0 && n.heard >= since && !n.Loop.Excludes(hostNames[h], now) {
 					b |= 1 << badForgotten
 				}
 			}
 		}
-		if !n.Told && !n.Loop.Withholds(hostNames[0], now) {
+		if !n.Told && !n.Loop.Excludes(hostNames[0], now) {
 			b |= 1 << badUntold
 		}
 	}
@@ -313,7 +313,7 @@
 	lead := s.Seats[s.Lead].Table
 	for h := range m.Hosts {
 		t := &s.Log.turns[h]
-		out := t.Phase.Out()
+		out := t.Phase.OutOfService()
 		granted := out && t.Phase == turns.Granted
 		saw(granted && h > 0, sawSecondHost)
 		saw(granted && s.Banned[h], sawBannedGranted)
@@ -323,31 +323,31 @@
 		saw(granted && s.Left.Withdrawals+s.Left.Failures < m.Budget.Withdrawals+m.Budget.Failures && h == 0, sawSecondRound)
 		for i := range m.Nodes {
 			n, now := &s.Nodes[i], s.now(i)
-			lapsed := lead.Standing(s.seatNow(), nodeNames[i]) == sendlease.Lapsed
+			lapsed := lead.LeaseState(s.seatNow(), nodeNames[i]) == sendlease.Expired
 			round := lead.Confirmed(nodeNames[i])[hostNames[h]]
-			holds := slices.Contains(n.Loop.Outs, sendlease.Out{Host: t.Host, Round: t.Round})
-			saw(granted && !lapsed && now < n.Loop.Until && holds, sawConfirmed)
+			holds := slices.Contains(n.Loop.ExcludedHosts, sendlease.ExcludedHost{Host: t.Host, Round: t.Round})
+			saw(granted && !lapsed && now < n.Loop.LeaseEnd && holds, sawConfirmed)
 			saw(granted && lapsed && !holds, sawBeyond)
-			saw(granted && n.Excused && !n.Loop.Withholds(t.Host, now), sawDeadSends)
-			saw(granted && m.Budget.Deaths > s.Left.Deaths && !n.Excused && holds && s.Log.book.Recorded(nodeNames[i]) > 0 &&
+			saw(granted && n.Excused && !n.Loop.Excludes(t.Host, now), sawDeadSends)
+			saw(granted && m.Budget.Deaths > s.Left.Deaths && !n.Excused && holds && s.Log.book.RecordedVersion(nodeNames[i]) > 0 &&
 				!slices.Contains(s.Log.acknowledged(nodeNames[i]), t.Host), sawTakenIn)
 			if lapsed {
-				apart[s.Log.book.Recorded(nodeNames[i])] = true
+				apart[s.Log.book.RecordedVersion(nodeNames[i])] = true
 			}
 			saw(granted && n.Writing != nil, sawCutWriting)
-			saw(granted && s.Log.book.Recorded(nodeNames[i]) > 0 && n.Durable.Life > 1 && !n.Told && round == t.Round, sawLostHolds)
+			saw(granted && s.Log.book.RecordedVersion(nodeNames[i]) > 0 && n.Durable.Incarnation > 1 && !n.Told && round == t.Round, sawLostHolds)
 			saw(out && round != 0 && round != t.Round, sawOldRound)
-			saw(!out && n.Loop.Withholds(hostNames[h], now) && now < n.Loop.Until, sawRoundOver)
+			saw(!out && n.Loop.Excludes(hostNames[h], now) && now < n.Loop.LeaseEnd, sawRoundOver)
 		}
 		saw(granted && len(apart) > 1, sawApart)
 	}
 	for i := range m.Nodes {
 		n, now := &s.Nodes[i], s.now(i)
-		saw(len(n.Durable.Horizons) > 1, sawTwoHorizons)
-		saw(n.Told && n.Loop.All && now >= n.Loop.Until && len(n.Durable.Horizons) > 0, sawUncovered)
-		saw(now >= n.Loop.Until && n.Loop.Until > 0 && n.Queue != nil && now < n.Queue.Until, sawLateLoop)
+		saw(len(n.Durable.ExclusionSets) > 1, sawTwoHorizons)
+		saw(n.Told && n.Loop.AllAfterExpiry && now >= n.Loop.LeaseEnd && len(n.Durable.ExclusionSets) > 0, sawUncovered)
+		saw(now >= n.Loop.LeaseEnd && n.Loop.LeaseEnd > 0 && n.Queue != nil && now < n.Queue.LeaseEnd, sawLateLoop)
 		for _, c := range n.Calls {
-			saw(c.Stage == Answered && now >= c.At+terms.Lasts, sawLapsedNews)
+			saw(c.Stage == Answered && now >= c.At+terms.Duration, sawLapsedNews)
 		}
 	}
 	old := 1 - s.Lead
--- a/rehearsal/turnsmodel/plants.go
+++ b/rehearsal/turnsmodel/plants.go
@@ -22,12 +22,12 @@
 	ackOnce          bool          // an acknowledgement is proposed once, whatever became of it
 	leadsSince       time.Duration // a new leader counts from so much earlier
 
-	question func(n *Node, q sendlease.Question) sendlease.Question
-	answer   func(s *State, node int, a sendlease.Answer) sendlease.Answer // before it is taken in
-	verdict  func(n *Node, v sendlease.Verdict) sendlease.Verdict
-	outs     func(view *record) []sendlease.Out // that an answer tells
+	question func(n *Node, q sendlease.LeaseRequest) sendlease.LeaseRequest
+	answer   func(s *State, node int, a sendlease.LeaseResponse) sendlease.LeaseResponse // before it is taken in
+	verdict  func(n *Node, v sendlease.Restrictions) sendlease.Restrictions
+	outs     func(view *record) []sendlease.ExcludedHost // that an answer tells
 	fleet    func(s *State, f *turns.Fleet)     // that the leader looks at
-	clear    func(s *State, seat int, t turns.Turn, views []turns.View) []turns.Blocker
+	clear    func(s *State, seat int, t turns.Turn, views []turns.NodeView) []turns.Blocker
 }
 
 // Plant tells of a planted bug, and which world finds it.
@@ -46,52 +46,52 @@
 func (n *Node) known() sendlease.Saved { return n.Holder.Clone().Saved() }
 
 // newest returns the newest horizon of a store.
-func newest(s sendlease.Saved) sendlease.Horizon {
-	if len(s.Horizons) == 0 {
-		return sendlease.Horizon{}
+func newest(s sendlease.Saved) sendlease.ExclusionSet {
+	if len(s.ExclusionSets) == 0 {
+		return sendlease.ExclusionSet{}
 	}
-	return s.Horizons[len(s.Horizons)-1]
+	return s.ExclusionSets[len(s.ExclusionSets)-1]
 }
 
 // holding is the real rule with views that are changed first.
-func holding(change func(t turns.Turn, v *turns.View)) func(*State, int, turns.Turn, []turns.View) []turns.Blocker {
-	return func(s *State, seat int, t turns.Turn, views []turns.View) []turns.Blocker {
+func holding(change func(t turns.Turn, v *turns.NodeView)) func(*State, int, turns.Turn, []turns.NodeView) []turns.Blocker {
+	return func(s *State, seat int, t turns.Turn, views []turns.NodeView) []turns.Blocker {
 		for i := range views {
 			change(t, &views[i])
 		}
-		return s.view(seat).book.Clear(t.ID, views)
+		return s.view(seat).book.Blockers(t.ID, views)
 	}
 }
 
 // without is the real rule with some blockers left out, for nodes whose right has run out or for all.
-func without(which func(*State, []turns.View, turns.Blocker, string) bool,
-	lapsed bool) func(*State, int, turns.Turn, []turns.View) []turns.Blocker {
-	return func(s *State, seat int, t turns.Turn, views []turns.View) []turns.Blocker {
-		return slices.DeleteFunc(s.view(seat).book.Clear(t.ID, views), func(b turns.Blocker) bool {
-			i := slices.IndexFunc(views, func(v turns.View) bool { return v.Node == b.Node })
-			return i >= 0 && (!lapsed || views[i].Lapsed) && which(s, views, b, t.Host)
+func without(which func(*State, []turns.NodeView, turns.Blocker, string) bool,
+	lapsed bool) func(*State, int, turns.Turn, []turns.NodeView) []turns.Blocker {
+	return func(s *State, seat int, t turns.Turn, views []turns.NodeView) []turns.Blocker {
+		return slices.DeleteFunc(s.view(seat).book.Blockers(t.ID, views), func(b turns.Blocker) bool {
+			i := slices.IndexFunc(views, func(v turns.NodeView) bool { return v.Node == b.Node })
+			return i >= 0 && (!lapsed || views[i].LeaseExpired) && which(s, views, b, t.Host)
 		})
 	}
 }
 
 var plants = []planted{
 	{name: "right-from-arrival", world: "cut-off", about: "a right counts from when its answer came",
-		answer: func(s *State, node int, a sendlease.Answer) sendlease.Answer {
+		answer: func(s *State, node int, a sendlease.LeaseResponse) sendlease.LeaseResponse {
 			if now := s.now(node); a.Applied >= s.Nodes[node].known().Applied {
-				s.Nodes[node].Late = now + terms.Lasts
+				s.Nodes[node].Late = now + terms.Duration
 			}
 			return a
 		},
-		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
+		verdict: func(n *Node, v sendlease.Restrictions) sendlease.Restrictions {
 			if n.Writing == nil {
-				v.Until = max(v.Until, n.Late)
+				v.LeaseEnd = max(v.LeaseEnd, n.Late)
 			}
 			return v
 		}},
 	{name: "right-without-end", world: "cut-off", about: "a right that has run out is gone by",
-		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
-			if v.Until > 0 {
-				v.Until = time.Duration(1<<62 - 1)
+		verdict: func(n *Node, v sendlease.Restrictions) sendlease.Restrictions {
+			if v.LeaseEnd > 0 {
+				v.LeaseEnd = time.Duration(1<<62 - 1)
 			}
 			return v
 		}},
@@ -100,86 +100,86 @@
 	{name: "counts-without-drift", world: "cut-off", about: "the council counts a right no longer than the node", noDrift: true},
 	{name: "answers-without-quorum", world: "new-leader", about: "a seat answers that only believes that it leads", noQuorum: true},
 	{name: "acks-before-stored", world: "cut-off", about: "a horizon is acknowledged before it stands in the store", asksWhileWriting: true,
-		question: func(n *Node, q sendlease.Question) sendlease.Question {
+		question: func(n *Node, q sendlease.LeaseRequest) sendlease.LeaseRequest {
 			q.Acked = newest(n.known()).Version
 			return q
 		}},
 	{name: "acks-before-loop", world: "cut-off", about: "a horizon is acknowledged before the loop goes by it",
-		question: func(n *Node, q sendlease.Question) sendlease.Question {
+		question: func(n *Node, q sendlease.LeaseRequest) sendlease.LeaseRequest {
 			q.Acked = newest(*n.Durable).Version
 			return q
 		}},
 	{name: "confirms-before-loop", world: "cut-off", about: "a host is confirmed before the loop withholds it",
-		question: func(n *Node, q sendlease.Question) sendlease.Question {
-			q.Holds = n.Durable.Outs
+		question: func(n *Node, q sendlease.LeaseRequest) sendlease.LeaseRequest {
+			q.Confirmed = n.Durable.ExcludedHosts
 			return q
 		}},
 	{name: "horizon-dropped-on-ack", world: "withdrawn", about: "an older horizon is dropped when the newer one is stored, not when it is recorded",
-		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
-			v.Lapsed = newest(n.known()).Hosts
+		verdict: func(n *Node, v sendlease.Restrictions) sendlease.Restrictions {
+			v.ExcludedAfterExpiry = newest(n.known()).Hosts
 			return v
 		}},
 	{name: "right-before-outs", world: "cut-off", about: "the right is taken before the hosts that came with it are withheld",
-		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
-			if n.Loop != nil && v.Until > n.Loop.Until {
-				v.Outs, v.Horizon = n.Loop.Outs, n.Loop.Horizon
+		verdict: func(n *Node, v sendlease.Restrictions) sendlease.Restrictions {
+			if n.Loop != nil && v.LeaseEnd > n.Loop.LeaseEnd {
+				v.ExcludedHosts, v.ExclusionSetVersion = n.Loop.ExcludedHosts, n.Loop.ExclusionSetVersion
 			}
 			return v
 		}},
 	{name: "empty-store-withholds-nothing", world: "lost-store", about: "a node that was never told anything withholds nothing",
-		verdict: func(_ *Node, v sendlease.Verdict) sendlease.Verdict {
-			v.All = false
+		verdict: func(_ *Node, v sendlease.Restrictions) sendlease.Restrictions {
+			v.AllAfterExpiry = false
 			return v
 		}},
 	{name: "told-is-enough", world: "lost-and-withdrawn", about: "a new store's first horizon is taken for the one that the council goes by",
-		verdict: func(n *Node, v sendlease.Verdict) sendlease.Verdict {
-			v.All = v.All && len(n.known().Horizons) == 0
+		verdict: func(n *Node, v sendlease.Restrictions) sendlease.Restrictions {
+			v.AllAfterExpiry = v.AllAfterExpiry && len(n.known().ExclusionSets) == 0
 			return v
 		}},
 	{name: "round-not-compared", world: "withdrawn", about: "a confirmation of an earlier round counts",
-		clear: holding(func(t turns.Turn, v *turns.View) {
-			if _, held := v.Holds[t.Host]; held {
-				v.Holds[t.Host] = t.Round
+		clear: holding(func(t turns.Turn, v *turns.NodeView) {
+			if _, held := v.Confirmed[t.Host]; held {
+				v.Confirmed[t.Host] = t.Round
 			}
 		})},
 	{name: "grants-beyond-horizon", world: "cut-off", about: "a node that is cut off is taken for clear of any host",
-		clear: func(s *State, seat int, t turns.Turn, views []turns.View) []turns.Blocker {
-			return slices.DeleteFunc(s.view(seat).book.Clear(t.ID, views), func(b turns.Blocker) bool {
-				return slices.ContainsFunc(views, func(v turns.View) bool { return v.Node == b.Node && v.Lapsed })
+		clear: func(s *State, seat int, t turns.Turn, views []turns.NodeView) []turns.Blocker {
+			return slices.DeleteFunc(s.view(seat).book.Blockers(t.ID, views), func(b turns.Blocker) bool {
+				return slices.ContainsFunc(views, func(v turns.NodeView) bool { return v.Node == b.Node && v.LeaseExpired })
 			})
 		}},
 	{name: "grants-without-node", world: "cut-off", about: "a node with no recorded horizon is left out",
-		clear: func(s *State, seat int, t turns.Turn, views []turns.View) []turns.Blocker {
+		clear: func(s *State, seat int, t turns.Turn, views []turns.NodeView) []turns.Blocker {
 			book := s.view(seat).book
-			return slices.DeleteFunc(book.Clear(t.ID, views), func(b turns.Blocker) bool { return book.Recorded(b.Node) == 0 })
+			return slices.DeleteFunc(book.Blockers(t.ID, views), func(b turns.Blocker) bool { return book.RecordedVersion(b.Node) == 0 })
 		}},
 	{name: "horizon-taken-as-lapsed", world: "cut-off", about: "a node whose horizon has the host is taken for clear while its right runs",
-		clear: holding(func(_ turns.Turn, v *turns.View) { v.Lapsed = true })},
+		clear: holding(func(_ turns.Turn, v *turns.NodeView) { v.LeaseExpired = true })},
 	{name: "answer-of-another-question", world: "late-calls", about: "an answer is taken for that to the last question",
-		answer: func(s *State, node int, a sendlease.Answer) sendlease.Answer {
+		answer: func(s *State, node int, a sendlease.LeaseResponse) sendlease.LeaseResponse {
 			h := s.Nodes[node].Holder
-			a.Seq = h.Clone().Ask(0).Seq - 1
+			a.Seq = h.Clone().NextRequest(0).Seq - 1
 			return a
 		}},
 	{name: "older-store-put-back", world: "restart", about: "an older copy of a node's store is put back", older: true},
 	{name: "one-horizon-for-all", world: "two-nodes", about: "a horizon that one node has acknowledged is taken for every node's",
-		clear: without(func(s *State, _ []turns.View, b turns.Blocker, host string) bool {
+		clear: without(func(s *State, _ []turns.NodeView, b turns.Blocker, host string) bool {
 			return slices.ContainsFunc(nodeNames[:], func(node string) bool {
 				return slices.Contains(s.Log.acknowledged(node), host)
 			})
 		}, true)},
 	{name: "one-confirmation-for-all", world: "two-nodes", about: "a host that one node has confirmed is taken for confirmed by all",
-		clear: without(func(_ *State, views []turns.View, b turns.Blocker, host string) bool {
-			return slices.ContainsFunc(views, func(v turns.View) bool { return v.Node != b.Node && v.Holds[host] > 0 })
+		clear: without(func(_ *State, views []turns.NodeView, b turns.Blocker, host string) bool {
+			return slices.ContainsFunc(views, func(v turns.NodeView) bool { return v.Node != b.Node && v.Confirmed[host] > 0 })
 		}, false)},
 	{name: "dead-for-all", world: "dead", about: "once a node is declared dead, no other one is waited for",
-		clear: without(func(s *State, views []turns.View, _ turns.Blocker, _ string) bool {
-			return slices.ContainsFunc(views, func(v turns.View) bool { return s.Log.book.Dead(v.Node) })
+		clear: without(func(s *State, views []turns.NodeView, _ turns.Blocker, _ string) bool {
+			return slices.ContainsFunc(views, func(v turns.NodeView) bool { return s.Log.book.Dead(v.Node) })
 		}, false)},
 	{name: "dead-holds-up", world: "promises-and-deaths", about: "a node that is declared dead is waited for", waitsForDead: true},
 	{name: "ban-not-told", world: "bans", about: "nodes are not told of a host that is out by hand",
-		outs: func(view *record) []sendlease.Out {
-			return slices.DeleteFunc(slices.Clone(view.outs), func(o sendlease.Out) bool { return view.turnOf(o.Host).Round != o.Round })
+		outs: func(view *record) []sendlease.ExcludedHost {
+			return slices.DeleteFunc(slices.Clone(view.outs), func(o sendlease.ExcludedHost) bool { return view.turnOf(o.Host).Round != o.Round })
 		}},
 	{name: "ban-lost-in-turn", world: "bans", about: "the council forgets the ban of a host that has a turn",
 		fleet: func(s *State, f *turns.Fleet) {
@@ -188,10 +188,10 @@
 			}
 		}},
 	{name: "round-of-the-ban", world: "promises-and-bans", about: "a host that is banned is told with another round than that of its turn",
-		outs: func(view *record) []sendlease.Out {
+		outs: func(view *record) []sendlease.ExcludedHost {
 			outs := slices.Clone(view.outs)
 			for i, h := range view.book.Hosts() {
-				if at := slices.IndexFunc(outs, func(o sendlease.Out) bool { return o.Host == h.ID }); h.Banned && at >= 0 {
+				if at := slices.IndexFunc(outs, func(o sendlease.ExcludedHost) bool { return o.Host == h.ID }); h.Banned && at >= 0 {
 					outs[at].Round = uint64(i + 1) // of the log's beginning, where no turn was prepared
 				}
 			}
--- a/rehearsal/turnsmodel/state.go
+++ b/rehearsal/turnsmodel/state.go
@@ -62,7 +62,7 @@
 const unit = time.Second
 
 var (
-	terms     = sendlease.Terms{Lasts: 5 * unit, Drift: 0.5}
+	terms     = sendlease.Terms{Duration: 5 * unit, Drift: 0.5}
 	nodeNames = [MaxNodes]string{"n1", "n2", "n3"}
 	hostNames = [MaxHosts]string{"a", "b", "c"}
 )
@@ -86,13 +86,13 @@
 // record is the council's log up to an index. Equal ones are one; what was asked of it once is kept.
 type record struct {
 	pool     *pool
-	book     *turns.Book
+	book     *turns.Schedule
 	index    uint64
 	sum      sum              // of the book and the index
 	core     sum              // the same without what is known of single nodes
 	acked    [MaxNodes][]byte // what is known of each node
-	outs     []sendlease.Out
-	horizons []sendlease.Horizon
+	outs     []sendlease.ExcludedHost
+	horizons []sendlease.ExclusionSet
 	turns    [MaxHosts]turns.Turn // not over, by host; without a name: none
 	next     *turns.Command       // what follows from the book; nil: nothing
 
@@ -122,7 +122,7 @@
 }
 
 // encoded returns a book's bytes, which a book of the model always has.
-func encoded(b *turns.Book) []byte {
+func encoded(b *turns.Schedule) []byte {
 	raw, err := b.Encode()
 	if err != nil {
 		panic(err)
@@ -132,7 +132,7 @@
 
 // apart takes what is known of single nodes out of a book's bytes, and what is over, of which nobody asks again; it returns
 // the horizons that are there.
-func apart(raw []byte) (rest []byte, horizons []sendlease.Horizon) {
+func apart(raw []byte) (rest []byte, horizons []sendlease.ExclusionSet) {
 	var parts map[string]json.RawMessage
 	err := json.Unmarshal(raw, &parts)
 	if list, any := parts["horizons"]; any && err == nil {
@@ -149,7 +149,7 @@
 }
 
 // record returns the record of a book, which is not changed any more.
-func (p *pool) record(b *turns.Book, index uint64) *record {
+func (p *pool) record(b *turns.Schedule, index uint64) *record {
 	raw := encoded(b)
 	s := sumOf(raw, index)
 	p.mu.Lock()
@@ -158,10 +158,10 @@
 		return r
 	}
 	rest, horizons := apart(raw)
-	r := &record{pool: p, book: b, index: index, sum: s, core: sumOf(rest, index), outs: b.Outs(), horizons: horizons}
+	r := &record{pool: p, book: b, index: index, sum: s, core: sumOf(rest, index), outs: b.ExcludedHosts(), horizons: horizons}
 	for i, node := range nodeNames {
 		a := b.Acked(node)
-		r.acked[i] = binary.AppendUvarint(binary.AppendUvarint([]byte{bits(b.Dead(node))}, a.Life), a.Version)
+		r.acked[i] = binary.AppendUvarint(binary.AppendUvarint([]byte{bits(b.Dead(node))}, a.Incarnation), a.Version)
 	}
 	for _, t := range b.Turns() {
 		if h := slices.Index(hostNames[:], t.Host); t.Phase != turns.Over {
@@ -177,8 +177,8 @@
 
 // acknowledged returns the hosts of the horizon that is recorded for a node.
 func (r *record) acknowledged(node string) []string {
-	version := r.book.Recorded(node)
-	at := slices.IndexFunc(r.horizons, func(z sendlease.Horizon) bool { return z.Version == version })
+	version := r.book.RecordedVersion(node)
+	at := slices.IndexFunc(r.horizons, func(z sendlease.ExclusionSet) bool { return z.Version == version })
 	if at < 0 {
 		return nil
 	}
@@ -196,7 +196,7 @@
 	next := r
 	if r.book.Check(c) == nil {
 		b, index := r.book.Clone(), r.index
-		if r.pool.whole && (c.Ack != nil || c.Grant != nil || c.Begin != nil || c.Ask != nil || c.Dead != nil || c.Alive != nil) {
+		if r.pool.whole && (c.Ack != nil || c.Grant != nil || c.Begin != nil || c.Request != nil || c.Dead != nil || c.Alive != nil) {
 			b.Apply(index, c) // no answer tells of it, and the book keeps no index of it
 		} else {
 			index++
@@ -235,8 +235,8 @@
 	Seat  uint8         // where it is Held
 	Gone  bool          // the process that asked is no more
 	At    time.Duration // when it was asked, by the node's clock; not told apart by Encode, which has it from the holder
-	Q     sendlease.Question
-	A     sendlease.Answer
+	Q     sendlease.LeaseRequest
+	A     sendlease.LeaseResponse
 }
 
 // Node is a node: its control, its store and its loop. What pointers lead to is never changed.
@@ -247,9 +247,9 @@
 	Durable  *sendlease.Saved
 	Writing  *sendlease.Saved   // on its way into the store; nil: nothing
 	Older    *sendlease.Saved   // what stood in the store before, for the bug that puts it back
-	Loop     *sendlease.Verdict // that the loop goes by
-	Queue    *sendlease.Verdict // for the loop; nil: none
-	Word     *sendlease.Verdict // that the loop has taken, not heard of by control; nil: none
+	Loop     *sendlease.Restrictions // that the loop goes by
+	Queue    *sendlease.Restrictions // for the loop; nil: none
+	Word     *sendlease.Restrictions // that the loop has taken, not heard of by control; nil: none
 	Calls    [calls]Call        // by their numbers; the first free ones last
 	Cut      bool               // it calls nobody
 	heard    uint64             // up to where the last answer of a call that is one step told, which the holder knows too
@@ -341,7 +341,7 @@
 			to = append(to, seat.View.acked[i]...)
 		}
 		to = seat.Table.Append(to, s.seatNow(), nodeNames[i:i+1])
-		to = binary.AppendUvarint(binary.AppendUvarint(to, seat.Acking[i].Life), seat.Acking[i].Version)
+		to = binary.AppendUvarint(binary.AppendUvarint(to, seat.Acking[i].Incarnation), seat.Acking[i].Version)
 	}
 	return s.appendNode(to, i)
 }
@@ -372,7 +372,7 @@
 	to = n.Holder.Append(to, now, flying[:count])
 	to = binary.AppendUvarint(to, uint64(max(0, n.Late-now)))
 	to = n.Loop.Append(to, now)
-	for _, v := range []*sendlease.Verdict{n.Queue, n.Word} {
+	for _, v := range []*sendlease.Restrictions{n.Queue, n.Word} {
 		if v != nil {
 			to = v.Append(to, now)
 		}
--- a/rehearsal/turnsmodel/steps.go
+++ b/rehearsal/turnsmodel/steps.go
@@ -87,7 +87,7 @@
 		next.Lead = 1
 		next.Seats[0].View = s.Log
 		t := sendlease.NewTable(m.counted)
-		t.Lead(s.seatNow() - m.plant.leadsSince)
+		t.BecomeLeader(s.seatNow() - m.plant.leadsSince)
 		next.Seats[1] = Seat{Believes: true, Table: t}
 		yield(step(Elect, 0, 0), next)
 	}
@@ -107,8 +107,8 @@
 	for i := m.Nodes - m.Steady; i < m.Nodes; i++ {
 		for range 2 { // what is new, and that it is in effect
 			n := &s.Nodes[i]
-			if s.Log.book.Dead(nodeNames[i]) || n.Loop.Until == s.now(i)+terms.Lasts && n.heard == s.Log.index &&
-				n.recorded == s.Log.book.Horizon().Version {
+			if s.Log.book.Dead(nodeNames[i]) || n.Loop.LeaseEnd == s.now(i)+terms.Duration && n.heard == s.Log.index &&
+				n.recorded == s.Log.book.ExclusionSet().Version {
 				break
 			}
 			*s = m.whole(s, i, Receive)
@@ -163,9 +163,9 @@
 }
 
 // verdict is what a node's control says to its loop.
-func (m *Model) verdict(s *State, i int) sendlease.Verdict {
+func (m *Model) verdict(s *State, i int) sendlease.Restrictions {
 	n := &s.Nodes[i]
-	v := n.Holder.Verdict()
+	v := n.Holder.Restrictions()
 	if m.plant.verdict != nil {
 		v = m.plant.verdict(n, v)
 	}
@@ -173,9 +173,9 @@
 }
 
 // inEffect tells a holder what its loop goes by.
-func (n *Node) inEffect(v sendlease.Verdict) {
+func (n *Node) inEffect(v sendlease.Restrictions) {
 	n.Holder = n.Holder.Clone()
-	n.Holder.InEffect(v)
+	n.Holder.MarkInEffect(v)
 }
 
 // start starts a node's process with a store.
@@ -212,7 +212,7 @@
 				x.drop(func(c *Call) bool { return c.Q.Seq == seq && c.Gone == gone })
 			}
 			x.Holder = x.Holder.Clone()
-			q := x.Holder.Ask(now)
+			q := x.Holder.NextRequest(now)
 			if m.plant.question != nil {
 				q = m.plant.question(x, q)
 			}
@@ -284,7 +284,7 @@
 		next := *s
 		next.Left.Losses--
 		next.Nodes[i].Told = false
-		m.start(&next, i, sendlease.Saved{Life: n.Durable.Life + 1})
+		m.start(&next, i, sendlease.Saved{Incarnation: n.Durable.Incarnation + 1})
 		yield(step(Restart, i, withNone), next)
 	}
 }
@@ -314,7 +314,7 @@
 	next := *s
 	x := &next.Nodes[i]
 	x.Holder = x.Holder.Clone()
-	q := x.Holder.Ask(s.now(i))
+	q := x.Holder.NextRequest(s.now(i))
 	if m.plant.question != nil {
 		q = m.plant.question(x, q)
 	}
@@ -342,7 +342,7 @@
 	}
 	x.Durable, x.Writing = x.Writing, nil
 	x.Holder = x.Holder.Clone()
-	x.Holder.Stored()
+	x.Holder.MarkStored()
 	m.offer(next, i)
 }
 
@@ -356,7 +356,7 @@
 		return false
 	}
 	for h, since := range s.Since {
-		if out := slices.ContainsFunc(s.Log.outs, func(o sendlease.Out) bool { return o.Host == hostNames[h] }); !out {
+		if out := slices.ContainsFunc(s.Log.outs, func(o sendlease.ExcludedHost) bool { return o.Host == hostNames[h] }); !out {
 			s.Since[h] = 0
 		} else if since == 0 {
 			s.Since[h] = s.Log.index
@@ -375,17 +375,17 @@
 		return next
 	}
 	t := s.Seats[seat].Table.Clone()
-	t.Holds(s.seatNow(), c.Q)
+	t.RecordConfirmed(s.seatNow(), c.Q)
 	next.Seats[seat].Table = t
-	ack := turns.Ack{Node: c.Q.Node, Life: c.Q.Life, Version: c.Q.Acked}
+	ack := turns.Ack{Node: c.Q.Node, Incarnation: c.Q.Incarnation, Version: c.Q.Acked}
 	once := m.plant.ackOnce && next.Seats[seat].Acking[i] == ack
 	if m.plant.ackOnce {
 		next.Seats[seat].Acking[i] = ack
 	}
 	if how == Unheard {
 		next.Left.Proposals--
-	} else if next.view(seat).book.RecordedIn(c.Q.Node, c.Q.Life) != c.Q.Acked && !once {
-		next.commit(change{op: Receive, id: c.Q.Node, a: c.Q.Life, b: c.Q.Acked}, turns.Command{Ack: &ack})
+	} else if next.view(seat).book.RecordedVersionIn(c.Q.Node, c.Q.Incarnation) != c.Q.Acked && !once {
+		next.commit(change{op: Receive, id: c.Q.Node, a: c.Q.Incarnation, b: c.Q.Acked}, turns.Command{Ack: &ack})
 	}
 	answers := !c.Gone && (seat == int(s.Lead) || m.plant.noQuorum)
 	if how == Repeat {
@@ -416,13 +416,13 @@
 	view := s.view(int(c.Seat))
 	if seat := &next.Seats[c.Seat]; seat.Believes {
 		seat.Table = seat.Table.Clone()
-		seat.Table.Answered(s.seatNow(), c.Q.Node)
+		seat.Table.RecordAnswered(s.seatNow(), c.Q.Node)
 	}
 	c.Stage, c.Seat = Answered, 0
-	c.A = sendlease.Answer{Seq: c.Q.Seq, Applied: view.index, Outs: view.outs, Horizon: view.book.Horizon(),
-		Recorded: view.book.RecordedIn(c.Q.Node, c.Q.Life)}
+	c.A = sendlease.LeaseResponse{Seq: c.Q.Seq, Applied: view.index, ExcludedHosts: view.outs, ExclusionSet: view.book.ExclusionSet(),
+		Recorded: view.book.RecordedVersionIn(c.Q.Node, c.Q.Incarnation)}
 	if m.plant.outs != nil {
-		c.A.Outs = m.plant.outs(view)
+		c.A.ExcludedHosts = m.plant.outs(view)
 	}
 	return next
 }
@@ -439,7 +439,7 @@
 	if m.plant.answer != nil {
 		a = m.plant.answer(&next, i, a)
 	}
-	save, changed := x.Holder.Answer(s.now(i), a)
+	save, changed := x.Holder.HandleResponse(s.now(i), a)
 	x.Told = x.Told || save
 	if save {
 		sv := x.Holder.Saved()
@@ -473,9 +473,9 @@
 	}
 	if m.Whole && view.next == nil && !m.plant.noStuck {
 		// Whoever waits may have lost patience: how long it has waited is left open.
-		if c, any := view.book.Stuck(1, m.views(s, seat), 0); any {
+		if c, any := view.book.RevokeBlocked(1, m.views(s, seat), 0); any {
 			c.At = 0
-			if next := *s; next.commit(change{op: Stuck, id: c.CallBack.ID + c.CallBack.Why, a: c.CallBack.Round}, c) {
+			if next := *s; next.commit(change{op: Stuck, id: c.Revoke.ID + c.Revoke.Why, a: c.Revoke.Round}, c) {
 				yield(step(Stuck, seat, 0), next)
 			}
 		}
@@ -488,7 +488,7 @@
 		next, t := *s, s.view(seat).turns[h]
 		c, what := turns.Command{Prepare: &turns.Ref{ID: t.ID}}, Prepare
 		if t.Phase == turns.Preparing || t.Phase == turns.Granted {
-			c, what = turns.Command{CallBack: &turns.Ref{ID: t.ID, Round: t.Round}}, Stuck
+			c, what = turns.Command{Revoke: &turns.Ref{ID: t.ID, Round: t.Round}}, Stuck
 		}
 		if t.ID == "" || what == Stuck && s.Left.CallBacks == 0 || !next.commit(change{op: what, id: t.ID, a: t.Round}, c) {
 			continue
@@ -501,12 +501,12 @@
 }
 
 // views is what a seat knows of the nodes.
-func (m *Model) views(s *State, seat int) []turns.View {
-	views := make([]turns.View, m.Nodes)
+func (m *Model) views(s *State, seat int) []turns.NodeView {
+	views := make([]turns.NodeView, m.Nodes)
 	t := s.Seats[seat].Table
 	for i := range views {
 		name := nodeNames[i]
-		views[i] = turns.View{Node: name, Lapsed: t.Standing(s.seatNow(), name) == sendlease.Lapsed, Holds: t.Confirmed(name)}
+		views[i] = turns.NodeView{Node: name, LeaseExpired: t.LeaseState(s.seatNow(), name) == sendlease.Expired, Confirmed: t.Confirmed(name)}
 	}
 	return views
 }
@@ -517,9 +517,9 @@
 	if m.plant.clear != nil {
 		return m.plant.clear(s, seat, t, views)
 	}
-	blockers := s.view(seat).book.Clear(t.ID, views)
+	blockers := s.view(seat).book.Blockers(t.ID, views)
 	for _, v := range views {
-		if m.plant.waitsForDead && v.Holds[t.Host] != t.Round && s.view(seat).book.Dead(v.Node) {
+		if m.plant.waitsForDead && v.Confirmed[t.Host] != t.Round && s.view(seat).book.Dead(v.Node) {
 			blockers = append(blockers, turns.Blocker{Node: v.Node})
 		}
 	}
@@ -537,8 +537,8 @@
 		switch {
 		case t.ID == "" && s.Left.Asks > 0:
 			next.Left.Asks--
-			ask := turns.Ask{ID: string([]byte{'t', '0' + s.Left.Asks}), Host: hostNames[h], Lasts: unit}
-			if next.commit(change{op: AskTurn, id: ask.ID, a: uint64(h)}, turns.Command{Ask: &ask}) {
+			ask := turns.Request{ID: string([]byte{'t', '0' + s.Left.Asks}), Host: hostNames[h], Duration: unit}
+			if next.commit(change{op: AskTurn, id: ask.ID, a: uint64(h)}, turns.Command{Request: &ask}) {
 				yield(step(AskTurn, 0, h), next)
 			}
 		case t.ID != "" && t.Phase <= turns.Granted && s.Left.Withdrawals > 0:
@@ -569,7 +569,7 @@
 			continue
 		}
 		next := *s
-		d := turns.Declare{Node: nodeNames[i]}
+		d := turns.Declaration{Node: nodeNames[i]}
 		c := turns.Command{Alive: &d}
 		if !dead {
 			next.Left.Deaths--
@@ -594,7 +594,7 @@
 
 // look is the leader's look at the hosts, all of them warm, the last of which may have failed.
 func (m *Model) look(s *State, failed bool) bool {
-	f := turns.Fleet{Seen: s.Log.index, Hosts: m.fleet(failed, s.Banned)}
+	f := turns.Fleet{AppliedIndex: s.Log.index, Hosts: m.fleet(failed, s.Banned)}
 	if m.plant.fleet != nil {
 		m.plant.fleet(s, &f)
 	}
@@ -613,4 +613,4 @@
 	return hosts
 }
 
-func (m *Model) failed(b *turns.Book) bool { return b.Hosts()[m.Hosts-1].Failed }
+func (m *Model) failed(b *turns.Schedule) bool { return b.Hosts()[m.Hosts-1].Failed }
