--- a/internal/choice/hostview/hostview.go
+++ b/internal/choice/hostview/hostview.go
@@ -72,7 +72,7 @@
 	return p.Incarnation < q.Incarnation || p.Incarnation == q.Incarnation && p.OpenCount < q.OpenCount
 }
 
-// Report is what a node reports with a lease request. Since 0: it is complete.
+// Report is what a node reports with a lease request. With Since 0 it is complete.
 type Report struct {
 	Process      Process
 	Seq          uint64 // of the request, in the process
--- a/internal/choice/hostview/merge.go
+++ b/internal/choice/hostview/merge.go
@@ -53,9 +53,9 @@
 		if unsure {
 			f.Unsure = append(f.Unsure, id)
 		}
-		failing, worth := 0, 0.0
+		failing, value := 0, 0.0
 		for _, v := range fresh {
-			worth += v.hosts[id].Value
+			value += v.hosts[id].Value
 			if v.hosts[id].Failing {
 				failing++
 			}
@@ -63,7 +63,7 @@
 		h.Failed = h.Failed || unsure || 2*failing > len(fresh)
 		h.Warm = h.Warm && !h.Failed
 		if len(fresh) > 0 {
-			h.Value, h.Groups = stableValue(before[id].Value, worth), groups(before[id].Groups, id, views, allHeard)
+			h.Value, h.Groups = stableValue(before[id].Value, value), groups(before[id].Groups, id, views, allHeard)
 		}
 		f.Hosts = append(f.Hosts, h)
 	}
--- a/internal/choice/hostview/reporter.go
+++ b/internal/choice/hostview/reporter.go
@@ -52,7 +52,7 @@
 
 // group is a group that has connections here, or had some a few observations ago.
 type group struct {
-	smoothed float64 // smoothed value
+	smoothed float64 // value averaged over about window observations
 	homes    []string
 	named    bool
 }
@@ -61,7 +61,7 @@
 type reportedHost struct {
 	Host
 	since    uint64
-	smoothed float64 // smoothed value
+	smoothed float64 // value averaged over about window observations
 }
 
 // NewReporter returns a reporter without observations.
--- a/internal/choice/hostview/walk_test.go
+++ b/internal/choice/hostview/walk_test.go
@@ -75,7 +75,7 @@
 	n.observations[key].heads[[2]any{l.AppliedIndex, l.Stale}] = true
 }
 
-func (w *walk) ask(n *walker) {
+func (w *walk) report(n *walker) {
 	p, any := n.r.Report()
 	if !any {
 		return
@@ -271,7 +271,7 @@
 	case k < 16:
 		w.observe(n)
 	case k < 26:
-		w.ask(n)
+		w.report(n)
 	case len(w.calls) > 0: // sometimes out of order
 		i := min(w.r.IntN(len(w.calls)), w.r.IntN(4)*w.r.IntN(8))
 		f := w.calls[i]
@@ -314,11 +314,11 @@
 
 func TestSmallChangesAreNotReported(t *testing.T) {
 	r := NewReporter()
-	observe := func(worth float64, groups ...Group) uint64 {
-		r.Observe(Observation{Hosts: []Host{{ID: "a", Warm: true}, {ID: "\xff"}}, Values: map[string]float64{"a": worth}, Groups: groups})
+	observe := func(value float64, groups ...Group) uint64 {
+		r.Observe(Observation{Hosts: []Host{{ID: "a", Warm: true}, {ID: "\xff"}}, Values: map[string]float64{"a": value}, Groups: groups})
 		return r.version
 	}
-	g := func(worth float64) Group { return Group{Name: "g", Value: worth, Homes: []string{"a"}} }
+	g := func(value float64) Group { return Group{Name: "g", Value: value, Homes: []string{"a"}} }
 	first := observe(100, g(13))
 	p, any := r.Report()
 	require.True(t, any)
@@ -353,8 +353,8 @@
 		}
 		r.Observe(l)
 		p, _ := r.Report()
-		assert.Empty(t, p.Hosts[0].Groups, "look %d", i)
-		assert.Equal(t, i+1 < window, p.GroupsUnknown, "look %d", i)
+		assert.Empty(t, p.Hosts[0].Groups, "observation %d", i)
+		assert.Equal(t, i+1 < window, p.GroupsUnknown, "observation %d", i)
 	}
 }
 
--- a/internal/choice/sendlease/holder.go
+++ b/internal/choice/sendlease/holder.go
@@ -15,16 +15,18 @@
 	Applied       uint64         // log index of the answer; may be lower than that of the last answer if that one changed nothing
 }
 
-// answered reports whether the Raft group ever answered this store.
-func (s *Saved) told() bool { return len(s.ExclusionSets) > 0 }
+// hasAnswer reports whether the Raft group ever answered this store.
+func (s *Saved) hasAnswer() bool { return len(s.ExclusionSets) > 0 }
 
 // coversRecorded reports whether the store holds every exclusion set that the Raft group may rely on: the recorded one and all
 // later ones.
-func (s *Saved) coversRecorded() bool { return s.told() && s.ExclusionSets[0].Version <= s.Recorded }
+func (s *Saved) coversRecorded() bool {
+	return s.hasAnswer() && s.ExclusionSets[0].Version <= s.Recorded
+}
 
 // newest returns the newest version held.
 func (s *Saved) newest() uint64 {
-	if !s.told() {
+	if !s.hasAnswer() {
 		return 0
 	}
 	return s.ExclusionSets[len(s.ExclusionSets)-1].Version
@@ -140,7 +142,7 @@
 	s.Applied = a.Applied
 	s.ExcludedHosts = slices.Clone(a.ExcludedHosts)
 	slices.SortFunc(s.ExcludedHosts, func(x, y ExcludedHost) int { return cmp.Compare(x.Host, y.Host) })
-	if !s.told() || a.ExclusionSet.Version > s.newest() {
+	if !s.hasAnswer() || a.ExclusionSet.Version > s.newest() {
 		hosts := slices.Clone(a.ExclusionSet.Hosts)
 		slices.Sort(hosts)
 		s.ExclusionSets = append(slices.Clone(s.ExclusionSets), ExclusionSet{a.ExclusionSet.Version, hosts})
@@ -165,7 +167,7 @@
 }
 
 // MarkConfirmed records that the event loop sends no new work to exactly these hosts: the ExcludedHosts of the Restrictions that
-// it has applied. The Raft group is told those that are in the store and still excluded in that round.
+// it has applied. They are reported to the Raft group if they are in the store and still excluded in that round.
 func (h *Holder) MarkConfirmed(excluded []ExcludedHost) { h.confirmed = slices.Clone(excluded) }
 
 // MarkInEffect records that the event loop applies v and no older Restrictions: MarkConfirmed, and in addition its exclusion
--- a/internal/choice/turns/edges_test.go
+++ b/internal/choice/turns/edges_test.go
@@ -12,7 +12,7 @@
 
 func TestLatestStartIsStillInTime(t *testing.T) {
 	c := newFixture(t, Limits{Site: 1, Lookahead: 1})
-	c.ask("t0", "h0", func(a *Request) { a.FinishBy = c.now + a.Duration })
+	c.request("t0", "h0", func(a *Request) { a.FinishBy = c.now + a.Duration })
 	c.settle()
 	c.phases([]Phase{Preparing}, "t0")
 	c.refused(WrongPhase, begin("t0")) // the nodes still send to the host
@@ -22,7 +22,7 @@
 
 func TestNoRecordedVersionAfterLeavingOrStoreLoss(t *testing.T) {
 	c := newFixture(t, Limits{Site: 1, Lookahead: 1})
-	c.ask("t0", "h0")
+	c.request("t0", "h0")
 	c.do(exclusionSet(1, nil))
 	c.settle()
 	assert.Zero(t, c.b.RecordedVersionIn("n1", 2), "of an incarnation that the schedule does not know")
@@ -34,12 +34,12 @@
 
 func TestMissingHostBlocksNothing(t *testing.T) {
 	c := newFixture(t, Limits{Site: 2, Lookahead: 1})
-	c.ask("t0", "h0", func(a *Request) { a.FinishBy = c.now + 2*time.Hour })
+	c.request("t0", "h0", func(a *Request) { a.FinishBy = c.now + 2*time.Hour })
 	c.hosts[0].Failed, c.hosts[0].Banned = true, true
 	c.fleet()
 	c.hosts = c.hosts[1:]
 	c.fleet()
-	c.ask("t1", "h1")
+	c.request("t1", "h1")
 	c.settle()
 	c.phases([]Phase{Requested, Preparing}, "t0", "t1") // a missing host has not failed
 	c.now += 3 * time.Hour
@@ -56,7 +56,7 @@
 
 func TestRevocationFreesCapacityAndNoticesRepeat(t *testing.T) {
 	c := newFixture(t, Limits{Site: 2, Lookahead: 2})
-	c.ask("t0", "h0")
+	c.request("t0", "h0")
 	c.settle()
 	c.grant("t0")
 	idle := func() {
@@ -80,12 +80,12 @@
 
 func TestRevokeBlockedWaitsForLivingNodes(t *testing.T) {
 	c := newFixture(t, Limits{Site: 1, Lookahead: 1})
-	c.ask("t0", "h0")
+	c.request("t0", "h0")
 	c.settle()
 	c.do(withdraw("t0"))
-	c.ask("t1", "h1")
+	c.request("t1", "h1")
 	c.settle("n2") // it has acknowledged h0
-	c.ask("t2", "h0")
+	c.request("t2", "h0")
 	views := []NodeView{{Node: "n1"}, {Node: "n2", LeaseExpired: true}}
 	_, stuck := c.b.RevokeBlocked(c.now+time.Minute, views, time.Minute)
 	assert.False(t, stuck)
@@ -97,7 +97,7 @@
 }
 
 func TestValueLeavesItsStepByAThird(t *testing.T) {
-	for worth, step := range map[float64]int{5.9: 2, 6: 3, 7: 3, 10: 3, 21: 3, 21.4: 4, 0: minStep} {
-		assert.Equal(t, step, moveStep(3, worth), worth)
+	for value, step := range map[float64]int{5.9: 2, 6: 3, 7: 3, 10: 3, 21: 3, 21.4: 4, 0: minStep} {
+		assert.Equal(t, step, moveStep(3, value), value)
 	}
 }
--- a/internal/choice/turns/turns_test.go
+++ b/internal/choice/turns/turns_test.go
@@ -41,8 +41,8 @@
 func revoke(id string) Command        { return Command{Revoke: &Ref{ID: id}} }
 func dead(n string) Command           { return Command{Dead: &Declaration{Node: n}} }
 func alive(n string) Command          { return Command{Alive: &Declaration{Node: n}} }
-func ack(n string, life, v uint64) Command {
-	return Command{Ack: &Ack{Node: n, Incarnation: life, Version: v}}
+func ack(n string, incarnation, v uint64) Command {
+	return Command{Ack: &Ack{Node: n, Incarnation: incarnation, Version: v}}
 }
 func exclusionSet(v uint64, hosts []string) Command {
 	return Command{ExclusionSet: &ExclusionSetUpdate{Version: v, Hosts: hosts}}
@@ -82,7 +82,7 @@
 	return c.do(Command{Fleet: &Fleet{AppliedIndex: c.index, Hosts: c.hosts}})
 }
 
-func (c *fixture) ask(id, host string, change ...func(*Request)) {
+func (c *fixture) request(id, host string, change ...func(*Request)) {
 	a := Request{ID: id, Host: host, Duration: time.Hour}
 	for _, f := range change {
 		f(&a)
@@ -158,7 +158,7 @@
 			test.change(c.hosts)
 			c.fleet()
 			for i := range c.hosts {
-				c.ask(fmt.Sprint("t", i), c.hosts[i].ID)
+				c.request(fmt.Sprint("t", i), c.hosts[i].ID)
 			}
 			c.settle()
 			c.phases(test.want, "t0", "t1", "t2", "t3")
@@ -173,8 +173,8 @@
 
 func TestT1CountsUntilBack(t *testing.T) {
 	c := newFixture(t, Limits{Site: 1, Lookahead: 4})
-	c.ask("t0", "h0")
-	c.ask("t1", "h1")
+	c.request("t0", "h0")
+	c.request("t1", "h1")
 	c.settle()
 	c.grant("t0")
 	c.refused(WrongPhase, done("t0"))
@@ -206,24 +206,24 @@
 		change func(v *NodeView) // of n2; it has none where this is nil
 		blocks bool
 	}{
-		"all confirmed":       {nil, func(*NodeView) {}, false},
-		"no view":             {nil, nil, true},
-		"not confirmed":       {nil, func(v *NodeView) { v.Confirmed = nil }, true},
-		"other round":         {nil, func(v *NodeView) { v.Confirmed["h0"]-- }, true},
-		"cut off, in set":     {nil, func(v *NodeView) { v.LeaseExpired, v.Confirmed = true, nil }, false},
-		"cut off, not in set": {[]Command{ack("n2", 2, 1)}, func(v *NodeView) { v.LeaseExpired, v.Confirmed = true, nil }, true},
-		"dead":                {[]Command{dead("n2")}, nil, false},
-		"admitted again":      {[]Command{dead("n2"), alive("n2")}, nil, true},
-		"dead and re-added":   {[]Command{dead("n2"), members("n1"), members("n1", "n2")}, nil, true},
-		"new store, lapsed":   {[]Command{ack("n2", 2, 0)}, func(v *NodeView) { v.LeaseExpired, v.Confirmed = true, nil }, true},
-		"new store, holds":    {[]Command{ack("n2", 2, 0)}, func(*NodeView) {}, true},
-		"old store, holds":    {[]Command{ack("n2", 2, 1)}, func(*NodeView) {}, true},
-		"new node":            {[]Command{members("n1", "n2", "n3")}, func(*NodeView) {}, true},
+		"all confirmed":            {nil, func(*NodeView) {}, false},
+		"no view":                  {nil, nil, true},
+		"not confirmed":            {nil, func(v *NodeView) { v.Confirmed = nil }, true},
+		"other round":              {nil, func(v *NodeView) { v.Confirmed["h0"]-- }, true},
+		"cut off, in set":          {nil, func(v *NodeView) { v.LeaseExpired, v.Confirmed = true, nil }, false},
+		"cut off, not in set":      {[]Command{ack("n2", 2, 1)}, func(v *NodeView) { v.LeaseExpired, v.Confirmed = true, nil }, true},
+		"dead":                     {[]Command{dead("n2")}, nil, false},
+		"admitted again":           {[]Command{dead("n2"), alive("n2")}, nil, true},
+		"dead and re-added":        {[]Command{dead("n2"), members("n1"), members("n1", "n2")}, nil, true},
+		"new store, lease expired": {[]Command{ack("n2", 2, 0)}, func(v *NodeView) { v.LeaseExpired, v.Confirmed = true, nil }, true},
+		"new store, holds":         {[]Command{ack("n2", 2, 0)}, func(*NodeView) {}, true},
+		"old store, holds":         {[]Command{ack("n2", 2, 1)}, func(*NodeView) {}, true},
+		"new node":                 {[]Command{members("n1", "n2", "n3")}, func(*NodeView) {}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newFixture(t, Limits{Site: 2, Lookahead: 1})
 			c.do(exclusionSet(1, nil))
-			c.ask("t0", "h0")
+			c.request("t0", "h0")
 			c.settle()
 			views := []NodeView{{Node: "n1", Confirmed: map[string]uint64{"h0": c.turn("t0").Round}}}
 			if test.change != nil {
@@ -251,8 +251,8 @@
 
 func TestT2ExclusionSets(t *testing.T) {
 	c := newFixture(t, Limits{Site: 3, Lookahead: 1})
-	c.ask("t0", "h0")
-	c.ask("t1", "h1")
+	c.request("t0", "h0")
+	c.request("t1", "h1")
 	cmd, _ := c.b.Next(c.now)
 	require.Equal(t, &ExclusionSetUpdate{Version: 1, Hosts: []string{"h0"}}, cmd.ExclusionSet)
 	c.settle()
@@ -286,12 +286,12 @@
 
 func TestRevokeBlockedOutsideExclusionSet(t *testing.T) {
 	c := newFixture(t, Limits{Site: 1, Lookahead: 1})
-	c.ask("t0", "h0")
-	c.ask("t00", "h2")
+	c.request("t0", "h0")
+	c.request("t00", "h2")
 	c.settle()
 	c.do(withdraw("t0"), withdraw("t00"))
-	c.ask("t1", "h1")
-	c.ask("t3", "h3")
+	c.request("t1", "h1")
+	c.request("t3", "h3")
 	views := []NodeView{{Node: "n1"}, {Node: "n2", LeaseExpired: true}} // n2 has acknowledged h0 and h2
 	c.settle("n2")
 	c.phases([]Phase{Preparing}, "t1") // nothing in the exclusion set of n2 waits
@@ -299,7 +299,7 @@
 	require.Len(t, c.b.Blockers("t1", views), 1)
 	stuck := func(after time.Duration) bool { _, ok := c.b.RevokeBlocked(c.now+after, views, time.Minute); return ok }
 	assert.False(t, stuck(time.Hour), "no other turn could go: t3 is outside the exclusion set too")
-	c.ask("t2", "h0")
+	c.request("t2", "h0")
 	assert.False(t, stuck(time.Second), "too early")
 	back, ok := c.b.RevokeBlocked(c.now+time.Hour, views, time.Minute)
 	require.True(t, ok)
@@ -307,7 +307,7 @@
 	c.do(back)
 	c.settle("n2") // the turn in the exclusion set of n2 goes, although t1 is first in order
 	c.phases([]Phase{Requested, Preparing}, "t1", "t2")
-	c.ask("t4", "h2")
+	c.request("t4", "h2")
 	assert.False(t, stuck(time.Hour), "t2 is in the exclusion set: another node blocks it")
 	c.do(Command{Limits: &Limits{Site: 4, Lookahead: 1}})
 	c.settle("n2")
@@ -320,7 +320,7 @@
 func TestT3TooManyFailed(t *testing.T) {
 	c := newFixture(t, Limits{Site: 4, Failed: 0, Lookahead: 4})
 	for i := range 3 {
-		c.ask(fmt.Sprint("t", i), c.hosts[i].ID)
+		c.request(fmt.Sprint("t", i), c.hosts[i].ID)
 	}
 	c.settle()
 	c.grant("t0")
@@ -353,7 +353,7 @@
 	start, same := 1000*time.Hour, func(*Request) {}
 	for name, test := range map[string]struct {
 		first, second func(*Request) // of z, then of a
-		worth         [2]float64
+		value         [2]float64
 		after         time.Duration // between the two requests
 		want          string
 	}{
@@ -362,7 +362,7 @@
 		"no finish by":    {same, func(a *Request) { a.FinishBy = start + 80*time.Hour }, [2]float64{1, 9}, 0, "a"},
 		"value":           {same, same, [2]float64{9, 1}, 0, "a"},
 		"similar value":   {same, same, [2]float64{9, 8.5}, time.Minute, "z"},
-		"asked first":     {same, same, [2]float64{5, 5}, time.Minute, "z"},
+		"requested first": {same, same, [2]float64{5, 5}, time.Minute, "z"},
 		"name":            {same, same, [2]float64{5, 5}, 0, "a"},
 		"not yet":         {func(a *Request) { a.NotBefore, a.Urgency = start+9*time.Hour, 9 }, same, [2]float64{5, 5}, 0, "a"},
 		"not before aged": {func(a *Request) { a.NotBefore = start + 2*time.Hour }, same, [2]float64{9, 1}, 3 * time.Hour, "z"},
@@ -371,22 +371,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newFixture(t, Limits{Site: 1, Lookahead: 1, AgeStep: time.Hour})
-			c.hosts[0].Value, c.hosts[1].Value = test.worth[0], test.worth[1]
+			c.hosts[0].Value, c.hosts[1].Value = test.value[0], test.value[1]
 			c.fleet()
-			c.ask("z", "h0", test.first)
+			c.request("z", "h0", test.first)
 			c.now += test.after
-			c.ask("a", "h1", test.second)
+			c.request("a", "h1", test.second)
 			c.settle()
 			c.phases([]Phase{Preparing}, test.want)
 		})
 	}
 	c := newFixture(t, Limits{})
-	c.ask("t0", "h0")
-	c.ask("t1", "h1")
-	for _, worth := range []float64{8.1, 7.9, 8.2, 7.8, 15.9, 16.5, 7} { // h1 stays at 10
-		c.hosts[0].Value = worth
+	c.request("t0", "h0")
+	c.request("t1", "h1")
+	for _, value := range []float64{8.1, 7.9, 8.2, 7.8, 15.9, 16.5, 7} { // h1 stays at 10
+		c.hosts[0].Value = value
 		c.fleet()
-		assert.Equal(t, []string{"t0", "t1"}, c.b.Order(c.now), worth)
+		assert.Equal(t, []string{"t0", "t1"}, c.b.Order(c.now), value)
 	}
 	c.hosts[0].Value = 40
 	c.fleet()
@@ -398,7 +398,7 @@
 	c.hosts[0].Groups, c.hosts[2].Groups = []string{"g", "x"}, []string{"g"}
 	c.fleet()
 	for i := range 3 {
-		c.ask(fmt.Sprint("t", i), c.hosts[i].ID)
+		c.request(fmt.Sprint("t", i), c.hosts[i].ID)
 	}
 	c.settle()
 	c.phases([]Phase{Preparing, Preparing, Requested}, "t0", "t1", "t2")
@@ -416,10 +416,10 @@
 		c := newFixture(t, Limits{Site: 4, Failed: 1, Zone: 1, Kind: 1, Lookahead: 4, AgeStep: time.Hour})
 		c.hosts = append(c.hosts, Host{ID: "h4", Zone: "c", Kind: "k", Failed: failed})
 		c.fleet()
-		c.ask("a", "h1") // zone a, kind l
+		c.request("a", "h1") // zone a, kind l
 		c.settle()
-		c.ask("t0", "h0") // zone a, kind k
-		c.ask("b", map[bool]string{false: "h2", true: "h3"}[failed])
+		c.request("t0", "h0") // zone a, kind k
+		c.request("b", map[bool]string{false: "h2", true: "h3"}[failed])
 		c.settle()
 		late, out := false, []string{"a", "b"}
 		for i := range 20 {
@@ -428,7 +428,7 @@
 			host := c.turn(id).Host
 			c.do(withdraw(id))
 			out[i%2] = id + "x"
-			c.ask(out[i%2], host)
+			c.request(out[i%2], host)
 			c.settle()
 			late = late || i > 10 && c.b.ofHost("h1").Phase == Preparing
 			if i == 0 && !failed {
@@ -442,16 +442,16 @@
 
 func TestT5NotForgotten(t *testing.T) {
 	c := newFixture(t, Limits{Site: 4, Lookahead: 4})
-	c.ask("t0", "h0")
-	c.ask("t1", "h1", func(a *Request) { a.FinishBy = c.now + 3*time.Hour })
-	c.ask("t2", "h2", func(a *Request) { a.FinishBy = c.now + 90*time.Minute })
+	c.request("t0", "h0")
+	c.request("t1", "h1", func(a *Request) { a.FinishBy = c.now + 3*time.Hour })
+	c.request("t2", "h2", func(a *Request) { a.FinishBy = c.now + 90*time.Minute })
 	c.settle()
 	c.grant("t0")
 	c.do(begin("t0"))
 	c.hosts = c.hosts[1:] // a missing host that has a turn is kept
 	c.fleet()
 	assert.True(t, c.b.Hosts()[0].Gone)
-	c.ask("t3", "h3", func(a *Request) { a.NotBefore = c.now + time.Minute })
+	c.request("t3", "h3", func(a *Request) { a.NotBefore = c.now + time.Minute })
 	c.refused(TooEarly, prepare("t3"))
 	c.hosts = c.hosts[:2]
 	c.fleet()
@@ -491,13 +491,13 @@
 	c.now -= 5 * time.Hour
 	for i := range 2 * keptOver {
 		id := fmt.Sprint("w", i)
-		c.ask(id, "h2")
+		c.request(id, "h2")
 		c.do(withdraw(id))
 	}
 	assert.Len(t, c.b.over, keptOver)
 	assert.Equal(t, at, c.b.At())
 	c.now = at
-	c.ask("g", "h2")
+	c.request("g", "h2")
 	c.settle()
 	c.grant("g")
 	c.now += time.Hour + 1
@@ -513,7 +513,7 @@
 	for _, banFirst := range []bool{false, true} {
 		c := newFixture(t, Limits{Site: 4, Lookahead: 4})
 		ban := func(banned bool) []Notice { c.hosts[0].Banned = banned; return c.fleet() }
-		c.ask("t0", "h0")
+		c.request("t0", "h0")
 		if banFirst {
 			ban(true)
 			round := c.index
@@ -541,10 +541,10 @@
 
 func TestRefusals(t *testing.T) {
 	c := newFixture(t, Limits{Site: 1, Lookahead: 1})
-	c.ask("t0", "h0")
-	c.ask("t0", "h0") // repeated: the same turn
+	c.request("t0", "h0")
+	c.request("t0", "h0") // repeated: the same turn
 	assert.Len(t, c.b.Turns(), 1)
-	ask := func(change func(a *Request)) Command {
+	request := func(change func(a *Request)) Command {
 		a := Request{ID: "t9", Host: "h1", Duration: time.Hour}
 		change(&a)
 		return Command{Request: &a}
@@ -555,12 +555,12 @@
 		reason Reason
 		cmd    Command
 	}{
-		{UnknownHost, ask(func(a *Request) { a.Host = "h9" })}, {HasTurn, ask(func(a *Request) { a.Host = "h0" })},
-		{OtherHost, ask(func(a *Request) { a.ID = "t0" })}, {Malformed, ask(func(a *Request) { a.Duration = 0 })},
-		{TooLong, ask(func(a *Request) { a.Duration = MaxDuration + 1 })}, {TooLate, ask(func(a *Request) { a.FinishBy = c.now + time.Minute })},
-		{TooLate, ask(func(a *Request) { a.FinishBy, a.NotBefore = c.now+2*time.Hour, c.now+2*time.Hour })},
-		{Malformed, ask(func(a *Request) { a.Urgency = math.MaxInt })}, {Malformed, ask(func(a *Request) { a.ID = "\xff" })},
-		{Malformed, ask(func(a *Request) { a.Requester = long })}, {UnknownTurn, withdraw(long)}, {WrongPhase, revoke("t0")},
+		{UnknownHost, request(func(a *Request) { a.Host = "h9" })}, {HasTurn, request(func(a *Request) { a.Host = "h0" })},
+		{OtherHost, request(func(a *Request) { a.ID = "t0" })}, {Malformed, request(func(a *Request) { a.Duration = 0 })},
+		{TooLong, request(func(a *Request) { a.Duration = MaxDuration + 1 })}, {TooLate, request(func(a *Request) { a.FinishBy = c.now + time.Minute })},
+		{TooLate, request(func(a *Request) { a.FinishBy, a.NotBefore = c.now+2*time.Hour, c.now+2*time.Hour })},
+		{Malformed, request(func(a *Request) { a.Urgency = math.MaxInt })}, {Malformed, request(func(a *Request) { a.ID = "\xff" })},
+		{Malformed, request(func(a *Request) { a.Requester = long })}, {UnknownTurn, withdraw(long)}, {WrongPhase, revoke("t0")},
 		{Malformed, Command{Withdraw: &Ref{ID: "t0", Why: long}}}, {Malformed, Command{Limits: &Limits{Site: -1}}},
 		{Malformed, members()}, {Malformed, members("b", "a")}, {Malformed, fleet(Host{ID: "h1"}, Host{ID: "h1"})},
 		{Malformed, fleet(Host{ID: "h1", Value: math.NaN()})}, {Malformed, fleet(Host{ID: "h1", Groups: []string{"b", "a"}})},
--- a/internal/choice/turns/walk_test.go
+++ b/internal/choice/turns/walk_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	ask := func() {
+	request := func() {
 		w.ids++
 		c.Request = &Request{ID: fmt.Sprint("t", w.ids-w.r.IntN(2)), Host: w.hosts[w.r.IntN(len(w.hosts))].ID, Urgency: w.r.IntN(3),
 			Duration: minutes(120), NotBefore: w.now + minutes(60) - 30*time.Minute}
@@ -81,7 +81,7 @@
 		do     func()
 	}{
 		{30, func() { c, _ = old.Next(w.now) }}, {15, grant}, {2, func() { c, _ = old.RevokeBlocked(w.now, views, time.Minute) }},
-		{8, ask}, {8, fleet}, {7, func() { c.Begin = ref() }}, {7, func() { c.Done = ref() }}, {1, func() { c.Withdraw = ref() }},
+		{8, request}, {8, fleet}, {7, func() { c.Begin = ref() }}, {7, func() { c.Done = ref() }}, {1, func() { c.Withdraw = ref() }},
 		{1, func() { c.Prepare = ref() }}, {1, func() { c.Revoke = ref() }}, {1, limits}, {1, func() { c = members(nodes...) }},
 		{1, func() { c = dead(n) }}, {2, func() { c = alive(n) }}, {11, acked},
 		{1, func() { c = exclusionSet(w.b.ExclusionSet().Version+uint64(w.r.IntN(3)), []string{"h1", "h2"}) }},
@@ -232,7 +232,7 @@
 		for range 1500 {
 			c.now += 10 * time.Minute
 			if h := c.hosts[r.IntN(len(c.hosts))]; c.b.ofHost(h.ID) == nil {
-				c.ask(fmt.Sprint("t", next), h.ID, func(a *Request) { a.Urgency, a.Duration = r.IntN(4), 20*time.Minute })
+				c.request(fmt.Sprint("t", next), h.ID, func(a *Request) { a.Urgency, a.Duration = r.IntN(4), 20*time.Minute })
 				next++
 			}
 			for _, turn := range c.b.Turns() {
@@ -269,7 +269,7 @@
 		c.do(Command{Limits: &Limits{Site: 6, Zone: 3, Failed: 3, Lookahead: 12}}, members(nodes...))
 		c.fleet()
 		for i := range size[1] {
-			c.ask(fmt.Sprint("t", i), c.hosts[i].ID)
+			c.request(fmt.Sprint("t", i), c.hosts[i].ID)
 		}
 		c.settle()
 		require.Len(bench, c.b.ExcludedHosts(), 6)
@@ -278,11 +278,11 @@
 			"next": func() { c.b.Next(c.now) }, "order": func() { c.b.Order(c.now) }, "outs": func() { c.b.ExcludedHosts() }, "due": func() { c.b.NextChange(c.now) },
 			"clone": func() { c.b.Clone() }, "encode": func() { _, _ = c.b.Encode() }, "fleet": func() { c.fleet() },
 			"ack": func() { c.apply(ack("n07", 1, c.b.ExclusionSet().Version)) },
-			"ask and withdraw": func() {
+			"request and withdraw": func() {
 				host := c.turn(last).Host
 				c.apply(withdraw(last))
 				last = fmt.Sprint("x", c.index)
-				c.ask(last, host)
+				c.request(last, host)
 			},
 			"prepare, refused": func() { c.apply(prepare(last)) },
 		} {
--- a/internal/choice/watch/property_test.go
+++ b/internal/choice/watch/property_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-func newWorld(seed uint64, terms Terms) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 0)), watch: Watch{Terms: terms, HasList: true}, now: time.Second, end: never,
+func newWorld(seed uint64, terms Settings) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 0)), watch: Watch{Settings: terms, HasList: true}, now: time.Second, end: never,
 		wake: never, slowest: CallWithin - 2*time.Millisecond} // the slowest that is still served
 	from := 5*time.Second + time.Duration(w.rng.Int64N(int64(10*time.Second)))
 	w.out = outage{from: from, to: from + time.Duration(w.rng.Int64N(int64(12*time.Second))), mode: failureMode(w.rng.IntN(modeCount)),
@@ -165,7 +165,7 @@
 func TestTheListIsThereWithinSixSecondsOfTheReturn(t *testing.T) {
 	var worst time.Duration
 	for seed := range uint64(seeds) {
-		terms := asks
+		terms := polled
 		if seed%3 == 0 {
 			terms = pushed
 			terms.Grace = 4 * time.Second // discovery is as slow as allowed here, unlike an agent
@@ -186,7 +186,7 @@
 // made if that is later.
 func TestChangeMissedByUnresponsiveWatchIsThereWithinSixSeconds(t *testing.T) {
 	for seed := range uint64(seeds) {
-		w := newWorld(seed, asks)
+		w := newWorld(seed, polled)
 		w.out = outage{from: w.out.from, to: w.out.from, unresponsive: true} // affects only open watches
 		w.change(w.out.from + time.Duration(w.rng.Int64N(int64(8*time.Second))))
 		w.run(w.out.to + 20*time.Second)
@@ -230,7 +230,7 @@
 	const nodes, down = 300, 20 * time.Second
 	inSecond, all := map[time.Duration]int{}, 0
 	for seed := range uint64(nodes) {
-		w := newWorld(seed, asks)
+		w := newWorld(seed, polled)
 		w.out = outage{from: 5 * time.Second, to: 5*time.Second + down, mode: refuses}
 		w.step(Start)
 		for before := w.calls; w.now < w.out.to; before = w.calls {
--- a/internal/choice/watch/watch.go
+++ b/internal/choice/watch/watch.go
@@ -7,7 +7,7 @@
 //	W1  Once discovery can be reached and answers each call within CallWithin, the node has its list within ListWithin.
 //	W2  A change that an unresponsive watch misses is there ListWithin after it stopped responding, or CallWithin after the
 //	    change was made, whichever is later.
-//	W3  With Terms.Push, a failed call is followed by the next one within AgentRetry, and a call without a hold is given up
+//	W3  With Settings.Push, a failed call is followed by the next one within AgentRetry, and a call without a hold is given up
 //	    after half of the drain grace period, except for every fourth in a row.
 //	W4  After discovery's address has changed, two calls have their full time within RelocateWithin.
 //	W5  While the address has not changed, the full list is requested only if there is none, or if the changes received were
@@ -57,11 +57,11 @@
 	patientEvery = 4
 )
 
-// Terms are the settings about discovery.
-type Terms struct {
-	Push      bool          // lists are pushed: discovery is a local agent, and what it has counts as known at once
-	AskWithin time.Duration // without a watch, the list has to be requested this often; 0: not set
-	Grace     time.Duration // how long after a drain was announced sends must have ended
+// Settings are the settings about discovery.
+type Settings struct {
+	Push         bool          // lists are pushed: discovery is a local agent, and what it has counts as known at once
+	PollInterval time.Duration // without a watch, the list has to be requested this often; 0: not set
+	Grace        time.Duration // how long after a drain was announced sends must have ended
 }
 
 // Phase is the node's current activity.
@@ -113,10 +113,10 @@
 	Wake time.Duration // deliver TimerFired then, instead of at the time set before; 0: no change
 }
 
-// Watch is the state. With Terms and HasList set and all else zero it has not started.
+// Watch is the state. With Settings and HasList set and all else zero it has not started.
 type Watch struct {
-	Terms   Terms
-	HasList bool // there is a list that changes can be applied to
+	Settings Settings
+	HasList  bool // there is a list that changes can be applied to
 
 	Phase      Phase
 	Form       Form          // of the call in progress or of the last one
@@ -163,7 +163,7 @@
 
 // start schedules the first call: immediately to an agent, otherwise spread, as many nodes may start together.
 func (w Watch) start(e Event) (Watch, Action) {
-	if w.Terms.Push {
+	if w.Settings.Push {
 		return w.call(e.Now)
 	}
 	w.Phase = Pausing
@@ -191,7 +191,7 @@
 	}
 	w.Failures++
 	// A call that waits would notice too late that the agent has stopped responding.
-	w.Resume = e.Kind == ConnectionLost && w.Failures == 1 && w.Form == LongPoll && !w.Terms.Push
+	w.Resume = e.Kind == ConnectionLost && w.Failures == 1 && w.Form == LongPoll && !w.Settings.Push
 	w.Phase = Pausing
 	return w, Action{Drop: true, Wake: e.Now + w.pause(e)}
 }
@@ -203,8 +203,8 @@
 		return Hold + HoldOverrun
 	case w.relocating(now):
 		return relocateCall
-	case w.Terms.Push && w.Unanswered%patientEvery != patientEvery-1:
-		return min(max(w.Terms.Grace/2, AgentRetry), CallWithin)
+	case w.Settings.Push && w.Unanswered%patientEvery != patientEvery-1:
+		return min(max(w.Settings.Grace/2, AgentRetry), CallWithin)
 	}
 	return CallWithin
 }
@@ -214,14 +214,14 @@
 	switch {
 	case w.relocating(e.Now):
 		return upperHalf(RelocateRetry, e.Random)
-	case w.Terms.Push:
+	case w.Settings.Push:
 		return upperHalf(AgentRetry, e.Random)
 	case w.Form == LongPoll:
 		return scaled(Spread, e.Random)
 	}
 	longest := min(BackoffMin<<min(w.Failures-1, 4), BackoffMax)
-	if w.Terms.AskWithin > 0 {
-		longest = min(longest, max(w.Terms.AskWithin/2, AgentRetry))
+	if w.Settings.PollInterval > 0 {
+		longest = min(longest, max(w.Settings.PollInterval/2, AgentRetry))
 	}
 	return upperHalf(longest, e.Random)
 }
--- a/internal/choice/watch/watch_test.go
+++ b/internal/choice/watch/watch_test.go
@@ -17,8 +17,8 @@
 	last Action
 }
 
-func begin(terms Terms, listed bool) *fixture {
-	return &fixture{Watch: Watch{Terms: terms, HasList: listed}, now: time.Hour}
+func begin(terms Settings, listed bool) *fixture {
+	return &fixture{Watch: Watch{Settings: terms, HasList: listed}, now: time.Hour}
 }
 
 // on delivers an event now.
@@ -36,7 +36,7 @@
 }
 
 // watching returns a watch that waits for changes.
-func watching(terms Terms) *fixture {
+func watching(terms Settings) *fixture {
 	p := begin(terms, true)
 	if p.on(Start); !p.last.Call {
 		p.due()
@@ -46,8 +46,8 @@
 }
 
 var (
-	asks   = Terms{AskWithin: 10 * time.Second, Grace: 2 * time.Second}
-	pushed = Terms{Push: true, Grace: 2 * time.Second}
+	polled = Settings{PollInterval: 10 * time.Second, Grace: 2 * time.Second}
+	pushed = Settings{Push: true, Grace: 2 * time.Second}
 )
 
 // Term 1: a change at discovery counts as known 6 s after discovery had it and could be reached.
@@ -61,7 +61,7 @@
 
 // Term 2: an unresponsive watch is ended and called again, in time for an answer within 6 s.
 func TestUnresponsiveWatchIsCalledAgain(t *testing.T) {
-	p := watching(asks)
+	p := watching(polled)
 	assert.Equal(t, Action{Call: true, Form: LongPoll, Wake: p.now + Hold + HoldOverrun}, p.last)
 	took := p.due()
 	assert.True(t, p.last.Drop, "its late answer is dropped")
@@ -74,7 +74,7 @@
 
 // The same for a poll that gets no answer, as does each call after it: none is followed by a pause of more than BackoffMax.
 func TestUnresponsivePollIsCalledAgain(t *testing.T) {
-	p := begin(asks, true)
+	p := begin(polled, true)
 	p.on(Start)
 	p.due()
 	for range 20 {
@@ -99,7 +99,7 @@
 			[]time.Duration{Spread, 2 * BackoffMin, 4 * BackoffMin, BackoffMax}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := watching(asks)
+			p := watching(polled)
 			for i, form := range c.forms {
 				p.on(c.kind)
 				assert.True(t, p.last.Drop)
@@ -115,7 +115,7 @@
 
 // Nodes that lose their watches together do not call at the same time.
 func TestCallsAreSpread(t *testing.T) {
-	for _, p := range []*fixture{begin(asks, true), watching(asks)} {
+	for _, p := range []*fixture{begin(polled, true), watching(polled)} {
 		seen := map[time.Duration]bool{}
 		for i := range 100 {
 			kind := Refused
@@ -133,7 +133,7 @@
 // Term 3: without a watch, the list is requested within the polling interval of the settings, however short it is.
 func TestTheBackoffKeepsToThePollingTime(t *testing.T) {
 	for _, within := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second, 10 * time.Minute} {
-		p := watching(Terms{AskWithin: within, Grace: time.Second})
+		p := watching(Settings{PollInterval: within, Grace: time.Second})
 		for range 20 {
 			p.on(Refused)
 			assert.LessOrEqual(t, p.due(), min(within, BackoffMax), "of %s", within)
@@ -163,7 +163,7 @@
 	for grace, want := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: AgentRetry, time.Second: 500 * time.Millisecond, time.Minute: CallWithin,
 	} {
-		p := begin(Terms{Push: true, Grace: grace}, true)
+		p := begin(Settings{Push: true, Grace: grace}, true)
 		p.on(Start)
 		for i := range 12 {
 			took := p.due()
@@ -180,8 +180,8 @@
 // After SIGHUP the new address is asked immediately for the full list, and again so soon that two calls have their time within 4
 // s, whatever was in progress: a call, a pause, another change of address.
 func TestAddressChangeIsFollowedAtOnce(t *testing.T) {
-	for name, p := range map[string]*fixture{"a watch": watching(asks), "an agent": watching(pushed), "a call": begin(asks, true),
-		"a pause": watching(asks), "many failures": watching(asks), "another move": watching(asks)} {
+	for name, p := range map[string]*fixture{"a watch": watching(polled), "an agent": watching(pushed), "a call": begin(polled, true),
+		"a pause": watching(polled), "many failures": watching(polled), "another change": watching(polled)} {
 		t.Run(name, func(t *testing.T) {
 			switch name {
 			case "a call":
@@ -194,7 +194,7 @@
 					p.on(Refused)
 					p.due()
 				}
-			case "another move":
+			case "another change":
 				p.on(AddressChanged)
 				p.now += time.Second
 			}
@@ -217,7 +217,7 @@
 
 // W5: only a change of address, a start without a list and changes relative to an older list make a call for the full list.
 func TestFullListIsRequestedOnlyIfNecessary(t *testing.T) {
-	p := begin(asks, false)
+	p := begin(polled, false)
 	p.on(Start)
 	p.due()
 	assert.Equal(t, FullList, p.last.Form)
@@ -237,14 +237,14 @@
 
 // A late end of a call that was given up, or a second start, changes nothing.
 func TestEventsOutOfPlaceChangeNothing(t *testing.T) {
-	pausing := watching(asks)
+	pausing := watching(polled)
 	pausing.on(Refused)
-	calling := watching(asks)
+	calling := watching(polled)
 	for _, c := range []struct {
 		w     Watch
 		kinds []Kind
 	}{
-		{Watch{Terms: asks}, []Kind{Answered, ConnectionLost, Refused, Outdated, TimerFired}},
+		{Watch{Settings: polled}, []Kind{Answered, ConnectionLost, Refused, Outdated, TimerFired}},
 		{pausing.Watch, []Kind{Start, Answered, ConnectionLost, Refused, Outdated}},
 		{calling.Watch, []Kind{Start}},
 	} {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -50,15 +50,15 @@
 // New returns a client that asks discovery at an address, once it is started. The seed is for the spread of its calls.
 func New(log *slog.Logger, loop *evloop.Loop, core *query.Core, address string, set balance.Settings, seed uint64) *Client {
 	return &Client{log: log, loop: loop, core: core, address: address, hosts: make(map[balance.ServerID]string),
-		watch: watch.Watch{Terms: termsOf(set)}, chance: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
+		watch: watch.Watch{Settings: termsOf(set)}, chance: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
 }
 
-func termsOf(set balance.Settings) watch.Terms {
-	return watch.Terms{Push: !set.ListOnRequest, AskWithin: set.Safety.AskWithin, Grace: set.Safety.DrainGrace}
+func termsOf(set balance.Settings) watch.Settings {
+	return watch.Settings{Push: !set.ListOnRequest, PollInterval: set.Safety.AskWithin, Grace: set.Safety.DrainGrace}
 }
 
 // Retune takes new settings up, from the next call on.
-func (c *Client) Retune(set balance.Settings) { c.watch.Terms = termsOf(set) }
+func (c *Client) Retune(set balance.Settings) { c.watch.Settings = termsOf(set) }
 
 // Endpoint returns a host's address, or "" for one that is not listed.
 func (c *Client) Endpoint(server balance.ServerID) string { return c.hosts[server] }
--- a/rehearsal/turnsmodel/plants.go
+++ b/rehearsal/turnsmodel/plants.go
@@ -26,7 +26,7 @@
 	answer   func(s *State, node int, a sendlease.LeaseResponse) sendlease.LeaseResponse // before it is taken in
 	verdict  func(n *Node, v sendlease.Restrictions) sendlease.Restrictions
 	outs     func(view *record) []sendlease.ExcludedHost // that an answer tells
-	fleet    func(s *State, f *turns.Fleet)     // that the leader looks at
+	fleet    func(s *State, f *turns.Fleet)              // that the leader looks at
 	clear    func(s *State, seat int, t turns.Turn, views []turns.NodeView) []turns.Blocker
 }
 
--- a/rehearsal/turnsmodel/state.go
+++ b/rehearsal/turnsmodel/state.go
@@ -1,5 +1,5 @@
 // Package turnsmodel is a model of the rights to send and of the turns for work: the real sendlease.Holder, sendlease.Table and
-// turns.Book in a world of nodes that are cut off, stopped and started again, of loops that are late, of messages that are
+// turns.Schedule in a world of nodes that are cut off, stopped and started again, of loops that are late, of messages that are
 // lost, late and repeated, and of a leader that goes on believing that it leads. rehearsal/model visits all of it.
 //
 // The council's log is taken for granted: what is committed is committed in one order, and a leader that a quorum has
@@ -245,17 +245,17 @@
 	Told     bool // it was answered since its store is there
 	Holder   *sendlease.Holder
 	Durable  *sendlease.Saved
-	Writing  *sendlease.Saved   // on its way into the store; nil: nothing
-	Older    *sendlease.Saved   // what stood in the store before, for the bug that puts it back
+	Writing  *sendlease.Saved        // on its way into the store; nil: nothing
+	Older    *sendlease.Saved        // what stood in the store before, for the bug that puts it back
 	Loop     *sendlease.Restrictions // that the loop goes by
 	Queue    *sendlease.Restrictions // for the loop; nil: none
 	Word     *sendlease.Restrictions // that the loop has taken, not heard of by control; nil: none
-	Calls    [calls]Call        // by their numbers; the first free ones last
-	Cut      bool               // it calls nobody
-	heard    uint64             // up to where the last answer of a call that is one step told, which the holder knows too
-	recorded uint64             // and what it said of the node's horizon
-	Excused  bool               // it was declared dead, and was not answered since it was taken in: it may send anywhere
-	Late     time.Duration      // end of the right by a planted bug
+	Calls    [calls]Call             // by their numbers; the first free ones last
+	Cut      bool                    // it calls nobody
+	heard    uint64                  // up to where the last answer of a call that is one step told, which the holder knows too
+	recorded uint64                  // and what it said of the node's horizon
+	Excused  bool                    // it was declared dead, and was not answered since it was taken in: it may send anywhere
+	Late     time.Duration           // end of the right by a planted bug
 }
 
 // State is a state of the world. It is a value: a step copies what it changes.
