--- a/internal/choice/hostview/merge.go
+++ b/internal/choice/hostview/merge.go
@@ -86,13 +86,13 @@
 	return slices.Sorted(maps.Keys(have))
 }
 
-// merged returns a host from the current lists that have its latest start and belong to nodes that knew the log up to index done
+// merged returns a host from the current lists that have its latest start and belong to nodes that knew the log up to doneIndex
 // when they observed it. It is unsure if there are none, or if the host is Returning and no majority of the current lists reports
 // it so, or half of them lack it.
 func merged(id string, current []*view, doneIndex uint64) (h turns.Host, unsure bool) {
-	var youngest time.Duration
+	var latestStart time.Duration
 	for _, v := range current {
-		youngest = max(youngest, v.hosts[id].Start)
+		latestStart = max(latestStart, v.hosts[id].Start)
 	}
 	zones, kinds := map[string]int{}, map[string]int{}
 	counted, draining, cold, lack := 0, 0, 0, 0
@@ -101,7 +101,7 @@
 		if !has {
 			lack++
 		}
-		if !has || reported.Start != youngest {
+		if !has || reported.Start != latestStart {
 			continue
 		}
 		zones[reported.Zone]++
--- a/internal/choice/hostview/reporter.go
+++ b/internal/choice/hostview/reporter.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// homes returns the groups to name, by host, sorted: those with a large share of what this node holds for some observations. For
-// a group that is not named yet, the value that the node holds now counts too: after a start the smoothed sum is still far below
-// it.
+// homes returns the groups to name, by host, sorted: those that have had a large share of what this node holds for some
+// observations. A group that is not named yet needs that share of the current total too: after a start the smoothed total is
+// still far below it.
 func (r *Reporter) homes(all []Group, current float64) map[string][]string {
 	for _, g := range r.groups {
 		g.smoothed -= g.smoothed / window
@@ -175,7 +175,7 @@
 }
 
 // Acknowledge records the version that the leader reports to have, and returns whether the node should send another request at
-// once: a new leader has nothing.
+// once: a new leader has nothing of it.
 func (r *Reporter) Acknowledge(has uint64) (again bool) {
 	again = has == 0 && r.leaderHas > 0
 	r.leaderHas = has
--- a/internal/choice/hostview/walk_test.go
+++ b/internal/choice/hostview/walk_test.go
@@ -16,21 +16,21 @@
 // walk has nodes whose lists are late, stale or current, a leader that changes, and calls that are lost, late, repeated and
 // overtaken, checked against what each node really observed.
 type walk struct {
-	r      *rand.Rand
-	bug    string
-	now    time.Duration
-	index  uint64
-	c      *Aggregator
-	nodes  []*walker
-	hosts  map[string][]Host // as discovery had them, the newest last; one without an id: not there
-	back   map[string]uint64
-	calls  []func()
-	merged []turns.Host
-	wrong  string
-	ended  int
+	r           *rand.Rand
+	bug         string
+	now         time.Duration
+	index       uint64
+	c           *Aggregator
+	nodes       []*simulatedNode
+	hosts       map[string][]Host // as discovery had them, the newest last; one without an id: not there
+	doneIndexes map[string]uint64
+	calls       []func()
+	merged      []turns.Host
+	wrong       string
+	ended       int
 }
 
-type walker struct {
+type simulatedNode struct {
 	name         string
 	p            Process
 	seq          uint64
@@ -53,7 +53,7 @@
 
 }
 
-func (w *walk) observe(n *walker) {
+func (w *walk) observe(n *simulatedNode) {
 	l := Observation{AppliedIndex: n.known, Stale: n.late > 1, Values: map[string]float64{}}
 
 	for _, id := range []string{"a", "b", "c"} {
@@ -75,7 +75,7 @@
 	n.observations[key].heads[[2]any{l.AppliedIndex, l.Stale}] = true
 }
 
-func (w *walk) report(n *walker) {
+func (w *walk) report(n *simulatedNode) {
 	p, any := n.r.Report()
 	if !any {
 		return
@@ -129,7 +129,7 @@
 }
 
 // check verifies C1.
-func (w *walk) check(n *walker) {
+func (w *walk) check(n *simulatedNode) {
 	v := w.c.nodes[n.name]
 	if v == nil {
 		return
@@ -154,7 +154,7 @@
 // merge merges at the leader and checks C2 to C6 against the nodes' held observations.
 func (w *walk) merge() {
 	t := MergeParams{MaxAge: 20 * time.Second, LeaderWait: 5 * time.Second, Members: []string{"n0", "n1", "n2", "n3", "n4"}, Previous: w.merged,
-		Returning: w.back}
+		Returning: w.doneIndexes}
 	c, buggy := w.c, &Aggregator{since: w.c.since, nodes: map[string]*view{}}
 	if w.bug != "" {
 		for name, v := range w.c.nodes {
@@ -192,13 +192,13 @@
 		}
 	}
 	quiet := len(current) == 0 || 2*fresh <= len(w.nodes) && w.now-w.c.since < 5*time.Second
-	lacks, youngest := map[string]int{}, map[string]time.Duration{}
+	lacks, latestStart := map[string]int{}, map[string]time.Duration{}
 	for _, id := range []string{"a", "b", "c"} {
 		for _, v := range current {
 			if h, has := v.hosts[id]; !has {
 				lacks[id]++
 			} else {
-				youngest[id] = max(youngest[id], h.Start)
+				latestStart[id] = max(latestStart[id], h.Start)
 			}
 		}
 		in := func(all []turns.Host) bool {
@@ -209,13 +209,13 @@
 		}
 	}
 	for _, h := range f.Hosts {
-		back, returning := w.back[h.ID]
+		doneIndex, returning := w.doneIndexes[h.ID]
 		if h.Failed || !returning {
 			continue
 		}
 		knows, so := 0, false // nodes that observed it since, and whether one of them reports this state
 		for _, v := range current {
-			if seen, has := v.hosts[h.ID]; has && v.appliedIndex >= back && seen.Start == youngest[h.ID] {
+			if seen, has := v.hosts[h.ID]; has && v.appliedIndex >= doneIndex && seen.Start == latestStart[h.ID] {
 				knows++
 				so = so || !seen.Draining && (seen.Warm || !h.Warm)
 			}
@@ -224,7 +224,7 @@
 			w.fail("%s is reported back, but only %d of %d lists know", h.ID, knows, len(current))
 		}
 		if h.Warm {
-			delete(w.back, h.ID)
+			delete(w.doneIndexes, h.ID)
 			w.ended++
 		}
 	}
@@ -256,10 +256,10 @@
 		case h.ID == "" || w.r.IntN(4) == 0: // it has restarted
 			h = Host{ID: id, Start: w.now}
 			w.index++
-			w.back[id] = w.index // its work is reported done
+			w.doneIndexes[id] = w.index // its work is reported done
 		case w.r.IntN(3) == 0:
 			h = Host{}
-			delete(w.back, id)
+			delete(w.doneIndexes, id)
 		case w.r.IntN(3) == 0:
 			h.Draining, h.Warm = !h.Draining, false
 		default:
@@ -282,12 +282,12 @@
 
 func walks(bug string, seeds uint64) (wrong string, ended int) {
 	for seed := range seeds {
-		w := &walk{r: rand.New(rand.NewPCG(seed, 1)), bug: bug, c: New(0), hosts: map[string][]Host{}, back: map[string]uint64{}}
+		w := &walk{r: rand.New(rand.NewPCG(seed, 1)), bug: bug, c: New(0), hosts: map[string][]Host{}, doneIndexes: map[string]uint64{}}
 		for _, id := range []string{"a", "b", "c"} {
 			w.hosts[id] = []Host{{ID: id, Start: 1, Warm: true}}
 		}
 		for i := range 5 {
-			w.nodes = append(w.nodes, &walker{name: fmt.Sprint("n", i), p: Process{1, 1}, r: NewReporter(), observations: map[held]observed{}})
+			w.nodes = append(w.nodes, &simulatedNode{name: fmt.Sprint("n", i), p: Process{1, 1}, r: NewReporter(), observations: map[held]observed{}})
 		}
 		for i := 0; i < 4000 && w.wrong == ""; i++ {
 			w.step()
--- a/internal/choice/sendlease/holder.go
+++ b/internal/choice/sendlease/holder.go
@@ -8,8 +8,8 @@
 
 // Saved is what a node's store holds.
 type Saved struct {
-	Incarnation   uint64         `json:"Life"`     // incarnation of the store, set by the caller when it creates it, higher than earlier ones; 0: no store yet
-	ExclusionSets []ExclusionSet `json:"Horizons"` // those the Raft group may rely on, ascending by version; version 0 means none. Empty: never answered
+	Incarnation   uint64         `json:"Life"`     // set by the caller when it creates the store, higher than earlier ones; 0: no store yet
+	ExclusionSets []ExclusionSet `json:"Horizons"` // that the Raft group may rely on, by version; version 0: none. Empty: never answered
 	Recorded      uint64         // the newest version that the Raft group is known to have recorded
 	ExcludedHosts []ExcludedHost `json:"Outs"` // sorted by host
 	Applied       uint64         // log index of the answer; may be lower than that of the last answer if that one changed nothing
@@ -180,7 +180,8 @@
 
 // Restrictions returns the complete restrictions that the event loop has to apply.
 func (h *Holder) Restrictions() Restrictions {
-	v := Restrictions{ExcludedHosts: slices.Clone(h.known.ExcludedHosts), LeaseEnd: h.leaseEnd, AllAfterExpiry: !h.known.coversRecorded(), ExclusionSetVersion: h.known.newest()}
+	v := Restrictions{ExcludedHosts: slices.Clone(h.known.ExcludedHosts), LeaseEnd: h.leaseEnd, AllAfterExpiry: !h.known.coversRecorded(),
+		ExclusionSetVersion: h.known.newest()}
 	for _, z := range h.known.ExclusionSets {
 		v.ExcludedAfterExpiry = append(v.ExcludedAfterExpiry, z.Hosts...)
 	}
@@ -211,7 +212,8 @@
 }
 
 func (v Restrictions) equal(o Restrictions) bool {
-	return v.LeaseEnd == o.LeaseEnd && v.AllAfterExpiry == o.AllAfterExpiry && v.ExclusionSetVersion == o.ExclusionSetVersion && slices.Equal(v.ExcludedHosts, o.ExcludedHosts) &&
+	return v.LeaseEnd == o.LeaseEnd && v.AllAfterExpiry == o.AllAfterExpiry && v.ExclusionSetVersion == o.ExclusionSetVersion &&
+		slices.Equal(v.ExcludedHosts, o.ExcludedHosts) &&
 		slices.Equal(v.ExcludedAfterExpiry, o.ExcludedAfterExpiry)
 }
 
--- a/internal/choice/sendlease/property_test.go
+++ b/internal/choice/sendlease/property_test.go
@@ -29,10 +29,10 @@
 
 // replica is one of two that lead alternately. One that was stopped still believes that it leads, and its view does not advance.
 type replica struct {
-	table    *Table
-	believes bool
-	view     int // log index
-	pending  []call
+	table          *Table
+	believesLeader bool
+	view           int // log index
+	pending        []call
 }
 
 // world is one node and its Raft group, in true time. The clocks of the node and the replicas drift apart by at most Terms.Drift.
@@ -52,7 +52,7 @@
 	writing           *Saved
 	loop              Restrictions
 	queue             []Restrictions // the latest only
-	taken             []Restrictions // applied by the loop; the confirmations are still in transit
+	appliedByLoop     []Restrictions // applied by the loop; the confirmations are still in transit
 	answeredRequestAt time.Duration  // by the node's clock, of the newest answered request
 	sentAt            map[uint64]time.Duration
 	requests          []call
@@ -81,7 +81,7 @@
 func (w *world) start() {
 	w.process++
 	w.h = NewHolder(terms, "n", w.durable)
-	w.loop, w.queue, w.taken, w.responsesInFlight, w.writing = w.h.Restrictions(), nil, nil, nil, nil
+	w.loop, w.queue, w.appliedByLoop, w.responsesInFlight, w.writing = w.h.Restrictions(), nil, nil, nil, nil
 	w.sentAt, w.answeredRequestAt, w.leaseEnd, w.responses = map[uint64]time.Duration{}, -time.Hour, 0, map[uint64]LeaseResponse{}
 }
 
@@ -116,7 +116,7 @@
 		return fmt.Sprint("requests ", q)
 	case k < 12: // a request arrives; only a leader that a quorum then confirms may answer it
 		if q, ok := pick(w, &w.requests, keep); ok {
-			if rep.believes {
+			if rep.believesLeader {
 				rep.table.RecordConfirmed(w.at(i), q.LeaseRequest)
 				if top := w.top(); q.Acked > top.acked || q.Acked == top.acked && q.Acked > 0 && q.Incarnation != top.ackIncarnation {
 					top.ackIncarnation, top.acked = q.Incarnation, q.Acked
@@ -174,13 +174,13 @@
 	case k < 30:
 		if len(w.queue) > 0 {
 			w.loop, w.queue = w.queue[0], nil
-			w.taken = append(w.taken, w.loop)
+			w.appliedByLoop = append(w.appliedByLoop, w.loop)
 			return fmt.Sprint("loop applies ", w.loop)
 		}
 	case k < 33:
-		if len(w.taken) > 0 {
-			w.h.MarkInEffect(w.taken[0])
-			w.taken = w.taken[1:]
+		if len(w.appliedByLoop) > 0 {
+			w.h.MarkInEffect(w.appliedByLoop[0])
+			w.appliedByLoop = w.appliedByLoop[1:]
 			return "loop confirms"
 		}
 	case k == 33: // the process restarts, possibly during a write
@@ -193,13 +193,13 @@
 		w.start()
 		return fmt.Sprint("node starts with ", w.durable)
 	case k == 34: // leadership changes, or the former leader learns that it has
-		if other := w.replicas[1-w.lead]; other.believes {
+		if other := w.replicas[1-w.lead]; other.believesLeader {
 			other.table.Resign()
-			other.believes = false
+			other.believesLeader = false
 			return "former leader resigns"
 		}
 		w.lead = 1 - w.lead
-		w.replicas[w.lead].believes, w.replicas[w.lead].view = true, len(w.log)-1
+		w.replicas[w.lead].believesLeader, w.replicas[w.lead].view = true, len(w.log)-1
 		w.replicas[w.lead].table.BecomeLeader(w.at(w.lead))
 		return fmt.Sprint("leads now: ", w.lead)
 	case k == 35 || k == 36: // a host is excluded or is back
@@ -257,7 +257,7 @@
 		}
 	}
 	for i, s := range w.replicas {
-		if !s.believes {
+		if !s.believesLeader {
 			continue
 		}
 		view := w.log[s.view]
@@ -298,7 +298,7 @@
 				w.replicas[i] = &replica{table: NewTable(terms)}
 			}
 		}
-		w.replicas[0].believes = true
+		w.replicas[0].believesLeader = true
 		w.replicas[0].table.BecomeLeader(0)
 		w.start()
 		for range 1000 {
--- a/internal/choice/turns/refused.go
+++ b/internal/choice/turns/refused.go
@@ -45,7 +45,8 @@
 	"no such node at this site", "no such exclusion set", "the host has a turn already", "the turn's ID is in use for another host",
 	"the work would last too long", "it cannot be finished in time", "too many turns wait", "the turn is in another phase",
 	"the turn is in another round", "it is too early", "too many hosts have failed", "no more hosts may be out",
-	"another home of a group is out", "the node has a newer store", "the node is declared dead", "the exclusion set lacks a host that is out, or is not newer than the last"}
+	"another home of a group is out", "the node has a newer store", "the node is declared dead",
+	"the exclusion set lacks a host that is out, or is not newer than the last"}
 
 func (r Reason) String() string { return reasonTexts[r] }
 
--- a/internal/choice/watch/property_test.go
+++ b/internal/choice/watch/property_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-func newWorld(seed uint64, terms Settings) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 0)), watch: Watch{Settings: terms, HasList: true}, now: time.Second, end: never,
+func newWorld(seed uint64, settings Settings) *world {
+	w := &world{rng: rand.New(rand.NewPCG(seed, 0)), watch: Watch{Settings: settings, HasList: true}, now: time.Second, end: never,
 		wake: never, slowest: CallWithin - 2*time.Millisecond} // the slowest that is still served
 	from := 5*time.Second + time.Duration(w.rng.Int64N(int64(10*time.Second)))
 	w.out = outage{from: from, to: from + time.Duration(w.rng.Int64N(int64(12*time.Second))), mode: failureMode(w.rng.IntN(modeCount)),
@@ -165,12 +165,12 @@
 func TestTheListIsThereWithinSixSecondsOfTheReturn(t *testing.T) {
 	var worst time.Duration
 	for seed := range uint64(seeds) {
-		terms := polled
+		settings := polled
 		if seed%3 == 0 {
-			terms = pushed
-			terms.Grace = 4 * time.Second // discovery is as slow as allowed here, unlike an agent
+			settings = pushed
+			settings.Grace = 4 * time.Second // discovery is as slow as allowed here, unlike an agent
 		}
-		w := newWorld(seed, terms)
+		w := newWorld(seed, settings)
 		w.change(w.out.from + time.Duration(w.rng.Float64()*float64(w.out.to-w.out.from)))
 		w.run(w.out.to + 20*time.Second)
 		require.NotZero(t, w.known[0], "seed %d: never: %+v", seed, w.out)
--- a/internal/choice/watch/watch.go
+++ b/internal/choice/watch/watch.go
@@ -52,8 +52,8 @@
 	RelocateRetry = 100 * time.Millisecond
 	// relocateCall is the time limit of such a call; two calls fit into RelocateWithin.
 	relocateCall = RelocateWithin/2 - RelocateRetry
-	// patientEvery: every fourth unanswered call in a row gets CallWithin whatever the grace period, so that an agent that always
-	// needs longer than half of it still gets its answer through.
+	// patientEvery is the interval of unanswered calls in a row at which one gets CallWithin whatever the grace period: every
+	// fourth, so that an agent that always needs longer than half of it still gets its answer through.
 	patientEvery = 4
 )
 
--- a/internal/choice/watch/watch_test.go
+++ b/internal/choice/watch/watch_test.go
@@ -17,8 +17,8 @@
 	last Action
 }
 
-func begin(terms Settings, listed bool) *fixture {
-	return &fixture{Watch: Watch{Settings: terms, HasList: listed}, now: time.Hour}
+func begin(settings Settings, listed bool) *fixture {
+	return &fixture{Watch: Watch{Settings: settings, HasList: listed}, now: time.Hour}
 }
 
 // on delivers an event now.
@@ -36,8 +36,8 @@
 }
 
 // watching returns a watch that waits for changes.
-func watching(terms Settings) *fixture {
-	p := begin(terms, true)
+func watching(settings Settings) *fixture {
+	p := begin(settings, true)
 	if p.on(Start); !p.last.Call {
 		p.due()
 	}
@@ -89,9 +89,9 @@
 // A watch that lost its connection is called again within Spread, as a watch; from then on calls do not wait and back off.
 func TestPausesAfterFailures(t *testing.T) {
 	for name, c := range map[string]struct {
-		kind  Kind
-		forms []Form
-		most  []time.Duration
+		kind    Kind
+		forms   []Form
+		longest []time.Duration
 	}{
 		"broken": {ConnectionLost, []Form{LongPoll, Changes, Changes, Changes, Changes},
 			[]time.Duration{Spread, Spread, time.Second, BackoffMax, BackoffMax}},
@@ -105,8 +105,8 @@
 				assert.True(t, p.last.Drop)
 				assert.False(t, p.last.Call)
 				pause := p.due()
-				assert.LessOrEqual(t, pause, c.most[i])
-				assert.Greater(t, pause, c.most[i]*9/10, "with the greatest random value")
+				assert.LessOrEqual(t, pause, c.longest[i])
+				assert.Greater(t, pause, c.longest[i]*9/10, "with the greatest random value")
 				assert.Equal(t, form, p.last.Form)
 			}
 		})
