--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lichenhitch/internal/boottime"
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/choice/sitesync"
 	"lichenhitch/internal/choice/turns"
 	"lichenhitch/internal/consensus"
@@ -58,7 +58,7 @@
 	inbox   chan func()
 	core    *Core // of the thread
 
-	verdict latest[rights.Verdict]
+	verdict latest[sendlease.Restrictions]
 	policy  latest[Policy]
 
 	stop    chan struct{}
@@ -109,13 +109,13 @@
 }
 
 // restore reads the node's right from the store; a new store gets a life that comes after that of any before it.
-func (t *Thread) restore() (saved rights.Saved, err error) {
+func (t *Thread) restore() (saved sendlease.Saved, err error) {
 	raw, err := t.store.Get(noteBucket, noteSaved)
 	if err != nil {
 		return saved, err
 	}
 	if raw == nil {
-		saved.Life = uint64(time.Now().UnixNano())
+		saved.Incarnation = uint64(time.Now().UnixNano())
 		return saved, t.Keep(saved)
 	}
 	return saved, json.Unmarshal(raw, &saved)
@@ -247,7 +247,7 @@
 func (t *Thread) Save(s consensus.WriteBatch) error { return t.store.Save(s) }
 
 // Keep implements Env.
-func (t *Thread) Keep(s rights.Saved) error {
+func (t *Thread) Keep(s sendlease.Saved) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
@@ -313,7 +313,7 @@
 }
 
 // Bind implements Env.
-func (t *Thread) Bind(v rights.Verdict) { t.verdict.hand(v, t.loop, t.traffic.Bind) }
+func (t *Thread) Bind(v sendlease.Restrictions) { t.verdict.hand(v, t.loop, t.traffic.Bind) }
 
 // latest is what the loop is to take next: one that was not taken yet is replaced.
 type latest[T any] struct {
@@ -440,10 +440,10 @@
 	if q.Id == "" {
 		q.Id = fmt.Sprintf("%s-%x", q.Host, d.loop.Now()/time.Millisecond)
 	}
-	ask := &turns.Ask{ID: q.Id, Host: q.Host, Lasts: time.Duration(q.Minutes) * time.Minute,
+	ask := &turns.Request{ID: q.Id, Host: q.Host, Duration: time.Duration(q.Minutes) * time.Minute,
 		NotBefore: time.Duration(q.NotBeforeS) * time.Second, FinishBy: time.Duration(q.FinishByS) * time.Second,
-		Urgency: int(q.Urgency), By: q.By}
-	d.call(Call{turns.Command{Ask: ask}, q.Id}, q.Forwarded, done, func(p *peer.Client) {
+		Urgency: int(q.Urgency), Requester: q.By}
+	d.call(Call{turns.Command{Request: ask}, q.Id}, q.Forwarded, done, func(p *peer.Client) {
 		q.Forwarded = true
 		p.Ask(q, done)
 	})
@@ -495,9 +495,9 @@
 
 // told is a turn as operators are told of it.
 func (d desk) told(t turns.Turn) *peerpb.Turn {
-	return &peerpb.Turn{Id: t.ID, Host: t.Host, Phase: t.Phase.String(), By: t.By, Round: t.Round,
+	return &peerpb.Turn{Id: t.ID, Host: t.Host, Phase: t.Phase.String(), By: t.Requester, Round: t.Round,
 		WaitsFor: d.core.Blockers(d.loop.Now(), t), SinceMs: int64(t.Since / time.Millisecond),
-		Minutes: uint32(t.Lasts / time.Minute)}
+		Minutes: uint32(t.Duration / time.Minute)}
 }
 
 // Turns implements peer.Node. The leader's book tells most; where it is not reached, another seat's own serves.
@@ -577,8 +577,8 @@
 	}
 }
 
-func declaration(q *peerpb.DeclareRequest) *turns.Declare {
-	return &turns.Declare{Node: q.Node, By: q.By, Why: q.Why}
+func declaration(q *peerpb.DeclareRequest) *turns.Declaration {
+	return &turns.Declaration{Node: q.Node, By: q.By, Why: q.Why}
 }
 
 func (d desk) declare(cmd turns.Command, q *peerpb.DeclareRequest, dead bool, done func(*peerpb.DeclareReply, error),
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"lichenhitch/internal/choice/rights"
+	"lichenhitch/internal/choice/sendlease"
 	"lichenhitch/internal/consensus"
 	"lichenhitch/internal/control"
 	"lichenhitch/internal/site"
@@ -26,14 +26,14 @@
 	boot    uint64
 	run     uint64
 	store   consensus.StoredState
-	saved   rights.Saved
+	saved   sendlease.Saved
 	kept    control.Kept
 	goes    control.Policy // that its loop goes by
 	up      bool
 	paused  bool
 	late    []func() // what came while it was stopped
 	cut     map[string]bool
-	taken   rights.Verdict // by its loop
+	taken   sendlease.Restrictions // by its loop
 	led     bool
 	ledAt   time.Duration // since when
 	number  int           // among those of its site
@@ -60,8 +60,8 @@
 	n.boot++
 	n.run = w.rng.Uint64()
 	n.up, n.paused, n.late, n.led, n.asked = true, false, nil, false, 0
-	n.taken, n.goes = rights.Verdict{All: true}, control.Policy{}
-	n.saved.Life = n.life
+	n.taken, n.goes = sendlease.Restrictions{AllAfterExpiry: true}, control.Policy{}
+	n.saved.Incarnation = n.life
 	if w.Plain {
 		n.repeat(0, n.listen)
 		n.repeat(w.any(60*time.Millisecond), n.placing)
@@ -135,7 +135,7 @@
 
 // report is what a loop tells. A stand-in has no attempts under way: what it has taken is in effect.
 func (n *node) report() control.Report {
-	r := control.Report{Taken: n.taken, Clear: n.taken.Outs, Under: n.goes.Hash, Asked: n.goes.Hash}
+	r := control.Report{Taken: n.taken, Clear: n.taken.ExcludedHosts, Under: n.goes.Hash, Asked: n.goes.Hash}
 	if len(n.w.trials) > 0 {
 		r.Counted = n.count()
 	}
@@ -153,7 +153,7 @@
 	var open []string
 	now := n.clock()
 	for _, id := range n.site.ids {
-		if n.w.Plain && n.knows && !slices.Contains(n.told, id) || !n.w.Plain && !n.taken.Withholds(id, now) {
+		if n.w.Plain && n.knows && !slices.Contains(n.told, id) || !n.w.Plain && !n.taken.Excludes(id, now) {
 			open = append(open, id)
 		}
 	}
@@ -196,7 +196,7 @@
 }
 
 // Keep implements control.Env.
-func (n *node) Keep(s rights.Saved) error {
+func (n *node) Keep(s sendlease.Saved) error {
 	n.saved = s
 	return nil
 }
@@ -209,7 +209,7 @@
 }
 
 // Bind implements control.Env: the loop takes the verdict a moment later.
-func (n *node) Bind(v rights.Verdict) {
+func (n *node) Bind(v sendlease.Restrictions) {
 	n.later(n.w.any(binding), func() { n.taken = v })
 }
 
