--- a/tools/testgate/main.go
+++ b/tools/testgate/main.go
@@ -1,18 +1,19 @@
-// Command testgate runs the tests and passes over the failures that KNOWN-RED.txt lists, and over no others.
+// Command testgate runs the tests. It tolerates the failures that KNOWN-RED.txt lists, and no others.
 //
 //	testgate [flags and packages of go test] [-- flags and packages of another run]...
 //
-// Each run is one go test, with -json added. All of them are played, also when one has failed. Output is that of go test without -v;
-// afterwards come the listed tests and how each ended, what makes the gate fail, and a line with the numbers of top-level tests. The
-// status is 0 if nothing failed but listed tests, and 1 otherwise.
+// Each run is one go test, with -json added. All runs take place, even if one has failed. The output is that of go test
+// without -v, followed by the listed tests and how each ended, the faults that make the gate fail, and a line with the
+// numbers of top-level tests. The exit status is 0 if nothing failed but listed tests, and 1 otherwise.
 //
-// KNOWN-RED.txt stands in the working directory, at the root of the module. It may be absent or empty. Else each of its lines names a
-// test, the command that plays the failure, the seed, what was seen, and an open issue. There are no comments and no blank lines:
+// KNOWN-RED.txt is in the working directory, which is the root of the module. It may be absent or empty. Otherwise each
+// of its lines names a test, the command that reproduces the failure, the seed, what was observed, and an open issue.
+// There are no comments and no blank lines:
 //
 //	import/path TestName | go test or make ... | seed N, or seed none | what was seen | #issue
 //
-// A listed test has to run: one that did not, or was skipped, makes the gate fail. If it passes, the summary says that its line is to be
-// removed. The list is to be kept short.
+// A listed test must run: the gate fails if it did not, or if it was skipped. If it passes, the summary asks to remove
+// its line. Keep the list short.
 package main
 
 import (
@@ -29,19 +30,19 @@
 	"lichenhitch/tools/testgate/verdict"
 )
 
-// between separates the runs on the command line.
-const between = "--"
+// runSeparator separates the runs on the command line.
+const runSeparator = "--"
 
-// gate is where and for whom tests are run.
+// gate holds the directory in which tests run, and the destinations of their output.
 type gate struct {
-	dir  string
-	out  io.Writer
-	errs io.Writer
+	dir    string
+	out    io.Writer
+	errOut io.Writer
 }
 
 func main() {
-	g := gate{dir: ".", out: os.Stdout, errs: os.Stderr}
-	ok, err := g.play(os.Args[1:])
+	g := gate{dir: ".", out: os.Stdout, errOut: os.Stderr}
+	ok, err := g.run(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "testgate:", err)
 	}
@@ -50,19 +51,19 @@
 	}
 }
 
-// play runs all suites and tells whether the gate lets them pass.
-func (g gate) play(args []string) (ok bool, err error) {
+// run runs all suites and reports whether the gate passes.
+func (g gate) run(args []string) (ok bool, err error) {
 	commands, err := split(args)
 	if err != nil {
 		return false, err
 	}
-	list, err := g.known()
+	list, err := g.readKnown()
 	if err != nil {
 		return false, err
 	}
 	var suites []*verdict.Suite
 	for _, c := range commands {
-		s, err := g.suite(c)
+		s, err := g.runSuite(c)
 		if err != nil {
 			return false, err
 		}
@@ -76,8 +77,8 @@
 // split returns the arguments of each run.
 func split(args []string) (commands [][]string, err error) {
 	var c []string
-	for _, a := range append(args[:len(args):len(args)], between) {
-		if a != between {
+	for _, a := range append(args[:len(args):len(args)], runSeparator) {
+		if a != runSeparator {
 			c = append(c, a)
 			continue
 		}
@@ -90,8 +91,8 @@
 	return commands, nil
 }
 
-// known reads the list of known failures.
-func (g gate) known() ([]verdict.Known, error) {
+// readKnown reads the list of known failures.
+func (g gate) readKnown() ([]verdict.Known, error) {
 	text, err := os.ReadFile(filepath.Join(g.dir, verdict.KnownFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -102,12 +103,12 @@
 	return verdict.ParseKnown(string(text))
 }
 
-// suite plays one run of go test and prints each package as it ends.
-func (g gate) suite(args []string) (*verdict.Suite, error) {
+// runSuite runs go test once and prints each package as it ends.
+func (g gate) runSuite(args []string) (*verdict.Suite, error) {
 	cmd := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	cmd.Dir = g.dir
-	cmd.Stderr = g.errs
-	said, err := cmd.StdoutPipe()
+	cmd.Stderr = g.errOut
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
@@ -115,24 +116,24 @@
 		return nil, err
 	}
 	s := &verdict.Suite{}
-	readErr := g.read(s, said)
+	readErr := g.readEvents(s, stdout)
 	err = cmd.Wait()
 	s.Exit = cmd.ProcessState.ExitCode()
 	var status *exec.ExitError
 	if errors.As(err, &status) {
-		err = nil // Exit has it
+		err = nil // the status is in s.Exit
 	}
-	_, restErr := io.WriteString(g.out, s.Rest())
+	_, restErr := io.WriteString(g.out, s.Remainder())
 	return s, errors.Join(readErr, err, restErr)
 }
 
-// read takes all events.
-func (g gate) read(s *verdict.Suite, said io.Reader) error {
-	lines := bufio.NewReader(said)
+// readEvents reads the output of go test to its end.
+func (g gate) readEvents(s *verdict.Suite, stdout io.Reader) error {
+	lines := bufio.NewReader(stdout)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if len(line) > 0 {
-			if err := g.take(s, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
+			if err := g.handleLine(s, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
 				return err
 			}
 		}
@@ -145,11 +146,11 @@
 	}
 }
 
-// take adds one line and prints the package that it ends.
-func (g gate) take(s *verdict.Suite, line []byte) error {
+// handleLine processes one line and prints the package that ends with it, if any.
+func (g gate) handleLine(s *verdict.Suite, line []byte) error {
 	e, err := verdict.ParseEvent(line)
 	if err != nil {
-		s.Stray(string(line))
+		s.AddInvalidLine(string(line))
 		return nil
 	}
 	if p := s.Take(e); p != nil {
--- a/tools/testgate/main_test.go
+++ b/tools/testgate/main_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// files are those of a small module, by path. Its module is named m.
+// files are the files of a small module, by path. The module is named m.
 type files map[string]string
 
 // all runs the tests of the whole module.
 var all = []string{"./..."}
 
-// Tests of the small modules, each a file of package a.
+// Tests of the small modules, each in a file of package a.
 const (
 	good   = "package a\nimport \"testing\"\nfunc TestGood(t *testing.T) { t.Log(\"not to be seen\") }\n"
 	skips  = "package a\nimport \"testing\"\nfunc TestSkips(t *testing.T) { t.Skip(\"why\") }\n"
@@ -29,11 +29,11 @@
 	unused = "package a\nimport \"testing\"\nfunc TestGood(t *testing.T) { unused := 1 }\n"
 	vetted = "package a\nimport (\"fmt\"; \"testing\")\nfunc TestGood(t *testing.T) { _ = fmt.Sprintf(\"%d\", \"one\") }\n"
 
-	mainExits = "package a\nimport (\"os\"; \"testing\")\nfunc TestMain(m *testing.M) { m.Run(); os.Exit(1) }\n"
-	mainMoans = "package a\nimport (\"fmt\"; \"os\"; \"testing\")\n" +
+	mainExits  = "package a\nimport (\"os\"; \"testing\")\nfunc TestMain(m *testing.M) { m.Run(); os.Exit(1) }\n"
+	mainPrints = "package a\nimport (\"fmt\"; \"os\"; \"testing\")\n" +
 		"func TestMain(m *testing.M) { m.Run(); fmt.Println(\"left over\"); os.Exit(1) }\n"
 
-	// races accesses n so often from both sides that the detector sees it whichever comes first.
+	// races accesses n so often from both goroutines that the race detector reports it in any schedule.
 	races = `package a
 import "testing"
 func TestRed(t *testing.T) {
@@ -47,47 +47,46 @@
 `
 )
 
-// listed is a list with TestRed.
+// listed is a KNOWN-RED.txt that lists TestRed.
 const listed = "m/a TestRed | go test ./a -run TestRed | seed none | a known cause | #29\n"
 
-// play writes the module and runs the gate in it, without network and with nothing but the standard library.
-func play(t *testing.T, f files, args []string) (ok bool, out string) {
+// runGate writes the module and runs the gate in it, without network access and with only the standard library.
+func runGate(t *testing.T, moduleFiles files, args []string) (ok bool, out string) {
 	t.Helper()
 	t.Setenv("GOFLAGS", "-mod=mod")
 	t.Setenv("GOPROXY", "off")
 	t.Setenv("GOWORK", "off")
 	dir := t.TempDir()
-	f["go.mod"] = "module m\n\ngo 1.26.0\n"
-	for path, text := range f {
+	moduleFiles["go.mod"] = "module m\n\ngo 1.26.0\n"
+	for path, text := range moduleFiles {
 		path = filepath.Join(dir, path)
 		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
 	}
-	var told, errs bytes.Buffer
-	ok, err := gate{dir: dir, out: &told, errs: &errs}.play(args)
+	var output, errOut bytes.Buffer
+	ok, err := gate{dir: dir, out: &output, errOut: &errOut}.run(args)
 	require.NoError(t, err)
-	t.Logf("standard error: %s", &errs)
-	return ok, told.String()
+	t.Logf("standard error: %s", &errOut)
+	return ok, output.String()
 }
 
-// closing returns the last line.
-func closing(out string) string {
+func lastLine(out string) string {
 	lines := strings.Split(strings.TrimSuffix(out, "\n"), "\n")
 	return lines[len(lines)-1]
 }
 
 func TestAModuleWithoutFailuresPasses(t *testing.T) {
-	ok, out := play(t, files{"a/a_test.go": good, "a/b_test.go": skips, "b/b.go": "package b\n"}, all)
+	ok, out := runGate(t, files{"a/a_test.go": good, "a/b_test.go": skips, "b/b.go": "package b\n"}, all)
 	assert.True(t, ok)
 	lines := strings.Split(out, "\n")
-	slices.Sort(lines[:2]) // packages are told as they end
+	slices.Sort(lines[:2]) // packages are printed as they end
 	assert.Equal(t, "?   \tm/b\t[no test files]", lines[0])
 	assert.Regexp(t, `^ok  \tm/a\t[0-9.]+s$`, lines[1])
 	assert.Equal(t, []string{"", "1 passed, 0 failed, 1 skipped", ""}, lines[2:])
 }
 
 func TestAFailureFails(t *testing.T) {
-	ok, out := play(t, files{"a/a_test.go": good, "a/b_test.go": red}, all)
+	ok, out := runGate(t, files{"a/a_test.go": good, "a/b_test.go": red}, all)
 	assert.False(t, ok)
 	assert.Contains(t, out, "--- FAIL: TestRed")
 	assert.Contains(t, out, "to be seen\n")
@@ -95,31 +94,31 @@
 	assert.NotContains(t, out, "=== RUN")
 	assert.Regexp(t, `\nFAIL\nFAIL\tm/a\t[0-9.]+s\n`, out)
 	assert.Contains(t, out, "m/a TestRed: failed\n")
-	assert.Equal(t, "1 passed, 1 failed, 0 skipped", closing(out))
+	assert.Equal(t, "1 passed, 1 failed, 0 skipped", lastLine(out))
 }
 
-func TestAListedFailureIsPassedOver(t *testing.T) {
-	ok, out := play(t, files{"KNOWN-RED.txt": listed, "a/a_test.go": good, "a/b_test.go": red}, all)
+func TestListedFailureIsTolerated(t *testing.T) {
+	ok, out := runGate(t, files{"KNOWN-RED.txt": listed, "a/a_test.go": good, "a/b_test.go": red}, all)
 	assert.True(t, ok)
 	assert.Contains(t, out, "--- FAIL: TestRed")
 	assert.Contains(t, out, "m/a TestRed: failed | go test ./a -run TestRed | seed none | a known cause | #29\n")
-	assert.Equal(t, "1 passed, 1 failed, 0 skipped", closing(out))
+	assert.Equal(t, "1 passed, 1 failed, 0 skipped", lastLine(out))
 }
 
-func TestAListedTestThatPassesIsTold(t *testing.T) {
-	ok, out := play(t, files{"KNOWN-RED.txt": strings.ReplaceAll(listed, "Red", "Good"), "a/a_test.go": good}, all)
+func TestListedTestThatPassesIsReported(t *testing.T) {
+	ok, out := runGate(t, files{"KNOWN-RED.txt": strings.ReplaceAll(listed, "Red", "Good"), "a/a_test.go": good}, all)
 	assert.True(t, ok)
 	assert.Contains(t, out, "m/a TestGood: passed (no longer red: remove its line) | go test ./a -run TestGood | seed none | a known cause | #29\n")
 }
 
-// What fails although TestRed is listed.
-func TestWhatTheListDoesNotExcuse(t *testing.T) {
-	const early = "m/a: the test binary was ended by something else than its tests"
+// TestFailuresThatTheListDoesNotExcuse checks what makes the gate fail although TestRed is listed.
+func TestFailuresThatTheListDoesNotExcuse(t *testing.T) {
+	const early = "m/a: the test binary was ended by something other than its tests"
 	for name, c := range map[string]struct {
-		files   files
-		args    []string
-		says    []string // as the compiler, vet, the detector or the testing package say it, then as the gate does
-		closing string
+		files    files
+		args     []string
+		output   []string // of the compiler, vet, the race detector or the testing package, then of the gate
+		lastLine string
 	}{
 		"race": {files{"a/a_test.go": races}, []string{"-race", "./..."},
 			[]string{"WARNING: DATA RACE", "m/a: a data race was reported"}, "0 passed, 1 failed, 0 skipped"},
@@ -129,7 +128,7 @@
 			[]string{"panic: test timed out after 200ms", "m/a TestRed: started and did not end", early}, "1 passed, 1 failed, 0 skipped"},
 		"os.Exit": {files{"a/a_test.go": exits, "a/b_test.go": good}, all,
 			[]string{"m/a TestRed: started and did not end", early}, "0 passed, 1 failed, 0 skipped"},
-		"TestMain": {files{"a/a_test.go": red, "a/b_test.go": mainMoans}, all,
+		"TestMain": {files{"a/a_test.go": red, "a/b_test.go": mainPrints}, all,
 			[]string{"left over\n", early}, "0 passed, 1 failed, 0 skipped"},
 		"build": {files{"a/a_test.go": red, "b/b_test.go": unused}, all,
 			[]string{"declared and not used: unused", "FAIL\tm/b [build failed]", "m/b: build or vet failed"}, "0 passed, 2 failed, 0 skipped"},
@@ -145,40 +144,40 @@
 		"a listed test that is skipped": {files{"a/a_test.go": strings.ReplaceAll(skips, "Skips", "Red")}, all,
 			[]string{"m/a TestRed: listed in KNOWN-RED.txt and skipped"}, "0 passed, 1 failed, 1 skipped"},
 		"a flag that go test refuses": {files{"a/a_test.go": red}, []string{"./a", "--", "-timeout", "soon", "./a"},
-			[]string{"go test failed for a reason of its own: exit status 2"}, "0 passed, 3 failed, 0 skipped"},
+			[]string{"go test itself failed: exit status 2"}, "0 passed, 3 failed, 0 skipped"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.files["KNOWN-RED.txt"] = listed
-			ok, out := play(t, c.files, c.args)
+			ok, out := runGate(t, c.files, c.args)
 			assert.False(t, ok)
-			for _, s := range c.says {
+			for _, s := range c.output {
 				assert.Contains(t, out, s)
 			}
-			assert.Equal(t, c.closing, closing(out))
+			assert.Equal(t, c.lastLine, lastLine(out))
 		})
 	}
 }
 
 func TestAPackageThatFailsWithoutATestFails(t *testing.T) {
-	ok, out := play(t, files{"a/a_test.go": good, "a/b_test.go": mainExits}, all)
+	ok, out := runGate(t, files{"a/a_test.go": good, "a/b_test.go": mainExits}, all)
 	assert.False(t, ok)
-	assert.Contains(t, out, "m/a: the package failed and none of its tests did\n")
-	assert.Equal(t, "1 passed, 1 failed, 0 skipped", closing(out))
+	assert.Contains(t, out, "m/a: the package failed, but none of its tests did\n")
+	assert.Equal(t, "1 passed, 1 failed, 0 skipped", lastLine(out))
 }
 
 func TestAllSuitesAreRun(t *testing.T) {
-	ok, out := play(t, files{"a/a_test.go": red, "b/b_test.go": strings.ReplaceAll(good, "package a", "package b")},
+	ok, out := runGate(t, files{"a/a_test.go": red, "b/b_test.go": strings.ReplaceAll(good, "package a", "package b")},
 		[]string{"./a", "--", "-timeout", "1m", "./b"})
 	assert.False(t, ok)
 	assert.Contains(t, out, "ok  \tm/b\t")
-	assert.Equal(t, "1 passed, 1 failed, 0 skipped", closing(out))
+	assert.Equal(t, "1 passed, 1 failed, 0 skipped", lastLine(out))
 }
 
 func TestAFaultyListFailsBeforeAnyTest(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "KNOWN-RED.txt"), []byte("TestRed\n"), 0o644))
 	var out bytes.Buffer
-	ok, err := gate{dir: dir, out: &out, errs: &out}.play(all)
+	ok, err := gate{dir: dir, out: &out, errOut: &out}.run(all)
 	assert.False(t, ok)
 	assert.ErrorContains(t, err, `KNOWN-RED.txt:1: want "import/path TestName | go test or make ... | seed N, or seed none | what was seen | #issue"`)
 	assert.Empty(t, out.String())
--- a/tools/testgate/verdict/event.go
+++ b/tools/testgate/verdict/event.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Action is what an event tells.
+// Action is the kind of an event.
 type Action string
 
 // The actions of go test -json that matter here; see go doc test2json and go help buildjson. Others are ignored.
@@ -23,13 +23,13 @@
 type Event struct {
 	Action      Action
 	Package     string
-	Test        string // empty where the event is of the package
+	Test        string // empty in an event of the package itself
 	Output      string
-	ImportPath  string // of a build
-	FailedBuild string // the build for want of which a package failed
+	ImportPath  string // of a build event
+	FailedBuild string // the failed build that made the package fail
 }
 
-// ParseEvent reads a line of go test -json.
+// ParseEvent parses a line of go test -json.
 func ParseEvent(line []byte) (Event, error) {
 	var e Event
 	if err := json.Unmarshal(line, &e); err != nil {
--- a/tools/testgate/verdict/judge.go
+++ b/tools/testgate/verdict/judge.go
@@ -5,23 +5,22 @@
 	"fmt"
 )
 
-// Reason is why something fails.
+// Reason is the kind of a fault.
 type Reason string
 
-// The reasons.
 const (
-	TestFailed      Reason = "failed"
-	TestUnfinished  Reason = "started and did not end"
-	DataRace        Reason = "a data race was reported"
-	BuildFailed     Reason = "build or vet failed"
-	EndedEarly      Reason = "the test binary was ended by something else than its tests: a panic, a time-out, os.Exit or TestMain"
-	NoTestFailed    Reason = "the package failed and none of its tests did"
-	PackageOpen     Reason = "go test did not tell how the package ended"
-	NothingRan      Reason = "no test ran"
-	NotAnEvent      Reason = "go test wrote what is no event"
-	ExitUnexplained Reason = "go test failed for a reason of its own"
-	ListedNotRun    Reason = "listed in " + KnownFile + " and did not run"
-	ListedSkipped   Reason = "listed in " + KnownFile + " and skipped: a listed test has to run"
+	TestFailed        Reason = "failed"
+	TestUnfinished    Reason = "started and did not end"
+	DataRace          Reason = "a data race was reported"
+	BuildFailed       Reason = "build or vet failed"
+	EndedEarly        Reason = "the test binary was ended by something other than its tests: a panic, a time-out, os.Exit or TestMain"
+	NoTestFailed      Reason = "the package failed, but none of its tests did"
+	PackageUnfinished Reason = "go test did not report how the package ended"
+	NothingRan        Reason = "no test ran"
+	NotAnEvent        Reason = "go test printed a line that is not an event"
+	ExitUnexplained   Reason = "go test itself failed"
+	ListedNotRun      Reason = "listed in " + KnownFile + " and did not run"
+	ListedSkipped     Reason = "listed in " + KnownFile + " and skipped: a listed test must run"
 )
 
 // Fault is one thing that makes the gate fail.
@@ -32,7 +31,6 @@
 	Detail  string
 }
 
-// String returns the fault in one line.
 func (f Fault) String() string {
 	where := cmp.Or(f.Package, "go test")
 	if f.Test != "" {
@@ -50,82 +48,82 @@
 	State State // the worst, if it ran several times
 }
 
-// Verdict is the judgement on all suites.
+// Verdict is the result for all suites.
 type Verdict struct {
 	Faults   []Fault
 	Outcomes []Outcome
 
-	// Top-level tests. One that did not end counts as failed, and so does each fault that no failed test stands for.
+	// Numbers of top-level tests. Failed includes tests that did not end, and faults that no failed test accounts for.
 	Passed, Failed, Skipped int
 }
 
-// OK tells whether the gate lets this pass.
+// OK reports whether the gate passes.
 func (v Verdict) OK() bool {
 	return len(v.Faults) == 0
 }
 
-// Judge judges all suites by the list of known failures.
+// Judge evaluates all suites against the list of known failures.
 func Judge(list []Known, suites []*Suite) Verdict {
 	var v Verdict
 	for _, s := range suites {
 		v.judgeSuite(list, s)
 	}
 	for _, k := range list {
-		o := Outcome{Known: k, State: worst(k, suites)}
+		o := Outcome{Known: k, State: worstState(k, suites)}
 		v.Outcomes = append(v.Outcomes, o)
 		switch o.State {
 		case NotRun:
-			v.alone(Fault{Reason: ListedNotRun, Package: k.Package, Test: k.Test})
+			v.addWithoutTest(Fault{Reason: ListedNotRun, Package: k.Package, Test: k.Test})
 		case Skipped:
-			v.alone(Fault{Reason: ListedSkipped, Package: k.Package, Test: k.Test})
+			v.addWithoutTest(Fault{Reason: ListedSkipped, Package: k.Package, Test: k.Test})
 		}
 	}
 	return v
 }
 
-// alone adds a fault that no failed test stands for.
-func (v *Verdict) alone(f Fault) {
+// addWithoutTest adds a fault that no failed test accounts for, and counts it as failed.
+func (v *Verdict) addWithoutTest(f Fault) {
 	v.Faults = append(v.Faults, f)
 	v.Failed++
 }
 
-// judgeSuite adds what is to be said of one run of go test.
+// judgeSuite adds the faults of one run of go test.
 func (v *Verdict) judgeSuite(list []Known, s *Suite) {
-	ran, failing, unbuilt := false, false, false
+	ran, packageFailed, buildFailed := false, false, false
 	for _, p := range s.Packages {
 		v.judgePackage(list, p)
 		ran = ran || len(p.tests) > 0
-		failing = failing || p.State != Passed && p.State != Skipped
-		unbuilt = unbuilt || p.FailedBuild != ""
+		packageFailed = packageFailed || p.State != Passed && p.State != Skipped
+		buildFailed = buildFailed || p.FailedBuild != ""
 	}
-	if !unbuilt {
-		for _, path := range s.failed {
-			v.alone(Fault{Reason: BuildFailed, Package: path})
+	if !buildFailed {
+		for _, path := range s.failedBuilds {
+			v.addWithoutTest(Fault{Reason: BuildFailed, Package: path})
 		}
 	}
-	for _, line := range s.stray {
-		v.alone(Fault{Reason: NotAnEvent, Detail: fmt.Sprintf("%q", line)})
+	for _, line := range s.invalidLines {
+		v.addWithoutTest(Fault{Reason: NotAnEvent, Detail: fmt.Sprintf("%q", line)})
 	}
 	if !ran {
-		v.alone(Fault{Reason: NothingRan})
+		v.addWithoutTest(Fault{Reason: NothingRan})
 	}
-	// The status is 1 where a package failed; any other tells of go test itself.
-	if s.Exit != 0 && (s.Exit != 1 || !failing) {
-		v.alone(Fault{Reason: ExitUnexplained, Detail: fmt.Sprint("exit status ", s.Exit)})
+	// go test exits with 1 if a package failed; any other status is an error of go test itself.
+	if s.Exit != 0 && (s.Exit != 1 || !packageFailed) {
+		v.addWithoutTest(Fault{Reason: ExitUnexplained, Detail: fmt.Sprint("exit status ", s.Exit)})
 	}
 }
 
-// judgePackage adds what is to be said of a package.
+// judgePackage adds the faults of a package.
 func (v *Verdict) judgePackage(list []Known, p *Package) {
-	red := v.count(p)
+	failedTests := v.countTests(p)
 	faults := p.testFaults(list)
 	switch {
 	case p.State == Unfinished:
-		faults = append(faults, Fault{Reason: PackageOpen, Package: p.Path})
+		faults = append(faults, Fault{Reason: PackageUnfinished, Package: p.Path})
 	case p.State != Failed:
 	case p.FailedBuild != "":
 		faults = append(faults, Fault{Reason: BuildFailed, Package: p.Path})
-	case red == 0:
+	case failedTests == 0:
 		faults = append(faults, Fault{Reason: NoTestFailed, Package: p.Path})
 	case !p.endedByTests():
 		faults = append(faults, Fault{Reason: EndedEarly, Package: p.Path})
@@ -134,15 +132,15 @@
 		faults = append(faults, Fault{Reason: DataRace, Package: p.Path})
 	}
 	v.Faults = append(v.Faults, faults...)
-	if len(faults) > 0 && red == 0 {
+	if len(faults) > 0 && failedTests == 0 {
 		v.Failed++
 	}
 }
 
-// count adds the top-level tests of a package and returns how many of them failed or did not end.
-func (v *Verdict) count(p *Package) (red int) {
+// countTests counts the top-level tests of a package and returns how many of them failed or did not end.
+func (v *Verdict) countTests(p *Package) (failed int) {
 	for _, t := range p.tests {
-		if t.root != t {
+		if t.topLevel != t {
 			continue
 		}
 		switch t.State {
@@ -151,20 +149,20 @@
 		case Skipped:
 			v.Skipped++
 		default:
-			red++
+			failed++
 		}
 	}
-	v.Failed += red
-	return red
+	v.Failed += failed
+	return failed
 }
 
-// testFaults returns the tests of a package that make the gate fail. A subtest is named only where its top-level test does not stand
-// for it.
+// testFaults returns the tests of a package that make the gate fail. A subtest is included only if its top-level test
+// ended better than the subtest.
 func (p *Package) testFaults(list []Known) (faults []Fault) {
 	for _, t := range p.tests {
-		stands := t.root != t && t.root.State >= t.State
+		coveredByTopLevel := t.topLevel != t && t.topLevel.State >= t.State
 		switch {
-		case stands:
+		case coveredByTopLevel:
 		case t.State == Unfinished:
 			faults = append(faults, Fault{Reason: TestUnfinished, Package: p.Path, Test: t.Name})
 		case t.State == Failed && !isListed(list, p.Path, t.Name):
@@ -174,7 +172,7 @@
 	return faults
 }
 
-// isListed tells whether the list has this top-level test.
+// isListed reports whether the list contains this top-level test.
 func isListed(list []Known, path, test string) bool {
 	for _, k := range list {
 		if k.Package == path && k.Test == test {
@@ -184,8 +182,8 @@
 	return false
 }
 
-// worst returns how a listed test ended, the worst if it ran several times.
-func worst(k Known, suites []*Suite) State {
+// worstState returns how a listed test ended, the worst if it ran several times.
+func worstState(k Known, suites []*Suite) State {
 	state := NotRun
 	for _, s := range suites {
 		for _, p := range s.Packages {
--- a/tools/testgate/verdict/known.go
+++ b/tools/testgate/verdict/known.go
@@ -10,34 +10,34 @@
 const (
 	// KnownFile is the name of the list, at the root of the module.
 	KnownFile = "KNOWN-RED.txt"
-	// knownForm is what a line of the list has to look like.
-	knownForm = "import/path TestName | go test or make ... | seed N, or seed none | what was seen | #issue"
+	// lineFormat describes the format of a line of the list.
+	lineFormat = "import/path TestName | go test or make ... | seed N, or seed none | what was seen | #issue"
 )
 
-// knownLine matches a line of the list. Fields are separated by " | "; none of them contains a bar.
+// knownLine matches a line of the list. Fields are separated by " | " and contain no bar.
 var knownLine = regexp.MustCompile(`^([^\s|./][^\s|]*) (Test[^\s|/]*)` + // package and test
 	` \| ((?:go test|make) [^|]*[^\s|])` + // command
 	` \| seed (none|[0-9]+)` +
-	` \| ([^\s|](?:[^|]*[^\s|])?)` + // what was seen
+	` \| ([^\s|](?:[^|]*[^\s|])?)` + // what was observed
 	` \| (#[1-9][0-9]*)$`)
 
 // Known is a test that is listed as failing for a known cause.
 type Known struct {
-	Package string // the import path, as go test prints it
-	Test    string // a top-level test; its subtests are listed with it
-	Command string // that plays the failure
-	Seed    string // a number; "none" where the test draws nothing
-	Seen    string // what the failure looks like, and what is known of its cause
-	Issue   string // an open one's number, such as #29
+	Package  string // the import path, as go test prints it
+	Test     string // a top-level test; its subtests are listed with it
+	Command  string // that reproduces the failure
+	Seed     string // a number; "none" if the test uses no random numbers
+	Observed string // what the failure looks like, and what is known of its cause
+	Issue    string // the number of an open issue, such as #29
 }
 
 // String returns the line of the list.
 func (k Known) String() string {
-	return fmt.Sprintf("%s %s | %s | seed %s | %s | %s", k.Package, k.Test, k.Command, k.Seed, k.Seen, k.Issue)
+	return fmt.Sprintf("%s %s | %s | seed %s | %s | %s", k.Package, k.Test, k.Command, k.Seed, k.Observed, k.Issue)
 }
 
-// ParseKnown reads the list. Each of its lines names a test; there are no comments and no blank lines. An empty text is an empty list.
-// The error tells every faulty line.
+// ParseKnown parses the list. Each line names a test; there are no comments and no blank lines. An empty text is an
+// empty list. The error names every faulty line.
 func ParseKnown(text string) ([]Known, error) {
 	if text == "" {
 		return nil, nil
@@ -58,13 +58,13 @@
 	return list, nil
 }
 
-// parseLine reads one line; before are the tests that were listed already.
+// parseLine parses one line; before are the tests listed above it.
 func parseLine(line string, before []Known) (Known, error) {
 	m := knownLine.FindStringSubmatch(line)
 	if m == nil {
-		return Known{}, fmt.Errorf("want %q, no comments, no blank lines, no subtests; got %q", knownForm, line)
+		return Known{}, fmt.Errorf("want %q, no comments, no blank lines, no subtests; got %q", lineFormat, line)
 	}
-	k := Known{Package: m[1], Test: m[2], Command: m[3], Seed: m[4], Seen: m[5], Issue: m[6]}
+	k := Known{Package: m[1], Test: m[2], Command: m[3], Seed: m[4], Observed: m[5], Issue: m[6]}
 	for _, b := range before {
 		if b.Package == k.Package && b.Test == k.Test {
 			return Known{}, fmt.Errorf("%s %s is listed twice", k.Package, k.Test)
--- a/tools/testgate/verdict/known_test.go
+++ b/tools/testgate/verdict/known_test.go
@@ -15,10 +15,10 @@
 
 func TestTheListIsRead(t *testing.T) {
 	want := []Known{
-		{Package: "m/a", Test: "TestA", Command: "go test ./a -run TestA", Seed: "2", Seen: "waits for nobody, or for both", Issue: "#29"},
-		{Package: "m/a", Test: "TestB", Command: "make soak SEEDS=1 FIRST=7", Seed: "7", Seen: "x", Issue: "#1"},
-		{Package: "m/b/c", Test: "Test", Command: "go test ./b/c", Seed: "none", Seen: "two words", Issue: "#30"},
-		{Package: "m/d", Test: "TestD", Command: "go test ./d", Seed: "0", Seen: "x", Issue: "#4"},
+		{Package: "m/a", Test: "TestA", Command: "go test ./a -run TestA", Seed: "2", Observed: "waits for nobody, or for both", Issue: "#29"},
+		{Package: "m/a", Test: "TestB", Command: "make soak SEEDS=1 FIRST=7", Seed: "7", Observed: "x", Issue: "#1"},
+		{Package: "m/b/c", Test: "Test", Command: "go test ./b/c", Seed: "none", Observed: "two words", Issue: "#30"},
+		{Package: "m/d", Test: "TestD", Command: "go test ./d", Seed: "0", Observed: "x", Issue: "#4"},
 	}
 	list, err := ParseKnown(lines)
 	require.NoError(t, err)
@@ -57,13 +57,13 @@
 		"issue without #":     "m/a TestA | go test ./a | seed none | x | 29",
 		"issue in words":      "m/a TestA | go test ./a | seed none | x | #soon",
 		"issue zero":          "m/a TestA | go test ./a | seed none | x | #0",
-		"a field more":        "m/a TestA | go test ./a | seed none | x | y | #1",
+		"an extra field":      "m/a TestA | go test ./a | seed none | x | y | #1",
 		"space before":        " m/a TestA | go test ./a | seed none | x | #1",
 		"space after":         "m/a TestA | go test ./a | seed none | x | #1 ",
 		"two spaces":          "m/a  TestA | go test ./a | seed none | x | #1",
 		"carriage return":     "m/a TestA | go test ./a | seed none | x | #1\r",
 		"bars without space":  "m/a TestA|go test ./a|seed none|x|#1",
-		"the form of before":  "m/a TestA | x | #1",
+		"the old format":      "m/a TestA | x | #1",
 		"no command":          "m/a TestA | seed none | x | #1",
 		"another command":     "m/a TestA | ./run-it | seed none | x | #1",
 		"a bare command":      "m/a TestA | go test  | seed none | x | #1",
@@ -85,7 +85,7 @@
 	assert.EqualError(t, err, "KNOWN-RED.txt:3: m/a TestA is listed twice")
 }
 
-func TestEveryFaultyLineIsTold(t *testing.T) {
+func TestEveryFaultyLineIsReported(t *testing.T) {
 	_, err := ParseKnown("# one\nm/a TestA | go test ./a | seed none | x | #1\n\n")
 	require.Error(t, err)
 	assert.Contains(t, err.Error(), "KNOWN-RED.txt:1: ")
--- a/tools/testgate/verdict/suite.go
+++ b/tools/testgate/verdict/suite.go
@@ -1,11 +1,12 @@
-// Package verdict judges what go test -json told: which tests failed, whether all of these are listed as known, and whether anything
-// else went wrong. It has no I/O.
+// Package verdict evaluates the output of go test -json: which tests failed, whether all of these are listed as known
+// failures, and whether anything else went wrong. It does no I/O.
 //
-// A failure is passed over only if it is that of a listed test and nothing else can be behind the failure of its package: every test that
-// started has ended, the package ended by the FAIL of the testing package and said nothing afterwards, and no data race was reported.
+// A failure is tolerated only if it is that of a listed test and the failure of its package can have no other cause:
+// every test that started has ended, the package ended with the FAIL line of the testing package and printed nothing
+// afterwards, and no data race was reported.
 //
-// One thing cannot be told from the events: a TestMain that exits with a status of its own, without a word, after a listed test has
-// failed. go test reports the package as failed in either case.
+// One case cannot be distinguished by the events: a TestMain that, after a listed test has failed, exits with a status
+// of its own and prints nothing. go test reports the package as failed in either case.
 package verdict
 
 import (
@@ -16,57 +17,55 @@
 // State is how a test or package ended. A greater one is worse.
 type State int
 
-// The states. A test that did not run has none.
 const (
 	NotRun State = iota
 	Passed
 	Skipped
 	Failed
-	Unfinished // it was started and did not end
+	Unfinished // started and did not end
 )
 
-// String returns the state in words.
 func (s State) String() string {
 	return [...]string{"not run", "passed", "skipped", "failed", "did not end"}[s]
 }
 
-// ends are the states that actions lead to.
-var ends = map[Action]State{Pass: Passed, Skip: Skipped, Fail: Failed}
+// endStates maps the actions that end a test or package to its state.
+var endStates = map[Action]State{Pass: Passed, Skip: Skipped, Fail: Failed}
 
 // Test is one run of a test or subtest.
 type Test struct {
 	Name  string
 	State State
 
-	root   *Test // the top-level test; itself for one
-	output strings.Builder
+	topLevel *Test // the top-level test of a subtest; otherwise the test itself
+	output   strings.Builder
 }
 
-// Package is what was told of one package.
+// Package is what go test reported about one package.
 type Package struct {
 	Path        string
 	State       State
 	FailedBuild string
 
-	tests  []*Test          // in the order of their starts
-	latest map[string]*Test // by name
-	own    []string         // output that belongs to no test
-	stream strings.Builder  // all output as it came
-	build  string           // what the compiler or vet said, if that failed
+	tests         []*Test          // in the order of their starts
+	latest        map[string]*Test // by name
+	packageOutput []string         // output that belongs to no test
+	allOutput     strings.Builder  // all output, in its original order
+	buildOutput   string           // output of the compiler or vet, if the build failed
 }
 
-// Suite is what one run of go test told.
+// Suite is the output of one run of go test.
 type Suite struct {
 	Packages []*Package
-	Exit     int // the status of go test
+	Exit     int // exit status of go test
 
-	byPath map[string]*Package
-	builds map[string]string // output by import path
-	failed []string          // builds that failed
-	stray  []string          // lines that are no events
+	byPath       map[string]*Package
+	builds       map[string]string // output by import path
+	failedBuilds []string          // import paths of failed builds
+	invalidLines []string          // lines that are no events
 }
 
-// Take adds an event. It returns the package that ended by it, or nil.
+// Take adds an event. It returns the package that ends with it, or nil.
 func (s *Suite) Take(e Event) *Package {
 	switch {
 	case e.Action == BuildOutput:
@@ -76,38 +75,38 @@
 		s.builds[e.ImportPath] += e.Output
 		return nil
 	case e.Action == BuildFail:
-		s.failed = append(s.failed, e.ImportPath)
+		s.failedBuilds = append(s.failedBuilds, e.ImportPath)
 		return nil
 	case e.Package == "":
 		return nil
 	}
-	p := s.at(e.Package)
+	p := s.packageOf(e.Package)
 	if e.Test != "" {
 		p.takeTest(e)
 		return nil
 	}
 	if e.Action == Output {
-		p.own = append(p.own, e.Output)
-		p.stream.WriteString(e.Output)
+		p.packageOutput = append(p.packageOutput, e.Output)
+		p.allOutput.WriteString(e.Output)
 		return nil
 	}
-	state, ended := ends[e.Action]
+	state, ended := endStates[e.Action]
 	if !ended {
 		return nil
 	}
 	p.State, p.FailedBuild = state, e.FailedBuild
-	p.build = s.builds[e.FailedBuild]
+	p.buildOutput = s.builds[e.FailedBuild]
 	delete(s.builds, e.FailedBuild)
 	return p
 }
 
-// Stray adds a line that is no event.
-func (s *Suite) Stray(line string) {
-	s.stray = append(s.stray, line)
+// AddInvalidLine adds a line that is no event.
+func (s *Suite) AddInvalidLine(line string) {
+	s.invalidLines = append(s.invalidLines, line)
 }
 
-// at returns the package of this path.
-func (s *Suite) at(path string) *Package {
+// packageOf returns the package with this path, and creates it if necessary.
+func (s *Suite) packageOf(path string) *Package {
 	p := s.byPath[path]
 	if p == nil {
 		if s.byPath == nil {
@@ -124,58 +123,60 @@
 func (p *Package) takeTest(e Event) {
 	t := p.latest[e.Test]
 	if t == nil || e.Action == Run {
-		t = p.started(e.Test)
+		t = p.startTest(e.Test)
 	}
 	switch e.Action {
 	case Output:
 		t.output.WriteString(e.Output)
-		p.stream.WriteString(e.Output)
+		p.allOutput.WriteString(e.Output)
 	case Pass, Fail, Skip:
-		t.State = ends[e.Action]
+		t.State = endStates[e.Action]
 	}
 }
 
-// started adds a run of a test.
-func (p *Package) started(name string) *Test {
+// startTest adds a run of a test.
+func (p *Package) startTest(name string) *Test {
 	t := &Test{Name: name, State: Unfinished}
-	t.root = t
+	t.topLevel = t
 	if top, _, sub := strings.Cut(name, "/"); sub && p.latest[top] != nil {
-		t.root = p.latest[top]
+		t.topLevel = p.latest[top]
 	}
 	p.tests = append(p.tests, t)
 	p.latest[name] = t
 	return t
 }
 
-// exitOfTests is what go test may add to the output of a package whose tests failed.
-const exitOfTests = "exit status 1\n"
+// testExitLine is a line that go test may add to the output of a package whose tests failed.
+const testExitLine = "exit status 1\n"
 
-// endedByTests tells whether the testing package ended this one, with its FAIL, and nothing was said afterwards but what go test adds.
-// It is not so after a panic, a time-out, os.Exit, or a TestMain that goes on to complain.
+// endedByTests reports whether the testing package ended this package with its FAIL line, and nothing was printed
+// afterwards except what go test adds. That is not so after a panic, a time-out, os.Exit, or a TestMain that prints
+// more.
 func (p *Package) endedByTests() bool {
-	i := slices.Index(p.own, "FAIL\n")
+	i := slices.Index(p.packageOutput, "FAIL\n")
 	if i < 0 {
 		return false
 	}
-	for _, line := range p.own[i+1:] {
-		if line != exitOfTests && !strings.HasPrefix(line, "FAIL\t"+p.Path+"\t") {
+	for _, line := range p.packageOutput[i+1:] {
+		if line != testExitLine && !strings.HasPrefix(line, "FAIL\t"+p.Path+"\t") {
 			return false
 		}
 	}
 	return true
 }
 
-// The race detector's report, and the testing package's word for it.
+// The race detector's report, and the corresponding message of the testing package.
 const (
 	raceReport = "WARNING: DATA RACE"
 	raceInTest = "race detected during execution of test"
 )
 
-// raced tells whether a data race was reported. A package that passes had none: the race detector makes its test binary fail.
+// raced reports whether a data race was reported. A package that passes had none, because the race detector makes its
+// test binary fail.
 func (p *Package) raced() bool {
 	if p.State == Passed {
 		return false
 	}
-	said := p.stream.String()
-	return strings.Contains(said, raceReport) || strings.Contains(said, raceInTest)
+	output := p.allOutput.String()
+	return strings.Contains(output, raceReport) || strings.Contains(output, raceInTest)
 }
