--- a/cmd/rehearse/model.go
+++ b/cmd/rehearse/model.go
@@ -80,8 +80,8 @@
 	if err != nil {
 		return err
 	}
-	opt := model.Options{Workers: f.workers, Memory: f.memory << 20, MaxStates: f.maxStates, MaxDepth: f.maxDepth,
-		Within: f.within, NoLiveness: f.noLiveness}
+	opt := model.Options{Workers: f.workers, MemoryLimit: f.memory << 20, MaxStates: f.maxStates, MaxDepth: f.maxDepth,
+		TimeLimit: f.within, NoLiveness: f.noLiveness}
 	if !f.quiet {
 		opt.Progress = func(p model.Progress) { fmt.Fprintln(errs, progressLine(p)) }
 	}
@@ -123,7 +123,7 @@
 	}
 	return fmt.Sprintf("%7.1fs  depth %d, %s states (%s/s), %s steps, %s left here, %s found beyond, %d MiB", p.Elapsed.Seconds(),
 		p.Depth, grouped(p.States), grouped(uint64(float64(p.States)/p.Elapsed.Seconds())), grouped(p.Transitions),
-		grouped(p.Left), grouped(p.Frontier), p.Bytes>>20)
+		grouped(p.Unexpanded), grouped(p.Frontier), p.Bytes>>20)
 }
 
 // grouped writes a number with a thin mark between thousands.
--- a/rehearsal/catalog/catalog.go
+++ b/rehearsal/catalog/catalog.go
@@ -209,7 +209,7 @@
 func lifeEntry() Entry {
 	e := Entry{Named: Named{"life", "the life of queries in a world of gateways, clients and notices"},
 		Replays: true, defaults: Config{Gateways: 3, Clients: 1, Attempts: 4}, find: findLife}
-	for _, p := range lifemodel.Plants() {
+	for _, p := range lifemodel.InjectedBugs() {
 		e.Plants = append(e.Plants, Plant{Named: Named(p)})
 	}
 	for _, s := range lifemodel.Scenarios() {
@@ -225,7 +225,7 @@
 	}
 	m.NoSymmetry = c.NoSymmetry
 	if c.Scenario != "" {
-		if err := m.Only(c.Scenario); err != nil {
+		if err := m.RestrictTo(c.Scenario); err != nil {
 			return nil, err
 		}
 	}
@@ -235,7 +235,7 @@
 func coreEntry() Entry {
 	e := Entry{Named: Named{"core", "the running code, the real core and balancer, under a stepped clock"},
 		Replays: true, defaults: Config{Gateways: 3, Clients: 1, Attempts: 4, Notices: 1, Seeds: 2}, find: findCore}
-	for _, p := range coremodel.Plants() {
+	for _, p := range coremodel.InjectedBugs() {
 		e.Plants = append(e.Plants, Plant{Named: Named(p)})
 	}
 	return e
@@ -243,7 +243,7 @@
 
 func (c Config) core() coremodel.Config {
 	return coremodel.Config{Gateways: c.Gateways, Clients: c.Clients, Attempts: c.Attempts, Notices: c.Notices,
-		Seeds: c.Seeds, Plant: c.Plant}
+		Seeds: c.Seeds, Bug: c.Plant}
 }
 
 // connectionsLast is how long connections are looked at.
@@ -252,7 +252,7 @@
 func connectionEntry() Entry {
 	e := Entry{Named: Named{"connection", "the running code once connections stand: lines, silence, drains, moves, both ends"},
 		Replays: true, defaults: Config{Gateways: 1, Clients: 2, Attempts: 2, Seeds: 1, Lines: 1}, find: findConnection}
-	for _, p := range coremodel.ConnectionPlants() {
+	for _, p := range coremodel.ConnectionBugs() {
 		e.Plants = append(e.Plants, Plant{Named: Named(p)})
 	}
 	return e
@@ -308,9 +308,9 @@
 		return nil, err
 	}
 	r := &Report{Config: j.config, States: res.States, Transitions: res.Transitions, Depth: res.Depth,
-		Widest: res.Widest, Seconds: res.Seconds, LiveSeconds: res.LiveSeconds, StatesPerSecond: res.Rate(),
-		PeakBytes: res.PeakBytes, Missed: res.Missed, Workers: res.Workers, Complete: res.Complete,
-		Stopped: res.Stopped, Seen: []string{}, NotSeen: []string{}}
+		Widest: res.MaxLevelStates, Seconds: res.Seconds, LiveSeconds: res.LivenessSeconds, StatesPerSecond: res.Rate(),
+		PeakBytes: res.PeakBytes, Missed: res.OmissionProbability, Workers: res.Workers, Complete: res.Complete,
+		Stopped: res.StopReason, Seen: []string{}, NotSeen: []string{}}
 	for _, f := range res.Findings {
 		r.Properties = append(r.Properties, Property{f.Property, f.Liveness, f.Verdict.String()})
 	}
@@ -319,7 +319,7 @@
 		if e, ok := j.m.(interface{ Expected() uint64 }); ok {
 			expected = e.Expected()
 		}
-		for i, name := range m.Sights() {
+		for i, name := range m.CoverageGoals() {
 			if res.Covered>>i&1 == 1 {
 				r.Seen = append(r.Seen, name)
 			} else if expected>>i&1 == 1 {
@@ -330,7 +330,7 @@
 	if v := res.Violation; v != nil {
 		r.Trace = &Trace{Config: j.config, Property: v.Property, Loop: v.Trace.Loop, Steps: []Step{}}
 		if s, ok := any(v.Trace.States[0]).(coremodel.State); ok {
-			r.Trace.Seed, r.Trace.Start = s.Seed(), s.Which()
+			r.Trace.Seed, r.Trace.Start = s.Seed(), s.StartIndex()
 		}
 		for i, s := range v.Trace.Steps {
 			r.Trace.Steps = append(r.Trace.Steps, Step{s, j.m.Describe(v.Trace.States[i], s, v.Trace.States[i+1])})
--- a/rehearsal/catalog/replay.go
+++ b/rehearsal/catalog/replay.go
@@ -94,18 +94,18 @@
 // replayCore plays a trace of the running code again.
 func replayCore(t *Trace, m *coremodel.Model) (*Replayed, error) {
 	rep := &Replayed{}
-	s, err := m.Start(t.Seed, t.Start)
+	s, err := m.InitialState(t.Seed, t.Start)
 	if err != nil {
 		return nil, err
 	}
 	for i, step := range t.Steps {
 		rep.Lines = append(rep.Lines, fmt.Sprintf("%4d  %s", i+1, m.Describe(s, step.Code, s)))
-		if s, err = m.Play(s, step.Code); err != nil {
+		if s, err = m.Apply(s, step.Code); err != nil {
 			return nil, fmt.Errorf("steps[%d]: %w", i, err)
 		}
 	}
-	for i, name := range m.Properties() {
-		if m.Broken(s)>>i&1 == 1 {
+	for i, name := range m.SafetyProperties() {
+		if m.Violated(s)>>i&1 == 1 {
 			rep.Broken = append(rep.Broken, name)
 		}
 	}
--- a/rehearsal/coremodel/bugs.go
+++ b/rehearsal/coremodel/bugs.go
@@ -9,77 +9,78 @@
 	"lichenhitch/rehearsal/lifemodel"
 )
 
-// Plant tells of a planted bug. Those of the running code wrap the real balancer or the real rule of lives; the code
-// itself has none.
-type Plant struct{ Name, About string }
+// InjectedBug is the name and the description of an injected bug. Bugs of the running code wrap the actual balancer or
+// the actual rule of the request lifecycle; the code itself contains none.
+type InjectedBug struct{ Name, About string }
 
-type planted struct {
-	Plant
+type deciderBug struct {
+	InjectedBug
 	decider func(query.Decider) query.Decider
 }
 
-// Plants lists the bugs that can be planted: the deciders below, and those of the model of lives that change its rule.
-func Plants() []Plant {
-	var list []Plant
-	for _, p := range deciders {
-		list = append(list, p.Plant)
+// InjectedBugs returns the bugs that can be injected: those in deciderBugs, and those of package lifemodel that change
+// the rule.
+func InjectedBugs() []InjectedBug {
+	var list []InjectedBug
+	for _, p := range deciderBugs {
+		list = append(list, p.InjectedBug)
 	}
-	for _, p := range lifemodel.Plants() {
-		if lifemodel.InRule(p.Name) && !unreached[p.Name] {
-			list = append(list, Plant(p))
+	for _, p := range lifemodel.InjectedBugs() {
+		if lifemodel.BugIsInRule(p.Name) && !unreachable[p.Name] {
+			list = append(list, InjectedBug(p))
 		}
 	}
 	return list
 }
 
-// unreached are bugs that the running code never gets to: its balancer answers before the guard fires with an attempt
-// out, so that only the model of lives, whose balancer may hold for ever, shows them.
-var unreached = map[string]bool{"deadline-leaves-attempt": true}
+// unreachable are bugs that the running code cannot show: its balancer answers before the deadline timer fires with an
+// attempt pending. Only the model of package lifemodel, whose balancer may hold requests forever, shows them.
+var unreachable = map[string]bool{"deadline-leaves-attempt": true}
 
-// ConnectionPlants lists the bugs that the model of connections is there for.
-func ConnectionPlants() []Plant {
-	list := []Plant{
-		{"watch-asleep", "the watch over silence never looks"},
-		{"reply-unheard", "a line of the host is not taken for a sign of life"},
+// ConnectionBugs returns the bugs that the model of connections is meant to find.
+func ConnectionBugs() []InjectedBug {
+	list := []InjectedBug{
+		{"watch-asleep", "the watch for unresponsive hosts never checks"},
+		{"reply-unheard", "a line from the host does not count as a response"},
 	}
-	for _, p := range lifemodel.Plants() {
+	for _, p := range lifemodel.InjectedBugs() {
 		switch p.Name {
 		case "cut-without-move", "end-without-word", "end-told-twice":
-			list = append(list, Plant(p))
+			list = append(list, InjectedBug(p))
 		}
 	}
 	return list
 }
 
-// plant sets the configuration up with its named bug.
-func (c *Config) plant() error {
-	for _, p := range deciders {
-		if p.Name == c.Plant {
+// injectBug puts the named bug into the configuration.
+func (c *Config) injectBug() error {
+	for _, p := range deciderBugs {
+		if p.Name == c.Bug {
 			c.Decider = p.decider
 			return nil
 		}
 	}
-	for _, p := range ConnectionPlants()[:2] {
-		if p.Name == c.Plant {
-			return nil // the world takes part in these
+	for _, p := range ConnectionBugs()[:2] {
+		if p.Name == c.Bug {
+			return nil // package script implements these
 		}
 	}
-	if !lifemodel.InRule(c.Plant) {
-		return fmt.Errorf("no bug of this model is named %q; see rehearse model list", c.Plant)
+	if !lifemodel.BugIsInRule(c.Bug) {
+		return fmt.Errorf("no bug of this model is named %q; see rehearse model list", c.Bug)
 	}
-	c.Rule = lifemodel.Rule(c.Plant)
+	c.Rule = lifemodel.RuleWithBug(c.Bug)
 	return nil
 }
 
-// decider changes what goes into a balancer, and what comes out.
-type decider struct {
+// buggyDecider changes the events that a balancer gets and the actions that it returns.
+type buggyDecider struct {
 	inner query.Decider
 	in    func(balance.Event) []balance.Event
 	out   func([]balance.Action) []balance.Action
 }
 
 // Handle implements query.Decider.
-func (d *decider) Handle(now time.Duration, ev balance.Event) []balance.Action {
+func (d *buggyDecider) Handle(now time.Duration, ev balance.Event) []balance.Action {
 	events := []balance.Event{ev}
 	if d.in != nil {
 		events = d.in(ev)
@@ -94,13 +95,13 @@
 	return acts
 }
 
-func hearing(f func(balance.Event) []balance.Event) func(query.Decider) query.Decider {
-	return func(inner query.Decider) query.Decider { return &decider{inner: inner, in: f} }
+func filterEvents(f func(balance.Event) []balance.Event) func(query.Decider) query.Decider {
+	return func(inner query.Decider) query.Decider { return &buggyDecider{inner: inner, in: f} }
 }
 
-var deciders = []planted{
-	{Plant{"drain-unheard", "the balancer never hears that a gateway drains"},
-		hearing(func(ev balance.Event) []balance.Event {
+var deciderBugs = []deciderBug{
+	{InjectedBug{"drain-unheard", "the balancer is never notified that a gateway drains"},
+		filterEvents(func(ev balance.Event) []balance.Event {
 			if l, ok := ev.(balance.ServerList); ok {
 				for _, e := range l.Entries {
 					if e.State == balance.Draining {
@@ -110,32 +111,32 @@
 			}
 			return []balance.Event{ev}
 		})},
-	{Plant{"full-taken-for-error", "the balancer takes a refusal of a gateway for proof that nothing ran, and a reset too"},
-		hearing(func(ev balance.Event) []balance.Event {
+	{InjectedBug{"full-taken-for-error", "the balancer takes a gateway's reset, like a refusal, as proof that nothing ran"},
+		filterEvents(func(ev balance.Event) []balance.Event {
 			if e, ok := ev.(balance.Ended); ok && e.Outcome == balance.Reset {
 				e.Outcome = balance.Full
 				ev = e
 			}
 			return []balance.Event{ev}
 		})},
-	{Plant{"late-taken-for-unsent", "the balancer takes an attempt that was sent, and whose time is over, for one that was not"},
-		hearing(func(ev balance.Event) []balance.Event {
+	{InjectedBug{"late-taken-for-unsent", "the balancer takes an attempt that was sent and has timed out for one that was not sent"},
+		filterEvents(func(ev balance.Event) []balance.Event {
 			if e, ok := ev.(balance.Ended); ok && e.Outcome == balance.TimedOut {
 				e.Outcome = balance.Unreachable
 				ev = e
 			}
 			return []balance.Event{ev}
 		})},
-	{Plant{"departure-unheard", "the balancer does not hear that a client has gone"},
-		hearing(func(ev balance.Event) []balance.Event {
+	{InjectedBug{"departure-unheard", "the balancer is not notified that a client has left"},
+		filterEvents(func(ev balance.Event) []balance.Event {
 			if _, ok := ev.(balance.Departed); ok {
 				return nil
 			}
 			return []balance.Event{ev}
 		})},
-	{Plant{"answer-withheld", "the balancer's answers are lost"},
+	{InjectedBug{"answer-withheld", "the balancer's answers are lost"},
 		func(inner query.Decider) query.Decider {
-			return &decider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
+			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					switch a.(type) {
 					case balance.Refuse, balance.Fail:
@@ -146,9 +147,9 @@
 				return rest
 			}}
 		}},
-	{Plant{"placed-twice", "the balancer's first placement is carried out twice"},
+	{InjectedBug{"placed-twice", "each placement of the balancer is carried out twice"},
 		func(inner query.Decider) query.Decider {
-			return &decider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
+			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					rest = append(rest, a)
 					if p, ok := a.(balance.Place); ok {
@@ -158,9 +159,9 @@
 				return rest
 			}}
 		}},
-	{Plant{"all-refused", "what the balancer fails is refused instead"},
+	{InjectedBug{"all-refused", "requests that the balancer fails are refused instead"},
 		func(inner query.Decider) query.Decider {
-			return &decider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
+			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					if f, ok := a.(balance.Fail); ok {
 						a = balance.Refuse{Request: f.Request}
--- a/rehearsal/coremodel/model.go
+++ b/rehearsal/coremodel/model.go
@@ -1,8 +1,9 @@
-// Package coremodel explores the running code: the real query.Core with the real balance.Balancer, under a stepped
-// clock, in a small world of clients, gateways and notices. Each state is a run from the start that is played anew for
-// every step; two runs that leave the same state behind, down to the last field of the balancer, count as one.
+// Package coremodel explores the running code: the actual query.Core with the actual balance.Balancer, with a simulated
+// clock, in a small environment of clients, gateways and notices. A state is a run from the start, which is replayed
+// for every step. Two runs that lead to the same state, down to the last field of the balancer, count as one.
 //
-// Every step of the running code must be one that the model of lives allows, from the state that the model is in then.
+// Every step of the running code must be one that the model of the request lifecycle (package lifemodel) allows in the
+// corresponding state.
 package coremodel
 
 import (
@@ -19,119 +20,121 @@
 	"lichenhitch/rehearsal/script"
 )
 
-// Config is what is explored.
+// Config says what is explored.
 type Config struct {
 	Gateways int
 	Clients  int
 	Attempts int
 	Notices  int // of discovery, in one run
-	Seeds    int // of the balancer's chance: 1 to this
-	Plant    string
-	Decider  func(query.Decider) query.Decider // wraps the balancer, for planted bugs; may be nil
-	Rule     query.Rule                        // nil: the real one
+	Seeds    int // of the balancer's random choices: 1 to this
+	Bug      string
+	Decider  func(query.Decider) query.Decider // wraps the balancer, to inject bugs; may be nil
+	Rule     query.Rule                        // nil: the actual rule
 }
 
 const (
-	wait  = 400 * time.Millisecond // that a client waits
-	aim   = 100 * time.Millisecond
-	grace = 250 * time.Millisecond
-	// inheritedTries and inheritedFor bound what is explored of an inherited connection; the rest of its 40 s passes in
-	// silence.
-	inheritedTries = 2
-	inheritedFor   = time.Second
+	clientTimeout = 400 * time.Millisecond // how long a client waits
+	latencyTarget = 100 * time.Millisecond
+	drainGrace    = 250 * time.Millisecond
+	// maxInheritedAttempts and maxInheritedTime bound what is explored of an inherited connection. The rest of its 40 s
+	// passes without further events.
+	maxInheritedAttempts = 2
+	maxInheritedTime     = time.Second
 )
 
 var classes = []string{"safe", "unsafe", "keyed", "safe", "grouped"} // by lifemodel.Class
 
-// settings are those of the small fleet: short times, so that a run has few moments at which anything may happen.
+// settings returns the settings of the small fleet. Its times are short, so that a run has few moments at which an
+// event may happen.
 func (c Config) settings() balance.Settings {
 	return balance.Settings{
 		Balancers: 1, Zone: "z0", MaxAttempts: c.Attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second,
 		Classes: []balance.Class{
-			{Name: "safe", LatencyTarget: aim, Deadline: wait, Effect: balance.Safe},
-			{Name: "unsafe", LatencyTarget: aim, Deadline: wait, Effect: balance.Unsafe},
-			{Name: "keyed", LatencyTarget: aim, Deadline: wait, Effect: balance.Keyed, Group: balance.GroupAll, Window: time.Minute},
-			{Name: "grouped", LatencyTarget: aim, Deadline: wait, Effect: balance.Keyed, Group: balance.GroupZone, Window: time.Minute},
+			{Name: "safe", LatencyTarget: latencyTarget, Deadline: clientTimeout, Effect: balance.Safe},
+			{Name: "unsafe", LatencyTarget: latencyTarget, Deadline: clientTimeout, Effect: balance.Unsafe},
+			{Name: "keyed", LatencyTarget: latencyTarget, Deadline: clientTimeout, Effect: balance.Keyed,
+				Group: balance.GroupAll, Window: time.Minute},
+			{Name: "grouped", LatencyTarget: latencyTarget, Deadline: clientTimeout, Effect: balance.Keyed,
+				Group: balance.GroupZone, Window: time.Minute},
 		},
-		Safety: balance.Safety{DrainGrace: grace, AnswerSlack: 50 * time.Millisecond, ListRefreshInterval: 10 * time.Second,
+		Safety: balance.Safety{DrainGrace: drainGrace, AnswerSlack: 50 * time.Millisecond, ListRefreshInterval: 10 * time.Second,
 			ColdCapacity: 0.3, WarmUp: 8 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second},
 	}
 }
 
-// State is a run, and what is known of the state that it leads to.
+// State is a run with the properties of the state that it leads to.
 type State struct {
 	*run
 }
 
 type run struct {
-	seed    uint64
-	which   int // of an initial state: which of the beginnings it is
-	steps   []model.Step
-	print   uint64
-	broken  uint32
-	pending bool
-	over    bool // nothing is left to happen
-	notices int
-	covered uint64
-	choices []model.Step
+	seed        uint64
+	startIndex  int // of an initial state: the index of its initial run
+	steps       []model.Step
+	fingerprint uint64
+	violated    uint32
+	pending     bool
+	ended       bool // no further step is possible
+	notices     int
+	covered     uint64
+	choices     []model.Step
 }
 
 // Model implements model.Model and model.Coverer.
 type Model struct {
-	cfg  Config
-	life *lifemodel.Model
-	set  balance.Settings
-	// lines is how many each client may send; -1 where connections that stand are of no interest.
-	lines   int
-	horizon time.Duration // how long connections are looked at
+	cfg            Config
+	lifecycleModel *lifemodel.Model
+	settings       balance.Settings
+	// maxLines is the number of lines that each client may send; -1 in the model without established connections.
+	maxLines    int
+	maxDuration time.Duration // how long connections are explored
 }
 
-// New returns the model.
 func New(c Config) (*Model, error) {
 	m, err := lifemodel.New(max(c.Gateways, 1), max(c.Clients, 1), c.Attempts, "")
 	if err != nil {
 		return nil, err
 	}
 	if c.Gateways < 1 || c.Clients < 1 {
-		return nil, fmt.Errorf("gateways and clients: %d and %d are not both above 0", c.Gateways, c.Clients)
+		return nil, fmt.Errorf("gateways and clients: %d and %d are not both positive", c.Gateways, c.Clients)
 	}
 	if c.Notices < 0 {
 		return nil, fmt.Errorf("notices: %d is negative", c.Notices)
 	}
-	if c.Plant != "" && c.Decider == nil && c.Rule == nil {
-		if err := c.plant(); err != nil {
+	if c.Bug != "" && c.Decider == nil && c.Rule == nil {
+		if err := c.injectBug(); err != nil {
 			return nil, err
 		}
 	}
 	m.Unreduced, m.NoSymmetry = true, true
-	return &Model{cfg: c, life: m, set: c.settings(), lines: -1}, nil
+	return &Model{cfg: c, lifecycleModel: m, settings: c.settings(), maxLines: -1}, nil
 }
 
 // The safety properties.
 const (
-	badRules = iota
+	badWireRules = iota
 	badRefinement
-	badKept
-	badGuard
+	badLeak
+	badDeadlineFired
 	badPanic
 )
 
-// Properties implements model.Model.
-func (m *Model) Properties() []string {
+// SafetyProperties implements model.Model.
+func (m *Model) SafetyProperties() []string {
 	return []string{
-		badRules:      "the rules hold on the wire",
-		badRefinement: "every step is one of the model of lives",
-		badKept:       "nothing is kept of a query that is over",
-		badGuard:      "the balancer answers before the guard has to",
-		badPanic:      "the running code does not panic",
+		badWireRules:     "the rules hold on the wire",
+		badRefinement:    "every step is one of the model of lives",
+		badLeak:          "nothing is kept of a query that is over",
+		badDeadlineFired: "the balancer answers before the guard has to",
+		badPanic:         "the running code does not panic",
 	}
 }
 
-// Promises implements model.Model.
-func (m *Model) Promises() []string { return []string{"every query taken is answered"} }
+// LivenessProperties implements model.Model.
+func (m *Model) LivenessProperties() []string { return []string{"every query taken is answered"} }
 
-// Fair implements model.Model: time passes.
-func (m *Model) Fair(s model.Step) model.Fairness {
+// FairnessClasses implements model.Model: time advances.
+func (m *Model) FairnessClasses(s model.Step) model.Fairness {
 	switch o, _, _, _ := lifemodel.Decode(s); o {
 	case script.Advance, script.Expire, script.Pass:
 		return 1
@@ -145,13 +148,13 @@
 // Encode implements model.Model.
 func (m *Model) Encode(to []byte, s State) []byte {
 	for i := range 8 {
-		to = append(to, byte(s.print>>(8*i)))
+		to = append(to, byte(s.fingerprint>>(8*i)))
 	}
 	return to
 }
 
-// Broken implements model.Model.
-func (m *Model) Broken(s State) uint32 { return s.broken }
+// Violated implements model.Model.
+func (m *Model) Violated(s State) uint32 { return s.violated }
 
 // Pending implements model.Model.
 func (m *Model) Pending(s State) uint8 {
@@ -162,32 +165,32 @@
 }
 
 // Done implements model.Model.
-func (m *Model) Done(s State) bool { return s.over }
+func (m *Model) Done(s State) bool { return s.ended }
 
-// Size tells how many bytes a state holds besides itself.
+// Size implements model.Sizer.
 func (m *Model) Size(s State) int { return 120 + 4*(cap(s.steps)+cap(s.choices)) }
 
-// Sights of the running code.
+// The coverage goals.
 const (
-	sawUp = iota
-	sawLast
-	sawDrain
-	sawHeld
-	sawInherited
-	sawLeaving
-	sawRestart
+	coverServed = iota
+	coverLastAttempt
+	coverNoticeDuringAttempt
+	coverLateAnswer
+	coverInheritedRetry
+	coverStopWhileWaiting
+	coverRestartDuringAttempt
 )
 
-// Sights implements model.Coverer.
-func (m *Model) Sights() []string {
+// CoverageGoals implements model.Coverer.
+func (m *Model) CoverageGoals() []string {
 	return []string{
-		sawUp:        "a client is served",
-		sawLast:      "the last attempt is out",
-		sawDrain:     "a notice comes while an attempt is out",
-		sawHeld:      "a gateway speaks of an attempt that is over",
-		sawInherited: "an inherited connection is tried again",
-		sawLeaving:   "the node stops while a query waits",
-		sawRestart:   "a gateway starts anew while an attempt is out there",
+		coverServed:               "a client is served",
+		coverLastAttempt:          "the last attempt is out",
+		coverNoticeDuringAttempt:  "a notice comes while an attempt is out",
+		coverLateAnswer:           "a gateway speaks of an attempt that is over",
+		coverInheritedRetry:       "an inherited connection is tried again",
+		coverStopWhileWaiting:     "the node stops while a query waits",
+		coverRestartDuringAttempt: "a gateway starts anew while an attempt is out there",
 	}
 }
 
@@ -198,54 +201,56 @@
 func (m *Model) Initial() []State {
 	var list []State
 	for seed := range max(1, m.cfg.Seeds) {
-		for which, start := range m.starts(uint64(seed) + 1) {
-			s, _ := m.play(uint64(seed)+1, start, nil)
-			s.which = which
+		for startIndex, start := range m.initialRuns(uint64(seed) + 1) {
+			s, _ := m.replay(uint64(seed)+1, start, nil)
+			s.startIndex = startIndex
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
-// starts returns the runs that everything else follows on.
-func (m *Model) starts(seed uint64) [][]model.Step {
-	if m.lines < 0 {
+// initialRuns returns the runs that lead to the initial states.
+func (m *Model) initialRuns(seed uint64) [][]model.Step {
+	if m.maxLines < 0 {
 		return [][]model.Step{nil}
 	}
-	return [][]model.Step{m.served(seed, false), m.served(seed, true)}
+	return [][]model.Step{m.setUpConnections(seed, false), m.setUpConnections(seed, true)}
 }
 
-// Start returns the state to start from with a seed of the balancer's, counted from 1,
-// and one of the beginnings, from 0: the model of connections has two.
-func (m *Model) Start(seed uint64, which int) (State, error) {
+// InitialState returns the initial state for a seed of the balancer, counted from 1, and for an initial run, counted
+// from 0. The model of connections has two initial runs.
+func (m *Model) InitialState(seed uint64, startIndex int) (State, error) {
 	if seed < 1 || seed > uint64(max(1, m.cfg.Seeds)) {
 		return State{}, fmt.Errorf("seed: %d is not within 1 to %d", seed, max(1, m.cfg.Seeds))
 	}
-	starts := m.starts(seed)
-	if which < 0 || which >= len(starts) {
-		return State{}, fmt.Errorf("start: %d is not within 0 to %d", which, len(starts)-1)
+	starts := m.initialRuns(seed)
+	if startIndex < 0 || startIndex >= len(starts) {
+		return State{}, fmt.Errorf("start: %d is not within 0 to %d", startIndex, len(starts)-1)
 	}
-	s, err := m.play(seed, starts[which], nil)
-	s.which = which
+	s, err := m.replay(seed, starts[startIndex], nil)
+	s.startIndex = startIndex
 	return s, err
 }
 
-// Play takes one step. An error says why it is not possible there.
-func (m *Model) Play(s State, step model.Step) (State, error) { return m.play(s.seed, s.steps, &step) }
+// Apply takes one step. It returns an error if the step is not possible there.
+func (m *Model) Apply(s State, step model.Step) (State, error) {
+	return m.replay(s.seed, s.steps, &step)
+}
 
-// Which returns which of the beginnings an initial state is.
-func (s State) Which() int { return s.which }
+// StartIndex returns the index of the initial run of an initial state.
+func (s State) StartIndex() int { return s.startIndex }
 
-// Seed returns the seed of the balancer's that a state was reached with.
+// Seed returns the balancer's seed with which the state was reached.
 func (s State) Seed() uint64 { return s.seed }
 
 // Steps implements model.Model.
 func (m *Model) Steps(s State, yield func(model.Step, State)) {
-	if s.broken != 0 {
+	if s.violated != 0 {
 		return
 	}
 	for _, c := range s.choices {
-		next, err := m.play(s.seed, s.steps, &c)
+		next, err := m.replay(s.seed, s.steps, &c)
 		if err != nil {
 			panic(fmt.Sprintf("coremodel: %v after %v", err, s.steps))
 		}
@@ -253,10 +258,11 @@
 	}
 }
 
-// world returns a world at the start.
+// world returns a new environment.
 func (m *Model) world(seed uint64) *script.World {
-	cfg := script.Config{Hosts: m.cfg.Gateways, Settings: m.set, Seed: seed, Wait: wait, Classes: classes, Plant: m.cfg.Plant,
-		Fleet: func(i int) balance.Listing { // the first and the last of three stand in one zone
+	cfg := script.Config{Hosts: m.cfg.Gateways, Settings: m.settings, Seed: seed, Wait: clientTimeout, Classes: classes,
+		Plant: m.cfg.Bug,
+		Fleet: func(i int) balance.Listing { // the first and the last of three are in the same zone
 			return balance.Listing{Server: balance.ServerID(fmt.Sprint("g", i+1)), Weight: 1, Zone: fmt.Sprint("z", i%2)}
 		},
 		Rule: m.cfg.Rule}
@@ -264,20 +270,20 @@
 		cfg.Rule = lifecycle.Step
 	}
 	if m.cfg.Decider != nil {
-		cfg.Decider = m.cfg.Decider(balance.New(m.set, seed))
+		cfg.Decider = m.cfg.Decider(balance.New(m.settings, seed))
 		cfg.Strict = true
 	}
 	return script.New(cfg)
 }
 
-// play plays a run, with one step more if there is one, and looks at where it leads.
-func (m *Model) play(seed uint64, steps []model.Step, more *model.Step) (State, error) {
+// replay replays a run, with one more step if last is set, and evaluates the state that it leads to.
+func (m *Model) replay(seed uint64, steps []model.Step, last *model.Step) (State, error) {
 	w := m.world(seed)
-	f := follower{m: m.life, s: m.life.Initial()[0]}
+	follower := modelFollower{model: m.lifecycleModel, state: m.lifecycleModel.Initial()[0]}
 	r := &run{seed: seed}
 	all := steps
-	if more != nil {
-		all = append(append(make([]model.Step, 0, len(steps)+1), steps...), *more)
+	if last != nil {
+		all = append(append(make([]model.Step, 0, len(steps)+1), steps...), *last)
 	}
 	r.steps = all
 	for _, step := range all {
@@ -286,29 +292,29 @@
 			return State{}, err
 		}
 		if crash != "" {
-			r.broken |= 1 << badPanic
-			r.print = xxhash.Sum64String(crash)
+			r.violated |= 1 << badPanic
+			r.fingerprint = xxhash.Sum64String(crash)
 			return State{r}, nil
 		}
 		done := w.Done()
-		f.follow(done)
-		f.compare(w, m.cfg.Clients)
-		r.note(w, step, done, &f.s, min(m.cfg.Attempts, m.cfg.Gateways))
+		follower.follow(done)
+		follower.compare(w, m.cfg.Clients)
+		r.record(w, step, done, &follower.state, min(m.cfg.Attempts, m.cfg.Gateways))
 	}
 	w.Check()
 	if len(w.Broken()) > 0 {
-		r.broken |= 1 << badRules
+		r.violated |= 1 << badWireRules
 	}
-	if f.err != "" {
-		r.broken |= 1 << badRefinement
+	if follower.err != "" {
+		r.violated |= 1 << badRefinement
 	}
 	if q, b := w.Kept(); !w.Stopped() && (q != w.Live() || b > w.Live()) {
-		r.broken |= 1 << badKept
+		r.violated |= 1 << badLeak
 	}
 	r.pending = w.Owed()
 	r.choices = m.choices(w, r)
-	r.over = len(r.choices) == 0
-	r.print = xxhash.Sum64(w.Fingerprint(m.life.Encode([]byte{byte(r.notices)}, f.s)))
+	r.ended = len(r.choices) == 0
+	r.fingerprint = xxhash.Sum64(w.Fingerprint(m.lifecycleModel.Encode([]byte{byte(r.notices)}, follower.state)))
 	return State{r}, nil
 }
 
@@ -322,56 +328,57 @@
 	return "", w.Do(step)
 }
 
-// note keeps what a step showed.
-func (r *run) note(w *script.World, step model.Step, done []model.Step, s *lifemodel.State, most int) {
+// record notes what a step showed.
+func (r *run) record(w *script.World, step model.Step, done []model.Step, modelState *lifemodel.State, maxAttempts int) {
 	o, _, _, _ := lifemodel.Decode(step)
-	if o >= lifemodel.TellDrain && o <= lifemodel.TellRestart {
+	if o >= lifemodel.NotifyDrain && o <= lifemodel.NotifyRestart {
 		r.notices++
 	}
 	for _, d := range done {
 		o, c, g, _ := lifemodel.Decode(d)
 		switch o {
-		case lifemodel.Due:
-			if q, _, _, _ := w.State(c); !q.Inherited { // the balancer has no part in inherited ones
-				r.broken |= 1 << badGuard
+		case lifemodel.DeadlineFires:
+			if q, _, _, _ := w.State(c); !q.Inherited { // the balancer takes no part in inherited requests
+				r.violated |= 1 << badDeadlineFired
 			}
-		case lifemodel.Again:
-			r.covered |= 1 << sawInherited
-		case lifemodel.TellDrain, lifemodel.TellGone, lifemodel.TellRestart:
-			for i := range s.Clients {
-				if s.Clients[i].Link != lifemodel.NoLink && s.Gateways[g].Out[i] {
-					r.covered |= 1 << sawDrain
-					if o == lifemodel.TellRestart {
-						r.covered |= 1 << sawRestart
+		case lifemodel.RetryInherited:
+			r.covered |= 1 << coverInheritedRetry
+		case lifemodel.NotifyDrain, lifemodel.NotifyGone, lifemodel.NotifyRestart:
+			for i := range modelState.Clients {
+				if modelState.Clients[i].Conn != lifemodel.NoConn && modelState.Gateways[g].HasConn[i] {
+					r.covered |= 1 << coverNoticeDuringAttempt
+					if o == lifemodel.NotifyRestart {
+						r.covered |= 1 << coverRestartDuringAttempt
 					}
 				}
 			}
-		case lifemodel.SendOff:
-			r.covered |= 1 << sawLeaving
+		case lifemodel.StopNode:
+			r.covered |= 1 << coverStopWhileWaiting
 		}
 	}
-	for i := range s.Clients {
-		if s.Clients[i].Life.Phase == lifecycle.Established {
-			r.covered |= 1 << sawUp
+	for i := range modelState.Clients {
+		if modelState.Clients[i].Lifecycle.Phase == lifecycle.Established {
+			r.covered |= 1 << coverServed
 		}
-		if q := &s.Clients[i]; q.Life.Phase == lifecycle.Trying && !q.Life.Inherited && int(q.Life.Attempts) == most {
-			r.covered |= 1 << sawLast
+		if q := &modelState.Clients[i]; q.Lifecycle.Phase == lifecycle.Trying && !q.Lifecycle.Inherited &&
+			int(q.Lifecycle.Attempts) == maxAttempts {
+			r.covered |= 1 << coverLastAttempt
 		}
-		if i < w.Clients() && w.Held(i) && s.Clients[i].Life.AwaitsAnswer() {
-			r.covered |= 1 << sawHeld
+		if i < w.Clients() && w.Held(i) && modelState.Clients[i].Lifecycle.AwaitsAnswer() {
+			r.covered |= 1 << coverLateAnswer
 		}
 	}
 }
 
-// choices lists what may happen next. Once nobody waits, nothing more is of interest but the end of what stands, and the
-// clock stands still.
+// choices returns the steps that are possible next. Once no client waits, the model explores only the end of the
+// established connections, and the clock stands still.
 func (m *Model) choices(w *script.World, r *run) (list []model.Step) {
 	add := func(o lifemodel.Op, c, g, arg int) { list = append(list, lifemodel.Code(o, c, g, arg)) }
 	if w.Stopped() {
 		return nil
 	}
-	if m.lines >= 0 {
-		return m.connections(w, r)
+	if m.maxLines >= 0 {
+		return m.connectionChoices(w, r)
 	}
 	if n := w.Clients(); n < m.cfg.Clients {
 		for _, class := range []lifemodel.Class{lifemodel.Safe, lifemodel.Unsafe, lifemodel.Keyed, lifemodel.Grouped} {
@@ -380,34 +387,34 @@
 		for g := range m.cfg.Gateways {
 			add(lifemodel.Ask, n, g, int(lifemodel.Inherited))
 		}
-		if n == 0 { // before the first query, time alone changes nothing
-			return append(list, m.noticesOf(w, r)...)
+		if n == 0 { // before the first request, the passing of time alone changes nothing
+			return append(list, m.noticeChoices(w, r)...)
 		}
 	}
 	live, ticks := false, false
 	for c := range w.Clients() {
-		q, seen, stage, g := w.State(c)
-		waits := seen == lifemodel.Asking
-		if waits && q.Inherited && (q.Attempts > inheritedTries || w.Elapsed() > inheritedFor) {
+		q, view, conn, g := w.State(c)
+		waits := view == lifemodel.Asking
+		if waits && q.Inherited && (q.Attempts > maxInheritedAttempts || w.Elapsed() > maxInheritedTime) {
 			add(script.Expire, c, 0, 0)
 			continue
 		}
 		ticks = ticks || waits
-		if waits || seen == lifemodel.Served {
+		if waits || view == lifemodel.Served {
 			live = true
-			add(lifemodel.Leave, c, 0, 0)
-			add(lifemodel.Interject, c, 0, 0)
+			add(lifemodel.ClientLeaves, c, 0, 0)
+			add(lifemodel.ClientFaults, c, 0, 0)
 		}
 		switch {
-		case stage == lifemodel.Dialing:
+		case conn == lifemodel.Dialing:
 			add(lifemodel.Connect, c, g, 0)
-			add(lifemodel.NoLuck, c, g, 0)
-		case stage == lifemodel.Sent && q.Phase == lifecycle.Established:
-			add(lifemodel.Clog, c, g, 0)
-			add(lifemodel.Garble, c, g, 0)
-			add(lifemodel.Break, c, g, 0)
-		case stage == lifemodel.Sent:
-			for o := lifemodel.SayUp; o <= lifemodel.Garble; o++ {
+			add(lifemodel.ConnectFails, c, g, 0)
+		case conn == lifemodel.RequestSent && q.Phase == lifecycle.Established:
+			add(lifemodel.HostStalls, c, g, 0)
+			add(lifemodel.HostGarbles, c, g, 0)
+			add(lifemodel.HostEnds, c, g, 0)
+		case conn == lifemodel.RequestSent:
+			for o := lifemodel.HostUp; o <= lifemodel.HostGarbles; o++ {
 				add(o, c, g, 0)
 			}
 		}
@@ -419,16 +426,16 @@
 	if !live {
 		return list
 	}
-	add(lifemodel.SendOff, 0, 0, 1)
+	add(lifemodel.StopNode, 0, 0, 1)
 	if !ticks {
 		return list
 	}
 	add(script.Advance, 0, 0, 0)
-	return append(list, m.noticesOf(w, r)...)
+	return append(list, m.noticeChoices(w, r)...)
 }
 
-// noticesOf lists what discovery may tell next.
-func (m *Model) noticesOf(w *script.World, r *run) (list []model.Step) {
+// noticeChoices returns the notices that discovery may send next.
+func (m *Model) noticeChoices(w *script.World, r *run) (list []model.Step) {
 	if r.notices >= m.cfg.Notices {
 		return nil
 	}
@@ -436,7 +443,7 @@
 		add := func(ops ...lifemodel.Op) {
 			for _, o := range ops {
 				arg := 0
-				if o == lifemodel.TellGone { // told by its absence: the harder way to hear of it
+				if o == lifemodel.NotifyGone { // reported by its absence from a full list, the harder way to notice it
 					arg = script.Whole
 				}
 				list = append(list, lifemodel.Code(o, 0, g, arg))
@@ -444,11 +451,11 @@
 		}
 		switch w.Told(g) {
 		case balance.Ready:
-			add(lifemodel.TellDrain, lifemodel.TellGone, lifemodel.TellRestart)
+			add(lifemodel.NotifyDrain, lifemodel.NotifyGone, lifemodel.NotifyRestart)
 		case balance.Draining:
-			add(lifemodel.TellReady, lifemodel.TellGone, lifemodel.TellRestart)
+			add(lifemodel.NotifyReady, lifemodel.NotifyGone, lifemodel.NotifyRestart)
 		case balance.Gone:
-			add(lifemodel.TellBack)
+			add(lifemodel.NotifyRelisted)
 		}
 	}
 	return list
@@ -456,7 +463,7 @@
 
 // Describe implements model.Model.
 func (m *Model) Describe(s State, step model.Step, _ State) string {
-	lines := m.tell(s, step)
+	lines := m.describeLastStep(s, step)
 	text := ""
 	for i, l := range lines {
 		if i > 0 {
@@ -467,13 +474,13 @@
 	return text
 }
 
-// tell plays a run and tells what its last step did, and what it broke.
-func (m *Model) tell(s State, last model.Step) (lines []string) {
+// describeLastStep replays a run and describes what its last step did and which rules it violated.
+func (m *Model) describeLastStep(s State, last model.Step) (lines []string) {
 	w := m.world(s.seed)
-	f := follower{m: m.life, s: m.life.Initial()[0]}
+	follower := modelFollower{model: m.lifecycleModel, state: m.lifecycleModel.Initial()[0]}
 	for _, step := range s.steps {
 		_ = w.Do(step)
-		f.follow(w.Done())
+		follower.follow(w.Done())
 	}
 	from := w.Now()
 	w.Tell(func(l string) { lines = append(lines, l) })
@@ -488,13 +495,13 @@
 	if d := w.Now() - from; d > 0 {
 		lines = append([]string{fmt.Sprintf("%v later", d)}, lines...)
 	}
-	f.follow(w.Done())
-	f.compare(w, m.cfg.Clients)
+	follower.follow(w.Done())
+	follower.compare(w, m.cfg.Clients)
 	for _, b := range w.Broken() {
 		lines = append(lines, "BROKEN "+b)
 	}
-	if f.err != "" {
-		lines = append(lines, "NOT IN THE MODEL OF LIVES: "+f.err)
+	if follower.err != "" {
+		lines = append(lines, "NOT ALLOWED BY THE LIFECYCLE MODEL: "+follower.err)
 	}
 	if len(lines) == 0 {
 		lines = []string{"time passes"}
@@ -502,15 +509,16 @@
 	return lines
 }
 
-// follower is the model of lives, going the same way as the running code.
-type follower struct {
-	m   *lifemodel.Model
-	s   lifemodel.State
-	err string
+// modelFollower is the model of the request lifecycle, following the steps of the running code.
+type modelFollower struct {
+	model *lifemodel.Model
+	state lifemodel.State
+	err   string
 }
 
-// follow takes the model's steps for what the running code did. A step that the model does not allow is an error.
-func (f *follower) follow(done []model.Step) {
+// follow takes the steps of the model that correspond to what the running code did. A step that the model does not
+// allow is an error.
+func (f *modelFollower) follow(done []model.Step) {
 	for _, d := range done {
 		if f.err != "" {
 			return
@@ -519,65 +527,65 @@
 		if o == lifemodel.Ask && arg == script.MidFlow { // it is placed like a new one
 			d = lifemodel.Code(lifemodel.Ask, c, 0, 0)
 		}
-		if o == lifemodel.SendOff {
-			f.take(lifemodel.Code(lifemodel.Term, 0, 0, 0), "")
+		if o == lifemodel.StopNode {
+			f.take(lifemodel.Code(lifemodel.Terminate, 0, 0, 0), "")
 			_, _, _, arg := lifemodel.Decode(d)
-			f.take(lifemodel.Code(lifemodel.ShutDoor, 0, 0, arg>>1), "")
-			d = lifemodel.Code(lifemodel.SendOff, 0, 0, 1)
-			f.leave(d)
+			f.take(lifemodel.Code(lifemodel.StopAccepting, 0, 0, arg>>1), "")
+			d = lifemodel.Code(lifemodel.StopNode, 0, 0, 1)
+			f.takeStopNode(d)
 			continue
 		}
 		f.take(d, fmt.Sprintf("%s, client %d, gateway %d", o, c+1, g+1))
 	}
 }
 
-// leave takes the end of a departure, whether the node's time was over or not.
-func (f *follower) leave(d model.Step) {
+// takeStopNode takes the last step of the shutdown, whether or not the node's maximum stay was reached.
+func (f *modelFollower) takeStopNode(d model.Step) {
 	before := *f
 	if f.take(d, "send-off"); f.err != "" {
 		*f = before
-		f.take(lifemodel.Code(lifemodel.SendOff, 0, 0, 0), "send-off")
+		f.take(lifemodel.Code(lifemodel.StopNode, 0, 0, 0), "send-off")
 	}
 }
 
-func (f *follower) take(step model.Step, name string) {
+func (f *modelFollower) take(step model.Step, name string) {
 	found := false
-	f.m.Steps(f.s, func(s model.Step, next lifemodel.State) {
+	f.model.Steps(f.state, func(s model.Step, next lifemodel.State) {
 		if s == step && !found {
-			found, f.s = true, next
+			found, f.state = true, next
 		}
 	})
 	switch {
 	case !found:
-		f.err = name + " is not possible there"
-	case f.m.Broken(f.s) != 0:
-		f.err = name + " breaks a property there"
+		f.err = name + " is not possible in this state"
+	case f.model.Violated(f.state) != 0:
+		f.err = name + " violates a property in this state"
 	}
 }
 
 // compare checks that the running code and the model are in the same state.
-func (f *follower) compare(w *script.World, n int) {
-	if f.err != "" || f.s.Stay == lifemodel.Stopped {
+func (f *modelFollower) compare(w *script.World, clients int) {
+	if f.err != "" || f.state.NodeState == lifemodel.Stopped {
 		return
 	}
-	for c := range min(n, w.Clients()) {
-		q, seen, stage, g := w.State(c)
-		m := &f.s.Clients[c]
-		over := q.Phase == lifecycle.Finished
-		tries := q.Attempts
-		if q.Inherited {
-			tries = min(tries, 2)
+	for c := range min(clients, w.Clients()) {
+		state, view, conn, g := w.State(c)
+		modelClient := &f.state.Clients[c]
+		finished := state.Phase == lifecycle.Finished
+		attempts := state.Attempts
+		if state.Inherited {
+			attempts = min(attempts, 2)
 		}
-		out := -1
-		for i := range f.s.Gateways {
-			if f.s.Gateways[i].Out[c] && m.Link != lifemodel.NoLink {
-				out = i
+		modelGateway := -1
+		for i := range f.state.Gateways {
+			if f.state.Gateways[i].HasConn[c] && modelClient.Conn != lifemodel.NoConn {
+				modelGateway = i
 			}
 		}
-		if m.Life.Phase != q.Phase || m.Seen != seen || m.Link != stage || out != g ||
-			!over && (m.Life.Attempts != tries || m.Life.Inherited != q.Inherited) {
+		if modelClient.Lifecycle.Phase != state.Phase || modelClient.View != view || modelClient.Conn != conn || modelGateway != g ||
+			!finished && (modelClient.Lifecycle.Attempts != attempts || modelClient.Lifecycle.Inherited != state.Inherited) {
 			f.err = fmt.Sprintf("client %d is at %+v, seen %d, link %d to %d; the model has %+v, seen %d, link %d to %d",
-				c+1, q, seen, stage, g, m.Life, m.Seen, m.Link, out)
+				c+1, state, view, conn, g, modelClient.Lifecycle, modelClient.View, modelClient.Conn, modelGateway)
 			return
 		}
 	}
--- a/rehearsal/coremodel/model_test.go
+++ b/rehearsal/coremodel/model_test.go
@@ -24,28 +24,29 @@
 	return m, res
 }
 
-func TestTheRunningCodeHoldsWhole(t *testing.T) {
+func TestRunningCodeHolds(t *testing.T) {
 	m, res := check(t, Config{Gateways: 2, Clients: 1, Attempts: 3, Notices: 1, Seeds: 2}, model.Options{})
 	require.Nil(t, res.Violation)
 	assert.True(t, res.Complete)
-	for i, name := range m.Sights() {
-		assert.NotZero(t, res.Covered>>i&1, "never seen: %s", name)
+	for i, name := range m.CoverageGoals() {
+		assert.NotZero(t, res.Covered>>i&1, "not reached: %s", name)
 	}
-	t.Logf("%d states, %d steps, %d deep, %.1f s", res.States, res.Transitions, res.Depth, res.Seconds)
+	t.Logf("%d states, %d steps, depth %d, %.1f s", res.States, res.Transitions, res.Depth, res.Seconds)
 }
 
-// TestAQueryIsHeldWhileNoGatewayIsReady takes the one gateway away, before the query comes or later, and brings it back.
-func TestAQueryIsHeldWhileNoGatewayIsReady(t *testing.T) {
+// TestRequestIsHeldWhileNoGatewayIsReady removes the only gateway, before the request arrives or later, and brings it
+// back.
+func TestRequestIsHeldWhileNoGatewayIsReady(t *testing.T) {
 	_, res := check(t, Config{Gateways: 1, Clients: 1, Attempts: 2, Notices: 2, Seeds: 1}, model.Options{})
 	require.Nil(t, res.Violation)
 	assert.True(t, res.Complete)
-	t.Logf("%d states, %d steps, %d deep, %.1f s", res.States, res.Transitions, res.Depth, res.Seconds)
+	t.Logf("%d states, %d steps, depth %d, %.1f s", res.States, res.Transitions, res.Depth, res.Seconds)
 }
 
-// TestPlantsAreFoundInTheRunningCode plants each bug into the rule or the balancer of the running code.
-func TestPlantsAreFoundInTheRunningCode(t *testing.T) {
-	for _, p := range Plants() {
-		m, err := New(Config{Gateways: 2, Clients: 1, Attempts: 2, Notices: 2, Seeds: 1, Plant: p.Name})
+// TestInjectedBugsAreFoundInRunningCode injects each bug into the rule or the balancer of the running code.
+func TestInjectedBugsAreFoundInRunningCode(t *testing.T) {
+	for _, p := range InjectedBugs() {
+		m, err := New(Config{Gateways: 2, Clients: 1, Attempts: 2, Notices: 2, Seeds: 1, Bug: p.Name})
 		require.NoError(t, err)
 		res, err := model.Check[State](m, model.Options{})
 		require.NoError(t, err)
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestConnectionsHoldWhole(t *testing.T) {
+func TestConnectionsHold(t *testing.T) {
 	for _, c := range []struct{ gateways, clients, notices, lines, seconds int }{{1, 2, 0, 1, 3}, {1, 1, 1, 1, 6}} {
 		m, err := NewConnections(Config{Gateways: c.gateways, Clients: c.clients, Attempts: 2, Notices: c.notices}, c.lines,
 			time.Duration(c.seconds)*time.Second)
@@ -69,13 +70,13 @@
 		}
 		require.Nil(t, res.Violation)
 		assert.True(t, res.Complete)
-		t.Logf("%+v: %d states, %d steps, %d deep, %.1f s", c, res.States, res.Transitions, res.Depth, res.Seconds)
+		t.Logf("%+v: %d states, %d steps, depth %d, %.1f s", c, res.States, res.Transitions, res.Depth, res.Seconds)
 	}
 }
 
-func TestPlantsAreFoundInConnections(t *testing.T) {
-	for _, p := range ConnectionPlants() {
-		m, err := NewConnections(Config{Gateways: 1, Clients: 1, Attempts: 2, Plant: p.Name}, 1, 6*time.Second)
+func TestInjectedBugsAreFoundInConnections(t *testing.T) {
+	for _, p := range ConnectionBugs() {
+		m, err := NewConnections(Config{Gateways: 1, Clients: 1, Attempts: 2, Bug: p.Name}, 1, 6*time.Second)
 		require.NoError(t, err)
 		res, err := model.Check[State](m, model.Options{})
 		require.NoError(t, err)
--- a/rehearsal/lifemodel/bench_test.go
+++ b/rehearsal/lifemodel/bench_test.go
@@ -6,7 +6,7 @@
 	"lichenhitch/rehearsal/model"
 )
 
-// BenchmarkCheck is the speed of the checker on this model.
+// BenchmarkCheck measures the speed of the checker on this model.
 func BenchmarkCheck(b *testing.B) {
 	for range b.N {
 		m, err := New(3, 1, 4, "")
@@ -15,7 +15,7 @@
 		}
 		res, err := model.Check[State](m, model.Options{NoLiveness: true})
 		if err != nil || !res.Complete {
-			b.Fatal(err, res.Stopped)
+			b.Fatal(err, res.StopReason)
 		}
 		b.ReportMetric(res.Rate(), "states/s")
 	}
--- a/rehearsal/lifemodel/describe.go
+++ b/rehearsal/lifemodel/describe.go
@@ -10,94 +10,94 @@
 
 var (
 	classNames = [...]string{"safe", "unsafe", "keyed", "inherited", "grouped"}
-	seenNames  = [...]string{"has not asked", "waits", "is served", "has its final answer", "has left",
-		"has waited in vain: its time is up"}
+	viewNames  = [...]string{"has sent no request", "waits", "is served", "has its final answer", "has left",
+		"has reached its time limit without an answer"}
 )
 
-// Describe implements model.Model. It tells what happens and what comes of it.
+// Describe implements model.Model. It names the step and its effects on the clients and their requests.
 func (m *Model) Describe(s State, step model.Step, next State) string {
 	o, c, g, arg := Decode(step)
 	client, gateway := fmt.Sprint("client ", c+1), fmt.Sprint("gateway ", g+1)
-	attempt := fmt.Sprint("attempt ", s.Clients[c].Life.Attempts)
+	attempt := fmt.Sprint("attempt ", s.Clients[c].Lifecycle.Attempts)
 	if o == Ask && Class(arg) == Inherited {
-		return fmt.Sprintf("%s asks for its connection that stood at %s; %s", client, gateway, m.change(&s, &next, c))
+		return fmt.Sprintf("%s asks to resume its connection that was established with %s; %s", client, gateway, m.describeChange(&s, &next, c))
 	}
 	var what string
 	switch o {
 	case Ask:
-		what = client + " asks, class " + classNames[arg]
+		what = client + " sends a request, class " + classNames[arg]
 	case Place:
-		what = fmt.Sprintf("the balancer places %s on %s, attempt %d", client, gateway, next.Clients[c].Life.Attempts)
+		what = fmt.Sprintf("the balancer places %s on %s, attempt %d", client, gateway, next.Clients[c].Lifecycle.Attempts)
 	case Refuse:
 		what = "the balancer refuses " + client
 	case GiveUp:
-		what = "the balancer gives " + client + " up"
-	case MoveAway:
-		what = client + " is to be moved"
+		what = "the balancer gives up " + client + "'s request"
+	case Move:
+		what = client + "'s connection is moved"
 	case Connect:
 		what = gateway + " accepts the connection of " + client
-	case NoLuck:
-		what = fmt.Sprintf("the connection of %s to %s never comes up", client, gateway)
-	case SayUp:
-		what = gateway + " says UP to " + client
-	case SayServed:
-		what = gateway + " says BYE to " + client + " at once"
-	case SayFull:
-		what = gateway + " says BUSY to " + client
-	case SayError:
-		what = gateway + " says ERR to " + client
-	case Break:
+	case ConnectFails:
+		what = fmt.Sprintf("the connection of %s to %s cannot be established", client, gateway)
+	case HostUp:
+		what = gateway + " answers UP to " + client
+	case HostServed:
+		what = gateway + " answers BYE to " + client + " immediately"
+	case HostFull:
+		what = gateway + " answers BUSY to " + client
+	case HostError:
+		what = gateway + " answers ERR to " + client
+	case HostEnds:
 		what = fmt.Sprintf("the connection of %s to %s ends", client, gateway)
-	case Garble:
-		what = fmt.Sprintf("%s sends %s what cannot be passed on", gateway, client)
-	case Clog:
-		what = fmt.Sprintf("%s does not take what %s sends", gateway, client)
-	case Overdue:
+	case HostGarbles:
+		what = fmt.Sprintf("%s sends %s data that cannot be forwarded", gateway, client)
+	case HostStalls:
+		what = fmt.Sprintf("%s does not read what %s sends", gateway, client)
+	case AttemptTimeout:
 		what = fmt.Sprintf("%s of %s times out", attempt, client)
-	case Again:
-		what = "the pause of " + client + " is over"
-	case Due:
-		what = "the guard of " + client + "'s deadline fires"
-	case TimeUp:
-		what = client + "'s own time is up"
-	case Leave:
-		what = client + " goes away"
-	case Interject:
-		what = client + " speaks out of turn"
+	case RetryInherited:
+		what = "the retry pause of " + client + " is over"
+	case DeadlineFires:
+		what = "the deadline timer of " + client + " fires"
+	case ClientTimeout:
+		what = client + "'s own time limit passes"
+	case ClientLeaves:
+		what = client + " leaves"
+	case ClientFaults:
+		what = client + " sends data out of turn"
 	case LateUp:
-		what = "a withdrawn attempt of " + client + " says UP"
+		what = "a closed attempt of " + client + " answers UP"
 	case LateEnd:
-		what = "a withdrawn attempt of " + client + " ends"
-	case FallSilent:
-		what = gateway + " falls silent"
-	case Heal:
-		what = gateway + " is heard again"
-	case Die:
-		what = gateway + " dies"
-	case Return:
-		what = gateway + " is back, cold"
-	case TellDrain:
-		what = "discovery tells that " + gateway + " drains"
-	case TellReady:
-		what = "discovery takes the drain of " + gateway + " back"
-	case TellGone:
-		what = "discovery takes " + gateway + " off the list"
-	case TellBack:
+		what = "a closed attempt of " + client + " ends"
+	case LoseContact:
+		what = gateway + " stops responding"
+	case RegainContact:
+		what = gateway + " responds again"
+	case Crash:
+		what = gateway + " crashes"
+	case Restart:
+		what = gateway + " has restarted and is cold"
+	case NotifyDrain:
+		what = "discovery reports that " + gateway + " drains"
+	case NotifyReady:
+		what = "discovery reports the drain of " + gateway + " as revoked"
+	case NotifyGone:
+		what = "discovery removes " + gateway + " from the list"
+	case NotifyRelisted:
 		what = "discovery lists " + gateway + " again"
-	case TellRestart:
-		what = "discovery tells a new start of " + gateway
-	case Limit:
-		what = "the limit for new work at " + gateway + " passes"
-	case Term:
+	case NotifyRestart:
+		what = "discovery reports a new start of " + gateway
+	case DrainExpires:
+		what = "the deadline for new work at " + gateway + " passes"
+	case Terminate:
 		what = "the node gets SIGTERM"
-	case ShutDoor:
-		what = "the node accepts no more" + [...]string{"", "; packets pass through"}[arg&1]
-	case SendOff:
-		what = [...]string{"the node is free to stop", "the node must stop now"}[arg&1]
+	case StopAccepting:
+		what = "the node accepts no more connections" + [...]string{"", "; packets pass through"}[arg&1]
+	case StopNode:
+		what = [...]string{"the node may stop", "the node must stop now"}[arg&1]
 	}
 	var changes []string
 	for i := range m.Clients {
-		if ch := m.change(&s, &next, i); ch != "" {
+		if ch := m.describeChange(&s, &next, i); ch != "" {
 			changes = append(changes, ch)
 		}
 	}
@@ -107,24 +107,24 @@
 	return what + "; " + strings.Join(changes, "; ")
 }
 
-// change tells what a step did to a client and its query.
-func (m *Model) change(s, next *State, c int) string {
+// describeChange describes what a step changed for a client and its request.
+func (m *Model) describeChange(s, next *State, c int) string {
 	var all []string
 	a, b := &s.Clients[c], &next.Clients[c]
-	if a.Seen != b.Seen && b.Seen != Asking {
-		all = append(all, fmt.Sprintf("client %d %s", c+1, seenNames[b.Seen]))
+	if a.View != b.View && b.View != Asking {
+		all = append(all, fmt.Sprintf("client %d %s", c+1, viewNames[b.View]))
 	}
-	if a.Life.Phase != b.Life.Phase {
-		all = append(all, fmt.Sprintf("query %s -> %s", a.Life.Phase, b.Life.Phase))
+	if a.Lifecycle.Phase != b.Lifecycle.Phase {
+		all = append(all, fmt.Sprintf("request %s -> %s", a.Lifecycle.Phase, b.Lifecycle.Phase))
 	}
 	switch {
-	case a.Link == NoLink && b.Link == Dialing:
-		all = append(all, "a connection is begun")
-	case a.Link == Dialing && b.Link == Sent:
-		all = append(all, "the first line is written")
-	case a.Link != NoLink && b.Link == NoLink && (b.Held || a.Link == Dialing):
+	case a.Conn == NoConn && b.Conn == Dialing:
+		all = append(all, "a connection is opened")
+	case a.Conn == Dialing && b.Conn == RequestSent:
+		all = append(all, "the request line is written")
+	case a.Conn != NoConn && b.Conn == NoConn && (b.MayAnswerLate || a.Conn == Dialing):
 		all = append(all, "the connection is closed")
-	case b.Link != NoLink && b.Life.Phase == lifecycle.Finished:
+	case b.Conn != NoConn && b.Lifecycle.Phase == lifecycle.Finished:
 		all = append(all, "the connection is left open")
 	}
 	return strings.Join(all, ", ")
--- a/rehearsal/lifemodel/model.go
+++ b/rehearsal/lifemodel/model.go
@@ -7,22 +7,22 @@
 	"lichenhitch/internal/lifecycle"
 )
 
-// Model is the model of lives. It implements model.Model and model.Coverer.
+// Model is the model of the request lifecycle. It implements model.Model and model.Coverer.
 type Model struct {
 	Gateways   int
 	Clients    int
-	Attempts   int  // that a query may have
-	NoSymmetry bool // keep the states apart that symmetry would take for one
-	Unreduced  bool // keep apart the conditions of gateways that no query touches
-	plant      plant
+	Attempts   int  // allowed for each request
+	NoSymmetry bool // disable symmetry reduction
+	Unreduced  bool // keep track of the condition of gateways without connections; see Canonical
+	bug        bug
 	scenario   *Scenario
-	only       *[ops]bool // the steps that a scenario has; nil: all
+	enabledOps *[opCount]bool // the steps of a scenario; nil: all
 	rule       func(lifecycle.State, lifecycle.Event) (lifecycle.State, lifecycle.Effects)
-	depart     func(d lifecycle.Shutdown, after time.Duration, owed, standing int) (lifecycle.Shutdown, lifecycle.Command)
+	shutdown   func(d lifecycle.Shutdown, after time.Duration, waiting, established int) (lifecycle.Shutdown, lifecycle.Command)
 }
 
-// New returns the model for a fleet, with a planted bug if one is named.
-func New(gateways, clients, attempts int, plantName string) (*Model, error) {
+// New returns the model of a fleet, with an injected bug if one is named.
+func New(gateways, clients, attempts int, bugName string) (*Model, error) {
 	switch {
 	case gateways < 1 || gateways > MaxGateways:
 		return nil, fmt.Errorf("gateways: %d is not within 1 to %d", gateways, MaxGateways)
@@ -31,58 +31,58 @@
 	case attempts < 1 || attempts > MaxAttempts:
 		return nil, fmt.Errorf("attempts: %d is not within 1 to %d", attempts, MaxAttempts)
 	}
-	m := &Model{Gateways: gateways, Clients: clients, Attempts: attempts, rule: lifecycle.Step, depart: lifecycle.Shutdown.Step}
-	if plantName == "" {
+	m := &Model{Gateways: gateways, Clients: clients, Attempts: attempts, rule: lifecycle.Step, shutdown: lifecycle.Shutdown.Step}
+	if bugName == "" {
 		return m, nil
 	}
-	for i, p := range plants {
-		if p.name == plantName {
-			m.plant = plant(i)
+	for i, p := range bugSpecs {
+		if p.name == bugName {
+			m.bug = bug(i)
 			if p.rule != nil {
 				m.rule = p.rule
 			}
-			if p.depart != nil {
-				m.depart = p.depart
+			if p.shutdown != nil {
+				m.shutdown = p.shutdown
 			}
 			return m, nil
 		}
 	}
-	return nil, fmt.Errorf("no bug is named %q; see rehearse model list", plantName)
+	return nil, fmt.Errorf("no bug is named %q; see rehearse model list", bugName)
 }
 
-// What a complete run comes across; see Sights.
+// Situations that a complete check reaches; see CoverageGoals.
 const (
-	sawUp = iota
-	sawThrottled
-	sawLastAttempt
-	sawDrainOut
-	sawPastDial
-	sawHeld
-	sawStaleOut
-	sawGoneOut
-	sawSilentUp
-	sawLeavingOwed
-	sawPassed
-	sawInherited
-	sawBackTried
+	coverServed = iota
+	coverOtherAnswer
+	coverLastAttempt
+	coverDrainDuringAttempt
+	coverDrainExpiredDialing
+	coverWithdrawnAttempt
+	coverRestartDuringConn
+	coverRemovedDuringAttempt
+	coverUnresponsiveEstablished
+	coverTermWhileWaiting
+	coverConnOutlivesNode
+	coverInheritedRetry
+	coverTriedGatewayBack
 )
 
-// Sights implements model.Coverer.
-func (m *Model) Sights() []string {
+// CoverageGoals implements model.Coverer.
+func (m *Model) CoverageGoals() []string {
 	return []string{
-		sawUp:          "a client is served",
-		sawThrottled:   "a client is answered otherwise",
-		sawLastAttempt: "the last attempt is out",
-		sawDrainOut:    "a drain is told while an attempt is out at the gateway",
-		sawPastDial:    "the limit after a drain passes while a dial is under way",
-		sawHeld:        "an attempt was withdrawn while its gateway may still speak of it",
-		sawStaleOut:    "a gateway has started again with a connection of its old life",
-		sawGoneOut:     "a gateway leaves the list while an attempt is out there",
-		sawSilentUp:    "a gateway that holds a connection falls silent",
-		sawLeavingOwed: "SIGTERM comes while a query waits",
-		sawPassed:      "a connection outlives the node where packets pass through",
-		sawInherited:   "an inherited connection pauses between two tries",
-		sawBackTried:   "a gateway that was tried is back under its name while the query goes on",
+		coverServed:                  "a client is served",
+		coverOtherAnswer:             "a client is answered otherwise",
+		coverLastAttempt:             "the last attempt is out",
+		coverDrainDuringAttempt:      "a drain is told while an attempt is out at the gateway",
+		coverDrainExpiredDialing:     "the limit after a drain passes while a dial is under way",
+		coverWithdrawnAttempt:        "an attempt was withdrawn while its gateway may still speak of it",
+		coverRestartDuringConn:       "a gateway has started again with a connection of its old life",
+		coverRemovedDuringAttempt:    "a gateway leaves the list while an attempt is out there",
+		coverUnresponsiveEstablished: "a gateway that holds a connection falls silent",
+		coverTermWhileWaiting:        "SIGTERM comes while a query waits",
+		coverConnOutlivesNode:        "a connection outlives the node where packets pass through",
+		coverInheritedRetry:          "an inherited connection pauses between two tries",
+		coverTriedGatewayBack:        "a gateway that was tried is back under its name while the query goes on",
 	}
 }
 
@@ -90,28 +90,28 @@
 func (m *Model) Covered(s State) (b uint64) {
 	for c := range m.Clients {
 		q := &s.Clients[c]
-		b |= bit[uint64](q.Seen == Served, sawUp) |
-			bit[uint64](q.Seen == Finished, sawThrottled) |
-			bit[uint64](q.Life.Phase == lifecycle.Trying && int(q.Life.Attempts) == m.Attempts && q.Class != Inherited,
-				sawLastAttempt) |
-			bit[uint64](q.Held && q.Life.AwaitsAnswer(), sawHeld) |
-			bit[uint64](q.Life.AwaitsAnswer() && s.Stay != Serving && s.Stay != Stopped, sawLeavingOwed) |
-			bit[uint64](q.Life.Phase == lifecycle.Established && s.Stay == Stopped, sawPassed) |
-			bit[uint64](q.Life.Phase == lifecycle.Waiting && q.Life.Inherited, sawInherited)
-		if q.Link == NoLink {
+		b |= bit[uint64](q.View == Served, coverServed) |
+			bit[uint64](q.View == Finished, coverOtherAnswer) |
+			bit[uint64](q.Lifecycle.Phase == lifecycle.Trying && int(q.Lifecycle.Attempts) == m.Attempts && q.Class != Inherited,
+				coverLastAttempt) |
+			bit[uint64](q.MayAnswerLate && q.Lifecycle.AwaitsAnswer(), coverWithdrawnAttempt) |
+			bit[uint64](q.Lifecycle.AwaitsAnswer() && s.NodeState != Serving && s.NodeState != Stopped, coverTermWhileWaiting) |
+			bit[uint64](q.Lifecycle.Phase == lifecycle.Established && s.NodeState == Stopped, coverConnOutlivesNode) |
+			bit[uint64](q.Lifecycle.Phase == lifecycle.Waiting && q.Lifecycle.Inherited, coverInheritedRetry)
+		if q.Conn == NoConn {
 			continue
 		}
 		for g := range m.Gateways {
 			gw := &s.Gateways[g]
-			if !gw.Out[c] {
+			if !gw.HasConn[c] {
 				continue
 			}
-			b |= bit[uint64](q.Link == Sent && gw.Told == Draining, sawDrainOut) |
-				bit[uint64](q.Link == Dialing && gw.Told.past(), sawPastDial) |
-				bit[uint64](gw.Stale, sawStaleOut) |
-				bit[uint64](q.Life.Phase == lifecycle.Trying && gw.Told >= Gone, sawGoneOut) |
-				bit[uint64](q.Life.Phase == lifecycle.Established && gw.Cond == Silent, sawSilentUp) |
-				bit[uint64](q.Class != Inherited && gw.Told == Ready && !gw.Tried[c], sawBackTried)
+			b |= bit[uint64](q.Conn == RequestSent && gw.ListState == Draining, coverDrainDuringAttempt) |
+				bit[uint64](q.Conn == Dialing && gw.ListState.drainExpired(), coverDrainExpiredDialing) |
+				bit[uint64](gw.Restarted, coverRestartDuringConn) |
+				bit[uint64](q.Lifecycle.Phase == lifecycle.Trying && gw.ListState >= Gone, coverRemovedDuringAttempt) |
+				bit[uint64](q.Lifecycle.Phase == lifecycle.Established && gw.Condition == Unresponsive, coverUnresponsiveEstablished) |
+				bit[uint64](q.Class != Inherited && gw.ListState == Ready && !gw.Tried[c], coverTriedGatewayBack)
 		}
 	}
 	return b
--- a/rehearsal/lifemodel/model_test.go
+++ b/rehearsal/lifemodel/model_test.go
@@ -18,19 +18,19 @@
 	return res
 }
 
-func TestLivesHoldWhole(t *testing.T) {
+func TestRequestLifecycleHolds(t *testing.T) {
 	res := check(t, 2, 1, 3, "")
 	require.Nil(t, res.Violation)
 	assert.True(t, res.Complete)
 	m := &Model{}
-	for i, name := range m.Sights() {
-		assert.NotZero(t, res.Covered>>i&1, "never seen: %s", name)
+	for i, name := range m.CoverageGoals() {
+		assert.NotZero(t, res.Covered>>i&1, "not reached: %s", name)
 	}
-	t.Logf("%d states, %d steps, %d deep", res.States, res.Transitions, res.Depth)
+	t.Logf("%d states, %d steps, depth %d", res.States, res.Transitions, res.Depth)
 }
 
-// reach returns all states of a model, made canonical by another one.
-func reach(m, by *Model) map[State]bool {
+// reachable returns all reachable states of m, in the canonical form of the model by.
+func reachable(m, by *Model) map[State]bool {
 	seen, all := map[State]bool{}, map[State]bool{}
 	queue := m.Initial()
 	for len(queue) > 0 {
@@ -46,42 +46,42 @@
 	return all
 }
 
-// TestTheReductionsLeaveNothingOut compares the states of the reduced model with those of the full one: symmetry and
-// untouched gateways may not hide any.
-func TestTheReductionsLeaveNothingOut(t *testing.T) {
+// TestReductionsOmitNoState compares the states of the reduced model with those of the full one: neither symmetry
+// reduction nor the reduction of gateways without connections may hide any state.
+func TestReductionsOmitNoState(t *testing.T) {
 	reduced, err := New(2, 1, 1, "")
 	require.NoError(t, err)
 	full := *reduced
 	full.Unreduced = true
 	asymmetric := *reduced
 	asymmetric.NoSymmetry = true
-	want := reach(reduced, reduced)
+	want := reachable(reduced, reduced)
 	assert.Greater(t, len(want), 5000)
-	assert.Equal(t, want, reach(&full, reduced))
-	assert.Equal(t, want, reach(&asymmetric, reduced))
+	assert.Equal(t, want, reachable(&full, reduced))
+	assert.Equal(t, want, reachable(&asymmetric, reduced))
 
 	pair, err := New(1, 2, 1, "")
 	require.NoError(t, err)
 	single := *pair
 	single.NoSymmetry = true
-	assert.Equal(t, reach(pair, pair), reach(&single, pair), "two clients")
+	assert.Equal(t, reachable(pair, pair), reachable(&single, pair), "two clients")
 }
 
-func TestScenariosHoldAndShowWhatTheyAreFor(t *testing.T) {
+func TestScenariosHoldAndReachTheirGoals(t *testing.T) {
 	for _, sc := range Scenarios() {
 		m, err := New(2, 1, 2, "")
 		require.NoError(t, err)
-		require.NoError(t, m.Only(sc.Name))
+		require.NoError(t, m.RestrictTo(sc.Name))
 		res, err := model.Check[State](m, model.Options{})
 		require.NoError(t, err)
 		require.Nil(t, res.Violation, sc.Name)
 		assert.True(t, res.Complete, sc.Name)
-		for i, name := range m.Sights() {
+		for i, name := range m.CoverageGoals() {
 			if m.Expected()>>i&1 == 1 {
-				assert.NotZero(t, res.Covered>>i&1, "%s: never seen: %s", sc.Name, name)
+				assert.NotZero(t, res.Covered>>i&1, "%s: not reached: %s", sc.Name, name)
 			}
 		}
 	}
 	m := &Model{}
-	assert.ErrorContains(t, m.Only("x"), `no scenario is named "x"`)
+	assert.ErrorContains(t, m.RestrictTo("x"), `no scenario is named "x"`)
 }
--- a/rehearsal/lifemodel/scenario.go
+++ b/rehearsal/lifemodel/scenario.go
@@ -2,51 +2,54 @@
 
 import "fmt"
 
-// Scenario is a hard case by itself: the model with only the steps that take part in it, in every order.
+// Scenario is a hard case on its own: the model restricted to the steps that take part in it, in every order.
 type Scenario struct {
 	Name, About string
-	steps       []Op
-	sights      []int // what it must come across, or it shows nothing
+	ops         []Op
+	goals       []int // coverage goals that it must reach, as otherwise it shows nothing
 }
 
-// common are the steps that every scenario has: a query comes, is placed and answered.
-var common = []Op{Ask, Place, Refuse, GiveUp, Connect, Due}
+// commonOps are the steps of every scenario: a request arrives, is placed and answered.
+var commonOps = []Op{Ask, Place, Refuse, GiveUp, Connect, DeadlineFires}
 
 var scenarios = []Scenario{
-	{"drain-crossing-time-out", "a drain notice comes between an attempt's send and its time-out",
-		[]Op{TellDrain, Limit, Overdue, SayUp}, []int{sawDrainOut, sawPastDial, sawHeld}},
-	{"silence-crossing-reconnect", "a gateway falls silent, starts again and is reached anew",
-		[]Op{SayUp, FallSilent, Heal, Die, Return, TellRestart, Break, MoveAway, Overdue, LateUp, LateEnd},
-		[]int{sawSilentUp, sawStaleOut, sawBackTried}},
-	{"up-with-time-out", "the gateway's UP comes in the same turn as the attempt's time-out",
-		[]Op{SayUp, Overdue, LateUp, LateEnd}, []int{sawUp, sawHeld}},
-	{"up-with-close", "the gateway's UP comes in the same turn as the client's close",
-		[]Op{SayUp, Leave, Interject, LateUp, LateEnd}, []int{sawUp}},
-	{"up-with-sigterm", "the gateway's UP comes in the same turn as SIGTERM and the node's last moment",
-		[]Op{SayUp, Term, ShutDoor, SendOff}, []int{sawUp, sawLeavingOwed, sawPassed}},
-	{"gone-and-back", "discovery takes a gateway away and brings it back under its name with a new start",
-		[]Op{SayUp, SayFull, SayError, Break, Overdue, Die, Return, TellGone, TellBack, Limit, LateUp},
-		[]int{sawGoneOut, sawStaleOut, sawBackTried}},
+	{"drain-crossing-time-out", "a drain notice arrives between the sending of an attempt and its time-out",
+		[]Op{NotifyDrain, DrainExpires, AttemptTimeout, HostUp},
+		[]int{coverDrainDuringAttempt, coverDrainExpiredDialing, coverWithdrawnAttempt}},
+	{"silence-crossing-reconnect", "a gateway stops responding, restarts and is connected to again",
+		[]Op{HostUp, LoseContact, RegainContact, Crash, Restart, NotifyRestart, HostEnds, Move, AttemptTimeout,
+			LateUp, LateEnd},
+		[]int{coverUnresponsiveEstablished, coverRestartDuringConn, coverTriedGatewayBack}},
+	{"up-with-time-out", "the gateway's UP arrives at the same time as the attempt's time-out",
+		[]Op{HostUp, AttemptTimeout, LateUp, LateEnd}, []int{coverServed, coverWithdrawnAttempt}},
+	{"up-with-close", "the gateway's UP arrives at the same time as the client's close",
+		[]Op{HostUp, ClientLeaves, ClientFaults, LateUp, LateEnd}, []int{coverServed}},
+	{"up-with-sigterm", "the gateway's UP arrives at the same time as SIGTERM and the end of the node's shutdown",
+		[]Op{HostUp, Terminate, StopAccepting, StopNode}, []int{coverServed, coverTermWhileWaiting, coverConnOutlivesNode}},
+	{"gone-and-back", "discovery removes a gateway and lists it again under the same name with a new start",
+		[]Op{HostUp, HostFull, HostError, HostEnds, AttemptTimeout, Crash, Restart, NotifyGone, NotifyRelisted, DrainExpires,
+			LateUp},
+		[]int{coverRemovedDuringAttempt, coverRestartDuringConn, coverTriedGatewayBack}},
 	{"move-crossing-bye", "MOVE crosses the gateway's BYE",
-		[]Op{SayUp, MoveAway, Break, LateEnd, Leave}, []int{sawUp}},
-	{"late-answer", "an attempt that was withdrawn is answered after all, while the next one is out",
-		[]Op{SayUp, SayFull, Overdue, LateUp, LateEnd}, []int{sawHeld, sawLastAttempt}},
+		[]Op{HostUp, Move, HostEnds, LateEnd, ClientLeaves}, []int{coverServed}},
+	{"late-answer", "an attempt that was closed is answered late, while the next one is pending",
+		[]Op{HostUp, HostFull, AttemptTimeout, LateUp, LateEnd}, []int{coverWithdrawnAttempt, coverLastAttempt}},
 }
 
-// Scenarios lists the scenarios.
+// Scenarios returns the scenarios.
 func Scenarios() []Scenario { return scenarios }
 
-// Only restricts the model to a scenario.
-func (m *Model) Only(name string) error {
+// RestrictTo restricts the model to a scenario.
+func (m *Model) RestrictTo(name string) error {
 	for i := range scenarios {
 		if scenarios[i].Name != name {
 			continue
 		}
 		m.scenario = &scenarios[i]
-		m.only = &[ops]bool{}
-		for _, list := range [][]Op{common, m.scenario.steps} {
+		m.enabledOps = &[opCount]bool{}
+		for _, list := range [][]Op{commonOps, m.scenario.ops} {
 			for _, o := range list {
-				m.only[o] = true
+				m.enabledOps[o] = true
 			}
 		}
 		return nil
@@ -54,12 +57,12 @@
 	return fmt.Errorf("no scenario is named %q; see rehearse model list", name)
 }
 
-// Expected returns the sights that a complete run must come across, as bits: those of the scenario, or all.
+// Expected returns the coverage goals that a complete check must reach, as bits: those of the scenario, or all.
 func (m *Model) Expected() (b uint64) {
 	if m.scenario == nil {
-		return 1<<len(m.Sights()) - 1
+		return 1<<len(m.CoverageGoals()) - 1
 	}
-	for _, s := range m.scenario.sights {
+	for _, s := range m.scenario.goals {
 		b |= 1 << s
 	}
 	return b
--- a/rehearsal/lifemodel/state.go
+++ b/rehearsal/lifemodel/state.go
@@ -1,8 +1,8 @@
-// Package lifemodel is the life of queries (package lifecycle) in a world of gateways, clients, discovery's notices and the
-// node's own end, as a model for the checker. What the balancer decides is left open within the rules it must keep, and
-// time is the order in which deadlines pass.
+// Package lifemodel models the request lifecycle (package lifecycle) in an environment of gateways, clients, discovery
+// notices and the shutdown of the node. Gateways are the hosts that serve the clients. The balancer's decisions are
+// nondeterministic within the rules that it must keep, and time is represented by the order in which deadlines expire.
 //
-// docs/design/model.md tells what the world can do and what is left out.
+// docs/design/model.md describes what the environment can do and what is left out.
 package lifemodel
 
 import (
@@ -10,139 +10,132 @@
 )
 
 const (
-	// MaxGateways and MaxClients are how many a state has room for.
+	// MaxGateways and MaxClients bound the fleet: a state has room for this many.
 	MaxGateways = 4
 	MaxClients  = 2
-	// MaxAttempts bounds the attempts of a query.
+	// MaxAttempts bounds the attempts of a request.
 	MaxAttempts = 7
 )
 
-// Cond is how a gateway fares in truth.
-type Cond uint8
+// Condition is the actual condition of a gateway, which the node does not see.
+type Condition uint8
 
-// The conditions.
 const (
-	Sound  Cond = iota // it answers, with whatever it likes
-	Silent             // the machine has vanished: connections stay open and bring nothing
-	Dead               // the process is gone: connections are refused
+	Healthy      Condition = iota // it may answer in any way
+	Unresponsive                  // the machine has vanished: connections stay open and bring nothing
+	Crashed                       // the process has ended: connections are refused
 )
 
-// Told is what discovery last told the node of a gateway.
-type Told uint8
+// ListState is the state of a gateway that discovery last reported to the node.
+type ListState uint8
 
-// What is told. The limit after which nothing may be sent any more passes by itself.
+// The reported states. The deadline after which nothing more may be sent to a gateway passes without a report.
 const (
-	Ready Told = iota
+	Ready ListState = iota
 	Draining
-	DrainingPast // the limit has passed
+	DrainExpired // the deadline has passed
 	Gone
-	GonePast
+	GoneExpired
 )
 
-// past says whether nothing may be written to a gateway any more.
-func (t Told) past() bool { return t == DrainingPast || t == GonePast }
+// drainExpired reports whether nothing more may be written to a gateway.
+func (t ListState) drainExpired() bool { return t == DrainExpired || t == GoneExpired }
 
-// Gateway is one gateway.
 type Gateway struct {
-	Cond   Cond
-	Told   Told
-	Stale  bool             // it has started again since the start that was told
-	Unseen bool             // only with a planted bug: the node missed the drain
-	Tried  [MaxClients]bool // the balancer has tried the query of this client here
-	Out    [MaxClients]bool // the connection of this client's query goes here
+	Condition   Condition
+	ListState   ListState
+	Restarted   bool             // it has restarted since the start that discovery last reported
+	DrainMissed bool             // only with an injected bug: the node missed the drain notice
+	Tried       [MaxClients]bool // the balancer has tried the request of this client here
+	HasConn     [MaxClients]bool // the connection of this client's request goes here
 }
 
-// touched says whether a query has a connection to the gateway, or means to go there again.
-func (g *Gateway) touched() bool { return g.Out[0] || g.Out[1] }
+// inUse reports whether a request has a connection to the gateway, or is to be sent there again.
+func (g *Gateway) inUse() bool { return g.HasConn[0] || g.HasConn[1] }
 
-// Class is what repeating a query may do, or that it is inherited.
+// Class says which effects a repeated attempt of a request may have, or that the request is inherited.
 type Class uint8
 
-// The classes.
 const (
 	Safe      Class = iota
 	Unsafe          // must not run twice
-	Keyed           // repeats are dropped by all gateways alike
-	Inherited       // its connection stood at one gateway before the node started
-	Grouped         // repeats are dropped by some gateways only, which the balancer knows
+	Keyed           // all gateways recognize and drop repeats
+	Inherited       // its connection was established with one gateway before the node started
+	Grouped         // only some gateways, which the balancer knows, recognize and drop repeats
 )
 
-// refusable says whether trying again is harmless although an attempt may have run.
-func (c Class) refusable() bool { return c == Safe || c == Keyed }
+// repeatable reports whether a retry is harmless although an attempt may have run.
+func (c Class) repeatable() bool { return c == Safe || c == Keyed }
 
-// Seen is what a client has seen.
-type Seen uint8
+// ClientView is what a client has observed.
+type ClientView uint8
 
-// What clients see.
 const (
-	Absent Seen = iota // it has not asked yet
+	Absent ClientView = iota // it has sent no request yet
 	Asking
-	Served   // it was told that its connection stands
-	Finished // answered otherwise, or told that its connection ends
-	Left     // it went away by itself
-	Late     // its time was up, and no answer had come
+	Served         // it was told that its connection is established
+	Finished       // it got another answer, or was told that its connection ends
+	ClientLeft     // it left on its own
+	ClientTimedOut // its time limit passed without an answer
 )
 
-// Stage is how far the connection to a gateway is.
-type Stage uint8
+// ConnState is the state of the connection to a gateway.
+type ConnState uint8
 
-// The stages.
 const (
-	NoLink  Stage = iota
-	Dialing       // it does not stand yet
-	Sent          // the first line is written
+	NoConn      ConnState = iota
+	Dialing               // not established yet
+	RequestSent           // the request line is written
 )
 
-// Book is what the balancer has been told of a query.
-type Book uint8
+// BalancerView is what the balancer has been told about a request.
+type BalancerView uint8
 
-// The balancer's book.
 const (
-	NoEntry  Book = iota
-	Open          // the query has come, no attempt is pending
-	Pending       // an attempt is
-	Standing      // its connection stands
-	Parted        // the client is gone, the attempt still pending
+	Untracked   BalancerView = iota
+	Unplaced                 // the request has arrived, no attempt is pending
+	Pending                  // an attempt is pending
+	Established              // its connection is established
+	Departed                 // the client has left, the attempt is still pending
 )
 
-// Client is a client with its query, the node's state of it included.
+// Client is a client with its request, including the node's state of the request.
 type Client struct {
-	Class  Class
-	Seen   Seen
-	Life   lifecycle.State
-	Link   Stage
-	Book   Book
-	MayRun bool // an attempt that ended may have run, as the balancer has to take it
-	Ran    bool // an attempt that ended may have run in truth: its first line was written
-	Held   bool // some gateway holds an attempt that this node is done with, and may still speak of it
-	Guard  bool // the guard of the deadline is running
-	Timer  bool // the time-out of the attempt, or the pause before the next, is running
+	Class         Class
+	View          ClientView
+	Lifecycle     lifecycle.State
+	Conn          ConnState
+	BalancerView  BalancerView
+	MayRun        bool // an attempt that ended may have run, as far as the balancer can know
+	Ran           bool // an attempt that ended may actually have run: its request line was written
+	MayAnswerLate bool // some gateway has an attempt that this node has closed, and may still answer it
+	DeadlineTimer bool // the timer of the request's deadline is running
+	AttemptTimer  bool // the timer of the attempt, or of the pause before the next one, is running
 }
 
-// Stay is how far the node has come on its way out.
-type Stay uint8
+// NodeState is how far the node's shutdown has come.
+type NodeState uint8
 
-// The node's way out.
 const (
-	Serving   Stay = iota
-	Leaving        // SIGTERM has come; it still accepts
-	DoorShut       // it does not accept any more
-	DoorShut2      // the same where packets pass through
+	Serving                 NodeState = iota
+	Terminating                       // SIGTERM has arrived; the node still accepts connections
+	NotAccepting                      // the node accepts no more connections
+	NotAcceptingPassThrough           // as NotAccepting, where packets pass through and connections outlive the node
 	Stopped
 )
 
-// State is the whole world. It holds no pointers.
+// State is the state of the whole model. It contains no pointers.
 type State struct {
-	Gateways [MaxGateways]Gateway
-	Clients  [MaxClients]Client
-	Stay     Stay
-	Bad      uint16 // safety properties that a step broke
+	Gateways   [MaxGateways]Gateway
+	Clients    [MaxClients]Client
+	NodeState  NodeState
+	Violations uint16 // safety properties that a step violated, as bits
 }
 
-// link returns where a client's connection goes, or -1.
-func (s *State) link(c int) int {
+// connGateway returns the gateway of a client's connection, or -1.
+func (s *State) connGateway(c int) int {
 	for g := range s.Gateways {
-		if s.Gateways[g].Out[c] {
+		if s.Gateways[g].HasConn[c] {
 			return g
 		}
 	}
@@ -156,45 +149,48 @@
 	return 0
 }
 
-// word packs a gateway, so that gateways can be put in an order. All that tells one from another is in it.
-func (g *Gateway) word() uint16 {
-	w := uint16(g.Cond) | uint16(g.Told)<<2 | bit[uint16](g.Stale, 5) | bit[uint16](g.Unseen, 6)
+// pack encodes a gateway as a number, so that gateways can be sorted. It contains all of the gateway's state.
+func (g *Gateway) pack() uint16 {
+	code := uint16(g.Condition) | uint16(g.ListState)<<2 | bit[uint16](g.Restarted, 5) | bit[uint16](g.DrainMissed, 6)
 	for c := range MaxClients {
-		w |= bit[uint16](g.Tried[c], 7+2*c) | bit[uint16](g.Out[c], 8+2*c)
+		code |= bit[uint16](g.Tried[c], 7+2*c) | bit[uint16](g.HasConn[c], 8+2*c)
 	}
-	return w
+	return code
 }
 
-// word packs a client.
-func (c *Client) word() uint32 {
-	return uint32(c.Class) | uint32(c.Seen)<<3 | uint32(c.Life.Phase)<<6 | bit[uint32](c.Life.Inherited, 9) |
-		uint32(c.Life.Attempts&15)<<10 | uint32(c.Link)<<14 | uint32(c.Book)<<16 | bit[uint32](c.MayRun, 19) |
-		bit[uint32](c.Held, 20) | bit[uint32](c.Guard, 21) | bit[uint32](c.Timer, 22) | bit[uint32](c.Ran, 23)
+// pack encodes a client as a number.
+func (c *Client) pack() uint32 {
+	return uint32(c.Class) | uint32(c.View)<<3 | uint32(c.Lifecycle.Phase)<<6 | bit[uint32](c.Lifecycle.Inherited, 9) |
+		uint32(c.Lifecycle.Attempts&15)<<10 | uint32(c.Conn)<<14 | uint32(c.BalancerView)<<16 | bit[uint32](c.MayRun, 19) |
+		bit[uint32](c.MayAnswerLate, 20) | bit[uint32](c.DeadlineTimer, 21) | bit[uint32](c.AttemptTimer, 22) |
+		bit[uint32](c.Ran, 23)
 }
 
 // Encode implements model.Model.
 func (m *Model) Encode(to []byte, s State) []byte {
 	for g := range m.Gateways {
-		w := s.Gateways[g].word()
+		w := s.Gateways[g].pack()
 		to = append(to, byte(w), byte(w>>8))
 	}
 	for c := range m.Clients {
-		w := s.Clients[c].word()
+		w := s.Clients[c].pack()
 		to = append(to, byte(w), byte(w>>8), byte(w>>16))
 	}
-	return append(to, byte(s.Stay), byte(s.Bad), byte(s.Bad>>8))
+	return append(to, byte(s.NodeState), byte(s.Violations), byte(s.Violations>>8))
 }
 
-// Canonical implements model.Model: gateways have no names, and clients neither. A gateway's word holds all its ties to
-// clients, so that sorting the words is a full normal form; of two clients, both orders are tried.
+// Canonical implements model.Model: gateways are interchangeable, and so are clients. The encoding of a gateway
+// contains its relations to all clients, so that sorting by it is a full normal form of the gateways; for two clients,
+// both orders are tried.
 //
-// A gateway that no query has a connection to is taken for sound and for what it was told to be: it may fall silent, die
-// and come back at any time, and does so anew once a connection is begun there, so that nothing is missed.
+// A gateway that no request has a connection to is reduced to Healthy and not Restarted, and keeps its reported state:
+// it may lose contact, crash and restart at any time, and can do so again once a connection is begun there, so that no
+// behaviour is lost.
 func (m *Model) Canonical(s State) State {
 	if !m.Unreduced {
 		for g := range m.Gateways {
-			if gw := &s.Gateways[g]; !gw.touched() {
-				gw.Cond, gw.Stale = Sound, false
+			if gw := &s.Gateways[g]; !gw.inUse() {
+				gw.Condition, gw.Restarted = Healthy, false
 			}
 		}
 	}
@@ -210,36 +206,36 @@
 	for g := range m.Gateways {
 		w := &t.Gateways[g]
 		w.Tried[0], w.Tried[1] = w.Tried[1], w.Tried[0]
-		w.Out[0], w.Out[1] = w.Out[1], w.Out[0]
+		w.HasConn[0], w.HasConn[1] = w.HasConn[1], w.HasConn[0]
 	}
 	m.sortGateways(&t)
-	if m.less(&t, &s) {
+	if m.lessThan(&t, &s) {
 		return t
 	}
 	return s
 }
 
 func (m *Model) sortGateways(s *State) {
-	var words [MaxGateways]uint16
+	var codes [MaxGateways]uint16
 	for g := range m.Gateways {
-		words[g] = s.Gateways[g].word()
+		codes[g] = s.Gateways[g].pack()
 	}
 	for i := 1; i < m.Gateways; i++ {
-		for j := i; j > 0 && words[j] < words[j-1]; j-- {
-			words[j], words[j-1] = words[j-1], words[j]
+		for j := i; j > 0 && codes[j] < codes[j-1]; j-- {
+			codes[j], codes[j-1] = codes[j-1], codes[j]
 			s.Gateways[j], s.Gateways[j-1] = s.Gateways[j-1], s.Gateways[j]
 		}
 	}
 }
 
-func (m *Model) less(a, b *State) bool {
+func (m *Model) lessThan(a, b *State) bool {
 	for c := range m.Clients {
-		if x, y := a.Clients[c].word(), b.Clients[c].word(); x != y {
+		if x, y := a.Clients[c].pack(), b.Clients[c].pack(); x != y {
 			return x < y
 		}
 	}
 	for g := range m.Gateways {
-		if x, y := a.Gateways[g].word(), b.Gateways[g].word(); x != y {
+		if x, y := a.Gateways[g].pack(), b.Gateways[g].pack(); x != y {
 			return x < y
 		}
 	}
--- a/rehearsal/lifemodel/steps.go
+++ b/rehearsal/lifemodel/steps.go
@@ -7,189 +7,189 @@
 	"lichenhitch/rehearsal/model"
 )
 
-// Op is what a step does.
+// Op is the kind of a step.
 type Op uint8
 
-// The steps. Those of the first group are about a client's query, the second about a gateway, the third about the node.
+// The steps. The first group concerns a client's request, the second a gateway, the third the node.
 const (
-	Ask      Op = iota // the client asks; the argument is the class, the gateway that of an inherited connection
-	Place              // the balancer places the query on a gateway
-	Refuse             // it refuses it
-	GiveUp             // it gives it up
-	MoveAway           // it, or the watch over silence, has an open connection moved
-	Connect            // the connection to the gateway stands
-	NoLuck             // it never comes up
-	SayUp              // the gateway says UP
-	SayServed
-	SayFull
-	SayError
-	Break  // the gateway's connection breaks or ends
-	Garble // the gateway says what cannot be passed on
-	Clog   // the gateway does not take what the client sends
-	Overdue
-	Again     // the pause of an inherited connection is over
-	Due       // the guard of the deadline fires
-	TimeUp    // the client's own time is up
-	Leave     // the client leaves
-	Interject // the client speaks out of turn, or what cannot be passed on
-	LateUp    // a gateway speaks of an attempt that is over
+	Ask          Op = iota // a client sends a request; the argument is the class, the gateway that of an inherited connection
+	Place                  // the balancer places the request on a gateway
+	Refuse                 // the balancer refuses the request
+	GiveUp                 // the balancer gives the request up
+	Move                   // the balancer, or the watch for unresponsive hosts, has an established connection moved
+	Connect                // the connection to the gateway is established
+	ConnectFails           // the connection to the gateway cannot be established
+	HostUp                 // the gateway answers UP
+	HostServed
+	HostFull
+	HostError
+	HostEnds    // the gateway's connection breaks or is closed
+	HostGarbles // the gateway sends data that cannot be forwarded
+	HostStalls  // the gateway does not read what the client sends
+	AttemptTimeout
+	RetryInherited // the pause before the next attempt of an inherited connection is over
+	DeadlineFires  // the timer of the request's deadline fires
+	ClientTimeout  // the client's own time limit passes
+	ClientLeaves   // the client leaves
+	ClientFaults   // the client sends data out of turn, or data that cannot be forwarded
+	LateUp         // a gateway answers an attempt that is over
 	LateEnd
-	FallSilent
-	Heal
-	Die
-	Return // the process is back, cold
-	TellDrain
-	TellReady // the drain is taken back
-	TellGone
-	TellBack // it is listed again
-	TellRestart
-	Limit // the limit after a drain has passed
-	Term
-	ShutDoor
-	SendOff // the node sends everybody away and stops; the argument says whether its time was over
-	ops     = int(SendOff) + 1
+	LoseContact
+	RegainContact
+	Crash
+	Restart // the process runs again and is cold (slow start)
+	NotifyDrain
+	NotifyReady // the drain is revoked
+	NotifyGone
+	NotifyRelisted // the gateway is listed again
+	NotifyRestart
+	DrainExpires // the deadline after a drain notice passes
+	Terminate
+	StopAccepting
+	StopNode // the node closes all connections and stops; the argument says whether its maximum stay was reached
+	opCount  = int(StopNode) + 1
 )
 
-var opNames = [ops]string{"ask", "place", "refuse", "give-up", "move-away", "connect", "no-luck", "say-up", "say-served",
+var opNames = [opCount]string{"ask", "place", "refuse", "give-up", "move-away", "connect", "no-luck", "say-up", "say-served",
 	"say-full", "say-error", "break", "garble", "clog", "overdue", "again", "due", "time-up", "leave", "interject",
 	"late-up", "late-end", "fall-silent", "heal", "die", "return", "tell-drain", "tell-ready", "tell-gone", "tell-back",
 	"tell-restart", "limit", "term", "shut-door", "send-off"}
 
 func (o Op) String() string { return opNames[o] }
 
-// Code makes the model's step of an operation: its client, its gateway and an argument, each 0 where there is none.
+// Code encodes a step: its kind, client, gateway and argument, each 0 if there is none.
 func Code(o Op, client, gateway, arg int) model.Step {
 	return model.Step(uint32(o) | uint32(client)<<8 | uint32(gateway)<<16 | uint32(arg)<<24)
 }
 
-// Decode is the reverse of Code.
+// Decode is the inverse of Code.
 func Decode(s model.Step) (o Op, client, gateway, arg int) {
 	return Op(s & 255), int(s >> 8 & 255), int(s >> 16 & 255), int(s >> 24)
 }
 
 // The safety properties.
 const (
-	badSecond = iota
-	badGone
-	badLate
-	badTwo
-	badIdle
-	badLeftOut
-	badMany
-	badRepeat
-	badRefusal
-	badDrain
-	badGhost
-	badCut
-	badBook
-	badTimer
-	badPlace
-	badOrphan
+	badSecondAnswer = iota
+	badAnswerAfterLeave
+	badAnswerTooLate
+	badTwoAttempts
+	badAttemptNotWaiting
+	badAttemptLeftOpen
+	badTooManyAttempts
+	badUnsafeRepeat
+	badUnsafeRefusal
+	badWriteAfterDrain
+	badLateEvent
+	badUnannouncedClose
+	badBalancerView
+	badTimers
+	badUnexpectedEvent
+	badUnansweredAtStop
 )
 
-// Properties implements model.Model.
-func (m *Model) Properties() []string {
+// SafetyProperties implements model.Model.
+func (m *Model) SafetyProperties() []string {
 	return []string{
-		badSecond:  "a client gets one final answer",
-		badGone:    "no answer to a client that has gone",
-		badLate:    "the answer comes before the client's time is up",
-		badTwo:     "never two attempts out",
-		badIdle:    "no attempt for a query that is not waiting",
-		badLeftOut: "no attempt is left out when its query is over",
-		badMany:    "no more attempts than allowed",
-		badRepeat:  "what may have run is not repeated where that does harm",
-		badRefusal: "a refusal only where trying again is harmless",
-		badDrain:   "nothing is written to a drained gateway past the limit",
-		badGhost:   "words of an attempt that is over have no effect",
-		badCut:     "a served client is moved or told the end",
-		badBook:    "the balancer hears one end of each attempt, once it is closed",
-		badTimer:   "timers run as long as what they watch",
-		badPlace:   "no event without a place in a query's life",
-		badOrphan:  "a node that stops has answered everybody",
+		badSecondAnswer:      "a client gets one final answer",
+		badAnswerAfterLeave:  "no answer to a client that has gone",
+		badAnswerTooLate:     "the answer comes before the client's time is up",
+		badTwoAttempts:       "never two attempts out",
+		badAttemptNotWaiting: "no attempt for a query that is not waiting",
+		badAttemptLeftOpen:   "no attempt is left out when its query is over",
+		badTooManyAttempts:   "no more attempts than allowed",
+		badUnsafeRepeat:      "what may have run is not repeated where that does harm",
+		badUnsafeRefusal:     "a refusal only where trying again is harmless",
+		badWriteAfterDrain:   "nothing is written to a drained gateway past the limit",
+		badLateEvent:         "words of an attempt that is over have no effect",
+		badUnannouncedClose:  "a served client is moved or told the end",
+		badBalancerView:      "the balancer hears one end of each attempt, once it is closed",
+		badTimers:            "timers run as long as what they watch",
+		badUnexpectedEvent:   "no event without a place in a query's life",
+		badUnansweredAtStop:  "a node that stops has answered everybody",
 	}
 }
 
-// Promises implements model.Model.
-func (m *Model) Promises() []string {
+// LivenessProperties implements model.Model.
+func (m *Model) LivenessProperties() []string {
 	return []string{"every query taken is answered", "a node that is to leave stops"}
 }
 
 // Pending implements model.Model.
 func (m *Model) Pending(s State) (p uint8) {
 	for c := range m.Clients {
-		if s.Clients[c].Seen == Asking {
+		if s.Clients[c].View == Asking {
 			p |= 1
 		}
 	}
-	if s.Stay != Serving && s.Stay != Stopped {
+	if s.NodeState != Serving && s.NodeState != Stopped {
 		p |= 2
 	}
 	return p
 }
 
-// Fairness: time passes and the node looks after itself. Nothing else need ever happen: gateways may answer nothing,
-// the balancer may hold for ever, clients may wait.
+// The fairness classes. Deadlines expire and the node proceeds with its shutdown. Nothing else is guaranteed to happen:
+// gateways may never answer, the balancer may hold requests forever, and clients may wait.
 const (
-	fairGuard model.Fairness = 1 << iota
-	fairLeave
+	fairDeadline model.Fairness = 1 << iota
+	fairShutdown
 )
 
-// Fair implements model.Model.
-func (m *Model) Fair(st model.Step) model.Fairness {
+// FairnessClasses implements model.Model.
+func (m *Model) FairnessClasses(st model.Step) model.Fairness {
 	switch o, _, _, _ := Decode(st); o {
-	case Due:
-		return fairGuard
-	case ShutDoor, SendOff:
-		return fairLeave
+	case DeadlineFires:
+		return fairDeadline
+	case StopAccepting, StopNode:
+		return fairShutdown
 	}
 	return 0
 }
 
 // Done implements model.Model.
-func (m *Model) Done(s State) bool { return s.Stay == Stopped || m.only != nil }
+func (m *Model) Done(s State) bool { return s.NodeState == Stopped || m.enabledOps != nil }
 
-// Broken implements model.Model.
-func (m *Model) Broken(s State) uint32 {
-	b := uint32(s.Bad)
+// Violated implements model.Model.
+func (m *Model) Violated(s State) uint32 {
+	b := uint32(s.Violations)
 	for c := range m.Clients {
 		q := &s.Clients[c]
-		over := q.Life.Phase == lifecycle.Finished
-		if over && q.Link != NoLink {
-			b |= 1 << badLeftOut
+		finished := q.Lifecycle.Phase == lifecycle.Finished
+		if finished && q.Conn != NoConn {
+			b |= 1 << badAttemptLeftOpen
 		}
-		if over && q.Seen == Served && s.Stay != Stopped {
-			b |= 1 << badCut
+		if finished && q.View == Served && s.NodeState != Stopped {
+			b |= 1 << badUnannouncedClose
 		}
-		if q.Guard != q.Life.AwaitsAnswer() || q.Timer != (q.Life.Phase == lifecycle.Trying ||
-			q.Life.Phase == lifecycle.Waiting && q.Life.Inherited) {
-			b |= 1 << badTimer
+		if q.DeadlineTimer != q.Lifecycle.AwaitsAnswer() || q.AttemptTimer != (q.Lifecycle.Phase == lifecycle.Trying ||
+			q.Lifecycle.Phase == lifecycle.Waiting && q.Lifecycle.Inherited) {
+			b |= 1 << badTimers
 		}
-		if q.Book != q.expected() {
-			b |= 1 << badBook
+		if q.BalancerView != q.expectedBalancerView() {
+			b |= 1 << badBalancerView
 		}
-		if q.Seen == Late {
-			b |= 1 << badLate
+		if q.View == ClientTimedOut {
+			b |= 1 << badAnswerTooLate
 		}
-		if s.Stay == Stopped && q.Seen == Asking {
-			b |= 1 << badOrphan
+		if s.NodeState == Stopped && q.View == Asking {
+			b |= 1 << badUnansweredAtStop
 		}
 	}
 	return b
 }
 
-// expected is what the balancer should know of a query.
-func (q *Client) expected() Book {
+// expectedBalancerView returns what the balancer should know about a request.
+func (q *Client) expectedBalancerView() BalancerView {
 	switch {
-	case q.Life.Phase == lifecycle.Established:
-		return Standing
-	case q.Life.Inherited:
-		return NoEntry
-	case q.Life.Phase == lifecycle.Waiting:
-		return Open
-	case q.Life.Phase == lifecycle.Trying:
+	case q.Lifecycle.Phase == lifecycle.Established:
+		return Established
+	case q.Lifecycle.Inherited:
+		return Untracked
+	case q.Lifecycle.Phase == lifecycle.Waiting:
+		return Unplaced
+	case q.Lifecycle.Phase == lifecycle.Trying:
 		return Pending
 	}
-	return NoEntry
+	return Untracked
 }
 
 // Initial implements model.Model.
@@ -200,18 +200,18 @@
 
 // Steps implements model.Model.
 func (m *Model) Steps(s State, yield func(model.Step, State)) {
-	if s.Stay == Stopped || s.Bad != 0 {
+	if s.NodeState == Stopped || s.Violations != 0 {
 		return
 	}
-	if all := yield; m.only != nil {
+	if unfiltered := yield; m.enabledOps != nil {
 		yield = func(step model.Step, next State) {
-			if o, _, _, _ := Decode(step); m.only[o] {
-				all(step, next)
+			if o, _, _, _ := Decode(step); m.enabledOps[o] {
+				unfiltered(step, next)
 			}
 		}
 	}
 	for c := range m.Clients {
-		m.querySteps(&s, c, yield)
+		m.requestSteps(&s, c, yield)
 	}
 	for g := range m.Gateways {
 		m.gatewaySteps(&s, g, yield)
@@ -219,64 +219,66 @@
 	m.nodeSteps(&s, yield)
 }
 
-// run is one step in the making.
-type run struct {
-	m    *Model
-	s    State
-	c    int
-	to   int  // where the balancer places
-	late bool // the event is a word of an attempt that is over
+// transition is one step under construction.
+type transition struct {
+	m      *Model
+	s      State
+	c      int
+	target int  // the gateway on which the balancer places the request
+	late   bool // the event belongs to an attempt that is over
 }
 
-// do brings an event to a client's query.
-func (m *Model) do(s *State, c int, k lifecycle.Kind) State {
-	r := run{m: m, s: *s, c: c, to: -1}
-	r.event(k)
+// apply applies an event to a client's request.
+func (m *Model) apply(s *State, c int, k lifecycle.Kind) State {
+	r := transition{m: m, s: *s, c: c, target: -1}
+	r.applyEvent(k)
 	return r.s
 }
 
-// event brings an event of the attempt that is out, or of none.
-func (r *run) event(k lifecycle.Kind) { r.numbered(k, r.s.Clients[r.c].Life.Attempts) }
+// applyEvent applies an event of the current attempt, or one that belongs to no attempt.
+func (r *transition) applyEvent(k lifecycle.Kind) {
+	r.applyAttemptEvent(k, r.s.Clients[r.c].Lifecycle.Attempts)
+}
 
-func (r *run) numbered(k lifecycle.Kind, attempt uint16) {
+func (r *transition) applyAttemptEvent(k lifecycle.Kind, attempt uint16) {
 	q := &r.s.Clients[r.c]
 	e := lifecycle.Event{Kind: k, Attempt: attempt}
-	next, todo := r.m.rule(q.Life, e)
-	if r.late && (todo.Len() > 0 || next != q.Life) {
-		r.bad(badGhost)
+	next, todo := r.m.rule(q.Lifecycle, e)
+	if r.late && (todo.Len() > 0 || next != q.Lifecycle) {
+		r.violate(badLateEvent)
 	}
-	q.Life = next
+	q.Lifecycle = next
 	for i := range todo.Len() {
-		r.effect(todo.At(i), k)
+		r.applyEffect(todo.At(i), k)
 	}
-	r.settle()
+	r.normalize()
 }
 
-func (r *run) bad(property int) { r.s.Bad |= 1 << property }
+func (r *transition) violate(property int) { r.s.Violations |= 1 << property }
 
-// settle forgets what nothing depends on any more, so that fewer states differ. An inherited query that still waits
-// keeps its gateway in mind.
-func (r *run) settle() {
+// normalize resets what no later step depends on, to reduce the number of states. An inherited request that still waits
+// keeps its gateway.
+func (r *transition) normalize() {
 	q := &r.s.Clients[r.c]
-	if q.Link == NoLink && !(q.Class == Inherited && q.Life.AwaitsAnswer()) {
+	if q.Conn == NoConn && !(q.Class == Inherited && q.Lifecycle.AwaitsAnswer()) {
 		for g := range r.s.Gateways {
-			r.s.Gateways[g].Out[r.c] = false
+			r.s.Gateways[g].HasConn[r.c] = false
 		}
 	}
-	if q.Life.Inherited && q.Life.Attempts > 2 {
-		q.Life.Attempts = 2 // only which is the one that is out matters
+	if q.Lifecycle.Inherited && q.Lifecycle.Attempts > 2 {
+		q.Lifecycle.Attempts = 2 // only the distinction between the current attempt and earlier ones matters
 	}
-	if q.Life.Phase != lifecycle.Finished || q.Link != NoLink {
+	if q.Lifecycle.Phase != lifecycle.Finished || q.Conn != NoConn {
 		return
 	}
-	q.Life.Attempts, q.Life.Inherited, q.Class = min(q.Life.Attempts, 1), false, Safe
+	q.Lifecycle.Attempts, q.Lifecycle.Inherited, q.Class = min(q.Lifecycle.Attempts, 1), false, Safe
 	q.MayRun, q.Ran = false, false
 	for g := range r.s.Gateways {
 		r.s.Gateways[g].Tried[r.c] = false
 	}
 }
 
-func (r *run) effect(f lifecycle.Effect, k lifecycle.Kind) {
+func (r *transition) applyEffect(f lifecycle.Effect, k lifecycle.Kind) {
 	q := &r.s.Clients[r.c]
 	if f.Answers() {
 		r.answer(f)
@@ -284,208 +286,209 @@
 	}
 	switch f {
 	case lifecycle.StartDeadline:
-		q.Guard = true
+		q.DeadlineTimer = true
 	case lifecycle.StopDeadline:
-		q.Guard = false
+		q.DeadlineTimer = false
 	case lifecycle.SendAttempt:
 		r.send()
 	case lifecycle.StopTimer:
-		q.Timer = false
+		q.AttemptTimer = false
 	case lifecycle.StartRetryPause:
-		q.Timer = true
+		q.AttemptTimer = true
 	case lifecycle.CloseAttempt, lifecycle.EndAttempt:
-		r.hangUp()
+		r.closeConn()
 	case lifecycle.MoveClient, lifecycle.EndClient:
-		if q.Seen == Served {
-			q.Seen = Finished
+		if q.View == Served {
+			q.View = Finished
 		}
 	case lifecycle.LogUnexpected:
-		r.bad(badPlace)
+		r.violate(badUnexpectedEvent)
 	case lifecycle.NotifyArrival:
-		r.book(Open, NoEntry)
+		r.moveBalancerView(Unplaced, Untracked)
 	case lifecycle.NotifyInherited:
-		r.book(Standing, NoEntry)
+		r.moveBalancerView(Established, Untracked)
 	case lifecycle.NotifyEstablished:
-		r.book(Standing, Pending)
+		r.moveBalancerView(Established, Pending)
 	case lifecycle.NotifyEnded:
-		r.closed()
-		r.book(Open, Pending)
+		r.requireClosed()
+		r.moveBalancerView(Unplaced, Pending)
 	case lifecycle.NotifyDeparted:
-		if q.Book == Pending {
-			q.Book = Parted
+		if q.BalancerView == Pending {
+			q.BalancerView = Departed
 		} else {
-			r.book(NoEntry, Open)
+			r.moveBalancerView(Untracked, Unplaced)
 		}
 	case lifecycle.NotifyOver:
-		r.closed()
-		if q.Book != Parted && q.Book != Standing {
-			r.book(NoEntry, Pending)
+		r.requireClosed()
+		if q.BalancerView != Departed && q.BalancerView != Established {
+			r.moveBalancerView(Untracked, Pending)
 		}
-		q.Book = NoEntry
+		q.BalancerView = Untracked
 	}
 }
 
-// book changes what the balancer knows, which must stand at from.
-func (r *run) book(to, from Book) {
+// moveBalancerView changes what the balancer knows, and records a violation if that is not at from.
+func (r *transition) moveBalancerView(to, from BalancerView) {
 	q := &r.s.Clients[r.c]
-	if q.Book != from {
-		r.bad(badBook)
+	if q.BalancerView != from {
+		r.violate(badBalancerView)
 	}
-	q.Book = to
+	q.BalancerView = to
 }
 
-// closed checks that the balancer hears of an end only once the attempt is closed.
-func (r *run) closed() {
-	if r.s.Clients[r.c].Link != NoLink {
-		r.bad(badBook)
+// requireClosed checks that the balancer is notified of an end only after the attempt is closed.
+func (r *transition) requireClosed() {
+	if r.s.Clients[r.c].Conn != NoConn {
+		r.violate(badBalancerView)
 	}
 }
 
-func (r *run) answer(f lifecycle.Effect) {
+func (r *transition) answer(f lifecycle.Effect) {
 	q := &r.s.Clients[r.c]
-	switch q.Seen {
+	switch q.View {
 	case Asking:
-	case Left, Late:
-		r.bad(badGone)
+	case ClientLeft, ClientTimedOut:
+		r.violate(badAnswerAfterLeave)
 		return
 	default:
-		r.bad(badSecond)
+		r.violate(badSecondAnswer)
 		return
 	}
-	if f == lifecycle.AnswerThrottle && q.Ran && !q.Class.refusable() && q.Class != Inherited {
-		r.bad(badRefusal)
+	if f == lifecycle.AnswerThrottle && q.Ran && !q.Class.repeatable() && q.Class != Inherited {
+		r.violate(badUnsafeRefusal)
 	}
-	if q.Seen = Finished; f == lifecycle.AnswerEstablished {
-		q.Seen = Served
+	if q.View = Finished; f == lifecycle.AnswerEstablished {
+		q.View = Served
 	}
 }
 
-func (r *run) send() {
+func (r *transition) send() {
 	q := &r.s.Clients[r.c]
-	if q.Link != NoLink {
-		r.bad(badTwo)
+	if q.Conn != NoConn {
+		r.violate(badTwoAttempts)
 	}
-	if q.Seen != Asking {
-		r.bad(badIdle)
+	if q.View != Asking {
+		r.violate(badAttemptNotWaiting)
 	}
-	if q.Class != Inherited && int(q.Life.Attempts) > r.m.Attempts {
-		r.bad(badMany)
+	if q.Class != Inherited && int(q.Lifecycle.Attempts) > r.m.Attempts {
+		r.violate(badTooManyAttempts)
 	}
 	if q.Ran && q.Class == Unsafe {
-		r.bad(badRepeat)
+		r.violate(badUnsafeRepeat)
 	}
 	for g := range r.s.Gateways {
-		r.s.Gateways[g].Out[r.c] = false
+		r.s.Gateways[g].HasConn[r.c] = false
 	}
-	q.Link, q.Timer = Dialing, true
-	gw := &r.s.Gateways[r.to]
-	gw.Out[r.c], gw.Tried[r.c] = true, q.Class != Inherited
+	q.Conn, q.AttemptTimer = Dialing, true
+	gw := &r.s.Gateways[r.target]
+	gw.HasConn[r.c], gw.Tried[r.c] = true, q.Class != Inherited
 }
 
-// hangUp closes the connection to the gateway from this side.
-func (r *run) hangUp() {
+// closeConn closes the connection to the gateway from the node's side.
+func (r *transition) closeConn() {
 	q := &r.s.Clients[r.c]
-	if q.Link == Sent {
-		q.Held = true
+	if q.Conn == RequestSent {
+		q.MayAnswerLate = true
 	}
-	q.Link = NoLink
+	q.Conn = NoConn
 }
 
-// querySteps are the steps about one client's query.
-func (m *Model) querySteps(s *State, c int, yield func(model.Step, State)) {
+// querySteps yields the steps of one client's request.
+func (m *Model) requestSteps(s *State, c int, yield func(model.Step, State)) {
 	q := &s.Clients[c]
-	if q.Seen == Absent {
-		m.ask(s, c, yield)
+	if q.View == Absent {
+		m.arrivalSteps(s, c, yield)
 		return
 	}
-	plain := func(o Op, k lifecycle.Kind) { yield(Code(o, c, 0, 0), m.do(s, c, k)) }
-	if q.Life.Phase == lifecycle.Waiting && q.Book == Open {
-		m.decide(s, c, yield)
+	simple := func(o Op, k lifecycle.Kind) { yield(Code(o, c, 0, 0), m.apply(s, c, k)) }
+	if q.Lifecycle.Phase == lifecycle.Waiting && q.BalancerView == Unplaced {
+		m.balancerSteps(s, c, yield)
 	}
-	if q.Book == Standing {
-		plain(MoveAway, lifecycle.Move)
+	if q.BalancerView == Established {
+		simple(Move, lifecycle.Move)
 	}
-	if q.Link != NoLink {
-		m.linkSteps(s, c, s.link(c), yield)
+	if q.Conn != NoConn {
+		m.connSteps(s, c, s.connGateway(c), yield)
 	}
-	if q.Timer {
+	if q.AttemptTimer {
 		switch {
-		case q.Life.Phase == lifecycle.Trying:
-			r := run{m: m, s: *s, c: c}
+		case q.Lifecycle.Phase == lifecycle.Trying:
+			r := transition{m: m, s: *s, c: c}
 			t := &r.s.Clients[c]
-			sent := t.Link == Sent // an attempt whose connection never came up has not run
-			t.MayRun, t.Ran, t.Timer = t.MayRun || sent, t.Ran || sent, false
-			r.event(lifecycle.AttemptTimedOut)
-			yield(Code(Overdue, c, 0, 0), r.s)
-		case q.Life.Inherited:
-			r := run{m: m, s: *s, c: c, to: s.link(c)}
-			r.s.Clients[c].Timer = false
-			r.event(lifecycle.Retry)
-			yield(Code(Again, c, 0, 0), r.s)
+			sent := t.Conn == RequestSent // an attempt whose connection was never established has not run
+			t.MayRun, t.Ran, t.AttemptTimer = t.MayRun || sent, t.Ran || sent, false
+			r.applyEvent(lifecycle.AttemptTimedOut)
+			yield(Code(AttemptTimeout, c, 0, 0), r.s)
+		case q.Lifecycle.Inherited:
+			r := transition{m: m, s: *s, c: c, target: s.connGateway(c)}
+			r.s.Clients[c].AttemptTimer = false
+			r.applyEvent(lifecycle.Retry)
+			yield(Code(RetryInherited, c, 0, 0), r.s)
 		}
 	}
-	if q.Guard {
-		r := run{m: m, s: *s, c: c}
-		r.s.Clients[c].Guard = false
-		r.event(lifecycle.Deadline)
-		yield(Code(Due, c, 0, 0), r.s)
+	if q.DeadlineTimer {
+		r := transition{m: m, s: *s, c: c}
+		r.s.Clients[c].DeadlineTimer = false
+		r.applyEvent(lifecycle.Deadline)
+		yield(Code(DeadlineFires, c, 0, 0), r.s)
 	}
-	if q.Seen == Asking && (!q.Guard || m.plant == plantGuardLate) { // the guard comes before the client's own time
+	// The deadline timer fires before the client's own time limit.
+	if q.View == Asking && (!q.DeadlineTimer || m.bug == bugLateDeadline) {
 		n := *s
-		n.Clients[c].Seen = Late
-		yield(Code(TimeUp, c, 0, 0), n)
+		n.Clients[c].View = ClientTimedOut
+		yield(Code(ClientTimeout, c, 0, 0), n)
 	}
-	if q.Seen == Asking || q.Seen == Served {
+	if q.View == Asking || q.View == Served {
 		n := *s
-		n.Clients[c].Seen = Left
-		yield(Code(Leave, c, 0, 0), m.do(&n, c, lifecycle.ClientGone))
-		plain(Interject, lifecycle.ClientFaulty)
+		n.Clients[c].View = ClientLeft
+		yield(Code(ClientLeaves, c, 0, 0), m.apply(&n, c, lifecycle.ClientGone))
+		simple(ClientFaults, lifecycle.ClientFaulty)
 	}
-	if q.Held {
-		m.lateWords(s, c, yield)
+	if q.MayAnswerLate {
+		m.lateSteps(s, c, yield)
 	}
 }
 
-// ask lets a client come, with a query of any class.
-func (m *Model) ask(s *State, c int, yield func(model.Step, State)) {
-	if s.Stay > Leaving {
+// arrivalSteps yields the arrival of a client with a request of any class.
+func (m *Model) arrivalSteps(s *State, c int, yield func(model.Step, State)) {
+	if s.NodeState > Terminating {
 		return
 	}
 	n := *s
-	n.Clients[c].Seen = Asking
+	n.Clients[c].View = Asking
 	for _, class := range [...]Class{Safe, Unsafe, Keyed, Grouped} {
 		n.Clients[c].Class = class
-		yield(Code(Ask, c, 0, int(class)), m.do(&n, c, lifecycle.Arrive))
+		yield(Code(Ask, c, 0, int(class)), m.apply(&n, c, lifecycle.Arrive))
 	}
 	n.Clients[c].Class = Inherited
 	for g := range m.Gateways {
-		r := run{m: m, s: n, c: c, to: g}
-		r.event(lifecycle.ArriveInherited)
+		r := transition{m: m, s: n, c: c, target: g}
+		r.applyEvent(lifecycle.ArriveInherited)
 		yield(Code(Ask, c, g, int(Inherited)), r.s)
 	}
 }
 
-// decide is what a balancer may do with a waiting query; see the rules of package balance.
-func (m *Model) decide(s *State, c int, yield func(model.Step, State)) {
+// balancerSteps yields what a balancer may do with a waiting request; see the rules of package balance.
+func (m *Model) balancerSteps(s *State, c int, yield func(model.Step, State)) {
 	q := &s.Clients[c]
-	if int(q.Life.Attempts) < m.Attempts+bit2int(m.plant == plantMany) &&
-		!(q.MayRun && q.Class == Unsafe && m.plant != plantRepeat) {
+	if int(q.Lifecycle.Attempts) < m.Attempts+bit2int(m.bug == bugExtraAttempt) &&
+		!(q.MayRun && q.Class == Unsafe && m.bug != bugUnsafeRepeat) {
 		for g := range m.Gateways {
 			gw := &s.Gateways[g]
-			if (gw.Told == Ready || gw.Unseen) && !gw.Tried[c] {
-				r := run{m: m, s: *s, c: c, to: g}
-				r.s.Clients[c].Book = Pending
-				r.event(lifecycle.Place)
+			if (gw.ListState == Ready || gw.DrainMissed) && !gw.Tried[c] {
+				r := transition{m: m, s: *s, c: c, target: g}
+				r.s.Clients[c].BalancerView = Pending
+				r.applyEvent(lifecycle.Place)
 				yield(Code(Place, c, g, 0), r.s)
 			}
 		}
 	}
 	n := *s
-	n.Clients[c].Book = NoEntry
-	if harmless := !q.MayRun || q.Class.refusable(); harmless || m.plant == plantRefusal {
-		yield(Code(Refuse, c, 0, 0), m.do(&n, c, lifecycle.Refuse))
+	n.Clients[c].BalancerView = Untracked
+	if harmless := !q.MayRun || q.Class.repeatable(); harmless || m.bug == bugUnsafeRefusal {
+		yield(Code(Refuse, c, 0, 0), m.apply(&n, c, lifecycle.Refuse))
 	} else {
-		yield(Code(GiveUp, c, 0, 0), m.do(&n, c, lifecycle.GiveUp))
+		yield(Code(GiveUp, c, 0, 0), m.apply(&n, c, lifecycle.GiveUp))
 	}
 }
 
@@ -496,64 +499,65 @@
 	return 0
 }
 
-// linkSteps are what may come of a connection to a gateway.
-func (m *Model) linkSteps(s *State, c, g int, yield func(model.Step, State)) {
+// connSteps yields what may happen to a connection to a gateway.
+func (m *Model) connSteps(s *State, c, g int, yield func(model.Step, State)) {
 	q, gw := &s.Clients[c], &s.Gateways[g]
-	// said brings a word of the gateway; ended says that its side is closed then, and ran that the query may have run.
-	said := func(o Op, k lifecycle.Kind, ended, ran bool) {
-		r := run{m: m, s: *s, c: c}
+	// event yields the step in which the gateway causes an event. With ended, the gateway's side is closed afterwards;
+	// with mayHaveRun, the request may have run.
+	event := func(o Op, k lifecycle.Kind, ended, mayHaveRun bool) {
+		r := transition{m: m, s: *s, c: c}
 		t := &r.s.Clients[c]
-		t.MayRun, t.Ran = t.MayRun || ran, t.Ran || ran
+		t.MayRun, t.Ran = t.MayRun || mayHaveRun, t.Ran || mayHaveRun
 		if ended {
-			t.Held = t.Held || q.Link == Sent && gw.Cond == Sound
-			t.Link = NoLink
+			t.MayAnswerLate = t.MayAnswerLate || q.Conn == RequestSent && gw.Condition == Healthy
+			t.Conn = NoConn
 		}
-		r.event(k)
+		r.applyEvent(k)
 		yield(Code(o, c, g, 0), r.s)
 	}
-	if q.Link == Dialing {
-		if gw.Cond == Sound {
-			m.connect(s, c, g, yield)
+	if q.Conn == Dialing {
+		if gw.Condition == Healthy {
+			m.connectStep(s, c, g, yield)
 		}
-		if gw.Cond != Silent {
-			said(NoLuck, lifecycle.HostEnded, true, false)
+		if gw.Condition != Unresponsive {
+			event(ConnectFails, lifecycle.HostEnded, true, false)
 		}
 		return
 	}
-	up := q.Life.Phase == lifecycle.Established
-	if gw.Cond == Sound && !up {
-		said(SayUp, lifecycle.HostEstablished, false, true)
-		said(SayServed, lifecycle.HostServed, true, true)
-		said(SayFull, lifecycle.HostEnded, true, false)
-		said(SayError, lifecycle.HostEnded, true, true)
+	up := q.Lifecycle.Phase == lifecycle.Established
+	if gw.Condition == Healthy && !up {
+		event(HostUp, lifecycle.HostEstablished, false, true)
+		event(HostServed, lifecycle.HostServed, true, true)
+		event(HostFull, lifecycle.HostEnded, true, false)
+		event(HostError, lifecycle.HostEnded, true, true)
 	}
-	if gw.Cond == Sound {
-		said(Garble, lifecycle.HostFaulty, false, true)
+	if gw.Condition == Healthy {
+		event(HostGarbles, lifecycle.HostFaulty, false, true)
 	}
 	if up {
-		said(Clog, lifecycle.HostNotReading, false, true)
+		event(HostStalls, lifecycle.HostNotReading, false, true)
 	}
-	said(Break, lifecycle.HostEnded, true, true)
+	event(HostEnds, lifecycle.HostEnded, true, true)
 }
 
-// connect lets a connection come up. The node asks then whether the gateway may still be written to.
-func (m *Model) connect(s *State, c, g int, yield func(model.Step, State)) {
-	r := run{m: m, s: *s, c: c}
+// connectStep establishes a connection. The node then checks whether the gateway may still be written to.
+func (m *Model) connectStep(s *State, c, g int, yield func(model.Step, State)) {
+	r := transition{m: m, s: *s, c: c}
 	gw := &r.s.Gateways[g]
-	if gw.Told.past() && !gw.Unseen && m.plant != plantDrainedDial {
-		r.event(lifecycle.HostDrainExpired)
+	if gw.ListState.drainExpired() && !gw.DrainMissed && m.bug != bugWriteAfterDrain {
+		r.applyEvent(lifecycle.HostDrainExpired)
 	} else {
-		if gw.Told.past() {
-			r.bad(badDrain)
+		if gw.ListState.drainExpired() {
+			r.violate(badWriteAfterDrain)
 		}
-		r.s.Clients[c].Link = Sent
+		r.s.Clients[c].Conn = RequestSent
 	}
 	yield(Code(Connect, c, g, 0), r.s)
 }
 
-// lateWords are those of an attempt that is over.
-func (m *Model) lateWords(s *State, c int, yield func(model.Step, State)) {
-	q := &s.Clients[c].Life
+// lateSteps yields the events of an attempt that is over.
+func (m *Model) lateSteps(s *State, c int, yield func(model.Step, State)) {
+	q := &s.Clients[c].Lifecycle
 	number := q.Attempts
 	if q.HasHostConn() {
 		if number < 2 {
@@ -562,13 +566,13 @@
 		number--
 	}
 	for i, k := range [...]lifecycle.Kind{lifecycle.HostEstablished, lifecycle.HostEnded} {
-		r := run{m: m, s: *s, c: c, late: true}
-		r.numbered(k, number)
+		r := transition{m: m, s: *s, c: c, late: true}
+		r.applyAttemptEvent(k, number)
 		yield(Code(LateUp+Op(i), c, 0, 0), r.s)
 	}
 }
 
-// gatewaySteps are what happens to a gateway, and what discovery tells of it.
+// gatewaySteps yields what happens to a gateway, and what discovery reports about it.
 func (m *Model) gatewaySteps(s *State, g int, yield func(model.Step, State)) {
 	gw := s.Gateways[g]
 	set := func(o Op, to Gateway) {
@@ -576,103 +580,103 @@
 		n.Gateways[g] = to
 		yield(Code(o, 0, g, 0), n)
 	}
-	cond := func(o Op, to Cond, stale bool) {
+	setCondition := func(o Op, to Condition, restarted bool) {
 		t := gw
-		t.Cond, t.Stale = to, stale
+		t.Condition, t.Restarted = to, restarted
 		set(o, t)
 	}
 	switch {
-	case !m.Unreduced && !gw.touched(): // see Canonical
-	case gw.Cond == Sound:
-		cond(FallSilent, Silent, gw.Stale)
-		cond(Die, Dead, gw.Stale)
-	case gw.Cond == Silent:
-		cond(Heal, Sound, gw.Stale)
-		cond(Die, Dead, gw.Stale)
-	case gw.Cond == Dead:
-		cond(Return, Sound, true)
-	}
-	told := func(o Op, to Told, anew bool) {
+	case !m.Unreduced && !gw.inUse(): // see Canonical
+	case gw.Condition == Healthy:
+		setCondition(LoseContact, Unresponsive, gw.Restarted)
+		setCondition(Crash, Crashed, gw.Restarted)
+	case gw.Condition == Unresponsive:
+		setCondition(RegainContact, Healthy, gw.Restarted)
+		setCondition(Crash, Crashed, gw.Restarted)
+	case gw.Condition == Crashed:
+		setCondition(Restart, Healthy, true)
+	}
+	list := func(o Op, to ListState, newStart bool) {
 		t := gw
-		t.Told = to
-		t.Unseen = m.plant == plantDrainLost && o == TellDrain && (gw.Out[0] || gw.Out[1]) ||
-			gw.Unseen && (o == Limit || o == TellGone)
-		if anew {
-			t.Stale = false
-			t.Tried = [MaxClients]bool{} // to the balancer it is another gateway
+		t.ListState = to
+		t.DrainMissed = m.bug == bugDrainLost && o == NotifyDrain && (gw.HasConn[0] || gw.HasConn[1]) ||
+			gw.DrainMissed && (o == DrainExpires || o == NotifyGone)
+		if newStart {
+			t.Restarted = false
+			t.Tried = [MaxClients]bool{} // the balancer takes the new start for another gateway
 		}
 		set(o, t)
 	}
-	switch gw.Told {
+	switch gw.ListState {
 	case Ready:
-		told(TellDrain, Draining, false)
-		told(TellGone, Gone, false)
+		list(NotifyDrain, Draining, false)
+		list(NotifyGone, Gone, false)
 	case Draining:
-		told(Limit, DrainingPast, false)
-		told(TellReady, Ready, false)
-		told(TellGone, Gone, false)
-	case DrainingPast:
-		told(TellReady, Ready, false)
-		told(TellGone, GonePast, false)
+		list(DrainExpires, DrainExpired, false)
+		list(NotifyReady, Ready, false)
+		list(NotifyGone, Gone, false)
+	case DrainExpired:
+		list(NotifyReady, Ready, false)
+		list(NotifyGone, GoneExpired, false)
 	case Gone:
-		told(Limit, GonePast, false)
-		told(TellBack, Ready, true)
-	case GonePast:
-		told(TellBack, Ready, true)
+		list(DrainExpires, GoneExpired, false)
+		list(NotifyRelisted, Ready, true)
+	case GoneExpired:
+		list(NotifyRelisted, Ready, true)
 	}
-	if (gw.Stale || !m.Unreduced && !gw.touched()) && gw.Told < Gone {
-		told(TellRestart, Ready, true)
+	if (gw.Restarted || !m.Unreduced && !gw.inUse()) && gw.ListState < Gone {
+		list(NotifyRestart, Ready, true)
 	}
 }
 
-// nodeSteps are the node's way out, by the real rule of departure.
+// nodeSteps yields the steps of the node's shutdown, by the actual shutdown rule.
 func (m *Model) nodeSteps(s *State, yield func(model.Step, State)) {
-	owed, standing := 0, 0
+	waiting, established := 0, 0
 	for c := range m.Clients {
-		owed += bit2int(s.Clients[c].Life.AwaitsAnswer())
-		standing += bit2int(s.Clients[c].Life.Phase == lifecycle.Established)
+		waiting += bit2int(s.Clients[c].Lifecycle.AwaitsAnswer())
+		established += bit2int(s.Clients[c].Lifecycle.Phase == lifecycle.Established)
 	}
-	const within = 4 * lifecycle.AcceptAfterSIGTERM
-	looks := [...]time.Duration{lifecycle.AcceptAfterSIGTERM, within}
-	switch s.Stay {
+	const maxStay = 4 * lifecycle.AcceptAfterSIGTERM
+	checkTimes := [...]time.Duration{lifecycle.AcceptAfterSIGTERM, maxStay}
+	switch s.NodeState {
 	case Serving:
 		n := *s
-		n.Stay = Leaving
-		yield(Code(Term, 0, 0, 0), n)
-	case Leaving:
-		for i, pass := range []bool{false, true} {
-			d := lifecycle.Shutdown{PassThrough: pass, MaxStay: within}
-			if _, order := m.depart(d, lifecycle.AcceptAfterSIGTERM, owed, standing); order == lifecycle.StopAccepting {
+		n.NodeState = Terminating
+		yield(Code(Terminate, 0, 0, 0), n)
+	case Terminating:
+		for i, passThrough := range []bool{false, true} {
+			d := lifecycle.Shutdown{PassThrough: passThrough, MaxStay: maxStay}
+			if _, command := m.shutdown(d, lifecycle.AcceptAfterSIGTERM, waiting, established); command == lifecycle.StopAccepting {
 				n := *s
-				n.Stay = DoorShut + Stay(i)
-				yield(Code(ShutDoor, 0, 0, i), n)
+				n.NodeState = NotAccepting + NodeState(i)
+				yield(Code(StopAccepting, 0, 0, i), n)
 			}
 		}
-	case DoorShut, DoorShut2:
-		d := lifecycle.Shutdown{PassThrough: s.Stay == DoorShut2, MaxStay: within, AcceptStopped: true}
-		for i, after := range looks {
-			if _, order := m.depart(d, after, owed, standing); order == lifecycle.CloseAll {
-				yield(Code(SendOff, 0, 0, i), m.sendOff(s, d.PassThrough))
+	case NotAccepting, NotAcceptingPassThrough:
+		d := lifecycle.Shutdown{PassThrough: s.NodeState == NotAcceptingPassThrough, MaxStay: maxStay, AcceptStopped: true}
+		for i, after := range checkTimes {
+			if _, command := m.shutdown(d, after, waiting, established); command == lifecycle.CloseAll {
+				yield(Code(StopNode, 0, 0, i), m.stop(s, d.PassThrough))
 				return
 			}
 		}
 	}
 }
 
-// sendOff is the end of a departure.
-func (m *Model) sendOff(s *State, pass bool) State {
-	r := run{m: m, s: *s}
+// stop completes the shutdown.
+func (m *Model) stop(s *State, passThrough bool) State {
+	r := transition{m: m, s: *s}
 	for c := range m.Clients {
 		r.c = c
-		if q := &r.s.Clients[c]; q.Life.AwaitsAnswer() || q.Life.Phase == lifecycle.Established && !pass {
-			r.event(lifecycle.NodeStopping)
+		if q := &r.s.Clients[c]; q.Lifecycle.AwaitsAnswer() || q.Lifecycle.Phase == lifecycle.Established && !passThrough {
+			r.applyEvent(lifecycle.NodeStopping)
 		}
 	}
 	for c := range m.Clients {
-		if q := &r.s.Clients[c]; q.Seen == Served && !pass {
-			r.bad(badCut)
+		if q := &r.s.Clients[c]; q.View == Served && !passThrough {
+			r.violate(badUnannouncedClose)
 		}
 	}
-	r.s.Stay = Stopped
+	r.s.NodeState = Stopped
 	return r.s
 }
--- a/rehearsal/model/explore.go
+++ b/rehearsal/model/explore.go
@@ -12,157 +12,157 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Options bound a check. The zero value uses all cores and bounds nothing.
+// Options bound a check. The zero value uses all cores and sets no limits.
 type Options struct {
-	Workers    int           // goroutines that expand states; 0: one for each core
-	Memory     int64         // bytes that states, tables and edges may take; 0: no bound
-	MaxStates  uint64        // 0: no bound
-	MaxDepth   int           // steps from an initial state; 0: no bound
-	Within     time.Duration // of the exploration; 0: no bound
-	NoLiveness bool          // promises stay unknown, and no edges are kept
-	Every      time.Duration // between two calls of Progress
-	Progress   func(Progress)
+	Workers          int           // goroutines that expand states; 0: one for each core
+	MemoryLimit      int64         // bytes that states, tables and edges may take; 0: no limit
+	MaxStates        uint64        // 0: no limit
+	MaxDepth         int           // number of steps from an initial state; 0: no limit
+	TimeLimit        time.Duration // for the exploration; 0: no limit
+	NoLiveness       bool          // skip the liveness check: its verdicts stay Unknown, and no edges are kept
+	ProgressInterval time.Duration // time between two calls of Progress
+	Progress         func(Progress)
 }
 
-// Progress is how far a check has come.
+// Progress reports how far a check has come.
 type Progress struct {
 	Phase       string // "exploring" or "liveness"
 	States      uint64
 	Transitions uint64
 	Depth       int
-	Left        uint64 // states of this depth that were not expanded yet
+	Unexpanded  uint64 // states of the current depth that are not expanded yet
 	Frontier    uint64 // states found for the next depth
 	Bytes       int64
 	Elapsed     time.Duration
 }
 
-// item is a state whose steps are still to be taken.
+// item is a state that has not been expanded yet.
 type item[S any] struct {
 	state S
 	id    uint32
 }
 
-// broken is a safety property that does not hold in a state, or an end that is none.
-type broken struct {
+// violationRecord is a state that violates a safety property, or a deadlock.
+type violationRecord struct {
 	id       uint32
 	fp       uint64
 	property string
 	order    int
 }
 
-// batch is how many states a worker takes at a time.
+// batch is the number of states that a worker takes at a time.
 const batch = 128
 
 // checker is one run of Check.
 type checker[S any] struct {
-	m       Model[S]
-	opt     Options
-	store   *store
-	safety  []string
-	live    []string
-	workers []*worker[S]
-	coverer Coverer[S] // nil where the model is none
-	sizer   Sizer[S]   // the same
-	level   [][]item[S]
-	sizes   int64 // bytes of one item
+	m        Model[S]
+	opt      Options
+	store    *store
+	safety   []string
+	liveness []string
+	workers  []*worker[S]
+	coverer  Coverer[S] // nil if the model does not implement it
+	sizer    Sizer[S]   // nil if the model does not implement it
+	level    [][]item[S]
+	itemSize int64 // size of one item in bytes
 
-	begun       time.Time
-	states      atomic.Uint64
-	transitions atomic.Uint64
-	left        atomic.Int64
-	found       atomic.Int64 // states of the next depth
-	extra       atomic.Int64 // bytes of edges and frontiers
-	stop        atomic.Bool
-	mu          sync.Mutex
-	reason      string
-	peak        uint64
-	depth       int
-	widest      uint64
+	start          time.Time
+	states         atomic.Uint64
+	transitions    atomic.Uint64
+	unexpanded     atomic.Int64
+	nextStates     atomic.Int64 // states found for the next depth
+	auxBytes       atomic.Int64 // bytes of edges and frontiers
+	stop           atomic.Bool
+	mu             sync.Mutex
+	stopReason     string
+	peakBytes      uint64
+	depth          int
+	maxLevelStates uint64
 }
 
 type worker[S any] struct {
-	c       *checker[S]
-	next    []item[S]
-	edges   edges
-	buf     []byte
-	broken  []broken
-	yield   func(Step, S)
-	succs   []succ[S]
-	touched uint64
-	steps   uint64
-	fresh   uint64
-	covered uint64
-	beyond  int64 // bytes that the states of the next depth hold besides themselves
+	c          *checker[S]
+	next       []item[S]
+	edges      edges
+	buf        []byte
+	violations []violationRecord
+	yield      func(Step, S)
+	succs      []succ[S]
+	prefetched uint64
+	steps      uint64
+	newStates  uint64
+	covered    uint64
+	stateBytes int64 // bytes that the states of the next depth hold besides their own size
 }
 
-// Check visits every reachable state of a model. It returns an error only for a model or options that make no sense;
-// what it could not finish is told in the result.
+// Check visits every reachable state of a model. It returns an error only for an invalid model or invalid options. A
+// check that stops early returns a result whose StopReason says why.
 func Check[S any](m Model[S], opt Options) (*Result[S], error) {
-	safety, live, err := names(m)
+	safety, liveness, err := propertyNames(m)
 	if err != nil {
 		return nil, err
 	}
 	if opt.Workers <= 0 {
 		opt.Workers = runtime.GOMAXPROCS(0)
 	}
-	if opt.Memory > 0 {
-		defer debug.SetMemoryLimit(debug.SetMemoryLimit(opt.Memory))
+	if opt.MemoryLimit > 0 {
+		defer debug.SetMemoryLimit(debug.SetMemoryLimit(opt.MemoryLimit))
 	} else {
-		opt.Memory = 1 << 62
+		opt.MemoryLimit = 1 << 62
 	}
-	c := &checker[S]{m: m, opt: opt, store: newStore(opt.Memory), safety: safety, live: live, begun: time.Now()}
+	c := &checker[S]{m: m, opt: opt, store: newStore(opt.MemoryLimit), safety: safety, liveness: liveness, start: time.Now()}
 	c.coverer, _ = m.(Coverer[S])
 	c.sizer, _ = m.(Sizer[S])
 	var it item[S]
-	c.sizes = int64(unsafe.Sizeof(it))
+	c.itemSize = int64(unsafe.Sizeof(it))
 	for range opt.Workers {
 		w := &worker[S]{c: c}
-		w.yield = w.take
+		w.yield = w.addSuccessor
 		c.workers = append(c.workers, w)
 	}
 	done := make(chan struct{})
-	var watch sync.WaitGroup
-	watch.Add(1)
-	go func() { defer watch.Done(); c.watch(done) }()
+	var monitor sync.WaitGroup
+	monitor.Add(1)
+	go func() { defer monitor.Done(); c.monitor(done) }()
 	res := c.run()
 	close(done)
-	watch.Wait()
-	c.measure()
-	res.PeakBytes = c.peak
+	monitor.Wait()
+	c.samplePeakMemory()
+	res.PeakBytes = c.peakBytes
 	return res, nil
 }
 
-// watch reports progress, notes the memory held and keeps the time bound.
-func (c *checker[S]) watch(done chan struct{}) {
-	every := c.opt.Every
-	if every <= 0 {
-		every = 2 * time.Second
+// monitor reports progress, records the peak of the memory in use and enforces the time limit.
+func (c *checker[S]) monitor(done chan struct{}) {
+	interval := c.opt.ProgressInterval
+	if interval <= 0 {
+		interval = 2 * time.Second
 	}
-	tick := time.NewTicker(min(every, 250*time.Millisecond))
+	tick := time.NewTicker(min(interval, 250*time.Millisecond))
 	defer tick.Stop()
-	told := time.Now()
+	lastReport := time.Now()
 	for {
 		select {
 		case <-done:
 			return
 		case <-tick.C:
 		}
-		c.measure()
-		if c.opt.Within > 0 && time.Since(c.begun) >= c.opt.Within {
-			c.halt(fmt.Sprintf("the time of %v is over", c.opt.Within))
+		c.samplePeakMemory()
+		if c.opt.TimeLimit > 0 && time.Since(c.start) >= c.opt.TimeLimit {
+			c.stopExploring(fmt.Sprintf("the time limit of %v is reached", c.opt.TimeLimit))
 		}
-		if c.opt.Progress != nil && time.Since(told) >= every {
-			told = time.Now()
+		if c.opt.Progress != nil && time.Since(lastReport) >= interval {
+			lastReport = time.Now()
 			c.opt.Progress(c.progress())
 		}
 	}
 }
 
-func (c *checker[S]) measure() {
+func (c *checker[S]) samplePeakMemory() {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	c.mu.Lock()
-	c.peak = max(c.peak, m.Sys-m.HeapReleased)
+	c.peakBytes = max(c.peakBytes, m.Sys-m.HeapReleased)
 	c.mu.Unlock()
 }
 
@@ -170,19 +170,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := Progress{Phase: "exploring", States: c.states.Load(), Transitions: c.transitions.Load(), Depth: c.depth,
-		Left: uint64(max(0, c.left.Load())), Frontier: uint64(c.found.Load()),
-		Bytes: c.store.bytes.Load() + c.extra.Load(), Elapsed: time.Since(c.begun)}
-	if p.Left == 0 && p.Frontier == 0 {
+		Unexpanded: uint64(max(0, c.unexpanded.Load())), Frontier: uint64(c.nextStates.Load()),
+		Bytes: c.store.bytes.Load() + c.auxBytes.Load(), Elapsed: time.Since(c.start)}
+	if p.Unexpanded == 0 && p.Frontier == 0 {
 		p.Phase = "liveness"
 	}
 	return p
 }
 
-// halt ends the exploration; the first reason counts.
-func (c *checker[S]) halt(reason string) {
+// stopExploring ends the exploration. If it is called several times, the first reason is reported.
+func (c *checker[S]) stopExploring(reason string) {
 	c.mu.Lock()
-	if c.reason == "" {
-		c.reason = reason
+	if c.stopReason == "" {
+		c.stopReason = reason
 	}
 	c.mu.Unlock()
 	c.stop.Store(true)
@@ -192,87 +192,89 @@
 	res := &Result[S]{Workers: c.opt.Workers}
 	first := c.workers[0]
 	for _, s := range c.m.Initial() {
-		first.take(0, s)
+		first.addSuccessor(0, s)
 	}
 	for i := range first.succs {
-		first.put(noState, &first.succs[i])
+		first.visit(noState, &first.succs[i])
 	}
-	c.states.Add(first.fresh)
-	var worst *broken
+	c.states.Add(first.newStates)
+	var violation *violationRecord
 	for {
-		n := c.turn()
-		if worst = c.worst(); worst != nil || n == 0 || c.stop.Load() {
+		n := c.advanceLevel()
+		if violation = c.firstViolation(); violation != nil || n == 0 || c.stop.Load() {
 			break
 		}
 		if c.opt.MaxDepth > 0 && c.depth >= c.opt.MaxDepth {
-			c.halt(fmt.Sprintf("the depth of %d is reached", c.opt.MaxDepth))
+			c.stopExploring(fmt.Sprintf("the depth of %d is reached", c.opt.MaxDepth))
 			break
 		}
 		c.expand()
 	}
-	res.States, res.Transitions, res.Depth, res.Widest = c.states.Load(), c.transitions.Load(), c.depth, c.widest
+	res.States, res.Transitions, res.Depth, res.MaxLevelStates = c.states.Load(), c.transitions.Load(), c.depth,
+		c.maxLevelStates
 	for _, w := range c.workers {
 		res.Covered |= w.covered
 	}
-	res.Missed = missed(res.States)
-	res.Seconds = time.Since(c.begun).Seconds()
-	res.Stopped = c.reason
-	res.Complete = worst == nil && c.reason == ""
-	liveDone := false
-	if worst != nil {
-		res.Violation = &Violation[S]{Property: worst.property, Trace: c.trace(worst.id)}
-	} else if res.Complete && !c.opt.NoLiveness && len(c.live) > 0 && c.roomForLiveness(res) {
-		begun := time.Now()
+	res.OmissionProbability = omissionProbability(res.States)
+	res.Seconds = time.Since(c.start).Seconds()
+	res.StopReason = c.stopReason
+	res.Complete = violation == nil && c.stopReason == ""
+	livenessDone := false
+	if violation != nil {
+		res.Violation = &Violation[S]{Property: violation.property, Trace: c.trace(violation.id)}
+	} else if res.Complete && !c.opt.NoLiveness && len(c.liveness) > 0 && c.livenessFits(res) {
+		livenessStart := time.Now()
 		res.Violation = c.checkLiveness()
-		res.LiveSeconds = time.Since(begun).Seconds()
-		liveDone = true
+		res.LivenessSeconds = time.Since(livenessStart).Seconds()
+		livenessDone = true
 	}
-	c.findings(res, liveDone)
+	c.findings(res, livenessDone)
 	return res
 }
 
-// roomForLiveness says whether the promises can be checked within the memory allowed. Where not, the result says so.
-func (c *checker[S]) roomForLiveness(res *Result[S]) bool {
+// livenessFits reports whether liveness can be checked within the memory limit. If not, it marks the result as
+// incomplete and gives the reason there.
+func (c *checker[S]) livenessFits(res *Result[S]) bool {
 	c.level = nil
-	need := c.store.bytes.Load() + c.extra.Load() + livenessBytes(c.store.places(), len(c.live))
-	if need <= c.opt.Memory {
+	need := c.store.bytes.Load() + c.auxBytes.Load() + livenessBytes(c.store.idBound(), len(c.liveness))
+	if need <= c.opt.MemoryLimit {
 		return true
 	}
 	res.Complete = false
-	res.Stopped = fmt.Sprintf("all states were visited, and the promises need %d MiB of %d", need>>20, c.opt.Memory>>20)
+	res.StopReason = fmt.Sprintf("all states were visited, but the liveness check needs %d MiB of %d", need>>20, c.opt.MemoryLimit>>20)
 	return false
 }
 
-// turn makes what was found the depth to be expanded next, and returns how many states that is.
-func (c *checker[S]) turn() uint64 {
+// advanceLevel makes the states found last the level to expand next, and returns their number.
+func (c *checker[S]) advanceLevel() uint64 {
 	c.level = c.level[:0]
-	n, beyond := uint64(0), int64(0)
+	n, stateBytes := uint64(0), int64(0)
 	for _, w := range c.workers {
 		if len(w.next) > 0 {
 			c.level = append(c.level, w.next)
 			n += uint64(len(w.next))
 		}
 		w.next = nil
-		beyond += w.beyond
-		w.beyond = 0
+		stateBytes += w.stateBytes
+		w.stateBytes = 0
 	}
 	c.mu.Lock()
 	if n > 0 && c.transitions.Load() > 0 {
 		c.depth++
 	}
-	c.widest = max(c.widest, n)
+	c.maxLevelStates = max(c.maxLevelStates, n)
 	c.mu.Unlock()
-	c.left.Store(int64(n))
-	c.found.Store(0)
-	bytes := int64(n)*c.sizes + beyond
+	c.unexpanded.Store(int64(n))
+	c.nextStates.Store(0)
+	bytes := int64(n)*c.itemSize + stateBytes
 	for _, w := range c.workers {
 		bytes += w.edges.bytes
 	}
-	c.extra.Store(bytes)
+	c.auxBytes.Store(bytes)
 	return n
 }
 
-// expand takes all steps of the states of this depth.
+// expand computes the successors of all states of the current depth.
 func (c *checker[S]) expand() {
 	var cursor atomic.Int64
 	type span struct{ list, from, to int }
@@ -282,41 +284,41 @@
 			spans = append(spans, span{i, from, min(from+batch, len(l))})
 		}
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, w := range c.workers {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			for !c.stop.Load() {
 				n := int(cursor.Add(1)) - 1
 				if n >= len(spans) {
 					return
 				}
 				sp := spans[n]
-				before, steps, fresh := len(w.next), w.steps, w.fresh
-				grown := cap(w.next)
-				held := w.edges.bytes + w.beyond
+				before, steps, newStates := len(w.next), w.steps, w.newStates
+				capBefore := cap(w.next)
+				bytesBefore := w.edges.bytes + w.stateBytes
 				for i := sp.from; i < sp.to; i++ {
 					w.expand(&c.level[sp.list][i])
 				}
-				c.left.Add(int64(sp.from - sp.to))
-				c.found.Add(int64(len(w.next) - before))
+				c.unexpanded.Add(int64(sp.from - sp.to))
+				c.nextStates.Add(int64(len(w.next) - before))
 				c.transitions.Add(w.steps - steps)
-				c.states.Add(w.fresh - fresh)
-				more := c.extra.Add(int64(cap(w.next)-grown)*c.sizes + w.edges.bytes + w.beyond - held)
+				c.states.Add(w.newStates - newStates)
+				auxBytes := c.auxBytes.Add(int64(cap(w.next)-capBefore)*c.itemSize + w.edges.bytes + w.stateBytes - bytesBefore)
 				switch states := c.states.Load(); {
-				case more+c.store.bytes.Load() > c.opt.Memory:
-					c.halt(fmt.Sprintf("the memory of %d MiB is full", c.opt.Memory>>20))
+				case auxBytes+c.store.bytes.Load() > c.opt.MemoryLimit:
+					c.stopExploring(fmt.Sprintf("the memory limit of %d MiB is reached", c.opt.MemoryLimit>>20))
 				case c.opt.MaxStates > 0 && states >= c.opt.MaxStates:
-					c.halt(fmt.Sprintf("the bound of %d states is reached", c.opt.MaxStates))
+					c.stopExploring(fmt.Sprintf("the bound of %d states is reached", c.opt.MaxStates))
 				}
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// succ is a state that a step leads to, in its canonical form.
+// succ is the successor of a state, in its canonical form.
 type succ[S any] struct {
 	state   S
 	fp      uint64
@@ -324,33 +326,34 @@
 	pending uint8
 }
 
-// expand takes all steps of one state. They are collected before they are looked up: the places in the table are
-// touched one right after the other, so that the waits for memory overlap, which is most of what a check does.
+// expand computes the successors of one state. It collects all of them before it looks them up: their table slots are
+// then prefetched one right after the other, so that the memory latencies, which are most of the cost of a check,
+// overlap.
 func (w *worker[S]) expand(it *item[S]) {
 	c := w.c
 	w.succs = w.succs[:0]
 	c.m.Steps(it.state, w.yield)
 	w.steps += uint64(len(w.succs))
-	w.touched += touch(c.store, w.succs)
+	w.prefetched += prefetch(c.store, w.succs)
 	pending := c.m.Pending(it.state)
 	live := pending != 0 && !c.opt.NoLiveness
 	if live {
-		w.edges.begin(it.id, len(w.succs)).end = len(w.succs) == 0
+		w.edges.beginState(it.id, len(w.succs)).terminal = len(w.succs) == 0
 	}
 	for i := range w.succs {
 		n := &w.succs[i]
-		id, room := w.put(it.id, n)
-		if live && room {
-			w.edges.add(id, c.m.Fair(n.step), n.pending&pending != 0)
+		id, fits := w.visit(it.id, n)
+		if live && fits {
+			w.edges.add(id, c.m.FairnessClasses(n.step), n.pending&pending != 0)
 		}
 	}
 	if len(w.succs) == 0 && !c.m.Done(it.state) {
-		w.broken = append(w.broken, broken{id: it.id, fp: w.fingerprint(it.state), property: DeadlockFree, order: 32})
+		w.violations = append(w.violations, violationRecord{id: it.id, fp: w.fingerprint(it.state), property: DeadlockFree, order: 32})
 	}
 }
 
-// take is one step of the state being expanded.
-func (w *worker[S]) take(step Step, next S) {
+// addSuccessor adds one successor of the state that is being expanded.
+func (w *worker[S]) addSuccessor(step Step, next S) {
 	n := len(w.succs)
 	if n < cap(w.succs) {
 		w.succs = w.succs[:n+1]
@@ -362,29 +365,30 @@
 	x.step, x.pending, x.fp = step, w.c.m.Pending(x.state), w.fingerprint(x.state)
 }
 
-// put puts a state in. A new one is checked and kept for the next depth. It says whether there was room.
-func (w *worker[S]) put(parent uint32, n *succ[S]) (id uint32, room bool) {
+// visit adds a state to the store. It checks a new state and queues it for the next depth. It returns false if the
+// store has no room.
+func (w *worker[S]) visit(parent uint32, n *succ[S]) (id uint32, fits bool) {
 	c := w.c
-	id, fresh, room := c.store.add(n.fp, parent, n.pending)
-	if !room {
-		c.halt(fmt.Sprintf("the memory of %d MiB is full", c.opt.Memory>>20))
+	id, isNew, fits := c.store.add(n.fp, parent, n.pending)
+	if !fits {
+		c.stopExploring(fmt.Sprintf("the memory limit of %d MiB is reached", c.opt.MemoryLimit>>20))
 		return noState, false
 	}
-	if !fresh {
+	if !isNew {
 		return id, true
 	}
-	w.fresh++
+	w.newStates++
 	w.next = append(w.next, item[S]{n.state, id})
 	if c.coverer != nil {
 		w.covered |= c.coverer.Covered(n.state)
 	}
 	if c.sizer != nil {
-		w.beyond += int64(c.sizer.Size(n.state))
+		w.stateBytes += int64(c.sizer.Size(n.state))
 	}
-	if b := c.m.Broken(n.state); b != 0 {
+	if b := c.m.Violated(n.state); b != 0 {
 		for i, name := range c.safety {
 			if b>>i&1 == 1 {
-				w.broken = append(w.broken, broken{id, n.fp, name, i})
+				w.violations = append(w.violations, violationRecord{id, n.fp, name, i})
 			}
 		}
 	}
@@ -396,29 +400,30 @@
 	return xxhash.Sum64(w.buf)
 }
 
-// worst returns the violation that is told, of those found at this depth: the first in the order of the properties,
-// and of its states the one with the lowest fingerprint, so that it does not depend on the workers' pace.
-func (c *checker[S]) worst() *broken {
-	var worst *broken
+// firstViolation selects the violation to report among those found at this depth: the first in the order of the
+// properties, and among its states the one with the lowest fingerprint, so that the choice does not depend on the
+// timing of the workers.
+func (c *checker[S]) firstViolation() *violationRecord {
+	var first *violationRecord
 	for _, w := range c.workers {
-		for i := range w.broken {
-			b := &w.broken[i]
-			if worst == nil || b.order < worst.order || b.order == worst.order && b.fp < worst.fp {
-				worst = b
+		for i := range w.violations {
+			b := &w.violations[i]
+			if first == nil || b.order < first.order || b.order == first.order && b.fp < first.fp {
+				first = b
 			}
 		}
 	}
-	return worst
+	return first
 }
 
 // findings fills in the verdicts.
-func (c *checker[S]) findings(res *Result[S], liveDone bool) {
-	verdict := func(name string, live bool) Verdict {
+func (c *checker[S]) findings(res *Result[S], livenessDone bool) {
+	verdict := func(name string, isLiveness bool) Verdict {
 		switch {
 		case res.Violation != nil && res.Violation.Property == name:
 			return Violated
-		case live && liveDone && (res.Violation == nil || c.before(name, res.Violation.Property)),
-			!live && (res.Complete || liveDone || c.reason == "" && res.Violation == nil):
+		case isLiveness && livenessDone && (res.Violation == nil || c.checkedBefore(name, res.Violation.Property)),
+			!isLiveness && (res.Complete || livenessDone || c.stopReason == "" && res.Violation == nil):
 			return Holds
 		}
 		return Unknown
@@ -427,14 +432,14 @@
 		res.Findings = append(res.Findings, Finding{name, verdict(name, false), false})
 	}
 	res.Findings = append(res.Findings, Finding{DeadlockFree, verdict(DeadlockFree, false), false})
-	for _, name := range c.live {
+	for _, name := range c.liveness {
 		res.Findings = append(res.Findings, Finding{name, verdict(name, true), true})
 	}
 }
 
-// before says whether a promise was checked in full before another one turned out broken.
-func (c *checker[S]) before(name, other string) bool {
-	for _, n := range c.live {
+// checkedBefore reports whether the liveness property name was checked in full before the violation of other was found.
+func (c *checker[S]) checkedBefore(name, other string) bool {
+	for _, n := range c.liveness {
 		switch n {
 		case name:
 			return true
@@ -445,8 +450,8 @@
 	return false
 }
 
-// trace follows the parents of a state back and runs the model forward along them. The states are not canonical, so
-// that one gateway keeps its name all along.
+// trace follows the parents of a state back to an initial state and replays the model along this path. The states of
+// the trace are not canonical, so that each gateway keeps its name throughout.
 func (c *checker[S]) trace(id uint32) Trace[S] {
 	var ids []uint32
 	for at := id; at != noState; at = c.store.parent(at) {
@@ -458,43 +463,43 @@
 	}
 	t := Trace[S]{Loop: -1}
 	for _, s := range c.m.Initial() {
-		if c.same(s, path[0]) {
+		if c.hasFingerprint(s, path[0]) {
 			t.States = append(t.States, s)
 			break
 		}
 	}
-	c.follow(&t, path[1:])
+	c.extendTrace(&t, path[1:])
 	return t
 }
 
-// follow extends a trace along fingerprints of canonical states.
-func (c *checker[S]) follow(t *Trace[S], path []uint64) {
+// extendTrace extends a trace along a path of fingerprints of canonical states.
+func (c *checker[S]) extendTrace(t *Trace[S], path []uint64) {
 	for _, fp := range path {
 		taken := false
 		c.m.Steps(t.States[len(t.States)-1], func(step Step, next S) {
-			if !taken && c.same(next, fp) {
+			if !taken && c.hasFingerprint(next, fp) {
 				taken = true
 				t.Steps, t.States = append(t.Steps, step), append(t.States, next)
 			}
 		})
 		if !taken {
-			panic("model: a trace cannot be run again: Steps or Canonical is not a function of the state")
+			panic("model: a trace cannot be replayed: Steps or Canonical is not a function of the state")
 		}
 	}
 }
 
-func (c *checker[S]) same(s S, fp uint64) bool {
+func (c *checker[S]) hasFingerprint(s S, fp uint64) bool {
 	got := xxhash.Sum64(c.m.Encode(nil, c.m.Canonical(s)))
 	return got == fp || got == 0 && fp == 1
 }
 
-// fingerprintOf finds a state's fingerprint by its number. Slow: it is for traces.
+// fingerprintOf returns the fingerprint of the state with this number. It is a linear search, used only for traces.
 func (c *checker[S]) fingerprintOf(id uint32) uint64 {
-	t := c.store.shard[id%shards].table.Load()
+	t := c.store.shard[id%shardCount].table.Load()
 	for i, fp := range t.keys {
 		if fp != 0 && t.ids[i] == id {
 			return fp
 		}
 	}
-	panic("model: a state without a fingerprint")
+	panic("model: state without a fingerprint")
 }
--- a/rehearsal/model/liveness.go
+++ b/rehearsal/model/liveness.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// bitset is a set of states by their numbers.
+// bitset is a set of state numbers.
 type bitset []uint64
 
 func newBitset(n int) bitset        { return make(bitset, (n+63)/64) }
@@ -21,41 +21,41 @@
 	}
 }
 
-// livenessBytes is what the check of promises takes for so many places of states.
-func livenessBytes(places uint32, promises int) int64 {
-	return int64(places) * int64(8+9*promises) // where; index, low and a bit for each promise
+// livenessBytes returns the memory that the liveness check takes for this number of state numbers.
+func livenessBytes(states uint32, properties int) int64 {
+	return int64(states) * int64(8+9*properties) // location; index, low and one bit for each property
 }
 
-// graph is the part of the state graph in which promises are pending.
+// graph is the subgraph of the states in which liveness properties are pending.
 type graph struct {
-	store *store
-	where []uint64 // by state: its worker and its list there, plus one; 0: it has none
-	edges []*edges
+	store    *store
+	location []uint64 // by state: its worker (upper bits) and the index of its list there, plus one; 0: it has none
+	edges    []*edges
 }
 
 func (c *checker[S]) graph() *graph {
-	g := &graph{store: c.store, where: make([]uint64, c.store.places())}
+	g := &graph{store: c.store, location: make([]uint64, c.store.idBound())}
 	for i, w := range c.workers {
 		g.edges = append(g.edges, &w.edges)
 		for j := range w.edges.from {
-			g.where[w.edges.from[j].state] = uint64(i)<<40 | uint64(j+1)
+			g.location[w.edges.from[j].state] = uint64(i)<<40 | uint64(j+1)
 		}
 	}
 	return g
 }
 
-// of returns a state's kept steps and the classes that are enabled there.
-func (g *graph) of(id uint32) (to []uint32, class []Fairness, enabled Fairness) {
+// edgesOf returns the edges kept for a state and the fairness classes that are enabled there.
+func (g *graph) edgesOf(id uint32) (to []uint32, class []Fairness, enabled Fairness) {
 	l, e := g.list(id)
 	if l == nil {
 		return nil, nil, 0
 	}
-	return e.to[l.block][l.at : l.at+l.n], e.class[l.block][l.at : l.at+l.n], l.enabled
+	return e.to[l.block][l.offset : l.offset+l.count], e.class[l.block][l.offset : l.offset+l.count], l.enabled
 }
 
-// list returns a state's steps, or nil where none were kept.
+// list returns the edge list of a state, or nil if none was kept.
 func (g *graph) list(id uint32) (*edgeList, *edges) {
-	at := g.where[id]
+	at := g.location[id]
 	if at == 0 {
 		return nil, nil
 	}
@@ -63,19 +63,20 @@
 	return &e.from[at&(1<<40-1)-1], e
 }
 
-// checkLiveness looks, promise by promise, for an endless fair run in which it stays pending, or an end in which it is.
-// Weak fairness is judged on strongly connected parts of the graph: if some class is enabled in all states of a part
-// and no step within it is of that class, no run that stays in any piece of the part is fair, for that class is
-// enabled all along there as well; otherwise the run that goes round the whole part is. So the check is exact.
+// checkLiveness looks, property by property, for an infinite fair run in which the property stays pending, or a final
+// state in which it is pending. It decides weak fairness on strongly connected components. If some class is enabled in
+// all states of a component and no edge within the component is of that class, no run that stays in any part of the
+// component is fair, because the class is enabled throughout that part as well. Otherwise the run that goes round the
+// whole component is fair. The check is therefore exact.
 func (c *checker[S]) checkLiveness() *Violation[S] {
 	g := c.graph()
-	traces := make([]*Trace[S], len(c.live))
-	var all sync.WaitGroup
-	for i := range c.live {
-		all.Go(func() { traces[i] = c.tarjan(g, uint8(1)<<i) })
+	traces := make([]*Trace[S], len(c.liveness))
+	var wg sync.WaitGroup
+	for i := range c.liveness {
+		wg.Go(func() { traces[i] = c.tarjan(g, uint8(1)<<i) })
 	}
-	all.Wait()
-	for i, name := range c.live {
+	wg.Wait()
+	for i, name := range c.liveness {
 		if traces[i] != nil {
 			return &Violation[S]{Property: name, Trace: *traces[i]}
 		}
@@ -83,12 +84,12 @@
 	return nil
 }
 
-// tarjan finds the strongly connected parts among the states in which a promise is pending (Tarjan, 1972; iterative),
-// and returns a run into the first that breaks the promise.
+// tarjan finds the strongly connected components among the states in which a property is pending (Tarjan, 1972;
+// iterative), and returns a run into the first one that violates the property.
 func (c *checker[S]) tarjan(g *graph, bit uint8) *Trace[S] {
-	n := len(g.where)
-	index, low := make([]uint32, n), make([]uint32, n) // index 0: not visited; low of a finished state: noState
-	inPart := newBitset(n)
+	n := len(g.location)
+	index, low := make([]uint32, n), make([]uint32, n) // index 0: not visited; low noState: finished
+	members := newBitset(n)
 	var stack []uint32
 	type frame struct {
 		id   uint32
@@ -96,7 +97,7 @@
 	}
 	var calls []frame
 	last := uint32(0)
-	open := func(id uint32) {
+	push := func(id uint32) {
 		last++
 		index[id], low[id] = last, last
 		stack = append(stack, id)
@@ -106,17 +107,17 @@
 		if !g.store.has(root) || g.store.pending(root)&bit == 0 || index[root] != 0 {
 			continue
 		}
-		open(root)
+		push(root)
 		for len(calls) > 0 {
 			f := &calls[len(calls)-1]
-			to, _, _ := g.of(f.id)
+			to, _, _ := g.edgesOf(f.id)
 			if f.next < len(to) {
 				next := to[f.next]
 				f.next++
 				switch {
 				case g.store.pending(next)&bit == 0:
 				case index[next] == 0:
-					open(next)
+					push(next)
 				case low[next] != noState: // on the stack
 					low[f.id] = min(low[f.id], index[next])
 				}
@@ -135,11 +136,11 @@
 			for stack[at] != id {
 				at--
 			}
-			part := stack[at:]
-			if t := c.judge(g, part, inPart); t != nil {
+			component := stack[at:]
+			if t := c.fairRunIn(g, component, members); t != nil {
 				return t
 			}
-			for _, member := range part {
+			for _, member := range component {
 				low[member] = noState
 			}
 			stack = stack[:at]
@@ -148,41 +149,41 @@
 	return nil
 }
 
-// judge returns a run that stays in a strongly connected part for ever, if there is a fair one, or that ends there.
-// The bitset is empty before and after.
-func (c *checker[S]) judge(g *graph, part []uint32, in bitset) *Trace[S] {
-	if len(part) == 1 {
-		if l, _ := g.list(part[0]); l != nil && l.end {
-			t := c.trace(part[0])
+// fairRunIn returns a fair run that stays in a strongly connected component forever, if there is one, or a run that
+// ends there. The bitset is empty before and after the call.
+func (c *checker[S]) fairRunIn(g *graph, component []uint32, members bitset) *Trace[S] {
+	if len(component) == 1 {
+		if l, _ := g.list(component[0]); l != nil && l.terminal {
+			t := c.trace(component[0])
 			return &t
 		}
-		if to, _, _ := g.of(part[0]); !slices.Contains(to, part[0]) {
+		if to, _, _ := g.edgesOf(component[0]); !slices.Contains(to, component[0]) {
 			return nil
 		}
 	}
-	in.add(part)
-	defer in.remove(part)
-	all, taken := ^Fairness(0), Fairness(0)
-	for _, id := range part {
-		to, class, enabled := g.of(id)
-		all &= enabled
+	members.add(component)
+	defer members.remove(component)
+	enabledEverywhere, taken := ^Fairness(0), Fairness(0)
+	for _, id := range component {
+		to, class, enabled := g.edgesOf(id)
+		enabledEverywhere &= enabled
 		for i, next := range to {
-			if in.has(next) {
+			if members.has(next) {
 				taken |= class[i]
 			}
 		}
 	}
-	if all&^taken != 0 {
+	if enabledEverywhere&^taken != 0 {
 		return nil
 	}
-	return c.lasso(g, part, in, all)
+	return c.lasso(g, component, members, enabledEverywhere)
 }
 
-// lasso builds a run into a part and once round it, past whatever makes it fair: a step of each class that is enabled
-// everywhere, and for each other class a state in which it is not.
-func (c *checker[S]) lasso(g *graph, part []uint32, in bitset, all Fairness) *Trace[S] {
-	entry, nearest := part[0], int(^uint(0)>>1)
-	for _, id := range part[:min(len(part), 4096)] {
+// lasso builds a run into a component and once round it that visits what makes the run fair: an edge of each class that
+// is enabled in all states, and for each other class a state in which it is not enabled.
+func (c *checker[S]) lasso(g *graph, component []uint32, members bitset, enabledEverywhere Fairness) *Trace[S] {
+	entry, nearest := component[0], int(^uint(0)>>1)
+	for _, id := range component[:min(len(component), 4096)] {
 		n := 0
 		for at := id; at != noState; at = c.store.parent(at) {
 			n++
@@ -194,8 +195,8 @@
 	t := c.trace(entry)
 	t.Loop = len(t.States) - 1
 	at := entry
-	walk := func(goal func(id uint32, class Fairness) bool, stay bool) {
-		path := within(g, in, at, goal, stay)
+	walk := func(goal func(id uint32, class Fairness) bool, allowEmpty bool) {
+		path := pathWithin(g, members, at, goal, allowEmpty)
 		if len(path) == 0 {
 			return
 		}
@@ -203,16 +204,16 @@
 		for i, id := range path {
 			fps[i] = c.fingerprintOf(id)
 		}
-		c.follow(&t, fps)
+		c.extendTrace(&t, fps)
 		at = path[len(path)-1]
 	}
 	for class := Fairness(1); class != 0; class <<= 1 {
-		if all&class != 0 {
-			walk(func(_ uint32, by Fairness) bool { return by&class != 0 }, false)
+		if enabledEverywhere&class != 0 {
+			walk(func(_ uint32, taken Fairness) bool { return taken&class != 0 }, false)
 			continue
 		}
 		walk(func(id uint32, _ Fairness) bool {
-			_, _, enabled := g.of(id)
+			_, _, enabled := g.edgesOf(id)
 			return enabled&class == 0
 		}, true)
 	}
@@ -222,32 +223,33 @@
 	return &t
 }
 
-// within finds a shortest way inside a part from a state to a goal; stay allows the way of no steps.
-func within(g *graph, in bitset, from uint32, goal func(uint32, Fairness) bool, stay bool) []uint32 {
-	if stay && goal(from, 0) {
+// pathWithin finds a shortest path inside a component from a state to a goal. With allowEmpty, the path may have no
+// steps.
+func pathWithin(g *graph, members bitset, from uint32, goal func(uint32, Fairness) bool, allowEmpty bool) []uint32 {
+	if allowEmpty && goal(from, 0) {
 		return nil
 	}
-	came := map[uint32]uint32{}
+	predecessor := map[uint32]uint32{}
 	queue := []uint32{from}
 	for len(queue) > 0 {
 		at := queue[0]
 		queue = queue[1:]
-		to, class, _ := g.of(at)
+		to, class, _ := g.edgesOf(at)
 		for i, next := range to {
-			if !in.has(next) {
+			if !members.has(next) {
 				continue
 			}
 			if goal(next, class[i]) {
 				path := []uint32{next}
 				for at != from {
 					path = append(path, at)
-					at = came[at]
+					at = predecessor[at]
 				}
 				slices.Reverse(path)
 				return path
 			}
-			if _, seen := came[next]; !seen && next != from {
-				came[next] = at
+			if _, seen := predecessor[next]; !seen && next != from {
+				predecessor[next] = at
 				queue = append(queue, next)
 			}
 		}
--- a/rehearsal/model/model_test.go
+++ b/rehearsal/model/model_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// toy is a model made of functions, for the tests of the checker. Its states are small arrays.
+// toy is a model made of functions, used to test the checker. Its states are small arrays.
 type toy struct {
-	initial    []state
-	steps      func(s state, yield func(Step, state))
-	canonical  func(state) state
-	broken     func(state) uint32
-	pending    func(state) uint8
-	done       func(state) bool
-	fair       func(Step) Fairness
-	properties []string
-	promises   []string
+	initial   []state
+	steps     func(s state, yield func(Step, state))
+	canonical func(state) state
+	violated  func(state) uint32
+	pending   func(state) uint8
+	done      func(state) bool
+	fair      func(Step) Fairness
+	safety    []string
+	liveness  []string
 }
 
 type state [6]uint8
@@ -28,8 +28,8 @@
 func (m toy) Initial() []state                          { return m.initial }
 func (m toy) Steps(s state, yield func(Step, state))    { m.steps(s, yield) }
 func (m toy) Encode(to []byte, s state) []byte          { return append(to, s[:]...) }
-func (m toy) Properties() []string                      { return m.properties }
-func (m toy) Promises() []string                        { return m.promises }
+func (m toy) SafetyProperties() []string                { return m.safety }
+func (m toy) LivenessProperties() []string              { return m.liveness }
 func (m toy) Describe(s state, by Step, n state) string { return fmt.Sprint(s, by, n) }
 func (m toy) Canonical(s state) state {
 	if m.canonical == nil {
@@ -37,11 +37,11 @@
 	}
 	return m.canonical(s)
 }
-func (m toy) Broken(s state) uint32 {
-	if m.broken == nil {
+func (m toy) Violated(s state) uint32 {
+	if m.violated == nil {
 		return 0
 	}
-	return m.broken(s)
+	return m.violated(s)
 }
 func (m toy) Pending(s state) uint8 {
 	if m.pending == nil {
@@ -50,7 +50,7 @@
 	return m.pending(s)
 }
 func (m toy) Done(s state) bool { return m.done != nil && m.done(s) }
-func (m toy) Fair(by Step) Fairness {
+func (m toy) FairnessClasses(by Step) Fairness {
 	if m.fair == nil {
 		return 0
 	}
@@ -64,7 +64,7 @@
 	return res
 }
 
-// dice: three dice, each turned up by one until it shows 9.
+// dice is a model of three dice. Each step increases one of them by one, up to 9.
 func dice() toy {
 	return toy{initial: []state{{}}, steps: func(s state, yield func(Step, state)) {
 		for i := range 3 {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestSymmetryCountsEachKindOnce(t *testing.T) {
+func TestSymmetryCountsEachClassOnce(t *testing.T) {
 	m := dice()
 	m.canonical = func(s state) state {
 		for i := range 2 {
@@ -104,10 +104,10 @@
 	assert.True(t, res.Complete)
 }
 
-func TestTheShortestCounterexampleIsTold(t *testing.T) {
+func TestShortestCounterexampleIsReported(t *testing.T) {
 	m := dice()
-	m.properties = []string{"no three", "no sum of 12"}
-	m.broken = func(s state) (b uint32) {
+	m.safety = []string{"no three", "no sum of 12"}
+	m.violated = func(s state) (b uint32) {
 		if s[1] == 3 {
 			b |= 1
 		}
@@ -124,11 +124,11 @@
 		assert.Equal(t, []state{{}, {0, 1}, {0, 2}, {0, 3}}, res.Violation.Trace.States)
 		assert.False(t, res.Complete)
 		assert.Equal(t, Violated, res.Findings[0].Verdict)
-		assert.Equal(t, Unknown, res.Findings[1].Verdict, "nobody looked at the deeper states")
+		assert.Equal(t, Unknown, res.Findings[1].Verdict, "the deeper states were not visited")
 	}
 }
 
-func TestATraceKeepsNamesUnderSymmetry(t *testing.T) {
+func TestTraceKeepsNamesUnderSymmetry(t *testing.T) {
 	m := dice()
 	m.canonical = func(s state) state {
 		if s[0] < s[2] {
@@ -136,8 +136,8 @@
 		}
 		return s
 	}
-	m.properties = []string{"not both"}
-	m.broken = func(s state) uint32 {
+	m.safety = []string{"not both"}
+	m.violated = func(s state) uint32 {
 		if min(s[0], s[2]) == 2 && max(s[0], s[2]) == 4 {
 			return 1
 		}
@@ -146,18 +146,18 @@
 	res := check(t, m, Options{})
 	require.NotNil(t, res.Violation)
 	s := res.Violation.Trace.States[0]
-	for i, by := range res.Violation.Trace.Steps { // each step names the die that turns
+	for i, by := range res.Violation.Trace.Steps { // each step is the index of the die that changes
 		s[by]++
 		assert.Equal(t, s, res.Violation.Trace.States[i+1])
 	}
 	assert.Len(t, res.Violation.Trace.Steps, 6)
 }
 
-// philosophers: three of them, each takes one fork, then the other, eats, and lays both down. All begin with the left
-// one; but if the last is polite, it begins with the right one.
+// philosophers is the dining philosophers problem for three philosophers. Each takes one fork, then the other, eats,
+// and puts both down. All take the left fork first; if polite is set, the last one takes the right fork first.
 func philosophers(polite bool) toy {
 	const n = 3
-	fork := func(i int, take uint8) int { // that i takes first (1) or second (2)
+	fork := func(i int, take uint8) int { // the fork that i takes first (1) or second (2)
 		if (polite && i == n-1) == (take == 1) {
 			return (i + 1) % n
 		}
@@ -194,7 +194,8 @@
 	assert.True(t, res.Complete)
 }
 
-// lamp: it is lit once asked for (step 1), if somebody does so; meanwhile a pendulum swings (step 0).
+// lamp is a model with two independent processes: a counter that always moves (step 0), and a lamp that can be lit once
+// (step 1).
 func lamp(fair bool) toy {
 	return toy{initial: []state{{}}, steps: func(s state, yield func(Step, state)) {
 		n := s
@@ -205,7 +206,7 @@
 			n[1] = 1
 			yield(1, n)
 		}
-	}, promises: []string{"the lamp is lit"}, pending: func(s state) uint8 { return 1 - s[1] }, fair: func(by Step) Fairness {
+	}, liveness: []string{"the lamp is lit"}, pending: func(s state) uint8 { return 1 - s[1] }, fair: func(by Step) Fairness {
 		if fair && by == 1 {
 			return 1
 		}
@@ -218,7 +219,7 @@
 	assert.Nil(t, res.Violation)
 	assert.True(t, res.Complete)
 	res = check(t, lamp(false), Options{})
-	require.NotNil(t, res.Violation, "the pendulum may swing for ever")
+	require.NotNil(t, res.Violation, "the counter may move forever")
 	tr := res.Violation.Trace
 	assert.Equal(t, 0, tr.Loop)
 	assert.Equal(t, tr.States[tr.Loop], tr.States[len(tr.States)-1])
@@ -228,8 +229,9 @@
 	assert.Equal(t, Unknown, res.Findings[len(res.Findings)-1].Verdict)
 }
 
-// A class that is enabled only now and then is not weakly fair to anybody: the run that avoids it stays fair.
-func TestWeakFairnessIsExactOnAPart(t *testing.T) {
+// A class that is not enabled in all states of a component does not have to be taken under weak fairness: the run that
+// avoids it is fair.
+func TestWeakFairnessIsExactOnComponents(t *testing.T) {
 	m := lamp(true)
 	m.steps = func(s state, yield func(Step, state)) {
 		n := s
@@ -246,16 +248,16 @@
 	assert.Equal(t, "the lamp is lit", res.Violation.Property)
 }
 
-func TestAnEndBreaksAPromise(t *testing.T) {
+func TestFinalStateViolatesLiveness(t *testing.T) {
 	m := dice()
-	m.promises, m.pending = []string{"a die shows 10"}, func(s state) uint8 { return 1 }
+	m.liveness, m.pending = []string{"a die shows 10"}, func(s state) uint8 { return 1 }
 	res := check(t, m, Options{})
 	require.NotNil(t, res.Violation)
 	assert.Equal(t, -1, res.Violation.Trace.Loop)
 	assert.Equal(t, state{9, 9, 9}, res.Violation.Trace.States[27])
 }
 
-func TestBoundsAreTold(t *testing.T) {
+func TestLimitsAreReported(t *testing.T) {
 	endless := toy{initial: []state{{}}, steps: func(s state, yield func(Step, state)) {
 		for i := range s {
 			n := s
@@ -264,28 +266,28 @@
 		}
 	}}
 	for want, opt := range map[string]Options{
-		"the bound of 5000 states is reached": {MaxStates: 5000},
-		"the depth of 7 is reached":           {MaxDepth: 7},
-		"the memory of 8 MiB is full":         {Memory: 8 << 20},
-		"the time of 20ms is over":            {Within: 20 * time.Millisecond, Every: time.Millisecond},
+		"the bound of 5000 states is reached":  {MaxStates: 5000},
+		"the depth of 7 is reached":            {MaxDepth: 7},
+		"the memory limit of 8 MiB is reached": {MemoryLimit: 8 << 20},
+		"the time limit of 20ms is reached":    {TimeLimit: 20 * time.Millisecond, ProgressInterval: time.Millisecond},
 	} {
 		res := check(t, endless, opt)
-		assert.Equal(t, want, res.Stopped)
+		assert.Equal(t, want, res.StopReason)
 		assert.False(t, res.Complete)
 		assert.Nil(t, res.Violation)
 	}
 }
 
-func TestPromisesNeedMemoryToo(t *testing.T) {
+func TestLivenessCheckNeedsMemory(t *testing.T) {
 	m := dice()
-	m.properties, m.promises, m.pending = []string{"any"}, []string{"a die shows 10"}, func(s state) uint8 { return 1 }
+	m.safety, m.liveness, m.pending = []string{"any"}, []string{"a die shows 10"}, func(s state) uint8 { return 1 }
 	var res *Result[state]
-	for memory := int64(3 << 20); ; memory += 8 << 10 { // the least with which all states can be visited
-		if res = check(t, m, Options{Workers: 1, Memory: memory}); !strings.HasPrefix(res.Stopped, "the memory") {
+	for memory := int64(3 << 20); ; memory += 8 << 10 { // finds the smallest limit with which all states can be visited
+		if res = check(t, m, Options{Workers: 1, MemoryLimit: memory}); !strings.HasPrefix(res.StopReason, "the memory limit") {
 			break
 		}
 	}
-	assert.Contains(t, res.Stopped, "the promises need")
+	assert.Contains(t, res.StopReason, "the liveness check needs")
 	assert.False(t, res.Complete)
 	assert.Equal(t, Holds, res.Findings[0].Verdict, "every state was visited")
 	assert.Equal(t, Unknown, res.Findings[2].Verdict)
@@ -293,12 +295,12 @@
 
 func TestTooManyPropertiesAreRefused(t *testing.T) {
 	m := dice()
-	m.promises = make([]string, 9)
+	m.liveness = make([]string, 9)
 	_, err := Check(m, Options{})
 	assert.ErrorContains(t, err, "not 0 and 9")
 }
 
-func TestTheProbabilityOfAMissedState(t *testing.T) {
-	assert.Zero(t, missed(1))
-	assert.InEpsilon(t, 1e16/3.7e19, missed(100_000_000), 0.01)
+func TestOmissionProbability(t *testing.T) {
+	assert.Zero(t, omissionProbability(1))
+	assert.InEpsilon(t, 1e16/3.7e19, omissionProbability(100_000_000), 0.01)
 }
--- a/rehearsal/script/do.go
+++ b/rehearsal/script/do.go
@@ -28,7 +28,7 @@
 	if o == Suspend || o == Resume {
 		return w.byHand(o == Suspend, g)
 	}
-	if o < lifemodel.FallSilent || o >= Chat {
+	if o < lifemodel.LoseContact || o >= Chat {
 		return w.doQuery(o, c, g, arg)
 	}
 	switch o {
@@ -36,13 +36,13 @@
 		return w.advance()
 	case AnswerProbe:
 		return w.answerProbe(arg)
-	case lifemodel.Term, lifemodel.ShutDoor:
+	case lifemodel.Terminate, lifemodel.StopAccepting:
 		w.note(o, c, g, arg)
 		if arg == 1 {
 			w.cfg.Settings.PassThrough = true
 		}
 		return nil
-	case lifemodel.SendOff:
+	case lifemodel.StopNode:
 		w.note(o, c, g, arg|1)
 		pass := w.cfg.Settings.PassThrough || arg>>1 == 1
 		w.say("the node sends everybody away and stops")
@@ -59,7 +59,7 @@
 
 // doQuery takes a step about one client's query.
 func (w *World) doQuery(o lifemodel.Op, c, g, arg int) error {
-	if o >= lifemodel.Place && o <= lifemodel.MoveAway {
+	if o >= lifemodel.Place && o <= lifemodel.Move {
 		return w.decide(o, c, g)
 	}
 	if o == lifemodel.Ask {
@@ -71,25 +71,25 @@
 	q := w.client[c]
 	l := q.link
 	switch o {
-	case lifemodel.Overdue:
+	case lifemodel.AttemptTimeout:
 		return w.fireKind(query.DueAttempt, c)
-	case lifemodel.Again:
+	case lifemodel.RetryInherited:
 		return w.fireKind(query.DueRetry, c)
-	case lifemodel.Due:
+	case lifemodel.DeadlineFires:
 		return w.fireKind(query.DueGuard, c)
-	case lifemodel.TimeUp:
+	case lifemodel.ClientTimeout:
 		w.now = max(w.now, start+w.cfg.Wait)
 		w.note(o, c, 0, 0)
 		w.Rules.TimeUp(w.now, c)
 		return nil
-	case lifemodel.Leave:
+	case lifemodel.ClientLeaves:
 		w.note(o, c, 0, 0)
 		w.say("client %d leaves", c+1)
-		q.seen = lifemodel.Left
+		q.seen = lifemodel.ClientLeft
 		w.Rules.Gone(c)
 		q.query.ClientGone(true)
 		return nil
-	case lifemodel.Interject:
+	case lifemodel.ClientFaults:
 		w.note(o, c, 0, 0)
 		w.say("client %d speaks out of turn", c+1)
 		q.query.ClientFaulty(errTurn)
@@ -121,10 +121,10 @@
 
 // doLink takes a step of the host's, or the network's, on a connection.
 func (w *World) doLink(o lifemodel.Op, l *link, c, g int) error {
-	if dialing := o == lifemodel.Connect || o == lifemodel.NoLuck; dialing == l.sent {
+	if dialing := o == lifemodel.Connect || o == lifemodel.ConnectFails; dialing == l.sent {
 		return fmt.Errorf("%s does not fit the state of the connection of client %d", o, c+1)
 	}
-	if o < lifemodel.Garble && o != lifemodel.Break && l.up {
+	if o < lifemodel.HostGarbles && o != lifemodel.HostEnds && l.up {
 		return fmt.Errorf("the connection of client %d stands already", c+1)
 	}
 	if o != Reply {
@@ -143,23 +143,23 @@
 			l.sent = true
 			w.Rules.Sent(w.now, l.id)
 		}
-	case lifemodel.NoLuck:
+	case lifemodel.ConnectFails:
 		ended(balance.Unreachable, false, rules.NoConnection, "")
-	case lifemodel.SayUp:
+	case lifemodel.HostUp:
 		l.up = true
 		w.Rules.HostUp(l.id)
 		l.try.Up(fmt.Appendf(nil, "UP %d\r\n", l.id))
-	case lifemodel.SayServed:
+	case lifemodel.HostServed:
 		ended(balance.OK, true, rules.Other, "BYE\r\n")
-	case lifemodel.SayFull:
+	case lifemodel.HostFull:
 		ended(balance.Full, true, rules.Busy, "")
-	case lifemodel.SayError:
+	case lifemodel.HostError:
 		ended(balance.Errored, true, rules.Other, "")
-	case lifemodel.Break:
+	case lifemodel.HostEnds:
 		ended(balance.Reset, false, rules.Other, "")
-	case lifemodel.Garble:
+	case lifemodel.HostGarbles:
 		l.try.Faulty()
-	case lifemodel.Clog:
+	case lifemodel.HostStalls:
 		l.try.Behind()
 	case Reply:
 		w.say("%s sends client %d a line", l.server, c+1)
@@ -202,7 +202,7 @@
 	w.Rules.Asked(w.now, c, w.cfg.Classes[class], at != "", wait)
 	w.mark(w.now+wait, func() {
 		if q.seen == lifemodel.Asking {
-			w.note(lifemodel.TimeUp, c, 0, 0)
+			w.note(lifemodel.ClientTimeout, c, 0, 0)
 			w.Rules.TimeUp(w.now, c)
 		}
 	})
@@ -281,7 +281,7 @@
 		s.next = []balance.Action{balance.Refuse{Request: id}}
 	case lifemodel.GiveUp:
 		s.next = []balance.Action{balance.Fail{Request: id}}
-	case lifemodel.MoveAway:
+	case lifemodel.Move:
 		s.next = []balance.Action{balance.Move{Request: id}}
 	}
 	w.Core.Fire(query.Due{Kind: query.DueWake})
@@ -345,34 +345,34 @@
 	old := h.told
 	anew := false
 	switch o {
-	case lifemodel.FallSilent, lifemodel.Heal, lifemodel.Die:
+	case lifemodel.LoseContact, lifemodel.RegainContact, lifemodel.Crash:
 		w.note(o, 0, g, 0)
 		return nil
-	case lifemodel.Return:
+	case lifemodel.Restart:
 		h.restarts++
 		w.note(o, 0, g, 0)
 		return nil
-	case lifemodel.Limit:
+	case lifemodel.DrainExpires:
 		w.now += w.cfg.Settings.Safety.DrainGrace + 100*time.Millisecond
 		w.note(o, 0, g, 0)
 		return nil
-	case lifemodel.TellDrain:
+	case lifemodel.NotifyDrain:
 		h.told = balance.Draining
-	case lifemodel.TellReady:
+	case lifemodel.NotifyReady:
 		h.told = balance.Ready
-	case lifemodel.TellGone:
+	case lifemodel.NotifyGone:
 		h.told = balance.Gone
-	case lifemodel.TellBack:
+	case lifemodel.NotifyRelisted:
 		h.told = balance.Ready
 		anew = h.restarts > 0
-	case lifemodel.TellRestart:
+	case lifemodel.NotifyRestart:
 		h.told, anew = balance.Ready, true
 	default:
 		return fmt.Errorf("a world does not know %s", o)
 	}
-	if o == lifemodel.TellRestart && h.restarts == 0 { // it was not told so far that it died
-		w.note(lifemodel.Die, 0, g, 0)
-		w.note(lifemodel.Return, 0, g, 0)
+	if o == lifemodel.NotifyRestart && h.restarts == 0 { // it was not told so far that it died
+		w.note(lifemodel.Crash, 0, g, 0)
+		w.note(lifemodel.Restart, 0, g, 0)
 	}
 	if anew {
 		h.Started, h.restarts = w.now, 0
@@ -384,7 +384,7 @@
 	if old == balance.Ready && h.told != balance.Ready {
 		w.limit(g)
 	}
-	if w.cfg.Plant == "drain-lost" && o == lifemodel.TellDrain && w.linked(h.Server) {
+	if w.cfg.Plant == "drain-lost" && o == lifemodel.NotifyDrain && w.linked(h.Server) {
 		return nil
 	}
 	if arg == Whole {
@@ -437,7 +437,7 @@
 	drain := h.drains
 	w.mark(w.now+w.cfg.Settings.Safety.DrainGrace-50*time.Millisecond, func() {
 		if h.told != balance.Ready && h.drains == drain {
-			w.note(lifemodel.Limit, 0, g, 0)
+			w.note(lifemodel.DrainExpires, 0, g, 0)
 			w.say("the limit of %s has passed", h.Server)
 		}
 	})
@@ -511,13 +511,13 @@
 
 // State returns where a client's query stands, what its client has seen and where its connection goes: its stage and
 // its host, -1 for none.
-func (w *World) State(c int) (lifecycle.State, lifemodel.Seen, lifemodel.Stage, int) {
+func (w *World) State(c int) (lifecycle.State, lifemodel.ClientView, lifemodel.ConnState, int) {
 	q := w.client[c]
 	switch {
 	case q.link == nil:
-		return q.query.State(), q.seen, lifemodel.NoLink, -1
+		return q.query.State(), q.seen, lifemodel.NoConn, -1
 	case q.link.sent:
-		return q.query.State(), q.seen, lifemodel.Sent, w.hostOf(q.link.server)
+		return q.query.State(), q.seen, lifemodel.RequestSent, w.hostOf(q.link.server)
 	}
 	return q.query.State(), q.seen, lifemodel.Dialing, w.hostOf(q.link.server)
 }
--- a/rehearsal/script/walk.go
+++ b/rehearsal/script/walk.go
@@ -49,12 +49,12 @@
 	if draw(4) == 0 { // by hand, and not by discovery
 		return lifemodel.Code([]lifemodel.Op{Suspend, Resume}[draw(2)], 0, g, 0)
 	}
-	ops := []lifemodel.Op{lifemodel.TellDrain, lifemodel.TellGone, lifemodel.TellRestart}
+	ops := []lifemodel.Op{lifemodel.NotifyDrain, lifemodel.NotifyGone, lifemodel.NotifyRestart}
 	switch w.hosts[g].told {
 	case balance.Draining:
-		ops = []lifemodel.Op{lifemodel.TellReady, lifemodel.TellGone, lifemodel.TellRestart}
+		ops = []lifemodel.Op{lifemodel.NotifyReady, lifemodel.NotifyGone, lifemodel.NotifyRestart}
 	case balance.Gone:
-		ops = []lifemodel.Op{lifemodel.TellBack}
+		ops = []lifemodel.Op{lifemodel.NotifyRelisted}
 	}
 	return lifemodel.Code(ops[draw(len(ops))], 0, g, draw(2)*Whole)
 }
@@ -65,18 +65,18 @@
 	var ops []lifemodel.Op
 	switch {
 	case q.seen == lifemodel.Asking && draw(20) == 0, q.seen == lifemodel.Served && draw(8) == 0:
-		ops = append(ops, lifemodel.Leave, lifemodel.Interject)
+		ops = append(ops, lifemodel.ClientLeaves, lifemodel.ClientFaults)
 	case w.Held(c) && draw(4) == 0:
 		ops = append(ops, lifemodel.LateUp, lifemodel.LateEnd)
 	case l == nil:
 		return lifemodel.Code(Advance, 0, 0, 0)
 	case !l.sent:
-		ops = append(ops, lifemodel.Connect, lifemodel.Connect, lifemodel.Connect, lifemodel.NoLuck)
+		ops = append(ops, lifemodel.Connect, lifemodel.Connect, lifemodel.Connect, lifemodel.ConnectFails)
 	case l.up:
-		ops = append(ops, Chat, Reply, Reply, Reply, Chat, lifemodel.Break, lifemodel.Garble, lifemodel.Clog)
+		ops = append(ops, Chat, Reply, Reply, Reply, Chat, lifemodel.HostEnds, lifemodel.HostGarbles, lifemodel.HostStalls)
 	default:
-		ops = append(ops, lifemodel.SayUp, lifemodel.SayUp, lifemodel.SayUp, lifemodel.SayServed, lifemodel.SayFull,
-			lifemodel.SayError, lifemodel.Break, lifemodel.Garble)
+		ops = append(ops, lifemodel.HostUp, lifemodel.HostUp, lifemodel.HostUp, lifemodel.HostServed, lifemodel.HostFull,
+			lifemodel.HostError, lifemodel.HostEnds, lifemodel.HostGarbles)
 	}
 	g := 0
 	if l != nil {
--- a/rehearsal/script/world.go
+++ b/rehearsal/script/world.go
@@ -124,7 +124,7 @@
 		decider = balance.New(own, cfg.Seed)
 	}
 	if rule == nil {
-		rule = lifemodel.Rule(cfg.Plant)
+		rule = lifemodel.RuleWithBug(cfg.Plant)
 	}
 	w.Rules = rules.New(rules.Limits{Start: start, DrainGrace: cfg.Settings.Safety.DrainGrace + 50*time.Millisecond,
 		MaxAttempts: max(1, cfg.Settings.MaxAttempts), Balanced: cfg.Decider == nil || cfg.Strict}, cfg.Settings.Classes)
@@ -215,7 +215,7 @@
 			t.w.note(lifemodel.GiveUp, int(a.Request)-1, 0, 0)
 			t.w.say("the balancer gives query %d up", a.Request)
 		case balance.Move:
-			t.w.note(lifemodel.MoveAway, int(a.Request)-1, 0, 0)
+			t.w.note(lifemodel.Move, int(a.Request)-1, 0, 0)
 			t.w.say("the balancer moves query %d", a.Request)
 		}
 	}
@@ -289,13 +289,13 @@
 	c := int(t.due.Request) - 1
 	switch t.due.Kind {
 	case query.DueGuard:
-		w.note(lifemodel.Due, c, 0, 0)
+		w.note(lifemodel.DeadlineFires, c, 0, 0)
 		w.say("the guard of query %d fires", c+1)
 	case query.DueAttempt:
-		w.note(lifemodel.Overdue, c, 0, 0)
+		w.note(lifemodel.AttemptTimeout, c, 0, 0)
 		w.say("the attempt of query %d times out", c+1)
 	case query.DueRetry:
-		w.note(lifemodel.Again, c, 0, 0)
+		w.note(lifemodel.RetryInherited, c, 0, 0)
 	}
 	if w.sweeping = t.due.Kind == query.DueSweep; w.sweeping && w.cfg.Plant == "watch-asleep" {
 		w.sweeping = false
@@ -392,7 +392,7 @@
 	id        int
 	inherited bool
 	query     *query.Query
-	seen      lifemodel.Seen
+	seen      lifemodel.ClientView
 	server    balance.ServerID // of the last connection
 	link      *link            // that is open
 	chats     int              // lines sent
@@ -443,7 +443,7 @@
 
 func (c *client) end(move bool) {
 	if move && c.w.sweeping {
-		c.w.note(lifemodel.MoveAway, c.id, 0, 0)
+		c.w.note(lifemodel.Move, c.id, 0, 0)
 		stuck := c.askedAt > 0 && c.w.now-c.askedAt >= lifecycle.StuckAfter
 		if !stuck && !c.w.hostSilent(c) {
 			c.w.Rules.Note(c.w.now, fmt.Sprintf("client %d is moved for silence, and its host has answered", c.id+1))
--- a/rehearsal/turnsmodel/model.go
+++ b/rehearsal/turnsmodel/model.go
@@ -111,9 +111,9 @@
 	fairTime                  = fairLead << 2
 )
 
-// Fair implements model.Model. A call that comes through is fair, one that is lost is not; links that are cut need not be
+// FairnessClasses implements model.Model. A call that comes through is fair, one that is lost is not; links that are cut need not be
 // mended, nor bans lifted, nor dead nodes taken in.
-func (m *Model) Fair(st model.Step) model.Fairness {
+func (m *Model) FairnessClasses(st model.Step) model.Fairness {
 	switch o, n, arg := Decode(st); {
 	case o == Renew && arg == 0:
 		return fairCall << n
@@ -156,8 +156,8 @@
 	return !m.failed(book)
 }
 
-// Promises implements model.Model.
-func (m *Model) Promises() []string {
+// LivenessProperties implements model.Model.
+func (m *Model) LivenessProperties() []string {
 	if !m.Promised {
 		return nil
 	}
@@ -179,8 +179,8 @@
 	badForgotten
 )
 
-// Properties implements model.Model.
-func (m *Model) Properties() []string {
+// SafetyProperties implements model.Model.
+func (m *Model) SafetyProperties() []string {
 	return []string{
 		badPlaced:    "T2: nothing is placed on a host that is handed over",
 		badClear:     "R1: nothing is placed on a host that a seat takes for clear of the node",
@@ -192,8 +192,8 @@
 	}
 }
 
-// Broken implements model.Model.
-func (m *Model) Broken(s State) (b uint32) {
+// Violated implements model.Model.
+func (m *Model) Violated(s State) (b uint32) {
 	out := 0
 	for h := range m.Hosts {
 		t := &s.Log.turns[h]
@@ -251,7 +251,7 @@
 	return !slices.ContainsFunc(m.clear(s, seat, seen), func(b turns.Blocker) bool { return b.Node == nodeNames[node] })
 }
 
-// What a complete run comes across; see Sights.
+// What a complete run comes across; see CoverageGoals.
 const (
 	sawConfirmed = iota
 	sawBeyond
@@ -274,8 +274,8 @@
 	sawApart
 )
 
-// Sights implements model.Coverer.
-func (m *Model) Sights() []string {
+// CoverageGoals implements model.Coverer.
+func (m *Model) CoverageGoals() []string {
 	return []string{
 		sawConfirmed:   "a host is handed over that a node with a right has confirmed",
 		sawBeyond:      "a host is handed over while a node is cut off that has it in its horizon",
--- a/rehearsal/turnsmodel/model_test.go
+++ b/rehearsal/turnsmodel/model_test.go
@@ -43,7 +43,7 @@
 		covered |= res.Covered
 		t.Logf("%s: %d states, %d steps, %d deep, %.1f s", w.Name, res.States, res.Transitions, res.Depth, res.Seconds)
 	}
-	for i, name := range (&Model{}).Sights() {
+	for i, name := range (&Model{}).CoverageGoals() {
 		assert.NotZero(t, covered>>i&1, "never seen: %s", name)
 	}
 }
@@ -53,12 +53,12 @@
 		t.Skip("takes minutes: -args -larger 2m")
 	}
 	for _, w := range Larger() {
-		m, res := check(t, w, "", model.Options{Within: *larger, Memory: 8 << 30, NoLiveness: true})
+		m, res := check(t, w, "", model.Options{TimeLimit: *larger, MemoryLimit: 8 << 30, NoLiveness: true})
 		if res.Violation != nil {
 			tell(t, m, res.Violation)
 		}
 		assert.Nil(t, res.Violation, w.Name)
 		t.Logf("%s: %d states, %d steps, %d deep, %.1f s, whole: %v %s", w.Name, res.States, res.Transitions, res.Depth, res.Seconds,
-			res.Complete, res.Stopped)
+			res.Complete, res.StopReason)
 	}
 }
--- a/rehearsal/turnsmodel/plants_test.go
+++ b/rehearsal/turnsmodel/plants_test.go
@@ -34,7 +34,7 @@
 		require.NotNil(t, res.Violation, "%s is not found", p.Name)
 		tr := res.Violation.Trace
 		t.Logf("%s: %s, %d steps of %d states, %.1f s", p.Name, res.Violation.Property, len(tr.Steps), res.States, res.Seconds)
-		bad := slices.Index(m.Properties(), res.Violation.Property) // -1: a promise
+		bad := slices.Index(m.SafetyProperties(), res.Violation.Property) // -1: a promise
 		assert.Contains(t, want[bad], p.Name, res.Violation.Property)
 		for i, step := range tr.Steps {
 			assert.NotEmpty(t, m.Describe(tr.States[i], step, tr.States[i+1]))
--- a/rehearsal/upstreammodel/model.go
+++ b/rehearsal/upstreammodel/model.go
@@ -596,8 +596,8 @@
 	return binary.BigEndian.AppendUint32(to, s.bad)
 }
 
-// Broken implements model.Model. A state in which nothing is under way is healed in a copy.
-func (m *Model) Broken(s State) uint32 {
+// Violated implements model.Model. A state in which nothing is under way is healed in a copy.
+func (m *Model) Violated(s State) uint32 {
 	if s.bad == 0 && len(s.net) == 0 {
 		return m.healed(s)
 	}
@@ -784,20 +784,20 @@
 	return bad
 }
 
-// Pending implements model.Model: convergence is checked in Broken.
+// Pending implements model.Model: convergence is checked in Violated.
 func (m *Model) Pending(State) uint8 { return 0 }
 
 // Done implements model.Model.
 func (m *Model) Done(State) bool { return true }
 
-// Fair implements model.Model.
-func (m *Model) Fair(model.Step) model.Fairness { return 0 }
+// FairnessClasses implements model.Model.
+func (m *Model) FairnessClasses(model.Step) model.Fairness { return 0 }
 
-// Properties implements model.Model.
-func (m *Model) Properties() []string { return properties }
+// SafetyProperties implements model.Model.
+func (m *Model) SafetyProperties() []string { return properties }
 
-// Promises implements model.Model.
-func (m *Model) Promises() []string { return nil }
+// LivenessProperties implements model.Model.
+func (m *Model) LivenessProperties() []string { return nil }
 
 // Describe implements model.Model.
 func (m *Model) Describe(s State, by model.Step, _ State) string {
@@ -849,8 +849,8 @@
 	return b
 }
 
-// Sights implements model.Coverer.
-func (m *Model) Sights() []string {
+// CoverageGoals implements model.Coverer.
+func (m *Model) CoverageGoals() []string {
 	return []string{"applied", "superseded", "refused", "orphaned", "held back", "lost with a store", "two messages under way", "evidence merged"}
 }
 
--- a/rehearsal/upstreammodel/model_test.go
+++ b/rehearsal/upstreammodel/model_test.go
@@ -24,7 +24,7 @@
 		states += res.States
 		covered |= res.Covered
 	}
-	for i, name := range (&Model{}).Sights() {
+	for i, name := range (&Model{}).CoverageGoals() {
 		assert.NotZero(t, covered>>i&1, "never seen: %s", name)
 	}
 	t.Logf("%d states", states)
--- a/rehearsal/walk/deployments_test.go
+++ b/rehearsal/walk/deployments_test.go
@@ -93,7 +93,7 @@
 	t.Helper()
 	w := script.New(cfg)
 	require.NoError(t, w.Do(lifemodel.Code(lifemodel.Ask, 0, 2, int(lifemodel.Inherited))))
-	require.NoError(t, w.Do(lifemodel.Code(lifemodel.TellDrain, 0, 2, 0)))
+	require.NoError(t, w.Do(lifemodel.Code(lifemodel.NotifyDrain, 0, 2, 0)))
 	for ; after > 0; after -= script.PassUnit {
 		require.NoError(t, w.Do(lifemodel.Code(script.Pass, 0, 0, 1)))
 	}
--- a/rehearsal/walk/walk_test.go
+++ b/rehearsal/walk/walk_test.go
@@ -95,7 +95,7 @@
 	if q, b := w.Kept(); q != w.Live() || b > w.Live() {
 		return fmt.Errorf("%d queries and %d requests are kept, and %d live, after the steps %v", q, b, w.Live(), run)
 	}
-	return do(lifemodel.Code(lifemodel.SendOff, 0, 0, 1))
+	return do(lifemodel.Code(lifemodel.StopNode, 0, 0, 1))
 }
 
 // TestRandomWalksOfALargeFleet walks three nodes, each with its own list, clients and chance.
