--- a/balance/balance.go
+++ b/balance/balance.go
@@ -403,7 +403,8 @@
 	if !b.settings.Probes {
 		return 0
 	}
-	return min(maxProbes, max(1, probeCostShare/max(0, b.settings.Prices.Probe))) // infinite if probes are free
+	// The quotient is infinite if probes are free.
+	return min(maxProbes, max(1, probeCostShare/max(0, b.settings.Prices.Probe)))
 }
 
 // probeForArrival probes the servers with old reports that are most likely to be chosen, and the one
@@ -512,7 +513,9 @@
 		}
 	}
 	key := hashOf(group)
-	slices.SortFunc(preferred, func(s, t *server) int { return cmp.Compare(mix(key+s.hash), mix(key+t.hash)) })
+	slices.SortFunc(preferred, func(s, t *server) int {
+		return cmp.Compare(mix(key+s.hash), mix(key+t.hash))
+	})
 	return preferred[:min(len(preferred), max(minPreferredServers, len(preferred)/preferredServersDivisor))]
 }
 
@@ -666,7 +669,8 @@
 	if s != nil && s.estimate >= targetUtilization && b.roomExpected(r) {
 		s = nil
 	}
-	if s != nil && (b.mustReject(r, s) && !b.mustAdmitNext() || b.throttled() || left < b.expectedSetUpTime()) {
+	if s != nil &&
+		(b.mustReject(r, s) && !b.mustAdmitNext() || b.throttled() || left < b.expectedSetUpTime()) {
 		b.reject(r)
 		return
 	}
