--- a/cmd/lichenhitch/affairs.go
+++ b/cmd/lichenhitch/affairs.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return fmt.Errorf("site file: %w", err)
 	}
-	n.loop.Call(func() { n.core.Bind(rights.Verdict{All: true}) })
+	n.loop.Call(func() { n.core.ApplyVerdict(rights.Verdict{All: true}) })
 	if n.shared.Preceded(n.number) {
 		go n.succeed(s)
 		return nil
@@ -65,7 +65,7 @@
 	}
 	n.loop.Call(func() {
 		n.affairs, n.site, n.share = thread, s, of.All
-		n.core.Count(true)
+		n.core.SetCounting(true)
 		if n.shared.Followed(n.number) { // a later process has come meanwhile
 			n.retire()
 		} else if !n.telling {
@@ -121,12 +121,12 @@
 	if n.telling = n.affairs != nil; !n.telling {
 		return
 	}
-	r := control.Report{Taken: n.core.Verdict(), Clear: n.core.Clear(), Under: n.tuning.under, Asked: n.tuning.asked, Retuned: n.tuning.changes}
+	r := control.Report{Taken: n.core.Verdict(), Clear: n.core.ClearedHosts(), Under: n.tuning.under, Asked: n.tuning.asked, Retuned: n.tuning.changes}
 	taken := func() {}
 	if n.reports%lookEvery == 0 {
-		r.Look = n.core.Look(n.tuning.set.Safety.WarmUp, n.weight(), n.discovery.Stale())
+		r.Look = n.core.ObserveHosts(n.tuning.set.Safety.WarmUp, n.weight(), n.discovery.Stale())
 	}
-	if n.reports%lookEvery == 0 || len(n.tuning.told) > 0 || n.core.Fired() {
+	if n.reports%lookEvery == 0 || len(n.tuning.told) > 0 || n.core.GuardFired() {
 		taken = n.evidence(&r)
 	}
 	n.reports++
@@ -148,7 +148,7 @@
 func (n *node) retire() {
 	if thread := n.affairs; thread != nil {
 		n.affairs, n.gaveUp = nil, true
-		n.core.Count(false)
+		n.core.SetCounting(false)
 		share := n.share
 		go func() {
 			thread.Stop()
--- a/cmd/lichenhitch/affairs_test.go
+++ b/cmd/lichenhitch/affairs_test.go
@@ -60,7 +60,7 @@
 	served, since := 0, 0 // since the right has run out
 	for begun := time.Now(); since < 100 || time.Since(begun) < 10*time.Second; {
 		require.Less(t, time.Since(begun), patience, "%d served, %d of them without a right", served, since)
-		n.loop.Call(func() { lapsed = lapsed || n.core.Lapsed() })
+		n.loop.Call(func() { lapsed = lapsed || n.core.LeaseExpired() })
 		c := dial(t, n)
 		open(c, "")
 		if word := c.hear(); word == "UP r1" {
@@ -76,7 +76,7 @@
 	t.Logf("%d clients served while control stood still, %d of them without a right", served, since)
 	close(release)
 	require.Eventually(t, func() bool {
-		n.loop.Call(func() { lapsed = n.core.Lapsed() })
+		n.loop.Call(func() { lapsed = n.core.LeaseExpired() })
 		return !lapsed
 	}, patience, time.Millisecond, "a new right")
 }
--- a/cmd/lichenhitch/endings_test.go
+++ b/cmd/lichenhitch/endings_test.go
@@ -50,7 +50,7 @@
 		_, err := io.WriteString(hostConn, "M 1 half")
 		require.NoError(t, err)
 		delivered(t, hostConn)
-		n.core.Ease(1)
+		n.core.MoveOldest(1)
 	})
 	assert.Equal(t, "MOVE", client.hear())
 	rest, err := io.ReadAll(hostConn)
@@ -135,13 +135,13 @@
 	client := dial(t, n)
 	require.Eventually(t, func() bool {
 		resting := 0
-		n.loop.Call(func() { resting = n.acceptor.Resting() })
+		n.loop.Call(func() { resting = n.acceptor.AwaitingRequest() })
 		return resting == 1
 	}, patience, time.Millisecond)
 	n.loop.Call(func() {
 		open(client, "")
 		delivered(t, client.Conn)
-		n.acceptor.TurnAway()
+		n.acceptor.ThrottleAwaiting()
 	})
 	left := leaving(n)
 	awaitClosedDoor(t, n)
--- a/cmd/lichenhitch/main.go
+++ b/cmd/lichenhitch/main.go
@@ -302,10 +302,10 @@
 	n.pass()
 	var order lifecycle.Command
 	var count int
-	n.service, order, count = n.service.Step(n.loop.Now(), n.owed(), n.core.Standing())
+	n.service, order, count = n.service.Step(n.loop.Now(), n.owed(), n.core.Established())
 	switch order {
 	case lifecycle.MoveSome:
-		n.core.Ease(count)
+		n.core.MoveOldest(count)
 	case lifecycle.StopAccepting:
 		if n.listener != nil {
 			n.listener.DrainAndClose()
@@ -317,8 +317,8 @@
 			n.service.NotAccepting = true // so that it is tried again
 		}
 	case lifecycle.CloseAll:
-		n.core.Leave(n.service.PassThrough)
-		n.acceptor.TurnAway()
+		n.core.Shutdown(n.service.PassThrough)
+		n.acceptor.ThrottleAwaiting()
 	}
 	n.loop.After(leaveLook, n.step)
 }
@@ -326,7 +326,7 @@
 // owed returns how many answers are owed or may be at any moment: to requests, to clients that have not sent theirs yet,
 // and to what is queued at a door that is just being closed.
 func (n *node) owed() int {
-	owed := n.core.Owed() + n.acceptor.Resting()
+	owed := n.core.Waiting() + n.acceptor.AwaitingRequest()
 	if n.retired != nil && !n.retired.Done() {
 		owed++
 	}
@@ -347,6 +347,6 @@
 }
 
 func (c *clock) Now() time.Duration { return c.loop.Now() }
-func (c *clock) After(d time.Duration, due query.Due) query.Timer {
+func (c *clock) After(d time.Duration, due query.TimerEvent) query.Timer {
 	return c.loop.After(d, func() { c.core.Fire(due) })
 }
--- a/cmd/lichenhitch/operate.go
+++ b/cmd/lichenhitch/operate.go
@@ -46,9 +46,9 @@
 // usable returns nil where there is a list to serve with.
 func (n *node) usable() error {
 	switch {
-	case !n.discovery.Known():
+	case !n.discovery.HasList():
 		return errNoList
-	case n.core.Untold():
+	case n.core.LacksExclusionSet():
 		return errNoRight
 	case !n.discovery.Answered() && n.loop.Now()-n.begun < knownEnough:
 		return errOldList
@@ -70,13 +70,13 @@
 		within = min(within, c.LatencyTarget)
 	}
 	told := make(chan struct{})
-	n.loop.Call(func() { n.discovery.AfterFirst(within, func() { close(told) }) })
+	n.loop.Call(func() { n.discovery.OnFirstList(within, func() { close(told) }) })
 	<-told
 }
 
 // Suspend implements management.Node.
 func (n *node) Suspend(host string, done func(error)) {
-	if !n.core.Names(balance.ServerID(host)) {
+	if !n.core.KnowsHost(balance.ServerID(host)) {
 		done(management.ErrUnknown)
 		return
 	}
@@ -90,7 +90,7 @@
 
 // Resume implements management.Node. One that is not out is in use already.
 func (n *node) Resume(host string, done func(error)) {
-	if !n.core.Names(balance.ServerID(host)) {
+	if !n.core.KnowsHost(balance.ServerID(host)) {
 		done(management.ErrUnknown)
 		return
 	}
--- a/cmd/lichenhitch/pass.go
+++ b/cmd/lichenhitch/pass.go
@@ -36,7 +36,7 @@
 		close(n.passing.queue)
 		n.passing = nil
 	}
-	if successor == 0 || n.core.Standing() == 0 {
+	if successor == 0 || n.core.Established() == 0 {
 		return
 	}
 	if n.passing == nil {
@@ -49,7 +49,7 @@
 		return
 	default:
 	}
-	n.core.Carry(passAtOnce, n.hand)
+	n.core.HandOverOldest(passAtOnce, n.hand)
 	n.publish()
 }
 
--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -37,7 +37,7 @@
 var _ control.Traffic = traffic{}
 
 // Bind implements control.Traffic.
-func (t traffic) Bind(v rights.Verdict) { t.core.Bind(v) }
+func (t traffic) Bind(v rights.Verdict) { t.core.ApplyVerdict(v) }
 
 // GoBy implements control.Traffic.
 func (t traffic) GoBy(p control.Policy) {
@@ -111,10 +111,10 @@
 	n.putAside()
 	longest := max(longestDeadline(set), longestDeadline(n.tuning.set)) // of queries that are open, too
 	n.tuning.set, n.tuning.under = set, p.Hash
-	n.core.Retune(set)
-	n.acceptor.Retune(set)
-	n.connector.Retune(set.ConnectTimeout)
-	n.discovery.Retune(set)
+	n.core.ApplySettings(set)
+	n.acceptor.ApplySettings(set)
+	n.connector.SetConnectTimeout(set.ConnectTimeout)
+	n.discovery.ApplySettings(set)
 	n.service.MaxStay = lifecycle.MaxStay(longest)
 	return nil
 }
@@ -160,14 +160,14 @@
 			n.log.Warn("control is behind: what was counted under a policy is lost", "policy", n.tuning.told[0].Under)
 			n.tuning.told = n.tuning.told[1:]
 		}
-		n.core.Recount()
+		n.core.ResetCounts()
 	}
 }
 
 // counted returns what was counted since it was last told or put aside, if anything was.
 func (n *node) counted() (c control.Counted, any bool) {
 	c.Under = n.tuning.under
-	c.Counts, c.Guards = n.core.Counted(n.worth())
+	c.Counts, c.Guards = n.core.Counts(n.worth())
 	return c, len(c.Counts)+len(c.Guards) > 0
 }
 
@@ -189,6 +189,6 @@
 	}
 	return func() {
 		n.tuning.told = nil
-		n.core.Recount()
+		n.core.ResetCounts()
 	}
 }
--- a/cmd/lichenhitch/policies_test.go
+++ b/cmd/lichenhitch/policies_test.go
@@ -37,7 +37,7 @@
 }
 
 // full has the node's door full, so that whoever comes is told at once when to come again: no later than the settings allow.
-func full(n *node) { n.loop.Call(func() { n.acceptor.Limit(0) }) }
+func full(n *node) { n.loop.Call(func() { n.acceptor.SetMaxConns(0) }) }
 
 func advice(t *testing.T, n *node, extra string) string {
 	t.Helper()
@@ -181,7 +181,7 @@
 // What was counted is told with the policy that it was counted under, once, and waits until control has it.
 func TestCountsAreToldUnderTheirPolicy(t *testing.T) {
 	n := startNode(t, newDiscovery(t), list(1, true))
-	n.loop.Call(func() { n.core.Count(true) })
+	n.loop.Call(func() { n.core.SetCounting(true) })
 	full(n)
 	refused := func(n uint64) []rollout.Counts {
 		return []rollout.Counts{{Class: "chat", Tenant: "acme", Offered: n, Refused: n}}
@@ -212,7 +212,7 @@
 	h := newHost(t, "a", echo)
 	n := startAlone(t, h, 300)
 	waits := func() (counts []rollout.Counts, reports int) {
-		n.loop.Call(func() { counts, _ = n.core.Counted(n.worth()); reports = n.reports })
+		n.loop.Call(func() { counts, _ = n.core.Counts(n.worth()); reports = n.reports })
 		return counts, reports
 	}
 	release, still := make(chan struct{}), make(chan struct{})
@@ -243,7 +243,7 @@
 	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	cfg = changed(t, cfg, `"streamed":true`, `"streamed":true,"points":3`)
 	n := startConfig(t, cfg)
-	n.loop.Call(func() { n.core.Count(true) })
+	n.loop.Call(func() { n.core.SetCounting(true) })
 	goBy(t, n, `{"request_classes":{"chat":{"points":7}}}`)
 	require.Equal(t, "UP r1", advice(t, n, ""))
 	r, _ := told(n)
--- a/cmd/lichenhitch/share.go
+++ b/cmd/lichenhitch/share.go
@@ -127,10 +127,10 @@
 	}
 	links := max(n.sockets-ownSockets-held-n.governs, fewestLinks)
 	n.loop.SetMaxConns(links)
-	n.acceptor.Limit(max(links-probeSockets, fewestLinks))
+	n.acceptor.SetMaxConns(max(links-probeSockets, fewestLinks))
 	if others != n.others {
 		debug.SetMemoryLimit(memoryLimit(n.cfg.MemoryMB) / int64(others+1))
-		n.core.Fellows(others)
+		n.core.SetSiblingProcesses(others)
 		if n.others == 0 {
 			n.tellLinks()
 		}
--- a/cmd/lichenhitch/share_test.go
+++ b/cmd/lichenhitch/share_test.go
@@ -93,7 +93,7 @@
 	assert.Empty(t, a.firstLines(), "the ban was carried over")
 	var standing int
 	for standing == 0 { // until the connection has gone over, unbroken
-		next.loop.Call(func() { standing = next.core.Standing() })
+		next.loop.Call(func() { standing = next.core.Established() })
 	}
 	stands.say("1")
 	require.Equal(t, "M 1", stands.hear(), "the half line that the old process had read went over too")
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -12,9 +12,9 @@
 )
 
 // Attempt implements query.Servers.
-func (h *Connector) Attempt(t query.Try, server balance.ServerID, within time.Duration) query.Attempt {
-	a := &attempt{connector: h, try: t, until: h.loop.Now() + within}
-	a.link = h.loop.Dial(h.endpoint(server), min(h.timeout, within), a)
+func (c *Connector) Attempt(ref query.AttemptRef, server balance.ServerID, timeout time.Duration) query.Attempt {
+	a := &attempt{connector: c, ref: ref, deadline: c.loop.Now() + timeout}
+	a.conn = c.loop.Dial(c.endpoint(server), min(c.connectTimeout, timeout), a)
 	return a
 }
 
@@ -22,33 +22,33 @@
 type Adopted struct{ attempt }
 
 // Adopt makes a handler of such a connection.
-func (h *Connector) Adopt(link *evloop.Conn) *Adopted {
-	return &Adopted{attempt{connector: h, link: link, sent: true, up: true}}
+func (c *Connector) Adopt(conn *evloop.Conn) *Adopted {
+	return &Adopted{attempt{connector: c, conn: conn, sent: true, established: true}}
 }
 
 // Attach says which try it is. What came meanwhile is handed on by Resume.
-func (a *Adopted) Attach(t query.Try) { a.try = t }
+func (a *Adopted) Attach(ref query.AttemptRef) { a.ref = ref }
 
 // Resume hands on what has come.
-func (a *Adopted) Resume() { a.link.Resume() }
+func (a *Adopted) Resume() { a.conn.Resume() }
 
 // Detach takes the connection of an attempt out of the loop for another process; see evloop.Conn.Detach.
-func Detach(q query.Attempt) (fd int, unread []byte, ok bool) {
-	a := of(q)
-	if a == nil || !a.up || a.last != none {
+func Detach(hostConn query.Attempt) (fd int, unread []byte, ok bool) {
+	a := unwrap(hostConn)
+	if a == nil || !a.established || a.ending != notEnding {
 		return -1, nil, false
 	}
-	return a.link.Detach()
+	return a.conn.Detach()
 }
 
 // Idle says whether Detach would say yes.
-func Idle(q query.Attempt) bool {
-	a := of(q)
-	return a != nil && a.up && a.last == none && a.link.Idle()
+func Idle(hostConn query.Attempt) bool {
+	a := unwrap(hostConn)
+	return a != nil && a.established && a.ending == notEnding && a.conn.Idle()
 }
 
-func of(q query.Attempt) *attempt {
-	switch a := q.(type) {
+func unwrap(hostConn query.Attempt) *attempt {
+	switch a := hostConn.(type) {
 	case *attempt:
 		return a
 	case *Adopted:
@@ -59,24 +59,24 @@
 
 // attempt is a query's connection to a host.
 type attempt struct {
-	connector *Connector
-	try       query.Try
-	link      *evloop.Conn
-	until     time.Duration
-	sent      bool // the first line is written
-	up        bool
-	last      word // what the host said of the end
-	said      balance.Report
+	connector   *Connector
+	ref         query.AttemptRef
+	conn        *evloop.Conn
+	deadline    time.Duration
+	sent        bool // the first line is written
+	established bool
+	ending      hostEnding // what the host said of the end
+	report      balance.Report
 }
 
-type word int
+type hostEnding int
 
 const (
-	none word = iota
-	bye
-	moved
-	failed
-	full
+	notEnding hostEnding = iota
+	endBye
+	endMove
+	endErr
+	endBusy
 )
 
 // Opened implements evloop.Handler.
@@ -84,65 +84,65 @@
 	if a.sent {
 		return // an adopted one
 	}
-	if !a.try.Open() {
+	if !a.ref.AllowSend() {
 		return
 	}
-	opener := a.try.Client().(Opener)
+	opener := a.ref.Client().(Opener)
 	a.sent = true
-	a.link.Write(opener.OpenLine(nil, a.until-a.connector.loop.Now()))
+	a.conn.Write(opener.OpenLine(nil, a.deadline-a.connector.loop.Now()))
 }
 
 // Received implements evloop.Handler. Before UP, the lines are for the node; from then on they are the client's.
 func (a *attempt) Received() {
-	for !a.up {
-		text, n, err := line.Next(a.link.Peek())
+	for !a.established {
+		text, n, err := line.Next(a.conn.Peek())
 		if err != nil {
-			a.fault(err)
+			a.hostFault(err)
 			return
 		}
 		if n == 0 {
 			return
 		}
-		whole := a.link.Peek()[:n]
-		a.link.Discard(n)
+		wholeLine := a.conn.Peek()[:n]
+		a.conn.Discard(n)
 		first, rest := line.Word(text)
 		switch string(first) {
 		case "UP":
-			a.up = true
-			a.try.Up(whole)
+			a.established = true
+			a.ref.Established(wholeLine)
 		default:
-			if !a.ending(string(first), rest) {
+			if !a.recordEnding(string(first), rest) {
 				a.connector.log.Warn("a host answered with an unknown line", "line", string(first))
-				a.last = failed
+				a.ending = endErr
 			}
-			a.finish(whole)
+			a.finish(wholeLine)
 			return
 		}
 	}
-	a.pass()
+	a.forwardLines()
 }
 
 // ending notes a line that ends the connection.
-func (a *attempt) ending(first string, rest []byte) bool {
+func (a *attempt) recordEnding(first string, rest []byte) bool {
 	switch first {
 	case "BYE":
-		a.last = bye
+		a.ending = endBye
 	case "MOVE":
-		a.last = moved
+		a.ending = endMove
 	case "ERR":
-		a.last = failed
+		a.ending = endErr
 	case "BUSY":
-		a.last = full
+		a.ending = endBusy
 	default:
 		return false
 	}
-	a.said = line.ParseReport(rest)
+	a.report = line.ParseReport(rest)
 	return true
 }
 
 // pass hands complete lines to the client and takes note of what they say.
-func (a *attempt) pass() {
-	data := a.link.Peek()
+func (a *attempt) forwardLines() {
+	data := a.conn.Peek()
 	n, err := line.Complete(data)
 	for rest := data[:n]; len(rest) > 0; {
 		text, size, err := line.Next(rest)
@@ -153,41 +153,41 @@
 		first, more := line.Word(text)
 		if string(first) == "LOAD" {
 			if load, err := strconv.ParseFloat(string(more), 64); err == nil {
-				a.try.Load(load)
+				a.ref.LoadChanged(load)
 			}
 			continue
 		}
-		a.ending(string(first), more)
+		a.recordEnding(string(first), more)
 	}
 	if n > 0 {
-		a.link.Discard(n)
-		a.try.Lines(data[:n])
+		a.conn.Discard(n)
+		a.ref.HostLines(data[:n])
 	}
 	if err != nil {
-		a.fault(err)
+		a.hostFault(err)
 	}
 }
 
-func (a *attempt) fault(err error) {
+func (a *attempt) hostFault(err error) {
 	a.connector.log.Warn("a host's line cannot be passed on", "error", err)
-	a.try.Faulty()
+	a.ref.HostFaulty()
 }
 
 // finish closes the connection after a line that ends it, before anything was passed on.
-func (a *attempt) finish(word []byte) {
-	a.link.Close()
-	a.try.Ended(a.outcome(), true, a.said, word)
+func (a *attempt) finish(answer []byte) {
+	a.conn.Close()
+	a.ref.Ended(a.outcome(), true, a.report, answer)
 }
 
 func (a *attempt) outcome() balance.Outcome {
-	switch a.last {
-	case bye:
+	switch a.ending {
+	case endBye:
 		return balance.OK
-	case moved:
+	case endMove:
 		return balance.Cancelled
-	case failed:
+	case endErr:
 		return balance.Errored
-	case full:
+	case endBusy:
 		return balance.Full
 	}
 	if !a.sent {
@@ -198,31 +198,31 @@
 
 // Closed implements evloop.Handler.
 func (a *attempt) Closed(err error) {
-	if a.up && errors.Is(err, evloop.ErrNotReading) {
-		a.try.Behind()
+	if a.established && errors.Is(err, evloop.ErrNotReading) {
+		a.ref.HostNotReading()
 		return
 	}
-	o := a.outcome()
+	outcome := a.outcome()
 	if errors.Is(err, evloop.ErrTooManyConns) {
-		o = balance.Unsent // no fault of the host's
+		outcome = balance.Unsent // no fault of the host's
 	}
 	// A host that has said its last word has ended in good order, whatever broke on the way.
-	a.try.Ended(o, evloop.ClosedCleanly(err) || a.last != none, a.said, nil)
+	a.ref.Ended(outcome, evloop.ClosedCleanly(err) || a.ending != notEnding, a.report, nil)
 }
 
 // Pass implements query.Attempt.
-func (a *attempt) Pass(lines []byte) { a.link.Write(lines) }
+func (a *attempt) Forward(lines []byte) { a.conn.Write(lines) }
 
 // End implements query.Attempt. What the client sent last has to reach the host that holds its connection, so that this is
 // not closed over what the host still says: that would reset it.
 func (a *attempt) End(clean bool) {
 	switch {
 	case !clean:
-		a.link.Abort()
-	case a.up:
-		a.link.LingeringClose()
+		a.conn.Abort()
+	case a.established:
+		a.conn.LingeringClose()
 	default:
-		a.link.Close()
+		a.conn.Close()
 	}
 }
 
@@ -230,4 +230,4 @@
 func (a *attempt) Sent() bool { return a.sent }
 
 // Over implements query.Attempt.
-func (a *attempt) Over() bool { return a.up && a.last != none }
+func (a *attempt) EndReceived() bool { return a.established && a.ending != notEnding }
--- a/internal/backend/connector.go
+++ b/internal/backend/connector.go
@@ -19,20 +19,22 @@
 
 // Connector connects to hosts, for attempts and for probes.
 type Connector struct {
-	log      *slog.Logger
-	loop     *evloop.Loop
-	core     *query.Core
-	timeout  time.Duration // to connect
-	endpoint func(balance.ServerID) string
-	probes   map[balance.ServerID]*probe
+	log            *slog.Logger
+	loop           *evloop.Loop
+	core           *query.Core
+	connectTimeout time.Duration // to connect
+	endpoint       func(balance.ServerID) string
+	probes         map[balance.ServerID]*probe
 }
 
 // New returns a connector. endpoint tells where a host is, or "".
 func New(log *slog.Logger, loop *evloop.Loop, core *query.Core, connectTimeout time.Duration,
 	endpoint func(balance.ServerID) string) *Connector {
-	return &Connector{log: log, loop: loop, core: core, timeout: connectTimeout, endpoint: endpoint,
+	return &Connector{log: log, loop: loop, core: core, connectTimeout: connectTimeout, endpoint: endpoint,
 		probes: make(map[balance.ServerID]*probe)}
 }
 
 // Retune changes how long connecting may take.
-func (h *Connector) Retune(connectTimeout time.Duration) { h.timeout = connectTimeout }
+func (c *Connector) SetConnectTimeout(connectTimeout time.Duration) {
+	c.connectTimeout = connectTimeout
+}
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -11,61 +11,61 @@
 )
 
 // probeWithin is how long a host may take to answer a probe.
-const probeWithin = 500 * time.Millisecond
+const probeTimeout = 500 * time.Millisecond
 
 // probe is the lasting connection on which a host is asked for its report.
 type probe struct {
-	connector *Connector
-	server    balance.ServerID
-	endpoint  string
-	link      *evloop.Conn
-	open      bool
-	asking    bool
-	fresh     bool // nothing was answered yet on this connection
-	askedAt   time.Duration
-	timer     *evloop.Timer
+	connector  *Connector
+	server     balance.ServerID
+	endpoint   string
+	conn       *evloop.Conn
+	open       bool
+	pending    bool
+	unanswered bool // nothing was answered yet on this connection
+	sentAt     time.Duration
+	timer      *evloop.Timer
 }
 
 // Probe implements query.Servers.
-func (h *Connector) Probe(server balance.ServerID) {
-	p := h.probes[server]
-	at := h.endpoint(server)
-	if p != nil && p.endpoint != at { // it started anew elsewhere
+func (c *Connector) Probe(server balance.ServerID) {
+	p := c.probes[server]
+	endpoint := c.endpoint(server)
+	if p != nil && p.endpoint != endpoint { // it started anew elsewhere
 		p.end(balance.Cancelled)
 		p = nil
 	}
 	if p == nil {
-		p = &probe{connector: h, server: server, endpoint: at, fresh: true}
-		h.probes[server] = p
+		p = &probe{connector: c, server: server, endpoint: endpoint, unanswered: true}
+		c.probes[server] = p
 	}
-	p.ask()
+	p.send()
 }
 
-func (p *probe) ask() {
-	if p.asking {
+func (p *probe) send() {
+	if p.pending {
 		return
 	}
-	p.asking = true
-	p.askedAt = p.connector.loop.Now()
-	p.timer = p.connector.loop.After(probeWithin, func() { p.end(balance.TimedOut) })
+	p.pending = true
+	p.sentAt = p.connector.loop.Now()
+	p.timer = p.connector.loop.After(probeTimeout, func() { p.end(balance.TimedOut) })
 	switch {
-	case p.link == nil:
-		p.link = p.connector.loop.Dial(p.endpoint, min(p.connector.timeout, probeWithin), p)
+	case p.conn == nil:
+		p.conn = p.connector.loop.Dial(p.endpoint, min(p.connector.connectTimeout, probeTimeout), p)
 	case p.open:
-		p.link.Write([]byte("STATS\r\n"))
+		p.conn.Write([]byte("STATS\r\n"))
 	}
 }
 
 // Opened implements evloop.Handler.
 func (p *probe) Opened() {
 	p.open = true
-	p.link.Write([]byte("STATS\r\n"))
+	p.conn.Write([]byte("STATS\r\n"))
 }
 
 // Received implements evloop.Handler.
 func (p *probe) Received() {
 	for {
-		text, n, err := line.Next(p.link.Peek())
+		text, n, err := line.Next(p.conn.Peek())
 		if err != nil {
 			p.end(balance.Errored)
 			return
@@ -73,12 +73,12 @@
 		if n == 0 {
 			return
 		}
-		p.link.Discard(n)
+		p.conn.Discard(n)
 		first, rest := line.Word(text)
 		switch {
 		case string(first) == "PONG":
-			p.fresh = false
-			p.answer(balance.OK, line.ParseReport(bytes.TrimSpace(rest)))
+			p.unanswered = false
+			p.report(balance.OK, line.ParseReport(bytes.TrimSpace(rest)))
 		default:
 			p.end(balance.Errored)
 			return
@@ -86,26 +86,26 @@
 	}
 }
 
-func (p *probe) answer(o balance.Outcome, rep balance.Report) {
-	if !p.asking {
+func (p *probe) report(outcome balance.Outcome, report balance.Report) {
+	if !p.pending {
 		return
 	}
-	p.asking = false
+	p.pending = false
 	p.timer.Stop()
-	p.connector.core.Probed(p.server, o, p.connector.loop.Now()-p.askedAt, rep)
+	p.connector.core.Probed(p.server, outcome, p.connector.loop.Now()-p.sentAt, report)
 }
 
 // end drops the connection; the next probe makes a new one.
-func (p *probe) end(o balance.Outcome) {
+func (p *probe) end(outcome balance.Outcome) {
 	p.drop()
-	p.answer(o, balance.Report{})
+	p.report(outcome, balance.Report{})
 }
 
 func (p *probe) drop() {
 	if p.connector.probes[p.server] == p {
 		delete(p.connector.probes, p.server)
 	}
-	p.link.Close()
+	p.conn.Close()
 }
 
 // Closed implements evloop.Handler. A connection that idled may be closed by the host just as it is asked.
@@ -113,11 +113,11 @@
 	switch {
 	case errors.Is(err, evloop.ErrTooManyConns):
 		p.end(balance.Unsent)
-	case !p.asking:
+	case !p.pending:
 		p.drop()
-	case p.open && !p.fresh:
-		p.link, p.open, p.fresh = nil, false, true
-		p.link = p.connector.loop.Dial(p.endpoint, min(p.connector.timeout, probeWithin), p)
+	case p.open && !p.unanswered:
+		p.conn, p.open, p.unanswered = nil, false, true
+		p.conn = p.connector.loop.Dial(p.endpoint, min(p.connector.connectTimeout, probeTimeout), p)
 	case p.open:
 		p.end(balance.Reset)
 	default:
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -22,7 +22,7 @@
 
 // The ends of a call that are no fault of the connection.
 var (
-	errLate      = errors.New("no answer in time")
+	errTimeout   = errors.New("no answer in time")
 	errOutdated  = errors.New("the answer tells changes to a list that is older than the one that is held")
 	errNoList    = errors.New("the answer tells changes where the whole list was asked for")
 	errCallEnded = errors.New("the connection has ended")
@@ -30,27 +30,27 @@
 
 // Client calls discovery and keeps what it told.
 type Client struct {
-	log      *slog.Logger
-	loop     *evloop.Loop
-	core     *query.Core
-	chance   *rand.Rand
-	address  string // of discovery
-	rev      int64
-	listed   bool // there is or was a list
-	answered bool // discovery has told one
-	silent   bool // the last call failed, or discovery has moved and has not answered yet
-	hosts    map[balance.ServerID]string
-	watch    watch.Watch
-	timer    *evloop.Timer // of the watch
-	link     *evloop.Conn
-	open     bool
-	first    func() // to be called once discovery has told a list
+	log         *slog.Logger
+	loop        *evloop.Loop
+	core        *query.Core
+	random      *rand.Rand
+	address     string // of discovery
+	rev         int64
+	hasList     bool // there is or was a list
+	answered    bool // discovery has told one
+	failing     bool // the last call failed, or discovery has moved and has not answered yet
+	hosts       map[balance.ServerID]string
+	watch       watch.Watch
+	timer       *evloop.Timer // of the watch
+	conn        *evloop.Conn
+	open        bool
+	onFirstList func() // to be called once discovery has told a list
 }
 
 // New returns a client that asks discovery at an address, once it is started. The seed is for the spread of its calls.
 func New(log *slog.Logger, loop *evloop.Loop, core *query.Core, address string, set balance.Settings, seed uint64) *Client {
 	return &Client{log: log, loop: loop, core: core, address: address, hosts: make(map[balance.ServerID]string),
-		watch: watch.Watch{Terms: termsOf(set)}, chance: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
+		watch: watch.Watch{Terms: termsOf(set)}, random: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
 }
 
 func termsOf(set balance.Settings) watch.Terms {
@@ -58,24 +58,24 @@
 }
 
 // Retune takes new settings up, from the next call on.
-func (c *Client) Retune(set balance.Settings) { c.watch.Terms = termsOf(set) }
+func (c *Client) ApplySettings(set balance.Settings) { c.watch.Terms = termsOf(set) }
 
 // Endpoint returns a host's address, or "" for one that is not listed.
 func (c *Client) Endpoint(server balance.ServerID) string { return c.hosts[server] }
 
 // Known says whether there is a list of hosts, be it an old one.
-func (c *Client) Known() bool { return c.listed }
+func (c *Client) HasList() bool { return c.hasList }
 
 // Answered says whether discovery has answered since the start.
 func (c *Client) Answered() bool { return c.answered }
 
 // Stale says whether the list may be an old one: discovery does not answer, or has not yet. A watch that is lost without a
 // word is noticed within watch.Hold and watch.Overdue.
-func (c *Client) Stale() bool { return !c.answered || c.silent }
+func (c *Client) Stale() bool { return !c.answered || c.failing }
 
 // Restore takes the list as this node last had it.
-func (c *Client) Restore(l List) {
-	c.take(l, balance.ListSaved)
+func (c *Client) Restore(list List) {
+	c.applyList(list, balance.ListSaved)
 	c.watch.Listed = true
 }
 
@@ -83,18 +83,18 @@
 func (c *Client) Start() { c.step(watch.Start) }
 
 // AfterFirst calls f once discovery has told a list, or after a time if that is earlier.
-func (c *Client) AfterFirst(within time.Duration, f func()) {
+func (c *Client) OnFirstList(timeout time.Duration, f func()) {
 	if c.answered {
 		f()
 		return
 	}
-	c.first = f
-	c.loop.After(within, c.tellFirst)
+	c.onFirstList = f
+	c.loop.After(timeout, c.runOnFirstList)
 }
 
-func (c *Client) tellFirst() {
-	if f := c.first; f != nil {
-		c.first = nil
+func (c *Client) runOnFirstList() {
+	if f := c.onFirstList; f != nil {
+		c.onFirstList = nil
 		f()
 	}
 }
@@ -106,21 +106,21 @@
 // differently. The hosts known so far stay until it answers. With the address unchanged nothing is disturbed.
 func (c *Client) Relocate(address string) {
 	if address != c.address {
-		c.address, c.silent = address, true
+		c.address, c.failing = address, true
 		c.step(watch.Moved)
 	}
 }
 
 // step brings an event to the watch and carries its order out.
-func (c *Client) step(k watch.Kind) {
+func (c *Client) step(kind watch.Kind) {
 	var order watch.Order
-	c.watch, order = c.watch.Step(watch.Event{Kind: k, Now: c.loop.Now(), Chance: c.chance.Float64()})
+	c.watch, order = c.watch.Step(watch.Event{Kind: kind, Now: c.loop.Now(), Chance: c.random.Float64()})
 	if order.Drop {
 		c.drop()
 	}
 	if order.Wake > 0 {
 		c.timer.Stop()
-		c.timer = c.loop.After(order.Wake-c.loop.Now(), c.due)
+		c.timer = c.loop.After(order.Wake-c.loop.Now(), c.timerFired)
 	}
 	if order.Call {
 		c.call()
@@ -128,9 +128,9 @@
 }
 
 // due is the time that the watch named: that of the next call, or the end of one that was not answered.
-func (c *Client) due() {
+func (c *Client) timerFired() {
 	if c.watch.Phase == watch.Calling {
-		c.fail(watch.Due, errLate)
+		c.fail(watch.Due, errTimeout)
 		return
 	}
 	c.step(watch.Due)
@@ -138,15 +138,15 @@
 
 // call asks on the connection that there is, or on a new one.
 func (c *Client) call() {
-	if c.link == nil {
+	if c.conn == nil {
 		c.open = false
-		c.link = c.loop.Dial(c.address, dialTimeout, c)
+		c.conn = c.loop.Dial(c.address, dialTimeout, c)
 	} else if c.open {
-		c.ask()
+		c.sendCall()
 	}
 }
 
-func (c *Client) ask() {
+func (c *Client) sendCall() {
 	path := "/v1/servers"
 	switch c.watch.Form {
 	case watch.Held:
@@ -154,30 +154,30 @@
 	case watch.Changes:
 		path = fmt.Sprintf("/v1/servers?from=%d&hold_ms=%d", c.rev, watch.Brief.Milliseconds())
 	}
-	c.link.Write(fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, c.address))
+	c.conn.Write(fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, c.address))
 }
 
 // Opened implements evloop.Handler.
 func (c *Client) Opened() {
 	c.open = true
-	c.ask()
+	c.sendCall()
 }
 
 // Received implements evloop.Handler. The time of a call is that of its whole answer: bytes do not renew it.
 func (c *Client) Received() {
-	a, err := http1.ParseResponse(c.link.Peek())
+	response, err := http1.ParseResponse(c.conn.Peek())
 	if err != nil {
 		c.fail(watch.Refused, err)
 		return
 	}
-	if a.Size == 0 {
+	if response.Size == 0 {
 		return
 	}
-	if a.Status != 200 {
-		c.fail(watch.Refused, fmt.Errorf("status %d", a.Status))
+	if response.Status != 200 {
+		c.fail(watch.Refused, fmt.Errorf("status %d", response.Status))
 		return
 	}
-	list, err := ParseList(a.Body)
+	list, err := ParseList(response.Body)
 	if err == nil && !list.All && !c.watch.Listed {
 		err = errNoList
 	}
@@ -189,60 +189,60 @@
 		c.fail(watch.Outdated, errOutdated)
 		return
 	}
-	c.answer(list, a)
+	c.answer(list, response)
 }
 
 // answer takes a list that discovery has told, and goes on watching at once: a watch lasts only as long as the next call
 // follows.
-func (c *Client) answer(list List, a http1.Response) {
-	if c.link.Discard(a.Size); a.Close || len(c.link.Peek()) > 0 {
+func (c *Client) answer(list List, response http1.Response) {
+	if c.conn.Discard(response.Size); response.Close || len(c.conn.Peek()) > 0 {
 		c.drop() // what came unasked would be taken for the next answer
 	}
-	if c.silent && c.watch.Failures > 0 {
+	if c.failing && c.watch.Failures > 0 {
 		c.log.Info("discovery answers again", "failed calls", c.watch.Failures)
 	}
-	c.answered, c.silent = true, false
+	c.answered, c.failing = true, false
 	kind := balance.ListChanges
 	if list.All {
 		kind = balance.ListFull
 	}
-	c.take(list, kind)
-	c.tellFirst()
+	c.applyList(list, kind)
+	c.runOnFirstList()
 	c.step(watch.Answered)
 }
 
 // take notes where hosts are and tells the core.
-func (c *Client) take(l List, kind balance.ListKind) {
-	c.rev, c.listed = l.Rev, true
-	if l.All {
+func (c *Client) applyList(list List, kind balance.ListKind) {
+	c.rev, c.hasList = list.Rev, true
+	if list.All {
 		clear(c.hosts)
 	}
-	for i, h := range l.Hosts {
+	for i, h := range list.Hosts {
 		if h.State == balance.Gone {
 			delete(c.hosts, h.Server)
 		} else {
-			c.hosts[h.Server] = l.address[i]
+			c.hosts[h.Server] = list.endpoints[i]
 		}
 	}
-	c.core.List(kind, l.Hosts)
+	c.core.List(kind, list.Hosts)
 }
 
 // fail ends a call. The list that is held stays.
-func (c *Client) fail(k watch.Kind, err error) {
+func (c *Client) fail(kind watch.Kind, err error) {
 	if c.watch.Failures == 0 { // an agent is called many times a second
 		c.log.Warn("discovery did not answer", "error", err)
 	}
-	c.silent = true
-	c.step(k)
+	c.failing = true
+	c.step(kind)
 }
 
 func (c *Client) drop() {
-	c.link.Close()
-	c.link, c.open = nil, false
+	c.conn.Close()
+	c.conn, c.open = nil, false
 }
 
 // Closed implements evloop.Handler.
 func (c *Client) Closed(err error) {
-	c.link, c.open = nil, false
+	c.conn, c.open = nil, false
 	c.fail(watch.Broken, fmt.Errorf("%w: %w", errCallEnded, err))
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,10 +13,10 @@
 
 // List is what discovery tells of the host group: all of it, or what has changed.
 type List struct {
-	Rev     int64
-	All     bool
-	Hosts   []balance.Listing
-	address []string // of each host
+	Rev       int64
+	All       bool
+	Hosts     []balance.Listing
+	endpoints []string // of each host
 }
 
 var states = map[string]balance.State{
@@ -38,28 +38,28 @@
 	case !targets.IsArray() && targets.Type != gjson.Null:
 		return List{}, errors.New("targets: not a list")
 	}
-	out := List{Rev: rev.Int(), All: all.Bool()}
-	for i, t := range targets.Array() {
-		if !t.IsObject() {
+	list := List{Rev: rev.Int(), All: all.Bool()}
+	for i, target := range targets.Array() {
+		if !target.IsObject() {
 			return List{}, fmt.Errorf("targets.%d: not an object", i)
 		}
-		uid, state, endpoint := t.Get("uid").Str, t.Get("state").Str, t.Get("endpoint").Str
-		known, ok := states[state]
-		boot := t.Get("boot_ms").Num
+		uid, state, endpoint := target.Get("uid").Str, target.Get("state").Str, target.Get("endpoint").Str
+		hostState, ok := states[state]
+		bootMS := target.Get("boot_ms").Num
 		switch {
 		case uid == "":
 			return List{}, fmt.Errorf("targets.%d.uid: missing", i)
 		case !ok:
 			return List{}, fmt.Errorf("targets.%d.state: unknown value %.40q", i, state)
-		case endpoint == "" && known != balance.Gone:
+		case endpoint == "" && hostState != balance.Gone:
 			return List{}, fmt.Errorf("targets.%d.endpoint: missing", i)
-		case boot < 0 || boot > math.MaxInt64/float64(2*time.Millisecond):
+		case bootMS < 0 || bootMS > math.MaxInt64/float64(2*time.Millisecond):
 			return List{}, fmt.Errorf("targets.%d.boot_ms: not a time", i)
 		}
-		out.Hosts = append(out.Hosts, balance.Listing{Server: balance.ServerID(uid), Zone: t.Get("az").Str,
-			Kind: t.Get("model").Str, Cell: int(t.Get("pod_group").Int()), Weight: t.Get("capacity_hint").Num,
-			Started: time.Duration(boot) * time.Millisecond, State: known})
-		out.address = append(out.address, endpoint)
+		list.Hosts = append(list.Hosts, balance.Listing{Server: balance.ServerID(uid), Zone: target.Get("az").Str,
+			Kind: target.Get("model").Str, Cell: int(target.Get("pod_group").Int()), Weight: target.Get("capacity_hint").Num,
+			Started: time.Duration(bootMS) * time.Millisecond, State: hostState})
+		list.endpoints = append(list.endpoints, endpoint)
 	}
-	return out, nil
+	return list, nil
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -43,7 +43,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		l, err := ParseList(data)
 		if err == nil {
-			require.Len(t, l.address, len(l.Hosts))
+			require.Len(t, l.endpoints, len(l.Hosts))
 		}
 	})
 }
--- a/internal/query/bench_test.go
+++ b/internal/query/bench_test.go
@@ -10,36 +10,36 @@
 )
 
 // still is a world in which nothing is scheduled: it costs as little as can be, so that the core's own work shows.
-type still struct {
-	now time.Duration
-	try Try
+type idleEnv struct {
+	now  time.Duration
+	last AttemptRef
 }
 
-func (w *still) Now() time.Duration             { return w.now }
-func (w *still) After(time.Duration, Due) Timer { return w }
-func (w *still) Stop()                          {}
-func (w *still) Pass([]byte)                    {}
-func (w *still) Over() bool                     { return false }
-func (w *still) Sent() bool                     { return true }
-func (w *still) End(bool)                       {}
-func (w *still) Attempt(t Try, _ balance.ServerID, _ time.Duration) Attempt {
-	w.try = t
-	return w
+func (env *idleEnv) Now() time.Duration                    { return env.now }
+func (env *idleEnv) After(time.Duration, TimerEvent) Timer { return env }
+func (env *idleEnv) Stop()                                 {}
+func (env *idleEnv) Forward([]byte)                        {}
+func (env *idleEnv) EndReceived() bool                     { return false }
+func (env *idleEnv) Sent() bool                            { return true }
+func (env *idleEnv) End(bool)                              {}
+func (env *idleEnv) Attempt(t AttemptRef, _ balance.ServerID, _ time.Duration) Attempt {
+	env.last = t
+	return env
 }
-func (w *still) Probe(balance.ServerID) {}
-func (w *still) Subscribe()             {}
+func (env *idleEnv) Probe(balance.ServerID) {}
+func (env *idleEnv) Subscribe()             {}
 
 // quiet is a client that keeps nothing.
-type quiet struct{}
+type discardingClient struct{}
 
-func (quiet) Up([]byte)              {}
-func (quiet) Served([]byte)          {}
-func (quiet) Reject(error)           {}
-func (quiet) Pass([]byte)            {}
-func (quiet) Throttle(time.Duration) {}
-func (quiet) Fail()                  {}
-func (quiet) Move()                  {}
-func (quiet) End(bool)               {}
+func (discardingClient) Established([]byte)     {}
+func (discardingClient) Served([]byte)          {}
+func (discardingClient) Reject(error)           {}
+func (discardingClient) Forward([]byte)         {}
+func (discardingClient) Throttle(time.Duration) {}
+func (discardingClient) Fail()                  {}
+func (discardingClient) Move()                  {}
+func (discardingClient) End(bool)               {}
 
 // BenchmarkQuery is the cost of one query in the core, from its arrival to the end of its connection: one attempt
 // is refused as full, the next one stands. Counting is off, as without a site file, or on.
@@ -50,11 +50,11 @@
 }
 
 func benchmarkQuery(b *testing.B, counting bool) {
-	w := &still{now: time.Hour}
-	c := New(slog.New(slog.NewTextHandler(io.Discard, nil)), w, balance.Settings{MaxAttempts: 4, Tick: time.Millisecond,
+	env := &idleEnv{now: time.Hour}
+	c := New(slog.New(slog.NewTextHandler(io.Discard, nil)), env, balance.Settings{MaxAttempts: 4, Tick: time.Millisecond,
 		Classes: []balance.Class{{Name: "chat", LatencyTarget: 300 * time.Millisecond}}}, 1)
-	c.Connect(w, w)
-	c.Count(counting)
+	c.Connect(env, env)
+	c.SetCounting(counting)
 	var entries []balance.Listing
 	for _, h := range []balance.ServerID{"a", "b", "c"} {
 		entries = append(entries, balance.Listing{Server: h, Weight: 1})
@@ -64,14 +64,14 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		w.now += 3 * time.Second
-		c.Arrive(quiet{}, arrival, "", 2*time.Second)
-		w.try.Ended(balance.Full, true, balance.Report{}, nil)
-		w.try.Up(up)
-		w.try.Lines(up)
-		w.try.Ended(balance.OK, true, balance.Report{}, nil)
+		env.now += 3 * time.Second
+		c.Arrive(discardingClient{}, arrival, "", 2*time.Second)
+		env.last.Ended(balance.Full, true, balance.Report{}, nil)
+		env.last.Established(up)
+		env.last.HostLines(up)
+		env.last.Ended(balance.OK, true, balance.Report{}, nil)
 	}
-	if c.Owed() != 0 || c.Standing() != 0 {
+	if c.Waiting() != 0 || c.Established() != 0 {
 		b.Fatal("a query was left")
 	}
 }
--- a/internal/query/bound_test.go
+++ b/internal/query/bound_test.go
@@ -11,118 +11,118 @@
 )
 
 // open has the attempt that is out ask whether its first line may go, as a backend connection does, and returns the answer.
-func (w *world) open() bool { return w.last.Open() }
+func (env *testEnv) allowSend() bool { return env.last.AllowSend() }
 
 func TestAHostThatTheCouncilTakesOutGetsNothingFromThatMoment(t *testing.T) {
-	w, c := newCore("a")
-	w.arrive(c, "")
-	c.Bind(rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 7}}, Until: w.now + time.Hour})
-	assert.Empty(t, c.Clear(), "an attempt is out there")
-	assert.False(t, w.open(), "its first line was not written yet, and may not be any more")
-	assert.Equal(t, []rights.Out{{Host: "a", Round: 7}}, c.Clear())
-	w.pass(3 * time.Second)
-	assert.Equal(t, []string{"throttle"}, w.answers)
+	env, c := newCore("a")
+	env.arrive(c, "")
+	c.ApplyVerdict(rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 7}}, Until: env.now + time.Hour})
+	assert.Empty(t, c.ClearedHosts(), "an attempt is out there")
+	assert.False(t, env.allowSend(), "its first line was not written yet, and may not be any more")
+	assert.Equal(t, []rights.Out{{Host: "a", Round: 7}}, c.ClearedHosts())
+	env.advance(3 * time.Second)
+	assert.Equal(t, []string{"throttle"}, env.answers)
 }
 
 func TestAHostIsClearOnceWhatStoodThereIsMovedOrHadItsTime(t *testing.T) {
-	w, c := newCore("a")
-	w.arrive(c, "")
-	w.last.Up(nil)
-	c.Bind(rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 7}}, Until: w.now + time.Hour})
-	assert.Empty(t, c.Clear())
-	w.pass(clearWithin)
-	assert.Len(t, c.Clear(), 1)
-	assert.Empty(t, c.Look(0, func(string) float64 { return 1 }, false).Worth, "it was moved")
+	env, c := newCore("a")
+	env.arrive(c, "")
+	env.last.Established(nil)
+	c.ApplyVerdict(rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 7}}, Until: env.now + time.Hour})
+	assert.Empty(t, c.ClearedHosts())
+	env.advance(clearTimeout)
+	assert.Len(t, c.ClearedHosts(), 1)
+	assert.Empty(t, c.ObserveHosts(0, func(string) float64 { return 1 }, false).Worth, "it was moved")
 }
 
 func TestARightThatHasRunOutIsNotActedOn(t *testing.T) {
-	w, c := newCore("a", "b")
-	c.Bind(rights.Verdict{Lapsed: []string{"a"}, Until: w.now + time.Second})
-	var where []balance.ServerID
+	env, c := newCore("a", "b")
+	c.ApplyVerdict(rights.Verdict{Lapsed: []string{"a"}, Until: env.now + time.Second})
+	var servers []balance.ServerID
 	for range 20 {
-		where = append(where, w.arrive(c, "").server)
+		servers = append(servers, env.arrive(c, "").server)
 	}
-	assert.Contains(t, where, balance.ServerID("a"))
-	var open []Try
-	for _, try := range w.out {
-		if try.query.server == "a" {
-			open = append(open, try)
+	assert.Contains(t, servers, balance.ServerID("a"))
+	var refs []AttemptRef
+	for _, ref := range env.active {
+		if ref.request.server == "a" {
+			refs = append(refs, ref)
 		}
 	}
-	w.now += 2 * time.Second // the process was stopped: no timer came due, and the first lines are still to be written
-	for _, try := range open {
-		assert.False(t, try.Open(), "the right has run out meanwhile")
+	env.now += 2 * time.Second // the process was stopped: no timer came due, and the first lines are still to be written
+	for _, ref := range refs {
+		assert.False(t, ref.AllowSend(), "the right has run out meanwhile")
 	}
 	for range 20 {
-		assert.NotEqual(t, balance.ServerID("a"), w.arrive(c, "").server)
+		assert.NotEqual(t, balance.ServerID("a"), env.arrive(c, "").server)
 	}
-	c.Bind(rights.Verdict{Lapsed: []string{"a"}, Until: w.now + time.Hour})
-	assert.False(t, c.Lapsed())
-	assert.NotContains(t, c.bound.told, balance.ServerID("a"), "with a new right it is in use again")
+	c.ApplyVerdict(rights.Verdict{Lapsed: []string{"a"}, Until: env.now + time.Hour})
+	assert.False(t, c.LeaseExpired())
+	assert.NotContains(t, c.restrictions.suspended, balance.ServerID("a"), "with a new right it is in use again")
 }
 
 func TestANodeThatWasNeverToldWhatIsOutSendsNothing(t *testing.T) {
-	w, c := newCore("a", "b")
-	c.Bind(rights.Verdict{All: true})
-	assert.True(t, c.Untold())
-	w.arrive(c, "")
-	for len(w.out) > 0 {
-		assert.False(t, w.open())
+	env, c := newCore("a", "b")
+	c.ApplyVerdict(rights.Verdict{All: true})
+	assert.True(t, c.LacksExclusionSet())
+	env.arrive(c, "")
+	for len(env.active) > 0 {
+		assert.False(t, env.allowSend())
 	}
-	w.pass(3 * time.Second)
-	assert.Equal(t, []string{"throttle"}, w.answers, "nothing was sent, so that trying again is harmless")
-	c.Bind(rights.Verdict{All: true, Until: w.now + time.Hour})
-	w.arrive(c, "")
-	assert.True(t, w.open())
+	env.advance(3 * time.Second)
+	assert.Equal(t, []string{"throttle"}, env.answers, "nothing was sent, so that trying again is harmless")
+	c.ApplyVerdict(rights.Verdict{All: true, Until: env.now + time.Hour})
+	env.arrive(c, "")
+	assert.True(t, env.allowSend())
 }
 
 func TestABanByHandAndATurnEndWithTheLastOfThem(t *testing.T) {
-	out := rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 1}}, Until: 2 * time.Hour}
-	none := rights.Verdict{Until: 2 * time.Hour}
+	excluded := rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 1}}, Until: 2 * time.Hour}
+	notExcluded := rights.Verdict{Until: 2 * time.Hour}
 	for name, steps := range map[string][4]func(*Core, time.Duration){
-		"ban, turn, back, over": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.Bind(out) },
-			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.Bind(none) }},
-		"ban, turn, over, back": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.Bind(out) },
-			func(c *Core, _ time.Duration) { c.Bind(none) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
-		"turn, ban, back, over": {func(c *Core, _ time.Duration) { c.Bind(out) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
-			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.Bind(none) }},
-		"turn, ban, over, back": {func(c *Core, _ time.Duration) { c.Bind(out) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
-			func(c *Core, _ time.Duration) { c.Bind(none) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
+		"ban, turn, back, over": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) },
+			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }},
+		"ban, turn, over, back": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) },
+			func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
+		"turn, ban, back, over": {func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
+			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }},
+		"turn, ban, over, back": {func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
+			func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
 	} {
-		w, c := newCore("a", "b")
+		env, c := newCore("a", "b")
 		for i, step := range steps {
-			step(c, w.now)
-			places := map[balance.ServerID]bool{}
+			step(c, env.now)
+			placed := map[balance.ServerID]bool{}
 			for range 30 {
-				places[w.arrive(c, "").server] = true
-				w.last.Ended(balance.OK, true, balance.Report{}, nil)
+				placed[env.arrive(c, "").server] = true
+				env.last.Ended(balance.OK, true, balance.Report{}, nil)
 			}
-			assert.Equal(t, i == 3, places["a"], "%s: after step %d", name, i+1)
+			assert.Equal(t, i == 3, placed["a"], "%s: after step %d", name, i+1)
 		}
 	}
 }
 
 func TestWhatALookAtTheHostsTells(t *testing.T) {
-	w, c := newCore("a", "b", "c", "d")
+	env, c := newCore("a", "b", "c", "d")
 	for _, group := range []string{"room", "room", "alone", ""} {
-		q := c.Arrive(w, balance.Arrival{Class: "chat", Group: group}, "", 2*time.Second)
-		w.out[len(w.out)-1].Up(nil)
-		assert.NotEmpty(t, q.server)
+		r := c.Arrive(env, balance.Arrival{Class: "chat", Group: group}, "", 2*time.Second)
+		env.active[len(env.active)-1].Established(nil)
+		assert.NotEmpty(t, r.server)
 	}
-	c.List(balance.ListChanges, []balance.Listing{{Server: "d", State: balance.Draining, Started: w.now}})
-	l := c.Look(time.Second, func(string) float64 { return 2 }, true)
-	assert.True(t, l.Stale)
-	assert.Len(t, l.Hosts, 4)
-	assert.Equal(t, []bool{true, false}, []bool{l.Hosts[3].Draining, l.Hosts[3].Warm})
-	assert.Equal(t, w.now, l.Hosts[3].Start)
+	c.List(balance.ListChanges, []balance.Listing{{Server: "d", State: balance.Draining, Started: env.now}})
+	look := c.ObserveHosts(time.Second, func(string) float64 { return 2 }, true)
+	assert.True(t, look.Stale)
+	assert.Len(t, look.Hosts, 4)
+	assert.Equal(t, []bool{true, false}, []bool{look.Hosts[3].Draining, look.Hosts[3].Warm})
+	assert.Equal(t, env.now, look.Hosts[3].Start)
 	sum := 0.0
-	for _, worth := range l.Worth {
-		sum += worth
+	for _, value := range look.Worth {
+		sum += value
 	}
 	assert.Equal(t, 8.0, sum)
-	if assert.Len(t, l.Groups, 1, "one alone is with nobody") {
-		assert.Equal(t, "room", l.Groups[0].Name)
-		assert.Equal(t, 4.0, l.Groups[0].Worth)
-		assert.Len(t, l.Groups[0].Homes, 3)
+	if assert.Len(t, look.Groups, 1, "one alone is with nobody") {
+		assert.Equal(t, "room", look.Groups[0].Name)
+		assert.Equal(t, 4.0, look.Groups[0].Worth)
+		assert.Len(t, look.Groups[0].Homes, 3)
 	}
 }
--- a/internal/query/count.go
+++ b/internal/query/count.go
@@ -38,7 +38,7 @@
 
 // mostCells is how many classes and tenants are told apart. What is beyond is counted for the class without a tenant, of
 // which there are as many more as the settings name.
-const mostCells = 64
+const maxCells = 64
 
 // The guards that may fire.
 const (
@@ -61,7 +61,7 @@
 type tally struct{ offered, served, refused, failed, timedOut, breaks, moves uint64 }
 
 // Count begins to count, or ends it and forgets what was counted.
-func (c *Core) Count(on bool) {
+func (c *Core) SetCounting(on bool) {
 	switch {
 	case !on:
 		c.counter = nil
@@ -71,29 +71,29 @@
 }
 
 // Fired says whether a guard has fired since Recount.
-func (c *Core) Fired() bool { return c.counter != nil && len(c.counter.guards) > 0 }
+func (c *Core) GuardFired() bool { return c.counter != nil && len(c.counter.guards) > 0 }
 
 // Counted returns what was counted since Recount, sorted by class and tenant, and the guards that fired. worth tells what a
 // served query of a class is worth; it should not be told by the policy that is counted for.
-func (c *Core) Counted(worth func(class string) float64) (all []rollout.Counts, guards []string) {
+func (c *Core) Counts(value func(class string) float64) (all []rollout.Counts, guards []string) {
 	n := c.counter
 	if n == nil {
 		return nil, nil
 	}
-	for of, t := range n.cells {
+	for key, t := range n.cells {
 		if *t != (tally{}) {
-			all = append(all, rollout.Counts{Class: of.class, Tenant: of.tenant, Offered: t.offered, Served: t.served,
+			all = append(all, rollout.Counts{Class: key.class, Tenant: key.tenant, Offered: t.offered, Served: t.served,
 				Refused: t.refused, Failed: t.failed, TimedOut: t.timedOut, Breaks: t.breaks, Moves: t.moves,
-				Worth: float64(t.served) * worth(of.class)})
+				Worth: float64(t.served) * value(key.class)})
 		}
 	}
-	for class, h := range n.setUps {
-		i := slices.IndexFunc(all, func(k rollout.Counts) bool { return k.Class == class && k.Tenant == "" })
+	for class, setUps := range n.setUps {
+		i := slices.IndexFunc(all, func(counts rollout.Counts) bool { return counts.Class == class && counts.Tenant == "" })
 		if i < 0 {
 			i = len(all)
 			all = append(all, rollout.Counts{Class: class})
 		}
-		all[i].SetUp = h.Bytes()
+		all[i].SetUp = setUps.Bytes()
 	}
 	slices.SortFunc(all, func(a, b rollout.Counts) int {
 		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
@@ -102,14 +102,14 @@
 }
 
 // Recount begins anew. Who had nothing to count since the last time gives room to others.
-func (c *Core) Recount() {
+func (c *Core) ResetCounts() {
 	n := c.counter
 	if n == nil {
 		return
 	}
-	for of, t := range n.cells {
+	for key, t := range n.cells {
 		if *t == (tally{}) {
-			delete(n.cells, of)
+			delete(n.cells, key)
 		}
 		*t = tally{}
 	}
@@ -118,19 +118,19 @@
 }
 
 // TurnedAway counts a query that the door throttled before it came here.
-func (c *Core) TurnedAway(class, tenant string) {
+func (c *Core) CountThrottled(class, tenant string) {
 	if c.counter != nil {
-		t := c.counter.of(class, tenant)
+		t := c.counter.tallyOf(class, tenant)
 		t.offered++
 		t.refused++
 	}
 }
 
-func (n *counter) of(class, tenant string) *tally {
+func (n *counter) tallyOf(class, tenant string) *tally {
 	t := n.cells[cell{class, tenant}]
 	if t == nil {
-		if tenant != "" && len(n.cells) >= mostCells {
-			return n.of(class, "")
+		if tenant != "" && len(n.cells) >= maxCells {
+			return n.tallyOf(class, "")
 		}
 		t = &tally{}
 		n.cells[cell{class, tenant}] = t
@@ -138,67 +138,67 @@
 	return t
 }
 
-func (n *counter) fired(guard string) {
+func (n *counter) recordGuard(guard string) {
 	if !slices.Contains(n.guards, guard) {
 		n.guards = append(n.guards, guard)
 	}
 }
 
 // note takes a step of a query, from was to where it is now, before its effects are carried out.
-func (n *counter) note(q *Query, was lifecycle.State, k lifecycle.Kind, todo *lifecycle.Effects, d *news) {
+func (n *counter) recordStep(r *Request, prev lifecycle.State, kind lifecycle.Kind, effects *lifecycle.Effects, data *eventData) {
 	switch {
-	case todo.Has(lifecycle.LogUnexpected):
-		n.fired(GuardImpossible)
-	case q.state.Inherited:
-	case was.AwaitsAnswer() && !q.state.AwaitsAnswer():
-		n.answered(q, k, todo)
-	case was.Phase == lifecycle.Established && q.state.Phase == lifecycle.Finished:
-		n.ended(q, k, d)
+	case effects.Has(lifecycle.LogUnexpected):
+		n.recordGuard(GuardImpossible)
+	case r.state.Inherited:
+	case prev.AwaitsAnswer() && !r.state.AwaitsAnswer():
+		n.recordAnswer(r, kind, effects)
+	case prev.Phase == lifecycle.Established && r.state.Phase == lifecycle.Finished:
+		n.recordEnd(r, kind, data)
 	}
 }
 
 // answered counts a query that is owed nothing any more.
-func (n *counter) answered(q *Query, k lifecycle.Kind, todo *lifecycle.Effects) {
-	a, t := &q.arrival, n.of(q.arrival.Class, q.arrival.Tenant)
-	left := q.Left()
+func (n *counter) recordAnswer(r *Request, kind lifecycle.Kind, effects *lifecycle.Effects) {
+	a, t := &r.arrival, n.tallyOf(r.arrival.Class, r.arrival.Tenant)
+	left := r.TimeLeft()
 	t.offered++
 	switch {
-	case q.state.Phase == lifecycle.Established:
+	case r.state.Phase == lifecycle.Established:
 		t.served++
-		n.stood(a.Class, a.TimeLeft-left)
-	case todo.Has(lifecycle.AnswerServed):
+		n.recordSetUp(a.Class, a.TimeLeft-left)
+	case effects.Has(lifecycle.AnswerServed):
 		t.served++
-	case k == lifecycle.ClientGone || k == lifecycle.ClientFaulty:
+	case kind == lifecycle.ClientGone || kind == lifecycle.ClientFaulty:
 	case left <= 0:
 		t.timedOut++
-	case todo.Has(lifecycle.AnswerThrottle):
+	case effects.Has(lifecycle.AnswerThrottle):
 		t.refused++
 	default:
 		t.failed++
 	}
-	if k == lifecycle.Deadline && -left <= guardAfter+sweepEvery {
-		n.fired(GuardOverdue)
+	if kind == lifecycle.Deadline && -left <= deadlineTimerDelay+sweepInterval {
+		n.recordGuard(GuardOverdue)
 	}
 }
 
 // stood counts a connection that stands a time after its query came.
-func (n *counter) stood(class string, after time.Duration) {
-	h, known := n.setUps[class]
+func (n *counter) recordSetUp(class string, after time.Duration) {
+	setUps, known := n.setUps[class]
 	if !known {
-		h = rollout.NewSetUps()
-		n.setUps[class] = h
+		setUps = rollout.NewSetUps()
+		n.setUps[class] = setUps
 	}
-	h.Add(after)
+	setUps.Add(after)
 }
 
 // ended counts the end of a connection that stood.
-func (n *counter) ended(q *Query, k lifecycle.Kind, d *news) {
-	t := n.of(q.arrival.Class, q.arrival.Tenant)
+func (n *counter) recordEnd(r *Request, kind lifecycle.Kind, data *eventData) {
+	t := n.tallyOf(r.arrival.Class, r.arrival.Tenant)
 	switch {
-	case k == lifecycle.ClientGone, k == lifecycle.HandOver, k == lifecycle.HostServed:
-	case k == lifecycle.HostEnded && d.outcome == balance.Cancelled:
+	case kind == lifecycle.ClientGone, kind == lifecycle.HandOver, kind == lifecycle.HostServed:
+	case kind == lifecycle.HostEnded && data.outcome == balance.Cancelled:
 		t.moves++
-	case k == lifecycle.HostEnded, k == lifecycle.Move && d.outcome == balance.Reset:
+	case kind == lifecycle.HostEnded, kind == lifecycle.Move && data.outcome == balance.Reset:
 		t.breaks++
 	default:
 		t.moves++
--- a/internal/query/count_test.go
+++ b/internal/query/count_test.go
@@ -14,154 +14,168 @@
 	"lichenhitch/internal/choice/rollout"
 )
 
-func worth(string) float64 { return 2.5 }
+func valueOf(string) float64 { return 2.5 }
 
 // scene is a core that counts, with a balancer that says what it is told to.
-type scene struct {
-	w *world
-	c *Core
-	d *told
-	e *endings
+type countFixture struct {
+	env      *testEnv
+	core     *Core
+	balancer *recordingBalancer
+	attempts *recordingAttempts
 }
 
-func newScene() scene {
-	w, c, d, e := newTold()
-	c.Count(true)
-	return scene{w, c, d, e}
+func newCountFixture() countFixture {
+	env, c, balancer, attempts := newRecorded()
+	c.SetCounting(true)
+	return countFixture{env, c, balancer, attempts}
 }
 
-func (s scene) arrive(at balance.ServerID) *Query {
-	return s.c.Arrive(s.w, balance.Arrival{Class: "chat", Tenant: "kota"}, at, 2*time.Second)
+func (s countFixture) arrive(at balance.ServerID) *Request {
+	return s.core.Arrive(s.env, balance.Arrival{Class: "chat", Tenant: "kota"}, at, 2*time.Second)
 }
 
-func (s scene) up() *Query {
-	q := s.arrive("")
-	s.e.last.Up(nil)
-	return q
+func (s countFixture) establish() *Request {
+	r := s.arrive("")
+	s.attempts.last.Established(nil)
+	return r
 }
 
-func (s scene) ends(o balance.Outcome, clean bool) { s.e.last.Ended(o, clean, balance.Report{}, nil) }
+func (s countFixture) hostEnds(outcome balance.Outcome, clean bool) {
+	s.attempts.last.Ended(outcome, clean, balance.Report{}, nil)
+}
 
-func (s scene) says(a ...balance.Action) {
-	s.d.say = a
-	s.c.Fire(Due{Kind: DueWake})
+func (s countFixture) balancerReturns(a ...balance.Action) {
+	s.balancer.actions = a
+	s.core.Fire(TimerEvent{Kind: TimerBalancer})
 }
 
 func TestWhatBecameOfAQueryIsCounted(t *testing.T) {
-	served, left := rollout.Counts{Offered: 1, Served: 1, Worth: 2.5}, rollout.Counts{Offered: 1}
-	broken, moved, refused, failed, late := served, served, left, left, left
-	broken.Breaks, moved.Moves, refused.Refused, failed.Failed, late.TimedOut = 1, 1, 1, 1, 1
-	for name, is := range map[string]struct {
-		live  func(scene)
+	served, unserved := rollout.Counts{Offered: 1, Served: 1, Worth: 2.5}, rollout.Counts{Offered: 1}
+	broken, moved, refused, failed, timedOut := served, served, unserved, unserved, unserved
+	broken.Breaks, moved.Moves, refused.Refused, failed.Failed, timedOut.TimedOut = 1, 1, 1, 1, 1
+	for name, test := range map[string]struct {
+		run   func(countFixture)
 		want  rollout.Counts
 		guard string
 	}{
-		"served to the end":        {live: func(s scene) { s.up(); s.ends(balance.OK, true) }, want: served},
-		"served at once":           {live: func(s scene) { s.arrive(""); s.ends(balance.OK, true) }, want: served},
-		"stands":                   {live: func(s scene) { s.up() }, want: served},
-		"served until it leaves":   {live: func(s scene) { s.up().ClientGone(false) }, want: served},
-		"carried on elsewhere":     {live: func(s scene) { s.up(); s.c.Carry(1, yes) }, want: served},
-		"broken by its host":       {live: func(s scene) { s.up(); s.ends(balance.Reset, false) }, want: broken},
-		"ended without a word":     {live: func(s scene) { s.up(); s.ends(balance.Reset, true) }, want: broken},
-		"ended by a host's fault":  {live: func(s scene) { s.up(); s.ends(balance.Errored, true) }, want: broken},
-		"host silent":              {live: func(s scene) { s.up().ClientLines(nil); s.w.pass(2 * time.Second) }, want: broken},
-		"moved by its host":        {live: func(s scene) { s.up(); s.ends(balance.Cancelled, true) }, want: moved},
-		"moved by the balancer":    {live: func(s scene) { s.up(); s.says(balance.Move{Request: 1}) }, want: moved},
-		"moved by an operator":     {live: func(s scene) { s.up(); s.c.Ease(1) }, want: moved},
-		"moved as the node leaves": {live: func(s scene) { s.up(); s.c.Leave(false) }, want: moved},
-		"moved for a host's line":  {live: func(s scene) { s.up(); s.e.last.Faulty() }, want: moved},
-		"moved for its flood":      {live: func(s scene) { s.up(); s.e.last.Behind() }, want: moved},
-		"moved for its own line":   {live: func(s scene) { s.up().ClientFaulty(nil) }, want: moved},
-		"refused": {live: func(s scene) { s.arrive(""); s.ends(balance.Full, true); s.says(balance.Refuse{Request: 1}) },
+		"served to the end":        {run: func(s countFixture) { s.establish(); s.hostEnds(balance.OK, true) }, want: served},
+		"served at once":           {run: func(s countFixture) { s.arrive(""); s.hostEnds(balance.OK, true) }, want: served},
+		"stands":                   {run: func(s countFixture) { s.establish() }, want: served},
+		"served until it leaves":   {run: func(s countFixture) { s.establish().ClientGone(false) }, want: served},
+		"carried on elsewhere":     {run: func(s countFixture) { s.establish(); s.core.HandOverOldest(1, acceptAll) }, want: served},
+		"broken by its host":       {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Reset, false) }, want: broken},
+		"ended without a word":     {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Reset, true) }, want: broken},
+		"ended by a host's fault":  {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Errored, true) }, want: broken},
+		"host silent":              {run: func(s countFixture) { s.establish().ClientLines(nil); s.env.advance(2 * time.Second) }, want: broken},
+		"moved by its host":        {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Cancelled, true) }, want: moved},
+		"moved by the balancer":    {run: func(s countFixture) { s.establish(); s.balancerReturns(balance.Move{Request: 1}) }, want: moved},
+		"moved by an operator":     {run: func(s countFixture) { s.establish(); s.core.MoveOldest(1) }, want: moved},
+		"moved as the node leaves": {run: func(s countFixture) { s.establish(); s.core.Shutdown(false) }, want: moved},
+		"moved for a host's line":  {run: func(s countFixture) { s.establish(); s.attempts.last.HostFaulty() }, want: moved},
+		"moved for its flood":      {run: func(s countFixture) { s.establish(); s.attempts.last.HostNotReading() }, want: moved},
+		"moved for its own line":   {run: func(s countFixture) { s.establish().ClientFaulty(nil) }, want: moved},
+		"refused": {run: func(s countFixture) {
+			s.arrive("")
+			s.hostEnds(balance.Full, true)
+			s.balancerReturns(balance.Refuse{Request: 1})
+		},
 			want: refused},
-		"refused at the door": {live: func(s scene) { s.c.TurnedAway("chat", "kota") }, want: refused},
-		"refused as the node leaves": {live: func(s scene) { s.c.balancer = silence{}; s.arrive(""); s.c.Leave(true) },
+		"refused at the door": {run: func(s countFixture) { s.core.CountThrottled("chat", "kota") }, want: refused},
+		"refused as the node leaves": {run: func(s countFixture) { s.core.balancer = silentBalancer{}; s.arrive(""); s.core.Shutdown(true) },
 			want: refused},
-		"failed": {live: func(s scene) { s.arrive(""); s.ends(balance.Reset, false); s.says(balance.Fail{Request: 1}) }, want: failed},
-		"given up when its time was up": {live: func(s scene) {
+		"failed": {run: func(s countFixture) {
 			s.arrive("")
-			s.w.pass(1990 * time.Millisecond)
-			s.says(balance.Refuse{Request: 1})
-		}, want: late},
-		"held too long": {live: func(s scene) { s.arrive(""); s.w.pass(3 * time.Second) }, want: late, guard: GuardOverdue},
-		"the process stood still": {live: func(s scene) {
+			s.hostEnds(balance.Reset, false)
+			s.balancerReturns(balance.Fail{Request: 1})
+		}, want: failed},
+		"given up when its time was up": {run: func(s countFixture) {
 			s.arrive("")
-			s.w.now += 2*time.Second + sweepEvery
-			s.w.pass(0)
-		}, want: late},
-		"left before its answer": {live: func(s scene) { s.arrive("").ClientGone(true) }, want: left},
-		"at fault before it":     {live: func(s scene) { s.arrive("").ClientFaulty(nil) }, want: left},
-		"waits":                  {live: func(s scene) { s.arrive("") }},
-		"inherited, and broken":  {live: func(s scene) { s.arrive("a"); s.e.last.Up(nil); s.ends(balance.Reset, false) }},
-		"inherited, and lost":    {live: func(s scene) { s.arrive("a"); s.w.pass(time.Minute) }},
-		"adopted, and broken": {live: func(s scene) {
-			s.c.Adopt(s.w, balance.Arrival{}, "a", s.e, func(t Try) { s.e.last = t })
-			s.ends(balance.Reset, false)
+			s.env.advance(1990 * time.Millisecond)
+			s.balancerReturns(balance.Refuse{Request: 1})
+		}, want: timedOut},
+		"held too long": {run: func(s countFixture) { s.arrive(""); s.env.advance(3 * time.Second) }, want: timedOut, guard: GuardOverdue},
+		"the process stood still": {run: func(s countFixture) {
+			s.arrive("")
+			s.env.now += 2*time.Second + sweepInterval
+			s.env.advance(0)
+		}, want: timedOut},
+		"left before its answer": {run: func(s countFixture) { s.arrive("").ClientGone(true) }, want: unserved},
+		"at fault before it":     {run: func(s countFixture) { s.arrive("").ClientFaulty(nil) }, want: unserved},
+		"waits":                  {run: func(s countFixture) { s.arrive("") }},
+		"inherited, and broken": {run: func(s countFixture) {
+			s.arrive("a")
+			s.attempts.last.Established(nil)
+			s.hostEnds(balance.Reset, false)
+		}},
+		"inherited, and lost": {run: func(s countFixture) { s.arrive("a"); s.env.advance(time.Minute) }},
+		"adopted, and broken": {run: func(s countFixture) {
+			s.core.Adopt(s.env, balance.Arrival{}, "a", s.attempts, func(t AttemptRef) { s.attempts.last = t })
+			s.hostEnds(balance.Reset, false)
 		}},
-		"what has no place there": {live: func(s scene) { s.up(); s.says(balance.Fail{Request: 1}) }, want: served,
+		"what has no place there": {run: func(s countFixture) { s.establish(); s.balancerReturns(balance.Fail{Request: 1}) }, want: served,
 			guard: GuardImpossible},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene()
-			is.live(s)
-			counts, guards := s.c.Counted(worth)
-			counts = slices.DeleteFunc(counts, func(k rollout.Counts) bool { return k.Tenant == "" && k.Offered == 0 })
-			if is.want.Offered == 0 {
+			s := newCountFixture()
+			test.run(s)
+			counts, guards := s.core.Counts(valueOf)
+			counts = slices.DeleteFunc(counts, func(counts rollout.Counts) bool { return counts.Tenant == "" && counts.Offered == 0 })
+			if test.want.Offered == 0 {
 				assert.Empty(t, counts)
 			} else if assert.Len(t, counts, 1) {
-				is.want.Class, is.want.Tenant = "chat", "kota"
-				assert.Equal(t, is.want, counts[0])
+				test.want.Class, test.want.Tenant = "chat", "kota"
+				assert.Equal(t, test.want, counts[0])
 			}
-			assert.Equal(t, is.guard != "", s.c.Fired())
-			if is.guard != "" {
-				assert.Equal(t, []string{is.guard}, guards)
+			assert.Equal(t, test.guard != "", s.core.GuardFired())
+			if test.guard != "" {
+				assert.Equal(t, []string{test.guard}, guards)
 			}
-			s.c.Recount()
-			counts, guards = s.c.Counted(worth)
+			s.core.ResetCounts()
+			counts, guards = s.core.Counts(valueOf)
 			assert.Empty(t, counts)
 			assert.Empty(t, guards)
 		})
 	}
 }
 
-func yes(Client, Attempt, balance.Arrival, balance.ServerID) bool { return true }
+func acceptAll(Client, Attempt, balance.Arrival, balance.ServerID) bool { return true }
 
 func TestASetUpIsTimedFromTheArrivalWithAllAttempts(t *testing.T) {
-	s, want := newScene(), rollout.NewSetUps()
-	s.c.balancer = &again{s.d}
+	s, want := newCountFixture(), rollout.NewSetUps()
+	s.core.balancer = &retryingBalancer{s.balancer}
 	for _, took := range []time.Duration{30 * time.Millisecond, 400 * time.Millisecond} {
 		s.arrive("")
-		s.w.now += 10 * time.Millisecond
-		s.ends(balance.Full, true)
-		s.w.now += took
-		s.e.last.Up(nil)
+		s.env.now += 10 * time.Millisecond
+		s.hostEnds(balance.Full, true)
+		s.env.now += took
+		s.attempts.last.Established(nil)
 		want.Add(10*time.Millisecond + took)
 	}
 	s.arrive("")
-	s.ends(balance.OK, true) // did not stand
-	counts, _ := s.c.Counted(worth)
+	s.hostEnds(balance.OK, true) // did not stand
+	counts, _ := s.core.Counts(valueOf)
 	require.Len(t, counts, 2)
 	assert.Equal(t, rollout.Counts{Class: "chat", SetUp: want.Bytes()}, counts[0])
 	assert.Equal(t, rollout.Counts{Class: "chat", Tenant: "kota", Offered: 3, Served: 3, Worth: 7.5}, counts[1])
 }
 
 // again is told, and places anew what has failed.
-type again struct{ *told }
+type retryingBalancer struct{ *recordingBalancer }
 
-func (d *again) Handle(now time.Duration, ev balance.Event) []balance.Action {
+func (balancer *retryingBalancer) Handle(now time.Duration, ev balance.Event) []balance.Action {
 	if e, ok := ev.(balance.Ended); ok && !e.Final {
 		return []balance.Action{balance.Place{Request: e.Request, Server: "a", Timeout: time.Second}}
 	}
-	return d.told.Handle(now, ev)
+	return balancer.recordingBalancer.Handle(now, ev)
 }
 
 func TestSoManyTenantsAreToldApart(t *testing.T) {
-	s := newScene()
-	come := func(from, to int) (own int, rest uint64) {
+	s := newCountFixture()
+	throttleTenants := func(from, to int) (own int, rest uint64) {
 		for i := from; i < to; i++ {
-			s.c.TurnedAway("chat", fmt.Sprint("t", i))
+			s.core.CountThrottled("chat", fmt.Sprint("t", i))
 		}
-		counts, _ := s.c.Counted(worth)
+		counts, _ := s.core.Counts(valueOf)
 		for _, k := range counts {
 			if k.Tenant == "" {
 				rest = k.Offered
@@ -170,109 +184,109 @@
 				assert.Equal(t, uint64(1), k.Offered)
 			}
 		}
-		s.c.Recount()
+		s.core.ResetCounts()
 		return own, rest
 	}
-	own, rest := come(0, 100)
-	assert.Equal(t, mostCells, own)
-	assert.Equal(t, uint64(100-mostCells), rest)
-	own, rest = come(0, mostCells/2)
-	assert.Equal(t, mostCells/2, own)
+	own, rest := throttleTenants(0, 100)
+	assert.Equal(t, maxCells, own)
+	assert.Equal(t, uint64(100-maxCells), rest)
+	own, rest = throttleTenants(0, maxCells/2)
+	assert.Equal(t, maxCells/2, own)
 	assert.Zero(t, rest)
-	own, _ = come(200, 210)
+	own, _ = throttleTenants(200, 210)
 	assert.Equal(t, 10, own, "those who did not come any more gave room")
 }
 
 func TestNothingIsCountedUntilItIsAskedFor(t *testing.T) {
-	w, c, _, e := newTold()
-	w.arrive(c, "")
-	e.last.Up(nil)
-	c.TurnedAway("chat", "")
-	c.Recount()
-	counts, guards := c.Counted(worth)
+	env, c, _, attempts := newRecorded()
+	env.arrive(c, "")
+	attempts.last.Established(nil)
+	c.CountThrottled("chat", "")
+	c.ResetCounts()
+	counts, guards := c.Counts(valueOf)
 	assert.Nil(t, counts)
 	assert.Nil(t, guards)
-	assert.False(t, c.Fired())
+	assert.False(t, c.GuardFired())
 }
 
 // party is a client of a walk, who counts for himself.
-type party struct {
-	walk      *walk
-	query     *Query
-	class     string
-	inherited bool
-	came      time.Duration
-	up, over  bool
+type testClient struct {
+	run                   *randomRun
+	request               *Request
+	class                 string
+	inherited             bool
+	arrivedAt             time.Duration
+	established, finished bool
 }
 
 // walk plays queries at random and counts what their clients hear.
-type walk struct {
-	*world
-	seen    rollout.Counts
-	left    uint64
-	setUps  map[string]rollout.SetUps
-	silence bool // what moves now is silence
-	parties []*party
+type randomRun struct {
+	*testEnv
+	counts       rollout.Counts
+	abandoned    uint64
+	setUps       map[string]rollout.SetUps
+	unresponsive bool // what moves now is silence
+	clients      []*testClient
 }
 
-func (p *party) final(count *uint64) {
-	if p.over = true; p.inherited {
+func (tc *testClient) countFinal(count *uint64) {
+	if tc.finished = true; tc.inherited {
 		return
 	}
-	p.walk.seen.Offered++
-	if count != &p.walk.seen.Served && p.walk.now >= p.came+2*time.Second-answerMargin && count != &p.walk.left {
-		count = &p.walk.seen.TimedOut
+	tc.run.counts.Offered++
+	if count != &tc.run.counts.Served && tc.run.now >= tc.arrivedAt+2*time.Second-answerMargin && count != &tc.run.abandoned {
+		count = &tc.run.counts.TimedOut
 	}
 	*count++
 }
 
-func (p *party) Up([]byte) {
-	p.final(&p.walk.seen.Served)
-	if p.up, p.over = true, false; !p.inherited {
-		if _, known := p.walk.setUps[p.class]; !known {
-			p.walk.setUps[p.class] = rollout.NewSetUps()
+func (tc *testClient) Established([]byte) {
+	tc.countFinal(&tc.run.counts.Served)
+	if tc.established, tc.finished = true, false; !tc.inherited {
+		if _, known := tc.run.setUps[tc.class]; !known {
+			tc.run.setUps[tc.class] = rollout.NewSetUps()
 		}
-		p.walk.setUps[p.class].Add(p.walk.now - p.came)
+		tc.run.setUps[tc.class].Add(tc.run.now - tc.arrivedAt)
 	}
 }
-func (p *party) Served([]byte)          { p.final(&p.walk.seen.Served) }
-func (p *party) Throttle(time.Duration) { p.final(&p.walk.seen.Refused) }
-func (p *party) Fail()                  { p.final(&p.walk.seen.Failed) }
-func (p *party) Reject(error)           { p.final(&p.walk.left) }
-func (p *party) Pass([]byte)            {}
-func (p *party) End(bool)               { p.over = true }
-func (p *party) Move() {
-	p.over = true
+func (tc *testClient) Served([]byte)          { tc.countFinal(&tc.run.counts.Served) }
+func (tc *testClient) Throttle(time.Duration) { tc.countFinal(&tc.run.counts.Refused) }
+func (tc *testClient) Fail()                  { tc.countFinal(&tc.run.counts.Failed) }
+func (tc *testClient) Reject(error)           { tc.countFinal(&tc.run.abandoned) }
+func (tc *testClient) Forward([]byte)         {}
+func (tc *testClient) End(bool)               { tc.finished = true }
+func (tc *testClient) Move() {
+	tc.finished = true
 	switch {
-	case p.inherited:
-	case p.walk.silence:
-		p.walk.seen.Breaks++
+	case tc.inherited:
+	case tc.run.unresponsive:
+		tc.run.counts.Breaks++
 	default:
-		p.walk.seen.Moves++
+		tc.run.counts.Moves++
 	}
 }
 
 // leaves has the client go, whether or not it was answered.
-func (p *party) leaves() {
-	if !p.up {
-		p.final(&p.walk.left)
+func (tc *testClient) leave() {
+	if !tc.established {
+		tc.countFinal(&tc.run.abandoned)
 	}
-	p.over = true
-	p.query.ClientGone(true)
+	tc.finished = true
+	tc.request.ClientGone(true)
 }
 
 // ends has the host of a party end its attempt, or what stands.
-func (p *party) ends(o balance.Outcome) {
-	if p.up && !p.inherited {
-		switch o {
+func (tc *testClient) endByHost(outcome balance.Outcome) {
+	if tc.established && !tc.inherited {
+		switch outcome {
 		case balance.OK:
 		case balance.Cancelled:
-			p.walk.seen.Moves++
+			tc.run.counts.Moves++
 		default:
-			p.walk.seen.Breaks++
+			tc.run.counts.Breaks++
 		}
 	}
-	Try{p.query, p.query.state.Attempts}.Ended(o, o != balance.Reset, balance.Report{}, nil)
+	AttemptRef{tc.request, tc.request.state.Attempts}.Ended(outcome, outcome != balance.Reset, balance.Report{}, nil)
 }
 
 // TestTheSumsAreWhatTheClientsSaw plays queries with the real balancer, at random and for hours. Its guards stay silent.
@@ -281,52 +295,52 @@
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		base, c := newCore("a", "b", "c", "d", "e")
-		c.Retune(balance.Settings{MaxAttempts: 4, Tick: time.Millisecond, Classes: []balance.Class{
+		c.ApplySettings(balance.Settings{MaxAttempts: 4, Tick: time.Millisecond, Classes: []balance.Class{
 			{Name: "chat", LatencyTarget: 300 * time.Millisecond}, {Name: "once", LatencyTarget: 300 * time.Millisecond, Effect: balance.Unsafe}}})
-		c.Count(true)
-		w := &walk{world: base, setUps: map[string]rollout.SetUps{}}
+		c.SetCounting(true)
+		run := &randomRun{testEnv: base, setUps: map[string]rollout.SetUps{}}
 		var sum rollout.Counts
 		for range 2000 {
-			w.parties = slices.DeleteFunc(w.parties, func(p *party) bool { return p.over })
-			var p *party
-			if len(w.parties) > 0 {
-				p = w.parties[r.IntN(len(w.parties))]
+			run.clients = slices.DeleteFunc(run.clients, func(tc *testClient) bool { return tc.finished })
+			var tc *testClient
+			if len(run.clients) > 0 {
+				tc = run.clients[r.IntN(len(run.clients))]
 			}
 			switch n := r.IntN(20); {
-			case n < 6 || p == nil:
-				p = &party{walk: w, came: w.now, class: []string{"chat", "once"}[r.IntN(2)], inherited: r.IntN(8) == 0}
+			case n < 6 || tc == nil:
+				tc = &testClient{run: run, arrivedAt: run.now, class: []string{"chat", "once"}[r.IntN(2)], inherited: r.IntN(8) == 0}
 				at := balance.ServerID("")
-				if p.inherited {
+				if tc.inherited {
 					at = "c"
 				}
-				w.parties = append(w.parties, p)
-				p.query = c.Arrive(p, balance.Arrival{Class: p.class, Tenant: fmt.Sprint(r.IntN(3)), MidFlow: r.IntN(5) == 0},
+				run.clients = append(run.clients, tc)
+				tc.request = c.Arrive(tc, balance.Arrival{Class: tc.class, Tenant: fmt.Sprint(r.IntN(3)), MidFlow: r.IntN(5) == 0},
 					at, 2*time.Second)
 			case n < 10:
-				w.silence = true
-				w.pass(time.Duration(r.IntN(700)) * time.Millisecond)
-				w.silence = false
+				run.unresponsive = true
+				run.advance(time.Duration(r.IntN(700)) * time.Millisecond)
+				run.unresponsive = false
 			case n < 13:
-				Try{p.query, p.query.state.Attempts}.Up(nil)
-			case n < 16 && p.query.state.HasHostConn():
-				p.ends([]balance.Outcome{balance.OK, balance.Reset, balance.Full, balance.Errored, balance.Cancelled}[r.IntN(5)])
+				AttemptRef{tc.request, tc.request.state.Attempts}.Established(nil)
+			case n < 16 && tc.request.state.HasHostConn():
+				tc.endByHost([]balance.Outcome{balance.OK, balance.Reset, balance.Full, balance.Errored, balance.Cancelled}[r.IntN(5)])
 			case n == 16:
-				p.leaves()
+				tc.leave()
 			case n == 17 && r.IntN(3) == 0:
-				p.query.ClientFaulty(nil)
+				tc.request.ClientFaulty(nil)
 			case n == 18:
-				p.query.ClientLines(nil)
+				tc.request.ClientLines(nil)
 			case n == 19 && r.IntN(9) == 0:
-				c.Ease(1)
+				c.MoveOldest(1)
 			}
 			if r.IntN(50) == 0 {
-				w.tally(t, &sum)
+				run.checkCounts(t, &sum)
 			}
 		}
-		w.tally(t, &sum)
-		require.Equal(t, w.seen, sum, "seed %d", seed)
-		require.Equal(t, sum.Offered, sum.Served+sum.Refused+sum.Failed+sum.TimedOut+w.left, "seed %d", seed)
-		plus(&all, sum)
+		run.checkCounts(t, &sum)
+		require.Equal(t, run.counts, sum, "seed %d", seed)
+		require.Equal(t, sum.Offered, sum.Served+sum.Refused+sum.Failed+sum.TimedOut+run.abandoned, "seed %d", seed)
+		addCounts(&all, sum)
 	}
 	t.Logf("in all %+v", all)
 	for _, n := range []uint64{all.Served, all.Refused, all.Failed, all.TimedOut, all.Breaks, all.Moves} {
@@ -335,29 +349,29 @@
 }
 
 // tally takes what was counted over, and compares the set-ups.
-func (w *walk) tally(t *testing.T, sum *rollout.Counts) {
+func (run *randomRun) checkCounts(t *testing.T, sum *rollout.Counts) {
 	t.Helper()
-	counts, guards := w.core.Counted(worth)
+	counts, guards := run.core.Counts(valueOf)
 	assert.Empty(t, guards)
 	for _, k := range counts {
 		assert.LessOrEqual(t, k.Served, k.Offered)
-		plus(sum, k)
+		addCounts(sum, k)
 		if k.SetUp != nil {
-			require.Contains(t, w.setUps, k.Class)
-			assert.Equal(t, w.setUps[k.Class].Bytes(), k.SetUp)
-			delete(w.setUps, k.Class)
+			require.Contains(t, run.setUps, k.Class)
+			assert.Equal(t, run.setUps[k.Class].Bytes(), k.SetUp)
+			delete(run.setUps, k.Class)
 		}
 	}
-	assert.Empty(t, w.setUps)
-	w.core.Recount()
+	assert.Empty(t, run.setUps)
+	run.core.ResetCounts()
 }
 
-func plus(sum *rollout.Counts, k rollout.Counts) {
+func addCounts(sum *rollout.Counts, counts rollout.Counts) {
 	for _, f := range []struct {
 		to *uint64
 		n  uint64
-	}{{&sum.Offered, k.Offered}, {&sum.Served, k.Served}, {&sum.Refused, k.Refused}, {&sum.Failed, k.Failed},
-		{&sum.TimedOut, k.TimedOut}, {&sum.Breaks, k.Breaks}, {&sum.Moves, k.Moves}} {
+	}{{&sum.Offered, counts.Offered}, {&sum.Served, counts.Served}, {&sum.Refused, counts.Refused}, {&sum.Failed, counts.Failed},
+		{&sum.TimedOut, counts.TimedOut}, {&sum.Breaks, counts.Breaks}, {&sum.Moves, counts.Moves}} {
 		*f.to += f.n
 	}
 }
--- a/internal/query/repeat_test.go
+++ b/internal/query/repeat_test.go
@@ -11,30 +11,30 @@
 )
 
 // placing is a decider that places each request at once, to be sent by a time.
-type placing struct {
+type placingBalancer struct {
 	sendBy time.Duration
-	heard  []balance.Event
+	events []balance.Event
 }
 
-func (d *placing) Handle(_ time.Duration, ev balance.Event) []balance.Action {
-	d.heard = append(d.heard, ev)
+func (balancer *placingBalancer) Handle(_ time.Duration, ev balance.Event) []balance.Action {
+	balancer.events = append(balancer.events, ev)
 	if e, ok := ev.(balance.Arrival); ok {
-		return []balance.Action{balance.Place{Request: e.Request, Server: "a", Timeout: time.Second, SendBy: d.sendBy}}
+		return []balance.Action{balance.Place{Request: e.Request, Server: "a", Timeout: time.Second, SendBy: balancer.sendBy}}
 	}
 	return nil
 }
 
-func (d *placing) outcome(t *testing.T) balance.Outcome {
+func (balancer *placingBalancer) outcome(t *testing.T) balance.Outcome {
 	t.Helper()
-	e, ok := d.heard[len(d.heard)-1].(balance.Ended)
-	require.True(t, ok, "the last event is %T", d.heard[len(d.heard)-1])
+	e, ok := balancer.events[len(balancer.events)-1].(balance.Ended)
+	require.True(t, ok, "the last event is %T", balancer.events[len(balancer.events)-1])
 	return e.Outcome
 }
 
 // A repeat whose connection comes up slowly is not sent once the servers may have forgotten the first attempt.
 func TestARepeatIsSentWithinItsWindowOnly(t *testing.T) {
 	const window = 200 * time.Millisecond
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		sendBy, connects time.Duration
 		want             bool
 	}{
@@ -44,18 +44,18 @@
 		"after it":                     {sendBy: window, connects: window + time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, c2, _, e := newTold()
-			d := &placing{}
-			if c.sendBy > 0 {
-				d.sendBy = w.now + c.sendBy
+			env, core, _, attempts := newRecorded()
+			balancer := &placingBalancer{}
+			if test.sendBy > 0 {
+				balancer.sendBy = env.now + test.sendBy
 			}
-			c2.balancer = d
-			c2.Arrive(w, balance.Arrival{Class: "chat"}, "", 2*time.Second)
-			w.now += c.connects
-			assert.Equal(t, c.want, e.last.Open())
-			if !c.want {
-				assert.Equal(t, balance.Unsent, d.outcome(t), "it proves that nothing ran")
-				assert.Equal(t, []bool{true}, e.clean, "the attempt is closed")
+			core.balancer = balancer
+			core.Arrive(env, balance.Arrival{Class: "chat"}, "", 2*time.Second)
+			env.now += test.connects
+			assert.Equal(t, test.want, attempts.last.AllowSend())
+			if !test.want {
+				assert.Equal(t, balance.Unsent, balancer.outcome(t), "it proves that nothing ran")
+				assert.Equal(t, []bool{true}, attempts.clean, "the attempt is closed")
 			}
 		})
 	}
@@ -63,15 +63,15 @@
 
 // An attempt whose time is over before its connection came up has not run, whatever its class: it may be made elsewhere.
 func TestAnAttemptThatWasNeverSentHasNotRun(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		unsent bool
 		want   balance.Outcome
 	}{{true, balance.Unreachable}, {false, balance.TimedOut}} {
-		w, core := newCore("a")
-		d := &placing{}
-		w.unsent, core.balancer = c.unsent, d
-		w.arrive(core, "")
-		w.pass(time.Second)
-		assert.Equal(t, c.want, d.outcome(t))
+		env, core := newCore("a")
+		balancer := &placingBalancer{}
+		env.neverConnects, core.balancer = test.unsent, balancer
+		env.arrive(core, "")
+		env.advance(time.Second)
+		assert.Equal(t, test.want, balancer.outcome(t))
 	}
 }
--- a/rehearsal/coremodel/model.go
+++ b/rehearsal/coremodel/model.go
@@ -27,8 +27,8 @@
 	Notices  int // of discovery, in one run
 	Seeds    int // of the balancer's chance: 1 to this
 	Plant    string
-	Decider  func(query.Decider) query.Decider // wraps the balancer, for planted bugs; may be nil
-	Rule     query.Rule                        // nil: the real one
+	Decider  func(query.Balancer) query.Balancer // wraps the balancer, for planted bugs; may be nil
+	Rule     query.StepFunc                      // nil: the real one
 }
 
 const (
--- a/rehearsal/coremodel/plants.go
+++ b/rehearsal/coremodel/plants.go
@@ -15,7 +15,7 @@
 
 type planted struct {
 	Plant
-	decider func(query.Decider) query.Decider
+	decider func(query.Balancer) query.Balancer
 }
 
 // Plants lists the bugs that can be planted: the deciders below, and those of the model of lives that change its rule.
@@ -73,7 +73,7 @@
 
 // decider changes what goes into a balancer, and what comes out.
 type decider struct {
-	inner query.Decider
+	inner query.Balancer
 	in    func(balance.Event) []balance.Event
 	out   func([]balance.Action) []balance.Action
 }
@@ -94,8 +94,8 @@
 	return acts
 }
 
-func hearing(f func(balance.Event) []balance.Event) func(query.Decider) query.Decider {
-	return func(inner query.Decider) query.Decider { return &decider{inner: inner, in: f} }
+func hearing(f func(balance.Event) []balance.Event) func(query.Balancer) query.Balancer {
+	return func(inner query.Balancer) query.Balancer { return &decider{inner: inner, in: f} }
 }
 
 var deciders = []planted{
@@ -134,7 +134,7 @@
 			return []balance.Event{ev}
 		})},
 	{Plant{"answer-withheld", "the balancer's answers are lost"},
-		func(inner query.Decider) query.Decider {
+		func(inner query.Balancer) query.Balancer {
 			return &decider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					switch a.(type) {
@@ -147,7 +147,7 @@
 			}}
 		}},
 	{Plant{"placed-twice", "the balancer's first placement is carried out twice"},
-		func(inner query.Decider) query.Decider {
+		func(inner query.Balancer) query.Balancer {
 			return &decider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					rest = append(rest, a)
@@ -159,7 +159,7 @@
 			}}
 		}},
 	{Plant{"all-refused", "what the balancer fails is refused instead"},
-		func(inner query.Decider) query.Decider {
+		func(inner query.Balancer) query.Balancer {
 			return &decider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					if f, ok := a.(balance.Fail); ok {
--- a/rehearsal/script/do.go
+++ b/rehearsal/script/do.go
@@ -46,7 +46,7 @@
 		w.note(o, c, g, arg|1)
 		pass := w.cfg.Settings.PassThrough || arg>>1 == 1
 		w.say("the node sends everybody away and stops")
-		w.Core.Leave(pass)
+		w.Core.Shutdown(pass)
 		w.off = true
 		w.Rules.Stopped(w.now, pass)
 		return nil
@@ -72,11 +72,11 @@
 	l := q.link
 	switch o {
 	case lifemodel.Overdue:
-		return w.fireKind(query.DueAttempt, c)
+		return w.fireKind(query.TimerAttempt, c)
 	case lifemodel.Again:
-		return w.fireKind(query.DueRetry, c)
+		return w.fireKind(query.TimerRetry, c)
 	case lifemodel.Due:
-		return w.fireKind(query.DueGuard, c)
+		return w.fireKind(query.TimerDeadline, c)
 	case lifemodel.TimeUp:
 		w.now = max(w.now, start+w.cfg.Wait)
 		w.note(o, c, 0, 0)
@@ -139,7 +139,7 @@
 	}
 	switch o {
 	case lifemodel.Connect:
-		if w.cfg.Plant == "drained-dial" || l.try.Open() {
+		if w.cfg.Plant == "drained-dial" || l.try.AllowSend() {
 			l.sent = true
 			w.Rules.Sent(w.now, l.id)
 		}
@@ -148,7 +148,7 @@
 	case lifemodel.SayUp:
 		l.up = true
 		w.Rules.HostUp(l.id)
-		l.try.Up(fmt.Appendf(nil, "UP %d\r\n", l.id))
+		l.try.Established(fmt.Appendf(nil, "UP %d\r\n", l.id))
 	case lifemodel.SayServed:
 		ended(balance.OK, true, rules.Other, "BYE\r\n")
 	case lifemodel.SayFull:
@@ -158,9 +158,9 @@
 	case lifemodel.Break:
 		ended(balance.Reset, false, rules.Other, "")
 	case lifemodel.Garble:
-		l.try.Faulty()
+		l.try.HostFaulty()
 	case lifemodel.Clog:
-		l.try.Behind()
+		l.try.HostNotReading()
 	case Reply:
 		w.say("%s sends client %d a line", l.server, c+1)
 		l.client.askedAt = 0
@@ -168,7 +168,7 @@
 		if w.cfg.Plant == "reply-unheard" {
 			return nil
 		}
-		l.try.Lines(fmt.Appendf(nil, "line %d\r\n", l.id))
+		l.try.HostLines(fmt.Appendf(nil, "line %d\r\n", l.id))
 	default:
 		return fmt.Errorf("a world does not know %s", o)
 	}
@@ -239,7 +239,7 @@
 			}
 			return nil
 		}
-		if t.due.Kind != query.DueSweep || w.serving() {
+		if t.due.Kind != query.TimerSweep || w.serving() {
 			return nil
 		}
 	}
@@ -284,12 +284,12 @@
 	case lifemodel.MoveAway:
 		s.next = []balance.Action{balance.Move{Request: id}}
 	}
-	w.Core.Fire(query.Due{Kind: query.DueWake})
+	w.Core.Fire(query.TimerEvent{Kind: query.TimerBalancer})
 	return nil
 }
 
 // fireKind fires a query's timer, whatever else is due before: a model's trace orders deadlines as it likes.
-func (w *World) fireKind(k query.DueKind, c int) error {
+func (w *World) fireKind(k query.TimerKind, c int) error {
 	w.next()
 	for i, t := range w.timers {
 		if t.mark == nil && t.due.Kind == k && int(t.due.Request) == c+1 {
@@ -307,7 +307,7 @@
 			w.note(o, c, 0, 0)
 			w.say("%s speaks of an attempt of query %d that is over", l.server, c+1)
 			if o == lifemodel.LateUp {
-				l.try.Up(fmt.Appendf(nil, "UP %d\r\n", l.id))
+				l.try.Established(fmt.Appendf(nil, "UP %d\r\n", l.id))
 			} else {
 				l.try.Ended(balance.Reset, false, balance.Report{}, nil)
 			}
@@ -456,9 +456,9 @@
 // Check looks at what must hold between two steps.
 func (w *World) Check() {
 	w.Rules.Settled(w.now)
-	running := make([]map[query.DueKind]bool, len(w.client))
+	running := make([]map[query.TimerKind]bool, len(w.client))
 	for i := range running {
-		running[i] = map[query.DueKind]bool{}
+		running[i] = map[query.TimerKind]bool{}
 	}
 	for _, t := range w.timers {
 		if !t.off && t.mark == nil && t.due.Request > 0 {
@@ -473,7 +473,7 @@
 }
 
 // checkClient checks that a query's state, its timers, its connection and the balancer's books fit together.
-func (w *World) checkClient(c *client, running map[query.DueKind]bool) {
+func (w *World) checkClient(c *client, running map[query.TimerKind]bool) {
 	q := c.query.State()
 	for _, fit := range []struct {
 		is, should bool
@@ -482,9 +482,9 @@
 		{c.seen == lifemodel.Asking, q.AwaitsAnswer(), "its client waits for an answer", "its client does not wait for an answer"},
 		{c.seen == lifemodel.Served, q.Phase == lifecycle.Established, "its client is served", "its client is not served"},
 		{c.link != nil, q.HasHostConn(), "a connection to a host is open", "no connection to a host is open"},
-		{running[query.DueGuard], q.AwaitsAnswer(), "the guard of its deadline runs", "no guard of its deadline runs"},
-		{running[query.DueAttempt], q.Phase == lifecycle.Trying, "the time-out of an attempt runs", "no time-out of its attempt runs"},
-		{running[query.DueRetry], q.Phase == lifecycle.Waiting && q.Inherited, "the pause between two tries runs",
+		{running[query.TimerDeadline], q.AwaitsAnswer(), "the guard of its deadline runs", "no guard of its deadline runs"},
+		{running[query.TimerAttempt], q.Phase == lifecycle.Trying, "the time-out of an attempt runs", "no time-out of its attempt runs"},
+		{running[query.TimerRetry], q.Phase == lifecycle.Waiting && q.Inherited, "the pause between two tries runs",
 			"no pause between two tries runs"},
 	} {
 		if fit.is != fit.should {
--- a/rehearsal/script/print.go
+++ b/rehearsal/script/print.go
@@ -189,7 +189,7 @@
 // Kept returns how many queries the core, and how many requests its balancer, still holds.
 func (w *World) Kept() (queries, requests int) {
 	core := reflect.ValueOf(w.Core).Elem()
-	queries = core.FieldByName("queries").Len()
+	queries = core.FieldByName("requests").Len()
 	for inner := core.FieldByName("balancer"); inner.IsValid(); {
 		at := inner.Elem().Elem() // the wrappers of the world and of plants have an inner one
 		if f := at.FieldByName("requests"); f.IsValid() {
--- a/rehearsal/script/world.go
+++ b/rehearsal/script/world.go
@@ -61,8 +61,8 @@
 	Hosts    int
 	Settings balance.Settings
 	Seed     uint64
-	Decider  query.Decider           // nil: the real balancer
-	Rule     query.Rule              // nil: that of the plant, the real one without a plant
+	Decider  query.Balancer          // nil: the real balancer
+	Rule     query.StepFunc          // nil: that of the plant, the real one without a plant
 	Constant func(*balance.Settings) // what the node goes by whatever its settings say: a planted bug; may be nil
 	Strict   bool                    // a decider of one's own must place on ready hosts only, as the real one does
 	Wait     time.Duration           // of each client
@@ -98,7 +98,7 @@
 	w    *World
 	at   time.Duration
 	seq  int
-	due  query.Due
+	due  query.TimerEvent
 	mark func() // instead of a call to the core
 	off  bool
 }
@@ -129,7 +129,7 @@
 	w.Rules = rules.New(rules.Limits{Start: start, DrainGrace: cfg.Settings.Safety.DrainGrace + 50*time.Millisecond,
 		MaxAttempts: max(1, cfg.Settings.MaxAttempts), Balanced: cfg.Decider == nil || cfg.Strict}, cfg.Settings.Classes)
 	w.tap = &tap{w, decider, map[balance.RequestID]*entry{}}
-	w.Core = query.Build(log, w, own, w.tap, rule)
+	w.Core = query.NewWith(log, w, own, w.tap, rule)
 	w.Core.Connect(w, w)
 	var all []balance.Listing
 	for i := range cfg.Hosts {
@@ -148,7 +148,7 @@
 // tap sees what the balancer decides.
 type tap struct {
 	w     *World
-	inner query.Decider
+	inner query.Balancer
 	books map[balance.RequestID]*entry
 }
 
@@ -246,7 +246,7 @@
 func (w *World) Now() time.Duration { return w.now }
 
 // After implements query.Clock.
-func (w *World) After(d time.Duration, due query.Due) query.Timer {
+func (w *World) After(d time.Duration, due query.TimerEvent) query.Timer {
 	t := &timer{w: w, at: w.now + max(d, 0), seq: w.seq, due: due}
 	w.seq++
 	w.timers = append(w.timers, t)
@@ -288,16 +288,16 @@
 	}
 	c := int(t.due.Request) - 1
 	switch t.due.Kind {
-	case query.DueGuard:
+	case query.TimerDeadline:
 		w.note(lifemodel.Due, c, 0, 0)
 		w.say("the guard of query %d fires", c+1)
-	case query.DueAttempt:
+	case query.TimerAttempt:
 		w.note(lifemodel.Overdue, c, 0, 0)
 		w.say("the attempt of query %d times out", c+1)
-	case query.DueRetry:
+	case query.TimerRetry:
 		w.note(lifemodel.Again, c, 0, 0)
 	}
-	if w.sweeping = t.due.Kind == query.DueSweep; w.sweeping && w.cfg.Plant == "watch-asleep" {
+	if w.sweeping = t.due.Kind == query.TimerSweep; w.sweeping && w.cfg.Plant == "watch-asleep" {
 		w.sweeping = false
 		return
 	}
@@ -338,7 +338,7 @@
 func (w *World) Subscribe() {}
 
 // Attempt implements query.Servers.
-func (w *World) Attempt(t query.Try, server balance.ServerID, _ time.Duration) query.Attempt {
+func (w *World) Attempt(t query.AttemptRef, server balance.ServerID, _ time.Duration) query.Attempt {
 	l := &link{w: w, id: len(w.links), try: t, client: t.Client().(*client), server: server, open: true}
 	w.links = append(w.links, l)
 	w.Rules.Begun(w.now, l.id, l.client.id, server)
@@ -351,7 +351,7 @@
 type link struct {
 	w      *World
 	id     int
-	try    query.Try
+	try    query.AttemptRef
 	client *client
 	server balance.ServerID
 	sent   bool
@@ -361,7 +361,7 @@
 }
 
 // Pass implements query.Attempt.
-func (l *link) Pass([]byte) { l.w.Rules.Passed(l.w.now, l.id, l.client.id) }
+func (l *link) Forward([]byte) { l.w.Rules.Passed(l.w.now, l.id, l.client.id) }
 
 // End implements query.Attempt.
 func (l *link) End(bool) {
@@ -377,7 +377,7 @@
 func (l *link) Sent() bool { return l.sent }
 
 // Over implements query.Attempt. These hosts say no last word before they close.
-func (l *link) Over() bool { return false }
+func (l *link) EndReceived() bool { return false }
 
 func (l *link) shut() {
 	l.open = false
@@ -391,7 +391,7 @@
 	w         *World
 	id        int
 	inherited bool
-	query     *query.Query
+	query     *query.Request
 	seen      lifemodel.Seen
 	server    balance.ServerID // of the last connection
 	link      *link            // that is open
@@ -410,7 +410,7 @@
 }
 
 // Up implements query.Client.
-func (c *client) Up(answer []byte) {
+func (c *client) Established(answer []byte) {
 	by := -1
 	_, _ = fmt.Sscanf(string(answer), "UP %d", &by)
 	c.answer(rules.Up, by)
@@ -429,7 +429,7 @@
 func (c *client) Reject(error) { c.answer(rules.Rejected, -1) }
 
 // Pass implements query.Client.
-func (c *client) Pass(line []byte) {
+func (c *client) Forward(line []byte) {
 	by := -1
 	_, _ = fmt.Sscanf(string(line), "line %d", &by)
 	c.w.Rules.Passed(c.w.now, by, c.id)
