--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -18,21 +18,22 @@
 	return a
 }
 
-// Adopted is a connection to a host that stood at another process of the node, until Attach says which try it is.
+// Adopted is a connection to a host that another process of the node established. Attach must follow.
 type Adopted struct{ attempt }
 
-// Adopt makes a handler of such a connection.
+// Adopt returns a handler for such a connection.
 func (c *Connector) Adopt(conn *evloop.Conn) *Adopted {
 	return &Adopted{attempt{connector: c, conn: conn, sent: true, established: true}}
 }
 
-// Attach says which try it is. What came meanwhile is handed on by Resume.
+// Attach sets the attempt to which the connection belongs. Resume handles the input that has arrived meanwhile.
 func (a *Adopted) Attach(ref query.AttemptRef) { a.ref = ref }
 
-// Resume hands on what has come.
+// Resume handles the input that has arrived, and all that follows.
 func (a *Adopted) Resume() { a.conn.Resume() }
 
-// Detach takes the connection of an attempt out of the loop for another process; see evloop.Conn.Detach.
+// Detach removes the connection of an attempt from the loop, to hand it to another process; see
+// evloop.Conn.Detach.
 func Detach(hostConn query.Attempt) (fd int, unread []byte, ok bool) {
 	a := unwrap(hostConn)
 	if a == nil || !a.established || a.ending != notEnding {
@@ -41,7 +42,7 @@
 	return a.conn.Detach()
 }
 
-// Idle says whether Detach would say yes.
+// Idle reports whether Detach would succeed.
 func Idle(hostConn query.Attempt) bool {
 	a := unwrap(hostConn)
 	return a != nil && a.established && a.ending == notEnding && a.conn.Idle()
@@ -57,18 +58,19 @@
 	return nil
 }
 
-// attempt is a query's connection to a host.
+// attempt is a connection to a host for one attempt of a request.
 type attempt struct {
 	connector   *Connector
 	ref         query.AttemptRef
 	conn        *evloop.Conn
 	deadline    time.Duration
-	sent        bool // the first line is written
+	sent        bool // the first line was written
 	established bool
-	ending      hostEnding // what the host said of the end
+	ending      hostEnding // what the host announced about the end
 	report      balance.Report
 }
 
+// hostEnding is the kind of the line with which a host announces the end of a connection.
 type hostEnding int
 
 const (
@@ -82,7 +84,7 @@
 // Opened implements evloop.Handler.
 func (a *attempt) Opened() {
 	if a.sent {
-		return // an adopted one
+		return // an adopted connection
 	}
 	if !a.ref.AllowSend() {
 		return
@@ -92,7 +94,8 @@
 	a.conn.Write(opener.OpenLine(nil, a.deadline-a.connector.loop.Now()))
 }
 
-// Received implements evloop.Handler. Before UP, the lines are for the node; from then on they are the client's.
+// Received implements evloop.Handler. Lines before UP are for this node. UP and all later lines are passed on to
+// the client.
 func (a *attempt) Received() {
 	for !a.established {
 		text, n, err := line.Next(a.conn.Peek())
@@ -122,7 +125,7 @@
 	a.forwardLines()
 }
 
-// ending notes a line that ends the connection.
+// recordEnding records a line that announces the end of the connection. It returns false for any other line.
 func (a *attempt) recordEnding(first string, rest []byte) bool {
 	switch first {
 	case "BYE":
@@ -140,7 +143,7 @@
 	return true
 }
 
-// pass hands complete lines to the client and takes note of what they say.
+// forwardLines passes complete lines on to the client, and reads the load and the end of the connection from them.
 func (a *attempt) forwardLines() {
 	data := a.conn.Peek()
 	n, err := line.Complete(data)
@@ -173,7 +176,7 @@
 	a.ref.HostFaulty()
 }
 
-// finish closes the connection after a line that ends it, before anything was passed on.
+// finish closes the connection after a line that ends it before it was established.
 func (a *attempt) finish(answer []byte) {
 	a.conn.Close()
 	a.ref.Ended(a.outcome(), true, a.report, answer)
@@ -204,17 +207,17 @@
 	}
 	outcome := a.outcome()
 	if errors.Is(err, evloop.ErrTooManyConns) {
-		outcome = balance.Unsent // no fault of the host's
+		outcome = balance.Unsent // not a fault of the host
 	}
-	// A host that has said its last word has ended in good order, whatever broke on the way.
+	// After the host has announced the end, the connection has ended cleanly, even if closing it failed.
 	a.ref.Ended(outcome, evloop.ClosedCleanly(err) || a.ending != notEnding, a.report, nil)
 }
 
-// Pass implements query.Attempt.
+// Forward implements query.Attempt.
 func (a *attempt) Forward(lines []byte) { a.conn.Write(lines) }
 
-// End implements query.Attempt. What the client sent last has to reach the host that holds its connection, so that this is
-// not closed over what the host still says: that would reset it.
+// End implements query.Attempt. If the host has established the connection, the client's last lines must reach it.
+// Therefore the connection lingers: closing it while the host still sends would reset it.
 func (a *attempt) End(clean bool) {
 	switch {
 	case !clean:
@@ -229,5 +232,5 @@
 // Sent implements query.Attempt.
 func (a *attempt) Sent() bool { return a.sent }
 
-// Over implements query.Attempt.
+// EndReceived implements query.Attempt.
 func (a *attempt) EndReceived() bool { return a.established && a.ending != notEnding }
--- a/internal/backend/connector.go
+++ b/internal/backend/connector.go
@@ -1,5 +1,5 @@
-// Package backend speaks the platform's lines with hosts: attempts, each on a connection of its own, and probes, on one
-// lasting connection for each host.
+// Package backend speaks the platform's line protocol with hosts. Each attempt has a connection of its own, and
+// the probes of a host share one persistent connection.
 package backend
 
 import (
@@ -11,8 +11,8 @@
 	"lichenhitch/internal/query"
 )
 
-// Opener is what a query's client must be besides for a host of this protocol: it gives the first line that it
-// sent. The core knows no lines, so the attempt asks the client for it.
+// Opener is implemented by clients of this protocol in addition to query.Client: it provides the first line that
+// the client sent. The core does not handle lines, so the attempt gets it from the client.
 type Opener interface {
 	OpenLine(to []byte, within time.Duration) []byte
 }
@@ -22,19 +22,19 @@
 	log            *slog.Logger
 	loop           *evloop.Loop
 	core           *query.Core
-	connectTimeout time.Duration // to connect
+	connectTimeout time.Duration
 	endpoint       func(balance.ServerID) string
 	probes         map[balance.ServerID]*probe
 }
 
-// New returns a connector. endpoint tells where a host is, or "".
+// New returns a connector. endpoint returns the address of a host, or "" if the host is not listed.
 func New(log *slog.Logger, loop *evloop.Loop, core *query.Core, connectTimeout time.Duration,
 	endpoint func(balance.ServerID) string) *Connector {
 	return &Connector{log: log, loop: loop, core: core, connectTimeout: connectTimeout, endpoint: endpoint,
 		probes: make(map[balance.ServerID]*probe)}
 }
 
-// Retune changes how long connecting may take.
+// SetConnectTimeout changes how long connecting may take.
 func (c *Connector) SetConnectTimeout(connectTimeout time.Duration) {
 	c.connectTimeout = connectTimeout
 }
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -10,10 +10,10 @@
 	"lichenhitch/internal/line"
 )
 
-// probeWithin is how long a host may take to answer a probe.
+// probeTimeout is how long a host may take to answer a probe.
 const probeTimeout = 500 * time.Millisecond
 
-// probe is the lasting connection on which a host is asked for its report.
+// probe is the persistent connection on which a host is asked for its load report.
 type probe struct {
 	connector  *Connector
 	server     balance.ServerID
@@ -21,7 +21,7 @@
 	conn       *evloop.Conn
 	open       bool
 	pending    bool
-	unanswered bool // nothing was answered yet on this connection
+	unanswered bool // no probe was answered on this connection yet
 	sentAt     time.Duration
 	timer      *evloop.Timer
 }
@@ -30,7 +30,7 @@
 func (c *Connector) Probe(server balance.ServerID) {
 	p := c.probes[server]
 	endpoint := c.endpoint(server)
-	if p != nil && p.endpoint != endpoint { // it started anew elsewhere
+	if p != nil && p.endpoint != endpoint { // the host has restarted with another address
 		p.end(balance.Cancelled)
 		p = nil
 	}
@@ -95,7 +95,7 @@
 	p.connector.core.Probed(p.server, outcome, p.connector.loop.Now()-p.sentAt, report)
 }
 
-// end drops the connection; the next probe makes a new one.
+// end closes the connection and reports the outcome. The next probe opens a new connection.
 func (p *probe) end(outcome balance.Outcome) {
 	p.drop()
 	p.report(outcome, balance.Report{})
@@ -108,7 +108,8 @@
 	p.conn.Close()
 }
 
-// Closed implements evloop.Handler. A connection that idled may be closed by the host just as it is asked.
+// Closed implements evloop.Handler. A host may close an idle connection just when a probe is sent on it. Such a
+// probe is sent again on a new connection.
 func (p *probe) Closed(err error) {
 	switch {
 	case errors.Is(err, evloop.ErrTooManyConns):
--- a/internal/clientconn/acceptor.go
+++ b/internal/clientconn/acceptor.go
@@ -1,5 +1,5 @@
-// Package clientconn speaks the platform's lines with clients: an Acceptor makes a Conn of each connection that is accepted,
-// and a Conn brings its request to the core and carries the answer back.
+// Package clientconn speaks the platform's line protocol with clients. An Acceptor creates a Conn for each
+// accepted connection. A Conn passes the client's request to the core and returns the answer.
 package clientconn
 
 import (
@@ -15,33 +15,34 @@
 )
 
 const (
-	// firstWithin is how long a connection may stand without a request. A client asks as soon as it is connected;
-	// an error or a close is owed to the others within 3 s. What trickles in, and PING, does not renew it.
+	// requestTimeout is how long a connection may stay open without a request. Clients send their request as soon
+	// as they are connected; others must get an error or be closed within 3 s. Neither an incomplete line nor PING
+	// extends the time.
 	requestTimeout = 2 * time.Second
-	// fullRetry is when a client may come again that found too many connections here.
+	// fullRetryAfter is when a client may try again that was throttled because there were too many connections.
 	fullRetryAfter = time.Second
-	// tellEvery is how often the log tells of connections that were turned away.
+	// logInterval is the interval at which rejected connections are logged.
 	logInterval = 10 * time.Second
 )
 
-// Acceptor makes a Conn of each accepted connection.
+// Acceptor creates a Conn for each accepted connection.
 type Acceptor struct {
 	log        *slog.Logger
 	loop       *evloop.Loop
 	core       *query.Core
 	classes    map[string]balance.Class
-	tenants    map[string]bool // nil where none are told
-	retryAfter time.Duration   // when a client that is rejected for want of connections may come again
+	tenants    map[string]bool // nil if the settings list none
+	retryAfter time.Duration   // when a client that is throttled because of too many connections may try again
 	maxConns   int
 	openIDs    map[string]bool // of the requests that are open
-	rejected   map[error]int   // connections turned away since the log last told of them, by the reason
+	rejected   map[error]int   // connections rejected since the last log line, by reason
 	logPending bool
-	serving    func() bool // whether the node wants clients
-	awaiting   list.List   // of clients that have sent no request yet, in the order in which they came
+	serving    func() bool // whether the node accepts clients
+	awaiting   list.List   // clients that have not sent a request yet, in the order of their arrival
 }
 
-// New returns an acceptor. Above maxLinks connections, requests are rejected. serving tells what PING asks; whoever asks for
-// more is served all the same.
+// New returns an acceptor. With maxConns or more active connections, requests are throttled. serving determines
+// the answer to PING; a client that sends a request is served in any case.
 func New(log *slog.Logger, loop *evloop.Loop, core *query.Core, set balance.Settings, maxConns int,
 	serving func() bool) *Acceptor {
 	a := &Acceptor{serving: serving, log: log, loop: loop, core: core, maxConns: maxConns, openIDs: map[string]bool{},
@@ -50,7 +51,7 @@
 	return a
 }
 
-// Retune takes new settings up for connections whose first line comes from now on.
+// ApplySettings applies new settings to connections whose first line arrives from now on.
 func (a *Acceptor) ApplySettings(set balance.Settings) {
 	a.retryAfter, a.classes, a.tenants = min(fullRetryAfter, set.MaxRetryAfter), map[string]balance.Class{}, nil
 	for _, c := range set.Classes {
@@ -64,10 +65,11 @@
 	}
 }
 
-// Limit changes above how many connections requests are rejected.
+// SetMaxConns changes the number of connections from which on requests are throttled.
 func (a *Acceptor) SetMaxConns(maxConns int) { a.maxConns = maxConns }
 
-// Accept gives a connection its handler. Until it has a request, it is the first to go when there are too many.
+// Accept returns the handler of a connection. Until the client has sent a request, the connection is among the
+// first to be evicted when there are too many.
 func (a *Acceptor) Accept(conn *evloop.Conn) evloop.Handler {
 	c := &Conn{acceptor: a, conn: conn}
 	c.awaitingElement = a.awaiting.PushBack(c)
@@ -77,24 +79,27 @@
 	return c
 }
 
-// Resting returns how many clients have sent no request yet. Each may do so at any moment, and is owed an answer then.
+// AwaitingRequest returns the number of clients that have not sent a request yet. Each may send one at any moment
+// and must then be answered.
 func (a *Acceptor) AwaitingRequest() int { return a.awaiting.Len() }
 
-// TurnAway refuses all clients that have sent no request yet: what they send from now on is answered already.
+// ThrottleAwaiting throttles all clients that have not sent a request yet. This already answers what they send
+// from now on.
 func (a *Acceptor) ThrottleAwaiting() {
 	for a.awaiting.Len() > 0 {
 		a.awaiting.Front().Value.(*Conn).Throttle(a.retryAfter)
 	}
 }
 
-// Adopt makes a Conn of a connection that stood at another process of the node, under its id. Resume must follow.
+// Adopt creates a Conn for a connection that another process of the node established under the given id. Resume
+// must follow.
 func (a *Acceptor) Adopt(conn *evloop.Conn, id string) *Conn {
 	a.openIDs[id] = true
 	return &Conn{acceptor: a, conn: conn, open: line.Open{ID: id}, established: true}
 }
 
-// note counts a connection that is turned away. One that comes back at once, again and again, must stay cheap: the
-// log tells sums.
+// recordRejection counts a rejected connection. Rejections must stay cheap, since a client may reconnect at once
+// again and again. Therefore only totals are logged.
 func (a *Acceptor) recordRejection(reason error) {
 	for _, known := range []error{line.ErrTooLong, line.ErrMalformed} {
 		if errors.Is(reason, known) {
@@ -108,14 +113,14 @@
 	a.logPending = true
 	a.loop.After(logInterval, func() {
 		for reason, n := range a.rejected {
-			a.log.Warn("connections were turned away", "reason", reason, "count", n)
+			a.log.Warn("connections were rejected", "reason", reason, "count", n)
 		}
 		clear(a.rejected)
 		a.logPending = false
 	})
 }
 
-// check says why a request cannot be taken, if so.
+// check returns why a request cannot be accepted, or nil.
 func (a *Acceptor) check(o line.Open) error {
 	switch _, known := a.classes[o.Class]; {
 	case !known:
@@ -123,7 +128,7 @@
 	case a.tenants != nil && o.Tenant != "" && !a.tenants[o.Tenant]:
 		return errTenant
 	case a.openIDs[o.ID]:
-		return errIDInUse // its owner is not disturbed
+		return errIDInUse // the request that has this id goes on
 	}
 	return nil
 }
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -11,7 +11,8 @@
 	"lichenhitch/internal/query"
 )
 
-// The faults of a client, besides those of its line.
+// Faults of a client other than those of a line. Clients receive these texts in ERR lines, except for errFull,
+// which is only logged.
 var (
 	errNoRequest    = errors.New("no query has come")
 	errSentTooEarly = errors.New("a client sends one line and waits for the answer")
@@ -25,15 +26,15 @@
 type Conn struct {
 	acceptor        *Acceptor
 	conn            *evloop.Conn
-	requestTimer    *evloop.Timer // of the first line
+	requestTimer    *evloop.Timer // of requestTimeout
 	open            line.Open
-	awaitingElement *list.Element  // among the acceptor's resting clients, until a request has come
-	request         *query.Request // once a first line has come
+	awaitingElement *list.Element  // in Acceptor.awaiting, until a request has arrived
+	request         *query.Request // nil until the first line has arrived
 	established     bool
 	ended           bool
 }
 
-// Resume gives an adopted client its request and hands on what has come.
+// Resume sets the request of an adopted connection and handles the input that has arrived.
 func (c *Conn) Resume(request *query.Request) {
 	c.request = request
 	c.conn.Resume()
@@ -42,10 +43,10 @@
 // ID returns the id that the client gave.
 func (c *Conn) ID() string { return c.open.ID }
 
-// Idle says whether Detach would say yes.
+// Idle reports whether Detach would succeed.
 func (c *Conn) Idle() bool { return c.established && !c.ended && c.conn.Idle() }
 
-// Detach takes the connection out of the loop for another process; see evloop.Conn.Detach.
+// Detach removes the connection from the loop, to hand it to another process; see evloop.Conn.Detach.
 func (c *Conn) Detach() (fd int, unread []byte, ok bool) {
 	if fd, unread, ok = c.conn.Detach(); ok {
 		c.markEnded()
@@ -53,7 +54,7 @@
 	return fd, unread, ok
 }
 
-// Opened implements evloop.Handler. The client speaks first.
+// Opened implements evloop.Handler. The client sends first.
 func (c *Conn) Opened() {}
 
 // Received implements evloop.Handler.
@@ -69,8 +70,8 @@
 	}
 }
 
-// first takes a line on a connection that has no request yet. What comes with it, before its answer, no host could
-// make sense of.
+// receiveRequest handles the first line of a connection. Further input before the answer is a fault of the client,
+// since no host could handle it.
 func (c *Conn) receiveRequest() {
 	data := c.conn.Peek()
 	text, n, err := line.Next(data)
@@ -101,7 +102,7 @@
 	}
 }
 
-// arrive brings the request to the core.
+// arrive passes the request to the core.
 func (c *Conn) arrive(open line.Open) {
 	if c.acceptor.loop.ActiveConns() >= c.acceptor.maxConns {
 		c.acceptor.recordRejection(errFull)
@@ -122,7 +123,7 @@
 		open.At, open.Wait)
 }
 
-// pass hands complete lines to the host.
+// forwardLines passes complete lines on to the host.
 func (c *Conn) forwardLines() {
 	data := c.conn.Peek()
 	n, err := line.Complete(data)
@@ -132,24 +133,24 @@
 	}
 	if err != nil && !c.ended {
 		c.acceptor.recordRejection(err)
-		c.request.ClientFaulty(err) // its host still answers: it is moved, not merely cut off
+		c.request.ClientFaulty(err) // the host still answers, so the client is moved and not merely cut off
 	}
 }
 
-// Reject implements query.Client: it answers a client that cannot be served.
+// Reject implements query.Client. It answers a client that cannot be served.
 func (c *Conn) Reject(err error) {
 	c.acceptor.recordRejection(err)
 	c.finish([]byte("ERR " + err.Error() + "\r\n"))
 }
 
-// finish says a last line, unless there is none, and closes.
+// finish sends a last line and closes the connection.
 func (c *Conn) finish(last []byte) {
 	c.markEnded()
 	c.conn.Write(last)
 	c.conn.LingeringClose()
 }
 
-// leave notes that the client is gone, or as good as gone.
+// markEnded records that the client is gone, or that its connection is being closed.
 func (c *Conn) markEnded() {
 	if c.ended {
 		return
@@ -162,7 +163,7 @@
 	}
 }
 
-// endRest takes the client off those that have sent no request.
+// stopAwaiting removes the client from those that have not sent a request.
 func (c *Conn) stopAwaiting() {
 	if c.awaitingElement != nil {
 		c.acceptor.awaiting.Remove(c.awaitingElement)
@@ -178,10 +179,11 @@
 	}
 }
 
-// OpenLine appends the query's first line for a host that is to answer within a time.
+// OpenLine implements backend.Opener. It appends the first line of the request, for a host that must answer in the
+// time left.
 func (c *Conn) OpenLine(to []byte, timeLeft time.Duration) []byte { return c.open.Append(to, timeLeft) }
 
-// Up implements query.Client.
+// Established implements query.Client.
 func (c *Conn) Established(answer []byte) {
 	c.established = true
 	c.conn.Write(answer)
@@ -190,7 +192,7 @@
 // Served implements query.Client.
 func (c *Conn) Served(answer []byte) { c.finish(answer) }
 
-// Pass implements query.Client.
+// Forward implements query.Client.
 func (c *Conn) Forward(lines []byte) { c.conn.Write(lines) }
 
 // Throttle implements query.Client.
@@ -199,7 +201,7 @@
 // Fail implements query.Client.
 func (c *Conn) Fail() { c.finish([]byte("FAIL\r\n")) }
 
-// Move implements query.Client. Only whole lines were passed on, so that MOVE stands between two.
+// Move implements query.Client. Only complete lines were passed on, so that MOVE does not split one.
 func (c *Conn) Move() { c.finish([]byte("MOVE\r\n")) }
 
 // End implements query.Client.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,6 @@
-// Package discovery keeps discovery's list of hosts: it watches for changes over HTTP, tells the core of them and
-// knows each host's address. Package watch decides when to call; a Client carries that out on a connection.
+// Package discovery maintains the list of hosts: it watches discovery for changes over HTTP, passes them to the
+// core and keeps each host's address. Package watch decides when to call discovery; a Client makes the calls on a
+// connection.
 package discovery
 
 import (
@@ -16,19 +17,19 @@
 	"lichenhitch/internal/query"
 )
 
-// dialTimeout is when a connection that does not come up is given up: half of what a call may take, for the answer needs
-// time too.
+// dialTimeout is how long connecting may take: half of the time that a call may take, since the answer needs time
+// too.
 const dialTimeout = watch.CallWithin / 2
 
-// The ends of a call that are no fault of the connection.
+// Reasons for the end of a call other than errors of the connection.
 var (
 	errTimeout   = errors.New("no answer in time")
-	errOutdated  = errors.New("the answer tells changes to a list that is older than the one that is held")
-	errNoList    = errors.New("the answer tells changes where the whole list was asked for")
+	errOutdated  = errors.New("the answer has changes to an older list than the one held")
+	errNoList    = errors.New("the answer has only changes, but the whole list was requested")
 	errCallEnded = errors.New("the connection has ended")
 )
 
-// Client calls discovery and keeps what it told.
+// Client calls discovery and keeps the list of hosts.
 type Client struct {
 	log         *slog.Logger
 	loop        *evloop.Loop
@@ -36,18 +37,19 @@
 	random      *rand.Rand
 	address     string // of discovery
 	rev         int64
-	hasList     bool // there is or was a list
-	answered    bool // discovery has told one
-	failing     bool // the last call failed, or discovery has moved and has not answered yet
-	hosts       map[balance.ServerID]string
+	hasList     bool                        // there is a list, or was one
+	answered    bool                        // discovery has sent a list since the start
+	failing     bool                        // the last call failed, or discovery's address has changed and the new one has not answered yet
+	hosts       map[balance.ServerID]string // addresses
 	watch       watch.Watch
 	timer       *evloop.Timer // of the watch
 	conn        *evloop.Conn
 	open        bool
-	onFirstList func() // to be called once discovery has told a list
+	onFirstList func() // called once discovery has sent a list
 }
 
-// New returns a client that asks discovery at an address, once it is started. The seed is for the spread of its calls.
+// New returns a client for discovery at an address. Start begins the calls. The seed is for the random spread of
+// the calls.
 func New(log *slog.Logger, loop *evloop.Loop, core *query.Core, address string, set balance.Settings, seed uint64) *Client {
 	return &Client{log: log, loop: loop, core: core, address: address, hosts: make(map[balance.ServerID]string),
 		watch: watch.Watch{Terms: termsOf(set)}, random: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
@@ -57,32 +59,32 @@
 	return watch.Terms{Push: !set.ListOnRequest, AskWithin: set.Safety.ListRefreshInterval, Grace: set.Safety.DrainGrace}
 }
 
-// Retune takes new settings up, from the next call on.
+// ApplySettings applies new settings from the next call on.
 func (c *Client) ApplySettings(set balance.Settings) { c.watch.Terms = termsOf(set) }
 
-// Endpoint returns a host's address, or "" for one that is not listed.
+// Endpoint returns a host's address, or "" if the host is not listed.
 func (c *Client) Endpoint(server balance.ServerID) string { return c.hosts[server] }
 
-// Known says whether there is a list of hosts, be it an old one.
+// HasList reports whether there is a list of hosts, even if it is old.
 func (c *Client) HasList() bool { return c.hasList }
 
-// Answered says whether discovery has answered since the start.
+// Answered reports whether discovery has answered since the start.
 func (c *Client) Answered() bool { return c.answered }
 
-// Stale says whether the list may be an old one: discovery does not answer, or has not yet. A watch that is lost without a
-// word is noticed within watch.Hold and watch.Overdue.
+// Stale reports whether the list may be out of date: discovery does not answer, or has not answered yet. If a
+// watch is lost without an error, this is detected within watch.Hold and watch.Overdue.
 func (c *Client) Stale() bool { return !c.answered || c.failing }
 
-// Restore takes the list as this node last had it.
+// Restore applies the list that this node has saved.
 func (c *Client) Restore(list List) {
 	c.applyList(list, balance.ListSaved)
 	c.watch.Listed = true
 }
 
-// Start begins to watch, for as long as the loop runs.
+// Start begins to watch discovery, for as long as the loop runs.
 func (c *Client) Start() { c.step(watch.Start) }
 
-// AfterFirst calls f once discovery has told a list, or after a time if that is earlier.
+// OnFirstList calls f once discovery has sent a list, or after the timeout if that is earlier.
 func (c *Client) OnFirstList(timeout time.Duration, f func()) {
 	if c.answered {
 		f()
@@ -99,11 +101,11 @@
 	}
 }
 
-// Subscribe implements query.Group. The watch goes on by itself, whatever the balancer thinks of it.
+// Subscribe implements query.Group. It does nothing, since the client watches discovery anyway.
 func (c *Client) Subscribe() {}
 
-// Relocate goes over to another discovery and asks it for the whole list at once: its versions may count
-// differently. The hosts known so far stay until it answers. With the address unchanged nothing is disturbed.
+// Relocate switches to discovery at another address and requests the whole list at once, since its revisions may
+// be counted differently. The known hosts stay until it answers. If the address is the same, nothing changes.
 func (c *Client) Relocate(address string) {
 	if address != c.address {
 		c.address, c.failing = address, true
@@ -111,7 +113,7 @@
 	}
 }
 
-// step brings an event to the watch and carries its order out.
+// step applies an event to the watch and carries out its order.
 func (c *Client) step(kind watch.Kind) {
 	var order watch.Order
 	c.watch, order = c.watch.Step(watch.Event{Kind: kind, Now: c.loop.Now(), Chance: c.random.Float64()})
@@ -127,7 +129,8 @@
 	}
 }
 
-// due is the time that the watch named: that of the next call, or the end of one that was not answered.
+// timerFired handles the timer of the watch: the time of the next call, or the time-out of a call without an
+// answer.
 func (c *Client) timerFired() {
 	if c.watch.Phase == watch.Calling {
 		c.fail(watch.Due, errTimeout)
@@ -136,7 +139,7 @@
 	c.step(watch.Due)
 }
 
-// call asks on the connection that there is, or on a new one.
+// call makes a call on the present connection, or on a new one.
 func (c *Client) call() {
 	if c.conn == nil {
 		c.open = false
@@ -163,7 +166,8 @@
 	c.sendCall()
 }
 
-// Received implements evloop.Handler. The time of a call is that of its whole answer: bytes do not renew it.
+// Received implements evloop.Handler. The time-out of a call covers the complete answer; partial input does not
+// extend it.
 func (c *Client) Received() {
 	response, err := http1.ParseResponse(c.conn.Peek())
 	if err != nil {
@@ -192,11 +196,11 @@
 	c.answer(list, response)
 }
 
-// answer takes a list that discovery has told, and goes on watching at once: a watch lasts only as long as the next call
-// follows.
+// answer applies a list that discovery has sent, and calls again at once: a watch lasts only if the next call
+// follows directly.
 func (c *Client) answer(list List, response http1.Response) {
 	if c.conn.Discard(response.Size); response.Close || len(c.conn.Peek()) > 0 {
-		c.drop() // what came unasked would be taken for the next answer
+		c.drop() // unrequested input would be taken for the next answer
 	}
 	if c.failing && c.watch.Failures > 0 {
 		c.log.Info("discovery answers again", "failed calls", c.watch.Failures)
@@ -211,7 +215,7 @@
 	c.step(watch.Answered)
 }
 
-// take notes where hosts are and tells the core.
+// applyList stores the hosts' addresses and passes the list to the core.
 func (c *Client) applyList(list List, kind balance.ListKind) {
 	c.rev, c.hasList = list.Rev, true
 	if list.All {
@@ -227,9 +231,9 @@
 	c.core.List(kind, list.Hosts)
 }
 
-// fail ends a call. The list that is held stays.
+// fail ends a call that failed. The present list stays.
 func (c *Client) fail(kind watch.Kind, err error) {
-	if c.watch.Failures == 0 { // an agent is called many times a second
+	if c.watch.Failures == 0 { // only the first in a row, since a local agent is called many times per second
 		c.log.Warn("discovery did not answer", "error", err)
 	}
 	c.failing = true
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,7 +11,7 @@
 	"lichenhitch/balance"
 )
 
-// List is what discovery tells of the host group: all of it, or what has changed.
+// List is what discovery sends of the host group: all hosts, or those that have changed.
 type List struct {
 	Rev       int64
 	All       bool
@@ -23,7 +23,7 @@
 	"in_service": balance.Ready, "terminating": balance.Draining, "terminated": balance.Gone,
 }
 
-// ParseList reads a list in discovery's form. Unknown keys are passed over; an error names the faulty one.
+// ParseList parses a list in discovery's format. Unknown keys are ignored. An error names the invalid key.
 func ParseList(raw []byte) (List, error) {
 	if !gjson.ValidBytes(raw) {
 		return List{}, errors.New("not valid JSON")
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -10,7 +10,7 @@
 	"lichenhitch/balance"
 )
 
-func TestListsAreReadOrNamedFaulty(t *testing.T) {
+func TestParseListReadsListsAndNamesInvalidKeys(t *testing.T) {
 	l, err := ParseList([]byte(`{"rev":43,"all":false,"new":1,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:7",
 		"az":"a","model":"m2","pod_group":3,"state":"terminating","capacity_hint":1.5,"boot_ms":1700000000123}]}`))
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	}
 }
 
-// FuzzList feeds the parser of lists: an error is fine, a panic is not.
+// FuzzList checks that ParseList does not panic on any input. Errors are fine.
 func FuzzList(f *testing.F) {
 	f.Add([]byte(`{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:7","state":"in_service"}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/query/bench_test.go
+++ b/internal/query/bench_test.go
@@ -9,7 +9,7 @@
 	"lichenhitch/balance"
 )
 
-// still is a world in which nothing is scheduled: it costs as little as can be, so that the core's own work shows.
+// idleEnv is an environment that schedules nothing, so that the benchmark measures little else than the core.
 type idleEnv struct {
 	now  time.Duration
 	last AttemptRef
@@ -29,7 +29,7 @@
 func (env *idleEnv) Probe(balance.ServerID) {}
 func (env *idleEnv) Subscribe()             {}
 
-// quiet is a client that keeps nothing.
+// discardingClient is a client that ignores everything.
 type discardingClient struct{}
 
 func (discardingClient) Established([]byte)     {}
@@ -41,8 +41,9 @@
 func (discardingClient) Move()                  {}
 func (discardingClient) End(bool)               {}
 
-// BenchmarkQuery is the cost of one query in the core, from its arrival to the end of its connection: one attempt
-// is refused as full, the next one stands. Counting is off, as without a site file, or on.
+// BenchmarkQuery measures the cost of one request in the core, from its arrival to the end of its connection: the
+// first attempt is refused with BUSY, the second one is established. Counting is off, as without a site file, or
+// on.
 func BenchmarkQuery(b *testing.B) {
 	for name, on := range map[string]bool{"off": false, "on": true} {
 		b.Run(name, func(b *testing.B) { benchmarkQuery(b, on) })
@@ -72,6 +73,6 @@
 		env.last.Ended(balance.OK, true, balance.Report{}, nil)
 	}
 	if c.Waiting() != 0 || c.Established() != 0 {
-		b.Fatal("a query was left")
+		b.Fatal("a request was left")
 	}
 }
--- a/internal/query/bound.go
+++ b/internal/query/bound.go
@@ -12,20 +12,23 @@
 	"lichenhitch/internal/lifecycle"
 )
 
-// clearWithin is how long a host that the council has taken out may keep connections of this node that stand, before the
-// node calls itself clear of it all the same: it sends nothing new there, and moves them bit by bit over some 8 s.
+// clearTimeout is how long an excluded host may keep established connections of this node before the node reports
+// it as cleared in any case. The node sends nothing new to the host, and moves its connections gradually within
+// about 8 s.
 const clearTimeout = 15 * time.Second
 
-// bound is what the site's council allows this node. Nothing is withheld where there is no council.
+// restrictions is what the site's consensus group allows this node to send. Without a consensus group nothing is
+// withheld.
 type restrictions struct {
 	enabled       bool
 	verdict       rights.Verdict
-	withheldSince map[balance.ServerID]time.Duration // hosts withheld, since when
-	suspended     map[balance.ServerID]bool          // of these, those that the balancer knows of
+	withheldSince map[balance.ServerID]time.Duration // since when each host is withheld
+	suspended     map[balance.ServerID]bool          // the hosts that are withheld, of which the balancer was notified
 }
 
-// Bind takes the council's latest word over; it is whole and replaces the one before. When Bind returns, nothing new goes to
-// the hosts that are out: attempts whose first line was not written yet end unsent.
+// ApplyVerdict applies the latest verdict of the site's consensus group. It is complete and replaces the one
+// before. From its return on, nothing new is sent to excluded hosts: attempts whose first line was not yet written
+// end unsent.
 func (c *Core) ApplyVerdict(v rights.Verdict) {
 	if c.restrictions.withheldSince == nil {
 		c.restrictions.withheldSince, c.restrictions.suspended = map[balance.ServerID]time.Duration{}, map[balance.ServerID]bool{}
@@ -34,22 +37,24 @@
 	c.syncWithheld()
 }
 
-// Lapsed says whether this node is bound by a council and its right to send has run out.
+// LeaseExpired reports whether this node needs a send lease of a consensus group, and its lease has expired.
 func (c *Core) LeaseExpired() bool {
 	return c.restrictions.enabled && c.clock.Now() >= c.restrictions.verdict.Until
 }
 
-// Untold says whether this node has never been told what is out, so that it may send nothing.
+// LacksExclusionSet reports whether this node has no send lease and has never received an exclusion set, so that
+// it may send nothing.
 func (c *Core) LacksExclusionSet() bool { return c.LeaseExpired() && c.restrictions.verdict.All }
 
-// withheld says whether the council's word, or the end of the right, forbids to send anything new to a host. It is asked
-// with the clock of this moment, so that a process that was stopped does not go on with a right that has run out.
+// withheld reports whether the verdict, or the expiry of the send lease, forbids to send anything new to a host.
+// It reads the clock itself, so that a process that was suspended does not continue on a lease that has expired.
 func (c *Core) withheld(server balance.ServerID) bool {
 	return c.restrictions.enabled && c.restrictions.verdict.Withholds(string(server), c.clock.Now())
 }
 
-// keep has the balancer know what is withheld now. A node that was never told anything withholds all, which the balancer
-// is not told: every host would count as just started once the first right is there. Its attempts end unsent.
+// syncWithheld notifies the balancer of the hosts that are withheld now. A node that has never received an
+// exclusion set withholds all hosts without notifying the balancer: otherwise every host would count as just
+// started once the first send lease arrives. Its attempts end unsent.
 func (c *Core) syncWithheld() {
 	if !c.restrictions.enabled {
 		return
@@ -83,8 +88,8 @@
 	}
 }
 
-// Clear returns those of the hosts that the council has taken out that this node sends nothing new to: no attempt is out
-// there, and the connections that stood are moved, or had their time.
+// ClearedHosts returns the excluded hosts to which this node sends nothing new: no attempt is in progress there,
+// and the established connections were moved, or had clearTimeout to be moved.
 func (c *Core) ClearedHosts() (all []rights.Out) {
 	if !c.restrictions.enabled || len(c.restrictions.verdict.Outs) == 0 {
 		return nil
@@ -108,12 +113,12 @@
 	return all
 }
 
-// Verdict returns the council's word that is in effect here.
+// Verdict returns the verdict that is in effect.
 func (c *Core) Verdict() rights.Verdict { return c.restrictions.verdict }
 
-// Look returns what this node sees of its hosts, for its council; stale says that discovery does not answer. One that drains,
-// or has started less than coldFor ago, is not warm. Those that have left the list are not among them. Worth is that of the
-// connections that stand.
+// ObserveHosts returns what this node observes of the hosts in the list, for the site's consensus group. stale
+// says that discovery does not answer. A host that drains, or that started less than coldFor ago, is not warm.
+// Worth sums up the value of the established connections for each host.
 func (c *Core) ObserveHosts(coldFor time.Duration, value func(class string) float64, stale bool) *census.Look {
 	look := &census.Look{Hosts: make([]census.Host, 0, len(c.hosts)), Worth: map[string]float64{}, Failing: c.ejectedHosts(), Stale: stale}
 	for _, server := range sortedKeys(c.hosts) {
@@ -132,12 +137,12 @@
 			}
 		}
 	}
-	maps.DeleteFunc(groups, func(group string, _ float64) bool { return sizes[group] < 2 }) // one alone is with nobody
+	maps.DeleteFunc(groups, func(group string, _ float64) bool { return sizes[group] < 2 }) // a group of one connection needs no common host
 	look.Groups = c.topGroups(groups)
 	return look
 }
 
-// gathering returns the groups that are worth the most with their homes, as many as a council may be told of.
+// topGroups returns the groups of the highest value with their preferred hosts, at most twice census.MostGroups.
 func (c *Core) topGroups(values map[string]float64) (all []census.Group) {
 	b, ok := c.balancer.(interface {
 		PreferredServers(group string) []balance.ServerID
@@ -158,7 +163,7 @@
 	return all
 }
 
-// failing returns the hosts that the balancer has set aside for their failures, sorted.
+// ejectedHosts returns the hosts that the balancer has ejected for their failures, sorted.
 func (c *Core) ejectedHosts() (all []string) {
 	if b, ok := c.balancer.(interface{ Ejected() []balance.ServerID }); ok {
 		for _, server := range b.Ejected() {
--- a/internal/query/bound_test.go
+++ b/internal/query/bound_test.go
@@ -10,21 +10,21 @@
 	"lichenhitch/internal/choice/rights"
 )
 
-// open has the attempt that is out ask whether its first line may go, as a backend connection does, and returns the answer.
+// allowSend calls AllowSend of the latest attempt, as its connection does before it writes the first line.
 func (env *testEnv) allowSend() bool { return env.last.AllowSend() }
 
-func TestAHostThatTheCouncilTakesOutGetsNothingFromThatMoment(t *testing.T) {
+func TestExcludedHostGetsNothingNewAtOnce(t *testing.T) {
 	env, c := newCore("a")
 	env.arrive(c, "")
 	c.ApplyVerdict(rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 7}}, Until: env.now + time.Hour})
-	assert.Empty(t, c.ClearedHosts(), "an attempt is out there")
-	assert.False(t, env.allowSend(), "its first line was not written yet, and may not be any more")
+	assert.Empty(t, c.ClearedHosts(), "an attempt is in progress there")
+	assert.False(t, env.allowSend(), "its first line was not yet written, and must not be written any more")
 	assert.Equal(t, []rights.Out{{Host: "a", Round: 7}}, c.ClearedHosts())
 	env.advance(3 * time.Second)
 	assert.Equal(t, []string{"throttle"}, env.answers)
 }
 
-func TestAHostIsClearOnceWhatStoodThereIsMovedOrHadItsTime(t *testing.T) {
+func TestHostIsClearedOnceItsConnectionsAreMovedOrTimedOut(t *testing.T) {
 	env, c := newCore("a")
 	env.arrive(c, "")
 	env.last.Established(nil)
@@ -32,10 +32,10 @@
 	assert.Empty(t, c.ClearedHosts())
 	env.advance(clearTimeout)
 	assert.Len(t, c.ClearedHosts(), 1)
-	assert.Empty(t, c.ObserveHosts(0, func(string) float64 { return 1 }, false).Worth, "it was moved")
+	assert.Empty(t, c.ObserveHosts(0, func(string) float64 { return 1 }, false).Worth, "its connection was moved")
 }
 
-func TestARightThatHasRunOutIsNotActedOn(t *testing.T) {
+func TestExpiredSendLeaseIsNotUsed(t *testing.T) {
 	env, c := newCore("a", "b")
 	c.ApplyVerdict(rights.Verdict{Lapsed: []string{"a"}, Until: env.now + time.Second})
 	var servers []balance.ServerID
@@ -49,19 +49,19 @@
 			refs = append(refs, ref)
 		}
 	}
-	env.now += 2 * time.Second // the process was stopped: no timer came due, and the first lines are still to be written
+	env.now += 2 * time.Second // the process was suspended: no timer has fired, and the first lines are not yet written
 	for _, ref := range refs {
-		assert.False(t, ref.AllowSend(), "the right has run out meanwhile")
+		assert.False(t, ref.AllowSend(), "the send lease has expired meanwhile")
 	}
 	for range 20 {
 		assert.NotEqual(t, balance.ServerID("a"), env.arrive(c, "").server)
 	}
 	c.ApplyVerdict(rights.Verdict{Lapsed: []string{"a"}, Until: env.now + time.Hour})
 	assert.False(t, c.LeaseExpired())
-	assert.NotContains(t, c.restrictions.suspended, balance.ServerID("a"), "with a new right it is in use again")
+	assert.NotContains(t, c.restrictions.suspended, balance.ServerID("a"), "with a new send lease the host is in use again")
 }
 
-func TestANodeThatWasNeverToldWhatIsOutSendsNothing(t *testing.T) {
+func TestNodeWithoutAnExclusionSetSendsNothing(t *testing.T) {
 	env, c := newCore("a", "b")
 	c.ApplyVerdict(rights.Verdict{All: true})
 	assert.True(t, c.LacksExclusionSet())
@@ -70,23 +70,23 @@
 		assert.False(t, env.allowSend())
 	}
 	env.advance(3 * time.Second)
-	assert.Equal(t, []string{"throttle"}, env.answers, "nothing was sent, so that trying again is harmless")
+	assert.Equal(t, []string{"throttle"}, env.answers, "nothing was sent, so trying again is harmless")
 	c.ApplyVerdict(rights.Verdict{All: true, Until: env.now + time.Hour})
 	env.arrive(c, "")
 	assert.True(t, env.allowSend())
 }
 
-func TestABanByHandAndATurnEndWithTheLastOfThem(t *testing.T) {
+func TestHostReturnsOnceBothItsBanAndItsTurnHaveEnded(t *testing.T) {
 	excluded := rights.Verdict{Outs: []rights.Out{{Host: "a", Round: 1}}, Until: 2 * time.Hour}
 	notExcluded := rights.Verdict{Until: 2 * time.Hour}
 	for name, steps := range map[string][4]func(*Core, time.Duration){
-		"ban, turn, back, over": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) },
+		"ban, turn, ban ends, turn ends": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) },
 			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }},
-		"ban, turn, over, back": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) },
+		"ban, turn, turn ends, ban ends": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) },
 			func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
-		"turn, ban, back, over": {func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
+		"turn, ban, ban ends, turn ends": {func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
 			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }},
-		"turn, ban, over, back": {func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
+		"turn, ban, turn ends, ban ends": {func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
 			func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
 	} {
 		env, c := newCore("a", "b")
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestWhatALookAtTheHostsTells(t *testing.T) {
+func TestObserveHosts(t *testing.T) {
 	env, c := newCore("a", "b", "c", "d")
 	for _, group := range []string{"room", "room", "alone", ""} {
 		r := c.Arrive(env, balance.Arrival{Class: "chat", Group: group}, "", 2*time.Second)
@@ -120,7 +120,7 @@
 		sum += value
 	}
 	assert.Equal(t, 8.0, sum)
-	if assert.Len(t, look.Groups, 1, "one alone is with nobody") {
+	if assert.Len(t, look.Groups, 1, "a group of one connection is not reported") {
 		assert.Equal(t, "room", look.Groups[0].Name)
 		assert.Equal(t, 4.0, look.Groups[0].Worth)
 		assert.Len(t, look.Groups[0].Homes, 3)
--- a/internal/query/count.go
+++ b/internal/query/count.go
@@ -10,57 +10,61 @@
 	"lichenhitch/internal/lifecycle"
 )
 
-// This file counts what became of the queries, as evidence of a policy. What is counted is meant to be the same under any
-// policy but for what the policy does to the clients: nothing here goes by the settings. Three things depend on the policy all
-// the same: clients that were refused or failed come again, here or elsewhere, and are offered once more; connections that
-// are served longer have more time to break; and what stood when a policy came may break under it.
+// This file counts the outcomes of requests, as evidence for or against a policy. The counting does not depend on the
+// settings, so that counts under different policies differ only by what the policies do to the clients. There are three
+// exceptions: clients that were refused or failed come back, here or at another node, and are offered again; connections
+// that are served for longer have more time to break; and connections that were established before a policy came into
+// effect may break under it.
 //
-// A query is counted once, when its client is no longer owed an answer, so that in each sum
+// A request is counted once, when its client no longer waits for an answer, so that in each set of counts
 //
 //	Offered = Served + Refused + Failed + TimedOut + those whose client left, or was at fault, before its answer.
 //
-// Not counted are connections that this process inherited or adopted: they were placed by another process, can go to one host
-// only, and come when that other one ends; and what the door turns away as it speaks, which no policy changes.
+// Not counted are connections that this process inherited or adopted: another process placed them, they can go to one host
+// only, and they arrive when that process ends. Nor are requests that the acceptor rejects for what the client sent, since
+// no policy changes that.
 //
-//	Offered   queries that came to their final answer or were left by their client, with those that come back, try again or
-//	          hold packets of an earlier connection, and those that the door throttled for want of connections.
-//	Served    those whose connection stood, or that a host served to the end at once.
+//	Offered   requests that got their final answer or were abandoned by their client, including those of clients that come
+//	          back, try again or hold packets of an earlier connection, and those that the acceptor throttled because
+//	          there were too many connections.
+//	Served    those whose connection was established, or that a host served completely at once.
 //	TimedOut  those not served that were answered when their answer was due or later, whatever the answer was.
 //	Refused   those throttled before that.
-//	Failed    those told before that that they were not served.
-//	Breaks    connections counted as served, at whatever time, that ended otherwise than well: the host ended them without
-//	          BYE or MOVE, or fell silent. Counted when that happens, so that they may be of an earlier sum.
-//	Moves     connections counted as served, at whatever time, whose client was sent away politely: by the host, by the
-//	          balancer, by an operator, since the node leaves, or for a line that cannot be passed on.
-//	SetUp     of connections that stand, the time from the query's arrival to the answer, with all attempts before.
+//	Failed    those answered before that that they were not served.
+//	Breaks    connections counted as served, at any time, that did not end well: the host ended them without BYE or MOVE,
+//	          or stopped responding. Counted when that happens, so they may be counted as served in an earlier set.
+//	Moves     connections counted as served, at any time, whose client was told to reconnect: by the host, by the
+//	          balancer, by an operator, because the node stops, or because of a line that cannot be passed on.
+//	SetUp     of established connections, the time from the arrival of the request to the answer, including all attempts.
 //
-// What another process of the node carries on, and what its client ended, broke as little as it moved.
+// A connection that another process of the node takes over, or that its client ends, counts neither as a break nor as a
+// move.
 
-// mostCells is how many classes and tenants are told apart. What is beyond is counted for the class without a tenant, of
-// which there are as many more as the settings name.
+// maxCells is the number of combinations of class and tenant that are counted separately. Further tenants are
+// counted under their class without a tenant, which adds at most one cell for each class in the settings.
 const maxCells = 64
 
-// The guards that may fire.
+// The guards that may fire, as a sign that a policy misbehaves.
 const (
-	// GuardOverdue is that the balancer held a query until its time was up and the guard of its deadline answered it, at its
-	// time: where the process itself stood still, the guard fires late and that is no fault of a policy.
+	// GuardOverdue fires when the balancer held a request for so long that its deadline timer answered it, on
+	// time. If the process itself was suspended, the timer fires late, and that is not a fault of the policy.
 	GuardOverdue = "overdue"
-	// GuardImpossible is that an event came that has no place in a query's life.
+	// GuardImpossible fires on an event that cannot happen in the state of its request.
 	GuardImpossible = "impossible"
 )
 
-// counter counts. There is none where nothing is counted.
+// counter counts the outcomes of requests. Core.counter is nil unless counting is on.
 type counter struct {
 	cells  map[cell]*tally
 	setUps map[string]rollout.SetUps // by class
-	guards []string                  // that fired, each once
+	guards []string                  // that have fired, each once
 }
 
 type cell struct{ class, tenant string }
 
 type tally struct{ offered, served, refused, failed, timedOut, breaks, moves uint64 }
 
-// Count begins to count, or ends it and forgets what was counted.
+// SetCounting starts counting, or stops it and discards the counts.
 func (c *Core) SetCounting(on bool) {
 	switch {
 	case !on:
@@ -70,11 +74,11 @@
 	}
 }
 
-// Fired says whether a guard has fired since Recount.
+// GuardFired reports whether a guard has fired since ResetCounts.
 func (c *Core) GuardFired() bool { return c.counter != nil && len(c.counter.guards) > 0 }
 
-// Counted returns what was counted since Recount, sorted by class and tenant, and the guards that fired. worth tells what a
-// served query of a class is worth; it should not be told by the policy that is counted for.
+// Counts returns the counts since ResetCounts, sorted by class and tenant, and the guards that have fired. value
+// gives the value of a served request of a class; it should not depend on the policy under evaluation.
 func (c *Core) Counts(value func(class string) float64) (all []rollout.Counts, guards []string) {
 	n := c.counter
 	if n == nil {
@@ -101,7 +105,8 @@
 	return all, slices.Clone(n.guards)
 }
 
-// Recount begins anew. Who had nothing to count since the last time gives room to others.
+// ResetCounts sets all counts to zero. Cells without a count since the last reset are removed, to make room for
+// others.
 func (c *Core) ResetCounts() {
 	n := c.counter
 	if n == nil {
@@ -117,7 +122,7 @@
 	n.guards = n.guards[:0]
 }
 
-// TurnedAway counts a query that the door throttled before it came here.
+// CountThrottled counts a request that the acceptor throttled before it reached the core.
 func (c *Core) CountThrottled(class, tenant string) {
 	if c.counter != nil {
 		t := c.counter.tallyOf(class, tenant)
@@ -144,7 +149,8 @@
 	}
 }
 
-// note takes a step of a query, from was to where it is now, before its effects are carried out.
+// recordStep records a step of a request from the state prev to its present state, before the effects are carried
+// out.
 func (n *counter) recordStep(r *Request, prev lifecycle.State, kind lifecycle.Kind, effects *lifecycle.Effects, data *eventData) {
 	switch {
 	case effects.Has(lifecycle.LogUnexpected):
@@ -157,7 +163,7 @@
 	}
 }
 
-// answered counts a query that is owed nothing any more.
+// recordAnswer counts a request whose client no longer waits for an answer.
 func (n *counter) recordAnswer(r *Request, kind lifecycle.Kind, effects *lifecycle.Effects) {
 	a, t := &r.arrival, n.tallyOf(r.arrival.Class, r.arrival.Tenant)
 	left := r.TimeLeft()
@@ -181,7 +187,7 @@
 	}
 }
 
-// stood counts a connection that stands a time after its query came.
+// recordSetUp records that a connection was established at the given time after its request arrived.
 func (n *counter) recordSetUp(class string, after time.Duration) {
 	setUps, known := n.setUps[class]
 	if !known {
@@ -191,7 +197,7 @@
 	setUps.Add(after)
 }
 
-// ended counts the end of a connection that stood.
+// recordEnd counts the end of an established connection.
 func (n *counter) recordEnd(r *Request, kind lifecycle.Kind, data *eventData) {
 	t := n.tallyOf(r.arrival.Class, r.arrival.Tenant)
 	switch {
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,8 +1,8 @@
-// Package query holds the queries of clients from their arrival to their one final answer. It brings what happens to
-// the balancer as events and carries the balancer's actions out. What each event means for a query is decided by the
-// state machine of package lifecycle; this package keeps the data beside each state and carries the effects out. It knows
-// neither sockets nor the platform's lines: clients, servers and the host group reach it, and are reached, through
-// the interfaces here.
+// Package query holds the requests of clients, from their arrival to their single final answer. It passes what
+// happens to the balancer as events and carries out the balancer's actions. The state machine of package lifecycle
+// decides what each event means for a request; this package keeps the data that belongs to each state and carries
+// out the effects. It handles neither sockets nor lines of the platform's protocol: clients, servers and the host
+// group are connected to it through the interfaces below.
 package query
 
 import (
@@ -16,110 +16,118 @@
 	"lichenhitch/internal/lifecycle"
 )
 
-// Client is the client's side of a query.
+// Client is the client side of a request.
 type Client interface {
-	// Up passes on the host's word that the connection stands.
+	// Established passes on the host's answer that the connection is established.
 	Established(answer []byte)
-	// Served passes on the host's word that it has served the query to its end at once, and closes.
+	// Served passes on the host's answer that it has served the request completely, and closes the connection.
 	Served(answer []byte)
-	// Pass hands lines of the host on.
+	// Forward passes on lines of the host.
 	Forward(lines []byte)
-	// Throttle refuses: trying again is harmless, after a time if one is given.
+	// Throttle refuses the request and says that trying again is harmless, after the given time unless it is 0.
 	Throttle(after time.Duration)
-	// Fail answers that the query was not served.
+	// Fail answers that the request was not served.
 	Fail()
-	// Reject answers that the client cannot be served as it speaks.
+	// Reject answers that the client cannot be served because of what it sent, or did not send.
 	Reject(reason error)
-	// Move ends an open connection politely.
+	// Move tells the client to reconnect, and closes its established connection.
 	Move()
-	// End ends the connection as the host did: in good order or broken.
+	// End ends the connection in the way in which the host ended its own: closed cleanly or broken.
 	End(clean bool)
 }
 
-// Attempt is the connection to a host that a try was given. It calls the try back until it has told its end or is
-// closed. What it calls back later is without effect.
+// Attempt is the connection to a host for one attempt of a request. It calls the methods of its AttemptRef until
+// it has reported its end or was ended; later calls have no effect.
 type Attempt interface {
-	// Pass hands lines of the client on.
+	// Forward passes on lines of the client.
 	Forward(lines []byte)
-	// End gives the attempt up, or ends its connection as the client did.
+	// End abandons the attempt, or ends its connection in the way in which the client ended its own.
 	End(clean bool)
-	// Over says whether the server has said its last word, which went on to the client.
+	// EndReceived reports whether the host has sent its final line, which was passed on to the client.
 	EndReceived() bool
-	// Sent says whether the server may have received any of the request. What was never sent has not run.
+	// Sent reports whether the host may have received any part of the request. A request that was never sent has
+	// not run.
 	Sent() bool
 }
 
-// Servers makes attempts and probes.
+// Servers starts attempts and probes.
 type Servers interface {
-	// Attempt sends a query to a server that is to answer within a time. It does not call the try back before it has
-	// returned.
+	// Attempt sends a request to a server, which must answer within the timeout. It does not call methods of ref
+	// before it returns.
 	Attempt(ref AttemptRef, server balance.ServerID, timeout time.Duration) Attempt
-	// Probe asks a server for its report; the outcome comes by Core.Probed.
+	// Probe requests a server's load report. Core.Probed receives the outcome.
 	Probe(server balance.ServerID)
 }
 
-// Group is the host group, whose changes come by Core.List.
+// Group is the host group. Core.List receives its changes.
 type Group interface{ Subscribe() }
 
-// Clock tells the time, which is never 0, and wakes.
+// Clock gives the time, which is never 0, and runs timers.
 type Clock interface {
 	Now() time.Duration
-	// After calls Core.Fire after a time. Of two calls that are due at once, the one asked for first comes first.
+	// After calls Core.Fire with the event after a delay. Of two timers with the same expiry time, the one started
+	// first fires first.
 	After(delay time.Duration, event TimerEvent) Timer
 }
 
-// Timer is a call to come.
+// Timer is a timer that was started by Clock.After.
 type Timer interface{ Stop() }
 
-// Due says what a timer is for. It is plain data, so that a core's whole state can be read and compared.
+// TimerEvent is the event of a timer that fires. It is plain data without functions, so that the whole state of a
+// core can be read and compared.
 type TimerEvent struct {
 	Kind    TimerKind
-	Request balance.RequestID // of DueGuard, DueAttempt and DueRetry
-	Token   uint64            // of DueWake
+	Request balance.RequestID // of TimerDeadline, TimerAttempt and TimerRetry
+	Token   uint64            // of TimerBalancer
 }
 
-// DueKind is a kind of timers.
+// TimerKind is the kind of a timer.
 type TimerKind uint8
 
 // The kinds of timers.
 const (
-	TimerBalancer TimerKind = iota // the balancer asked to be woken
-	TimerSweep                     // time to look for silent hosts
-	TimerDeadline                  // a client's time is nearly up
-	TimerAttempt                   // an attempt's time is over
-	TimerRetry                     // the pause of an inherited connection is over
+	TimerBalancer TimerKind = iota // a timer that the balancer has set
+	TimerSweep                     // the periodic search for unresponsive hosts
+	TimerDeadline                  // the client's deadline is close
+	TimerAttempt                   // the time-out of an attempt
+	TimerRetry                     // the end of the pause before the next attempt of an inherited connection
 )
 
-// Decider decides on servers, retries and refusals; see balance.Balancer.
+// Balancer decides on servers, retries and refusals; see balance.Balancer.
 type Balancer interface {
 	Handle(now time.Duration, ev balance.Event) []balance.Action
 }
 
-// Rule is the state machine of a query's life; see lifecycle.Step.
+// StepFunc is the state machine of a request's lifecycle; see lifecycle.Step.
 type StepFunc func(lifecycle.State, lifecycle.Event) (lifecycle.State, lifecycle.Effects)
 
 const (
-	// answerMargin is how long before a client's time is up its answer is due: time to travel and to be read.
+	// answerMargin is how long before the client's deadline its answer is due, so that the answer can travel and
+	// be read in time.
 	answerMargin = 10 * time.Millisecond
-	// guardAfter is how long after that the guard answers what the balancer holds too long. It must leave the balancer
-	// its turn: the last attempt may run until the answer is due, and only the balancer knows whether a refusal is
-	// harmless then.
+	// deadlineTimerDelay is how long after that the deadline timer answers a request that the balancer still
+	// holds. The balancer must be able to answer first: the last attempt may run until the answer is due, and only
+	// the balancer knows whether a refusal is harmless then.
 	deadlineTimerDelay = answerMargin / 2
-	// inheritedRetry is the pause between the tries at the host that holds an inherited connection.
+	// inheritedRetryInterval is the pause between attempts at the host of an inherited connection.
 	inheritedRetryInterval = 250 * time.Millisecond
-	// inheritedWait is how long an inherited connection may take to come up. It is lost after 40 s anyway.
+	// inheritedTimeout is how long an inherited connection may take until it is established. It is lost after 40 s
+	// in any case.
 	inheritedTimeout = 40 * time.Second
-	sweepInterval    = 100 * time.Millisecond
-	// graceMargin is how long before the end of a drain's grace nothing more is written: the writing takes a moment.
+	// sweepInterval is the interval of the search for unresponsive hosts.
+	sweepInterval = 100 * time.Millisecond
+	// graceMargin is how long before the end of a drain's grace period the last line may be written to the host,
+	// since writing takes a moment.
 	graceMargin = 50 * time.Millisecond
-	// sendMargin is how long before its last moment a repeat is not written any more: its bytes take a moment to arrive.
+	// sendMargin is how long before the end of its send window a repeated request may be sent at the latest, since
+	// its bytes take a moment to arrive.
 	sendMargin = 50 * time.Millisecond
-	// comeBack is when a client may come again that no decision was made for: the balancer held it too long, or the
-	// node stops. It is shorter where clients heed only shorter advice.
+	// defaultRetryAfter is when a client may try again if no decision was made on its request: the balancer held
+	// it for too long, or the node stops. Settings.MaxRetryAfter limits it, since clients ignore a longer time.
 	defaultRetryAfter = time.Second
 )
 
-// Core holds all queries and the balancer that decides on them. It is for the event loop only.
+// Core holds all requests and the balancer that decides on them. Only the event loop may use it.
 type Core struct {
 	log          *slog.Logger
 	clock        Clock
@@ -127,65 +135,66 @@
 	stepFunc     StepFunc
 	servers      Servers
 	group        Group
-	drainGrace   time.Duration // how long after a drain was told something may still be written
-	retryAfter   time.Duration // the advice to those who are turned away without a decision
+	drainGrace   time.Duration // how long after a host was reported as draining lines may still be written to it
+	retryAfter   time.Duration // for clients that are turned away without a decision
 	requests     map[balance.RequestID]*Request
 	lastID       balance.RequestID
-	events       []balance.Event // that the balancer has not taken yet
+	events       []balance.Event // not yet handled by the balancer
 	handling     bool
-	lastReceived map[balance.ServerID]time.Duration // when a line last came from a host with open connections
+	lastReceived map[balance.ServerID]time.Duration // when a line was last received from a host with established connections
 	hosts        map[balance.ServerID]hostEntry
-	bans         map[balance.ServerID]time.Duration // hosts out by hand, since when
-	waiting      int                                // queries without a final answer
-	restrictions restrictions                       // what the site's council allows, where there is one
-	counter      *counter                           // nil where nothing is counted
+	bans         map[balance.ServerID]time.Duration // hosts banned by an operator, and since when
+	waiting      int                                // requests without a final answer
+	restrictions restrictions                       // by the site's consensus group, if there is one
+	counter      *counter                           // nil unless counting is on
 }
 
-// listed is what discovery has told of a host.
+// hostEntry is what discovery has reported of a host.
 type hostEntry struct {
-	listed        bool          // it is in the list, in whatever state
-	ready         bool          // it takes new work
-	drainingSince time.Duration // when it was first told that it takes none
-	started       time.Duration // its start
+	listed        bool          // the list contains it, in any state
+	ready         bool          // it accepts new work
+	drainingSince time.Duration // when it was first reported as not ready
+	started       time.Duration // when the host started
 	zone          string
-	kind          string // of machine
+	kind          string // the machine's model
 }
 
-// New returns a core that decides by balance and lives by lifecycle.Step. Connect must follow.
+// New returns a core with the balancer of package balance and lifecycle.Step. Connect must follow.
 func New(log *slog.Logger, clock Clock, set balance.Settings, seed uint64) *Core {
 	return NewWith(log, clock, set, balance.New(set, seed), lifecycle.Step)
 }
 
-// Build returns a core with a decider and a rule of one's own, for rehearsals. Connect must follow.
+// NewWith returns a core with a given balancer and state machine, for the test kit. Connect must follow.
 func NewWith(log *slog.Logger, clock Clock, set balance.Settings, balancer Balancer, stepFunc StepFunc) *Core {
 	c := &Core{log: log, clock: clock, balancer: balancer, stepFunc: stepFunc,
 		requests: make(map[balance.RequestID]*Request), lastReceived: make(map[balance.ServerID]time.Duration),
 		hosts: make(map[balance.ServerID]hostEntry), bans: make(map[balance.ServerID]time.Duration)}
-	c.applySettings(set)
+	c.storeSettings(set)
 	return c
 }
 
-func (c *Core) applySettings(set balance.Settings) {
+func (c *Core) storeSettings(set balance.Settings) {
 	c.drainGrace = set.Safety.DrainGrace - graceMargin
 	c.retryAfter = min(defaultRetryAfter, set.MaxRetryAfter)
 }
 
-// Retune takes new settings up for what comes from now on. Queries that have come keep the rules they came under.
+// ApplySettings applies new settings to what arrives from now on. Requests that have already arrived keep the
+// settings under which they arrived.
 func (c *Core) ApplySettings(set balance.Settings) {
-	c.applySettings(set)
+	c.storeSettings(set)
 	c.feed(balance.SettingsChanged{Settings: set})
 }
 
-// Connect gives the core its servers and its host group, and starts it.
+// Connect gives the core its servers and its host group, and starts the sweep for unresponsive hosts.
 func (c *Core) Connect(servers Servers, group Group) {
 	c.servers, c.group = servers, group
 	c.clock.After(sweepInterval, TimerEvent{Kind: TimerSweep})
 }
 
-// Owed returns how many queries wait for their final answer.
+// Waiting returns the number of requests that wait for their final answer.
 func (c *Core) Waiting() int { return c.waiting }
 
-// Standing returns how many connections stand.
+// Established returns the number of established connections.
 func (c *Core) Established() int {
 	n := 0
 	for _, r := range c.requests {
@@ -196,7 +205,7 @@
 	return n
 }
 
-// oldest returns the oldest connections that stand, so many of them.
+// oldest returns the n oldest established connections.
 func (c *Core) oldest(n int) (all []*Request) {
 	for _, r := range c.requests {
 		if r.state.Phase == lifecycle.Established {
@@ -207,15 +216,15 @@
 	return all[:min(n, len(all))]
 }
 
-// Ease moves the clients of the oldest connections that stand, so many of them: the node is to be emptied.
+// MoveOldest moves the clients of the n oldest established connections, while the node is being emptied.
 func (c *Core) MoveOldest(n int) {
 	for _, r := range c.oldest(n) {
 		r.step(lifecycle.Event{Kind: lifecycle.Move}, &eventData{outcome: balance.Cancelled})
 	}
 }
 
-// Carry offers the oldest connections that stand, so many of them, to another process of the node. What take says yes
-// to is over here, and neither of its ends is touched any more.
+// HandOverOldest offers the n oldest established connections to another process of the node. For each that take
+// accepts, the request is finished here, and neither of its two connections is touched any more.
 func (c *Core) HandOverOldest(n int, take func(Client, Attempt, balance.Arrival, balance.ServerID) bool) {
 	for _, r := range c.oldest(n) {
 		if take(r.client, r.attempt, r.arrival, r.server) {
@@ -224,8 +233,8 @@
 	}
 }
 
-// Adopt carries on a connection that stood at a server through another process of the node. attach gives the attempt
-// its try.
+// Adopt takes over a connection that another process of the node had established to a server. It calls attach with
+// the AttemptRef for the connection to the host.
 func (c *Core) Adopt(client Client, a balance.Arrival, server balance.ServerID, attempt Attempt, attach func(AttemptRef)) *Request {
 	c.lastID++
 	a.Request = c.lastID
@@ -237,7 +246,7 @@
 	return r
 }
 
-// List brings news of the host group.
+// List receives a list of hosts, or changes to it, from discovery.
 func (c *Core) List(kind balance.ListKind, entries []balance.Listing) {
 	if kind != balance.ListFailed {
 		c.updateHosts(kind, entries)
@@ -245,7 +254,7 @@
 	c.feed(balance.ServerList{Kind: kind, Entries: entries})
 }
 
-// learn takes note of which hosts may not be sent anything soon.
+// updateHosts records the hosts of the list, among them those that may soon not be sent anything.
 func (c *Core) updateHosts(kind balance.ListKind, entries []balance.Listing) {
 	now := c.clock.Now()
 	if kind != balance.ListChanges {
@@ -263,14 +272,14 @@
 	for _, e := range entries {
 		c.updateHost(e, now)
 	}
-	for server, entry := range c.hosts { // one that has left for so long is not going to be asked for any more
+	for server, entry := range c.hosts { // a host that has left the list and drained for so long is not used any more
 		if !entry.listed && now-entry.drainingSince > inheritedTimeout {
 			delete(c.hosts, server)
 		}
 	}
 }
 
-// hear takes note of one entry of the list.
+// updateHost records one entry of the list.
 func (c *Core) updateHost(e balance.Listing, now time.Duration) {
 	last, known := c.hosts[e.Server]
 	entry := hostEntry{listed: e.State != balance.Gone, ready: e.State == balance.Ready, drainingSince: now, started: e.Started, zone: e.Zone,
@@ -279,20 +288,21 @@
 		entry.started = last.started
 	}
 	if known && !last.ready && !entry.ready && last.started == entry.started {
-		entry.drainingSince = last.drainingSince // still the same drain
+		entry.drainingSince = last.drainingSince // the same drain continues
 	}
 	c.hosts[e.Server] = entry
 }
 
-// Names says whether a host is known: it is listed, was until a moment ago, or is out by hand.
+// KnowsHost reports whether a host is known: it is in the list, has left it recently, or is banned by an operator.
 func (c *Core) KnowsHost(server balance.ServerID) bool {
 	_, listed := c.hosts[server]
 	_, banned := c.bans[server]
 	return listed || banned
 }
 
-// Suspend takes a host out by hand: nothing new goes there, and its clients are moved, until Resume. since is the time
-// of the call, from which the grace counts. Twice is once.
+// Suspend applies an operator's ban on a host: until Resume the host gets no new work, and its clients are moved.
+// The drain grace starts at since, the time of the operator's call. A second Suspend of the same host changes
+// nothing.
 func (c *Core) Suspend(server balance.ServerID, since time.Duration) {
 	if _, banned := c.bans[server]; !banned {
 		c.bans[server] = since
@@ -302,7 +312,7 @@
 	}
 }
 
-// Resume takes a Suspend back. A host that the council has out too stays out.
+// Resume lifts an operator's ban. A host that the site's consensus group excludes too stays out of service.
 func (c *Core) Resume(server balance.ServerID) {
 	if _, banned := c.bans[server]; banned {
 		delete(c.bans, server)
@@ -312,17 +322,17 @@
 	}
 }
 
-// Suspended returns the hosts that are out by hand.
+// Suspended returns the hosts that are banned by an operator, sorted.
 func (c *Core) Suspended() []balance.ServerID { return sortedKeys(c.bans) }
 
 func sortedKeys[V any](set map[balance.ServerID]V) []balance.ServerID {
 	return slices.Sorted(maps.Keys(set))
 }
 
-// Fellows tells how many other processes of this node place queries too.
+// SetSiblingProcesses sets how many other processes of this node place requests too.
 func (c *Core) SetSiblingProcesses(n int) { c.feed(balance.SiblingProcesses{Processes: n}) }
 
-// drained says whether nothing may be sent to a host any more.
+// drained reports whether the drain grace of a host is over, so that nothing may be sent to it any more.
 func (c *Core) drained(server balance.ServerID) bool {
 	if since, banned := c.bans[server]; banned && c.clock.Now()-since >= c.drainGrace {
 		return true
@@ -331,12 +341,12 @@
 	return known && !entry.ready && c.clock.Now()-entry.drainingSince >= c.drainGrace
 }
 
-// Probed brings the outcome of a probe.
+// Probed receives the outcome of a probe.
 func (c *Core) Probed(server balance.ServerID, outcome balance.Outcome, took time.Duration, report balance.Report) {
 	c.feed(balance.Probed{Server: server, Outcome: outcome, Took: took, Report: report})
 }
 
-// Fire brings a timer that came due.
+// Fire handles a timer that has fired.
 func (c *Core) Fire(event TimerEvent) {
 	switch event.Kind {
 	case TimerBalancer:
@@ -350,8 +360,8 @@
 	}
 }
 
-// feed brings an event to the balancer and carries out what it answers. Events that come up on the way wait
-// their turn, so that the balancer sees them in order and actions are carried out in order.
+// feed passes an event to the balancer and carries out the actions that it returns. Events that arise meanwhile
+// are queued, so that the balancer receives events in order and actions are carried out in order.
 func (c *Core) feed(ev balance.Event) {
 	c.events = append(c.events, ev)
 	if c.handling {
@@ -395,51 +405,51 @@
 	case balance.Subscribe:
 		c.group.Subscribe()
 	default:
-		c.log.Warn("the balancer asked for what a node does not do", "action", a)
+		c.log.Warn("the balancer returned an action of an unknown type", "action", a)
 	}
 }
 
-// find returns the query that an action is for.
+// find returns the request that an action is for.
 func (c *Core) find(id balance.RequestID, a balance.Action) *Request {
 	r := c.requests[id]
 	if r == nil {
-		c.log.Warn("the balancer decided on a query that is over", "request", id, "action", a)
+		c.log.Warn("the balancer decided on a request that has finished", "request", id, "action", a)
 	}
 	return r
 }
 
-// Query is one query of a client.
+// Request is one request of a client.
 type Request struct {
 	core          *Core
 	client        Client
 	arrival       balance.Arrival
 	inheritedHost balance.ServerID // the host of an inherited connection
 	state         lifecycle.State
-	answerDue     time.Duration // when its answer is due
+	answerDue     time.Duration // when the answer is due
 	server        balance.ServerID
 	attempt       Attempt
 	attemptStart  time.Duration
-	sendBy        time.Duration // when the attempt that is out may not be sent any more; 0: at any time
+	sendBy        time.Duration // the latest time to send the current attempt; 0: unlimited
 	responseWatch lifecycle.ResponseWatch
-	deadlineTimer Timer // of the deadline
-	attemptTimer  Timer // of the attempt's time-out, or of the pause before the next
+	deadlineTimer Timer
+	attemptTimer  Timer // the time-out of the attempt, or the pause before the next attempt
 }
 
-// news is what came with an event: as much of it as the event's kind has.
+// eventData is the data of an event. Each kind of event uses only some of the fields.
 type eventData struct {
-	outcome    balance.Outcome // how the attempt that is out ended, if the event ends it
+	outcome    balance.Outcome // of the current attempt, if the event ends it
 	report     balance.Report
-	clean      bool             // a connection ended in good order
-	answer     []byte           // what the host answered
-	reason     error            // what is wrong with the client
-	server     balance.ServerID // where the balancer wants an attempt, and for how long at most
-	timeout    time.Duration
-	sendBy     time.Duration // when it may not be sent any more; 0: at any time
-	retryAfter time.Duration // the balancer's advice when to come again
+	clean      bool             // the connection was closed cleanly
+	answer     []byte           // the line with which the host answered
+	reason     error            // why the client is rejected
+	server     balance.ServerID // where the balancer places the attempt
+	timeout    time.Duration    // the longest time that the attempt may take
+	sendBy     time.Duration    // the latest time to send the attempt; 0: unlimited
+	retryAfter time.Duration    // how long the client should wait before it tries again
 }
 
-// Arrive takes a client's query. The client waits for d; a query with a server belongs to a connection that
-// was open there before, and goes nowhere else.
+// Arrive accepts a client's request. The client waits for the given time. A request with an inherited host belongs
+// to a connection that was established to that host before, and is sent to no other host.
 func (c *Core) Arrive(client Client, a balance.Arrival, inheritedHost balance.ServerID, wait time.Duration) *Request {
 	c.lastID++
 	a.Request = c.lastID
@@ -457,17 +467,17 @@
 	return r
 }
 
-// Client returns the client's side.
+// Client returns the client side of the request.
 func (r *Request) Client() Client { return r.client }
 
-// Left returns how much longer the client of a query waits.
+// TimeLeft returns how much longer the client waits for its answer.
 func (r *Request) TimeLeft() time.Duration { return r.answerDue - r.core.clock.Now() }
 
-// State returns where the query stands.
+// State returns the state of the request.
 func (r *Request) State() lifecycle.State { return r.state }
 
-// step brings an event to the state machine and carries out what it answers. The balancer, which may answer with a
-// further step of the same query, is told last.
+// step applies an event to the state machine and carries out the effects. The balancer is notified last, since it
+// may respond with a further event of the same request.
 func (r *Request) step(e lifecycle.Event, data *eventData) {
 	prev := r.state
 	next, effects := r.core.stepFunc(prev, e)
@@ -512,7 +522,7 @@
 		r.client.Reject(data.reason)
 	case lifecycle.MoveClient:
 		if r.attempt != nil && r.attempt.EndReceived() {
-			r.client.End(true) // it has its last word
+			r.client.End(true) // it has received the final line
 		} else {
 			r.client.Move()
 		}
@@ -521,17 +531,17 @@
 	case lifecycle.Forget:
 		delete(c.requests, r.arrival.Request)
 	case lifecycle.LogUnexpected:
-		c.log.Warn("an event without a place in a query's life", "event", kind.String(), "phase", r.state.Phase.String(),
+		c.log.Warn("an event that cannot happen in this state of a request", "event", kind.String(), "phase", r.state.Phase.String(),
 			"attempts", r.state.Attempts)
 	default:
 		r.notify(effect, data)
 	}
 	if effect.Answers() && kind == lifecycle.Deadline {
-		c.log.Warn("a query was overdue", "class", r.arrival.Class, "attempts", r.state.Attempts)
+		c.log.Warn("a request was answered by its deadline timer", "class", r.arrival.Class, "attempts", r.state.Attempts)
 	}
 }
 
-// tell brings what the balancer is to know.
+// notify passes an event of the request to the balancer.
 func (r *Request) notify(effect lifecycle.Effect, data *eventData) {
 	c, id := r.core, r.arrival.Request
 	switch effect {
@@ -549,8 +559,8 @@
 	}
 }
 
-// number is the number of the attempt that is out, as the balancer counts: for it, an inherited connection has one
-// attempt, however many tries it took to stand.
+// attemptNumber returns the number of the current attempt as the balancer counts, from 0. To the balancer, an
+// inherited connection has one attempt, however many it took to establish it.
 func (r *Request) attemptNumber() int {
 	if r.state.Inherited {
 		return 0
@@ -558,8 +568,8 @@
 	return int(r.state.Attempts) - 1
 }
 
-// send makes an attempt. No other is out: the balancer places anew only when the last has ended, and what ended was
-// closed first.
+// send starts an attempt. No other attempt is in progress: the balancer places the request again only after the
+// last attempt has ended, and that connection was closed before the balancer was notified.
 func (r *Request) send(data *eventData) {
 	server, timeout := r.inheritedHost, r.TimeLeft()
 	if r.inheritedHost == "" {
@@ -570,7 +580,7 @@
 	r.attempt = r.core.servers.Attempt(AttemptRef{r, r.state.Attempts}, server, timeout)
 }
 
-// wake takes a timer of the query's own that came due.
+// timerFired handles a timer of this request that has fired.
 func (r *Request) timerFired(kind TimerKind) {
 	switch kind {
 	case TimerDeadline:
@@ -582,7 +592,8 @@
 	}
 }
 
-// lateOutcome is how an attempt ended whose time is over. One whose connection never came up proves that nothing ran.
+// timeoutOutcome returns the outcome of an attempt that has timed out. If nothing was sent, the request certainly
+// has not run.
 func (r *Request) timeoutOutcome() balance.Outcome {
 	if r.attempt.Sent() {
 		return balance.TimedOut
@@ -590,26 +601,27 @@
 	return balance.Unreachable
 }
 
-// Try is one attempt of a query, as its backend connection knows it. What is told of a try that is over has no effect.
+// AttemptRef identifies one attempt of a request. The connection to the host reports to it what happens. Reports
+// on an attempt that has ended have no effect.
 type AttemptRef struct {
 	request *Request
 	number  uint16
 }
 
-// Client returns the client's side of the try's query.
+// Client returns the client side of the request.
 func (t AttemptRef) Client() Client { return t.request.client }
 
 func (t AttemptRef) step(kind lifecycle.Kind, data *eventData) {
 	t.request.step(lifecycle.Event{Kind: kind, Attempt: t.number}, data)
 }
 
-// stands says whether the try is the one that stands.
+// isEstablished reports whether this attempt's connection is the established one.
 func (t AttemptRef) isEstablished() bool {
 	return t.request.state.Phase == lifecycle.Established && t.request.state.Attempts == t.number
 }
 
-// Open asks, just before the first line is written, whether the host may still be sent anything. Where not, the try is
-// over when Open returns.
+// AllowSend reports whether the first line may still be sent to the host. It is called just before the line is
+// written. If it returns false, the attempt has ended.
 func (t AttemptRef) AllowSend() bool {
 	if c := t.request.core; c.drained(t.request.server) || c.withheld(t.request.server) || t.request.sendWindowOver() {
 		t.step(lifecycle.HostDrainExpired, &eventData{outcome: balance.Unsent})
@@ -618,17 +630,18 @@
 	return true
 }
 
-// expired says whether a repeat would come after the time within which it is dropped.
+// sendWindowOver reports whether a repeated request would arrive after the time within which servers recognize and
+// drop the repeat.
 func (r *Request) sendWindowOver() bool {
 	return r.sendBy > 0 && r.core.clock.Now() >= r.sendBy-sendMargin
 }
 
-// Up says that the connection stands, with the host's own word for the client.
+// Established reports that the connection is established. answer is the host's answer for the client.
 func (t AttemptRef) Established(answer []byte) {
 	t.step(lifecycle.HostEstablished, &eventData{answer: answer})
 }
 
-// Lines passes lines of the host on.
+// HostLines passes lines of the host on to the client.
 func (t AttemptRef) HostLines(lines []byte) {
 	if t.isEstablished() {
 		r := t.request
@@ -638,15 +651,15 @@
 	}
 }
 
-// Load tells the load of the connection, in microseconds of work a second.
+// LoadChanged reports the load of the connection, in microseconds of work per second.
 func (t AttemptRef) LoadChanged(load float64) {
 	if t.isEstablished() {
 		t.request.core.feed(balance.LoadChanged{Request: t.request.arrival.Request, Load: load})
 	}
 }
 
-// Ended says that the host ended the try, or that it never came up; word is what it said last, where that is for the
-// client.
+// Ended reports that the host ended the attempt or its connection, or that no connection was established. answer
+// is the host's final line if it is to be passed on to the client.
 func (t AttemptRef) Ended(outcome balance.Outcome, clean bool, report balance.Report, answer []byte) {
 	kind := lifecycle.HostEnded
 	if outcome == balance.OK {
@@ -655,17 +668,17 @@
 	t.step(kind, &eventData{outcome: outcome, clean: clean, report: report, answer: answer})
 }
 
-// Faulty says that the host sent what cannot be passed on. The host still answers, so that a client that was served is
-// moved, not cut off.
+// HostFaulty reports that the host sent something that cannot be passed on. The host still answers, so a client
+// that is served is moved and not cut off.
 func (t AttemptRef) HostFaulty() { t.step(lifecycle.HostFaulty, &eventData{outcome: balance.Errored}) }
 
-// Behind says that the host does not take what the client sends, at the speed at which it is sent. The host may be
-// sound and still answer: the client is moved, and nothing is held against the host.
+// HostNotReading reports that the host reads more slowly than the client sends. The host may be healthy and still
+// answer: the client is moved, and the outcome does not count against the host.
 func (t AttemptRef) HostNotReading() {
 	t.step(lifecycle.HostNotReading, &eventData{outcome: balance.Cancelled})
 }
 
-// ClientLines passes lines of the client on.
+// ClientLines passes lines of the client on to the host.
 func (r *Request) ClientLines(lines []byte) {
 	if r.state.Phase == lifecycle.Established {
 		r.responseWatch.LineSent(r.core.clock.Now())
@@ -673,19 +686,19 @@
 	}
 }
 
-// ClientGone says that the client has left.
+// ClientGone reports that the client has closed its connection.
 func (r *Request) ClientGone(clean bool) {
 	r.step(lifecycle.Event{Kind: lifecycle.ClientGone}, &eventData{outcome: balance.Cancelled, clean: clean})
 }
 
-// ClientFaulty says that the client spoke out of turn or sent what cannot be passed on. One that waits is told why it
-// is not served; one that is served is moved.
+// ClientFaulty reports that the client sent a line at the wrong time, or one that cannot be passed on. A client
+// that waits is told why it is not served; one that is served is moved.
 func (r *Request) ClientFaulty(reason error) {
 	r.step(lifecycle.Event{Kind: lifecycle.ClientFaulty}, &eventData{outcome: balance.Cancelled, reason: reason})
 }
 
-// Leave ends everything, since the node stops: whoever waits gets an answer, and the clients of open connections are
-// moved, unless packets pass through and carry these connections over.
+// Shutdown ends all requests because the node stops. Clients that wait get an answer, and clients of established
+// connections are moved, unless in pass-through mode, in which these connections continue elsewhere.
 func (c *Core) Shutdown(passThrough bool) {
 	var all []*Request
 	for _, r := range c.requests {
@@ -699,13 +712,13 @@
 	}
 }
 
-// inOrder sorts queries by their arrival, so that a run can be played again.
+// sortByArrival sorts requests by their arrival, so that a run can be reproduced.
 func sortByArrival(list []*Request) {
 	slices.SortFunc(list, func(a, b *Request) int { return cmp.Compare(a.arrival.Request, b.arrival.Request) })
 }
 
-// sweep moves the clients whose host has fallen silent. It guards against a host that vanished: its connections
-// stay open, and nothing but the missing lines tells.
+// sweep moves the clients whose host has stopped responding. It detects a host that vanished: its connections stay
+// open, and the only sign is that its lines are missing.
 func (c *Core) sweep() {
 	c.clock.After(sweepInterval, TimerEvent{Kind: TimerSweep})
 	c.syncWithheld()
@@ -731,7 +744,7 @@
 		r.step(lifecycle.Event{Kind: lifecycle.Move}, &eventData{outcome: balance.Reset})
 	}
 	for server := range unresponsive {
-		c.log.Warn("a host has fallen silent; its clients are moved", "host", server)
+		c.log.Warn("a host has stopped responding; its clients are moved", "host", server)
 	}
 	for server := range c.lastReceived {
 		if !inUse[server] {
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -329,7 +329,7 @@
 
 func testDrainGrace(t *testing.T, grace time.Duration) {
 	env, c, _, _ := newRecorded()
-	c.applySettings(balance.Settings{Safety: balance.Safety{DrainGrace: grace}})
+	c.storeSettings(balance.Settings{Safety: balance.Safety{DrainGrace: grace}})
 	entry := func(s balance.State, started time.Duration) balance.Listing {
 		return balance.Listing{Server: "a", State: s, Started: started}
 	}
--- a/internal/query/repeat_test.go
+++ b/internal/query/repeat_test.go
@@ -10,7 +10,7 @@
 	"lichenhitch/balance"
 )
 
-// placing is a decider that places each request at once, to be sent by a time.
+// placingBalancer places each request at once, with a latest time to send it.
 type placingBalancer struct {
 	sendBy time.Duration
 	events []balance.Event
@@ -31,17 +31,18 @@
 	return e.Outcome
 }
 
-// A repeat whose connection comes up slowly is not sent once the servers may have forgotten the first attempt.
-func TestARepeatIsSentWithinItsWindowOnly(t *testing.T) {
+// A repeated request whose connection is established slowly must not be sent once the servers may have forgotten
+// the first attempt: they would run it a second time.
+func TestRepeatIsSentOnlyWithinItsWindow(t *testing.T) {
 	const window = 200 * time.Millisecond
 	for name, test := range map[string]struct {
 		sendBy, connects time.Duration
 		want             bool
 	}{
-		"no window":                    {connects: 900 * time.Millisecond, want: true},
-		"well within":                  {sendBy: window, connects: window - sendMargin - time.Millisecond, want: true},
-		"too late to arrive within it": {sendBy: window, connects: window - sendMargin},
-		"after it":                     {sendBy: window, connects: window + time.Millisecond},
+		"no window":                            {connects: 900 * time.Millisecond, want: true},
+		"well within the window":               {sendBy: window, connects: window - sendMargin - time.Millisecond, want: true},
+		"too late to arrive within the window": {sendBy: window, connects: window - sendMargin},
+		"after the window":                     {sendBy: window, connects: window + time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			env, core, _, attempts := newRecorded()
@@ -54,15 +55,16 @@
 			env.now += test.connects
 			assert.Equal(t, test.want, attempts.last.AllowSend())
 			if !test.want {
-				assert.Equal(t, balance.Unsent, balancer.outcome(t), "it proves that nothing ran")
+				assert.Equal(t, balance.Unsent, balancer.outcome(t), "nothing has run")
 				assert.Equal(t, []bool{true}, attempts.clean, "the attempt is closed")
 			}
 		})
 	}
 }
 
-// An attempt whose time is over before its connection came up has not run, whatever its class: it may be made elsewhere.
-func TestAnAttemptThatWasNeverSentHasNotRun(t *testing.T) {
+// An attempt that times out before its connection is established has not run, whatever the class of the request.
+// So it may be retried elsewhere.
+func TestTimedOutAttemptThatWasNotSentIsUnreachable(t *testing.T) {
 	for _, test := range []struct {
 		unsent bool
 		want   balance.Outcome
