--- a/internal/query/count_test.go
+++ b/internal/query/count_test.go
@@ -16,7 +16,7 @@
 
 func valueOf(string) float64 { return 2.5 }
 
-// scene is a core that counts, with a balancer that says what it is told to.
+// countFixture is a core that counts, with a balancer that returns the given actions.
 type countFixture struct {
 	env      *testEnv
 	core     *Core
@@ -49,7 +49,7 @@
 	s.core.Fire(TimerEvent{Kind: TimerBalancer})
 }
 
-func TestWhatBecameOfAQueryIsCounted(t *testing.T) {
+func TestRequestOutcomesAreCounted(t *testing.T) {
 	served, unserved := rollout.Counts{Offered: 1, Served: 1, Worth: 2.5}, rollout.Counts{Offered: 1}
 	broken, moved, refused, failed, timedOut := served, served, unserved, unserved, unserved
 	broken.Breaks, moved.Moves, refused.Refused, failed.Failed, timedOut.TimedOut = 1, 1, 1, 1, 1
@@ -58,50 +58,50 @@
 		want  rollout.Counts
 		guard string
 	}{
-		"served to the end":        {run: func(s countFixture) { s.establish(); s.hostEnds(balance.OK, true) }, want: served},
-		"served at once":           {run: func(s countFixture) { s.arrive(""); s.hostEnds(balance.OK, true) }, want: served},
-		"stands":                   {run: func(s countFixture) { s.establish() }, want: served},
-		"served until it leaves":   {run: func(s countFixture) { s.establish().ClientGone(false) }, want: served},
-		"carried on elsewhere":     {run: func(s countFixture) { s.establish(); s.core.HandOverOldest(1, acceptAll) }, want: served},
-		"broken by its host":       {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Reset, false) }, want: broken},
-		"ended without a word":     {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Reset, true) }, want: broken},
-		"ended by a host's fault":  {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Errored, true) }, want: broken},
-		"host silent":              {run: func(s countFixture) { s.establish().ClientLines(nil); s.env.advance(2 * time.Second) }, want: broken},
-		"moved by its host":        {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Cancelled, true) }, want: moved},
-		"moved by the balancer":    {run: func(s countFixture) { s.establish(); s.balancerReturns(balance.Move{Request: 1}) }, want: moved},
-		"moved by an operator":     {run: func(s countFixture) { s.establish(); s.core.MoveOldest(1) }, want: moved},
-		"moved as the node leaves": {run: func(s countFixture) { s.establish(); s.core.Shutdown(false) }, want: moved},
-		"moved for a host's line":  {run: func(s countFixture) { s.establish(); s.attempts.last.HostFaulty() }, want: moved},
-		"moved for its flood":      {run: func(s countFixture) { s.establish(); s.attempts.last.HostNotReading() }, want: moved},
-		"moved for its own line":   {run: func(s countFixture) { s.establish().ClientFaulty(nil) }, want: moved},
+		"served to the end":                     {run: func(s countFixture) { s.establish(); s.hostEnds(balance.OK, true) }, want: served},
+		"served at once":                        {run: func(s countFixture) { s.arrive(""); s.hostEnds(balance.OK, true) }, want: served},
+		"established":                           {run: func(s countFixture) { s.establish() }, want: served},
+		"served until the client leaves":        {run: func(s countFixture) { s.establish().ClientGone(false) }, want: served},
+		"handed over to another process":        {run: func(s countFixture) { s.establish(); s.core.HandOverOldest(1, acceptAll) }, want: served},
+		"broken by its host":                    {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Reset, false) }, want: broken},
+		"ended without BYE or MOVE":             {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Reset, true) }, want: broken},
+		"ended by a fault of the host":          {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Errored, true) }, want: broken},
+		"host unresponsive":                     {run: func(s countFixture) { s.establish().ClientLines(nil); s.env.advance(2 * time.Second) }, want: broken},
+		"moved by its host":                     {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Cancelled, true) }, want: moved},
+		"moved by the balancer":                 {run: func(s countFixture) { s.establish(); s.balancerReturns(balance.Move{Request: 1}) }, want: moved},
+		"moved by an operator":                  {run: func(s countFixture) { s.establish(); s.core.MoveOldest(1) }, want: moved},
+		"moved as the node stops":               {run: func(s countFixture) { s.establish(); s.core.Shutdown(false) }, want: moved},
+		"moved for a faulty line of the host":   {run: func(s countFixture) { s.establish(); s.attempts.last.HostFaulty() }, want: moved},
+		"moved as the host does not read":       {run: func(s countFixture) { s.establish(); s.attempts.last.HostNotReading() }, want: moved},
+		"moved for a faulty line of the client": {run: func(s countFixture) { s.establish().ClientFaulty(nil) }, want: moved},
 		"refused": {run: func(s countFixture) {
 			s.arrive("")
 			s.hostEnds(balance.Full, true)
 			s.balancerReturns(balance.Refuse{Request: 1})
 		},
 			want: refused},
-		"refused at the door": {run: func(s countFixture) { s.core.CountThrottled("chat", "kota") }, want: refused},
-		"refused as the node leaves": {run: func(s countFixture) { s.core.balancer = silentBalancer{}; s.arrive(""); s.core.Shutdown(true) },
+		"throttled by the acceptor": {run: func(s countFixture) { s.core.CountThrottled("chat", "kota") }, want: refused},
+		"refused as the node stops": {run: func(s countFixture) { s.core.balancer = silentBalancer{}; s.arrive(""); s.core.Shutdown(true) },
 			want: refused},
 		"failed": {run: func(s countFixture) {
 			s.arrive("")
 			s.hostEnds(balance.Reset, false)
 			s.balancerReturns(balance.Fail{Request: 1})
 		}, want: failed},
-		"given up when its time was up": {run: func(s countFixture) {
+		"refused when the answer was due": {run: func(s countFixture) {
 			s.arrive("")
 			s.env.advance(1990 * time.Millisecond)
 			s.balancerReturns(balance.Refuse{Request: 1})
 		}, want: timedOut},
-		"held too long": {run: func(s countFixture) { s.arrive(""); s.env.advance(3 * time.Second) }, want: timedOut, guard: GuardOverdue},
-		"the process stood still": {run: func(s countFixture) {
+		"held by the balancer until the deadline": {run: func(s countFixture) { s.arrive(""); s.env.advance(3 * time.Second) }, want: timedOut, guard: GuardOverdue},
+		"deadline passed while the process was suspended": {run: func(s countFixture) {
 			s.arrive("")
 			s.env.now += 2*time.Second + sweepInterval
 			s.env.advance(0)
 		}, want: timedOut},
-		"left before its answer": {run: func(s countFixture) { s.arrive("").ClientGone(true) }, want: unserved},
-		"at fault before it":     {run: func(s countFixture) { s.arrive("").ClientFaulty(nil) }, want: unserved},
-		"waits":                  {run: func(s countFixture) { s.arrive("") }},
+		"client left before the answer":     {run: func(s countFixture) { s.arrive("").ClientGone(true) }, want: unserved},
+		"client at fault before the answer": {run: func(s countFixture) { s.arrive("").ClientFaulty(nil) }, want: unserved},
+		"waiting":                           {run: func(s countFixture) { s.arrive("") }},
 		"inherited, and broken": {run: func(s countFixture) {
 			s.arrive("a")
 			s.attempts.last.Established(nil)
@@ -112,7 +112,7 @@
 			s.core.Adopt(s.env, balance.Arrival{}, "a", s.attempts, func(t AttemptRef) { s.attempts.last = t })
 			s.hostEnds(balance.Reset, false)
 		}},
-		"what has no place there": {run: func(s countFixture) { s.establish(); s.balancerReturns(balance.Fail{Request: 1}) }, want: served,
+		"event that cannot happen": {run: func(s countFixture) { s.establish(); s.balancerReturns(balance.Fail{Request: 1}) }, want: served,
 			guard: GuardImpossible},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -140,7 +140,7 @@
 
 func acceptAll(Client, Attempt, balance.Arrival, balance.ServerID) bool { return true }
 
-func TestASetUpIsTimedFromTheArrivalWithAllAttempts(t *testing.T) {
+func TestSetUpTimeIncludesAllAttempts(t *testing.T) {
 	s, want := newCountFixture(), rollout.NewSetUps()
 	s.core.balancer = &retryingBalancer{s.balancer}
 	for _, took := range []time.Duration{30 * time.Millisecond, 400 * time.Millisecond} {
@@ -152,14 +152,14 @@
 		want.Add(10*time.Millisecond + took)
 	}
 	s.arrive("")
-	s.hostEnds(balance.OK, true) // did not stand
+	s.hostEnds(balance.OK, true) // served at once, without an established connection
 	counts, _ := s.core.Counts(valueOf)
 	require.Len(t, counts, 2)
 	assert.Equal(t, rollout.Counts{Class: "chat", SetUp: want.Bytes()}, counts[0])
 	assert.Equal(t, rollout.Counts{Class: "chat", Tenant: "kota", Offered: 3, Served: 3, Worth: 7.5}, counts[1])
 }
 
-// again is told, and places anew what has failed.
+// retryingBalancer is a recordingBalancer that places a request again when its attempt has failed.
 type retryingBalancer struct{ *recordingBalancer }
 
 func (balancer *retryingBalancer) Handle(now time.Duration, ev balance.Event) []balance.Action {
@@ -169,7 +169,7 @@
 	return balancer.recordingBalancer.Handle(now, ev)
 }
 
-func TestSoManyTenantsAreToldApart(t *testing.T) {
+func TestTenantsBeyondTheLimitAreCountedTogether(t *testing.T) {
 	s := newCountFixture()
 	throttleTenants := func(from, to int) (own int, rest uint64) {
 		for i := from; i < to; i++ {
@@ -194,10 +194,10 @@
 	assert.Equal(t, maxCells/2, own)
 	assert.Zero(t, rest)
 	own, _ = throttleTenants(200, 210)
-	assert.Equal(t, 10, own, "those who did not come any more gave room")
+	assert.Equal(t, 10, own, "cells without new requests are free again")
 }
 
-func TestNothingIsCountedUntilItIsAskedFor(t *testing.T) {
+func TestNothingIsCountedUnlessCountingIsOn(t *testing.T) {
 	env, c, _, attempts := newRecorded()
 	env.arrive(c, "")
 	attempts.last.Established(nil)
@@ -209,7 +209,7 @@
 	assert.False(t, c.GuardFired())
 }
 
-// party is a client of a walk, who counts for himself.
+// testClient is a client of a random run that counts its own outcomes.
 type testClient struct {
 	run                   *randomRun
 	request               *Request
@@ -219,13 +219,13 @@
 	established, finished bool
 }
 
-// walk plays queries at random and counts what their clients hear.
+// randomRun makes requests at random and counts what their clients observe.
 type randomRun struct {
 	*testEnv
 	counts       rollout.Counts
 	abandoned    uint64
 	setUps       map[string]rollout.SetUps
-	unresponsive bool // what moves now is silence
+	unresponsive bool // clients that are moved now are moved because their host is unresponsive
 	clients      []*testClient
 }
 
@@ -266,7 +266,7 @@
 	}
 }
 
-// leaves has the client go, whether or not it was answered.
+// leave closes the client's connection, whether or not it was answered.
 func (tc *testClient) leave() {
 	if !tc.established {
 		tc.countFinal(&tc.run.abandoned)
@@ -275,7 +275,7 @@
 	tc.request.ClientGone(true)
 }
 
-// ends has the host of a party end its attempt, or what stands.
+// endByHost lets the host end the client's attempt or established connection.
 func (tc *testClient) endByHost(outcome balance.Outcome) {
 	if tc.established && !tc.inherited {
 		switch outcome {
@@ -289,8 +289,9 @@
 	AttemptRef{tc.request, tc.request.state.Attempts}.Ended(outcome, outcome != balance.Reset, balance.Report{}, nil)
 }
 
-// TestTheSumsAreWhatTheClientsSaw plays queries with the real balancer, at random and for hours. Its guards stay silent.
-func TestTheSumsAreWhatTheClientsSaw(t *testing.T) {
+// TestCountsMatchWhatClientsObserve makes random requests over hours of simulated time, with the real balancer,
+// and compares the counts with what the clients observe. No guard may fire.
+func TestCountsMatchWhatClientsObserve(t *testing.T) {
 	var all rollout.Counts
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 7))
@@ -342,13 +343,13 @@
 		require.Equal(t, sum.Offered, sum.Served+sum.Refused+sum.Failed+sum.TimedOut+run.abandoned, "seed %d", seed)
 		addCounts(&all, sum)
 	}
-	t.Logf("in all %+v", all)
+	t.Logf("total: %+v", all)
 	for _, n := range []uint64{all.Served, all.Refused, all.Failed, all.TimedOut, all.Breaks, all.Moves} {
-		assert.NotZero(t, n, "each of them was played")
+		assert.NotZero(t, n, "every outcome occurs")
 	}
 }
 
-// tally takes what was counted over, and compares the set-ups.
+// checkCounts adds the counts to sum, compares the set-up times with those of the clients, and resets the counts.
 func (run *randomRun) checkCounts(t *testing.T, sum *rollout.Counts) {
 	t.Helper()
 	counts, guards := run.core.Counts(valueOf)
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -13,16 +13,16 @@
 	"lichenhitch/internal/lifecycle"
 )
 
-// world stands in for the clock, the servers, the host group and one client.
+// testEnv implements the clock, the servers, the host group and one client.
 type testEnv struct {
 	now           time.Duration
 	timers        []*timer
 	core          *Core
-	active        []AttemptRef // attempts that are out
+	active        []AttemptRef // attempts in progress
 	last          AttemptRef
 	maxActive     int
 	answers       []string
-	neverConnects bool // no connection to a server comes up
+	neverConnects bool // no connection to a server is established
 }
 
 type timer struct {
@@ -40,7 +40,7 @@
 	return t
 }
 
-// pass lets time go by, timer by timer.
+// advance advances the time and fires the timers that expire, in order.
 func (env *testEnv) advance(d time.Duration) {
 	for until := env.now + d; ; {
 		i := -1
@@ -91,7 +91,7 @@
 func (env *testEnv) Move()                  { env.answers = append(env.answers, "move") }
 func (env *testEnv) End(bool)               { env.answers = append(env.answers, "end") }
 
-// With this seed the balancer, which turns away part of what comes while most attempts fail, tries again.
+// With this seed the balancer retries. It refuses part of the requests while most attempts fail.
 const seed = 4
 
 func newCore(hosts ...balance.ServerID) (*testEnv, *Core) {
@@ -112,7 +112,7 @@
 	return c.Arrive(env, balance.Arrival{Class: "chat"}, at, 2*time.Second)
 }
 
-func TestAHeldQueryIsAnsweredOnceAndBeforeItsTimeIsUp(t *testing.T) {
+func TestHeldRequestIsAnsweredOnceAndBeforeItsDeadline(t *testing.T) {
 	env, c := newCore() // no hosts at all
 	env.arrive(c, "")
 	env.advance(2*time.Second - time.Millisecond)
@@ -122,20 +122,20 @@
 	assert.Zero(t, c.Waiting())
 }
 
-func TestSilentHostsCostOneAttemptAfterTheOther(t *testing.T) {
+func TestUnresponsiveHostsAreTriedOneAtATime(t *testing.T) {
 	env, c := newCore("a", "b", "c", "d", "e")
 	r := env.arrive(c, "")
 	env.advance(2 * time.Second)
-	assert.Equal(t, 1, env.maxActive, "attempts out at once")
+	assert.Equal(t, 1, env.maxActive, "attempts in progress at once")
 	assert.Empty(t, env.active)
 	assert.Greater(t, r.state.Attempts, uint16(1))
 	assert.Equal(t, []string{"throttle"}, env.answers)
-	env.last.Established(nil) // a word that comes too late changes nothing
+	env.last.Established(nil) // a late event changes nothing
 	env.last.Ended(balance.Reset, true, balance.Report{}, nil)
 	assert.Len(t, env.answers, 1)
 }
 
-func TestAClientThatLeavesTakesItsAttemptAlong(t *testing.T) {
+func TestAttemptEndsWhenItsClientLeaves(t *testing.T) {
 	env, c := newCore("a", "b")
 	r := env.arrive(c, "")
 	r.ClientGone(true)
@@ -147,7 +147,7 @@
 	assert.Zero(t, c.Waiting())
 }
 
-func TestAnInheritedQueryIsTriedAgainAtItsHostUntilItIsLost(t *testing.T) {
+func TestInheritedRequestIsRetriedAtItsHostUntilItTimesOut(t *testing.T) {
 	env, c := newCore("a")
 	r := env.arrive(c, "b")
 	for range 3 {
@@ -162,7 +162,8 @@
 	assert.Empty(t, c.requests)
 }
 
-// reusing is a decider that, as the real one, answers in one buffer, which the next call overwrites.
+// reusingBalancer is a balancer that returns its actions in one buffer, as the real one does. The next call
+// overwrites the buffer.
 type reusingBalancer struct {
 	buffer  []balance.Action
 	actions []balance.Action // on the next TimerFired
@@ -183,7 +184,7 @@
 	return balancer.buffer
 }
 
-func TestActionsAreCarriedOutBeforeTheNextEventIsTold(t *testing.T) {
+func TestActionsAreCarriedOutBeforeTheNextEventIsHandled(t *testing.T) {
 	env := &testEnv{now: time.Hour}
 	balancer := &reusingBalancer{}
 	c := NewWith(slog.New(slog.NewTextHandler(io.Discard, nil)), env, balance.Settings{}, balancer, lifecycle.Step)
@@ -197,11 +198,11 @@
 	balancer.actions = []balance.Action{balance.Move{Request: 1}, balance.Move{Request: 2}, balance.Move{Request: 3}}
 	c.Fire(TimerEvent{Kind: TimerBalancer})
 	assert.Equal(t, []string{"move", "move", "move"}, env.answers)
-	assert.Len(t, balancer.ended, 3, "each end is told once")
+	assert.Len(t, balancer.ended, 3, "the balancer is notified of each end once")
 	assert.Zero(t, c.Established())
 }
 
-// told is a decider that keeps what it hears and says what it is told to on the next TimerFired.
+// recordingBalancer is a balancer that records its events, and returns the given actions on the next TimerFired.
 type recordingBalancer struct {
 	events  []balance.Event
 	actions []balance.Action
@@ -218,12 +219,12 @@
 	return nil
 }
 
-// last returns what was heard last.
+// lastEvent returns the latest event.
 func (balancer *recordingBalancer) lastEvent() balance.Event {
 	return balancer.events[len(balancer.events)-1]
 }
 
-// noting is a client that keeps how it was treated.
+// recordingClient is a client that records how it was answered.
 type recordingClient struct {
 	testEnv
 	after  time.Duration
@@ -235,7 +236,7 @@
 func (client *recordingClient) End(clean bool)               { client.clean = append(client.clean, clean) }
 func (client *recordingClient) Reject(reason error)          { client.reason = reason }
 
-// endings is a server side whose attempts keep how they were ended.
+// recordingAttempts implements Servers with attempts that record how they were ended.
 type recordingAttempts struct {
 	testEnv
 	clean []bool
@@ -260,16 +261,16 @@
 	return env, c, balancer, attempts
 }
 
-func TestWhatComesWithAnEventGoesOn(t *testing.T) {
+func TestEventDataIsPassedOn(t *testing.T) {
 	env, c, balancer, attempts := newRecorded()
 	client := &recordingClient{}
 	arrive := func() *Request { return c.Arrive(client, balance.Arrival{Class: "chat"}, "", 2*time.Second) }
 	arrival := func() balance.Arrival { return balancer.lastEvent().(balance.Arrival) }
 
 	r := arrive()
-	assert.Equal(t, 1990*time.Millisecond, arrival().TimeLeft, "10 ms are for the answer's way")
+	assert.Equal(t, 1990*time.Millisecond, arrival().TimeLeft, "10 ms are reserved for the answer to travel")
 	attempts.last.LoadChanged(7)
-	assert.IsType(t, balance.Arrival{}, balancer.lastEvent(), "no load before it is up")
+	assert.IsType(t, balance.Arrival{}, balancer.lastEvent(), "no load is reported before the connection is established")
 	env.now += 30 * time.Millisecond
 	attempts.last.Established([]byte("UP"))
 	assert.Equal(t, balance.Established{Request: 1, Took: 30 * time.Millisecond}, balancer.lastEvent())
@@ -279,14 +280,14 @@
 	assert.Equal(t, 1, attempts.lines)
 	env.now += 5 * time.Millisecond
 	r.ClientGone(false)
-	assert.Equal(t, []bool{false}, attempts.clean, "broken, as the client's side was")
+	assert.Equal(t, []bool{false}, attempts.clean, "broken, as the client's connection was")
 	assert.Equal(t, balance.Ended{Request: 1, Outcome: balance.Cancelled, Took: 35 * time.Millisecond, Final: true}, balancer.lastEvent())
 
 	arrive()
 	attempts.last.Established(nil)
 	report := balance.Report{Known: balance.HasRatio, Ratio: 0.5}
 	attempts.last.Ended(balance.Reset, false, report, nil)
-	assert.Equal(t, []bool{false}, client.clean, "broken, as the host's side was")
+	assert.Equal(t, []bool{false}, client.clean, "broken, as the host's connection was")
 	assert.Equal(t, balance.Ended{Request: 2, Outcome: balance.Reset, Final: true, Report: report}, balancer.lastEvent())
 
 	arrive()
@@ -304,8 +305,9 @@
 	assert.Equal(t, balance.Probed{Server: "a", Outcome: balance.OK, Took: time.Second, Report: report}, balancer.lastEvent())
 }
 
-// One whose time runs out unheard is told when to come back, and no later than clients heed.
-func TestTheGuardSaysWhenToComeBack(t *testing.T) {
+// A client whose request the balancer leaves unanswered until the deadline is told when to try again. The time
+// must not exceed Settings.MaxRetryAfter, since clients ignore a longer one.
+func TestDeadlineTimerSaysWhenToTryAgain(t *testing.T) {
 	env, c, _, _ := newRecorded()
 	client := &recordingClient{}
 	c.balancer = silentBalancer{}
@@ -320,8 +322,9 @@
 
 func (silentBalancer) Handle(time.Duration, balance.Event) []balance.Action { return nil }
 
-// The grace is the settings' own, which differs from one deployment to another, less a moment for the writing.
-func TestAHostIsDrainedFromTheFirstNoticeOn(t *testing.T) {
+// The drain grace comes from the settings, which differ between deployments, less graceMargin. It starts when the
+// drain is first reported.
+func TestDrainGraceStartsWithTheFirstReport(t *testing.T) {
 	for _, grace := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		t.Run(grace.String(), func(t *testing.T) { testDrainGrace(t, grace) })
 	}
@@ -338,19 +341,19 @@
 	assert.False(t, c.drained("a"))
 	change(entry(balance.Draining, 0))
 	env.now += time.Second
-	change(entry(balance.Draining, 0)) // told again
+	change(entry(balance.Draining, 0)) // reported again
 	env.now += grace - 1051*time.Millisecond
 	assert.False(t, c.drained("a"))
 	env.now += time.Millisecond
 	assert.True(t, c.drained("a"))
 	c.List(balance.ListFailed, nil)
-	assert.True(t, c.drained("a"), "a call that failed tells nothing")
+	assert.True(t, c.drained("a"), "a failed call changes nothing")
 	change(entry(balance.Ready, 0))
-	assert.False(t, c.drained("a"), "taken back")
-	c.List(balance.ListFull, nil) // it is missing
+	assert.False(t, c.drained("a"), "the drain was cancelled")
+	c.List(balance.ListFull, nil) // the host is missing from the list
 	env.now += grace
 	assert.True(t, c.drained("a"))
-	change(entry(balance.Draining, 5)) // another life of it
+	change(entry(balance.Draining, 5)) // the host has restarted
 	assert.False(t, c.drained("a"))
-	assert.False(t, c.drained("unheard of"))
+	assert.False(t, c.drained("unknown"))
 }
