--- a/rehearsal/coremodel/plants.go
+++ b/rehearsal/coremodel/plants.go
@@ -78,7 +78,7 @@
 	out   func([]balance.Action) []balance.Action
 }
 
-// Handle implements query.Decider.
+// Handle implements query.Balancer.
 func (d *decider) Handle(now time.Duration, ev balance.Event) []balance.Action {
 	events := []balance.Event{ev}
 	if d.in != nil {
--- a/rehearsal/script/do.go
+++ b/rehearsal/script/do.go
@@ -257,7 +257,7 @@
 // Scripted is a decider that decides what the script says.
 type Scripted struct{ next []balance.Action }
 
-// Handle implements query.Decider.
+// Handle implements query.Balancer.
 func (s *Scripted) Handle(time.Duration, balance.Event) []balance.Action {
 	acts := s.next
 	s.next = nil
--- a/rehearsal/script/world.go
+++ b/rehearsal/script/world.go
@@ -195,7 +195,7 @@
 	}
 }
 
-// Handle implements query.Decider.
+// Handle implements query.Balancer.
 func (t *tap) Handle(now time.Duration, ev balance.Event) []balance.Action {
 	t.hear(ev)
 	acts := t.inner.Handle(now, ev)
@@ -360,7 +360,7 @@
 	held   bool // the node has closed it, and the host may still speak
 }
 
-// Pass implements query.Attempt.
+// Forward implements query.Attempt.
 func (l *link) Forward([]byte) { l.w.Rules.Passed(l.w.now, l.id, l.client.id) }
 
 // End implements query.Attempt.
@@ -376,7 +376,7 @@
 // Sent implements query.Attempt.
 func (l *link) Sent() bool { return l.sent }
 
-// Over implements query.Attempt. These hosts say no last word before they close.
+// EndReceived implements query.Attempt. These hosts say no last word before they close.
 func (l *link) EndReceived() bool { return false }
 
 func (l *link) shut() {
@@ -409,7 +409,7 @@
 	}
 }
 
-// Up implements query.Client.
+// Established implements query.Client.
 func (c *client) Established(answer []byte) {
 	by := -1
 	_, _ = fmt.Sscanf(string(answer), "UP %d", &by)
@@ -428,7 +428,7 @@
 // Reject implements query.Client.
 func (c *client) Reject(error) { c.answer(rules.Rejected, -1) }
 
-// Pass implements query.Client.
+// Forward implements query.Client.
 func (c *client) Forward(line []byte) {
 	by := -1
 	_, _ = fmt.Sscanf(string(line), "line %d", &by)
