--- a/internal/query/bench_test.go
+++ b/internal/query/bench_test.go
@@ -22,8 +22,8 @@
 func (env *idleEnv) EndReceived() bool                     { return false }
 func (env *idleEnv) Sent() bool                            { return true }
 func (env *idleEnv) End(bool)                              {}
-func (env *idleEnv) Attempt(t AttemptRef, _ balance.ServerID, _ time.Duration) Attempt {
-	env.last = t
+func (env *idleEnv) Attempt(ref AttemptRef, _ balance.ServerID, _ time.Duration) Attempt {
+	env.last = ref
 	return env
 }
 func (env *idleEnv) Probe(balance.ServerID) {}
--- a/internal/query/count_test.go
+++ b/internal/query/count_test.go
@@ -30,23 +30,23 @@
 	return countFixture{env, c, balancer, attempts}
 }
 
-func (s countFixture) arrive(at balance.ServerID) *Request {
-	return s.core.Arrive(s.env, balance.Arrival{Class: "chat", Tenant: "kota"}, at, 2*time.Second)
+func (f countFixture) arrive(at balance.ServerID) *Request {
+	return f.core.Arrive(f.env, balance.Arrival{Class: "chat", Tenant: "kota"}, at, 2*time.Second)
 }
 
-func (s countFixture) establish() *Request {
-	r := s.arrive("")
-	s.attempts.last.Established(nil)
+func (f countFixture) establish() *Request {
+	r := f.arrive("")
+	f.attempts.last.Established(nil)
 	return r
 }
 
-func (s countFixture) hostEnds(outcome balance.Outcome, clean bool) {
-	s.attempts.last.Ended(outcome, clean, balance.Report{}, nil)
+func (f countFixture) hostEnds(outcome balance.Outcome, clean bool) {
+	f.attempts.last.Ended(outcome, clean, balance.Report{}, nil)
 }
 
-func (s countFixture) balancerReturns(a ...balance.Action) {
-	s.balancer.actions = a
-	s.core.Fire(TimerEvent{Kind: TimerBalancer})
+func (f countFixture) balancerReturns(a ...balance.Action) {
+	f.balancer.actions = a
+	f.core.Fire(TimerEvent{Kind: TimerBalancer})
 }
 
 func TestRequestOutcomesAreCounted(t *testing.T) {
@@ -58,80 +58,80 @@
 		want  rollout.Counts
 		guard string
 	}{
-		"served to the end":                     {run: func(s countFixture) { s.establish(); s.hostEnds(balance.OK, true) }, want: served},
-		"served at once":                        {run: func(s countFixture) { s.arrive(""); s.hostEnds(balance.OK, true) }, want: served},
-		"established":                           {run: func(s countFixture) { s.establish() }, want: served},
-		"served until the client leaves":        {run: func(s countFixture) { s.establish().ClientGone(false) }, want: served},
-		"handed over to another process":        {run: func(s countFixture) { s.establish(); s.core.HandOverOldest(1, acceptAll) }, want: served},
-		"broken by its host":                    {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Reset, false) }, want: broken},
-		"ended without BYE or MOVE":             {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Reset, true) }, want: broken},
-		"ended by a fault of the host":          {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Errored, true) }, want: broken},
-		"host unresponsive":                     {run: func(s countFixture) { s.establish().ClientLines(nil); s.env.advance(2 * time.Second) }, want: broken},
-		"moved by its host":                     {run: func(s countFixture) { s.establish(); s.hostEnds(balance.Cancelled, true) }, want: moved},
-		"moved by the balancer":                 {run: func(s countFixture) { s.establish(); s.balancerReturns(balance.Move{Request: 1}) }, want: moved},
-		"moved by an operator":                  {run: func(s countFixture) { s.establish(); s.core.MoveOldest(1) }, want: moved},
-		"moved as the node stops":               {run: func(s countFixture) { s.establish(); s.core.Shutdown(false) }, want: moved},
-		"moved for a faulty line of the host":   {run: func(s countFixture) { s.establish(); s.attempts.last.HostFaulty() }, want: moved},
-		"moved as the host does not read":       {run: func(s countFixture) { s.establish(); s.attempts.last.HostNotReading() }, want: moved},
-		"moved for a faulty line of the client": {run: func(s countFixture) { s.establish().ClientFaulty(nil) }, want: moved},
-		"refused": {run: func(s countFixture) {
-			s.arrive("")
-			s.hostEnds(balance.Full, true)
-			s.balancerReturns(balance.Refuse{Request: 1})
+		"served to the end":                     {run: func(f countFixture) { f.establish(); f.hostEnds(balance.OK, true) }, want: served},
+		"served at once":                        {run: func(f countFixture) { f.arrive(""); f.hostEnds(balance.OK, true) }, want: served},
+		"established":                           {run: func(f countFixture) { f.establish() }, want: served},
+		"served until the client leaves":        {run: func(f countFixture) { f.establish().ClientGone(false) }, want: served},
+		"handed over to another process":        {run: func(f countFixture) { f.establish(); f.core.HandOverOldest(1, acceptAll) }, want: served},
+		"broken by its host":                    {run: func(f countFixture) { f.establish(); f.hostEnds(balance.Reset, false) }, want: broken},
+		"ended without BYE or MOVE":             {run: func(f countFixture) { f.establish(); f.hostEnds(balance.Reset, true) }, want: broken},
+		"ended by a fault of the host":          {run: func(f countFixture) { f.establish(); f.hostEnds(balance.Errored, true) }, want: broken},
+		"host unresponsive":                     {run: func(f countFixture) { f.establish().ClientLines(nil); f.env.advance(2 * time.Second) }, want: broken},
+		"moved by its host":                     {run: func(f countFixture) { f.establish(); f.hostEnds(balance.Cancelled, true) }, want: moved},
+		"moved by the balancer":                 {run: func(f countFixture) { f.establish(); f.balancerReturns(balance.Move{Request: 1}) }, want: moved},
+		"moved by an operator":                  {run: func(f countFixture) { f.establish(); f.core.MoveOldest(1) }, want: moved},
+		"moved as the node stops":               {run: func(f countFixture) { f.establish(); f.core.Shutdown(false) }, want: moved},
+		"moved for a faulty line of the host":   {run: func(f countFixture) { f.establish(); f.attempts.last.HostFaulty() }, want: moved},
+		"moved as the host does not read":       {run: func(f countFixture) { f.establish(); f.attempts.last.HostNotReading() }, want: moved},
+		"moved for a faulty line of the client": {run: func(f countFixture) { f.establish().ClientFaulty(nil) }, want: moved},
+		"refused": {run: func(f countFixture) {
+			f.arrive("")
+			f.hostEnds(balance.Full, true)
+			f.balancerReturns(balance.Refuse{Request: 1})
 		},
 			want: refused},
-		"throttled by the acceptor": {run: func(s countFixture) { s.core.CountThrottled("chat", "kota") }, want: refused},
-		"refused as the node stops": {run: func(s countFixture) { s.core.balancer = silentBalancer{}; s.arrive(""); s.core.Shutdown(true) },
+		"throttled by the acceptor": {run: func(f countFixture) { f.core.CountThrottled("chat", "kota") }, want: refused},
+		"refused as the node stops": {run: func(f countFixture) { f.core.balancer = silentBalancer{}; f.arrive(""); f.core.Shutdown(true) },
 			want: refused},
-		"failed": {run: func(s countFixture) {
-			s.arrive("")
-			s.hostEnds(balance.Reset, false)
-			s.balancerReturns(balance.Fail{Request: 1})
+		"failed": {run: func(f countFixture) {
+			f.arrive("")
+			f.hostEnds(balance.Reset, false)
+			f.balancerReturns(balance.Fail{Request: 1})
 		}, want: failed},
-		"refused when the answer was due": {run: func(s countFixture) {
-			s.arrive("")
-			s.env.advance(1990 * time.Millisecond)
-			s.balancerReturns(balance.Refuse{Request: 1})
+		"refused when the answer was due": {run: func(f countFixture) {
+			f.arrive("")
+			f.env.advance(1990 * time.Millisecond)
+			f.balancerReturns(balance.Refuse{Request: 1})
 		}, want: timedOut},
-		"held by the balancer until the deadline": {run: func(s countFixture) { s.arrive(""); s.env.advance(3 * time.Second) }, want: timedOut, guard: GuardOverdue},
-		"deadline passed while the process was suspended": {run: func(s countFixture) {
-			s.arrive("")
-			s.env.now += 2*time.Second + sweepInterval
-			s.env.advance(0)
+		"held by the balancer until the deadline": {run: func(f countFixture) { f.arrive(""); f.env.advance(3 * time.Second) }, want: timedOut, guard: GuardOverdue},
+		"deadline passed while the process was suspended": {run: func(f countFixture) {
+			f.arrive("")
+			f.env.now += 2*time.Second + sweepInterval
+			f.env.advance(0)
 		}, want: timedOut},
-		"client left before the answer":     {run: func(s countFixture) { s.arrive("").ClientGone(true) }, want: unserved},
-		"client at fault before the answer": {run: func(s countFixture) { s.arrive("").ClientFaulty(nil) }, want: unserved},
-		"waiting":                           {run: func(s countFixture) { s.arrive("") }},
-		"inherited, and broken": {run: func(s countFixture) {
-			s.arrive("a")
-			s.attempts.last.Established(nil)
-			s.hostEnds(balance.Reset, false)
+		"client left before the answer":     {run: func(f countFixture) { f.arrive("").ClientGone(true) }, want: unserved},
+		"client at fault before the answer": {run: func(f countFixture) { f.arrive("").ClientFaulty(nil) }, want: unserved},
+		"waiting":                           {run: func(f countFixture) { f.arrive("") }},
+		"inherited, and broken": {run: func(f countFixture) {
+			f.arrive("a")
+			f.attempts.last.Established(nil)
+			f.hostEnds(balance.Reset, false)
 		}},
-		"inherited, and lost": {run: func(s countFixture) { s.arrive("a"); s.env.advance(time.Minute) }},
-		"adopted, and broken": {run: func(s countFixture) {
-			s.core.Adopt(s.env, balance.Arrival{}, "a", s.attempts, func(t AttemptRef) { s.attempts.last = t })
-			s.hostEnds(balance.Reset, false)
+		"inherited, and lost": {run: func(f countFixture) { f.arrive("a"); f.env.advance(time.Minute) }},
+		"adopted, and broken": {run: func(f countFixture) {
+			f.core.Adopt(f.env, balance.Arrival{}, "a", f.attempts, func(ref AttemptRef) { f.attempts.last = ref })
+			f.hostEnds(balance.Reset, false)
 		}},
-		"event that cannot happen": {run: func(s countFixture) { s.establish(); s.balancerReturns(balance.Fail{Request: 1}) }, want: served,
+		"event that cannot happen": {run: func(f countFixture) { f.establish(); f.balancerReturns(balance.Fail{Request: 1}) }, want: served,
 			guard: GuardImpossible},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newCountFixture()
-			test.run(s)
-			counts, guards := s.core.Counts(valueOf)
-			counts = slices.DeleteFunc(counts, func(counts rollout.Counts) bool { return counts.Tenant == "" && counts.Offered == 0 })
+			f := newCountFixture()
+			test.run(f)
+			counts, guards := f.core.Counts(valueOf)
+			counts = slices.DeleteFunc(counts, func(c rollout.Counts) bool { return c.Tenant == "" && c.Offered == 0 })
 			if test.want.Offered == 0 {
 				assert.Empty(t, counts)
 			} else if assert.Len(t, counts, 1) {
 				test.want.Class, test.want.Tenant = "chat", "kota"
 				assert.Equal(t, test.want, counts[0])
 			}
-			assert.Equal(t, test.guard != "", s.core.GuardFired())
+			assert.Equal(t, test.guard != "", f.core.GuardFired())
 			if test.guard != "" {
 				assert.Equal(t, []string{test.guard}, guards)
 			}
-			s.core.ResetCounts()
-			counts, guards = s.core.Counts(valueOf)
+			f.core.ResetCounts()
+			counts, guards = f.core.Counts(valueOf)
 			assert.Empty(t, counts)
 			assert.Empty(t, guards)
 		})
@@ -141,19 +141,19 @@
 func acceptAll(Client, Attempt, balance.Arrival, balance.ServerID) bool { return true }
 
 func TestSetUpTimeIncludesAllAttempts(t *testing.T) {
-	s, want := newCountFixture(), rollout.NewSetUps()
-	s.core.balancer = &retryingBalancer{s.balancer}
+	f, want := newCountFixture(), rollout.NewSetUps()
+	f.core.balancer = &retryingBalancer{f.balancer}
 	for _, took := range []time.Duration{30 * time.Millisecond, 400 * time.Millisecond} {
-		s.arrive("")
-		s.env.now += 10 * time.Millisecond
-		s.hostEnds(balance.Full, true)
-		s.env.now += took
-		s.attempts.last.Established(nil)
+		f.arrive("")
+		f.env.now += 10 * time.Millisecond
+		f.hostEnds(balance.Full, true)
+		f.env.now += took
+		f.attempts.last.Established(nil)
 		want.Add(10*time.Millisecond + took)
 	}
-	s.arrive("")
-	s.hostEnds(balance.OK, true) // served at once, without an established connection
-	counts, _ := s.core.Counts(valueOf)
+	f.arrive("")
+	f.hostEnds(balance.OK, true) // served at once, without an established connection
+	counts, _ := f.core.Counts(valueOf)
 	require.Len(t, counts, 2)
 	assert.Equal(t, rollout.Counts{Class: "chat", SetUp: want.Bytes()}, counts[0])
 	assert.Equal(t, rollout.Counts{Class: "chat", Tenant: "kota", Offered: 3, Served: 3, Worth: 7.5}, counts[1])
@@ -170,12 +170,12 @@
 }
 
 func TestTenantsBeyondTheLimitAreCountedTogether(t *testing.T) {
-	s := newCountFixture()
+	f := newCountFixture()
 	throttleTenants := func(from, to int) (own int, rest uint64) {
 		for i := from; i < to; i++ {
-			s.core.CountThrottled("chat", fmt.Sprint("t", i))
+			f.core.CountThrottled("chat", fmt.Sprint("t", i))
 		}
-		counts, _ := s.core.Counts(valueOf)
+		counts, _ := f.core.Counts(valueOf)
 		for _, k := range counts {
 			if k.Tenant == "" {
 				rest = k.Offered
@@ -184,7 +184,7 @@
 				assert.Equal(t, uint64(1), k.Offered)
 			}
 		}
-		s.core.ResetCounts()
+		f.core.ResetCounts()
 		return own, rest
 	}
 	own, rest := throttleTenants(0, 100)
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -254,7 +254,7 @@
 	c.feed(balance.ServerList{Kind: kind, Entries: entries})
 }
 
-// updateHosts records the hosts of the list, among them those that may soon not be sent anything.
+// updateHosts records the states of the listed hosts. Hosts that are missing from a complete list are gone.
 func (c *Core) updateHosts(kind balance.ListKind, entries []balance.Listing) {
 	now := c.clock.Now()
 	if kind != balance.ListChanges {
@@ -609,22 +609,22 @@
 }
 
 // Client returns the client side of the request.
-func (t AttemptRef) Client() Client { return t.request.client }
+func (ref AttemptRef) Client() Client { return ref.request.client }
 
-func (t AttemptRef) step(kind lifecycle.Kind, data *eventData) {
-	t.request.step(lifecycle.Event{Kind: kind, Attempt: t.number}, data)
+func (ref AttemptRef) step(kind lifecycle.Kind, data *eventData) {
+	ref.request.step(lifecycle.Event{Kind: kind, Attempt: ref.number}, data)
 }
 
 // isEstablished reports whether this attempt's connection is the established one.
-func (t AttemptRef) isEstablished() bool {
-	return t.request.state.Phase == lifecycle.Established && t.request.state.Attempts == t.number
+func (ref AttemptRef) isEstablished() bool {
+	return ref.request.state.Phase == lifecycle.Established && ref.request.state.Attempts == ref.number
 }
 
 // AllowSend reports whether the first line may still be sent to the host. It is called just before the line is
 // written. If it returns false, the attempt has ended.
-func (t AttemptRef) AllowSend() bool {
-	if c := t.request.core; c.drained(t.request.server) || c.withheld(t.request.server) || t.request.sendWindowOver() {
-		t.step(lifecycle.HostDrainExpired, &eventData{outcome: balance.Unsent})
+func (ref AttemptRef) AllowSend() bool {
+	if c := ref.request.core; c.drained(ref.request.server) || c.withheld(ref.request.server) || ref.request.sendWindowOver() {
+		ref.step(lifecycle.HostDrainExpired, &eventData{outcome: balance.Unsent})
 		return false
 	}
 	return true
@@ -637,14 +637,14 @@
 }
 
 // Established reports that the connection is established. answer is the host's answer for the client.
-func (t AttemptRef) Established(answer []byte) {
-	t.step(lifecycle.HostEstablished, &eventData{answer: answer})
+func (ref AttemptRef) Established(answer []byte) {
+	ref.step(lifecycle.HostEstablished, &eventData{answer: answer})
 }
 
 // HostLines passes lines of the host on to the client.
-func (t AttemptRef) HostLines(lines []byte) {
-	if t.isEstablished() {
-		r := t.request
+func (ref AttemptRef) HostLines(lines []byte) {
+	if ref.isEstablished() {
+		r := ref.request
 		r.responseWatch.HostAnswered()
 		r.core.lastReceived[r.server] = r.core.clock.Now()
 		r.client.Forward(lines)
@@ -652,30 +652,32 @@
 }
 
 // LoadChanged reports the load of the connection, in microseconds of work per second.
-func (t AttemptRef) LoadChanged(load float64) {
-	if t.isEstablished() {
-		t.request.core.feed(balance.LoadChanged{Request: t.request.arrival.Request, Load: load})
+func (ref AttemptRef) LoadChanged(load float64) {
+	if ref.isEstablished() {
+		ref.request.core.feed(balance.LoadChanged{Request: ref.request.arrival.Request, Load: load})
 	}
 }
 
 // Ended reports that the host ended the attempt or its connection, or that no connection was established. answer
 // is the host's final line if it is to be passed on to the client.
-func (t AttemptRef) Ended(outcome balance.Outcome, clean bool, report balance.Report, answer []byte) {
+func (ref AttemptRef) Ended(outcome balance.Outcome, clean bool, report balance.Report, answer []byte) {
 	kind := lifecycle.HostEnded
 	if outcome == balance.OK {
 		kind = lifecycle.HostServed
 	}
-	t.step(kind, &eventData{outcome: outcome, clean: clean, report: report, answer: answer})
+	ref.step(kind, &eventData{outcome: outcome, clean: clean, report: report, answer: answer})
 }
 
 // HostFaulty reports that the host sent something that cannot be passed on. The host still answers, so a client
 // that is served is moved and not cut off.
-func (t AttemptRef) HostFaulty() { t.step(lifecycle.HostFaulty, &eventData{outcome: balance.Errored}) }
+func (ref AttemptRef) HostFaulty() {
+	ref.step(lifecycle.HostFaulty, &eventData{outcome: balance.Errored})
+}
 
 // HostNotReading reports that the host reads more slowly than the client sends. The host may be healthy and still
 // answer: the client is moved, and the outcome does not count against the host.
-func (t AttemptRef) HostNotReading() {
-	t.step(lifecycle.HostNotReading, &eventData{outcome: balance.Cancelled})
+func (ref AttemptRef) HostNotReading() {
+	ref.step(lifecycle.HostNotReading, &eventData{outcome: balance.Cancelled})
 }
 
 // ClientLines passes lines of the client on to the host.
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -71,13 +71,13 @@
 func (a attempt) EndReceived() bool { return false }
 func (a attempt) Sent() bool        { return !a.env.neverConnects }
 func (a attempt) End(bool) {
-	a.env.active = slices.DeleteFunc(a.env.active, func(t AttemptRef) bool { return t == a.ref })
+	a.env.active = slices.DeleteFunc(a.env.active, func(ref AttemptRef) bool { return ref == a.ref })
 }
 
-func (env *testEnv) Attempt(t AttemptRef, _ balance.ServerID, _ time.Duration) Attempt {
-	env.active, env.last = append(env.active, t), t
+func (env *testEnv) Attempt(ref AttemptRef, _ balance.ServerID, _ time.Duration) Attempt {
+	env.active, env.last = append(env.active, ref), ref
 	env.maxActive = max(env.maxActive, len(env.active))
-	return attempt{env, t}
+	return attempt{env, ref}
 }
 func (env *testEnv) Probe(balance.ServerID) {}
 func (env *testEnv) Subscribe()             {}
@@ -245,8 +245,8 @@
 
 func (attempts *recordingAttempts) EndReceived() bool { return false }
 func (attempts *recordingAttempts) Sent() bool        { return true }
-func (attempts *recordingAttempts) Attempt(t AttemptRef, _ balance.ServerID, _ time.Duration) Attempt {
-	attempts.last = t
+func (attempts *recordingAttempts) Attempt(ref AttemptRef, _ balance.ServerID, _ time.Duration) Attempt {
+	attempts.last = ref
 	return attempts
 }
 func (attempts *recordingAttempts) Forward([]byte) { attempts.lines++ }
