--- a/internal/clientconn/acceptor.go
+++ b/internal/clientconn/acceptor.go
@@ -113,7 +113,7 @@
 	a.logPending = true
 	a.loop.After(logInterval, func() {
 		for reason, n := range a.rejected {
-			a.log.Warn("connections were rejected", "reason", reason, "count", n)
+			a.log.Warn("connections were turned away", "reason", reason, "count", n)
 		}
 		clear(a.rejected)
 		a.logPending = false
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -746,7 +746,7 @@
 		r.step(lifecycle.Event{Kind: lifecycle.Move}, &eventData{outcome: balance.Reset})
 	}
 	for server := range unresponsive {
-		c.log.Warn("a host has stopped responding; its clients are moved", "host", server)
+		c.log.Warn("a host has fallen silent; its clients are moved", "host", server)
 	}
 	for server := range c.lastReceived {
 		if !inUse[server] {
