--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,6 @@
-// Package discovery keeps discovery's list of hosts: it watches for changes over HTTP, tells the core of them and
-// knows each host's address. Package watch decides when to call; a Client carries that out on a connection.
+// Package discovery maintains the list of hosts: it watches discovery for changes over HTTP, passes them to the
+// core and keeps each host's address. Package watch decides when to call discovery; a Client makes the calls on a
+// connection.
 package discovery
 
 import (
@@ -16,137 +17,139 @@
 	"lichenhitch/internal/query"
 )
 
-// dialTimeout is when a connection that does not come up is given up: half of what a call may take, for the answer needs
-// time too.
+// dialTimeout is how long connecting may take: half of the time that a call may take, since the answer needs time
+// too.
 const dialTimeout = watch.CallWithin / 2
 
-// The ends of a call that are no fault of the connection.
+// Reasons for the end of a call other than errors of the connection.
 var (
-	errLate      = errors.New("no answer in time")
-	errOutdated  = errors.New("the answer tells changes to a list that is older than the one that is held")
-	errNoList    = errors.New("the answer tells changes where the whole list was asked for")
+	errTimeout   = errors.New("no answer in time")
+	errOutdated  = errors.New("the answer has changes to an older list than the one held")
+	errNoList    = errors.New("the answer has only changes, but the whole list was requested")
 	errCallEnded = errors.New("the connection has ended")
 )
 
-// Client calls discovery and keeps what it told.
+// Client calls discovery and keeps the list of hosts.
 type Client struct {
-	log      *slog.Logger
-	loop     *evloop.Loop
-	core     *query.Core
-	chance   *rand.Rand
-	address  string // of discovery
-	rev      int64
-	listed   bool // there is or was a list
-	answered bool // discovery has told one
-	silent   bool // the last call failed, or discovery has moved and has not answered yet
-	hosts    map[balance.ServerID]string
-	watch    watch.Watch
-	timer    *evloop.Timer // of the watch
-	link     *evloop.Conn
-	open     bool
-	first    func() // to be called once discovery has told a list
-}
-
-// New returns a client that asks discovery at an address, once it is started. The seed is for the spread of its calls.
+	log         *slog.Logger
+	loop        *evloop.Loop
+	core        *query.Core
+	random      *rand.Rand
+	address     string // of discovery
+	rev         int64
+	hasList     bool                        // there is a list, or was one
+	answered    bool                        // discovery has sent a list since the start
+	failing     bool                        // the last call failed, or discovery's address has changed and the new one has not answered yet
+	hosts       map[balance.ServerID]string // addresses
+	watch       watch.Watch
+	timer       *evloop.Timer // of the watch
+	conn        *evloop.Conn
+	open        bool
+	onFirstList func() // called once discovery has sent a list
+}
+
+// New returns a client for discovery at an address. Start begins the calls. The seed is for the random spread of
+// the calls.
 func New(log *slog.Logger, loop *evloop.Loop, core *query.Core, address string, set balance.Settings, seed uint64) *Client {
 	return &Client{log: log, loop: loop, core: core, address: address, hosts: make(map[balance.ServerID]string),
-		watch: watch.Watch{Settings: termsOf(set)}, chance: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
+		watch: watch.Watch{Settings: termsOf(set)}, random: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
 }
 
 func termsOf(set balance.Settings) watch.Settings {
 	return watch.Settings{Push: !set.ListOnRequest, PollInterval: set.Safety.ListRefreshInterval, Grace: set.Safety.DrainGrace}
 }
 
-// Retune takes new settings up, from the next call on.
-func (c *Client) Retune(set balance.Settings) { c.watch.Settings = termsOf(set) }
+// ApplySettings applies new settings from the next call on.
+func (c *Client) ApplySettings(set balance.Settings) { c.watch.Settings = termsOf(set) }
 
-// Endpoint returns a host's address, or "" for one that is not listed.
+// Endpoint returns a host's address, or "" if the host is not listed.
 func (c *Client) Endpoint(server balance.ServerID) string { return c.hosts[server] }
 
-// Known says whether there is a list of hosts, be it an old one.
-func (c *Client) Known() bool { return c.listed }
+// HasList reports whether there is a list of hosts, even if it is old.
+func (c *Client) HasList() bool { return c.hasList }
 
-// Answered says whether discovery has answered since the start.
+// Answered reports whether discovery has answered since the start.
 func (c *Client) Answered() bool { return c.answered }
 
-// Stale says whether the list may be an old one: discovery does not answer, or has not yet. A watch that is lost without a
-// word is noticed within watch.Hold and watch.Overdue.
-func (c *Client) Stale() bool { return !c.answered || c.silent }
+// Stale reports whether the list may be out of date: discovery does not answer, or has not answered yet. If a
+// watch is lost without an error, this is detected within watch.Hold and watch.Overdue.
+func (c *Client) Stale() bool { return !c.answered || c.failing }
 
-// Restore takes the list as this node last had it.
-func (c *Client) Restore(l List) {
-	c.take(l, balance.ListSaved)
+// Restore applies the list that this node has saved.
+func (c *Client) Restore(list List) {
+	c.applyList(list, balance.ListSaved)
 	c.watch.HasList = true
 }
 
-// Start begins to watch, for as long as the loop runs.
+// Start begins to watch discovery, for as long as the loop runs.
 func (c *Client) Start() { c.step(watch.Start) }
 
-// AfterFirst calls f once discovery has told a list, or after a time if that is earlier.
-func (c *Client) AfterFirst(within time.Duration, f func()) {
+// OnFirstList calls f once discovery has sent a list, or after the timeout if that is earlier.
+func (c *Client) OnFirstList(timeout time.Duration, f func()) {
 	if c.answered {
 		f()
 		return
 	}
-	c.first = f
-	c.loop.After(within, c.tellFirst)
+	c.onFirstList = f
+	c.loop.After(timeout, c.runOnFirstList)
 }
 
-func (c *Client) tellFirst() {
-	if f := c.first; f != nil {
-		c.first = nil
+func (c *Client) runOnFirstList() {
+	if f := c.onFirstList; f != nil {
+		c.onFirstList = nil
 		f()
 	}
 }
 
-// Subscribe implements query.Group. The watch goes on by itself, whatever the balancer thinks of it.
+// Subscribe implements query.Group. It does nothing, since the client watches discovery anyway.
 func (c *Client) Subscribe() {}
 
-// Relocate goes over to another discovery and asks it for the whole list at once: its versions may count
-// differently. The hosts known so far stay until it answers. With the address unchanged nothing is disturbed.
+// Relocate switches to discovery at another address and requests the whole list at once, since its revisions may
+// be counted differently. The known hosts stay until it answers. If the address is the same, nothing changes.
 func (c *Client) Relocate(address string) {
 	if address != c.address {
-		c.address, c.silent = address, true
+		c.address, c.failing = address, true
 		c.step(watch.AddressChanged)
 	}
 }
 
-// step brings an event to the watch and carries its order out.
-func (c *Client) step(k watch.Kind) {
+// step applies an event to the watch and carries out its order.
+func (c *Client) step(kind watch.Kind) {
 	var order watch.Action
-	c.watch, order = c.watch.Step(watch.Event{Kind: k, Now: c.loop.Now(), Random: c.chance.Float64()})
+	c.watch, order = c.watch.Step(watch.Event{Kind: kind, Now: c.loop.Now(), Random: c.random.Float64()})
 	if order.Drop {
 		c.drop()
 	}
 	if order.Wake > 0 {
 		c.timer.Stop()
-		c.timer = c.loop.After(order.Wake-c.loop.Now(), c.due)
+		c.timer = c.loop.After(order.Wake-c.loop.Now(), c.timerFired)
 	}
 	if order.Call {
 		c.call()
 	}
 }
 
-// due is the time that the watch named: that of the next call, or the end of one that was not answered.
-func (c *Client) due() {
+// timerFired handles the timer of the watch: the time of the next call, or the time-out of a call without an
+// answer.
+func (c *Client) timerFired() {
 	if c.watch.Phase == watch.Calling {
-		c.fail(watch.TimerFired, errLate)
+		c.fail(watch.TimerFired, errTimeout)
 		return
 	}
 	c.step(watch.TimerFired)
 }
 
-// call asks on the connection that there is, or on a new one.
+// call makes a call on the present connection, or on a new one.
 func (c *Client) call() {
-	if c.link == nil {
+	if c.conn == nil {
 		c.open = false
-		c.link = c.loop.Dial(c.address, dialTimeout, c)
+		c.conn = c.loop.Dial(c.address, dialTimeout, c)
 	} else if c.open {
-		c.ask()
+		c.sendCall()
 	}
 }
 
-func (c *Client) ask() {
+func (c *Client) sendCall() {
 	path := "/v1/servers"
 	switch c.watch.Form {
 	case watch.LongPoll:
@@ -154,30 +157,31 @@
 	case watch.Changes:
 		path = fmt.Sprintf("/v1/servers?from=%d&hold_ms=%d", c.rev, watch.ShortHold.Milliseconds())
 	}
-	c.link.Write(fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, c.address))
+	c.conn.Write(fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, c.address))
 }
 
 // Opened implements evloop.Handler.
 func (c *Client) Opened() {
 	c.open = true
-	c.ask()
+	c.sendCall()
 }
 
-// Received implements evloop.Handler. The time of a call is that of its whole answer: bytes do not renew it.
+// Received implements evloop.Handler. The time-out of a call covers the complete answer; partial input does not
+// extend it.
 func (c *Client) Received() {
-	a, err := http1.ParseResponse(c.link.Peek())
+	response, err := http1.ParseResponse(c.conn.Peek())
 	if err != nil {
 		c.fail(watch.Refused, err)
 		return
 	}
-	if a.Size == 0 {
+	if response.Size == 0 {
 		return
 	}
-	if a.Status != 200 {
-		c.fail(watch.Refused, fmt.Errorf("status %d", a.Status))
+	if response.Status != 200 {
+		c.fail(watch.Refused, fmt.Errorf("status %d", response.Status))
 		return
 	}
-	list, err := ParseList(a.Body)
+	list, err := ParseList(response.Body)
 	if err == nil && !list.All && !c.watch.HasList {
 		err = errNoList
 	}
@@ -189,60 +193,60 @@
 		c.fail(watch.Outdated, errOutdated)
 		return
 	}
-	c.answer(list, a)
+	c.answer(list, response)
 }
 
-// answer takes a list that discovery has told, and goes on watching at once: a watch lasts only as long as the next call
-// follows.
-func (c *Client) answer(list List, a http1.Response) {
-	if c.link.Discard(a.Size); a.Close || len(c.link.Peek()) > 0 {
-		c.drop() // what came unasked would be taken for the next answer
+// answer applies a list that discovery has sent, and calls again at once: a watch lasts only if the next call
+// follows directly.
+func (c *Client) answer(list List, response http1.Response) {
+	if c.conn.Discard(response.Size); response.Close || len(c.conn.Peek()) > 0 {
+		c.drop() // unrequested input would be taken for the next answer
 	}
-	if c.silent && c.watch.Failures > 0 {
+	if c.failing && c.watch.Failures > 0 {
 		c.log.Info("discovery answers again", "failed calls", c.watch.Failures)
 	}
-	c.answered, c.silent = true, false
+	c.answered, c.failing = true, false
 	kind := balance.ListChanges
 	if list.All {
 		kind = balance.ListFull
 	}
-	c.take(list, kind)
-	c.tellFirst()
+	c.applyList(list, kind)
+	c.runOnFirstList()
 	c.step(watch.Answered)
 }
 
-// take notes where hosts are and tells the core.
-func (c *Client) take(l List, kind balance.ListKind) {
-	c.rev, c.listed = l.Rev, true
-	if l.All {
+// applyList stores the hosts' addresses and passes the list to the core.
+func (c *Client) applyList(list List, kind balance.ListKind) {
+	c.rev, c.hasList = list.Rev, true
+	if list.All {
 		clear(c.hosts)
 	}
-	for i, h := range l.Hosts {
+	for i, h := range list.Hosts {
 		if h.State == balance.Gone {
 			delete(c.hosts, h.Server)
 		} else {
-			c.hosts[h.Server] = l.address[i]
+			c.hosts[h.Server] = list.endpoints[i]
 		}
 	}
-	c.core.List(kind, l.Hosts)
+	c.core.List(kind, list.Hosts)
 }
 
-// fail ends a call. The list that is held stays.
-func (c *Client) fail(k watch.Kind, err error) {
-	if c.watch.Failures == 0 { // an agent is called many times a second
+// fail ends a call that failed. The present list stays.
+func (c *Client) fail(kind watch.Kind, err error) {
+	if c.watch.Failures == 0 { // only the first in a row, since a local agent is called many times per second
 		c.log.Warn("discovery did not answer", "error", err)
 	}
-	c.silent = true
-	c.step(k)
+	c.failing = true
+	c.step(kind)
 }
 
 func (c *Client) drop() {
-	c.link.Close()
-	c.link, c.open = nil, false
+	c.conn.Close()
+	c.conn, c.open = nil, false
 }
 
 // Closed implements evloop.Handler.
 func (c *Client) Closed(err error) {
-	c.link, c.open = nil, false
+	c.conn, c.open = nil, false
 	c.fail(watch.ConnectionLost, fmt.Errorf("%w: %w", errCallEnded, err))
 }
--- a/internal/query/count.go
+++ b/internal/query/count.go
@@ -10,58 +10,62 @@
 	"lichenhitch/internal/lifecycle"
 )
 
-// This file counts what became of the queries, as evidence of a policy. What is counted is meant to be the same under any
-// policy but for what the policy does to the clients: nothing here goes by the settings. Three things depend on the policy all
-// the same: clients that were refused or failed come again, here or elsewhere, and are offered once more; connections that
-// are served longer have more time to break; and what stood when a policy came may break under it.
+// This file counts the outcomes of requests, as evidence for or against a policy. The counting does not depend on the
+// settings, so that counts under different policies differ only by what the policies do to the clients. There are three
+// exceptions: clients that were refused or failed come back, here or at another node, and are offered again; connections
+// that are served for longer have more time to break; and connections that were established before a policy came into
+// effect may break under it.
 //
-// A query is counted once, when its client is no longer owed an answer, so that in each sum
+// A request is counted once, when its client no longer waits for an answer, so that in each set of counts
 //
 //	Offered = Served + Refused + Failed + TimedOut + those whose client left, or was at fault, before its answer.
 //
-// Not counted are connections that this process inherited or adopted: they were placed by another process, can go to one host
-// only, and come when that other one ends; and what the door turns away as it speaks, which no policy changes.
+// Not counted are connections that this process inherited or adopted: another process placed them, they can go to one host
+// only, and they arrive when that process ends. Nor are requests that the acceptor rejects for what the client sent, since
+// no policy changes that.
 //
-//	Offered   queries that came to their final answer or were left by their client, with those that come back, try again or
-//	          hold packets of an earlier connection, and those that the door throttled for want of connections.
-//	Served    those whose connection stood, or that a host served to the end at once.
+//	Offered   requests that got their final answer or were abandoned by their client, including those of clients that come
+//	          back, try again or hold packets of an earlier connection, and those that the acceptor throttled because
+//	          there were too many connections.
+//	Served    those whose connection was established, or that a host served completely at once.
 //	TimedOut  those not served that were answered when their answer was due or later, whatever the answer was.
 //	Refused   those throttled before that.
-//	Failed    those told before that that they were not served.
-//	Breaks    connections counted as served, at whatever time, that ended otherwise than well: the host ended them without
-//	          BYE or MOVE, or fell silent. Counted when that happens, so that they may be of an earlier sum.
-//	Moves     connections counted as served, at whatever time, whose client was sent away politely: by the host, by the
-//	          balancer, by an operator, since the node leaves, or for a line that cannot be passed on.
-//	SetUp     of connections that stand, the time from the query's arrival to the answer, with all attempts before.
+//	Failed    those answered before that that they were not served.
+//	Breaks    connections counted as served, at any time, that did not end well: the host ended them without BYE or MOVE,
+//	          or stopped responding. Counted when that happens, so they may be counted as served in an earlier set.
+//	Moves     connections counted as served, at any time, whose client was told to reconnect: by the host, by the
+//	          balancer, by an operator, because the node stops, or because of a line that cannot be passed on.
+//	SetUp     of established connections, the time from the arrival of the request to the answer, including all attempts.
 //
-// What another process of the node carries on, and what its client ended, broke as little as it moved.
+// A connection that another process of the node takes over, or that its client ends, counts neither as a break nor as a
+// move.
 
-// mostCells is how many classes and tenants are told apart. What is beyond is counted for the class without a tenant, of
-// which there are as many more as the settings name.
-const mostCells = 64
+// maxCells is the number of combinations of class and tenant that are counted separately. Further tenants are
+// counted under their class without a tenant, which adds at most one cell for each class in the settings.
+const maxCells = 64
 
-// The guards that may fire.
+// The guards that may fire, as a sign that a policy misbehaves.
 const (
-	// GuardOverdue is that the balancer held a query until its time was up and the guard of its deadline answered it, at its
-	// time: where the process itself stood still, the guard fires late and that is no fault of a policy.
+	// GuardOverdue fires when the balancer held a request for so long that its deadline timer answered it, on
+	// time. If the process itself was suspended, the timer fires late, and that is not a fault of the policy.
 	GuardOverdue = "overdue"
-	// GuardImpossible is that an event came that has no place in a query's life.
+	// GuardImpossible fires on an event that cannot happen in the state of its request.
 	GuardImpossible = "impossible"
 )
 
-// counter counts. There is none where nothing is counted.
+// counter counts the outcomes of requests. Core.counter is nil unless counting is on.
 type counter struct {
 	cells  map[cell]*tally
 	setUps map[string]rollout.SetUps // by class
-	guards []string                  // that fired, each once
+	guards []string                  // that have fired, each once
 }
 
 type cell struct{ class, tenant string }
 
 type tally struct{ offered, served, refused, failed, timedOut, breaks, moves uint64 }
 
-// Count begins to count, or ends it and forgets what was counted.
-func (c *Core) Count(on bool) {
+// SetCounting starts counting, or stops it and discards the counts.
+func (c *Core) SetCounting(on bool) {
 	switch {
 	case !on:
 		c.counter = nil
@@ -70,30 +74,30 @@
 	}
 }
 
-// Fired says whether a guard has fired since Recount.
-func (c *Core) Fired() bool { return c.counter != nil && len(c.counter.guards) > 0 }
+// GuardFired reports whether a guard has fired since ResetCounts.
+func (c *Core) GuardFired() bool { return c.counter != nil && len(c.counter.guards) > 0 }
 
-// Counted returns what was counted since Recount, sorted by class and tenant, and the guards that fired. worth tells what a
-// served query of a class is worth; it should not be told by the policy that is counted for.
-func (c *Core) Counted(worth func(class string) float64) (all []rollout.Counts, guards []string) {
+// Counts returns the counts since ResetCounts, sorted by class and tenant, and the guards that have fired. value
+// gives the value of a served request of a class; it should not depend on the policy under evaluation.
+func (c *Core) Counts(value func(class string) float64) (all []rollout.Counts, guards []string) {
 	n := c.counter
 	if n == nil {
 		return nil, nil
 	}
-	for of, t := range n.cells {
+	for key, t := range n.cells {
 		if *t != (tally{}) {
-			all = append(all, rollout.Counts{Class: of.class, Tenant: of.tenant, Offered: t.offered, Served: t.served,
+			all = append(all, rollout.Counts{Class: key.class, Tenant: key.tenant, Offered: t.offered, Served: t.served,
 				Refused: t.refused, Failed: t.failed, TimedOut: t.timedOut, Breaks: t.breaks, Moves: t.moves,
-				Worth: float64(t.served) * worth(of.class)})
+				Worth: float64(t.served) * value(key.class)})
 		}
 	}
-	for class, h := range n.setUps {
-		i := slices.IndexFunc(all, func(k rollout.Counts) bool { return k.Class == class && k.Tenant == "" })
+	for class, setUps := range n.setUps {
+		i := slices.IndexFunc(all, func(counts rollout.Counts) bool { return counts.Class == class && counts.Tenant == "" })
 		if i < 0 {
 			i = len(all)
 			all = append(all, rollout.Counts{Class: class})
 		}
-		all[i].SetUp = h.Bytes()
+		all[i].SetUp = setUps.Bytes()
 	}
 	slices.SortFunc(all, func(a, b rollout.Counts) int {
 		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
@@ -101,15 +105,16 @@
 	return all, slices.Clone(n.guards)
 }
 
-// Recount begins anew. Who had nothing to count since the last time gives room to others.
-func (c *Core) Recount() {
+// ResetCounts sets all counts to zero. Cells without a count since the last reset are removed, to make room for
+// others.
+func (c *Core) ResetCounts() {
 	n := c.counter
 	if n == nil {
 		return
 	}
-	for of, t := range n.cells {
+	for key, t := range n.cells {
 		if *t == (tally{}) {
-			delete(n.cells, of)
+			delete(n.cells, key)
 		}
 		*t = tally{}
 	}
@@ -117,20 +122,20 @@
 	n.guards = n.guards[:0]
 }
 
-// TurnedAway counts a query that the door throttled before it came here.
-func (c *Core) TurnedAway(class, tenant string) {
+// CountThrottled counts a request that the acceptor throttled before it reached the core.
+func (c *Core) CountThrottled(class, tenant string) {
 	if c.counter != nil {
-		t := c.counter.of(class, tenant)
+		t := c.counter.tallyOf(class, tenant)
 		t.offered++
 		t.refused++
 	}
 }
 
-func (n *counter) of(class, tenant string) *tally {
+func (n *counter) tallyOf(class, tenant string) *tally {
 	t := n.cells[cell{class, tenant}]
 	if t == nil {
-		if tenant != "" && len(n.cells) >= mostCells {
-			return n.of(class, "")
+		if tenant != "" && len(n.cells) >= maxCells {
+			return n.tallyOf(class, "")
 		}
 		t = &tally{}
 		n.cells[cell{class, tenant}] = t
@@ -138,67 +143,68 @@
 	return t
 }
 
-func (n *counter) fired(guard string) {
+func (n *counter) recordGuard(guard string) {
 	if !slices.Contains(n.guards, guard) {
 		n.guards = append(n.guards, guard)
 	}
 }
 
-// note takes a step of a query, from was to where it is now, before its effects are carried out.
-func (n *counter) note(q *Query, was lifecycle.State, k lifecycle.Kind, todo *lifecycle.Effects, d *news) {
+// recordStep records a step of a request from the state prev to its present state, before the effects are carried
+// out.
+func (n *counter) recordStep(r *Request, prev lifecycle.State, kind lifecycle.Kind, effects *lifecycle.Effects, data *eventData) {
 	switch {
-	case todo.Has(lifecycle.LogUnexpected):
-		n.fired(GuardImpossible)
-	case q.state.Inherited:
-	case was.AwaitsAnswer() && !q.state.AwaitsAnswer():
-		n.answered(q, k, todo)
-	case was.Phase == lifecycle.Established && q.state.Phase == lifecycle.Finished:
-		n.ended(q, k, d)
+	case effects.Has(lifecycle.LogUnexpected):
+		n.recordGuard(GuardImpossible)
+	case r.state.Inherited:
+	case prev.AwaitsAnswer() && !r.state.AwaitsAnswer():
+		n.recordAnswer(r, kind, effects)
+	case prev.Phase == lifecycle.Established && r.state.Phase == lifecycle.Finished:
+		n.recordEnd(r, kind, data)
 	}
 }
 
-// answered counts a query that is owed nothing any more.
-func (n *counter) answered(q *Query, k lifecycle.Kind, todo *lifecycle.Effects) {
-	a, t := &q.arrival, n.of(q.arrival.Class, q.arrival.Tenant)
-	left := q.Left()
+// recordAnswer counts a request whose client no longer waits for an answer.
+func (n *counter) recordAnswer(r *Request, kind lifecycle.Kind, effects *lifecycle.Effects) {
+	a, t := &r.arrival, n.tallyOf(r.arrival.Class, r.arrival.Tenant)
+	left := r.TimeLeft()
 	t.offered++
 	switch {
-	case q.state.Phase == lifecycle.Established:
+	case r.state.Phase == lifecycle.Established:
 		t.served++
-		n.stood(a.Class, a.TimeLeft-left)
-	case todo.Has(lifecycle.AnswerServed):
+		n.recordSetUp(a.Class, a.TimeLeft-left)
+	case effects.Has(lifecycle.AnswerServed):
 		t.served++
-	case k == lifecycle.ClientGone || k == lifecycle.ClientFaulty:
+	case kind == lifecycle.ClientGone || kind == lifecycle.ClientFaulty:
 	case left <= 0:
 		t.timedOut++
-	case todo.Has(lifecycle.AnswerThrottle):
+	case effects.Has(lifecycle.AnswerThrottle):
 		t.refused++
 	default:
 		t.failed++
 	}
-	if k == lifecycle.Deadline && -left <= guardAfter+sweepEvery {
-		n.fired(GuardOverdue)
+	if kind == lifecycle.Deadline && -left <= deadlineTimerDelay+sweepInterval {
+		n.recordGuard(GuardOverdue)
 	}
 }
 
-// stood counts a connection that stands a time after its query came.
-func (n *counter) stood(class string, after time.Duration) {
-	h, known := n.setUps[class]
+// recordSetUp records that a connection was established at the given time after its request arrived.
+func (n *counter) recordSetUp(class string, after time.Duration) {
+	setUps, known := n.setUps[class]
 	if !known {
-		h = rollout.NewSetUps()
-		n.setUps[class] = h
+		setUps = rollout.NewSetUps()
+		n.setUps[class] = setUps
 	}
-	h.Add(after)
+	setUps.Add(after)
 }
 
-// ended counts the end of a connection that stood.
-func (n *counter) ended(q *Query, k lifecycle.Kind, d *news) {
-	t := n.of(q.arrival.Class, q.arrival.Tenant)
+// recordEnd counts the end of an established connection.
+func (n *counter) recordEnd(r *Request, kind lifecycle.Kind, data *eventData) {
+	t := n.tallyOf(r.arrival.Class, r.arrival.Tenant)
 	switch {
-	case k == lifecycle.ClientGone, k == lifecycle.HandOver, k == lifecycle.HostServed:
-	case k == lifecycle.HostEnded && d.outcome == balance.Cancelled:
+	case kind == lifecycle.ClientGone, kind == lifecycle.HandOver, kind == lifecycle.HostServed:
+	case kind == lifecycle.HostEnded && data.outcome == balance.Cancelled:
 		t.moves++
-	case k == lifecycle.HostEnded, k == lifecycle.Move && d.outcome == balance.Reset:
+	case kind == lifecycle.HostEnded, kind == lifecycle.Move && data.outcome == balance.Reset:
 		t.breaks++
 	default:
 		t.moves++
--- a/rehearsal/coremodel/bugs.go
+++ b/rehearsal/coremodel/bugs.go
@@ -15,7 +15,7 @@
 
 type deciderBug struct {
 	InjectedBug
-	decider func(query.Decider) query.Decider
+	decider func(query.Balancer) query.Balancer
 }
 
 // InjectedBugs returns the bugs that can be injected: those in deciderBugs, and those of package lifemodel that change
@@ -74,12 +74,12 @@
 
 // buggyDecider changes the events that a balancer gets and the actions that it returns.
 type buggyDecider struct {
-	inner query.Decider
+	inner query.Balancer
 	in    func(balance.Event) []balance.Event
 	out   func([]balance.Action) []balance.Action
 }
 
-// Handle implements query.Decider.
+// Handle implements query.Balancer.
 func (d *buggyDecider) Handle(now time.Duration, ev balance.Event) []balance.Action {
 	events := []balance.Event{ev}
 	if d.in != nil {
@@ -95,8 +95,8 @@
 	return acts
 }
 
-func filterEvents(f func(balance.Event) []balance.Event) func(query.Decider) query.Decider {
-	return func(inner query.Decider) query.Decider { return &buggyDecider{inner: inner, in: f} }
+func filterEvents(f func(balance.Event) []balance.Event) func(query.Balancer) query.Balancer {
+	return func(inner query.Balancer) query.Balancer { return &buggyDecider{inner: inner, in: f} }
 }
 
 var deciderBugs = []deciderBug{
@@ -135,7 +135,7 @@
 			return []balance.Event{ev}
 		})},
 	{InjectedBug{"answer-withheld", "the balancer's answers are lost"},
-		func(inner query.Decider) query.Decider {
+		func(inner query.Balancer) query.Balancer {
 			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					switch a.(type) {
@@ -148,7 +148,7 @@
 			}}
 		}},
 	{InjectedBug{"placed-twice", "each placement of the balancer is carried out twice"},
-		func(inner query.Decider) query.Decider {
+		func(inner query.Balancer) query.Balancer {
 			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					rest = append(rest, a)
@@ -160,7 +160,7 @@
 			}}
 		}},
 	{InjectedBug{"all-refused", "requests that the balancer fails are refused instead"},
-		func(inner query.Decider) query.Decider {
+		func(inner query.Balancer) query.Balancer {
 			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					if f, ok := a.(balance.Fail); ok {
--- a/rehearsal/coremodel/model.go
+++ b/rehearsal/coremodel/model.go
@@ -28,8 +28,8 @@
 	Notices  int // of discovery, in one run
 	Seeds    int // of the balancer's random choices: 1 to this
 	Bug      string
-	Decider  func(query.Decider) query.Decider // wraps the balancer, to inject bugs; may be nil
-	Rule     query.Rule                        // nil: the actual rule
+	Decider  func(query.Balancer) query.Balancer // wraps the balancer, to inject bugs; may be nil
+	Rule     query.StepFunc                      // nil: the actual rule
 }
 
 const (
