--- a/cmd/lichenhitch/affairs.go
+++ b/cmd/lichenhitch/affairs.go
@@ -30,15 +30,15 @@
 
 // settle begins with the affairs of the node's site. Until there is a first verdict, nothing is sent.
 func (n *node) settle() error {
-	if n.cfg.Site == "" {
+	if n.cfg.SiteFile == "" {
 		return nil
 	}
-	s, err := site.Load(n.cfg.Site, n.cfg.Name)
+	s, err := site.Load(n.cfg.SiteFile, n.cfg.Name)
 	if err != nil {
 		return fmt.Errorf("site file: %w", err)
 	}
 	n.loop.Call(func() { n.core.Bind(rights.Verdict{All: true}) })
-	if n.shared.Preceded(n.number) {
+	if n.shared.HasEarlier(n.number) {
 		go n.succeed(s)
 		return nil
 	}
@@ -66,7 +66,7 @@
 	n.loop.Call(func() {
 		n.affairs, n.site, n.share = thread, s, of.All
 		n.core.Count(true)
-		if n.shared.Followed(n.number) { // a later process has come meanwhile
+		if n.shared.HasLater(n.number) { // a later process has come meanwhile
 			n.retire()
 		} else if !n.telling {
 			n.telling = true
@@ -96,7 +96,7 @@
 // it may still have is waited out: this process would confirm what that one does not keep to.
 func (n *node) succeed(s *site.Site) {
 	for told := false; ; {
-		err := n.control(s, s.Rights.Lasts)
+		err := n.control(s, s.SendLease.Lasts)
 		var used *store.InUseError
 		switch {
 		case err == nil:
@@ -169,9 +169,9 @@
 // siteNow returns the site file as it is now, or as it was taken over last where it cannot be taken over: what was read while another process
 // had the control was not for this one.
 func (n *node) siteNow(last *site.Site) *site.Site {
-	next, err := site.Load(n.cfg.Site, n.cfg.Name)
+	next, err := site.Load(n.cfg.SiteFile, n.cfg.Name)
 	if err == nil {
-		err = last.Change(next)
+		err = last.CheckChange(next)
 	}
 	if err != nil {
 		n.log.Error("the site file is not taken over; the old one stays", "error", err)
@@ -182,13 +182,13 @@
 
 // reseat takes a changed site file over, at SIGHUP, whole or not at all.
 func (n *node) reseat() {
-	if n.cfg.Site == "" {
+	if n.cfg.SiteFile == "" {
 		return
 	}
-	next, err := site.Load(n.cfg.Site, n.cfg.Name)
+	next, err := site.Load(n.cfg.SiteFile, n.cfg.Name)
 	n.loop.Call(func() {
 		if err == nil && n.site != nil {
-			err = n.site.Change(next)
+			err = n.site.CheckChange(next)
 		}
 		if err != nil {
 			n.log.Error("the site file is not taken over; the old one stays", "error", err)
--- a/cmd/lichenhitch/affairs_test.go
+++ b/cmd/lichenhitch/affairs_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	cfg.Name = "n"
-	cfg.Site = alone(t, cfg.Name, lasts)
+	cfg.SiteFile = alone(t, cfg.Name, lasts)
 	n := startConfig(t, cfg)
 	require.Eventually(t, func() (ready bool) {
 		n.loop.Call(func() { ready = n.Ready() == nil })
@@ -98,8 +98,8 @@
 	cfg := testConfig(t, newDiscovery(t), list(1, true))
 	cfg.Name = "n"
 	cfg.Settings.ListOnRequest, cfg.Settings.Safety.ListRefreshInterval = true, time.Second // asked within 31 ms
-	cfg.Site = alone(t, cfg.Name, 300)
-	s, _, err := store.Open(filepath.Join(filepath.Dir(cfg.Site), "council.db"), store.Identity{Site: "b", Node: "n"})
+	cfg.SiteFile = alone(t, cfg.Name, 300)
+	s, _, err := store.Open(filepath.Join(filepath.Dir(cfg.SiteFile), "council.db"), store.Identity{Site: "b", Node: "n"})
 	require.NoError(t, err)
 	require.NoError(t, s.Put("right", "saved", []byte(`{"Life":1,"Horizons":[{"Version":1,"Hosts":["a"]}],"Recorded":1}`)))
 	require.NoError(t, s.Close())
@@ -111,11 +111,11 @@
 func TestAFaultySiteFileStopsTheStartAndNamesThePlace(t *testing.T) {
 	cfg := testConfig(t, newDiscovery(t), list(1, true))
 	cfg.Name = "n"
-	cfg.Site = alone(t, "another", 300)
+	cfg.SiteFile = alone(t, "another", 300)
 	_, err := start(slog.New(slog.DiscardHandler), cfg)
 	var faults site.Faults
 	require.ErrorAs(t, err, &faults)
-	assert.Contains(t, err.Error(), cfg.Site+":")
+	assert.Contains(t, err.Error(), cfg.SiteFile+":")
 	assert.Contains(t, err.Error(), "what to do")
 }
 
@@ -142,7 +142,7 @@
 	goroutines, before := count()
 	assert.Empty(t, goroutines)
 	assert.Nil(t, off.affairs)
-	files, err := os.ReadDir(cfg.Dir)
+	files, err := os.ReadDir(cfg.SharedDir)
 	require.NoError(t, err)
 	for _, f := range files {
 		assert.NotContains(t, f.Name(), "council")
@@ -159,7 +159,7 @@
 	h := newHost(t, "a", echo)
 	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	cfg.Name, cfg.Sockets = "n", 80
-	cfg.Site = alone(t, cfg.Name, 300)
+	cfg.SiteFile = alone(t, cfg.Name, 300)
 	n := startConfig(t, cfg)
 	of, err := control.SocketsOf(n.site, cfg.Sockets-ownSockets-leastTraffic)
 	require.NoError(t, err)
@@ -206,12 +206,12 @@
 	assert.Equal(t, 20+few.Lacks, of.All)
 	of, err = control.SocketsOf(s, 1000)
 	require.NoError(t, err)
-	assert.Equal(t, peer.ServerLinks, of.Links)
+	assert.Equal(t, peer.ServerConns, of.Links)
 
 	h := newHost(t, "a", echo)
 	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	cfg.Name, cfg.Sockets = "n", 64
-	cfg.Site = alone(t, cfg.Name, 300)
+	cfg.SiteFile = alone(t, cfg.Name, 300)
 	var log strings.Builder
 	n, err := start(slog.New(slog.NewTextHandler(&log, nil)), cfg)
 	require.NoError(t, err)
--- a/cmd/lichenhitch/discovery_test.go
+++ b/cmd/lichenhitch/discovery_test.go
@@ -103,9 +103,9 @@
 	t.Helper()
 	cfg := testConfig(t, newDiscovery(t), known)
 	cfg.Discovery = d.Addr().String()
-	cfg.Raw = []byte(strings.NewReplacer(replace...).Replace(testSettings))
+	cfg.RawSettings = []byte(strings.NewReplacer(replace...).Replace(testSettings))
 	var err error
-	cfg.Settings, err = settings.Decode(cfg.Raw)
+	cfg.Settings, err = settings.Decode(cfg.RawSettings)
 	require.NoError(t, err)
 	return cfg
 }
--- a/cmd/lichenhitch/main.go
+++ b/cmd/lichenhitch/main.go
@@ -164,7 +164,7 @@
 	}
 	n.awaitAgent()
 	n.loop.Call(func() {
-		if n.shared.Preceded(n.number) {
+		if n.shared.HasEarlier(n.number) {
 			n.receive()
 			log.Info("an earlier process serves; the door opens once there is a list", "listen", cfg.Listen)
 		} else if err = n.openDoor(); err != nil {
@@ -222,7 +222,7 @@
 
 // openDoor begins to take clients.
 func (n *node) openDoor() error {
-	listener, err := n.loop.ListenShared(n.addr, n.shared.Preceded(n.number), n.acceptor.Accept)
+	listener, err := n.loop.ListenShared(n.addr, n.shared.HasEarlier(n.number), n.acceptor.Accept)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -245,7 +245,7 @@
 		}
 		return
 	}
-	if fixed := cfg.Fixed(n.cfg); len(fixed) > 0 {
+	if fixed := cfg.RestartKeys(n.cfg); len(fixed) > 0 {
 		n.log.Warn("what has changed besides takes a restart", "keys", fixed)
 	}
 	cfg.Settings.PassThrough = n.cfg.Settings.PassThrough
--- a/cmd/lichenhitch/node_test.go
+++ b/cmd/lichenhitch/node_test.go
@@ -198,7 +198,7 @@
 	l, err := discovery.ParseList([]byte(known))
 	require.NoError(t, err)
 	return config.Config{Name: "n", Listen: "127.0.0.1:0", Management: "127.0.0.1:0", Discovery: d.Addr().String(),
-		Seed: 1, Sockets: 1024, MemoryMB: 192, Known: &l, Settings: set, Raw: []byte(testSettings), Dir: t.TempDir()}
+		Seed: 1, Sockets: 1024, MemoryMB: 192, Known: &l, Settings: set, RawSettings: []byte(testSettings), SharedDir: t.TempDir()}
 }
 
 func startConfig(t *testing.T, cfg config.Config) *node {
--- a/cmd/lichenhitch/operate.go
+++ b/cmd/lichenhitch/operate.go
@@ -99,10 +99,10 @@
 
 // Drain implements management.Node.
 func (n *node) Drain(done func(error)) {
-	n.change(func(st *handover.State) { st.Drained = true }, done)
+	n.change(func(st *handover.State) { st.Draining = true }, done)
 }
 
 // Activate implements management.Node.
 func (n *node) Activate(done func(error)) {
-	n.change(func(st *handover.State) { st.Drained = false }, done)
+	n.change(func(st *handover.State) { st.Draining = false }, done)
 }
--- a/cmd/lichenhitch/pass.go
+++ b/cmd/lichenhitch/pass.go
@@ -74,7 +74,7 @@
 
 func (p *passing) run(log *slog.Logger, store *handover.Store) {
 	defer close(p.ended)
-	sender, err := store.Call(p.to)
+	sender, err := store.Dial(p.to)
 	sent := 0
 	for c := range p.queue {
 		if err == nil {
--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return balance.Settings{}, err
 	}
-	raw, err := policy.Over(cfg.Raw)
+	raw, err := policy.Over(cfg.RawSettings)
 	if err != nil {
 		return balance.Settings{}, err
 	}
@@ -125,7 +125,7 @@
 	if !reflect.DeepEqual(cfg.Settings, n.cfg.Settings) {
 		n.tuning.changes++
 	}
-	n.cfg.Discovery, n.cfg.Settings, n.cfg.Raw, n.cfg.Keys = cfg.Discovery, cfg.Settings, cfg.Raw, cfg.Keys
+	n.cfg.Discovery, n.cfg.Settings, n.cfg.RawSettings, n.cfg.Keys = cfg.Discovery, cfg.Settings, cfg.RawSettings, cfg.Keys
 	n.publishSettings()
 	if err := n.goBy(n.tuning.wanted); err != nil {
 		n.log.Error("the policy does not fit the new settings; they hold without it, or with the good one", "policy",
--- a/cmd/lichenhitch/policies_test.go
+++ b/cmd/lichenhitch/policies_test.go
@@ -60,10 +60,10 @@
 // changed is a configuration whose settings have other text.
 func changed(t *testing.T, cfg config.Config, old, new string) config.Config {
 	t.Helper()
-	require.Contains(t, string(cfg.Raw), old)
-	cfg.Raw = []byte(strings.Replace(string(cfg.Raw), old, new, 1))
+	require.Contains(t, string(cfg.RawSettings), old)
+	cfg.RawSettings = []byte(strings.Replace(string(cfg.RawSettings), old, new, 1))
 	var err error
-	cfg.Settings, err = settings.Decode(cfg.Raw)
+	cfg.Settings, err = settings.Decode(cfg.RawSettings)
 	require.NoError(t, err)
 	return cfg
 }
--- a/cmd/lichenhitch/share.go
+++ b/cmd/lichenhitch/share.go
@@ -24,16 +24,16 @@
 
 // join enters this process among those of the node.
 func (n *node) join() {
-	store, shared, err := handover.Join(n.log, n.cfg.Dir, n.cfg.Name, func(st handover.State) {
+	store, shared, err := handover.Join(n.log, n.cfg.SharedDir, n.cfg.Name, func(st handover.State) {
 		n.loop.Do(func() { n.take(st) })
 	})
 	if err != nil {
-		n.log.Warn("nothing can be shared with another process of this node", "folder", n.cfg.Dir, "error", err)
+		n.log.Warn("nothing can be shared with another process of this node", "folder", n.cfg.SharedDir, "error", err)
 		return
 	}
 	n.store, n.shared, n.number = store, shared, store.Number()
-	if shared.Drained || len(shared.Bans) > 0 {
-		n.log.Info("carried over", "drained", shared.Drained, "hosts out", len(shared.Bans))
+	if shared.Draining || len(shared.Bans) > 0 {
+		n.log.Info("carried over", "drained", shared.Draining, "hosts out", len(shared.Bans))
 	}
 }
 
@@ -48,23 +48,23 @@
 		}
 	}
 	n.shared = st
-	if n.receiver != nil && !st.Preceded(n.number) { // nobody is left to hand anything over
-		n.receiver.Retire()
+	if n.receiver != nil && !st.HasEarlier(n.number) { // nobody is left to hand anything over
+		n.receiver.DrainAndClose()
 		n.receiver = nil
 	}
-	if st.Followed(n.number) {
+	if st.HasLater(n.number) {
 		n.retire()
 	} else {
 		n.resume()
 	}
-	if st.Drained != n.service.Draining {
+	if st.Draining != n.service.Draining {
 		wish := lifecycle.Activate
-		if st.Drained {
+		if st.Draining {
 			wish = lifecycle.Drain
 		}
 		n.service = n.service.Apply(wish, n.loop.Now())
 	}
-	if succeeded := st.Succeeded(n.number); succeeded != n.service.Superseded {
+	if succeeded := st.Superseded(n.number); succeeded != n.service.Superseded {
 		n.log.Info("another process has the address", "yes", succeeded)
 		n.service = n.service.SetSuperseded(succeeded, n.loop.Now())
 	}
@@ -98,7 +98,7 @@
 		return
 	}
 	usable := n.usable() == nil
-	if n.listener == nil && !n.service.NotAccepting && (usable || !n.shared.Preceded(n.number)) {
+	if n.listener == nil && !n.service.NotAccepting && (usable || !n.shared.HasEarlier(n.number)) {
 		if err := n.openDoor(); err != nil {
 			n.log.Error("the door stays closed", "error", err)
 		}
@@ -109,7 +109,7 @@
 	case n.store == nil:
 		n.ready = true
 	default:
-		n.store.Own(func(p *handover.Process) { p.Ready = true }, func(_ handover.State, err error) {
+		n.store.ChangeOwn(func(p *handover.Process) { p.Ready = true }, func(_ handover.State, err error) {
 			n.loop.Do(func() {
 				if n.ready = err == nil; !n.ready {
 					n.loop.After(arriveLook, n.arrive)
@@ -150,7 +150,7 @@
 func (n *node) publish() {
 	mine := n.loop.Conns() + ownSockets + n.governs
 	i := slices.IndexFunc(n.shared.Processes, func(p handover.Process) bool { return p.Number == n.number })
-	if i >= 0 && n.shared.Processes[i].Links != mine {
-		n.store.Own(func(p *handover.Process) { p.Links = mine }, func(handover.State, error) {})
+	if i >= 0 && n.shared.Processes[i].Descriptors != mine {
+		n.store.ChangeOwn(func(p *handover.Process) { p.Descriptors = mine }, func(handover.State, error) {})
 	}
 }
--- a/cmd/lichenhitch/share_test.go
+++ b/cmd/lichenhitch/share_test.go
@@ -134,7 +134,7 @@
 	require.Equal(t, "PONG", ping(t, old.addr))
 
 	cfg = testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
-	cfg.Dir = old.cfg.Dir
+	cfg.SharedDir = old.cfg.SharedDir
 	next = startConfig(t, successor(old, cfg))
 	awaitReady(t, next)
 	for call(t, old.desk.Addr(), "GET /v1/readyz") == "200" {
@@ -156,7 +156,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
-			require.NoError(t, os.WriteFile(filepath.Join(cfg.Dir, "lichenhitch-n.state"), []byte(text), 0o600))
+			require.NoError(t, os.WriteFile(filepath.Join(cfg.SharedDir, "lichenhitch-n.state"), []byte(text), 0o600))
 			n := startConfig(t, cfg)
 			awaitReady(t, n)
 			var out int
@@ -171,7 +171,7 @@
 func TestANodeWithoutAFolderWorksAlone(t *testing.T) {
 	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
 	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(a, b)...))
-	cfg.Dir = filepath.Join(cfg.Dir, "absent")
+	cfg.SharedDir = filepath.Join(cfg.SharedDir, "absent")
 	n := startConfig(t, cfg)
 	awaitReady(t, n)
 	does(t, n.desk.Addr(), "POST /v1/hosts/a/suspend")
--- a/internal/choice/rollout/overlay.go
+++ b/internal/choice/rollout/overlay.go
@@ -222,7 +222,7 @@
 		err = settings.Check(set)
 	}
 	if err == nil {
-		err = settings.InRange(out)
+		err = settings.CheckRanges(out)
 	}
 	if err != nil {
 		return nil, &Fault{"", "laid over the settings: " + err.Error()}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,24 +22,24 @@
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastSockets    = 64
+	minSockets      = 64
 )
 
 // Config is what the node is told.
 type Config struct {
-	Name       string
-	Listen     string
-	Management string // where operators call; "" where nobody does
-	Discovery  string
-	Seed       uint64
-	MemoryMB   int // the node is killed above this
-	Sockets    int // descriptors that it may hold
-	Known      *discovery.List
-	Settings   balance.Settings
-	Raw        []byte // the settings as they stand in the file
-	Keys       Keys   // that the file has
-	Site       string // the operator's file of sites; "" where the node takes no part in any site's affairs
-	Dir        string // where processes of one node share what they must
+	Name        string
+	Listen      string
+	Management  string // where operators call; "" where nobody does
+	Discovery   string
+	Seed        uint64
+	MemoryMB    int // the node is killed above this
+	Sockets     int // descriptors that it may hold
+	Known       *discovery.List
+	Settings    balance.Settings
+	RawSettings []byte // the settings as they stand in the file
+	Keys        Keys   // that the file has
+	SiteFile    string // the operator's file of sites; "" where the node takes no part in any site's affairs
+	SharedDir   string // where processes of one node share what they must
 }
 
 // Load reads the configuration at the start; getenv is os.Getenv outside tests. The environment wins over the file.
@@ -50,12 +50,12 @@
 func Reload(getenv func(string) string, before Config) (Config, error) {
 	c, err := read(getenv, true)
 	if err == nil {
-		err = missing(before.Keys, c.Keys, "")
+		err = checkMissing(before.Keys, c.Keys, "")
 	}
 	return c, err
 }
 
-func read(getenv func(string) string, again bool) (Config, error) {
+func read(getenv func(string) string, reload bool) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return Config{}, errors.New("GW_CONFIG: not set")
@@ -72,31 +72,31 @@
 		return Config{}, fmt.Errorf("GW_CONFIG: %s: not an object", path)
 	}
 	c := Config{Keys: keysOf(root), MemoryMB: defaultMemoryMB, Sockets: defaultSockets}
-	c.Dir = first(getenv("TMPDIR"), os.TempDir())
-	c.Name = first(getenv("GW_NAME"), root.Get("name").String())
-	c.Site = getenv("GW_SITE")
-	if c.Listen, err = address(root, "listen", getenv, "GW_LISTEN"); err != nil {
+	c.SharedDir = firstNonEmpty(getenv("TMPDIR"), os.TempDir())
+	c.Name = firstNonEmpty(getenv("GW_NAME"), root.Get("name").String())
+	c.SiteFile = getenv("GW_SITE")
+	if c.Listen, err = parseAddress(root, "listen", getenv, "GW_LISTEN"); err != nil {
 		return c, err
 	}
 	if getenv("GW_MANAGEMENT") != "" || root.Get("management").Exists() {
-		if c.Management, err = address(root, "management", getenv, "GW_MANAGEMENT"); err != nil {
+		if c.Management, err = parseAddress(root, "management", getenv, "GW_MANAGEMENT"); err != nil {
 			return c, err
 		}
 	}
-	named := getenv
-	if again && root.Get("discovery").Exists() {
-		named = func(string) string { return "" }
+	discoveryEnv := getenv
+	if reload && root.Get("discovery").Exists() {
+		discoveryEnv = func(string) string { return "" }
 	}
-	if c.Discovery, err = address(root, "discovery", named, "GW_DISCOVERY"); err != nil {
+	if c.Discovery, err = parseAddress(root, "discovery", discoveryEnv, "GW_DISCOVERY"); err != nil {
 		return c, err
 	}
-	if c.Seed, err = seed(root.Get("seed")); err != nil {
+	if c.Seed, err = parseSeed(root.Get("seed")); err != nil {
 		return c, err
 	}
-	if c.MemoryMB, err = limit(root, "limits.memory_mb", c.MemoryMB, 1); err != nil {
+	if c.MemoryMB, err = parseLimit(root, "limits.memory_mb", c.MemoryMB, 1); err != nil {
 		return c, err
 	}
-	if c.Sockets, err = limit(root, "limits.sockets", c.Sockets, leastSockets); err != nil {
+	if c.Sockets, err = parseLimit(root, "limits.sockets", c.Sockets, minSockets); err != nil {
 		return c, err
 	}
 	if known := root.Get("known"); known.Exists() && known.Type != gjson.Null {
@@ -110,21 +110,21 @@
 	if !set.IsObject() {
 		return c, errors.New("settings: missing, or not an object")
 	}
-	c.Raw = []byte(set.Raw)
-	if c.Settings, err = settings.Decode(c.Raw); err != nil {
+	c.RawSettings = []byte(set.Raw)
+	if c.Settings, err = settings.Decode(c.RawSettings); err != nil {
 		return c, fmt.Errorf("settings.%w", err)
 	}
 	if err = settings.Check(c.Settings); err != nil {
 		return c, fmt.Errorf("settings.%w", err)
 	}
-	if err = settings.Complete(c.Raw); err != nil {
+	if err = settings.CheckComplete(c.RawSettings); err != nil {
 		return c, fmt.Errorf("settings.%w", err)
 	}
 	return c, nil
 }
 
 // Fixed names the keys in which a configuration differs from an earlier one and that only a start takes over.
-func (c Config) Fixed(before Config) []string {
+func (c Config) RestartKeys(before Config) []string {
 	var keys []string
 	for key, same := range map[string]bool{
 		"name": c.Name == before.Name, "listen": c.Listen == before.Listen,
@@ -140,14 +140,14 @@
 	return keys
 }
 
-func first(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-func address(root gjson.Result, key string, getenv func(string) string, variable string) (string, error) {
+func parseAddress(root gjson.Result, key string, getenv func(string) string, variable string) (string, error) {
 	value, name := getenv(variable), variable
 	if value == "" {
 		value, name = root.Get(key).String(), key
@@ -162,7 +162,7 @@
 }
 
 // seed reads a seed in hexadecimal digits.
-func seed(v gjson.Result) (uint64, error) {
+func parseSeed(v gjson.Result) (uint64, error) {
 	if !v.Exists() {
 		return 0, errors.New("seed: missing")
 	}
@@ -173,13 +173,13 @@
 	return n, nil
 }
 
-func limit(root gjson.Result, key string, otherwise, least int) (int, error) {
+func parseLimit(root gjson.Result, key string, defaultValue, minimum int) (int, error) {
 	v := root.Get(key)
 	if !v.Exists() || v.Type == gjson.Null {
-		return otherwise, nil
+		return defaultValue, nil
 	}
-	if v.Type != gjson.Number || v.Num < float64(least) || v.Num > math.MaxInt32 {
-		return 0, fmt.Errorf("%s: %.40s is not a number from %d", key, v.Raw, least)
+	if v.Type != gjson.Number || v.Num < float64(minimum) || v.Num > math.MaxInt32 {
+		return 0, fmt.Errorf("%s: %.40s is not a number from %d", key, v.Raw, minimum)
 	}
 	return int(v.Num), nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const sound = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},"known":{"rev":41,"all":true,"targets":[]},
 "settings":{"me":2,"balancers":3,"my_zone":"z","registry_mode":"ask","weight_source":"nominal",
 "permissions":{"max_attempts":4,"connect_timeout_us":250000},"extra":{"mode":"pass"},
@@ -30,8 +30,8 @@
 	})
 }
 
-func TestTheConfigurationIsRead(t *testing.T) {
-	c, err := load(t, sound, map[string]string{"GW_NAME": "n4", "GW_LISTEN": "127.0.0.9:1"})
+func TestLoad(t *testing.T) {
+	c, err := load(t, validConfig, map[string]string{"GW_NAME": "n4", "GW_LISTEN": "127.0.0.9:1"})
 	require.NoError(t, err)
 	assert.Equal(t, "n4", c.Name)
 	assert.Equal(t, "127.0.0.9:1", c.Listen, "the environment wins")
@@ -41,7 +41,7 @@
 	assert.Equal(t, int64(41), c.Known.Rev)
 	assert.Equal(t, 2, c.Settings.Self)
 
-	c, err = load(t, strings.Replace(sound, `"limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},`, "", 1), nil)
+	c, err = load(t, strings.Replace(validConfig, `"limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},`, "", 1), nil)
 	require.NoError(t, err)
 	assert.Equal(t, defaultSockets, c.Sockets)
 }
@@ -60,8 +60,8 @@
 		{`"settings":{`, `"set":{`, "settings: "},
 		{`"name"`, `name`, "not valid JSON"},
 	} {
-		require.Contains(t, sound, tc.old)
-		_, err := load(t, strings.Replace(sound, tc.old, tc.new, 1), nil)
+		require.Contains(t, validConfig, tc.old)
+		_, err := load(t, strings.Replace(validConfig, tc.old, tc.new, 1), nil)
 		assert.ErrorContains(t, err, tc.want)
 	}
 	_, err := Load(func(string) string { return "" })
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -14,7 +14,7 @@
 
 // passing are keys that may be missing in a later file though an earlier one had them: what tells of the start, and what
 // only some kinds of a class have.
-var passing = map[string]bool{"known": true, "settings.request_classes.group": true,
+var optionalLater = map[string]bool{"known": true, "settings.request_classes.group": true,
 	"settings.request_classes.window_us": true}
 
 func keysOf(v gjson.Result) Keys {
@@ -40,16 +40,16 @@
 }
 
 // missing returns an error that names the first key, in the order of the alphabet, that was there before and is not now.
-func missing(before, now Keys, path string) error {
+func checkMissing(before, now Keys, path string) error {
 	for _, name := range slices.Sorted(maps.Keys(before)) {
-		at := path + name
-		if passing[at] {
+		key := path + name
+		if optionalLater[key] {
 			continue
 		}
 		if now[name] == nil {
-			return fmt.Errorf("%s: missing, but the file had it before", at)
+			return fmt.Errorf("%s: missing, but the file had it before", key)
 		}
-		if err := missing(before[name], now[name], at+"."); err != nil {
+		if err := checkMissing(before[name], now[name], key+"."); err != nil {
 			return err
 		}
 	}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const running = `{"name":"n3","listen":"127.0.0.1:7070","management":"127.0.0.1:9600","discovery":"127.0.0.2:8500",
+const runningConfig = `{"name":"n3","listen":"127.0.0.1:7070","management":"127.0.0.1:9600","discovery":"127.0.0.2:8500",
 "seed":"8c1f30d27a5be964","limits":{"memory_mb":64,"sockets":384},"known":{"rev":41,"all":true,"targets":[]},
 "settings":{"me":0,"balancers":1,"permissions":{"max_attempts":4,"connect_timeout_us":250000,"probes":true},
 "my_zone":"z","registry_mode":"ask","weight_source":"nominal","tariffs":{"probe":0.002},
@@ -24,9 +24,9 @@
 "extra":{"mode":"pass","message_aim_us":[250000,60000]}}}`
 
 // reloaded reads a file as a node does that runs by the file above.
-func reloaded(t *testing.T, text string) (Config, error) {
+func reloadConfig(t *testing.T, text string) (Config, error) {
 	t.Helper()
-	before, err := load(t, running, map[string]string{"GW_DISCOVERY": "127.0.0.9:1"})
+	before, err := load(t, runningConfig, map[string]string{"GW_DISCOVERY": "127.0.0.9:1"})
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -35,11 +35,11 @@
 	}, before)
 }
 
-func TestANewFileIsTakenOver(t *testing.T) {
+func TestReload(t *testing.T) {
 	text := strings.NewReplacer(`:8500`, `:8501`, `"max_attempts":4`, `"max_attempts":2`,
 		`"name":"d"`, `"name":"e"`, `"semantics":"idempotency_key","group":"zone","window_us":5`, `"semantics":"non_idempotent"`,
-		`"known":{"rev":41,"all":true,"targets":[]},`, ``).Replace(running)
-	c, err := reloaded(t, text)
+		`"known":{"rev":41,"all":true,"targets":[]},`, ``).Replace(runningConfig)
+	c, err := reloadConfig(t, text)
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.2:8501", c.Discovery)
 	assert.Equal(t, 2, c.Settings.MaxAttempts)
@@ -47,15 +47,15 @@
 }
 
 // A file that was cut at any byte is refused, and so is an empty one.
-func TestAFileThatWasCutIsRefused(t *testing.T) {
-	for i := range len(running) - 1 {
-		_, err := reloaded(t, running[:i])
+func TestReloadRejectsATruncatedFile(t *testing.T) {
+	for i := range len(runningConfig) - 1 {
+		_, err := reloadConfig(t, runningConfig[:i])
 		require.ErrorContains(t, err, "GW_CONFIG: ", "cut at byte %d", i)
 	}
 }
 
 // Each line of the file is left out in turn, and each key: the one that is missing is named.
-func TestAMissingKeyIsNamed(t *testing.T) {
+func TestReloadNamesAMissingKey(t *testing.T) {
 	for out, want := range map[string]string{
 		`"seed":"8c1f30d27a5be964",`:               "seed: ",
 		`"limits":{"memory_mb":64,"sockets":384},`: "limits: missing",
@@ -75,8 +75,8 @@
 		`,"message_aim_us":[250000,60000]`: "settings.extra.message_aim_us: missing",
 		`"group":"zone",`:                  "",
 	} {
-		require.Contains(t, running, out)
-		_, err := reloaded(t, strings.Replace(running, out, "", 1))
+		require.Contains(t, runningConfig, out)
+		_, err := reloadConfig(t, strings.Replace(runningConfig, out, "", 1))
 		if want == "" {
 			assert.NoError(t, err, out)
 		} else {
@@ -85,17 +85,17 @@
 	}
 }
 
-func TestADeadlineOrAttemptsThatAreNoPositiveNumberAreNamed(t *testing.T) {
+func TestReloadNamesInvalidDeadlinesAndAttempts(t *testing.T) {
 	for key, old := range map[string]string{"settings.request_classes.1.deadline_us": `"deadline_us":3000000`,
 		"settings.permissions.max_attempts": `"max_attempts":4`} {
 		name, _, _ := strings.Cut(old, ":")
 		for _, bad := range []string{`0`, `-5`, `"many"`, `null`, `true`, `[]`, `1e400`} {
-			_, err := reloaded(t, strings.Replace(running, old, fmt.Sprintf("%s:%s", name, bad), 1))
+			_, err := reloadConfig(t, strings.Replace(runningConfig, old, fmt.Sprintf("%s:%s", name, bad), 1))
 			assert.ErrorContains(t, err, key+": ", "%s %s", key, bad)
 		}
 	}
-	_, err := reloaded(t, strings.Replace(running, `"max_attempts":4`, `"max_attempts":2.5`, 1))
+	_, err := reloadConfig(t, strings.Replace(runningConfig, `"max_attempts":4`, `"max_attempts":2.5`, 1))
 	assert.ErrorContains(t, err, "settings.permissions.max_attempts: ")
-	_, err = reloaded(t, strings.Replace(running, `"name":"d"`, `"name":"c"`, 1))
+	_, err = reloadConfig(t, strings.Replace(runningConfig, `"name":"d"`, `"name":"c"`, 1))
 	assert.ErrorContains(t, err, `settings.request_classes.1.name: "c" stands there twice`)
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -173,8 +173,8 @@
 
 // New returns the control of a node at a time. The loop is bound at once: by what the store had, with no right yet.
 func New(now time.Duration, o Options, env Env) (*Core, error) {
-	c := &Core{Options: o, env: env, holder: rights.NewHolder(o.Site.Rights, o.Site.Node, o.Saved),
-		table: rights.NewTable(o.Site.Rights), book: turns.New(), inflight: map[uint64]time.Duration{},
+	c := &Core{Options: o, env: env, holder: rights.NewHolder(o.Site.SendLease, o.Site.Node, o.Saved),
+		table: rights.NewTable(o.Site.SendLease), book: turns.New(), inflight: map[uint64]time.Duration{},
 		acking: map[string]turns.Ack{}, reads: map[uint64][]question{}, waiters: map[uint64]waiter{},
 		hosts: newSight(now), others: map[string]*other{}, parts: map[string]*partly{}, firstAt: now + o.Wait, askAt: now + o.Wait,
 		reach: newReach(0)}
@@ -329,7 +329,7 @@
 // renew asks for the right: whoever is thought to lead, and where a question was not answered another seat too, which knows of
 // a leader or is a way to learn of one.
 func (c *Core) renew(now time.Duration) {
-	c.askAt = now + c.Site.Rights.Lasts/renewals
+	c.askAt = now + c.Site.SendLease.Lasts/renewals
 	c.asked = c.asked[:0]
 	c.tries++
 	if c.tries > 2 && c.elected == 0 {
@@ -339,7 +339,7 @@
 		c.ask(now, c.leader)
 	}
 	if c.leader == "" || c.tries > 1 {
-		c.ask(now, c.Site.Seats[(c.tries+int(c.Run%7))%len(c.Site.Seats)])
+		c.ask(now, c.Site.Voters[(c.tries+int(c.Run%7))%len(c.Site.Voters)])
 	}
 }
 
@@ -352,7 +352,7 @@
 	q := c.holder.Ask(now)
 	c.said = q
 	ask := &peerpb.RenewRequest{Node: q.Node, Life: q.Life, Seq: q.Seq, Acked: q.Acked, Run: c.Run,
-		LastsUs: uint64(c.Site.Rights.Lasts / time.Microsecond), Census: c.tellHosts()}
+		LastsUs: uint64(c.Site.SendLease.Lasts / time.Microsecond), Census: c.tellHosts()}
 	for _, o := range q.Holds {
 		ask.Holds = append(ask.Holds, &peerpb.Out{Host: o.Host, Round: o.Round})
 	}
@@ -484,9 +484,9 @@
 	case c.book.Dead(ask.Node):
 		r.Refused, r.Leader = fmt.Sprintf("%s was declared dead", ask.Node), ""
 		r.Action = "make sure that it runs as it should, then take it in again: POST /lichenhitch.peer.Desk/TakeIn"
-	case ask.LastsUs != uint64(c.Site.Rights.Lasts/time.Microsecond):
+	case ask.LastsUs != uint64(c.Site.SendLease.Lasts/time.Microsecond):
 		r.Refused, r.Leader = fmt.Sprintf("%s takes a right to last %v, the council %v", ask.Node,
-			time.Duration(ask.LastsUs)*time.Microsecond, c.Site.Rights.Lasts), ""
+			time.Duration(ask.LastsUs)*time.Microsecond, c.Site.SendLease.Lasts), ""
 		r.Action = "give rights.lasts_ms the same value at all nodes of the site"
 	case !slices.Contains(c.book.Members(), ask.Node):
 		r.Refused, r.Leader = fmt.Sprintf("%s is not among the nodes of site %s", ask.Node, c.Site.Own.Name), ""
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -64,10 +64,10 @@
 // start starts the node; it waits before it asks for its right.
 func start(t *testing.T, wait time.Duration) *alone {
 	a := &alone{t: t, now: 1000 * time.Hour, hosts: []census.Host{{ID: "a", Warm: true}, {ID: "b", Warm: true}}}
-	o := Options{Wait: wait, Life: 1, Boot: 1, Run: 7, Saved: rights.Saved{Life: 1}, Site: &site.Site{Node: "n1", Own: site.Group{Name: "s"},
-		Seats: []string{"n1"}, Members: []string{"n1", "n2"}, Seat: true, Rights: rights.Terms{Lasts: lasts, Drift: 0.1},
+	o := Options{Wait: wait, Life: 1, Boot: 1, Run: 7, Saved: rights.Saved{Life: 1}, Site: &site.Site{Node: "n1", Own: site.Definition{Name: "s"},
+		Voters: []string{"n1"}, Members: []string{"n1", "n2"}, IsVoter: true, SendLease: rights.Terms{Lasts: lasts, Drift: 0.1},
 		Turns: turns.Limits{Site: 1, Horizon: 2}, Tick: time.Second, SnapshotEvery: 1000,
-		Upstream: sitesync.Limits{Number: 100, Bytes: 1 << 20, Batch: 10, Held: 10, Age: time.Hour}}}
+		SiteSync: sitesync.Limits{Number: 100, Bytes: 1 << 20, Batch: 10, Held: 10, Age: time.Hour}}}
 	var err error
 	a.core, err = New(a.now, o, a)
 	require.NoError(t, err)
--- a/internal/control/descriptors.go
+++ b/internal/control/descriptors.go
@@ -26,9 +26,9 @@
 // does without. Where room is tight the peers' address takes fewer connections, but not fewer than its peers make and some
 // operators; with less room than that it returns a *SocketsError besides.
 func SocketsOf(s *site.Site, room int) (Sockets, error) {
-	rest := storeSockets + doorSockets + peer.ClientLinks*len(s.Peers)
-	least := min(peer.ServerLinks, peer.ClientLinks*len(s.Peers)+handSockets)
-	links := min(max(room-rest, least), peer.ServerLinks)
+	rest := storeSockets + doorSockets + peer.ClientConns*len(s.Peers)
+	least := min(peer.ServerConns, peer.ClientConns*len(s.Peers)+handSockets)
+	links := min(max(room-rest, least), peer.ServerConns)
 	out := Sockets{Links: links, All: rest + links}
 	if out.All > room {
 		return out, &SocketsError{Lacks: out.All - room}
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -38,7 +38,7 @@
 func (c *Core) sit() error {
 	c.foretold()
 	stored := c.Durable.Snapshot.GetMetadata().GetIndex() > 0 || len(c.Durable.Entries) > 0
-	if !c.Site.Seat && !stored {
+	if !c.Site.IsVoter && !stored {
 		return nil
 	}
 	c.self = consensus.ReplicaIDOf(c.Site.Own.Name+"/"+c.Site.Node, c.Life)
@@ -57,11 +57,11 @@
 
 // found founds the council, or joins it, once enough is known of the others.
 func (c *Core) found() {
-	if c.seat != nil || c.gone || !c.Site.Seat {
+	if c.seat != nil || c.gone || !c.Site.IsVoter {
 		return
 	}
 	ids, all, stranger := []consensus.ReplicaID{c.self}, true, false
-	for _, name := range c.Site.Seats {
+	for _, name := range c.Site.Voters {
 		o := c.others[name]
 		switch {
 		case name == c.Site.Node:
@@ -86,7 +86,7 @@
 				"then POST /lichenhitch.peer.Desk/TakeIn")
 		return
 	}
-	if all && c.Site.Seats[0] == c.Site.Node {
+	if all && c.Site.Voters[0] == c.Site.Node {
 		slices.Sort(ids)
 		c.settle(ids)
 	}
@@ -102,7 +102,7 @@
 
 // hello is what this seat says of itself to another one.
 func (c *Core) hello(to string) *peerpb.Hello {
-	h := &peerpb.Hello{Node: c.Site.Node, Life: c.Life, Seats: c.Site.Seats}
+	h := &peerpb.Hello{Node: c.Site.Node, Life: c.Life, Seats: c.Site.Voters}
 	if c.seat == nil {
 		return h
 	}
@@ -200,7 +200,7 @@
 // not know that it is one. So does one that is behind them: it does not stand for
 // election, and if it runs twice the leader's messages may all go to the other process.
 func (c *Core) greet() {
-	if !c.sits() || c.out != 0 && !c.Site.Seat || c.ticks%greetEvery != 0 {
+	if !c.sits() || c.out != 0 && !c.Site.IsVoter || c.ticks%greetEvery != 0 {
 		return
 	}
 	c.found()
@@ -209,7 +209,7 @@
 		unknown := slices.ContainsFunc(st.Voters, func(id consensus.ReplicaID) bool {
 			return id != c.self && c.nameOf(id) == ""
 		})
-		missing := c.leading && slices.ContainsFunc(c.Site.Seats, func(name string) bool {
+		missing := c.leading && slices.ContainsFunc(c.Site.Voters, func(name string) bool {
 			return !slices.ContainsFunc(st.Voters, func(id consensus.ReplicaID) bool { return c.called(id) == name })
 		})
 		if !unknown && !missing && !st.Unconfirmed && !st.Behind && st.Leader != 0 && c.out == 0 && slices.Contains(st.Voters, c.self) {
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -127,7 +127,7 @@
 		p.Process, p.Seq = census.Process{Life: c.holder.Saved().Life, Boot: c.Boot}, s.own
 		s.reporter.Told(s.census.Take(now, c.Site.Node, p))
 	}
-	terms := census.Terms{Fresh: freshFor * c.Site.Rights.Lasts, Patience: c.Site.Rights.Lasts, Before: c.book.Hosts(),
+	terms := census.Terms{Fresh: freshFor * c.Site.SendLease.Lasts, Patience: c.Site.SendLease.Lasts, Before: c.book.Hosts(),
 		Returning: map[string]uint64{}}
 	for _, node := range c.book.Members() {
 		if !c.book.Dead(node) {
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -481,7 +481,7 @@
 // tree is the sites that policies go down, as this node's site file has them.
 func (c *Core) tree() rollout.Tree {
 	var t rollout.Tree
-	for _, g := range slices.Concat([]site.Group{c.Site.Own}, c.Site.Below) {
+	for _, g := range slices.Concat([]site.Definition{c.Site.Own}, c.Site.Descendants) {
 		s := rollout.Site{Name: g.Name, Parent: g.Parent}
 		if g.Name == c.Site.Own.Name {
 			s.Parent = ""
@@ -548,8 +548,8 @@
 
 // topName is the site at the top of the line.
 func (c *Core) topName() string {
-	if n := len(c.Site.Above); n > 0 {
-		return c.Site.Above[n-1].Name
+	if n := len(c.Site.Ancestors); n > 0 {
+		return c.Site.Ancestors[n-1].Name
 	}
 	return c.Site.Own.Name
 }
--- a/internal/control/seats.go
+++ b/internal/control/seats.go
@@ -84,7 +84,7 @@
 
 // known makes the circle anew.
 func (c *Core) known() {
-	c.circle = slices.Concat(c.Site.Seats, slices.Collect(maps.Values(c.seating.Names)))
+	c.circle = slices.Concat(c.Site.Voters, slices.Collect(maps.Values(c.seating.Names)))
 	for name, o := range c.others {
 		if c.counts(name, o) {
 			c.circle = append(c.circle, name)
@@ -95,7 +95,7 @@
 }
 
 // sits says whether this node has a seat: by its file, or still.
-func (c *Core) sits() bool { return c.Site.Seat || c.seat != nil }
+func (c *Core) sits() bool { return c.Site.IsVoter || c.seat != nil }
 
 // follows says whether this node's own state goes on with the council's log: whether its seat counts, as far as it knows. The state of a
 // seat which was taken out stays as it was then. One that waits may have been, and one that learns may have been taken out again without
@@ -375,13 +375,13 @@
 		has[c.called(id)] = true
 	}
 	var missing []string
-	for _, name := range c.Site.Seats {
+	for _, name := range c.Site.Voters {
 		if !has[name] {
 			missing = append(missing, name)
 		}
 	}
 	for _, id := range st.Voters {
-		if name := c.called(id); name != "" && !slices.Contains(c.Site.Seats, name) {
+		if name := c.called(id); name != "" && !slices.Contains(c.Site.Voters, name) {
 			goes = append(goes, id)
 		}
 	}
@@ -403,7 +403,7 @@
 		switch {
 		case o == nil || c.ticks-o.at >= freshTicks:
 			err = &NoAnswerError{Node: name}
-		case !o.founded || !slices.Equal(o.names, c.Site.Seats):
+		case !o.founded || !slices.Equal(o.names, c.Site.Voters):
 			err = &OtherFileError{Node: name}
 		case o.last > 0 && kinOf(c.seating.Foundings, o.foundings) != same:
 			err = &OtherCouncilError{Node: name, Site: c.Site.Own.Name}
@@ -432,7 +432,7 @@
 			ids = append(ids, id)
 		}
 	}
-	if len(ids) == 0 && len(st.Voters) >= len(c.Site.Seats) {
+	if len(ids) == 0 && len(st.Voters) >= len(c.Site.Voters) {
 		for _, id := range st.Voters {
 			if c.called(id) == "" {
 				return []consensus.ReplicaID{id}
@@ -446,7 +446,7 @@
 func (c *Core) otherFiles(st consensus.Status) (names []string) {
 	for _, id := range st.Voters {
 		o := c.others[c.nameOf(id)]
-		if id != c.self && (!c.answers(id) || !slices.Equal(o.names, c.Site.Seats)) {
+		if id != c.self && (!c.answers(id) || !slices.Equal(o.names, c.Site.Voters)) {
 			names = append(names, c.called(id))
 		}
 	}
@@ -485,7 +485,7 @@
 // tellGone logs that the store's seat is none of the council's any more, and what to do where the site file names this node's.
 func (c *Core) tellGone() {
 	action := "nothing: its site file does not name it either"
-	if c.Site.Seat {
+	if c.Site.IsVoter {
 		action = "if it is to have a seat, stop it, put its store aside and start it with an empty one"
 	}
 	c.env.Tell("the council has taken this node's seat out while it was away", "seat", c.Site.Node, "action", action)
@@ -520,7 +520,7 @@
 func (c *Core) leave(at uint64) {
 	if c.out == 0 {
 		action := "nothing: its site file does not name it either"
-		if c.Site.Seat {
+		if c.Site.IsVoter {
 			action = "compare the site files: those of most seats do not name it"
 		}
 		c.env.Tell("the council has taken this node's seat out", "seat", c.Site.Node, "action", action)
@@ -532,7 +532,7 @@
 
 // Retune takes a changed site file over that Site.Change has nothing against.
 func (c *Core) Retune(s *site.Site) {
-	steps := site.Steps(c.Site.Seats, s.Seats)
+	steps := site.PlanVoterChanges(c.Site.Voters, s.Voters)
 	c.Site = s
 	c.known()
 	if len(steps) > 0 {
@@ -546,7 +546,7 @@
 	switch {
 	case c.stop != nil || c.seat != nil:
 	case c.gone:
-		if s.Seat && len(steps) > 0 {
+		if s.IsVoter && len(steps) > 0 {
 			c.tellGone()
 		}
 	default:
--- a/internal/control/seats_test.go
+++ b/internal/control/seats_test.go
@@ -89,8 +89,8 @@
 // A seat that is to go may lead when a new one comes: its site file does not name it any more, and yet the new one, whose store is
 // empty, has to hear from it what was agreed on. A node that is none of the site's is not heard.
 func TestANewSeatHearsALeaderThatGoes(t *testing.T) {
-	c, err := New(0, Options{Life: 1, Boot: 1, Run: 7, Site: &site.Site{Node: "n3", Own: site.Group{Name: "s"}, Seats: []string{"n1", "n2", "n3"},
-		Members: []string{"n0", "n1", "n2", "n3"}, Seat: true, Tick: time.Second, SnapshotEvery: 1000}}, &alone{t: t})
+	c, err := New(0, Options{Life: 1, Boot: 1, Run: 7, Site: &site.Site{Node: "n3", Own: site.Definition{Name: "s"}, Voters: []string{"n1", "n2", "n3"},
+		Members: []string{"n0", "n1", "n2", "n3"}, IsVoter: true, Tick: time.Second, SnapshotEvery: 1000}}, &alone{t: t})
 	require.NoError(t, err)
 	hello := func(node string, founded bool) *peerpb.RaftReply {
 		h := &peerpb.Hello{Node: node, Life: 5, Founded: founded, Seats: []string{"n0", "n1", "n2"}}
@@ -109,7 +109,7 @@
 	a.pass(5 * time.Second)
 	assert.Empty(t, a.greeted)
 	next := *a.core.Site
-	next.Seats = []string{"n1", "n2"}
+	next.Voters = []string{"n1", "n2"}
 	a.core.Retune(&next)
 	a.pass(5 * time.Second)
 	assert.Contains(t, a.greeted, "n2")
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -98,12 +98,12 @@
 	for name, address := range s.Peers {
 		t.peers[name] = peer.NewClient(name, address, peer.ClientLimits{})
 	}
-	if t.server, err = peer.Serve(s.Listen, desk{t}, peer.Limits{Links: links}); err != nil {
+	if t.server, err = peer.Serve(s.Listen, desk{t}, peer.Limits{MaxConns: links}); err != nil {
 		t.closePeers()
 		t.store.Close()
 		return nil, err
 	}
-	log.Info("open to peers", "listen", t.server.Addr(), "site", s.Own.Name, "seat", s.Seat, "store", s.Store, "boot", who.OpenCount)
+	log.Info("open to peers", "listen", t.server.Addr(), "site", s.Own.Name, "seat", s.IsVoter, "store", s.Store, "boot", who.OpenCount)
 	go t.run()
 	return t, nil
 }
@@ -304,7 +304,7 @@
 		t.Do(func() { t.core.Replayed(t.loop.Now(), call, nil) })
 		return
 	}
-	p.ReplayWithin(within, q, func(r *peerpb.ReplayReply, err error) {
+	p.ReplayWithTimeout(within, q, func(r *peerpb.ReplayReply, err error) {
 		if err != nil {
 			r = nil
 		}
--- a/internal/control/turns.go
+++ b/internal/control/turns.go
@@ -48,7 +48,7 @@
 	if cmd, any := c.book.Next(stamp); any && c.keepsRoom(now, cmd) && c.knowsHomes(now, cmd) {
 		return cmd, true
 	}
-	return c.book.Stuck(stamp, views, stuckAfter*c.Site.Rights.Lasts)
+	return c.book.Stuck(stamp, views, stuckAfter*c.Site.SendLease.Lasts)
 }
 
 // members returns the nodes that count: those on the file, and those taken off it whose right may still run.
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -265,7 +265,7 @@
 
 // carry has the leader's courier make its next call.
 func (c *Core) carry(now time.Duration) {
-	if c.writes == nil || len(c.Site.Above) == 0 {
+	if c.writes == nil || len(c.Site.Ancestors) == 0 {
 		return
 	}
 	if c.courier == nil {
@@ -285,14 +285,14 @@
 	if b == nil {
 		return
 	}
-	for _, g := range c.Site.Above {
+	for _, g := range c.Site.Ancestors {
 		if g.Name != to {
 			continue
 		}
 		c.calls++
 		within := c.courier.CallTimeout()
 		c.calling, c.calledAt, c.callUntil = to, now, now+within
-		c.env.SendReplay(g.Seats[c.upAt[to]%len(g.Seats)], c.calls, within, &peerpb.ReplayRequest{Site: c.Site.Own.Name, Batch: b.Bytes()})
+		c.env.SendReplay(g.Voters[c.upAt[to]%len(g.Voters)], c.calls, within, &peerpb.ReplayRequest{Site: c.Site.Own.Name, Batch: b.Bytes()})
 		return
 	}
 }
@@ -308,7 +308,7 @@
 			c.refused = r.Refused
 			c.env.Tell("a site above refuses what this one sends", "site", to, "why", r.Refused, "action", r.Action)
 		}
-		if i := seatOf(c.Site.Above, to, r.GetLeader()); i >= 0 {
+		if i := seatOf(c.Site.Ancestors, to, r.GetLeader()); i >= 0 {
 			c.upAt[to], c.calling = i, ""
 			c.courier.Redirected(now)
 			c.drive(now)
@@ -349,9 +349,9 @@
 }
 
 // seatOf returns the place of a node among the seats of a site above, or -1.
-func seatOf(above []site.Group, name, node string) int {
+func seatOf(above []site.Definition, name, node string) int {
 	for _, g := range above {
-		for i, s := range g.Seats {
+		for i, s := range g.Voters {
 			if g.Name == name && s == node {
 				return i
 			}
@@ -365,10 +365,10 @@
 	born := max(c.stamp, now)
 	p := &sitesync.Place{Site: c.Site.Own.Name, Level: c.Site.Own.Level, StoreCreated: born,
 		Incarnation: uint64(born/time.Microsecond)<<8 | c.Run&0xff | 1} // rises, and no two are alike
-	for _, g := range c.Site.Above {
+	for _, g := range c.Site.Ancestors {
 		p.Ancestors = append(p.Ancestors, g.Name)
 	}
-	limits := c.Site.Upstream
+	limits := c.Site.SiteSync
 	if limits.Held == 0 {
 		limits.Held = heldWrites
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -12,18 +12,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-func join(t *testing.T, dir string) (*Store, State, chan State) {
+func joinProcess(t *testing.T, dir string) (*Store, State, chan State) {
 	t.Helper()
-	told := make(chan State, 100)
-	s, st, err := Join(slog.New(slog.NewTextHandler(io.Discard, nil)), dir, "a/node", func(st State) { told <- st })
+	states := make(chan State, 100)
+	s, st, err := Join(slog.New(slog.NewTextHandler(io.Discard, nil)), dir, "a/node", func(st State) { states <- st })
 	require.NoError(t, err)
 	s.Watch()
 	t.Cleanup(s.Leave)
-	return s, st, told
+	return s, st, states
 }
 
 // alter has the state changed and waits until that stands.
-func alter(t *testing.T, s *Store, apply func(*State)) State {
+func changeState(t *testing.T, s *Store, apply func(*State)) State {
 	t.Helper()
 	done := make(chan State)
 	s.Change(apply, func(st State, err error) {
@@ -34,8 +34,8 @@
 }
 
 // until waits for a state that another process brought about.
-func until(told chan State, ok func(State) bool) State {
-	for st := range told {
+func waitFor(states chan State, ok func(State) bool) State {
+	for st := range states {
 		if ok(st) {
 			return st
 		}
@@ -43,39 +43,39 @@
 	return State{}
 }
 
-func TestTwoProcessesHoldOneState(t *testing.T) {
+func TestTwoProcessesShareOneState(t *testing.T) {
 	dir := t.TempDir()
-	first, st, told := join(t, dir)
+	first, st, firstStates := joinProcess(t, dir)
 	assert.Empty(t, st.Bans)
-	alter(t, first, func(st *State) { st.Bans["s-1"] = 5 * time.Second })
+	changeState(t, first, func(st *State) { st.Bans["s-1"] = 5 * time.Second })
 
-	second, st, toldToo := join(t, dir)
+	second, st, secondStates := joinProcess(t, dir)
 	assert.Equal(t, map[string]time.Duration{"s-1": 5 * time.Second}, st.Bans)
-	assert.True(t, st.Preceded(second.Number()))
-	assert.False(t, st.Succeeded(first.Number()), "it is not ready")
-	second.Own(func(p *Process) { p.Ready, p.Links = true, 7 }, func(State, error) {})
-	st = until(told, func(st State) bool { return st.Succeeded(first.Number()) })
-	processes, links := st.Others(first.Number())
-	assert.Equal(t, [2]int{1, 7}, [2]int{processes, links})
-	assert.False(t, st.Succeeded(second.Number()))
+	assert.True(t, st.HasEarlier(second.Number()))
+	assert.False(t, st.Superseded(first.Number()), "it is not ready")
+	second.ChangeOwn(func(p *Process) { p.Ready, p.Descriptors = true, 7 }, func(State, error) {})
+	st = waitFor(firstStates, func(st State) bool { return st.Superseded(first.Number()) })
+	processes, descriptors := st.Others(first.Number())
+	assert.Equal(t, [2]int{1, 7}, [2]int{processes, descriptors})
+	assert.False(t, st.Superseded(second.Number()))
 
-	alter(t, first, func(st *State) {
+	changeState(t, first, func(st *State) {
 		delete(st.Bans, "s-1")
-		st.Drained = true
+		st.Draining = true
 	})
-	st = until(toldToo, func(st State) bool { return st.Drained })
+	st = waitFor(secondStates, func(st State) bool { return st.Draining })
 	assert.Empty(t, st.Bans)
 
 	second.Leave()
-	st = until(told, func(st State) bool { return !st.Succeeded(first.Number()) })
+	st = waitFor(firstStates, func(st State) bool { return !st.Superseded(first.Number()) })
 	assert.Len(t, st.Processes, 1)
-	assert.True(t, st.Drained)
+	assert.True(t, st.Draining)
 }
 
 // What another process has changed may first be read on the way of a change of one's own. It is told all the same.
-func TestNewsThatComeWithOnesOwnChangeAreTold(t *testing.T) {
+func TestChangesOfOthersReadDuringAnOwnChangeAreNotified(t *testing.T) {
 	dir := t.TempDir()
-	first, _, told := join(t, dir)
+	first, _, states := joinProcess(t, dir)
 	second, _, err := Join(first.log, dir, "a/node", nil)
 	require.NoError(t, err)
 	for i := range 20 {
@@ -84,51 +84,51 @@
 			st.Bans[host] = 1
 			return nil
 		}))
-		first.Own(func(p *Process) { p.Links = i + 1 }, func(State, error) {})
-		until(told, func(st State) bool { return st.Bans[host] == 1 })
+		first.ChangeOwn(func(p *Process) { p.Descriptors = i + 1 }, func(State, error) {})
+		waitFor(states, func(st State) bool { return st.Bans[host] == 1 })
 	}
 }
 
 // Two that change the file at once lose nothing of each other's.
-func TestNoChangeIsLost(t *testing.T) {
+func TestConcurrentChangesAreKept(t *testing.T) {
 	dir := t.TempDir()
-	first, _, _ := join(t, dir)
-	second, _, _ := join(t, dir)
+	first, _, _ := joinProcess(t, dir)
+	second, _, _ := joinProcess(t, dir)
 	finished := make(chan bool)
 	for i, s := range []*Store{first, second} {
 		go func() {
 			for n := range 50 {
-				alter(t, s, func(st *State) { st.Bans[string(rune('a'+i))+string(rune('0'+n))] = 1 })
+				changeState(t, s, func(st *State) { st.Bans[string(rune('a'+i))+string(rune('0'+n))] = 1 })
 			}
 			finished <- true
 		}()
 	}
 	<-finished
 	<-finished
-	assert.Len(t, alter(t, first, func(*State) {}).Bans, 100)
+	assert.Len(t, changeState(t, first, func(*State) {}).Bans, 100)
 }
 
 // A process that was killed leaves its entry and gives up its lock; nobody takes it for one that is there.
-func TestAProcessThatWasKilledIsNotThere(t *testing.T) {
+func TestKilledProcessIsRemoved(t *testing.T) {
 	dir := t.TempDir()
-	first, _, told := join(t, dir)
+	first, _, states := joinProcess(t, dir)
 	second, _, err := Join(first.log, dir, "a/node", nil)
 	require.NoError(t, err)
 	require.NoError(t, second.update(func(st *State) error {
 		st.process(second.Number()).Ready = true
 		return nil
 	}))
-	until(told, func(st State) bool { return st.Succeeded(first.Number()) })
+	waitFor(states, func(st State) bool { return st.Superseded(first.Number()) })
 	require.NoError(t, second.lock.Close()) // as the end of the process does
-	until(told, func(st State) bool { return !st.Succeeded(first.Number()) })
-	third, st, _ := join(t, dir)
-	assert.True(t, st.Preceded(third.Number()))
-	assert.False(t, st.Succeeded(first.Number()))
+	waitFor(states, func(st State) bool { return !st.Superseded(first.Number()) })
+	third, st, _ := joinProcess(t, dir)
+	assert.True(t, st.HasEarlier(third.Number()))
+	assert.False(t, st.Superseded(first.Number()))
 }
 
 // A file that was cut, at any byte, or is of another version is not taken for a state.
-func TestAFileIsReadWholeOrNotAtAll(t *testing.T) {
-	raw, err := encode(State{Bans: map[string]time.Duration{"s": 1}, Drained: true, Processes: []Process{{Number: 3}}})
+func TestTruncatedFileIsRejected(t *testing.T) {
+	raw, err := encode(State{Bans: map[string]time.Duration{"s": 1}, Draining: true, Processes: []Process{{Number: 3}}})
 	require.NoError(t, err)
 	for i := range len(raw) - 2 {
 		_, err := decode(raw[:i])
@@ -144,16 +144,16 @@
 }
 
 // A change that cannot be written is told, and nothing of it holds.
-func TestAChangeThatCannotBeWrittenIsRefused(t *testing.T) {
+func TestFailedWriteRejectsTheChange(t *testing.T) {
 	dir := t.TempDir()
-	s, _, _ := join(t, dir)
+	s, _, _ := joinProcess(t, dir)
 	require.NoError(t, os.Mkdir(filepath.Join(dir, "lichenhitch-a%2Fnode.state.0"), 0o700)) // in the way of what is written beside
 	failed := make(chan error)
-	s.Change(func(st *State) { st.Drained = true }, func(st State, err error) {
-		assert.False(t, st.Drained)
+	s.Change(func(st *State) { st.Draining = true }, func(st State, err error) {
+		assert.False(t, st.Draining)
 		failed <- err
 	})
 	require.Error(t, <-failed)
 	require.NoError(t, os.Remove(filepath.Join(dir, "lichenhitch-a%2Fnode.state.0")))
-	assert.True(t, alter(t, s, func(st *State) { st.Drained = true }).Drained)
+	assert.True(t, changeState(t, s, func(st *State) { st.Draining = true }).Draining)
 }
--- a/internal/handover/pass.go
+++ b/internal/handover/pass.go
@@ -14,13 +14,13 @@
 )
 
 // passWithin is how long the other process may take to take a connection.
-const passWithin = 500 * time.Millisecond
+const sendTimeout = 500 * time.Millisecond
 
 // queuedWithin is how long a retired receiver waits at most for its goroutine to take a call that is queued.
-const queuedWithin = time.Second
+const acceptTimeout = time.Second
 
 // packetMax is how large a packet may be: two lines that were not complete, and what is told of the connection.
-const packetMax = 32 << 10
+const maxPacket = 32 << 10
 
 // Passed is a connection on its way from one process to another. Its descriptors belong to whoever holds it.
 type Passed struct {
@@ -43,7 +43,7 @@
 type Sender struct{ conn *net.UnixConn }
 
 // Call connects to a process of the node.
-func (s *Store) Call(number int) (*Sender, error) {
+func (s *Store) Dial(number int) (*Sender, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: s.socket(number), Net: "unixpacket"})
 	if err != nil {
 		return nil, err
@@ -58,10 +58,10 @@
 	if err != nil {
 		return err
 	}
-	if len(head) > packetMax {
+	if len(head) > maxPacket {
 		return fmt.Errorf("a packet of %d bytes", len(head))
 	}
-	if err := s.conn.SetWriteDeadline(time.Now().Add(passWithin)); err != nil {
+	if err := s.conn.SetWriteDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
 	}
 	_, _, err = s.conn.WriteMsgUnix(head, unix.UnixRights(p.Client, p.Host), nil)
@@ -94,15 +94,15 @@
 
 // accept takes calls until the receiver is closed, or is retired and has taken what was queued.
 func (r *Receiver) accept(take func(*net.UnixConn)) {
-	for retired := false; ; {
+	for draining := false; ; {
 		conn, err := r.ln.AcceptUnix()
 		switch {
 		case err == nil:
 			take(conn)
-		case errors.Is(err, os.ErrDeadlineExceeded) && !retired:
+		case errors.Is(err, os.ErrDeadlineExceeded) && !draining:
 			// The deadline is looked at before the queue: only a later one lets what is queued be taken.
-			retired = true
-			_ = r.ln.SetDeadline(time.Now().Add(queuedWithin))
+			draining = true
+			_ = r.ln.SetDeadline(time.Now().Add(acceptTimeout))
 		default:
 			_ = r.ln.Close()
 			return
@@ -113,14 +113,14 @@
 func (s *Store) socket(number int) string { return fmt.Sprintf("%s.%d.sock", s.path, number) }
 
 // Retire ends receiving once the calls that have come are taken: no earlier process is there that could make another one.
-func (r *Receiver) Retire() { _ = r.ln.SetDeadline(time.Now()) }
+func (r *Receiver) DrainAndClose() { _ = r.ln.SetDeadline(time.Now()) }
 
 // Close ends receiving from processes that have not called yet.
 func (r *Receiver) Close() { _ = r.ln.Close() }
 
 func (s *Store) receive(conn *net.UnixConn, take func(Passed)) {
 	defer conn.Close()
-	head, rights := make([]byte, packetMax), make([]byte, unix.CmsgSpace(2*4))
+	head, rights := make([]byte, maxPacket), make([]byte, unix.CmsgSpace(2*4))
 	for {
 		n, nr, _, _, err := conn.ReadMsgUnix(head, rights)
 		if err != nil || n == 0 {
--- a/internal/handover/pass_test.go
+++ b/internal/handover/pass_test.go
@@ -21,22 +21,22 @@
 // An earlier process hands its connections over and ends. The later one takes what is queued, also where its own goroutine has not run
 // since, and then holds no socket any more: one descriptor of each upgraded node was left over for as long as its process ran ("n0
 // holds 27, and held 16", with ten hosts; a Unix socket was the one too many).
-func TestARetiredReceiverTakesWhatIsQueuedAndIsGone(t *testing.T) {
+func TestDrainAndCloseAcceptsQueuedConnections(t *testing.T) {
 	dir := t.TempDir()
-	former, _, _ := join(t, dir)
-	later, _, _ := join(t, dir)
+	earlier, _, _ := joinProcess(t, dir)
+	later, _, _ := joinProcess(t, dir)
 	name := later.socket(later.Number())
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
 	require.NoError(t, err)
 	r := &Receiver{ln}
 
-	sender, err := former.Call(later.Number()) // queued: nobody accepts yet
+	sender, err := earlier.Dial(later.Number()) // queued: nobody accepts yet
 	require.NoError(t, err)
 	client, host := descriptors(t)
 	require.NoError(t, sender.Send(Passed{ID: "7", Client: client, Host: host}))
 	sender.Close()
-	former.Leave()
-	r.Retire()
+	earlier.Leave()
+	r.DrainAndClose()
 
 	taken := make(chan Passed, 1)
 	r.accept(func(conn *net.UnixConn) { later.receive(conn, func(p Passed) { taken <- p }) })
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -18,17 +18,17 @@
 // State is what is shared. Times are since the start of 1970, as the node's clock tells them.
 type State struct {
 	Bans      map[string]time.Duration // hosts out by hand, since when
-	Drained   bool                     // the node is to be empty
+	Draining  bool                     `json:"Drained"` // the node is to be empty
 	Processes []Process                // in the order of their starts; those that ended are gone
 }
 
 // Process is one process of the node.
 type Process struct {
-	Number int  // the later, the higher
-	Slot   int  // the byte of the lock file that it holds
-	PID    int  // for the log
-	Ready  bool // its door is open and it has a list
-	Links  int  // descriptors that it holds, as last told
+	Number      int  // the later, the higher
+	Slot        int  // the byte of the lock file that it holds
+	PID         int  // for the log
+	Ready       bool // its door is open and it has a list
+	Descriptors int  `json:"Links"` // descriptors that it holds, as last told
 }
 
 // Successor returns the number of the latest process that is ready and came after another one, or 0.
@@ -42,27 +42,27 @@
 }
 
 // Succeeded says whether a process that came later than another one is ready.
-func (s State) Succeeded(number int) bool { return s.Successor(number) > 0 }
+func (s State) Superseded(number int) bool { return s.Successor(number) > 0 }
 
 // Preceded says whether a process that came earlier is there.
-func (s State) Preceded(number int) bool {
+func (s State) HasEarlier(number int) bool {
 	return slices.ContainsFunc(s.Processes, func(p Process) bool { return p.Number < number })
 }
 
 // Followed says whether a process that came later is there, ready or not.
-func (s State) Followed(number int) bool {
+func (s State) HasLater(number int) bool {
 	return slices.ContainsFunc(s.Processes, func(p Process) bool { return p.Number > number })
 }
 
 // Others returns how many other processes there are and how many descriptors they hold.
-func (s State) Others(number int) (processes, links int) {
+func (s State) Others(number int) (processes, descriptors int) {
 	for _, p := range s.Processes {
 		if p.Number != number {
 			processes++
-			links += p.Links
+			descriptors += p.Descriptors
 		}
 	}
-	return processes, links
+	return processes, descriptors
 }
 
 // process returns the entry of a process, or nil.
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -18,14 +18,14 @@
 
 const (
 	// lookEvery is how often a process looks whether another one has changed the file or ended.
-	lookEvery = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 	// lockWithin is how long a change waits for the lock, which is held for less than a millisecond at a time.
-	lockWithin = 500 * time.Millisecond
-	lockPause  = time.Millisecond
+	lockTimeout       = 500 * time.Millisecond
+	lockRetryInterval = time.Millisecond
 	// slots is how many processes of one node there may be at once.
-	slots = 16
+	maxProcesses = 16
 	// backlog is how many changes may wait. Whoever calls does not wait for them.
-	backlog = 64
+	maxQueuedChanges = 64
 )
 
 // The bytes of the lock file: the first is held while the file is read and written, each of the others by one process.
@@ -41,21 +41,21 @@
 
 // Store is a process's hold on the shared file. Its methods may be called from any goroutine.
 type Store struct {
-	log     *slog.Logger
-	path    string
-	lock    *os.File
-	number  int
-	slot    int
-	changes chan change
-	tell    func(State)
-	stop    chan struct{}
-	stopped chan struct{}
-	once    sync.Once
-	watched bool
+	log      *slog.Logger
+	path     string
+	lock     *os.File
+	number   int
+	slot     int
+	changes  chan change
+	notify   func(State)
+	stop     chan struct{}
+	stopped  chan struct{}
+	once     sync.Once
+	watching bool
 
 	// These belong to the goroutine of the store.
-	last State
-	seen fs.FileInfo // the file as last read
+	last     State
+	lastInfo fs.FileInfo // the file as last read
 }
 
 type change struct {
@@ -66,9 +66,9 @@
 // Join opens the file of a node in a folder, or makes it, and enters this process. tell is called with every state that
 // differs from the last, from a goroutine of the store's own, once Watch was called. A file that cannot be read is
 // replaced, and the log says so; an error says that nothing can be shared here.
-func Join(log *slog.Logger, dir, node string, tell func(State)) (*Store, State, error) {
-	s := &Store{log: log, path: filepath.Join(dir, "lichenhitch-"+url.PathEscape(node)+".state"), tell: tell,
-		changes: make(chan change, backlog), stop: make(chan struct{}), stopped: make(chan struct{})}
+func Join(log *slog.Logger, dir, node string, notify func(State)) (*Store, State, error) {
+	s := &Store{log: log, path: filepath.Join(dir, "lichenhitch-"+url.PathEscape(node)+".state"), notify: notify,
+		changes: make(chan change, maxQueuedChanges), stop: make(chan struct{}), stopped: make(chan struct{})}
 	var err error
 	if s.lock, err = os.OpenFile(s.path+".lock", os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return nil, State{}, err
@@ -78,13 +78,13 @@
 			s.number = max(s.number, p.Number)
 		}
 		s.number++
-		for s.slot = range slots {
-			if s.hold(firstSlot+s.slot) == nil {
+		for s.slot = range maxProcesses {
+			if s.lockByte(firstSlot+s.slot) == nil {
 				st.Processes = append(st.Processes, Process{Number: s.number, Slot: s.slot, PID: os.Getpid()})
 				return nil
 			}
 		}
-		return fmt.Errorf("%d processes of this node are there already", slots)
+		return fmt.Errorf("%d processes of this node are there already", maxProcesses)
 	})
 	if err != nil {
 		s.lock.Close()
@@ -98,7 +98,7 @@
 
 // Watch begins to carry changes out and to look for those of others.
 func (s *Store) Watch() {
-	s.watched = true
+	s.watching = true
 	go s.run()
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Own changes the entry of this process.
-func (s *Store) Own(apply func(*Process), done func(State, error)) {
+func (s *Store) ChangeOwn(apply func(*Process), done func(State, error)) {
 	s.Change(func(st *State) {
 		if p := st.process(s.number); p != nil {
 			apply(p)
@@ -124,7 +124,7 @@
 // Leave takes this process out of the file and ends the watch.
 func (s *Store) Leave() {
 	s.once.Do(func() {
-		if close(s.stop); s.watched {
+		if close(s.stop); s.watching {
 			<-s.stopped
 		} else {
 			s.run()
@@ -135,8 +135,8 @@
 
 func (s *Store) run() {
 	defer close(s.stopped)
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.stop:
@@ -155,27 +155,27 @@
 				s.log.Error("the shared file could not be changed", "error", err)
 			}
 			c.done(s.last.Clone(), err)
-			s.news(before) // what others have changed since the last look came along
-		case <-look.C:
+			s.notifyIfChanged(before) // what others have changed since the last look came along
+		case <-ticker.C:
 			before := s.last.Clone()
-			s.look()
-			s.news(before)
+			s.poll()
+			s.notifyIfChanged(before)
 		}
 	}
 }
 
 // news tells the state unless it is as it was.
-func (s *Store) news(before State) {
+func (s *Store) notifyIfChanged(before State) {
 	if !reflect.DeepEqual(before, s.last.Clone()) {
-		s.tell(s.last.Clone())
+		s.notify(s.last.Clone())
 	}
 }
 
 // look reads the file if it was replaced, and leaves out processes that have ended.
-func (s *Store) look() {
-	if now, err := os.Stat(s.path); err == nil && s.seen != nil && os.SameFile(now, s.seen) &&
-		now.ModTime().Equal(s.seen.ModTime()) {
-		s.last.Processes = s.living(s.last.Processes)
+func (s *Store) poll() {
+	if info, err := os.Stat(s.path); err == nil && s.lastInfo != nil && os.SameFile(info, s.lastInfo) &&
+		info.ModTime().Equal(s.lastInfo.ModTime()) {
+		s.last.Processes = s.alive(s.last.Processes)
 		return
 	}
 	if st, err := s.read(); err == nil { // what another process replaces is whole
@@ -197,17 +197,17 @@
 	if err != nil {
 		return State{}, fmt.Errorf("%s: %w", s.path, err)
 	}
-	s.seen = info
-	st.Processes = s.living(st.Processes)
+	s.lastInfo = info
+	st.Processes = s.alive(st.Processes)
 	return st, nil
 }
 
 // update changes the file under the lock: what it holds is read, changed, written beside and renamed.
 func (s *Store) update(apply func(*State) error) error {
-	if err := s.await(); err != nil {
+	if err := s.acquireMutex(); err != nil {
 		return err
 	}
-	defer s.set(unix.F_UNLCK, mutexByte)
+	defer s.setLock(unix.F_UNLCK, mutexByte)
 	st, err := s.read()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -223,33 +223,33 @@
 	if err != nil {
 		return err
 	}
-	beside := fmt.Sprintf("%s.%d", s.path, s.slot)
-	if err := os.WriteFile(beside, raw, 0o600); err != nil {
+	temporary := fmt.Sprintf("%s.%d", s.path, s.slot)
+	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(beside, s.path); err != nil {
+	if err := os.Rename(temporary, s.path); err != nil {
 		return err
 	}
 	s.last = st
-	s.seen, _ = os.Stat(s.path)
+	s.lastInfo, _ = os.Stat(s.path)
 	return nil
 }
 
 // living returns the processes that have not ended.
-func (s *Store) living(all []Process) []Process {
+func (s *Store) alive(all []Process) []Process {
 	return slices.DeleteFunc(slices.Clone(all), func(p Process) bool {
-		return p.Number != s.number && !s.held(firstSlot+p.Slot)
+		return p.Number != s.number && !s.isLocked(firstSlot+p.Slot)
 	})
 }
 
 // await waits for the lock.
-func (s *Store) await() error {
-	for until := time.Now().Add(lockWithin); ; time.Sleep(lockPause) {
-		err := s.hold(mutexByte)
+func (s *Store) acquireMutex() error {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+		err := s.lockByte(mutexByte)
 		if err == nil {
 			return nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return errors.Join(errLocked, err)
 		}
 	}
@@ -257,15 +257,15 @@
 
 // hold locks one byte, unless another process has. The locks belong to the open file, so that they end with the process
 // and two stores of one process are two.
-func (s *Store) hold(at int) error { return s.set(unix.F_WRLCK, at) }
+func (s *Store) lockByte(offset int) error { return s.setLock(unix.F_WRLCK, offset) }
 
-func (s *Store) set(kind int16, at int) error {
-	lock := unix.Flock_t{Type: kind, Start: int64(at), Len: 1}
+func (s *Store) setLock(kind int16, offset int) error {
+	lock := unix.Flock_t{Type: kind, Start: int64(offset), Len: 1}
 	return unix.FcntlFlock(s.lock.Fd(), unix.F_OFD_SETLK, &lock)
 }
 
 // held says whether another open file has a byte locked.
-func (s *Store) held(at int) bool {
-	lock := unix.Flock_t{Type: unix.F_WRLCK, Start: int64(at), Len: 1}
+func (s *Store) isLocked(offset int) bool {
+	lock := unix.Flock_t{Type: unix.F_WRLCK, Start: int64(offset), Len: 1}
 	return unix.FcntlFlock(s.lock.Fd(), unix.F_OFD_GETLK, &lock) == nil && lock.Type != unix.F_UNLCK
 }
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -16,18 +16,18 @@
 
 const (
 	// maxLinks is how many connections operators may hold. Beyond it the oldest that waits for no answer goes.
-	maxLinks = 16
+	maxConns = 16
 	// callWithin is how long a call may take to come.
-	callWithin = 2 * time.Second
+	requestTimeout = 2 * time.Second
 	// answerWithin is how long the node may take over a call; an answer is due within 1 s.
-	answerWithin = 900 * time.Millisecond
+	answerTimeout = 900 * time.Millisecond
 )
 
 // ErrUnknown says that no host of that id is known. Node wraps it.
 var ErrUnknown = errors.New("no host of that id is known")
 
 // errLate says that the effect of a call does not stand yet; it may still come to.
-var errLate = errors.New("not done in time; call again to learn whether it holds")
+var errTimeout = errors.New("not done in time; call again to learn whether it holds")
 
 // Node carries calls out. done is called once, at once or later, on the loop: with nil once the effect stands.
 type Node interface {
@@ -42,38 +42,38 @@
 }
 
 // Desk takes the connections of operators.
-type Desk struct {
+type API struct {
 	log   *slog.Logger
 	loop  *evloop.Loop
 	node  Node
-	links []*caller // the latest, the oldest first
+	conns []*caller // the latest, the oldest first
 }
 
 // New returns a desk that hands calls on to a node.
-func New(log *slog.Logger, loop *evloop.Loop, node Node) *Desk {
-	return &Desk{log: log, loop: loop, node: node}
+func New(log *slog.Logger, loop *evloop.Loop, node Node) *API {
+	return &API{log: log, loop: loop, node: node}
 }
 
 // Accept gives a connection its handler. It is the first to go when there are too many, as those of clients are that
 // have not asked yet.
-func (d *Desk) Accept(link *evloop.Conn) evloop.Handler {
-	c := &caller{desk: d, link: link}
-	c.late = d.loop.After(callWithin, func() { c.fail(408, errors.New("no call has come")) })
-	link.SetEvictable(true)
-	if d.links = append(d.links, c); len(d.links) > maxLinks {
-		d.makeRoom()
+func (d *API) Accept(conn *evloop.Conn) evloop.Handler {
+	c := &caller{api: d, conn: conn}
+	c.timer = d.loop.After(requestTimeout, func() { c.fail(408, errors.New("no call has come")) })
+	conn.SetEvictable(true)
+	if d.conns = append(d.conns, c); len(d.conns) > maxConns {
+		d.evictOldest()
 	}
 	return c
 }
 
 // makeRoom ends the oldest connection that waits for no answer. Those that do are as many as calls are under way, each
 // for less than a second.
-func (d *Desk) makeRoom() {
-	for i, c := range d.links {
-		if !c.waits {
-			c.late.Stop()
-			c.link.Close() // does nothing to one that is over
-			d.links = append(d.links[:i], d.links[i+1:]...)
+func (d *API) evictOldest() {
+	for i, c := range d.conns {
+		if !c.pending {
+			c.timer.Stop()
+			c.conn.Close() // does nothing to one that is over
+			d.conns = append(d.conns[:i], d.conns[i+1:]...)
 			return
 		}
 	}
@@ -81,11 +81,11 @@
 
 // caller is one connection.
 type caller struct {
-	desk  *Desk
-	link  *evloop.Conn
-	late  *evloop.Timer // of the call, then of its answer
-	waits bool          // for the node
-	over  bool          // answered
+	api      *API
+	conn     *evloop.Conn
+	timer    *evloop.Timer // of the call, then of its answer
+	pending  bool          // for the node
+	answered bool          // answered
 }
 
 // Opened implements evloop.Handler. The caller speaks first.
@@ -93,37 +93,37 @@
 
 // Received implements evloop.Handler. What follows a call on its connection is not read: it is one call to a connection.
 func (c *caller) Received() {
-	if c.waits || c.over {
-		c.link.Discard(len(c.link.Peek()))
+	if c.pending || c.answered {
+		c.conn.Discard(len(c.conn.Peek()))
 		return
 	}
-	call, err := http1.ParseRequest(c.link.Peek())
+	call, err := http1.ParseRequest(c.conn.Peek())
 	switch {
 	case errors.Is(err, http1.ErrHeadTooLong):
 		c.fail(431, err)
 	case err != nil:
 		c.fail(400, err)
 	case call.Size > 0:
-		c.link.Discard(call.Size)
+		c.conn.Discard(call.Size)
 		c.route(call)
 	}
 }
 
 // Closed implements evloop.Handler. What a caller asked for is done though it leaves before the answer.
 func (c *caller) Closed(error) {
-	c.over = true
-	c.late.Stop()
+	c.answered = true
+	c.timer.Stop()
 }
 
 // route finds what a path names.
 func (c *caller) route(call http1.Request) {
-	node := c.desk.node
+	node := c.api.node
 	host, isHost := strings.CutPrefix(call.Path, "/v1/hosts/")
-	id, verb := cutLast(host)
+	id, verb := splitLast(host)
 	switch {
 	case call.Path == "/v1/readyz":
-		if c.permit(call, "GET") {
-			c.ready(node.Ready())
+		if c.requireMethod(call, "GET") {
+			c.answerReady(node.Ready())
 		}
 	case isHost && id != "" && verb == "suspend":
 		c.post(call, func(done func(error)) { node.Suspend(id, done) })
@@ -139,66 +139,66 @@
 }
 
 // cutLast cuts a path before its last part.
-func cutLast(path string) (before, last string) {
+func splitLast(path string) (before, last string) {
 	i := strings.LastIndexByte(path, '/')
 	return path[:max(i, 0)], path[i+1:]
 }
 
 // permit says whether the call comes with the method that its path takes, and answers where it does not.
-func (c *caller) permit(call http1.Request, method string) bool {
+func (c *caller) requireMethod(call http1.Request, method string) bool {
 	if call.Method == method {
 		return true
 	}
-	c.answer(405, method, body("error", "this path takes "+method))
+	c.answer(405, method, jsonBody("error", "this path takes "+method))
 	return false
 }
 
 // post has the node do something and answers once that stands.
 func (c *caller) post(call http1.Request, do func(done func(error))) {
-	if !c.permit(call, "POST") {
+	if !c.requireMethod(call, "POST") {
 		return
 	}
-	c.waits = true
-	c.link.SetEvictable(false)
-	c.late.Stop()
-	c.late = c.desk.loop.After(answerWithin, func() { c.done(call, errLate) })
+	c.pending = true
+	c.conn.SetEvictable(false)
+	c.timer.Stop()
+	c.timer = c.api.loop.After(answerTimeout, func() { c.done(call, errTimeout) })
 	do(func(err error) { c.done(call, err) })
 }
 
 func (c *caller) done(call http1.Request, err error) {
 	switch {
-	case c.over:
+	case c.answered:
 		return
 	case errors.Is(err, ErrUnknown):
 		c.fail(404, err)
 	case err != nil:
 		c.fail(503, err)
 	default:
-		c.answer(200, "", body("done", strings.TrimPrefix(call.Path, "/v1/")))
+		c.answer(200, "", jsonBody("done", strings.TrimPrefix(call.Path, "/v1/")))
 	}
-	c.desk.log.Info("an operator called", "path", call.Path, "error", err)
+	c.api.log.Info("an operator called", "path", call.Path, "error", err)
 }
 
-func (c *caller) ready(err error) {
+func (c *caller) answerReady(err error) {
 	if err != nil {
-		c.answer(503, "", body("error", "not ready: "+err.Error()))
+		c.answer(503, "", jsonBody("error", "not ready: "+err.Error()))
 		return
 	}
-	c.answer(200, "", body("done", "ready"))
+	c.answer(200, "", jsonBody("done", "ready"))
 }
 
-func (c *caller) fail(status int, err error) { c.answer(status, "", body("error", err.Error())) }
+func (c *caller) fail(status int, err error) { c.answer(status, "", jsonBody("error", err.Error())) }
 
 // answer says the last words.
-func (c *caller) answer(status int, allow string, text []byte) {
-	c.waits, c.over = false, true
-	c.late.Stop()
-	c.link.Write(http1.AppendResponse(nil, status, allow, text))
-	c.link.LingeringClose()
+func (c *caller) answer(status int, allow string, content []byte) {
+	c.pending, c.answered = false, true
+	c.timer.Stop()
+	c.conn.Write(http1.AppendResponse(nil, status, allow, content))
+	c.conn.LingeringClose()
 }
 
 // body is an object of one key.
-func body(key, text string) []byte {
-	to := append([]byte(`{"`+key+`":`), gjson.AppendJSONString(nil, text)...)
-	return append(to, "}\n"...)
+func jsonBody(key, text string) []byte {
+	object := append([]byte(`{"`+key+`":`), gjson.AppendJSONString(nil, text)...)
+	return append(object, "}\n"...)
 }
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -18,9 +18,9 @@
 
 // scripted is a node that knows one host and notes what it is asked for.
 type scripted struct {
-	loop  *evloop.Loop
-	asked chan string
-	hold  bool // resume is not answered
+	loop       *evloop.Loop
+	asked      chan string
+	holdResume bool // resume is not answered
 }
 
 func (n *scripted) Ready() error { return errors.New("the list is \"old\"") }
@@ -34,14 +34,14 @@
 }
 func (n *scripted) Resume(host string, done func(error)) {
 	n.asked <- "resume " + host
-	if !n.hold {
+	if !n.holdResume {
 		done(nil)
 	}
 }
 func (n *scripted) Drain(done func(error))    { n.asked <- "drain"; done(nil) }
 func (n *scripted) Activate(done func(error)) { n.asked <- "activate"; done(errors.New("no")) }
 
-func startDesk(t *testing.T) (*scripted, string) {
+func startAPI(t *testing.T) (*scripted, string) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	loop, err := evloop.Start(log, evloop.Limits{Conns: 100, Queued: 1 << 16})
@@ -76,7 +76,7 @@
 }
 
 func TestCallsReachTheNodeAndAreAnswered(t *testing.T) {
-	n, addr := startDesk(t)
+	n, addr := startAPI(t)
 	for _, tc := range []struct{ call, status, body, asked string }{
 		{"GET /v1/readyz", "503", `{"error":"not ready: the list is \"old\""}`, ""},
 		{"POST /v1/hosts/s-1/suspend", "200", `{"done":"hosts/s-1/suspend"}`, "suspend s-1"},
@@ -102,8 +102,8 @@
 }
 
 // A body that nobody asked for and a second call on the same connection change nothing and destroy no answer.
-func TestWhatIsNoCallIsAnsweredAndChangesNothing(t *testing.T) {
-	n, addr := startDesk(t)
+func TestInvalidCallsAreAnsweredWithoutEffect(t *testing.T) {
+	n, addr := startAPI(t)
 	for text, want := range map[string]string{
 		"POST /v1/node/drain HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000): "200",
 		"POST /v1/node/drain HTTP/1.1\r\n\r\nPOST /v1/hosts/s-1/suspend HTTP/1.1\r\n\r\n":            "200",
@@ -119,8 +119,8 @@
 	assert.Equal(t, "drain", <-n.asked)
 }
 
-func TestACallMayComeByteForByteAndItsCallerMayLeave(t *testing.T) {
-	n, addr := startDesk(t)
+func TestCallArrivesByteByByteAndItsCallerMayDisconnect(t *testing.T) {
+	n, addr := startAPI(t)
 	c := connect(t, addr)
 	for _, b := range []byte("POST /v1/node/drain HTTP/1.1\r\nHost: x\r\n\r\n") {
 		_, err := c.Write([]byte{b})
@@ -138,10 +138,10 @@
 }
 
 // Callers that send nothing, or half a call, and stay: the oldest make way, and those that come late in the day are told.
-func TestCallersThatStallHoldNothingUp(t *testing.T) {
-	n, addr := startDesk(t)
+func TestStalledCallersAreEvicted(t *testing.T) {
+	n, addr := startAPI(t)
 	var stalled []net.Conn
-	for i := range 5 * maxLinks {
+	for i := range 5 * maxConns {
 		c := connect(t, addr)
 		_, err := io.WriteString(c, "POST /v1/node/drain HTTP/1.1\r\nHo"[:i%30])
 		require.NoError(t, err)
@@ -162,16 +162,16 @@
 }
 
 // A call whose effect does not come to stand is answered in time all the same, and its caller is not put off for others.
-func TestACallThatTakesTooLongIsAnsweredNo(t *testing.T) {
-	n, addr := startDesk(t)
-	n.loop.Call(func() { n.hold = true })
+func TestSlowCallIsAnsweredOnTime(t *testing.T) {
+	n, addr := startAPI(t)
+	n.loop.Call(func() { n.holdResume = true })
 	answered := make(chan string)
 	go func() {
 		status, _ := call(t, addr, "POST /v1/hosts/s-1/resume HTTP/1.1\r\n\r\n")
 		answered <- status
 	}()
 	assert.Equal(t, "resume s-1", <-n.asked)
-	for range 3 * maxLinks {
+	for range 3 * maxConns {
 		connect(t, addr)
 	}
 	assert.Equal(t, "503", <-answered)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -15,104 +15,106 @@
 	"lichenhitch/internal/peer/peerpb/peerpbconnect"
 )
 
-// ClientLimits bound a Client. What is 0 has its default.
+// ClientLimits limits a Client. A zero field takes its default.
 type ClientLimits struct {
-	Queue  int           // calls that wait, in each lane; 64
-	Within time.Duration // from the call to its answer; 6 s, a little more than a Server takes
-	Quick  time.Duration // the same of Renew and Raft, which are soon worth nothing; 1 s
-	Body   int           // of a reply, in bytes; 1 MiB
-	Pause  time.Duration // the longest between two tries at a peer that is not reached; 1 s
+	QueueLength  int           // queued calls in each lane; default 64
+	CallTimeout  time.Duration // from the call to its reply; default 6 s, a little more than a Server's CallTimeout
+	ShortTimeout time.Duration // the same for Renew and Raft, whose results soon become useless; default 1 s
+	MaxBody      int           // of a reply, in bytes; default 1 MiB
+	MaxBackoff   time.Duration // longest delay between two attempts to reach an unreachable peer; default 1 s
 }
 
 func (l ClientLimits) orDefaults() ClientLimits {
 	return ClientLimits{
-		Queue: cmp.Or(l.Queue, 64), Within: cmp.Or(l.Within, 6*time.Second), Quick: cmp.Or(l.Quick, time.Second),
-		Body: cmp.Or(l.Body, 1<<20), Pause: cmp.Or(l.Pause, time.Second),
+		QueueLength: cmp.Or(l.QueueLength, 64), CallTimeout: cmp.Or(l.CallTimeout, 6*time.Second), ShortTimeout: cmp.Or(l.ShortTimeout, time.Second),
+		MaxBody: cmp.Or(l.MaxBody, 1<<20), MaxBackoff: cmp.Or(l.MaxBackoff, time.Second),
 	}
 }
 
-// ClientLinks is how many connections a Client makes: one for each lane.
-const ClientLinks = 3
+// ClientConns is the maximum number of connections of a Client: one for each lane.
+const ClientConns = 3
 
-// leastPause is the first one between two tries; each further one is up to twice as long.
-const leastPause = 20 * time.Millisecond
+// minBackoff is the upper bound of the first backoff after a failure; the bound doubles with each further failure.
+const minBackoff = 20 * time.Millisecond
 
-// Client calls one peer. It is a Node: each method returns at once, and done is called once, on another goroutine, with the
-// reply or an *Error. Calls wait in three lanes of one worker and one connection each: an answer to Renew may need messages
-// of Raft to come through first, and neither may wait for an operator's call.
+// Client calls one peer. It implements Node: each method returns at once, and done is called once, on another goroutine, with
+// the reply or an *Error. Calls are queued in three lanes with one worker and one connection each: a reply to Renew may require
+// Raft messages to get through first, and neither may wait for an operator's call.
 type Client struct {
-	peer    string
-	limits  ClientLimits
-	ctx     context.Context
-	cancel  context.CancelFunc
-	http    *http.Transport
-	council peerpbconnect.CouncilClient
-	desk    peerpbconnect.DeskClient
-	raft    *lane
-	renew   *lane
-	rest    *lane
-	workers sync.WaitGroup
-
-	mu     sync.Mutex
-	failed int       // tries in a row that did not reach the peer
-	next   time.Time // not before then
-}
-
-// NewClient returns a client of the peer of a name at an address, for calls until Close. Nothing is dialled before the first.
+	peer          string
+	limits        ClientLimits
+	ctx           context.Context
+	cancel        context.CancelFunc
+	http          *http.Transport
+	councilClient peerpbconnect.CouncilClient
+	deskClient    peerpbconnect.DeskClient
+	raft          *lane
+	renew         *lane
+	general       *lane
+	workers       sync.WaitGroup
+
+	mu       sync.Mutex
+	failures int       // consecutive attempts that did not reach the peer
+	nextTry  time.Time // earliest time of the next attempt
+}
+
+// NewClient returns a client of the peer with the given name and address, which accepts calls until Close. It dials on the
+// first call.
 func NewClient(node, addr string, limits ClientLimits) *Client {
-	c := &Client{peer: node + " (" + addr + ")", limits: limits.orDefaults(), raft: newLane(), renew: newLane(), rest: newLane()}
+	c := &Client{peer: node + " (" + addr + ")", limits: limits.orDefaults(), raft: newLane(), renew: newLane(), general: newLane()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	var protocols http.Protocols
-	protocols.SetHTTP1(true) // a call that is given up takes its connection with it; in HTTP/2 that would stay
+	protocols.SetHTTP1(true) // cancelling a call closes its connection; an HTTP/2 connection would stay open
 	c.http = &http.Transport{
-		DialContext: (&net.Dialer{Timeout: c.limits.Quick}).DialContext, Protocols: &protocols, DisableCompression: true,
-		MaxConnsPerHost: ClientLinks, MaxIdleConnsPerHost: ClientLinks, IdleConnTimeout: 30 * time.Second, // less than a Server's Idle
-		MaxResponseHeaderBytes: maxHead,
+		DialContext: (&net.Dialer{Timeout: c.limits.ShortTimeout}).DialContext, Protocols: &protocols, DisableCompression: true,
+		MaxConnsPerHost: ClientConns, MaxIdleConnsPerHost: ClientConns, IdleConnTimeout: 30 * time.Second, // less than a Server's IdleTimeout
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
-	options := []connect.ClientOption{connect.WithReadMaxBytes(c.limits.Body), connect.WithAcceptCompression("gzip", nil, nil)}
-	c.council = peerpbconnect.NewCouncilClient(boundClient{c}, "http://"+addr, options...)
-	c.desk = peerpbconnect.NewDeskClient(boundClient{c}, "http://"+addr, options...)
+	options := []connect.ClientOption{connect.WithReadMaxBytes(c.limits.MaxBody), connect.WithAcceptCompression("gzip", nil, nil)}
+	c.councilClient = peerpbconnect.NewCouncilClient(limitedTransport{c}, "http://"+addr, options...)
+	c.deskClient = peerpbconnect.NewDeskClient(limitedTransport{c}, "http://"+addr, options...)
 	for _, l := range c.lanes() {
 		c.workers.Add(1)
-		go c.work(l)
+		go c.runLane(l)
 	}
 	return c
 }
 
-func (c *Client) lanes() [ClientLinks]*lane { return [ClientLinks]*lane{c.raft, c.renew, c.rest} }
+func (c *Client) lanes() [ClientConns]*lane { return [ClientConns]*lane{c.raft, c.renew, c.general} }
 
-// Close gives up the calls under way and those that wait, and ends within a second, even if a done does not return.
+// Close cancels pending and queued calls. It returns within a second, even if a done callback does not return.
 func (c *Client) Close() {
 	c.cancel()
-	over := make(chan struct{})
-	go func() { c.workers.Wait(); close(over) }()
+	finished := make(chan struct{})
+	go func() { c.workers.Wait(); close(finished) }()
 	timer := time.NewTimer(closeGrace)
 	defer timer.Stop()
 	select {
-	case <-over:
+	case <-finished:
 	case <-timer.C:
 	}
 	c.http.CloseIdleConnections()
 }
 
-// boundClient is the transport, with replies of a bounded size, those that tell errors too, and no redirects.
-type boundClient struct{ *Client }
+// limitedTransport is the HTTP transport with a limited size of replies, error replies included, and without redirects.
+type limitedTransport struct{ *Client }
 
-func (b boundClient) Do(r *http.Request) (*http.Response, error) {
+func (b limitedTransport) Do(r *http.Request) (*http.Response, error) {
 	reply, err := b.http.RoundTrip(r)
 	if err == nil {
-		reply.Body = http.MaxBytesReader(nil, reply.Body, int64(b.limits.Body)+maxHead)
+		reply.Body = http.MaxBytesReader(nil, reply.Body, int64(b.limits.MaxBody)+maxHeaderBytes)
 	}
 	return reply, err
 }
 
-// send puts a call into a lane; where that is full, the oldest makes way, or the call comes to nothing.
-func send[Q, A any](c *Client, l *lane, name string, within time.Duration, oldestGoes bool, q *Q, done func(*A, error),
+// send queues a call in a lane. If the lane is full, it drops the oldest queued call if dropOldest is set, and fails the new
+// call otherwise.
+func send[Q, A any](c *Client, l *lane, name string, timeout time.Duration, dropOldest bool, request *Q, done func(*A, error),
 	call func(context.Context, *connect.Request[Q]) (*connect.Response[A], error)) {
-	c.put(l, oldestGoes, &waiting{
-		name: name, by: time.Now().Add(within), within: within, ownPauses: name == "Replay",
+	c.enqueue(l, dropOldest, &queuedCall{
+		name: name, deadline: time.Now().Add(timeout), timeout: timeout, skipsBackoff: name == "Replay",
 		run: func(ctx context.Context) error {
-			reply, err := call(ctx, connect.NewRequest(q))
+			reply, err := call(ctx, connect.NewRequest(request))
 			if err == nil {
 				done(reply.Msg, nil)
 			}
@@ -122,188 +124,189 @@
 	})
 }
 
-// put puts a call into a lane, and tells it when its time is over there, whatever the worker does meanwhile.
-func (c *Client) put(l *lane, oldestGoes bool, w *waiting) {
+// enqueue queues a call in a lane. A call whose deadline passes while it is queued fails at that time, even if the worker is
+// busy.
+func (c *Client) enqueue(l *lane, dropOldest bool, w *queuedCall) {
 	if c.ctx.Err() != nil {
-		go w.fail(closed(w.name))
+		go w.fail(closedError(w.name))
 		return
 	}
-	l.put(w, c.limits.Queue, oldestGoes, func() {
-		if l.drop(w) {
-			w.fail(told(w.name, c.peer, w.within, context.DeadlineExceeded))
+	l.enqueue(w, c.limits.QueueLength, dropOldest, func() {
+		if l.cancel(w) {
+			w.fail(clientError(w.name, c.peer, w.timeout, context.DeadlineExceeded))
 		}
 	})
 }
 
-// work calls the peer, one call after the other, until Close.
-func (c *Client) work(l *lane) {
+// runLane makes the calls of a lane one at a time until Close.
+func (c *Client) runLane(l *lane) {
 	defer c.workers.Done()
 	for c.ctx.Err() == nil {
-		pause := c.pauseLeft()
-		if w := l.take(pause > 0); w != nil {
+		backoff := c.backoffLeft()
+		if w := l.dequeue(backoff > 0); w != nil {
 			c.call(w)
 			continue
 		}
-		c.await(l, pause)
+		c.await(l, backoff)
 	}
 	for _, w := range l.close() {
-		w.fail(closed(w.name))
+		w.fail(closedError(w.name))
 	}
 }
 
-// await returns once a call has come, the peer was reached, the pause is over, if there is one, or at Close.
-func (c *Client) await(l *lane, pause time.Duration) {
-	var over <-chan time.Time
-	if pause > 0 {
-		timer := time.NewTimer(pause)
+// await returns when a call is queued, the peer becomes reachable, the backoff (if any) ends, or the client is closed.
+func (c *Client) await(l *lane, backoff time.Duration) {
+	var elapsed <-chan time.Time
+	if backoff > 0 {
+		timer := time.NewTimer(backoff)
 		defer timer.Stop()
-		over = timer.C
+		elapsed = timer.C
 	}
 	select {
 	case <-l.wake:
-	case <-over:
+	case <-elapsed:
 	case <-c.ctx.Done():
 	}
 }
 
-func (c *Client) call(w *waiting) {
-	ctx, cancel := context.WithDeadline(c.ctx, w.by)
+func (c *Client) call(w *queuedCall) {
+	ctx, cancel := context.WithDeadline(c.ctx, w.deadline)
 	defer cancel()
 	err := ctx.Err()
 	if err == nil {
 		err = w.run(ctx)
-		c.reached(err == nil || connect.IsWireError(err))
+		c.recordReachable(err == nil || connect.IsWireError(err))
 	}
 	if err != nil {
-		w.fail(told(w.name, c.peer, w.within, err))
+		w.fail(clientError(w.name, c.peer, w.timeout, err))
 	}
 }
 
-// reached notes whether a peer spoke as a peer does. While it does not, the time to the next try grows, and is drawn at
-// random, so that all who wait for it do not come at once.
-func (c *Client) reached(it bool) {
+// recordReachable records whether the peer gave a protocol response. While it does not, the backoff grows; it is drawn at
+// random, so that the clients of a peer that returns do not all call it at once.
+func (c *Client) recordReachable(reachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if it && c.failed == 0 {
+	if reachable && c.failures == 0 {
 		return
 	}
-	if it {
-		c.failed, c.next = 0, time.Time{}
+	if reachable {
+		c.failures, c.nextTry = 0, time.Time{}
 		for _, l := range c.lanes() {
-			l.notify() // the pause is over for all
+			l.notify() // the backoff ends for all lanes
 		}
 		return
 	}
-	most := min(c.limits.Pause, leastPause<<min(c.failed, 16))
-	c.failed++
-	c.next = time.Now().Add(most/4 + rand.N(max(most*3/4, 1)))
+	longest := min(c.limits.MaxBackoff, minBackoff<<min(c.failures, 16))
+	c.failures++
+	c.nextTry = time.Now().Add(longest/4 + rand.N(max(longest*3/4, 1)))
 }
 
-// pauseLeft returns how long it is until the peer may be tried again; 0 or less: it may.
-func (c *Client) pauseLeft() time.Duration {
+// backoffLeft returns the time until the next attempt is allowed; 0 or less if it is allowed now.
+func (c *Client) backoffLeft() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Until(c.next)
+	return time.Until(c.nextTry)
 }
 
-// Renew implements Node, as the others do.
+// Renew implements Node.
 func (c *Client) Renew(q *peerpb.RenewRequest, done func(*peerpb.RenewReply, error)) {
-	send(c, c.renew, "Renew", c.limits.Quick, true, q, done, c.council.Renew)
+	send(c, c.renew, "Renew", c.limits.ShortTimeout, true, q, done, c.councilClient.Renew)
 }
 
-// Raft implements Node. Where the queue is full, its oldest batch is dropped, and its done is told.
+// Raft implements Node. If the queue is full, the oldest batch is dropped, and its done callback gets an error of kind Dropped.
 func (c *Client) Raft(q *peerpb.RaftRequest, done func(*peerpb.RaftReply, error)) {
-	send(c, c.raft, "Raft", c.limits.Quick, true, q, done, c.council.Raft)
+	send(c, c.raft, "Raft", c.limits.ShortTimeout, true, q, done, c.councilClient.Raft)
 }
 
 // Replay implements Node.
 func (c *Client) Replay(q *peerpb.ReplayRequest, done func(*peerpb.ReplayReply, error)) {
-	c.ReplayWithin(c.limits.Within, q, done)
+	c.ReplayWithTimeout(c.limits.CallTimeout, q, done)
 }
 
-// ReplayWithin is Replay, given up after a time. The caller makes its own pauses: the call waits for none of the client's.
-func (c *Client) ReplayWithin(within time.Duration, q *peerpb.ReplayRequest, done func(*peerpb.ReplayReply, error)) {
-	send(c, c.rest, "Replay", min(within, c.limits.Within), false, q, done, c.council.Replay)
+// ReplayWithTimeout is Replay with a timeout. The caller does its own backoff: the call does not wait for the client's.
+func (c *Client) ReplayWithTimeout(timeout time.Duration, q *peerpb.ReplayRequest, done func(*peerpb.ReplayReply, error)) {
+	send(c, c.general, "Replay", min(timeout, c.limits.CallTimeout), false, q, done, c.councilClient.Replay)
 }
 
 // Ask implements Node.
 func (c *Client) Ask(q *peerpb.AskRequest, done func(*peerpb.TurnReply, error)) {
-	send(c, c.rest, "Ask", c.limits.Within, false, q, done, c.desk.Ask)
+	send(c, c.general, "Ask", c.limits.CallTimeout, false, q, done, c.deskClient.Ask)
 }
 
 // Begin implements Node.
 func (c *Client) Begin(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
-	send(c, c.rest, "Begin", c.limits.Within, false, q, done, c.desk.Begin)
+	send(c, c.general, "Begin", c.limits.CallTimeout, false, q, done, c.deskClient.Begin)
 }
 
 // Done implements Node.
 func (c *Client) Done(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
-	send(c, c.rest, "Done", c.limits.Within, false, q, done, c.desk.Done)
+	send(c, c.general, "Done", c.limits.CallTimeout, false, q, done, c.deskClient.Done)
 }
 
 // Withdraw implements Node.
 func (c *Client) Withdraw(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
-	send(c, c.rest, "Withdraw", c.limits.Within, false, q, done, c.desk.Withdraw)
+	send(c, c.general, "Withdraw", c.limits.CallTimeout, false, q, done, c.deskClient.Withdraw)
 }
 
 // Turns implements Node.
 func (c *Client) Turns(q *peerpb.TurnsRequest, done func(*peerpb.TurnsReply, error)) {
-	send(c, c.rest, "Turns", c.limits.Within, false, q, done, c.desk.Turns)
+	send(c, c.general, "Turns", c.limits.CallTimeout, false, q, done, c.deskClient.Turns)
 }
 
 // Write implements Node.
 func (c *Client) Write(q *peerpb.WriteRequest, done func(*peerpb.WriteReply, error)) {
-	send(c, c.rest, "Write", c.limits.Within, false, q, done, c.desk.Write)
+	send(c, c.general, "Write", c.limits.CallTimeout, false, q, done, c.deskClient.Write)
 }
 
 // Read implements Node.
 func (c *Client) Read(q *peerpb.ReadRequest, done func(*peerpb.ReadReply, error)) {
-	send(c, c.rest, "Read", c.limits.Within, false, q, done, c.desk.Read)
+	send(c, c.general, "Read", c.limits.CallTimeout, false, q, done, c.deskClient.Read)
 }
 
 // DeclareDead implements Node.
 func (c *Client) DeclareDead(q *peerpb.DeclareRequest, done func(*peerpb.DeclareReply, error)) {
-	send(c, c.rest, "DeclareDead", c.limits.Within, false, q, done, c.desk.DeclareDead)
+	send(c, c.general, "DeclareDead", c.limits.CallTimeout, false, q, done, c.deskClient.DeclareDead)
 }
 
 // TakeIn implements Node.
 func (c *Client) TakeIn(q *peerpb.DeclareRequest, done func(*peerpb.DeclareReply, error)) {
-	send(c, c.rest, "TakeIn", c.limits.Within, false, q, done, c.desk.TakeIn)
+	send(c, c.general, "TakeIn", c.limits.CallTimeout, false, q, done, c.deskClient.TakeIn)
 }
 
 // Vouch implements Node.
 func (c *Client) Vouch(q *peerpb.VouchRequest, done func(*peerpb.SeatReply, error)) {
-	send(c, c.rest, "Vouch", c.limits.Within, false, q, done, c.desk.Vouch)
+	send(c, c.general, "Vouch", c.limits.CallTimeout, false, q, done, c.deskClient.Vouch)
 }
 
 // FoundAnew implements Node.
 func (c *Client) FoundAnew(q *peerpb.FoundRequest, done func(*peerpb.SeatReply, error)) {
-	send(c, c.rest, "FoundAnew", c.limits.Within, false, q, done, c.desk.FoundAnew)
+	send(c, c.general, "FoundAnew", c.limits.CallTimeout, false, q, done, c.deskClient.FoundAnew)
 }
 
 // StartPolicy implements Node.
 func (c *Client) StartPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	send(c, c.rest, "StartPolicy", c.limits.Within, false, q, done, c.desk.StartPolicy)
+	send(c, c.general, "StartPolicy", c.limits.CallTimeout, false, q, done, c.deskClient.StartPolicy)
 }
 
 // HaltPolicy implements Node.
 func (c *Client) HaltPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	send(c, c.rest, "HaltPolicy", c.limits.Within, false, q, done, c.desk.HaltPolicy)
+	send(c, c.general, "HaltPolicy", c.limits.CallTimeout, false, q, done, c.deskClient.HaltPolicy)
 }
 
 // ResumePolicy implements Node.
 func (c *Client) ResumePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	send(c, c.rest, "ResumePolicy", c.limits.Within, false, q, done, c.desk.ResumePolicy)
+	send(c, c.general, "ResumePolicy", c.limits.CallTimeout, false, q, done, c.deskClient.ResumePolicy)
 }
 
 // ForcePolicy implements Node.
 func (c *Client) ForcePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	send(c, c.rest, "ForcePolicy", c.limits.Within, false, q, done, c.desk.ForcePolicy)
+	send(c, c.general, "ForcePolicy", c.limits.CallTimeout, false, q, done, c.deskClient.ForcePolicy)
 }
 
 // Policies implements Node.
 func (c *Client) Policies(q *peerpb.PoliciesRequest, done func(*peerpb.PoliciesReply, error)) {
-	send(c, c.rest, "Policies", c.limits.Within, false, q, done, c.desk.Policies)
+	send(c, c.general, "Policies", c.limits.CallTimeout, false, q, done, c.deskClient.Policies)
 }
 
 var _ Node = (*Client)(nil)
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -12,91 +12,89 @@
 	"connectrpc.com/connect"
 )
 
-// Kind names why a call came to nothing.
+// Kind classifies the failure of a call.
 type Kind uint8
 
-// The kinds. Some of them look alike to whoever called over a connection: see codes.
+// The kinds of failures. Several map to the same code on the wire, see codes.
 const (
-	Faulty    Kind = iota // the node or the peer did what it should not
-	Invalid               // the question cannot be right, whenever it is asked
-	Unknown               // what it names is not known
-	Refused               // it cannot be done as things are
-	Busy                  // too many calls, here or there
-	Late                  // no answer in time: it may have been done all the same
-	Unreached             // the peer was not reached, or the connection broke
-	Dropped               // a newer one took its place in the queue
-	Closed                // this end, or that one, is stopping
+	Internal    Kind = iota // an internal fault of the node or the peer
+	Invalid                 // the request is invalid, whatever the state of the node
+	Unknown                 // the request names something unknown
+	Refused                 // the current state does not allow it
+	Busy                    // too many calls, at this node or at the peer
+	TimedOut                // no reply in time; the call may have taken effect
+	Unreachable             // the peer could not be reached, or the connection broke
+	Dropped                 // dropped from a full queue in favour of a newer call
+	Closed                  // this node or the peer is stopping
 )
 
 var codes = [...]connect.Code{connect.CodeInternal, connect.CodeInvalidArgument, connect.CodeNotFound, connect.CodeFailedPrecondition,
 	connect.CodeResourceExhausted, connect.CodeUnavailable, connect.CodeUnavailable, connect.CodeAborted, connect.CodeUnavailable}
 
-// Error is why a call came to nothing and what can be done. A Node may give one to done, and one that a Client gave is
-// passed on as it is.
+// Error is the failure of a call and its remedy. A Node may pass one to done; an error from a Client is passed on unchanged.
 type Error struct {
-	Kind Kind
-	Call string // its name, as Ask; "" where the Node tells
-	Peer string // the peer's name and address, of a Client's
-	What string
-	Do   string
-	Err  error // the cause, where there is one
+	Kind    Kind
+	Call    string // the name of the call, such as Ask; "" in errors made by the Node
+	Peer    string // the peer's name and address, in errors of a Client
+	Message string
+	Remedy  string
+	Err     error // the cause, or nil
 }
 
-const doIs = "; what to do: "
+const remedyMarker = "; what to do: "
 
-// Error names the call, the peer, the fault and what to do.
+// Error returns the call, the peer, the message and the remedy.
 func (e *Error) Error() string {
-	to := e.What + doIs + e.Do
+	text := e.Message + remedyMarker + e.Remedy
 	if e.Peer != "" {
-		to = "at " + e.Peer + ": " + to
+		text = "at " + e.Peer + ": " + text
 	}
 	if e.Call != "" {
-		to = e.Call + ": " + to
+		text = e.Call + ": " + text
 	}
-	return to
+	return text
 }
 
-// Action says what can be done.
-func (e *Error) Action() string { return e.Do }
+// Action returns the remedy.
+func (e *Error) Action() string { return e.Remedy }
 
-// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// What is to be done, where more than one kind of call says it.
+// Remedies shared by several errors.
 const (
-	doAgain  = "call again shortly, with the same id where it has one; it may have been done all the same, Turns tells"
-	doOther  = "call another node of the site"
-	doLook   = "look at that node: is it running, reached at this address, and not overloaded?"
-	doReport = "look at the log of that node, and report it: it should not be"
+	remedyRetry     = "call again shortly, with the same id if it has one; the call may have taken effect, which Turns shows"
+	remedyOtherNode = "call another node of the site"
+	remedyCheckNode = "check that node: is it running, reachable at this address, and not overloaded?"
+	remedyReport    = "look at the log of that node and report this as a bug"
 )
 
-func late(call string, within time.Duration) *Error {
-	return &Error{Kind: Late, Call: call, What: fmt.Sprintf("no answer within %v", within), Do: doAgain}
+func timeoutError(call string, timeout time.Duration) *Error {
+	return &Error{Kind: TimedOut, Call: call, Message: fmt.Sprintf("no answer within %v", timeout), Remedy: remedyRetry}
 }
 
-func closed(call string) *Error {
-	return &Error{Kind: Closed, Call: call, What: "this node is stopping", Do: doOther}
+func closedError(call string) *Error {
+	return &Error{Kind: Closed, Call: call, Message: "this node is stopping", Remedy: remedyOtherNode}
 }
 
-// coded turns what a Node or this package says into what goes over a connection.
-func coded(call string, err error) *connect.Error {
+// wireError converts an error of a Node or of this package to the form sent over a connection.
+func wireError(call string, err error) *connect.Error {
 	var own *Error
-	var acts interface {
+	var actionable interface {
 		error
 		Action() string
 	}
 	switch {
 	case errors.As(err, &own):
 		if own.Call != "" {
-			call = "" // it says so itself
+			call = "" // the text of own already names it
 		}
-	case errors.As(err, &acts):
-		own = &Error{Kind: Refused, What: acts.Error(), Do: acts.Action()}
-		if what, do, cut := cutAction(own.What); cut && do == own.Do {
-			own.What = what
+	case errors.As(err, &actionable):
+		own = &Error{Kind: Refused, Message: actionable.Error(), Remedy: actionable.Action()}
+		if what, do, cut := splitRemedy(own.Message); cut && do == own.Remedy {
+			own.Message = what
 		}
 	default:
-		own = &Error{Kind: Faulty, What: err.Error(), Do: doReport}
+		own = &Error{Kind: Internal, Message: err.Error(), Remedy: remedyReport}
 	}
 	text := own.Error()
 	if call != "" {
@@ -105,30 +103,30 @@
 	return connect.NewError(codes[own.Kind], errors.New(text))
 }
 
-// told turns what came back over a connection, or did not, into an error of this package.
-func told(call, peer string, within time.Duration, err error) *Error {
+// clientError converts the failure of a call, or an error received from the peer, to an *Error.
+func clientError(call, peer string, timeout time.Duration, err error) *Error {
 	e := &Error{Call: call, Peer: peer, Err: err}
 	var wire *connect.Error
 	if errors.As(err, &wire) {
-		e.What = wire.Message()
+		e.Message = wire.Message()
 	} else {
-		e.What = err.Error()
+		e.Message = err.Error()
 	}
-	if what, do, cut := cutAction(e.What); cut && connect.IsWireError(err) {
-		e.What, e.Do = strings.TrimPrefix(what, call+": "), do
+	if what, do, cut := splitRemedy(e.Message); cut && connect.IsWireError(err) {
+		e.Message, e.Remedy = strings.TrimPrefix(what, call+": "), do
 	}
-	if len(e.What) > maxText {
-		e.What = strings.ToValidUTF8(e.What[:maxText], "") + "…"
+	if len(e.Message) > maxText {
+		e.Message = strings.ToValidUTF8(e.Message[:maxText], "") + "…"
 	}
-	if len(e.Do) > maxText {
-		e.Do = strings.ToValidUTF8(e.Do[:maxText], "") + "…"
+	if len(e.Remedy) > maxText {
+		e.Remedy = strings.ToValidUTF8(e.Remedy[:maxText], "") + "…"
 	}
 	code := connect.CodeOf(err)
 	switch {
 	case errors.Is(err, context.DeadlineExceeded) || code == connect.CodeDeadlineExceeded:
-		e.Kind, e.What, e.Do = Late, fmt.Sprintf("no answer within %v", within), doLook
+		e.Kind, e.Message, e.Remedy = TimedOut, fmt.Sprintf("no answer within %v", timeout), remedyCheckNode
 	case errors.Is(err, context.Canceled):
-		e.Kind, e.What, e.Do = Closed, "this node stopped calling", doOther
+		e.Kind, e.Message, e.Remedy = Closed, "this node cancelled the call", remedyOtherNode
 	case connect.IsWireError(err):
 		for kind, c := range codes {
 			if c == code {
@@ -137,24 +135,24 @@
 			}
 		}
 	case code == connect.CodeUnavailable || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
-		e.Kind = Unreached
+		e.Kind = Unreachable
 	}
-	if e.Do == "" {
-		e.Do = doReport
-		if e.Kind == Unreached || e.Kind == Late {
-			e.Do = doLook
+	if e.Remedy == "" {
+		e.Remedy = remedyReport
+		if e.Kind == Unreachable || e.Kind == TimedOut {
+			e.Remedy = remedyCheckNode
 		}
 	}
 	return e
 }
 
-// maxText is how much of what a peer says is passed on, in bytes.
+// maxText is the maximum length of a peer's message or remedy that is passed on, in bytes.
 const maxText = 2000
 
-func cutAction(text string) (what, do string, cut bool) {
-	i := strings.LastIndex(text, doIs)
+func splitRemedy(text string) (what, do string, cut bool) {
+	i := strings.LastIndex(text, remedyMarker)
 	if i < 0 {
 		return text, "", false
 	}
-	return text[:i], text[i+len(doIs):], true
+	return text[:i], text[i+len(remedyMarker):], true
 }
--- a/internal/peer/lane.go
+++ b/internal/peer/lane.go
@@ -8,62 +8,62 @@
 	"time"
 )
 
-// lane is a queue of calls with one worker. Each call leaves it once: it is taken by the worker, or told that its time is over, that it
-// made way for a newer one, or that the client is closed.
+// lane is a queue of calls with one worker. Each call leaves it exactly once: it is dequeued by the worker, or it fails because
+// it timed out, was dropped for a newer call, or the client was closed.
 type lane struct {
 	mu     sync.Mutex
-	queue  []*waiting
+	queue  []*queuedCall
 	closed bool
-	wake   chan struct{} // holds one: what the worker waits for may have come
+	wake   chan struct{} // capacity 1; signals the worker to check the queue and the backoff again
 }
 
-// waiting is a call in a queue. One of run and fail is called, once.
-type waiting struct {
-	name      string
-	by        time.Time
-	within    time.Duration
-	ownPauses bool                        // whoever calls makes pauses itself: the call waits for none of the client's
-	late      *time.Timer                 // tells that its time is over while it is in the queue
-	run       func(context.Context) error // calls the peer, and done where that went well
-	fail      func(*Error)                // calls done
+// queuedCall is a call in a queue. Either run or fail is called, once.
+type queuedCall struct {
+	name         string
+	deadline     time.Time
+	timeout      time.Duration
+	skipsBackoff bool                        // the caller does its own backoff: the call does not wait for the client's
+	expiry       *time.Timer                 // fails the call at its deadline while it is queued
+	run          func(context.Context) error // calls the peer, and on success the done callback
+	fail         func(*Error)                // calls the done callback with an error
 }
 
 func newLane() *lane { return &lane{wake: make(chan struct{}, 1)} }
 
-// put takes a call into the queue, from where expire is called once its time is over. Where there are most calls already, the oldest
-// makes way, or the call comes to nothing.
-func (l *lane) put(w *waiting, most int, oldestGoes bool, expire func()) {
+// enqueue adds a call to the queue; expire is called at its deadline if it is still queued. If the queue already holds capacity
+// calls, the oldest is dropped if dropOldest is set, and the new call fails otherwise.
+func (l *lane) enqueue(w *queuedCall, capacity int, dropOldest bool, expire func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.closed:
-		go w.fail(closed(w.name))
+		go w.fail(closedError(w.name))
 		return
-	case len(l.queue) < most:
-	case oldestGoes:
-		go l.remove(0).fail(&Error{Kind: Dropped, What: fmt.Sprintf("%d newer ones wait", most), Do: doLook})
+	case len(l.queue) < capacity:
+	case dropOldest:
+		go l.remove(0).fail(&Error{Kind: Dropped, Message: fmt.Sprintf("dropped from the full queue: %d newer calls are queued", capacity), Remedy: remedyCheckNode})
 	default:
-		go w.fail(&Error{Kind: Busy, What: fmt.Sprintf("%d calls wait already", most), Do: doLook})
+		go w.fail(&Error{Kind: Busy, Message: fmt.Sprintf("%d calls are queued already", capacity), Remedy: remedyCheckNode})
 		return
 	}
-	w.late = time.AfterFunc(w.within, expire)
+	w.expiry = time.AfterFunc(w.timeout, expire)
 	l.queue = append(l.queue, w)
 	l.notify()
 }
 
-// take returns the call that is to be made next, or nil. During a pause that is the first that does not wait for it.
-func (l *lane) take(pausing bool) *waiting {
+// dequeue removes and returns the next call to make, or returns nil. During a backoff that is the first call that skips it.
+func (l *lane) dequeue(backingOff bool) *queuedCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	i := slices.IndexFunc(l.queue, func(w *waiting) bool { return w.ownPauses || !pausing })
+	i := slices.IndexFunc(l.queue, func(w *queuedCall) bool { return w.skipsBackoff || !backingOff })
 	if i < 0 {
 		return nil
 	}
 	return l.remove(i)
 }
 
-// drop takes a call out of the queue, and says whether it was still there.
-func (l *lane) drop(w *waiting) bool {
+// cancel removes a call from the queue and reports whether it was still queued.
+func (l *lane) cancel(w *queuedCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	i := slices.Index(l.queue, w)
@@ -74,27 +74,27 @@
 	return true
 }
 
-// close refuses what comes from now on, and returns the calls that wait.
-func (l *lane) close() []*waiting {
+// close makes the lane reject further calls and returns the queued ones.
+func (l *lane) close() []*queuedCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rest := l.queue
+	queued := l.queue
 	l.queue, l.closed = nil, true
-	for _, w := range rest {
-		w.late.Stop()
+	for _, w := range queued {
+		w.expiry.Stop()
 	}
-	return rest
+	return queued
 }
 
-// remove takes a call out of the queue; the caller holds the lock.
-func (l *lane) remove(i int) *waiting {
+// remove removes a call from the queue; the caller holds the lock.
+func (l *lane) remove(i int) *queuedCall {
 	w := l.queue[i]
-	w.late.Stop()
+	w.expiry.Stop()
 	l.queue = slices.Delete(l.queue, i, i+1)
 	return w
 }
 
-// notify wakes the worker, or has it look again before it waits.
+// notify wakes the worker, or makes it check once more before it waits.
 func (l *lane) notify() {
 	select {
 	case l.wake <- struct{}{}:
--- a/internal/peer/lane_test.go
+++ b/internal/peer/lane_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// pausing is a client in virtual time that pauses for a while after calls that failed. Its calls reach nobody: what becomes of them is
-// noted.
-type pausing struct {
+// backoffClient is a client in virtual time, in backoff after a failed call. Its calls are not sent; their outcomes are
+// recorded.
+type backoffClient struct {
 	c     *Client
-	begun time.Time
+	start time.Time
 }
 
-// outcome is what became of a call, and when.
+// outcome is the result of a call, and its time since the start.
 type outcome struct {
 	ran  bool
 	kind Kind
@@ -24,78 +24,79 @@
 }
 
 const (
-	clientPause = time.Second
-	callStep    = 50 * time.Millisecond
+	testBackoff = time.Second
+	step        = 50 * time.Millisecond
 )
 
-// inPause plays a story in virtual time.
-func inPause(t *testing.T, story func(*pausing)) {
+// duringBackoff runs a scenario in virtual time on a client that has just begun a backoff of testBackoff.
+func duringBackoff(t *testing.T, scenario func(*backoffClient)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
-		p := &pausing{c: NewClient("n", "127.0.0.1:1", ClientLimits{Queue: 8}), begun: time.Now()}
+		p := &backoffClient{c: NewClient("n", "127.0.0.1:1", ClientLimits{QueueLength: 8}), start: time.Now()}
 		p.c.mu.Lock()
-		p.c.failed, p.c.next = 1, p.begun.Add(clientPause)
+		p.c.failures, p.c.nextTry = 1, p.start.Add(testBackoff)
 		p.c.mu.Unlock()
-		synctest.Wait() // the workers have nothing to do
-		story(p)
+		synctest.Wait() // until the workers are idle
+		scenario(p)
 		p.c.Close()
 	})
 }
 
-// call brings a call that takes some time once it is made.
-func (p *pausing) call(l *lane, name string, within, takes time.Duration) <-chan outcome {
-	made := make(chan outcome, 2) // made, and then given up at the end
-	p.c.put(l, false, &waiting{name: name, by: time.Now().Add(within), within: within, ownPauses: name == "Replay",
+// call queues a call that takes the given duration once it is made.
+func (p *backoffClient) call(l *lane, name string, timeout, duration time.Duration) <-chan outcome {
+	outcomes := make(chan outcome, 2) // up to two: the call is made, and then cancelled at the end
+	p.c.enqueue(l, false, &queuedCall{name: name, deadline: time.Now().Add(timeout), timeout: timeout, skipsBackoff: name == "Replay",
 		run: func(ctx context.Context) error {
-			made <- outcome{ran: true, at: time.Since(p.begun)}
+			outcomes <- outcome{ran: true, at: time.Since(p.start)}
 			select {
-			case <-time.After(takes):
+			case <-time.After(duration):
 			case <-ctx.Done():
 			}
 			return ctx.Err()
 		},
-		fail: func(e *Error) { made <- outcome{kind: e.Kind, at: time.Since(p.begun)} }})
-	return made
+		fail: func(e *Error) { outcomes <- outcome{kind: e.Kind, at: time.Since(p.start)} }})
+	return outcomes
 }
 
-// TestACallAtEachPointOfAPauseIsMadeOrToldInTime: a replay at once, another one at the end of the pause or told late at its time.
-func TestACallAtEachPointOfAPauseIsMadeOrToldInTime(t *testing.T) {
-	for at := time.Duration(0); at < clientPause; at += callStep {
-		for within := callStep / 2; within < 2*clientPause; within += 3 * callStep {
-			inPause(t, func(p *pausing) {
+// During a backoff, a Replay must be made at once. Another call must be made when the backoff ends, or time out at its deadline
+// if that is earlier.
+func TestCallsDuringBackoffAreMadeOrTimeOut(t *testing.T) {
+	for at := time.Duration(0); at < testBackoff; at += step {
+		for within := step / 2; within < 2*testBackoff; within += 3 * step {
+			duringBackoff(t, func(p *backoffClient) {
 				time.Sleep(at)
-				ask := p.call(p.c.rest, "Ask", within, 0)
-				replay := p.call(p.c.rest, "Replay", within, 0)
-				assert.Equal(t, outcome{ran: true, at: at}, <-replay, "it waits for no pause, also behind another call")
-				want := outcome{ran: true, at: at} // the replay has reached the peer: the pause is over
+				ask := p.call(p.c.general, "Ask", within, 0)
+				replay := p.call(p.c.general, "Replay", within, 0)
+				assert.Equal(t, outcome{ran: true, at: at}, <-replay, "a replay must skip the backoff, even behind another call")
+				want := outcome{ran: true, at: at} // the replay has reached the peer, which ends the backoff
 				assert.Equal(t, want, <-ask)
 			})
-			inPause(t, func(p *pausing) {
+			duringBackoff(t, func(p *backoffClient) {
 				time.Sleep(at)
-				want := outcome{ran: true, at: clientPause}
-				if at+within < clientPause {
-					want = outcome{kind: Late, at: at + within}
+				want := outcome{ran: true, at: testBackoff}
+				if at+within < testBackoff {
+					want = outcome{kind: TimedOut, at: at + within}
 				}
-				assert.Equal(t, want, <-p.call(p.c.rest, "Ask", within, 0), "at %v, within %v", at, within)
+				assert.Equal(t, want, <-p.call(p.c.general, "Ask", within, 0), "at %v, within %v", at, within)
 			})
 		}
 	}
 }
 
-// TestACallBehindALongOneIsToldLateInItsTime, not once the long one is over.
-func TestACallBehindALongOneIsToldLateInItsTime(t *testing.T) {
-	inPause(t, func(p *pausing) {
-		p.call(p.c.rest, "Replay", time.Minute, 10*time.Second)
-		assert.Equal(t, outcome{kind: Late, at: callStep}, <-p.call(p.c.rest, "Replay", callStep, 0))
+// A queued call must time out at its own deadline, not when the long call before it ends.
+func TestCallQueuedBehindALongCallTimesOutOnTime(t *testing.T) {
+	duringBackoff(t, func(p *backoffClient) {
+		p.call(p.c.general, "Replay", time.Minute, 10*time.Second)
+		assert.Equal(t, outcome{kind: TimedOut, at: step}, <-p.call(p.c.general, "Replay", step, 0))
 	})
 }
 
-// TestAPeerThatIsReachedByOneLaneIsTriedByTheOthers, whose pause is over with it.
-func TestAPeerThatIsReachedByOneLaneIsTriedByTheOthers(t *testing.T) {
-	inPause(t, func(p *pausing) {
-		renew := p.call(p.c.renew, "Renew", 2*clientPause, 0)
-		time.Sleep(callStep)
-		p.call(p.c.rest, "Replay", time.Minute, 0)
-		assert.Equal(t, outcome{ran: true, at: callStep}, <-renew)
+// A call that reaches the peer on one lane must end the backoff of the other lanes.
+func TestReachingThePeerOnOneLaneEndsBackoffOfTheOthers(t *testing.T) {
+	duringBackoff(t, func(p *backoffClient) {
+		renew := p.call(p.c.renew, "Renew", 2*testBackoff, 0)
+		time.Sleep(step)
+		p.call(p.c.general, "Replay", time.Minute, 0)
+		assert.Equal(t, outcome{ran: true, at: step}, <-renew)
 	})
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,24 +21,24 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// patience is how long a test waits for what has to come.
-const patience = 2 * time.Minute
+// waitTimeout is how long a test waits for an expected event.
+const waitTimeout = 2 * time.Minute
 
-// TestMain looks, before anything else, at what the import alone has started.
+// TestMain first checks that importing the package starts no goroutines.
 func TestMain(m *testing.M) {
-	if started := running(); len(started) > 0 {
-		fmt.Fprintf(os.Stderr, "the import alone has started:\n%s\n", strings.Join(started, "\n\n"))
+	if started := leakedGoroutines(); len(started) > 0 {
+		fmt.Fprintf(os.Stderr, "importing the package started goroutines:\n%s\n", strings.Join(started, "\n\n"))
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
 }
 
-// running returns the stacks of the goroutines that are this package's doing, tests aside.
-func running() (stacks []string) {
+// leakedGoroutines returns the stacks of goroutines started by this package, except those of tests.
+func leakedGoroutines() (stacks []string) {
 	buf := make([]byte, 1<<20)
 	for _, s := range strings.Split(string(buf[:runtime.Stack(buf, true)]), "\n\n") {
-		for _, of := range []string{"net/http.", "connectrpc.com/", "peer.(*Client)", "peer.Serve", "peer.(*Server)"} {
-			if strings.Contains(s, of) && !strings.Contains(s, "testing.tRunner") {
+		for _, prefix := range []string{"net/http.", "connectrpc.com/", "peer.(*Client)", "peer.Serve", "peer.(*Server)"} {
+			if strings.Contains(s, prefix) && !strings.Contains(s, "testing.tRunner") {
 				stacks = append(stacks, s)
 				break
 			}
@@ -47,7 +47,7 @@
 	return stacks
 }
 
-// scripted is a node that notes what it is asked for; calls that it has no words for are never done.
+// scripted is a node that records its calls. A call without a scripted reply is never answered.
 type scripted struct {
 	Node
 	asked chan string
@@ -65,7 +65,7 @@
 func (n *scripted) Renew(q *peerpb.RenewRequest, done func(*peerpb.RenewReply, error)) {
 	n.asked <- "renew " + q.Node
 	done(&peerpb.RenewReply{Seq: q.Seq, Outs: []*peerpb.Out{{Host: "g1", Round: 7}}}, nil)
-	done(nil, errors.New("for the second time"))
+	done(nil, errors.New("second call of done"))
 }
 
 func (n *scripted) Raft(q *peerpb.RaftRequest, done func(*peerpb.RaftReply, error)) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Replay is answered, but for a site that nobody knows.
+// Replay is answered, except for the site "nobody".
 func (n *scripted) Replay(q *peerpb.ReplayRequest, done func(*peerpb.ReplayReply, error)) {
 	n.asked <- "replay " + q.Site
 	if q.Site != "nobody" {
@@ -84,7 +84,7 @@
 }
 
 func (n *scripted) Turns(*peerpb.TurnsRequest, func(*peerpb.TurnsReply, error)) {
-	panic("a fault of the node's")
+	panic("fault of the node")
 }
 
 func serve(t *testing.T, l Limits) (*scripted, *Server) {
@@ -106,7 +106,7 @@
 	return c
 }
 
-// curl posts a text as curl does.
+// curl sends a request as curl does and decodes the JSON reply.
 func curl(t *testing.T, method, url, kind, text string) (int, map[string]any) {
 	t.Helper()
 	tr := &http.Transport{}
@@ -122,15 +122,15 @@
 	return r.StatusCode, body
 }
 
-// got waits for the one answer of a call.
-type got[A any] struct {
+// result is the reply or the error of a call.
+type result[A any] struct {
 	reply *A
 	err   error
 }
 
-func to[A any]() (chan got[A], func(*A, error)) {
-	c := make(chan got[A], 10)
-	return c, func(a *A, err error) { c <- got[A]{a, err} }
+func collect[A any]() (chan result[A], func(*A, error)) {
+	c := make(chan result[A], 10)
+	return c, func(a *A, err error) { c <- result[A]{a, err} }
 }
 
 func kindOf(t *testing.T, err error) Kind {
@@ -143,8 +143,8 @@
 	return e.Kind
 }
 
-func TestOperatorsCallInPlainJSON(t *testing.T) {
-	n, s := serve(t, Limits{Body: 1000})
+func TestOperatorCallsInPlainJSON(t *testing.T) {
+	n, s := serve(t, Limits{MaxBody: 1000})
 	desk := "http://" + s.Addr() + "/lichenhitch.peer.Desk/"
 	status, body := curl(t, "POST", desk+"Ask", "application/json", `{"host":"g12","minutes":10}`)
 	assert.Equal(t, 200, status)
@@ -162,13 +162,13 @@
 		{"POST", "Ask", "application/x-www-form-urlencoded", `{"host":"g12"}`, 400, "invalid_argument", "not a call", "Content-Type: application/json"},
 		{"GET", "Ask", "text/plain", ``, 400, "invalid_argument", "not a call", "POST one JSON object"},
 		{"POST", "Take", "application/json", `{}`, 404, "not_found", "no such path", "/lichenhitch.peer.Desk/Ask"},
-		{"GET", "../", "text/html", ``, 404, "not_found", "no such path", "POST to a path as"},
+		{"GET", "../", "text/html", ``, 404, "not_found", "no such path", "POST to a path such as"},
 		{"POST", "Turns", "application/json", `{}`, 500, "internal", "panic", "look at the log"},
 	} {
 		status, body := curl(t, tc.method, desk+tc.path, tc.kind, tc.body)
 		assert.Equal(t, tc.status, status, tc)
 		assert.Equal(t, tc.code, body["code"], tc)
-		what, do, cut := cutAction(fmt.Sprint(body["message"]))
+		what, do, cut := splitRemedy(fmt.Sprint(body["message"]))
 		assert.True(t, cut, body)
 		assert.Contains(t, what, tc.what)
 		assert.Contains(t, do, tc.do)
@@ -176,32 +176,32 @@
 	assert.Empty(t, n.asked, "none of them reached the node")
 }
 
-// policied answers the calls of policies with what it was asked, and under which name.
-type policied struct{ Node }
+// policyNode answers the policy calls with the fields of the request and the name of the call.
+type policyNode struct{ Node }
 
-func said(name string, q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+func replyWithRequest(name string, q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
 	done(&peerpb.PolicyReply{Write: name, Rollout: &peerpb.Rollout{Id: q.Id, Policy: q.Policy, Stage: q.Stage, Cause: q.By, Missing: q.Why}}, nil)
 }
 
-func (policied) StartPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	said("StartPolicy", q, done)
+func (policyNode) StartPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+	replyWithRequest("StartPolicy", q, done)
 }
-func (policied) HaltPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	said("HaltPolicy", q, done)
+func (policyNode) HaltPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+	replyWithRequest("HaltPolicy", q, done)
 }
-func (policied) ResumePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	said("ResumePolicy", q, done)
+func (policyNode) ResumePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+	replyWithRequest("ResumePolicy", q, done)
 }
-func (policied) ForcePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	said("ForcePolicy", q, done)
+func (policyNode) ForcePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+	replyWithRequest("ForcePolicy", q, done)
 }
-func (policied) Policies(_ *peerpb.PoliciesRequest, done func(*peerpb.PoliciesReply, error)) {
+func (policyNode) Policies(_ *peerpb.PoliciesRequest, done func(*peerpb.PoliciesReply, error)) {
 	age := uint64(40)
 	done(&peerpb.PoliciesReply{Site: "b", Good: "g", AgeMs: &age, Nodes: []*peerpb.GoesBy{{Node: "a", Trial: true, Fell: "silence"}}}, nil)
 }
 
-func TestCallsOfPoliciesComeAsTheyWereSent(t *testing.T) {
-	s, err := Serve("127.0.0.1:0", policied{}, Limits{})
+func TestPolicyCallsArriveUnchanged(t *testing.T) {
+	s, err := Serve("127.0.0.1:0", policyNode{}, Limits{})
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	desk := "http://" + s.Addr() + "/lichenhitch.peer.Desk/"
@@ -215,7 +215,7 @@
 		assert.Equal(t, 200, status, name)
 		assert.Equal(t, map[string]any{"write": name, "rollout": map[string]any{"id": "p1", "policy": policy, "stage": "building",
 			"cause": "rina", "missing": "w"}}, reply)
-		answers, done := to[peerpb.PolicyReply]()
+		answers, done := collect[peerpb.PolicyReply]()
 		call(&peerpb.PolicyRequest{Id: "p2", Stage: "all"}, done)
 		a := <-answers
 		require.NoError(t, a.err)
@@ -228,17 +228,17 @@
 	assert.Equal(t, 200, status)
 	assert.Equal(t, map[string]any{"site": "b", "good": "g", "age_ms": "40",
 		"nodes": []any{map[string]any{"node": "a", "trial": true, "fell": "silence"}}}, reply)
-	answers, done := to[peerpb.PoliciesReply]()
+	answers, done := collect[peerpb.PoliciesReply]()
 	c.Policies(&peerpb.PoliciesRequest{}, done)
 	assert.EqualValues(t, 40, (<-answers).reply.GetAgeMs())
 }
 
 type actionError struct{}
 
-func (actionError) Error() string  { return "more hosts have failed than may; what to do: wait" }
+func (actionError) Error() string  { return "more hosts have failed than allowed; what to do: wait" }
 func (actionError) Action() string { return "wait" }
 
-func TestWhatTheNodeSaysReachesOperatorsAndClients(t *testing.T) {
+func TestNodeErrorsReachOperatorsAndClients(t *testing.T) {
 	n, s := serve(t, Limits{})
 	c := client(t, s.Addr(), ClientLimits{})
 	for _, tc := range []struct {
@@ -247,19 +247,19 @@
 		kind   Kind
 		text   string
 	}{
-		{&Error{Kind: Unknown, What: "no host g12", Do: "correct the name"}, 404, Unknown, "Ask: no host g12; what to do: correct the name"},
-		{fmt.Errorf("leader: %w", &Error{Kind: Refused, What: "node b is not dead", Do: "stop it"}), 400, Refused, "Ask: node b is not dead; what to do: stop it"},
-		{actionError{}, 400, Refused, "Ask: more hosts have failed than may; what to do: wait"},
-		{errors.New("oh"), 500, Faulty, "Ask: oh; what to do: " + doReport},
-		{&Error{Kind: Late, Call: "Ask", Peer: "c (1.2.3.4:5)", What: "no answer", Do: "look"}, 503, Late, "Ask: at c (1.2.3.4:5): no answer; what to do: look"},
-		{errors.New(strings.Repeat("x", 4*maxText)), 500, Faulty, ""},
-		{nil, 500, Faulty, "Ask: neither a reply nor an error; what to do: " + doReport},
+		{&Error{Kind: Unknown, Message: "no host g12", Remedy: "correct the name"}, 404, Unknown, "Ask: no host g12; what to do: correct the name"},
+		{fmt.Errorf("leader: %w", &Error{Kind: Refused, Message: "node b is not dead", Remedy: "stop it"}), 400, Refused, "Ask: node b is not dead; what to do: stop it"},
+		{actionError{}, 400, Refused, "Ask: more hosts have failed than allowed; what to do: wait"},
+		{errors.New("unexpected failure"), 500, Internal, "Ask: unexpected failure; what to do: " + remedyReport},
+		{&Error{Kind: TimedOut, Call: "Ask", Peer: "c (1.2.3.4:5)", Message: "no answer", Remedy: "look"}, 503, TimedOut, "Ask: at c (1.2.3.4:5): no answer; what to do: look"},
+		{errors.New(strings.Repeat("x", 4*maxText)), 500, Internal, ""},
+		{nil, 500, Internal, "Ask: the node returned neither a reply nor an error; what to do: " + remedyReport},
 	} {
 		n.ask = func(_ *peerpb.AskRequest, done func(*peerpb.TurnReply, error)) { done(nil, tc.err) }
 		status, body := curl(t, "POST", "http://"+s.Addr()+"/lichenhitch.peer.Desk/Ask", "application/json", `{}`)
 		assert.Equal(t, tc.status, status)
 		assert.Contains(t, body["message"], tc.text)
-		answers, done := to[peerpb.TurnReply]()
+		answers, done := collect[peerpb.TurnReply]()
 		c.Ask(&peerpb.AskRequest{}, done)
 		err := (<-answers).err
 		assert.Equal(t, tc.kind, kindOf(t, err))
@@ -271,7 +271,7 @@
 func TestNodesCallEachOther(t *testing.T) {
 	n, s := serve(t, Limits{})
 	c := client(t, s.Addr(), ClientLimits{})
-	answers, done := to[peerpb.RenewReply]()
+	answers, done := collect[peerpb.RenewReply]()
 	c.Renew(&peerpb.RenewRequest{Node: "a", Seq: 3, Texts: []string{"g1"}}, done)
 	a := <-answers
 	require.NoError(t, a.err)
@@ -290,81 +290,81 @@
 	assert.Equal(t, 200, r.StatusCode)
 }
 
-func TestACallThatTheNodeNeverAnswersIsAnsweredLate(t *testing.T) {
-	n, s := serve(t, Limits{Within: 30 * time.Millisecond})
+func TestCallThatTheNodeNeverAnswersTimesOut(t *testing.T) {
+	n, s := serve(t, Limits{CallTimeout: 30 * time.Millisecond})
 	n.ask = nil
 	status, body := curl(t, "POST", "http://"+s.Addr()+"/lichenhitch.peer.Desk/Ask", "application/json", `{"host":"g1"}`)
 	assert.Equal(t, 503, status)
 	assert.Equal(t, "unavailable", body["code"])
-	assert.Equal(t, "Ask: no answer within 30ms; what to do: "+doAgain, body["message"])
+	assert.Equal(t, "Ask: no answer within 30ms; what to do: "+remedyRetry, body["message"])
 }
 
-func TestABodyThatDoesNotComeIsNotWaitedFor(t *testing.T) {
-	n, s := serve(t, Limits{Within: 30 * time.Millisecond, Head: 30 * time.Millisecond})
+func TestIncompleteCallTimesOut(t *testing.T) {
+	n, s := serve(t, Limits{CallTimeout: 30 * time.Millisecond, HeaderTimeout: 30 * time.Millisecond})
 	for _, part := range []string{"", "POST /lichen", "POST /lichenhitch.peer.Desk/Ask HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: 9\r\n\r\n{"} {
 		conn, err := net.Dial("tcp", s.Addr())
 		require.NoError(t, err)
 		defer conn.Close()
-		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 		_, err = io.WriteString(conn, part)
 		require.NoError(t, err)
 		all, err := io.ReadAll(conn)
-		require.NoError(t, err, "the server ends it")
+		require.NoError(t, err, "the server must close the connection")
 		if strings.HasSuffix(part, "{") {
-			assert.Contains(t, string(all), "the body broke off")
+			assert.Contains(t, string(all), "incomplete body")
 		}
 	}
 	assert.Empty(t, n.asked)
 }
 
-func TestCallsAreBoundedForNodesAndOperatorsEach(t *testing.T) {
-	n, s := serve(t, Limits{Calls: 1, Within: 20 * time.Second})
+func TestConcurrentCallsAreLimitedPerService(t *testing.T) {
+	n, s := serve(t, Limits{MaxCalls: 1, CallTimeout: 20 * time.Second})
 	n.ask = nil
 	first, second := client(t, s.Addr(), ClientLimits{}), client(t, s.Addr(), ClientLimits{})
-	_, never := to[peerpb.TurnReply]()
+	_, never := collect[peerpb.TurnReply]()
 	first.Ask(&peerpb.AskRequest{Host: "g1"}, never)
 	assert.Equal(t, "ask g1", <-n.asked)
-	answers, done := to[peerpb.TurnReply]()
+	answers, done := collect[peerpb.TurnReply]()
 	second.Ask(&peerpb.AskRequest{Host: "g2"}, done)
 	assert.Equal(t, Busy, kindOf(t, (<-answers).err))
-	renewed, renew := to[peerpb.RenewReply]()
+	renewed, renew := collect[peerpb.RenewReply]()
 	second.Renew(&peerpb.RenewRequest{Node: "a"}, renew)
-	require.NoError(t, (<-renewed).err, "operators do not take the nodes' room")
+	require.NoError(t, (<-renewed).err, "calls of operators must not count against the limit of the nodes")
 	assert.Equal(t, "renew a", <-n.asked)
 
 }
 
-func TestConnectionsBeyondTheLimitAreEndedAtOnce(t *testing.T) {
-	_, s := serve(t, Limits{Links: 2, Head: time.Minute})
+func TestConnectionsBeyondTheLimitAreClosedAtOnce(t *testing.T) {
+	_, s := serve(t, Limits{MaxConns: 2, HeaderTimeout: time.Minute})
 	var conns []net.Conn
 	for range 3 {
 		conn, err := net.Dial("tcp", s.Addr())
 		require.NoError(t, err)
 		defer conn.Close()
-		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 		conns = append(conns, conn)
 	}
 	_, err := conns[2].Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 	require.NoError(t, conns[0].Close())
-	require.Eventually(t, func() bool { // room is there once the server has seen it go
+	require.Eventually(t, func() bool { // a slot is free once the server has noticed the close
 		r, err := http.Post("http://"+s.Addr()+"/", "application/json", nil)
 		if err == nil {
 			r.Body.Close()
 			http.DefaultClient.CloseIdleConnections()
 		}
 		return err == nil
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 }
 
-func TestCloseAnswersTheCallsUnderWay(t *testing.T) {
-	n, s := serve(t, Limits{Head: time.Hour}) // Close waits for no connection that says nothing
+func TestCloseAnswersPendingCalls(t *testing.T) {
+	n, s := serve(t, Limits{HeaderTimeout: time.Hour}) // Close must not wait for an idle connection
 	n.ask = nil
 	c := client(t, s.Addr(), ClientLimits{})
 	silent, err := net.Dial("tcp", s.Addr())
 	require.NoError(t, err)
 	defer silent.Close()
-	answers, done := to[peerpb.TurnReply]()
+	answers, done := collect[peerpb.TurnReply]()
 	c.Ask(&peerpb.AskRequest{Host: "g1"}, done)
 	assert.Equal(t, "ask g1", <-n.asked)
 	s.Close()
@@ -376,19 +376,19 @@
 	s.Close()
 
 	c.Ask(&peerpb.AskRequest{}, done)
-	assert.Equal(t, Unreached, kindOf(t, (<-answers).err))
+	assert.Equal(t, Unreachable, kindOf(t, (<-answers).err))
 	c.Close()
 	c.Ask(&peerpb.AskRequest{}, done)
 	assert.Equal(t, Closed, kindOf(t, (<-answers).err))
 	silent.Close()
-	require.Eventually(t, func() bool { return len(running()) == 0 }, patience, time.Millisecond, "nothing stays behind")
+	require.Eventually(t, func() bool { return len(leakedGoroutines()) == 0 }, waitTimeout, time.Millisecond, "no goroutine may be left")
 }
 
-func TestCloseOfAClientAnswersWhatWaits(t *testing.T) {
+func TestClientCloseFailsQueuedCalls(t *testing.T) {
 	n, s := serve(t, Limits{})
 	n.ask = nil
 	c := client(t, s.Addr(), ClientLimits{})
-	answers, done := to[peerpb.TurnReply]()
+	answers, done := collect[peerpb.TurnReply]()
 	for range 3 {
 		c.Ask(&peerpb.AskRequest{}, done)
 	}
@@ -400,8 +400,8 @@
 	assert.Empty(t, answers)
 }
 
-// peerThat accepts connections and has each of them spoken to after the head and body of a call have come.
-func peerThat(t *testing.T, speak func(net.Conn)) (addr string, conns *atomic.Int32) {
+// fakePeer accepts connections and calls respond on each of them after every complete request.
+func fakePeer(t *testing.T, respond func(net.Conn)) (addr string, conns *atomic.Int32) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -423,7 +423,7 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, q.Body)
-					speak(conn)
+					respond(conn)
 				}
 			}()
 		}
@@ -433,74 +433,74 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nContent-Type: application/proto\r\nContent-Length: "
 
-func TestAPeerThatMisbehavesFailsThatCallOnly(t *testing.T) {
+func TestMisbehavingPeerFailsOnlyThatCall(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		speak func(net.Conn)
 		kind  Kind
 	}{
-		{"silent", func(net.Conn) {}, Late},
-		{"silent inside a reply", func(c net.Conn) { _, _ = io.WriteString(c, okHead+"20\r\n\r\nab") }, Late},
-		{"ends", func(c net.Conn) { c.Close() }, Unreached},
+		{"unresponsive", func(net.Conn) {}, TimedOut},
+		{"unresponsive inside a reply", func(c net.Conn) { _, _ = io.WriteString(c, okHead+"20\r\n\r\nab") }, TimedOut},
+		{"closes", func(c net.Conn) { c.Close() }, Unreachable},
 		{"resets inside a reply", func(c net.Conn) {
 			_, _ = io.WriteString(c, okHead+"20\r\n\r\nab")
 			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
-		}, Unreached},
-		{"garbage", func(c net.Conn) { _, _ = io.WriteString(c, "\x00\xffnonsense\r\n\r\n"); c.Close() }, Unreached},
-		{"garbage in a reply", func(c net.Conn) { _, _ = io.WriteString(c, okHead+"3\r\n\r\n\xff\xff\xff") }, Faulty},
-		{"another kind of reply", func(c net.Conn) {
+		}, Unreachable},
+		{"garbage", func(c net.Conn) { _, _ = io.WriteString(c, "\x00\xffnonsense\r\n\r\n"); c.Close() }, Unreachable},
+		{"garbage in a reply", func(c net.Conn) { _, _ = io.WriteString(c, okHead+"3\r\n\r\n\xff\xff\xff") }, Internal},
+		{"redirect", func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n")
-		}, Faulty},
-		{"megabytes", func(c net.Conn) {
+		}, Internal},
+		{"oversized reply", func(c net.Conn) {
 			_, _ = io.WriteString(c, okHead+"99000000\r\n\r\n")
 			for part := make([]byte, 1<<16); ; {
 				if _, err := c.Write(part); err != nil {
 					return
 				}
 			}
-		}, Faulty},
-		{"megabytes of an error", func(c net.Conn) {
+		}, Internal},
+		{"oversized error reply", func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Type: application/json\r\n\r\n{\"message\":\"")
 			for part := []byte(strings.Repeat("x", 1<<16)); ; {
 				if _, err := c.Write(part); err != nil {
 					return
 				}
 			}
-		}, Faulty},
-		{"a head without end", func(c net.Conn) {
+		}, Internal},
+		{"endless header", func(c net.Conn) {
 			for _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n"); err == nil; _, err = io.WriteString(c, "X: y\r\n") {
 			}
-		}, Unreached},
+		}, Unreachable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var sound atomic.Bool
-			addr, conns := peerThat(t, func(c net.Conn) {
-				if sound.Load() {
+			var healthy atomic.Bool
+			addr, conns := fakePeer(t, func(c net.Conn) {
+				if healthy.Load() {
 					_, _ = io.WriteString(c, okHead+"0\r\n\r\n")
 				} else {
 					tc.speak(c)
 				}
 			})
 			within := 20 * time.Second
-			if tc.kind == Late {
+			if tc.kind == TimedOut {
 				within = 100 * time.Millisecond
 			}
-			c := client(t, addr, ClientLimits{Within: within, Body: 1 << 16})
-			answers, done := to[peerpb.TurnReply]()
+			c := client(t, addr, ClientLimits{CallTimeout: within, MaxBody: 1 << 16})
+			answers, done := collect[peerpb.TurnReply]()
 			c.Ask(&peerpb.AskRequest{}, done)
 			a := <-answers
 			assert.Equal(t, tc.kind, kindOf(t, a.err), "%v", a.err)
 			assert.Less(t, len(a.err.Error()), 3*maxText)
-			sound.Store(true)
+			healthy.Store(true)
 			before := conns.Load()
-			for a.err != nil { // a silent one needs more than the first pause, under load
+			for a.err != nil { // an unresponsive peer may need more than the first backoff under load
 				c.Ask(&peerpb.AskRequest{}, done)
 				a = <-answers
 			}
 			assert.NotNil(t, a.reply)
-			if tc.kind == Late {
-				assert.Greater(t, conns.Load(), before, "a silent connection is not used again")
+			if tc.kind == TimedOut {
+				assert.Greater(t, conns.Load(), before, "the connection of an unresponsive peer must not be reused")
 			}
 			assert.Empty(t, answers)
 		})
@@ -509,26 +509,26 @@
 
 func TestAFullQueueDropsTheOldestRaftBatchAndRefusesOtherCalls(t *testing.T) {
 	n, s := serve(t, Limits{})
-	c := client(t, s.Addr(), ClientLimits{Queue: 2, Quick: 20 * time.Second})
+	c := client(t, s.Addr(), ClientLimits{QueueLength: 2, ShortTimeout: 20 * time.Second})
 	release := make(chan struct{})
 	n.raft = func(_ *peerpb.RaftRequest, done func(*peerpb.RaftReply, error)) {
 		go func() { <-release; done(&peerpb.RaftReply{}, nil) }()
 	}
-	var answers []chan got[peerpb.RaftReply]
+	var answers []chan result[peerpb.RaftReply]
 	for i := range 5 {
-		a, done := to[peerpb.RaftReply]()
+		a, done := collect[peerpb.RaftReply]()
 		answers = append(answers, a)
 		c.Raft(&peerpb.RaftRequest{Hello: &peerpb.Hello{Node: fmt.Sprint(i)}}, done)
 		if i == 0 {
-			assert.Equal(t, "raft 0", <-n.asked, "it is under way and waits no longer")
+			assert.Equal(t, "raft 0", <-n.asked, "the call is pending and no longer queued")
 		}
 	}
 	for _, i := range []int{1, 2} {
 		assert.Equal(t, Dropped, kindOf(t, (<-answers[i]).err))
 	}
-	renewed, renew := to[peerpb.RenewReply]()
+	renewed, renew := collect[peerpb.RenewReply]()
 	c.Renew(&peerpb.RenewRequest{Node: "a"}, renew)
-	require.NoError(t, (<-renewed).err, "it does not wait for messages of raft")
+	require.NoError(t, (<-renewed).err, "Renew must not wait for Raft messages")
 	assert.Equal(t, "renew a", <-n.asked)
 	close(release)
 	for _, i := range []int{0, 3, 4} {
@@ -538,54 +538,54 @@
 	assert.Equal(t, "raft 4", <-n.asked)
 
 	n.ask = nil
-	asked, done := to[peerpb.TurnReply]()
+	asked, done := collect[peerpb.TurnReply]()
 	c.Ask(&peerpb.AskRequest{Host: "0"}, done)
 	assert.Equal(t, "ask 0", <-n.asked)
 	for range 3 {
 		c.Ask(&peerpb.AskRequest{}, done)
 	}
-	assert.Equal(t, Busy, kindOf(t, (<-asked).err), "the newest is refused, those before it wait")
+	assert.Equal(t, Busy, kindOf(t, (<-asked).err), "the newest call is refused, earlier ones stay queued")
 	assert.Empty(t, asked)
 }
 
-func TestAPeerThatIsAwayIsNotTriedAtEachCall(t *testing.T) {
-	addr, conns := peerThat(t, func(c net.Conn) { c.Close() })
-	c := client(t, addr, ClientLimits{Quick: 200 * time.Millisecond, Pause: 400 * time.Millisecond, Queue: 1000})
-	answers, done := to[peerpb.RaftReply]()
+func TestUnreachablePeerIsNotDialledForEachCall(t *testing.T) {
+	addr, conns := fakePeer(t, func(c net.Conn) { c.Close() })
+	c := client(t, addr, ClientLimits{ShortTimeout: 200 * time.Millisecond, MaxBackoff: 400 * time.Millisecond, QueueLength: 1000})
+	answers, done := collect[peerpb.RaftReply]()
 	began := time.Now()
 	for range 1000 {
 		c.Raft(&peerpb.RaftRequest{}, done)
 	}
-	assert.Equal(t, Unreached, kindOf(t, (<-answers).err))
+	assert.Equal(t, Unreachable, kindOf(t, (<-answers).err))
 	for range 999 {
 		kindOf(t, (<-answers).err)
 	}
-	most := 25 + time.Since(began)/(100*time.Millisecond) // at least 5 ms lie between two, and more each time up to 400 ms
+	most := 25 + time.Since(began)/(100*time.Millisecond) // the backoff is at least 5 ms and grows up to 400 ms
 	assert.Less(t, time.Duration(conns.Load()), most)
 }
 
-func TestAnAddressInUseIsToldWithWhatToDo(t *testing.T) {
+func TestAddressInUseIsReportedWithARemedy(t *testing.T) {
 	_, s := serve(t, Limits{})
 	other, err := Serve(s.Addr(), nil, Limits{})
 	assert.Nil(t, other)
 	var e *Error
 	require.ErrorAs(t, err, &e)
-	assert.Contains(t, e.Action(), "a port that nobody uses")
+	assert.Contains(t, e.Action(), "an unused port")
 }
 
-// TestAReplayIsGivenUpInItsTime, and tried again at a peer that is not reached without the client's own pauses.
-func TestAReplayIsGivenUpInItsTime(t *testing.T) {
-	n, s := serve(t, Limits{Within: time.Minute})
-	c := client(t, s.Addr(), ClientLimits{Pause: time.Hour, Within: time.Minute})
+// A Replay must time out after its own timeout, and must not wait for the client's backoff at an unreachable peer.
+func TestReplayTimesOutAndSkipsBackoff(t *testing.T) {
+	n, s := serve(t, Limits{CallTimeout: time.Minute})
+	c := client(t, s.Addr(), ClientLimits{MaxBackoff: time.Hour, CallTimeout: time.Minute})
 	c.mu.Lock()
-	c.failed, c.next = 20, time.Now().Add(time.Hour)
+	c.failures, c.nextTry = 20, time.Now().Add(time.Hour)
 	c.mu.Unlock()
-	answer, done := to[peerpb.ReplayReply]()
-	c.ReplayWithin(time.Minute, &peerpb.ReplayRequest{Site: "a"}, done)
-	require.NoError(t, (<-answer).err, "it waits for no pause")
+	answer, done := collect[peerpb.ReplayReply]()
+	c.ReplayWithTimeout(time.Minute, &peerpb.ReplayRequest{Site: "a"}, done)
+	require.NoError(t, (<-answer).err, "a replay must skip the backoff")
 	<-n.asked
 	began := time.Now()
-	c.ReplayWithin(30*time.Millisecond, &peerpb.ReplayRequest{Site: "nobody"}, done)
-	assert.Equal(t, Late, kindOf(t, (<-answer).err))
+	c.ReplayWithTimeout(30*time.Millisecond, &peerpb.ReplayRequest{Site: "nobody"}, done)
+	assert.Equal(t, TimedOut, kindOf(t, (<-answer).err))
 	assert.Less(t, time.Since(began), 30*time.Second)
 }
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -11,13 +11,13 @@
 
 // Two deployments, with all that a node needs to be told.
 const (
-	oneBuilding = `{"areas":["g"],"my_zone":"g","balancers":2,"registry_mode":"ask","weight_source":"nominal",
+	buildingSettings = `{"areas":["g"],"my_zone":"g","balancers":2,"registry_mode":"ask","weight_source":"nominal",
 "permissions":{"connect_timeout_us":250000,"max_attempts":4,"max_retry_after_us":1500000,"probes":true,"retry_after":true},
 "safety":{"ask_within_us":10000000,"cold_from":0.37,"cold_us":8000000,"drain_grace_us":2000000,"overload_factor":3,
 "tip_after_us":1500000},"tariffs":{"cross_zone":0,"moves":0.022,"peer":0,"probe":0.0019},
 "extra":{"mode":"pass","message_aim_us":[250000]},
 "request_classes":[{"name":"c","semantics":"read_like","aim_us":300000,"deadline_us":1200000,"points":3}]}`
-	twoCentres = `{"areas":["e","w"],"my_zone":"w","balancers":4,"registry_mode":"ask","weight_source":"nominal",
+	twoCentreSettings = `{"areas":["e","w"],"my_zone":"w","balancers":4,"registry_mode":"ask","weight_source":"nominal",
 "permissions":{"connect_timeout_us":250000,"max_attempts":3,"max_retry_after_us":1500000,"probes":true,"retry_after":false},
 "safety":{"ask_within_us":10000000,"cold_from":0.33,"cold_us":7100000,"drain_grace_us":3000000,"overload_factor":2.5,
 "tip_after_us":1500000},"tariffs":{"cross_zone":0.01,"moves":0.016,"peer":0.01,"probe":0.002},
@@ -26,7 +26,7 @@
 )
 
 // with returns an object with the value under a path replaced, or left out.
-func with(t *testing.T, text, path string, value any, out bool) []byte {
+func replaced(t *testing.T, text, path string, value any, remove bool) []byte {
 	t.Helper()
 	var root any
 	require.NoError(t, json.Unmarshal([]byte(text), &root))
@@ -43,7 +43,7 @@
 		switch {
 		case i < len(parts)-1:
 			at = in[part]
-		case out:
+		case remove:
 			delete(in, part)
 		default:
 			in[part] = value
@@ -56,52 +56,52 @@
 
 // Each key that a node needs is left out, and put out of range, in the settings of both deployments. The usual grace of
 // a drain was two seconds where the settings told none, and a host that nothing was told of was never taken for cold.
-func TestAKeyThatIsMissingOrOutOfRangeIsNamed(t *testing.T) {
-	faulty := func(raw []byte, key string, missing bool) {
+func TestMissingAndOutOfRangeKeysAreNamed(t *testing.T) {
+	assertNamed := func(raw []byte, key string, missing bool) {
 		t.Helper()
 		var e *KeyError
-		require.ErrorAs(t, Complete(raw), &e, key)
+		require.ErrorAs(t, CheckComplete(raw), &e, key)
 		assert.Equal(t, key, e.Key)
 		assert.Contains(t, e.Action(), "settings."+key)
 		if missing {
-			assert.NoError(t, InRange(raw), key)
+			assert.NoError(t, CheckRanges(raw), key)
 		} else {
-			assert.Error(t, InRange(raw), key)
+			assert.Error(t, CheckRanges(raw), key)
 		}
 	}
-	all := append([]bound{{key: "extra.message_aim_us.0", most: longest}}, bounds...)
-	for _, b := range ofClass {
+	all := append([]bound{{key: "extra.message_aim_us.0", max: longestTime}}, bounds...)
+	for _, b := range classBounds {
 		b.key = "request_classes.0." + b.key
 		all = append(all, b)
 	}
-	for _, text := range []string{oneBuilding, twoCentres} {
-		require.NoError(t, Complete([]byte(text)))
+	for _, text := range []string{buildingSettings, twoCentreSettings} {
+		require.NoError(t, CheckComplete([]byte(text)))
 		set, err := Decode([]byte(text))
 		require.NoError(t, err)
 		require.NoError(t, Check(set))
 		for _, b := range all {
-			for _, odd := range []any{b.least - 1, b.most * 1.01, "many", true} {
-				faulty(with(t, text, b.key, odd, false), b.key, false)
+			for _, odd := range []any{b.min - 1, b.max * 1.01, "many", true} {
+				assertNamed(replaced(t, text, b.key, odd, false), b.key, false)
 			}
-			for _, sound := range []any{b.least, b.most} {
-				assert.NoError(t, Complete(with(t, text, b.key, sound, false)), b.key)
+			for _, sound := range []any{b.min, b.max} {
+				assert.NoError(t, CheckComplete(replaced(t, text, b.key, sound, false)), b.key)
 			}
 		}
-		for _, w := range words {
-			faulty(with(t, text, w.key, "odd", false), w.key, false)
-			faulty(with(t, text, w.key, "", true), w.key, true)
+		for _, w := range enums {
+			assertNamed(replaced(t, text, w.key, "odd", false), w.key, false)
+			assertNamed(replaced(t, text, w.key, "", true), w.key, true)
 		}
 		for _, key := range []string{"balancers", "my_zone", "permissions.max_attempts", "permissions.connect_timeout_us",
 			"safety.drain_grace_us", "safety.ask_within_us", "safety.cold_from", "safety.cold_us", "safety.overload_factor",
 			"safety.tip_after_us", "tariffs.probe", "request_classes.0.points", "request_classes.0.aim_us"} {
-			faulty(with(t, text, key, nil, true), key, true)
+			assertNamed(replaced(t, text, key, nil, true), key, true)
 		}
-		faulty(with(t, text, "my_zone", "elsewhere", false), "my_zone", false)
+		assertNamed(replaced(t, text, "my_zone", "elsewhere", false), "my_zone", false)
 	}
-	faulty(with(t, oneBuilding, "permissions.max_retry_after_us", nil, true), "permissions.max_retry_after_us", true)
-	faulty(with(t, twoCentres, "tariffs.cross_zone", nil, true), "tariffs.cross_zone", true)
+	assertNamed(replaced(t, buildingSettings, "permissions.max_retry_after_us", nil, true), "permissions.max_retry_after_us", true)
+	assertNamed(replaced(t, twoCentreSettings, "tariffs.cross_zone", nil, true), "tariffs.cross_zone", true)
 	for _, key := range []string{"permissions.max_retry_after_us", "tariffs.moves", "extra.message_aim_us"} {
-		assert.NoError(t, Complete(with(t, twoCentres, key, nil, true)), "%s is not needed there", key)
+		assert.NoError(t, CheckComplete(replaced(t, twoCentreSettings, key, nil, true)), "%s is not needed there", key)
 	}
-	assert.NoError(t, Complete(with(t, oneBuilding, "tariffs.cross_zone", nil, true)), "there is nothing to cross")
+	assert.NoError(t, CheckComplete(replaced(t, buildingSettings, "tariffs.cross_zone", nil, true)), "there is nothing to cross")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,9 +35,9 @@
 		Self: in.count("me"), Balancers: in.count("balancers"), Zone: in.text("my_zone"),
 		ListOnRequest:  in.text("registry_mode") == "ask",
 		WeightsNominal: in.text("weight_source") == "nominal" || in.text("weight_source") == "rough",
-		Probes:         in.truth("permissions.probes"),
-		Peers:          in.truth("permissions.peers"),
-		Hedging:        in.truth("permissions.second_copies"),
+		Probes:         in.boolean("permissions.probes"),
+		Peers:          in.boolean("permissions.peers"),
+		Hedging:        in.boolean("permissions.second_copies"),
 		MaxAttempts:    in.count("permissions.max_attempts"),
 		ConnectTimeout: in.micros("permissions.connect_timeout_us"),
 		PassThrough:    in.text("extra.mode") == "pass",
@@ -51,7 +51,7 @@
 		Prices: balance.Prices{CrossZone: in.number("tariffs.cross_zone"), Probe: in.number("tariffs.probe"),
 			Move: in.number("tariffs.moves"), Peer: in.number("tariffs.peer")},
 	}
-	if in.truth("permissions.retry_after") {
+	if in.boolean("permissions.retry_after") {
 		out.MaxRetryAfter = in.micros("permissions.max_retry_after_us")
 	}
 	for i := range in.length("parties") {
@@ -71,7 +71,7 @@
 	at := func(name string) string { return key("request_classes", i, name) }
 	c := balance.Class{
 		Name: in.text(at("name")), LatencyTarget: in.micros(at("aim_us")), Deadline: in.micros(at("deadline_us")),
-		Window: in.micros(at("window_us")), Streamed: in.truth(at("streamed")), Value: in.number(at("points")),
+		Window: in.micros(at("window_us")), Streamed: in.boolean(at("streamed")), Value: in.number(at("points")),
 		MessageLatencyTarget: in.micros(key("extra.message_aim_us", i, "")),
 	}
 	var ok bool
@@ -132,9 +132,9 @@
 }
 
 // get returns the value at a path; an absent value and null are both "not told".
-func (in *reader) get(path string, ok func(gjson.Result) bool, want string) gjson.Result {
+func (in *reader) get(path string, valid func(gjson.Result) bool, want string) gjson.Result {
 	v := in.root.Get(path)
-	if v.Exists() && v.Type != gjson.Null && !ok(v) {
+	if v.Exists() && v.Type != gjson.Null && !valid(v) {
 		in.fail(path, fmt.Sprintf("%.40s is not %s", v.Raw, want))
 		return gjson.Result{}
 	}
@@ -165,7 +165,7 @@
 	return in.get(path, func(v gjson.Result) bool { return v.Type == gjson.String }, "a text").Str
 }
 
-func (in *reader) truth(path string) bool {
+func (in *reader) boolean(path string) bool {
 	return in.get(path, gjson.Result.IsBool, "true or false").Bool()
 }
 
--- a/internal/site/faults.go
+++ b/internal/site/faults.go
@@ -9,12 +9,12 @@
 
 // Fault is one thing that is wrong with a file, where it is wrong, and what an operator can do about it.
 type Fault struct {
-	Path   string // of the file
-	Line   int    // from 1
-	Column int    // from 1, in characters
-	Field  string // as sites[1].nodes[2].seat; "" where it is none of a field
-	What   string
-	Do     string
+	Path    string // of the file
+	Line    int    // from 1
+	Column  int    // from 1, in characters
+	Field   string // as sites[1].nodes[2].seat; "" where it is none of a field
+	Message string
+	Remedy  string
 }
 
 // Error names the place, the fault and what to do.
@@ -23,11 +23,11 @@
 	if field != "" {
 		field += ": "
 	}
-	return fmt.Sprintf("%s:%d:%d: %s%s; what to do: %s", f.Path, f.Line, f.Column, field, f.What, f.Do)
+	return fmt.Sprintf("%s:%d:%d: %s%s; what to do: %s", f.Path, f.Line, f.Column, field, f.Message, f.Remedy)
 }
 
 // Action says what an operator can do.
-func (f *Fault) Action() string { return f.Do }
+func (f *Fault) Action() string { return f.Remedy }
 
 // Faults are all that is wrong with a file, by line and column. Never empty where it is an error.
 type Faults []*Fault
@@ -45,7 +45,7 @@
 func (fs Faults) Action() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
-		lines[i] = fmt.Sprintf("%s:%d:%d: %s", f.Path, f.Line, f.Column, f.Do)
+		lines[i] = fmt.Sprintf("%s:%d:%d: %s", f.Path, f.Line, f.Column, f.Remedy)
 	}
 	return strings.Join(lines, "\n")
 }
@@ -89,12 +89,12 @@
 }
 
 // SeatStep is one change of a council's seats.
-type SeatStep struct {
+type VoterChange struct {
 	Node string
 	Add  bool // or else it leaves
 }
 
-func (s SeatStep) String() string {
+func (s VoterChange) String() string {
 	if s.Add {
 		return "add " + s.Node
 	}
@@ -103,8 +103,8 @@
 
 // ChangeError says why a file cannot be taken by a node that runs: nothing of it was taken.
 type ChangeError struct {
-	Restart []string   // what only a start takes over
-	Steps   []SeatStep // of the own council's seats, where too few of the present ones stay
+	Restart      []string      // what only a start takes over
+	VoterChanges []VoterChange // of the own council's seats, where too few of the present ones stay
 }
 
 func (e *ChangeError) Error() string {
@@ -112,18 +112,18 @@
 	if len(e.Restart) > 0 {
 		parts = append(parts, strings.Join(e.Restart, ", ")+": taken over only at a start")
 	}
-	if len(e.Steps) > 0 {
-		parts = append(parts, "seats: new ones come, and no majority of the present ones stays: "+e.steps())
+	if len(e.VoterChanges) > 0 {
+		parts = append(parts, "seats: new ones come, and no majority of the present ones stays: "+e.voterChangeList())
 	}
 	return "nothing of the changed file of sites was taken: " + strings.Join(parts, "; ") + "; what to do: " + e.Action()
 }
 
-func (e *ChangeError) steps() string {
-	to := make([]string, len(e.Steps))
-	for i, s := range e.Steps {
-		to[i] = s.String()
+func (e *ChangeError) voterChangeList() string {
+	list := make([]string, len(e.VoterChanges))
+	for i, s := range e.VoterChanges {
+		list[i] = s.String()
 	}
-	return strings.Join(to, ", then ")
+	return strings.Join(list, ", then ")
 }
 
 // Action says what an operator can do.
@@ -135,8 +135,8 @@
 	if slices.Contains(e.Restart, "rights") {
 		parts = append(parts, "longer rights or more drift go to all seats before any other node, shorter ones the other way round")
 	}
-	if len(e.Steps) > 0 {
-		parts = append(parts, "take the seats in parts ("+e.steps()+"): a file in which more than half of the present seats stay, and the next one once Turns names its seats")
+	if len(e.VoterChanges) > 0 {
+		parts = append(parts, "take the seats in parts ("+e.voterChangeList()+"): a file in which more than half of the present seats stay, and the next one once Turns names its seats")
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -26,31 +26,31 @@
 // Site is what the file says, as one node sees it.
 type Site struct {
 	Node          string
-	Own           Group
-	Above         []Group // the parent first, up to the province
-	Below         []Group // all of them, as the file orders them
+	Own           Definition
+	Ancestors     []Definition // the parent first, up to the province
+	Descendants   []Definition // all of them, as the file orders them
 	Listen        string
 	Store         string
 	Witness       string            // path, "" for none
-	Seats         []string          // of the own site, sorted
+	Voters        []string          // of the own site, sorted
 	Members       []string          // nodes of the own site, sorted
-	Seat          bool              // this node has one
+	IsVoter       bool              // this node has one
 	Peers         map[string]string // address by node; this node is none
-	Rights        rights.Terms
+	SendLease     rights.Terms
 	Turns         turns.Limits
-	Upstream      sitesync.Limits
+	SiteSync      sitesync.Limits
 	Rollout       rollout.Limits
 	Tick          time.Duration // of the council
 	SnapshotEvery uint64        // entries of the council's log
 }
 
 // Group is one site of the file.
-type Group struct {
+type Definition struct {
 	Name   string
 	Level  int // 0 is the province, 1 a regency, 2 a building
 	Parent string
 	Nodes  []string          // sorted
-	Seats  []string          // sorted
+	Voters []string          // sorted
 	Zones  map[string]string // by node; those that tell none have none
 }
 
@@ -73,14 +73,14 @@
 // Parse reads the text of a file. path is for messages. The error is Faults: all that were found, by line.
 func Parse(raw []byte, path, node string) (*Site, error) { return parse(raw, path, node, false) }
 
-func parse(raw []byte, path, node string, disk bool) (*Site, error) {
+func parse(raw []byte, path, node string, checkDisk bool) (*Site, error) {
 	t := scan(raw)
 	var file sitepb.File
 	if err := prototext.Unmarshal(raw, &file); err != nil {
-		return nil, t.structure(err).in(path)
+		return nil, t.syntaxFaults(err).in(path)
 	}
-	c := check{file: &file, text: t, node: node, disk: disk}
-	s := c.all()
+	c := checker{file: &file, source: t, node: node, checkDisk: checkDisk}
+	s := c.validate()
 	if len(c.faults) > 0 {
 		return nil, c.faults.in(path)
 	}
@@ -89,7 +89,7 @@
 
 // Change says whether a node that runs by s may take next as a whole: nil, or a *ChangeError with all that is against it.
 // Nothing of next is taken while it is not nil.
-func (s *Site) Change(next *Site) error {
+func (s *Site) CheckChange(next *Site) error {
 	var e ChangeError
 	for _, f := range []struct {
 		name string
@@ -100,61 +100,61 @@
 		{"store", s.Store == next.Store},
 		{"witness", s.Witness == next.Witness},
 		{"the own site", s.Own.Name == next.Own.Name && s.Own.Level == next.Own.Level},
-		{"the sites above", slices.Equal(names(s.Above), names(next.Above))},
-		{"rights", s.Rights == next.Rights},
+		{"the sites above", slices.Equal(siteNames(s.Ancestors), siteNames(next.Ancestors))},
+		{"rights", s.SendLease == next.SendLease},
 		{"council.tick_ms", s.Tick == next.Tick},
 	} {
 		if !f.same {
 			e.Restart = append(e.Restart, f.name)
 		}
 	}
-	if to := Steps(s.Seats, next.Seats); s.Own.Name == next.Own.Name && slices.ContainsFunc(to, func(t SeatStep) bool { return t.Add }) {
+	if changes := PlanVoterChanges(s.Voters, next.Voters); s.Own.Name == next.Own.Name && slices.ContainsFunc(changes, func(t VoterChange) bool { return t.Add }) {
 		// New seats found a council where all seats of the file are new. They do not while one of those that stay has its store.
-		stay := 0
-		for _, n := range s.Seats {
-			if slices.Contains(next.Seats, n) {
-				stay++
+		staying := 0
+		for _, n := range s.Voters {
+			if slices.Contains(next.Voters, n) {
+				staying++
 			}
 		}
-		if 2*stay <= len(s.Seats) {
-			e.Steps = to
+		if 2*staying <= len(s.Voters) {
+			e.VoterChanges = changes
 		}
 	}
-	if len(e.Restart) == 0 && len(e.Steps) == 0 {
+	if len(e.Restart) == 0 && len(e.VoterChanges) == 0 {
 		return nil
 	}
 	return &e
 }
 
 // Steps leads from one set of seats to another, one seat at a time: never fewer seats than the smaller of the two.
-func Steps(now, next []string) (to []SeatStep) {
-	var in, out []string
+func PlanVoterChanges(now, next []string) (changes []VoterChange) {
+	var added, removed []string
 	for _, n := range next {
 		if !slices.Contains(now, n) {
-			in = append(in, n)
+			added = append(added, n)
 		}
 	}
 	for _, n := range now {
 		if !slices.Contains(next, n) {
-			out = append(out, n)
+			removed = append(removed, n)
 		}
 	}
-	for i := range max(len(in), len(out)) {
-		if i < len(in) {
-			to = append(to, SeatStep{Node: in[i], Add: true})
+	for i := range max(len(added), len(removed)) {
+		if i < len(added) {
+			changes = append(changes, VoterChange{Node: added[i], Add: true})
 		}
-		if i < len(out) {
-			to = append(to, SeatStep{Node: out[i]})
+		if i < len(removed) {
+			changes = append(changes, VoterChange{Node: removed[i]})
 		}
 	}
-	return to
+	return changes
 }
 
-func names(gs []Group) (to []string) {
+func siteNames(gs []Definition) (list []string) {
 	for _, g := range gs {
-		to = append(to, g.Name)
+		list = append(list, g.Name)
 	}
-	return to
+	return list
 }
 
 // quote shows a text of the file, the start of it where it is long.
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -26,30 +26,30 @@
 	m.Run()
 }
 
-const example = "../../deploy/site.example.txtpb"
+const exampleFile = "../../deploy/site.example.txtpb"
 
-func TestTheExampleLoadsWithTheDefaults(t *testing.T) {
-	s, err := Load(example, "kelda-1")
+func TestExampleFileHasTheDefaults(t *testing.T) {
+	s, err := Load(exampleFile, "kelda-1")
 	require.NoError(t, err)
-	assert.Equal(t, Group{Name: "kelda", Level: 1, Parent: "moorland",
-		Nodes: []string{"kelda-1", "kelda-2", "kelda-3", "kelda-4"}, Seats: []string{"kelda-1", "kelda-2", "kelda-3"},
+	assert.Equal(t, Definition{Name: "kelda", Level: 1, Parent: "moorland",
+		Nodes: []string{"kelda-1", "kelda-2", "kelda-3", "kelda-4"}, Voters: []string{"kelda-1", "kelda-2", "kelda-3"},
 		Zones: map[string]string{"kelda-1": "north", "kelda-2": "north", "kelda-3": "south"}}, s.Own)
-	assert.Equal(t, []string{"moorland"}, names(s.Above))
-	assert.Equal(t, []string{"kelda-mill", "kelda-quay"}, names(s.Below))
+	assert.Equal(t, []string{"moorland"}, siteNames(s.Ancestors))
+	assert.Equal(t, []string{"kelda-mill", "kelda-quay"}, siteNames(s.Descendants))
 	assert.Equal(t, s.Own.Nodes, s.Members)
-	assert.Equal(t, s.Own.Seats, s.Seats)
-	assert.True(t, s.Seat)
+	assert.Equal(t, s.Own.Voters, s.Voters)
+	assert.True(t, s.IsVoter)
 	assert.Len(t, s.Peers, 5)
 	assert.Equal(t, "10.4.0.12:7400", s.Peers["kelda-2"])
 
-	bare, err := Parse([]byte(small), "f", "a1")
+	bare, err := Parse([]byte(smallFile), "f", "a1")
 	require.NoError(t, err)
-	assert.Equal(t, s.Rights, bare.Rights, "the example has the defaults")
-	assert.Equal(t, rights.Terms{Lasts: 3 * time.Second, Drift: 0.01}, bare.Rights)
+	assert.Equal(t, s.SendLease, bare.SendLease, "the example has the defaults")
+	assert.Equal(t, rights.Terms{Lasts: 3 * time.Second, Drift: 0.01}, bare.SendLease)
 	assert.Equal(t, s.Turns, bare.Turns)
 	assert.Equal(t, turns.Limits{Site: 1, Horizon: 2, Age: 10 * time.Minute}, bare.Turns)
-	assert.Equal(t, s.Upstream, bare.Upstream)
-	assert.Equal(t, sitesync.Limits{Bytes: 16 << 20, Number: 50000, Age: time.Hour, Batch: 256}, bare.Upstream)
+	assert.Equal(t, s.SiteSync, bare.SiteSync)
+	assert.Equal(t, sitesync.Limits{Bytes: 16 << 20, Number: 50000, Age: time.Hour, Batch: 256}, bare.SiteSync)
 	assert.Equal(t, s.Rollout, bare.Rollout)
 	assert.Equal(t, rollout.Defaults(), bare.Rollout)
 	assert.Empty(t, bare.Own.Zones)
@@ -57,19 +57,19 @@
 	assert.EqualValues(t, 4096, bare.SnapshotEvery)
 }
 
-func TestALineIsFollowedToTheProvince(t *testing.T) {
-	raw, err := os.ReadFile(example)
+func TestAncestorsReachTheProvince(t *testing.T) {
+	raw, err := os.ReadFile(exampleFile)
 	require.NoError(t, err)
 	raw = append(raw, "peers { node: 'kelda-1' address: '10.4.0.1:7400' }"...)
 	s, err := Parse(bytes.Replace(raw, []byte("10.4.0.11:"), []byte("10.9.0.1:"), 1), "f", "mill-1")
 	require.NoError(t, err)
-	assert.Equal(t, []string{"kelda", "moorland"}, names(s.Above))
-	assert.Empty(t, s.Below)
+	assert.Equal(t, []string{"kelda", "moorland"}, siteNames(s.Ancestors))
+	assert.Empty(t, s.Descendants)
 	assert.Equal(t, 2, s.Own.Level)
 }
 
 // small is a sound file; each fault below is made by a change of it.
-const small = `listen: "10.0.0.1:7"
+const smallFile = `listen: "10.0.0.1:7"
 store: "/var/a1"
 sites {
   name: "p" level: PROVINCE
@@ -86,7 +86,7 @@
 peers { node: "p1" address: "10.0.0.9:7" }
 `
 
-func TestEachFaultIsToldWithItsPlaceAndWhatToDo(t *testing.T) {
+func TestFaultsHaveAPositionAndARemedy(t *testing.T) {
 	for _, tc := range []struct {
 		name, was, is, place, what, do string
 	}{
@@ -104,7 +104,7 @@
 		{"negative", "# ü", "turns { site: -1 } # ü", "13:9", "-1 is not a whole number", "give a whole number"},
 		// of the sites
 		{"node in no site", `"a1" seat`, `"b1" seat`, "3:1", `no site has the node "a1"`, "GW_NAME"},
-		{"no sites", small[strings.Index(small, "sites"):], "", "1:1", "missing", "name the sites"},
+		{"no sites", smallFile[strings.Index(smallFile, "sites"):], "", "1:1", "missing", "name the sites"},
 		{"site twice", `name: "a" level: BUILDING parent: "p"`, `name: "p" level: BUILDING parent: "p"`, "8:3",
 			`"p" is in use already, at 4:3`, "a name of its own"},
 		{"node twice", `"a3" seat`, `"p1" seat`, "11:11", `"p1" is in use already, at 5:11`, "a name of its own"},
@@ -172,35 +172,35 @@
 		{"batch", "# ü", "upstream { number: 16 batch: 17 }# ü", "13:23", "17 writes in one call", "at most number"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			require.Contains(t, small, tc.was)
-			s, err := Parse([]byte(strings.Replace(small, tc.was, tc.is, 1)), "site.txtpb", "a1")
+			require.Contains(t, smallFile, tc.was)
+			s, err := Parse([]byte(strings.Replace(smallFile, tc.was, tc.is, 1)), "site.txtpb", "a1")
 			require.Nil(t, s)
 			var all Faults
 			require.ErrorAs(t, err, &all)
-			var told []string
+			var reported []string
 			for _, f := range all {
 				place := fmt.Sprintf("%d:%d", f.Line, f.Column)
-				if place == tc.place && strings.Contains(f.What, tc.what) && strings.Contains(f.Action(), tc.do) {
+				if place == tc.place && strings.Contains(f.Message, tc.what) && strings.Contains(f.Action(), tc.do) {
 					assert.Contains(t, err.Error(), "site.txtpb:"+place+": ")
-					assert.Contains(t, err.Error(), "; what to do: "+f.Do)
+					assert.Contains(t, err.Error(), "; what to do: "+f.Remedy)
 					return
 				}
-				told = append(told, f.Error())
+				reported = append(reported, f.Error())
 			}
-			assert.Fail(t, "not told", "%s %s\ntold: %s", tc.place, tc.what, strings.Join(told, "\n      "))
+			assert.Fail(t, "not told", "%s %s\ntold: %s", tc.place, tc.what, strings.Join(reported, "\n      "))
 		})
 	}
 }
 
 // What only the machine knows of a witness is told at the load, with its place.
-func TestAWitnessHasToBeInMemory(t *testing.T) {
+func TestWitnessMustBeOnTmpfs(t *testing.T) {
 	for witness, want := range map[string][2]string{
 		t.TempDir() + "/none/w":   {"no such file", "make the folder"},
 		"/proc/lichenhitch":       {"not on a file system in memory", "/dev/shm"},
 		"/dev/shm/lichenhitch-a1": {},
 	} {
 		path := filepath.Join(t.TempDir(), "site.txtpb")
-		require.NoError(t, os.WriteFile(path, []byte(small+"\n  witness: '"+witness+"'\n"), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(smallFile+"\n  witness: '"+witness+"'\n"), 0o600))
 		s, err := Load(path, "a1")
 		if want[0] == "" {
 			require.NoError(t, err)
@@ -211,17 +211,17 @@
 		var fault *Fault
 		require.ErrorAs(t, err, &fault)
 		assert.Contains(t, err.Error(), fmt.Sprintf("%s:17:3: witness: ", path))
-		assert.Contains(t, fault.What, want[0])
+		assert.Contains(t, fault.Message, want[0])
 		assert.Contains(t, fault.Action(), want[1])
 	}
 }
 
-func TestAllFaultsAreToldByTheirOrder(t *testing.T) {
+func TestAllFaultsAreReportedInOrder(t *testing.T) {
 	for raw, want := range map[string][]string{
-		"lisen: 'x'\nsites { level: HUT\n nodes { seat: 7 } }\nturns { site: 'one' }":               {"1:1", "2:9", "3:10", "4:9"},
-		"listen: 'x'\nstore: 'y'\nturns { zone: 9 }\nrights { drift: 1 }":                           {"1:1", "1:1", "1:1", "2:1", "3:9", "4:10"},
-		small + "sites{name:'x' level:REGENCY parent:'y'}sites{name:'y' level:BUILDING parent:'x'}": {"16:30"},
-		"listen: 'x'\nmore: 1\nstore: }":                                                            {"2:1", "3:8"},
+		"lisen: 'x'\nsites { level: HUT\n nodes { seat: 7 } }\nturns { site: 'one' }":                   {"1:1", "2:9", "3:10", "4:9"},
+		"listen: 'x'\nstore: 'y'\nturns { zone: 9 }\nrights { drift: 1 }":                               {"1:1", "1:1", "1:1", "2:1", "3:9", "4:10"},
+		smallFile + "sites{name:'x' level:REGENCY parent:'y'}sites{name:'y' level:BUILDING parent:'x'}": {"16:30"},
+		"listen: 'x'\nmore: 1\nstore: }":                                                                {"2:1", "3:8"},
 	} {
 		_, err := Parse([]byte(raw), "f", "a1")
 		var all Faults
@@ -237,7 +237,7 @@
 	}
 }
 
-func TestAFileThatCannotBeReadIsToldWithWhatToDo(t *testing.T) {
+func TestUnreadableFileIsReportedWithARemedy(t *testing.T) {
 	long := filepath.Join(t.TempDir(), "long")
 	require.NoError(t, os.WriteFile(long, bytes.Repeat([]byte("# long\n"), maxFile/7+1), 0o600))
 	for _, path := range []string{filepath.Join(t.TempDir(), "none"), t.TempDir(), long} {
@@ -249,8 +249,8 @@
 	}
 }
 
-func TestAChangedFileIsTakenWholeOrNotAtAll(t *testing.T) {
-	before, err := Parse([]byte(small), "f", "a1")
+func TestCheckChangeAcceptsOrRejectsTheWholeFile(t *testing.T) {
+	before, err := Parse([]byte(smallFile), "f", "a1")
 	require.NoError(t, err)
 	for _, tc := range []struct {
 		name    string
@@ -272,13 +272,13 @@
 		{"most seats for others", []string{`"a3"`, `"a4"`, `"a2"`, `"a5"`}, nil, "add a4, then remove a2, then add a5, then remove a3"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			raw := small
+			raw := smallFile
 			for i := 0; i < len(tc.swap); i += 2 {
 				raw = strings.ReplaceAll(raw, tc.swap[i], tc.swap[i+1])
 			}
 			next, err := Parse([]byte(raw), "f", "a1")
 			require.NoError(t, err)
-			err = before.Change(next)
+			err = before.CheckChange(next)
 			if tc.restart == nil && tc.steps == "" {
 				require.NoError(t, err)
 				return
@@ -286,7 +286,7 @@
 			var typed *ChangeError
 			require.ErrorAs(t, err, &typed)
 			assert.Equal(t, tc.restart, typed.Restart)
-			assert.Equal(t, tc.steps, typed.steps())
+			assert.Equal(t, tc.steps, typed.voterChangeList())
 			assert.Contains(t, err.Error(), "what to do: "+typed.Action())
 			for _, name := range append(tc.restart, tc.steps) {
 				assert.Contains(t, typed.Action(), name)
@@ -296,8 +296,8 @@
 }
 
 // mangled cuts, repeats and replaces parts of a sound file.
-func mangled(t *rapid.T) []byte {
-	raw := []byte(small)
+func mutatedFile(t *rapid.T) []byte {
+	raw := []byte(smallFile)
 	for range rapid.IntRange(0, 6).Draw(t, "changes") {
 		from := rapid.IntRange(0, len(raw)).Draw(t, "from")
 		to := min(len(raw), from+rapid.IntRange(0, 12).Draw(t, "length"))
@@ -309,39 +309,39 @@
 	return raw
 }
 
-func TestWhateverAFileHoldsItIsTakenOrItsFaultsAreTold(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { sound(t, mangled(t)) })
+func TestMutatedFilesParseOrReportFaults(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { checkParseResult(t, mutatedFile(t)) })
 }
 
-func TestDeepTextsAreToldAtOnce(t *testing.T) {
+func TestDeeplyNestedFilesAreRejected(t *testing.T) {
 	for _, part := range []string{"sites{", "rights{", "turns<", "sites[{nodes[{"} {
 		for _, times := range []int{30, 50_000} {
-			sound(t, []byte(strings.Repeat(part, times)))
+			checkParseResult(t, []byte(strings.Repeat(part, times)))
 		}
 	}
 }
 
-func TestNestingIsBounded(t *testing.T) {
+func TestNestingDepthIsLimited(t *testing.T) {
 	deep := func(n int) []byte { return []byte(strings.Repeat("a{", n) + strings.Repeat("}", n)) }
 	assert.NoError(t, scan(deep(maxDepth)).err)
 	assert.Error(t, scan(deep(maxDepth+1)).err)
 }
 
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{small, "", "{", "sites [{nodes [{}]}]", "a: [", "a: \"\\"} {
+	for _, s := range []string{smallFile, "", "{", "sites [{nodes [{}]}]", "a: [", "a: \"\\"} {
 		f.Add([]byte(s))
 	}
-	f.Fuzz(func(t *testing.T, raw []byte) { sound(t, raw) })
+	f.Fuzz(func(t *testing.T, raw []byte) { checkParseResult(t, raw) })
 }
 
-func sound(t require.TestingT, raw []byte) {
+func checkParseResult(t require.TestingT, raw []byte) {
 	s, err := Parse(raw, "f", "a1")
 	if err == nil {
 		require.NotNil(t, s)
 		require.Contains(t, s.Members, "a1")
-		require.NotEmpty(t, s.Seats)
+		require.NotEmpty(t, s.Voters)
 		require.NoError(t, scan(raw).err, "what prototext takes, the scanner has the places of")
-		require.NoError(t, s.Change(s))
+		require.NoError(t, s.CheckChange(s))
 		require.NoError(t, s.Rollout.Check())
 		return
 	}
@@ -353,6 +353,6 @@
 	for _, f := range all {
 		require.True(t, f.Line >= 1 && f.Line <= lines && f.Column >= 1, "%v", f)
 		require.NotEmpty(t, f.Action())
-		require.NotEmpty(t, f.What)
+		require.NotEmpty(t, f.Message)
 	}
 }
--- a/rehearsal/province/check.go
+++ b/rehearsal/province/check.go
@@ -30,7 +30,7 @@
 
 // reader returns the seat of a site with the longest log, or nil where none of them runs.
 func (w *World) reader(p *place) (s *node) {
-	for _, n := range p.nodes[:len(p.group.Seats)] {
+	for _, n := range p.nodes[:len(p.group.Voters)] {
 		if n.up && n.core != nil && n.core.Applied() > 0 && (s == nil || n.core.Applied() > s.core.Applied()) {
 			s = n
 		}
@@ -205,7 +205,7 @@
 			w.tally.Lost++
 			continue
 		}
-		for _, s := range x.site.nodes[:len(x.site.group.Seats)] {
+		for _, s := range x.site.nodes[:len(x.site.group.Voters)] {
 			if got := w.receipt(x.site, s, x); got == "" || got != x.fate {
 				w.broken(fmt.Sprintf("w%d (%s): %s has the receipt %q, the top %q", x.number, x.id, s.name, got, x.fate))
 			}
@@ -229,7 +229,7 @@
 	t := top(p)
 	for _, s := range w.things {
 		want := t.shown[s]
-		for _, n := range p.nodes[:len(p.group.Seats)] {
+		for _, n := range p.nodes[:len(p.group.Voters)] {
 			r, err := n.core.Read(s.kind, s.thing, "")
 			got := 0
 			if err == nil && r.Found {
--- a/rehearsal/province/faults.go
+++ b/rehearsal/province/faults.go
@@ -41,7 +41,7 @@
 	case 5:
 		w.restart(n, short, false)
 	case 6: // the store of one that has no seat is lost
-		if !n.file.Seat {
+		if !n.file.IsVoter {
 			w.restart(n, short, true)
 		}
 	}
@@ -74,7 +74,7 @@
 		}
 	case 3: // its whole council
 		if p.up != nil {
-			for _, n := range p.nodes[:len(p.group.Seats)] {
+			for _, n := range p.nodes[:len(p.group.Voters)] {
 				w.restart(n, long, false)
 			}
 		}
--- a/rehearsal/province/leaders_test.go
+++ b/rehearsal/province/leaders_test.go
@@ -210,7 +210,7 @@
 			continue
 		}
 		n.core.Renewed(n.clock(), &peerpb.RenewReply{Refused: "this node does not lead the council", Leader: old})
-		if n.file.Seat {
+		if n.file.IsVoter {
 			assert.Equal(t, leader.name, n.core.Leader())
 		} else {
 			assert.Equal(t, old, n.core.Leader())
--- a/rehearsal/province/policies.go
+++ b/rehearsal/province/policies.go
@@ -50,7 +50,7 @@
 		}
 		for _, p := range w.sites {
 			if below(p, n.site) {
-				n.file.Below = append(n.file.Below, p.group)
+				n.file.Descendants = append(n.file.Descendants, p.group)
 			}
 		}
 	}
--- a/rehearsal/province/where.go
+++ b/rehearsal/province/where.go
@@ -70,14 +70,14 @@
 
 // carries says whether a seat could lead: it and others of a kind are a majority, each of them linked to it.
 func (p *place) carries(n *node, fit func(*node) bool) bool {
-	linked := func(m *node) bool { return m.file.Seat && fit(m) && linked(n, m) }
+	linked := func(m *node) bool { return m.file.IsVoter && fit(m) && linked(n, m) }
 	count := 0
 	for _, m := range p.nodes {
 		if linked(m) {
 			count++
 		}
 	}
-	return linked(n) && count > len(p.group.Seats)/2
+	return linked(n) && count > len(p.group.Voters)/2
 }
 
 func anySeat(*node) bool { return true }
@@ -92,7 +92,7 @@
 func (p *place) council() (how string, leader *node) {
 	running, taking, stale, leads := false, false, false, 0
 	for _, n := range p.nodes {
-		if !n.file.Seat {
+		if !n.file.IsVoter {
 			continue
 		}
 		running = running || p.carries(n, anySeat)
@@ -123,7 +123,7 @@
 func (p *place) word() string {
 	begun := false
 	for _, n := range p.nodes {
-		if !n.file.Seat || !n.runs() {
+		if !n.file.IsVoter || !n.runs() {
 			continue
 		}
 		st, ok := n.core.Seated()
@@ -133,16 +133,16 @@
 		}
 		reach, by := 0, 0
 		for _, m := range p.nodes {
-			if !m.file.Seat || m == n {
+			if !m.file.IsVoter || m == n {
 				continue
 			}
 			if linked(n, m) {
 				reach++
-			} else if slices.ContainsFunc(p.nodes, func(k *node) bool { return k.file.Seat && linked(n, k) && linked(k, m) }) {
+			} else if slices.ContainsFunc(p.nodes, func(k *node) bool { return k.file.IsVoter && linked(n, k) && linked(k, m) }) {
 				by++
 			}
 		}
-		all := len(p.group.Seats)
+		all := len(p.group.Voters)
 		switch {
 		case reach >= all-all/2:
 			return awaitsWord + "it reaches as many as it needs"
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -128,7 +128,7 @@
 type place struct {
 	name   string
 	up     *place // the site above; nil for a top
-	group  site.Group
+	group  site.Definition
 	nodes  []*node
 	hosts  map[string]*host // those that all sites have in common too
 	ids    []string         // of the hosts, sorted
@@ -270,7 +270,7 @@
 	p.forget()
 	w.sites = append(w.sites, p)
 	l := w.Levels[level]
-	p.group = site.Group{Name: name, Level: level}
+	p.group = site.Definition{Name: name, Level: level}
 	if up != nil {
 		p.group.Parent = up.name
 	}
@@ -278,18 +278,18 @@
 		node := fmt.Sprintf("%s-n%d", name, i)
 		p.group.Nodes = append(p.group.Nodes, node)
 		if i < l.Seats {
-			p.group.Seats = append(p.group.Seats, node)
+			p.group.Voters = append(p.group.Voters, node)
 		}
 	}
-	var above []site.Group
+	var above []site.Definition
 	for a := up; a != nil; a = a.up {
 		above = append(above, a.group)
 	}
 	terms := rights.Terms{Lasts: w.Lasts, Drift: 0.01}
 	for i, node := range p.group.Nodes {
-		n := w.add(p, node, &site.Site{Node: node, Own: p.group, Above: above, Seats: p.group.Seats, Members: p.group.Nodes,
-			Seat: i < l.Seats, Rights: terms, Turns: w.Limits, Tick: 100 * time.Millisecond, SnapshotEvery: 64,
-			Upstream: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Age: time.Hour, Batch: 256}})
+		n := w.add(p, node, &site.Site{Node: node, Own: p.group, Ancestors: above, Voters: p.group.Voters, Members: p.group.Nodes,
+			IsVoter: i < l.Seats, SendLease: terms, Turns: w.Limits, Tick: 100 * time.Millisecond, SnapshotEvery: 64,
+			SiteSync: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Age: time.Hour, Batch: 256}})
 		n.rate = 1 + (w.rng.Float64()-0.5)*0.009
 	}
 	for i := range w.Hosts {
