--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -22,7 +22,7 @@
 	return s, st, states
 }
 
-// alter has the state changed and waits until that stands.
+// changeState changes the state and waits until the change is written.
 func changeState(t *testing.T, s *Store, apply func(*State)) State {
 	t.Helper()
 	done := make(chan State)
@@ -33,7 +33,7 @@
 	return <-done
 }
 
-// until waits for a state that another process brought about.
+// waitFor waits for a notification of a state that satisfies ok.
 func waitFor(states chan State, ok func(State) bool) State {
 	for st := range states {
 		if ok(st) {
@@ -52,7 +52,7 @@
 	second, st, secondStates := joinProcess(t, dir)
 	assert.Equal(t, map[string]time.Duration{"s-1": 5 * time.Second}, st.Bans)
 	assert.True(t, st.HasEarlier(second.Number()))
-	assert.False(t, st.Superseded(first.Number()), "it is not ready")
+	assert.False(t, st.Superseded(first.Number()), "the second process is not ready")
 	second.ChangeOwn(func(p *Process) { p.Ready, p.Descriptors = true, 7 }, func(State, error) {})
 	st = waitFor(firstStates, func(st State) bool { return st.Superseded(first.Number()) })
 	processes, descriptors := st.Others(first.Number())
@@ -72,7 +72,7 @@
 	assert.True(t, st.Draining)
 }
 
-// What another process has changed may first be read on the way of a change of one's own. It is told all the same.
+// A process may first read another process's change while it writes its own. It must be notified of that change all the same.
 func TestChangesOfOthersReadDuringAnOwnChangeAreNotified(t *testing.T) {
 	dir := t.TempDir()
 	first, _, states := joinProcess(t, dir)
@@ -89,7 +89,7 @@
 	}
 }
 
-// Two that change the file at once lose nothing of each other's.
+// Two processes that change the file concurrently must not overwrite each other's changes.
 func TestConcurrentChangesAreKept(t *testing.T) {
 	dir := t.TempDir()
 	first, _, _ := joinProcess(t, dir)
@@ -108,7 +108,7 @@
 	assert.Len(t, changeState(t, first, func(*State) {}).Bans, 100)
 }
 
-// A process that was killed leaves its entry and gives up its lock; nobody takes it for one that is there.
+// A killed process leaves its entry in the file but releases its lock, so it must not be counted as running.
 func TestKilledProcessIsRemoved(t *testing.T) {
 	dir := t.TempDir()
 	first, _, states := joinProcess(t, dir)
@@ -119,35 +119,35 @@
 		return nil
 	}))
 	waitFor(states, func(st State) bool { return st.Superseded(first.Number()) })
-	require.NoError(t, second.lock.Close()) // as the end of the process does
+	require.NoError(t, second.lock.Close()) // as the kernel does when the process exits
 	waitFor(states, func(st State) bool { return !st.Superseded(first.Number()) })
 	third, st, _ := joinProcess(t, dir)
 	assert.True(t, st.HasEarlier(third.Number()))
 	assert.False(t, st.Superseded(first.Number()))
 }
 
-// A file that was cut, at any byte, or is of another version is not taken for a state.
+// A file that is truncated at any byte, or has another version, must be rejected.
 func TestTruncatedFileIsRejected(t *testing.T) {
 	raw, err := encode(State{Bans: map[string]time.Duration{"s": 1}, Draining: true, Processes: []Process{{Number: 3}}})
 	require.NoError(t, err)
 	for i := range len(raw) - 2 {
 		_, err := decode(raw[:i])
-		require.Error(t, err, "cut at byte %d", i)
+		require.Error(t, err, "truncated at byte %d", i)
 	}
 	st, err := decode(raw)
 	require.NoError(t, err)
 	assert.Equal(t, 3, st.Processes[0].Number)
 	_, err = decode([]byte(`{"Version":2,"End":true}`))
-	assert.ErrorContains(t, err, "of version 2, not 1")
+	assert.ErrorContains(t, err, "has version 2, not 1")
 	_, err = decode([]byte(`{"Version":1}`))
 	assert.ErrorContains(t, err, "its end is missing")
 }
 
-// A change that cannot be written is told, and nothing of it holds.
+// A change that cannot be written must return an error and leave the state unchanged.
 func TestFailedWriteRejectsTheChange(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := joinProcess(t, dir)
-	require.NoError(t, os.Mkdir(filepath.Join(dir, "lichenhitch-a%2Fnode.state.0"), 0o700)) // in the way of what is written beside
+	require.NoError(t, os.Mkdir(filepath.Join(dir, "lichenhitch-a%2Fnode.state.0"), 0o700)) // takes the name of the temporary file
 	failed := make(chan error)
 	s.Change(func(st *State) { st.Draining = true }, func(st State, err error) {
 		assert.False(t, st.Draining)
--- a/internal/handover/pass.go
+++ b/internal/handover/pass.go
@@ -13,36 +13,35 @@
 	"lichenhitch/balance"
 )
 
-// passWithin is how long the other process may take to take a connection.
+// sendTimeout is how long the other process may take to receive a connection.
 const sendTimeout = 500 * time.Millisecond
 
-// queuedWithin is how long a retired receiver waits at most for its goroutine to take a call that is queued.
+// acceptTimeout limits how long a draining receiver waits to accept connections that are already queued.
 const acceptTimeout = time.Second
 
-// packetMax is how large a packet may be: two lines that were not complete, and what is told of the connection.
+// maxPacket is the maximum size of a packet, in bytes: two incomplete lines and the metadata of the connection.
 const maxPacket = 32 << 10
 
-// Passed is a connection on its way from one process to another. Its descriptors belong to whoever holds it.
+// Passed is a connection that is handed over from one process to another. Whoever holds it owns its descriptors.
 type Passed struct {
-	ID           string // that its client gave
+	ID           string // given by the client
 	Arrival      balance.Arrival
 	Server       balance.ServerID
-	ClientUnread []byte // received and not passed on
+	ClientUnread []byte // received from the client but not yet forwarded
 	HostUnread   []byte
-	Client       int `json:"-"` // descriptors
+	Client       int `json:"-"` // file descriptors
 	Host         int `json:"-"`
 }
 
-// Close closes the descriptors.
 func (p Passed) Close() {
 	_ = unix.Close(p.Client)
 	_ = unix.Close(p.Host)
 }
 
-// Sender hands connections to a later process.
+// Sender hands connections over to a later process.
 type Sender struct{ conn *net.UnixConn }
 
-// Call connects to a process of the node.
+// Dial connects to the process of the node with the given number.
 func (s *Store) Dial(number int) (*Sender, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: s.socket(number), Net: "unixpacket"})
 	if err != nil {
@@ -51,15 +50,15 @@
 	return &Sender{conn}, nil
 }
 
-// Send hands one connection over. The descriptors stay the caller's, to be closed in either case. It waits for the other
-// process, for half a second at most.
+// Send hands over one connection. The caller keeps its descriptors and must close them in either case. Send blocks for at most
+// half a second (sendTimeout).
 func (s *Sender) Send(p Passed) error {
 	head, err := json.Marshal(p)
 	if err != nil {
 		return err
 	}
 	if len(head) > maxPacket {
-		return fmt.Errorf("a packet of %d bytes", len(head))
+		return fmt.Errorf("the packet of the connection has %d bytes, which is too many", len(head))
 	}
 	if err := s.conn.SetWriteDeadline(time.Now().Add(sendTimeout)); err != nil {
 		return err
@@ -68,17 +67,17 @@
 	return err
 }
 
-// Close ends the connection to the other process.
+// Close closes the connection to the other process.
 func (s *Sender) Close() { _ = s.conn.Close() }
 
-// Receiver takes connections from earlier processes.
+// Receiver receives connections from earlier processes.
 type Receiver struct{ ln *net.UnixListener }
 
-// Receive takes what earlier processes hand over until the receiver is closed. take is called from goroutines of the
-// receiver's own, one for each of these processes, and owns the descriptors.
+// Receive accepts connections from earlier processes until the receiver is closed. take is called on the receiver's goroutines,
+// one for each sending process, and owns the descriptors.
 func (s *Store) Receive(take func(Passed)) (*Receiver, error) {
 	name := s.socket(s.number)
-	_ = os.Remove(name) // of a process that was killed and had the same number in an earlier file
+	_ = os.Remove(name) // left by a process that was killed and had the same number in an earlier state file
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
 	if err != nil {
 		return nil, err
@@ -92,7 +91,7 @@
 	return r, nil
 }
 
-// accept takes calls until the receiver is closed, or is retired and has taken what was queued.
+// accept accepts senders until the receiver is closed, or until it is draining and has accepted those that were queued.
 func (r *Receiver) accept(take func(*net.UnixConn)) {
 	for draining := false; ; {
 		conn, err := r.ln.AcceptUnix()
@@ -100,7 +99,8 @@
 		case err == nil:
 			take(conn)
 		case errors.Is(err, os.ErrDeadlineExceeded) && !draining:
-			// The deadline is looked at before the queue: only a later one lets what is queued be taken.
+			// An expired deadline is checked before the accept queue: queued senders can be accepted only after the deadline is
+			// moved.
 			draining = true
 			_ = r.ln.SetDeadline(time.Now().Add(acceptTimeout))
 		default:
@@ -112,32 +112,33 @@
 
 func (s *Store) socket(number int) string { return fmt.Sprintf("%s.%d.sock", s.path, number) }
 
-// Retire ends receiving once the calls that have come are taken: no earlier process is there that could make another one.
+// DrainAndClose stops accepting once the queued senders are accepted. It is called when no earlier process is left that could
+// connect.
 func (r *Receiver) DrainAndClose() { _ = r.ln.SetDeadline(time.Now()) }
 
-// Close ends receiving from processes that have not called yet.
+// Close stops accepting senders; those already accepted are not affected.
 func (r *Receiver) Close() { _ = r.ln.Close() }
 
 func (s *Store) receive(conn *net.UnixConn, take func(Passed)) {
 	defer conn.Close()
-	head, rights := make([]byte, maxPacket), make([]byte, unix.CmsgSpace(2*4))
+	head, control := make([]byte, maxPacket), make([]byte, unix.CmsgSpace(2*4))
 	for {
-		n, nr, _, _, err := conn.ReadMsgUnix(head, rights)
+		n, controlLen, _, _, err := conn.ReadMsgUnix(head, control)
 		if err != nil || n == 0 {
 			return
 		}
-		p, err := parsePassed(head[:n], rights[:nr])
+		p, err := parsePassed(head[:n], control[:controlLen])
 		if err != nil {
-			s.log.Warn("a connection that was handed over cannot be taken", "error", err)
+			s.log.Warn("could not receive a connection that was handed over", "error", err)
 			continue
 		}
 		take(p)
 	}
 }
 
-func parsePassed(head, rights []byte) (Passed, error) {
+func parsePassed(head, control []byte) (Passed, error) {
 	var fds []int
-	messages, err := unix.ParseSocketControlMessage(rights)
+	messages, err := unix.ParseSocketControlMessage(control)
 	for _, m := range messages {
 		if got, e := unix.ParseUnixRights(&m); e == nil {
 			fds = append(fds, got...)
@@ -148,7 +149,7 @@
 		err = json.Unmarshal(head, &p)
 	}
 	if err == nil && len(fds) != 2 {
-		err = errors.New("it has not two descriptors")
+		err = errors.New("the packet does not carry two descriptors")
 	}
 	if err != nil {
 		for _, fd := range fds {
--- a/internal/handover/pass_test.go
+++ b/internal/handover/pass_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// descriptors returns those of a connection's two ends.
+// descriptors returns two descriptors that stand in for the two sides of a connection.
 func descriptors(t *testing.T) (one, other int) {
 	t.Helper()
 	a, b, err := os.Pipe()
@@ -18,9 +18,9 @@
 	return int(a.Fd()), int(b.Fd())
 }
 
-// An earlier process hands its connections over and ends. The later one takes what is queued, also where its own goroutine has not run
-// since, and then holds no socket any more: one descriptor of each upgraded node was left over for as long as its process ran ("n0
-// holds 27, and held 16", with ten hosts; a Unix socket was the one too many).
+// An earlier process hands over its connections and exits. The later one must accept the queued sender, even if its accepting
+// goroutine has not run since, and then close and remove its socket. The fault: each upgraded process kept one descriptor, the
+// Unix socket, open for as long as it ran (a test reported "n0 holds 27, and held 16", with ten hosts).
 func TestDrainAndCloseAcceptsQueuedConnections(t *testing.T) {
 	dir := t.TempDir()
 	earlier, _, _ := joinProcess(t, dir)
@@ -30,7 +30,7 @@
 	require.NoError(t, err)
 	r := &Receiver{ln}
 
-	sender, err := earlier.Dial(later.Number()) // queued: nobody accepts yet
+	sender, err := earlier.Dial(later.Number()) // queued, as accept is not running yet
 	require.NoError(t, err)
 	client, host := descriptors(t)
 	require.NoError(t, sender.Send(Passed{ID: "7", Client: client, Host: host}))
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -1,6 +1,6 @@
-// Package handover is what the processes of one node share while a new version takes over from an old one: a small file
-// with the bans, the drain and the processes themselves, and a lock beside it. It knows nothing of sockets and decides
-// nothing.
+// Package handover holds the state that the processes of one node share while a new version takes over from an old one: a small
+// file with the bans, the drain flag and the list of processes, with a lock file next to it. It also passes open connections
+// between these processes. Which connections are passed, and when, is decided by the caller.
 package handover
 
 import (
@@ -12,26 +12,26 @@
 	"time"
 )
 
-// version is that of the file's form. A file of another one is not read.
+// version is the version of the file format. A file of another version is not read.
 const version = 1
 
-// State is what is shared. Times are since the start of 1970, as the node's clock tells them.
+// State is the shared state. Times count from the Unix epoch by the node's clock.
 type State struct {
-	Bans      map[string]time.Duration // hosts out by hand, since when
-	Draining  bool                     `json:"Drained"` // the node is to be empty
-	Processes []Process                // in the order of their starts; those that ended are gone
+	Bans      map[string]time.Duration // hosts banned by an operator, with the time of the ban
+	Draining  bool                     `json:"Drained"` // an operator drains the node
+	Processes []Process                // in the order of their starts, without those that have exited
 }
 
 // Process is one process of the node.
 type Process struct {
-	Number      int  // the later, the higher
-	Slot        int  // the byte of the lock file that it holds
-	PID         int  // for the log
-	Ready       bool // its door is open and it has a list
-	Descriptors int  `json:"Links"` // descriptors that it holds, as last told
+	Number      int  // a later process has a higher number
+	Slot        int  // index of the byte of the lock file that it locks
+	PID         int  // for log messages
+	Ready       bool // it accepts connections and has a list of hosts
+	Descriptors int  `json:"Links"` // number of open file descriptors, as last reported
 }
 
-// Successor returns the number of the latest process that is ready and came after another one, or 0.
+// Successor returns the highest number of a ready process that was started after the given one, or 0 if there is none.
 func (s State) Successor(number int) (successor int) {
 	for _, p := range s.Processes {
 		if p.Number > number && p.Ready {
@@ -41,20 +41,20 @@
 	return successor
 }
 
-// Succeeded says whether a process that came later than another one is ready.
+// Superseded reports whether a process started after the given one is ready.
 func (s State) Superseded(number int) bool { return s.Successor(number) > 0 }
 
-// Preceded says whether a process that came earlier is there.
+// HasEarlier reports whether a process started before the given one still exists.
 func (s State) HasEarlier(number int) bool {
 	return slices.ContainsFunc(s.Processes, func(p Process) bool { return p.Number < number })
 }
 
-// Followed says whether a process that came later is there, ready or not.
+// HasLater reports whether a process started after the given one exists, ready or not.
 func (s State) HasLater(number int) bool {
 	return slices.ContainsFunc(s.Processes, func(p Process) bool { return p.Number > number })
 }
 
-// Others returns how many other processes there are and how many descriptors they hold.
+// Others returns the number of other processes and the number of descriptors that they hold together.
 func (s State) Others(number int) (processes, descriptors int) {
 	for _, p := range s.Processes {
 		if p.Number != number {
@@ -74,7 +74,7 @@
 	return &s.Processes[i]
 }
 
-// Clone returns a copy that shares nothing with the state and whose Bans can be changed.
+// Clone returns a deep copy, with Bans never nil.
 func (s State) Clone() State {
 	s.Bans = maps.Clone(s.Bans)
 	if s.Bans == nil {
@@ -84,7 +84,7 @@
 	return s
 }
 
-// file is the state as it is written. End is last: a file that was cut lacks it.
+// file is the written form of the state. End is the last field, so that it is missing from a truncated file.
 type file struct {
 	Version int
 	State
@@ -99,13 +99,13 @@
 func decode(raw []byte) (State, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return State{}, fmt.Errorf("cut or malformed: %w", err)
+		return State{}, fmt.Errorf("truncated or malformed: %w", err)
 	}
 	switch {
 	case f.Version != version:
-		return State{}, fmt.Errorf("of version %d, not %d", f.Version, version)
+		return State{}, fmt.Errorf("has version %d, not %d", f.Version, version)
 	case !f.End:
-		return State{}, errors.New("cut: its end is missing")
+		return State{}, errors.New("truncated: its end is missing")
 	}
 	return f.State.Clone(), nil
 }
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	// lookEvery is how often a process looks whether another one has changed the file or ended.
+	// pollInterval is how often a process checks whether another one has changed the file or exited.
 	pollInterval = 20 * time.Millisecond
-	// lockWithin is how long a change waits for the lock, which is held for less than a millisecond at a time.
+	// lockTimeout is how long a change waits for the lock, which is held for less than a millisecond at a time.
 	lockTimeout       = 500 * time.Millisecond
 	lockRetryInterval = time.Millisecond
-	// slots is how many processes of one node there may be at once.
+	// maxProcesses is the maximum number of processes of one node at the same time.
 	maxProcesses = 16
-	// backlog is how many changes may wait. Whoever calls does not wait for them.
+	// maxQueuedChanges limits the queued changes. Callers do not block on them.
 	maxQueuedChanges = 64
 )
 
-// The bytes of the lock file: the first is held while the file is read and written, each of the others by one process.
+// Offsets of the locked bytes in the lock file. The first byte is locked while the state file is read and written. Each of the
+// others is locked by one process for as long as it runs.
 const (
 	mutexByte = 0
 	firstSlot = 1
 )
 
 var (
-	errLocked = errors.New("another process holds the lock of the shared file")
-	errBusy   = errors.New("too many changes of the shared file wait already")
+	errLocked = errors.New("another process holds the lock of the shared state file")
+	errBusy   = errors.New("too many changes of the shared state file are queued")
 )
 
-// Store is a process's hold on the shared file. Its methods may be called from any goroutine.
+// Store gives a process access to the shared state file. Its methods may be called from any goroutine.
 type Store struct {
 	log      *slog.Logger
 	path     string
@@ -53,9 +54,9 @@
 	once     sync.Once
 	watching bool
 
-	// These belong to the goroutine of the store.
+	// The fields below are used only by the store's goroutine once Watch has started it.
 	last     State
-	lastInfo fs.FileInfo // the file as last read
+	lastInfo fs.FileInfo // of the state file when it was last read or written
 }
 
 type change struct {
@@ -63,9 +64,9 @@
 	done  func(State, error)
 }
 
-// Join opens the file of a node in a folder, or makes it, and enters this process. tell is called with every state that
-// differs from the last, from a goroutine of the store's own, once Watch was called. A file that cannot be read is
-// replaced, and the log says so; an error says that nothing can be shared here.
+// Join opens or creates the state file of a node in a directory and adds this process to it. After Watch, the store's own
+// goroutine calls notify with every state that differs from the one before. A file that cannot be read is replaced, with a
+// warning in the log. An error means that state cannot be shared in this directory.
 func Join(log *slog.Logger, dir, node string, notify func(State)) (*Store, State, error) {
 	s := &Store{log: log, path: filepath.Join(dir, "lichenhitch-"+url.PathEscape(node)+".state"), notify: notify,
 		changes: make(chan change, maxQueuedChanges), stop: make(chan struct{}), stopped: make(chan struct{})}
@@ -84,7 +85,7 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("%d processes of this node are there already", maxProcesses)
+		return fmt.Errorf("%d processes of this node are running already", maxProcesses)
 	})
 	if err != nil {
 		s.lock.Close()
@@ -93,17 +94,18 @@
 	return s, s.last.Clone(), nil
 }
 
-// Number returns this process's own number.
+// Number returns the number of this process.
 func (s *Store) Number() int { return s.number }
 
-// Watch begins to carry changes out and to look for those of others.
+// Watch starts the goroutine that applies queued changes and polls for those of other processes.
 func (s *Store) Watch() {
 	s.watching = true
 	go s.run()
 }
 
-// Change has the state changed and calls done, from the store's goroutine, with the new state once that stands in the
-// file, or with an error and the state as it was. It never waits; after Leave, done is not called any more.
+// Change queues a change of the state. The store's goroutine calls done with the new state once it is written to the file, or
+// with an error and the unchanged state. Change never blocks. If the queue is full, it calls done with an error at once. After
+// Leave, queued changes are discarded without a call of done.
 func (s *Store) Change(apply func(*State), done func(State, error)) {
 	select {
 	case s.changes <- change{apply, done}:
@@ -112,7 +114,7 @@
 	}
 }
 
-// Own changes the entry of this process.
+// ChangeOwn queues a change of this process's entry.
 func (s *Store) ChangeOwn(apply func(*Process), done func(State, error)) {
 	s.Change(func(st *State) {
 		if p := st.process(s.number); p != nil {
@@ -121,7 +123,7 @@
 	}, done)
 }
 
-// Leave takes this process out of the file and ends the watch.
+// Leave removes this process from the file and stops the store's goroutine.
 func (s *Store) Leave() {
 	s.once.Do(func() {
 		if close(s.stop); s.watching {
@@ -129,7 +131,7 @@
 		} else {
 			s.run()
 		}
-		s.lock.Close() // gives up all locks too
+		s.lock.Close() // also releases all locks
 	})
 }
 
@@ -152,10 +154,10 @@
 				return nil
 			})
 			if err != nil {
-				s.log.Error("the shared file could not be changed", "error", err)
+				s.log.Error("could not change the shared state file", "error", err)
 			}
 			c.done(s.last.Clone(), err)
-			s.notifyIfChanged(before) // what others have changed since the last look came along
+			s.notifyIfChanged(before) // the update may also have read changes that other processes made since the last poll
 		case <-ticker.C:
 			before := s.last.Clone()
 			s.poll()
@@ -164,26 +166,26 @@
 	}
 }
 
-// news tells the state unless it is as it was.
+// notifyIfChanged calls notify if the state differs from before.
 func (s *Store) notifyIfChanged(before State) {
 	if !reflect.DeepEqual(before, s.last.Clone()) {
 		s.notify(s.last.Clone())
 	}
 }
 
-// look reads the file if it was replaced, and leaves out processes that have ended.
+// poll reads the file if it was replaced, and removes processes that have exited from the state in memory.
 func (s *Store) poll() {
 	if info, err := os.Stat(s.path); err == nil && s.lastInfo != nil && os.SameFile(info, s.lastInfo) &&
 		info.ModTime().Equal(s.lastInfo.ModTime()) {
 		s.last.Processes = s.alive(s.last.Processes)
 		return
 	}
-	if st, err := s.read(); err == nil { // what another process replaces is whole
+	if st, err := s.read(); err == nil { // other processes replace the file atomically
 		s.last = st
 	}
 }
 
-// read reads the file.
+// read reads the state file and leaves out processes that have exited.
 func (s *Store) read() (State, error) {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -202,7 +204,7 @@
 	return st, nil
 }
 
-// update changes the file under the lock: what it holds is read, changed, written beside and renamed.
+// update changes the state file under the lock: it reads the state, applies the change, writes a temporary file and renames it.
 func (s *Store) update(apply func(*State) error) error {
 	if err := s.acquireMutex(); err != nil {
 		return err
@@ -211,9 +213,9 @@
 	st, err := s.read()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		st = s.last.Clone() // at the start, nothing; later, somebody removed it
+		st = s.last.Clone() // empty at the start; later, the file was removed
 	case err != nil:
-		s.log.Warn("the shared file cannot be read and is replaced", "error", err)
+		s.log.Warn("could not read the shared state file; replacing it", "error", err)
 		st = s.last.Clone()
 	}
 	if err := apply(&st); err != nil {
@@ -235,14 +237,14 @@
 	return nil
 }
 
-// living returns the processes that have not ended.
+// alive returns the processes that have not exited.
 func (s *Store) alive(all []Process) []Process {
 	return slices.DeleteFunc(slices.Clone(all), func(p Process) bool {
 		return p.Number != s.number && !s.isLocked(firstSlot+p.Slot)
 	})
 }
 
-// await waits for the lock.
+// acquireMutex waits for the lock of the state file, up to lockTimeout.
 func (s *Store) acquireMutex() error {
 	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err := s.lockByte(mutexByte)
@@ -255,8 +257,8 @@
 	}
 }
 
-// hold locks one byte, unless another process has. The locks belong to the open file, so that they end with the process
-// and two stores of one process are two.
+// lockByte locks one byte, or returns an error if another store has locked it. The locks belong to the open file description
+// (OFD locks): they end with the process, and two stores in one process exclude each other.
 func (s *Store) lockByte(offset int) error { return s.setLock(unix.F_WRLCK, offset) }
 
 func (s *Store) setLock(kind int16, offset int) error {
@@ -264,7 +266,7 @@
 	return unix.FcntlFlock(s.lock.Fd(), unix.F_OFD_SETLK, &lock)
 }
 
-// held says whether another open file has a byte locked.
+// isLocked reports whether another open file description holds the lock of a byte.
 func (s *Store) isLocked(offset int) bool {
 	lock := unix.Flock_t{Type: unix.F_WRLCK, Start: int64(offset), Len: 1}
 	return unix.FcntlFlock(s.lock.Fd(), unix.F_OFD_GETLK, &lock) == nil && lock.Type != unix.F_UNLCK
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -90,8 +90,8 @@
 		}
 	case errors.As(err, &actionable):
 		own = &Error{Kind: Refused, Message: actionable.Error(), Remedy: actionable.Action()}
-		if what, do, cut := splitRemedy(own.Message); cut && do == own.Remedy {
-			own.Message = what
+		if message, remedy, cut := splitRemedy(own.Message); cut && remedy == own.Remedy {
+			own.Message = message
 		}
 	default:
 		own = &Error{Kind: Internal, Message: err.Error(), Remedy: remedyReport}
@@ -112,8 +112,8 @@
 	} else {
 		e.Message = err.Error()
 	}
-	if what, do, cut := splitRemedy(e.Message); cut && connect.IsWireError(err) {
-		e.Message, e.Remedy = strings.TrimPrefix(what, call+": "), do
+	if message, remedy, cut := splitRemedy(e.Message); cut && connect.IsWireError(err) {
+		e.Message, e.Remedy = strings.TrimPrefix(message, call+": "), remedy
 	}
 	if len(e.Message) > maxText {
 		e.Message = strings.ToValidUTF8(e.Message[:maxText], "") + "…"
@@ -149,7 +149,7 @@
 // maxText is the maximum length of a peer's message or remedy that is passed on, in bytes.
 const maxText = 2000
 
-func splitRemedy(text string) (what, do string, cut bool) {
+func splitRemedy(text string) (message, remedy string, cut bool) {
 	i := strings.LastIndex(text, remedyMarker)
 	if i < 0 {
 		return text, "", false
--- a/internal/peer/lane_test.go
+++ b/internal/peer/lane_test.go
@@ -62,11 +62,11 @@
 // if that is earlier.
 func TestCallsDuringBackoffAreMadeOrTimeOut(t *testing.T) {
 	for at := time.Duration(0); at < testBackoff; at += step {
-		for within := step / 2; within < 2*testBackoff; within += 3 * step {
+		for timeout := step / 2; timeout < 2*testBackoff; timeout += 3 * step {
 			duringBackoff(t, func(p *backoffClient) {
 				time.Sleep(at)
-				ask := p.call(p.c.general, "Ask", within, 0)
-				replay := p.call(p.c.general, "Replay", within, 0)
+				ask := p.call(p.c.general, "Ask", timeout, 0)
+				replay := p.call(p.c.general, "Replay", timeout, 0)
 				assert.Equal(t, outcome{ran: true, at: at}, <-replay, "a replay must skip the backoff, even behind another call")
 				want := outcome{ran: true, at: at} // the replay has reached the peer, which ends the backoff
 				assert.Equal(t, want, <-ask)
@@ -74,10 +74,10 @@
 			duringBackoff(t, func(p *backoffClient) {
 				time.Sleep(at)
 				want := outcome{ran: true, at: testBackoff}
-				if at+within < testBackoff {
-					want = outcome{kind: TimedOut, at: at + within}
+				if at+timeout < testBackoff {
+					want = outcome{kind: TimedOut, at: at + timeout}
 				}
-				assert.Equal(t, want, <-p.call(p.c.general, "Ask", within, 0), "at %v, within %v", at, within)
+				assert.Equal(t, want, <-p.call(p.c.general, "Ask", timeout, 0), "at %v, within %v", at, timeout)
 			})
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -361,9 +361,9 @@
 	n, s := serve(t, Limits{HeaderTimeout: time.Hour}) // Close must not wait for an idle connection
 	n.ask = nil
 	c := client(t, s.Addr(), ClientLimits{})
-	silent, err := net.Dial("tcp", s.Addr())
+	idle, err := net.Dial("tcp", s.Addr())
 	require.NoError(t, err)
-	defer silent.Close()
+	defer idle.Close()
 	answers, done := collect[peerpb.TurnReply]()
 	c.Ask(&peerpb.AskRequest{Host: "g1"}, done)
 	assert.Equal(t, "ask g1", <-n.asked)
@@ -380,7 +380,7 @@
 	c.Close()
 	c.Ask(&peerpb.AskRequest{}, done)
 	assert.Equal(t, Closed, kindOf(t, (<-answers).err))
-	silent.Close()
+	idle.Close()
 	require.Eventually(t, func() bool { return len(leakedGoroutines()) == 0 }, waitTimeout, time.Millisecond, "no goroutine may be left")
 }
 
@@ -482,11 +482,11 @@
 					tc.speak(c)
 				}
 			})
-			within := 20 * time.Second
+			timeout := 20 * time.Second
 			if tc.kind == TimedOut {
-				within = 100 * time.Millisecond
+				timeout = 100 * time.Millisecond
 			}
-			c := client(t, addr, ClientLimits{CallTimeout: within, MaxBody: 1 << 16})
+			c := client(t, addr, ClientLimits{CallTimeout: timeout, MaxBody: 1 << 16})
 			answers, done := collect[peerpb.TurnReply]()
 			c.Ask(&peerpb.AskRequest{}, done)
 			a := <-answers
