--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,5 +1,5 @@
-// Package management answers the operators' calls: one object for each connection to the management address, HTTP/1.1,
-// one call to a connection. It decides nothing: what is called for is the node's to do or to refuse.
+// Package management implements the operator API on the management address: HTTP/1.1 with one call per connection. It only
+// translates calls; the Node executes or refuses them.
 package management
 
 import (
@@ -15,50 +15,51 @@
 )
 
 const (
-	// maxLinks is how many connections operators may hold. Beyond it the oldest that waits for no answer goes.
+	// maxConns is the number of operator connections above which the oldest one without a pending call is closed.
 	maxConns = 16
-	// callWithin is how long a call may take to come.
+	// requestTimeout is how long a request may take to arrive.
 	requestTimeout = 2 * time.Second
-	// answerWithin is how long the node may take over a call; an answer is due within 1 s.
+	// answerTimeout is how long the node may take to execute a call; an answer is due within 1 s.
 	answerTimeout = 900 * time.Millisecond
 )
 
-// ErrUnknown says that no host of that id is known. Node wraps it.
-var ErrUnknown = errors.New("no host of that id is known")
+// ErrUnknown means that no host with the given id is known. Implementations of Node wrap it.
+var ErrUnknown = errors.New("no host with this id is known")
 
-// errLate says that the effect of a call does not stand yet; it may still come to.
-var errTimeout = errors.New("not done in time; call again to learn whether it holds")
+// errTimeout means that a call has not taken effect yet; it may still do so.
+var errTimeout = errors.New("the call has not taken effect in time; call again to see whether it has")
 
-// Node carries calls out. done is called once, at once or later, on the loop: with nil once the effect stands.
+// Node executes calls. It calls done once, immediately or later, on the event loop: with nil as soon as the call has taken
+// effect.
 type Node interface {
-	// Ready returns nil where the node is ready to serve, or says why it is not.
+	// Ready returns nil if the node is ready to serve, or the reason why it is not.
 	Ready() error
-	// Suspend sees to it that nothing more goes to a host, until Resume.
+	// Suspend stops the node from sending new work to a host, until Resume.
 	Suspend(host string, done func(error))
 	Resume(host string, done func(error))
-	// Drain empties the node, until Activate.
+	// Drain drains the node of connections, until Activate.
 	Drain(done func(error))
 	Activate(done func(error))
 }
 
-// Desk takes the connections of operators.
+// API handles the connections of operators.
 type API struct {
 	log   *slog.Logger
 	loop  *evloop.Loop
 	node  Node
-	conns []*caller // the latest, the oldest first
+	conns []*caller // the most recent connections, oldest first
 }
 
-// New returns a desk that hands calls on to a node.
+// New returns an API that hands calls to a node.
 func New(log *slog.Logger, loop *evloop.Loop, node Node) *API {
 	return &API{log: log, loop: loop, node: node}
 }
 
-// Accept gives a connection its handler. It is the first to go when there are too many, as those of clients are that
-// have not asked yet.
+// Accept returns the handler of a new connection. The connection is evictable until it has made a call, like client connections
+// without a request: it is closed first when the loop has too many connections.
 func (d *API) Accept(conn *evloop.Conn) evloop.Handler {
 	c := &caller{api: d, conn: conn}
-	c.timer = d.loop.After(requestTimeout, func() { c.fail(408, errors.New("no call has come")) })
+	c.timer = d.loop.After(requestTimeout, func() { c.fail(408, errors.New("no complete call received in time")) })
 	conn.SetEvictable(true)
 	if d.conns = append(d.conns, c); len(d.conns) > maxConns {
 		d.evictOldest()
@@ -66,32 +67,32 @@
 	return c
 }
 
-// makeRoom ends the oldest connection that waits for no answer. Those that do are as many as calls are under way, each
+// evictOldest closes the oldest connection without a pending call. Connections with a pending call are kept; each of them waits
 // for less than a second.
 func (d *API) evictOldest() {
 	for i, c := range d.conns {
 		if !c.pending {
 			c.timer.Stop()
-			c.conn.Close() // does nothing to one that is over
+			c.conn.Close() // has no effect on a closed connection
 			d.conns = append(d.conns[:i], d.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// caller is one connection.
+// caller is the connection of one caller.
 type caller struct {
 	api      *API
 	conn     *evloop.Conn
-	timer    *evloop.Timer // of the call, then of its answer
-	pending  bool          // for the node
-	answered bool          // answered
+	timer    *evloop.Timer // time limit of the request, then of the answer
+	pending  bool          // the node is executing its call
+	answered bool          // answered or closed
 }
 
-// Opened implements evloop.Handler. The caller speaks first.
+// Opened implements evloop.Handler. It does nothing: the caller sends first.
 func (c *caller) Opened() {}
 
-// Received implements evloop.Handler. What follows a call on its connection is not read: it is one call to a connection.
+// Received implements evloop.Handler. Data after the first call is discarded: a connection carries one call.
 func (c *caller) Received() {
 	if c.pending || c.answered {
 		c.conn.Discard(len(c.conn.Peek()))
@@ -109,13 +110,13 @@
 	}
 }
 
-// Closed implements evloop.Handler. What a caller asked for is done though it leaves before the answer.
+// Closed implements evloop.Handler. A call is executed even if its caller disconnects before the answer.
 func (c *caller) Closed(error) {
 	c.answered = true
 	c.timer.Stop()
 }
 
-// route finds what a path names.
+// route executes the call that the path names.
 func (c *caller) route(call http1.Request) {
 	node := c.api.node
 	host, isHost := strings.CutPrefix(call.Path, "/v1/hosts/")
@@ -138,13 +139,13 @@
 	}
 }
 
-// cutLast cuts a path before its last part.
+// splitLast splits a path before its last element.
 func splitLast(path string) (before, last string) {
 	i := strings.LastIndexByte(path, '/')
 	return path[:max(i, 0)], path[i+1:]
 }
 
-// permit says whether the call comes with the method that its path takes, and answers where it does not.
+// requireMethod reports whether the call uses the method that its path requires, and answers with an error if not.
 func (c *caller) requireMethod(call http1.Request, method string) bool {
 	if call.Method == method {
 		return true
@@ -153,7 +154,7 @@
 	return false
 }
 
-// post has the node do something and answers once that stands.
+// post has the node execute a call and answers when it has taken effect.
 func (c *caller) post(call http1.Request, do func(done func(error))) {
 	if !c.requireMethod(call, "POST") {
 		return
@@ -176,7 +177,7 @@
 	default:
 		c.answer(200, "", jsonBody("done", strings.TrimPrefix(call.Path, "/v1/")))
 	}
-	c.api.log.Info("an operator called", "path", call.Path, "error", err)
+	c.api.log.Info("operator call", "path", call.Path, "error", err)
 }
 
 func (c *caller) answerReady(err error) {
@@ -189,7 +190,7 @@
 
 func (c *caller) fail(status int, err error) { c.answer(status, "", jsonBody("error", err.Error())) }
 
-// answer says the last words.
+// answer sends the response and closes the connection after it.
 func (c *caller) answer(status int, allow string, content []byte) {
 	c.pending, c.answered = false, true
 	c.timer.Stop()
@@ -197,7 +198,7 @@
 	c.conn.LingeringClose()
 }
 
-// body is an object of one key.
+// jsonBody returns a JSON object with one key.
 func jsonBody(key, text string) []byte {
 	object := append([]byte(`{"`+key+`":`), gjson.AppendJSONString(nil, text)...)
 	return append(object, "}\n"...)
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -16,11 +16,11 @@
 	"lichenhitch/internal/evloop"
 )
 
-// scripted is a node that knows one host and notes what it is asked for.
+// scripted is a node that knows one host and records its calls.
 type scripted struct {
 	loop       *evloop.Loop
 	asked      chan string
-	holdResume bool // resume is not answered
+	holdResume bool // Resume does not call done
 }
 
 func (n *scripted) Ready() error { return errors.New("the list is \"old\"") }
@@ -62,7 +62,7 @@
 	return c
 }
 
-// call sends a text and returns the status and the body that come back before the connection ends.
+// call sends a request and returns the status and the body that are received before the connection is closed.
 func call(t *testing.T, addr, text string) (string, string) {
 	t.Helper()
 	c := connect(t, addr)
@@ -82,7 +82,7 @@
 		{"POST /v1/hosts/s-1/suspend", "200", `{"done":"hosts/s-1/suspend"}`, "suspend s-1"},
 		{"POST /v1/hosts/s%2D1/suspend", "200", `{"done":"hosts/s-1/suspend"}`, "suspend s-1"},
 		{"POST /v1/hosts/a/b/resume", "200", `{"done":"hosts/a/b/resume"}`, "resume a/b"},
-		{"POST /v1/hosts/s-9/suspend", "404", `{"error":"no host of that id is known: s-9"}`, "suspend s-9"},
+		{"POST /v1/hosts/s-9/suspend", "404", `{"error":"no host with this id is known: s-9"}`, "suspend s-9"},
 		{"POST /v1/node/drain", "200", `{"done":"node/drain"}`, "drain"},
 		{"POST /v1/node/activate", "503", `{"error":"no"}`, "activate"},
 		{"GET /v1/node/drain", "405", `{"error":"this path takes POST"}`, ""},
@@ -101,7 +101,7 @@
 	assert.Empty(t, n.asked)
 }
 
-// A body that nobody asked for and a second call on the same connection change nothing and destroy no answer.
+// An unexpected request body or a second call on the same connection must have no effect and must not prevent the answer.
 func TestInvalidCallsAreAnsweredWithoutEffect(t *testing.T) {
 	n, addr := startAPI(t)
 	for text, want := range map[string]string{
@@ -134,10 +134,11 @@
 	require.NoError(t, c.Close())
 	assert.Equal(t, "suspend s-1", <-n.asked)
 	status, _ := call(t, addr, "GET /v1/readyz HTTP/1.1\r\n\r\n")
-	assert.Equal(t, "503", status, "the desk goes on")
+	assert.Equal(t, "503", status, "the API must still answer")
 }
 
-// Callers that send nothing, or half a call, and stay: the oldest make way, and those that come late in the day are told.
+// Callers send nothing or part of a request and stay connected. The oldest of them must be closed, the latest must get status
+// 408, and complete calls must still be answered.
 func TestStalledCallersAreEvicted(t *testing.T) {
 	n, addr := startAPI(t)
 	var stalled []net.Conn
@@ -152,16 +153,16 @@
 	}
 	var held int
 	n.loop.Call(func() { held = n.loop.ActiveConns() })
-	assert.Zero(t, held, "all of them may be ended when clients need the room")
+	assert.Zero(t, held, "all of them must be evictable when clients need connections")
 	_, err := stalled[0].Read(make([]byte, 1))
-	require.Error(t, err, "the oldest had to go")
+	require.Error(t, err, "the oldest connection must be closed")
 	all, err := io.ReadAll(stalled[len(stalled)-1])
 	require.NoError(t, err)
 	assert.Contains(t, string(all), "408 Request Timeout")
 	assert.Empty(t, n.asked)
 }
 
-// A call whose effect does not come to stand is answered in time all the same, and its caller is not put off for others.
+// A call that does not take effect must still be answered on time, and its connection must not be evicted for others.
 func TestSlowCallIsAnsweredOnTime(t *testing.T) {
 	n, addr := startAPI(t)
 	n.loop.Call(func() { n.holdResume = true })
