--- a/cmd/lichenhitch/node_test.go
+++ b/cmd/lichenhitch/node_test.go
@@ -648,7 +648,7 @@
 	hup()
 	refused := p.logged("level=ERROR")
 	assert.Contains(t, refused, "settings.safety.drain_grace_us: 0 is out of range")
-	assert.Contains(t, refused, "action=\"mend settings.safety.drain_grace_us")
+	assert.Contains(t, refused, "action=\"correct settings.safety.drain_grace_us")
 	assert.Empty(t, after.asked, "nothing was taken, not even the address")
 	assert.Empty(t, before.asked, "the watch at the same address was not disturbed")
 	p.write(after.Addr().String(), known)
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two deployments, with all that a node needs to be told.
+// The settings of two deployments, with all required keys.
 const (
 	buildingSettings = `{"areas":["g"],"my_zone":"g","balancers":2,"registry_mode":"ask","weight_source":"nominal",
 "permissions":{"connect_timeout_us":250000,"max_attempts":4,"max_retry_after_us":1500000,"probes":true,"retry_after":true},
@@ -25,28 +25,28 @@
 "request_classes":[{"name":"c","semantics":"read_like","aim_us":500000,"deadline_us":2000000,"points":1}]}`
 )
 
-// with returns an object with the value under a path replaced, or left out.
+// replaced returns a JSON object with the value at a path replaced or removed.
 func replaced(t *testing.T, text, path string, value any, remove bool) []byte {
 	t.Helper()
 	var root any
 	require.NoError(t, json.Unmarshal([]byte(text), &root))
-	at, parts := root, strings.Split(path, ".")
+	node, parts := root, strings.Split(path, ".")
 	for i, part := range parts {
-		if list, is := at.([]any); is {
-			if at = list[0]; i == len(parts)-1 {
+		if list, isList := node.([]any); isList {
+			if node = list[0]; i == len(parts)-1 {
 				list[0] = value
 			}
 			continue
 		}
-		in := at.(map[string]any)
-		require.Contains(t, in, part)
+		object := node.(map[string]any)
+		require.Contains(t, object, part)
 		switch {
 		case i < len(parts)-1:
-			at = in[part]
+			node = object[part]
 		case remove:
-			delete(in, part)
+			delete(object, part)
 		default:
-			in[part] = value
+			object[part] = value
 		}
 	}
 	raw, err := json.Marshal(root)
@@ -54,8 +54,8 @@
 	return raw
 }
 
-// Each key that a node needs is left out, and put out of range, in the settings of both deployments. The usual grace of
-// a drain was two seconds where the settings told none, and a host that nothing was told of was never taken for cold.
+// Each required key is removed, and set out of range, in the settings of both deployments. The fault: missing keys had defaults
+// that suited one deployment; the drain grace was two seconds, and a host without settings was never treated as cold.
 func TestMissingAndOutOfRangeKeysAreNamed(t *testing.T) {
 	assertNamed := func(raw []byte, key string, missing bool) {
 		t.Helper()
@@ -80,11 +80,11 @@
 		require.NoError(t, err)
 		require.NoError(t, Check(set))
 		for _, b := range all {
-			for _, odd := range []any{b.min - 1, b.max * 1.01, "many", true} {
-				assertNamed(replaced(t, text, b.key, odd, false), b.key, false)
+			for _, invalid := range []any{b.min - 1, b.max * 1.01, "many", true} {
+				assertNamed(replaced(t, text, b.key, invalid, false), b.key, false)
 			}
-			for _, sound := range []any{b.min, b.max} {
-				assert.NoError(t, CheckComplete(replaced(t, text, b.key, sound, false)), b.key)
+			for _, valid := range []any{b.min, b.max} {
+				assert.NoError(t, CheckComplete(replaced(t, text, b.key, valid, false)), b.key)
 			}
 		}
 		for _, w := range enums {
@@ -101,7 +101,7 @@
 	assertNamed(replaced(t, buildingSettings, "permissions.max_retry_after_us", nil, true), "permissions.max_retry_after_us", true)
 	assertNamed(replaced(t, twoCentreSettings, "tariffs.cross_zone", nil, true), "tariffs.cross_zone", true)
 	for _, key := range []string{"permissions.max_retry_after_us", "tariffs.moves", "extra.message_aim_us"} {
-		assert.NoError(t, CheckComplete(replaced(t, twoCentreSettings, key, nil, true)), "%s is not needed there", key)
+		assert.NoError(t, CheckComplete(replaced(t, twoCentreSettings, key, nil, true)), "%s is not required there", key)
 	}
-	assert.NoError(t, CheckComplete(replaced(t, buildingSettings, "tariffs.cross_zone", nil, true)), "there is nothing to cross")
+	assert.NoError(t, CheckComplete(replaced(t, buildingSettings, "tariffs.cross_zone", nil, true)), "there is only one zone")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the object that an instance is told at its start, as the simulator's first message
-// and the node's configuration both hold it.
+// Package settings decodes the settings object of an instance, which is part of the node's configuration and of the simulator's
+// first message.
 package settings
 
 import (
@@ -21,74 +21,74 @@
 	"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
 }
 
-// Decode reads the settings. Unknown keys are passed over, absent ones leave their field zero; a key that is faulty
-// makes a *KeyError.
+// Decode reads the settings. It ignores unknown keys, leaves the fields of absent keys zero, and returns a *KeyError for an
+// invalid key.
 func Decode(raw []byte) (balance.Settings, error) {
 	if !gjson.ValidBytes(raw) {
 		return balance.Settings{}, errors.New("not valid JSON")
 	}
-	in := reader{root: gjson.ParseBytes(raw)}
-	if !in.root.IsObject() {
+	input := reader{root: gjson.ParseBytes(raw)}
+	if !input.root.IsObject() {
 		return balance.Settings{}, errors.New("not an object")
 	}
-	out := balance.Settings{
-		Self: in.count("me"), Balancers: in.count("balancers"), Zone: in.text("my_zone"),
-		ListOnRequest:  in.text("registry_mode") == "ask",
-		WeightsNominal: in.text("weight_source") == "nominal" || in.text("weight_source") == "rough",
-		Probes:         in.boolean("permissions.probes"),
-		Peers:          in.boolean("permissions.peers"),
-		Hedging:        in.boolean("permissions.second_copies"),
-		MaxAttempts:    in.count("permissions.max_attempts"),
-		ConnectTimeout: in.micros("permissions.connect_timeout_us"),
-		PassThrough:    in.text("extra.mode") == "pass",
-		Tick:           in.micros("round_us"),
+	settings := balance.Settings{
+		Self: input.count("me"), Balancers: input.count("balancers"), Zone: input.text("my_zone"),
+		ListOnRequest:  input.text("registry_mode") == "ask",
+		WeightsNominal: input.text("weight_source") == "nominal" || input.text("weight_source") == "rough",
+		Probes:         input.boolean("permissions.probes"),
+		Peers:          input.boolean("permissions.peers"),
+		Hedging:        input.boolean("permissions.second_copies"),
+		MaxAttempts:    input.count("permissions.max_attempts"),
+		ConnectTimeout: input.micros("permissions.connect_timeout_us"),
+		PassThrough:    input.text("extra.mode") == "pass",
+		Tick:           input.micros("round_us"),
 		Safety: balance.Safety{
-			AnswerSlack: in.micros("safety.answer_slack_us"), DrainGrace: in.micros("safety.drain_grace_us"),
-			ListRefreshInterval: in.micros("safety.ask_within_us"), ColdCapacity: in.number("safety.cold_from"),
-			WarmUp: in.micros("safety.cold_us"), OverloadFactor: in.number("safety.overload_factor"),
-			OverloadWindow: in.micros("safety.tip_after_us"),
+			AnswerSlack: input.micros("safety.answer_slack_us"), DrainGrace: input.micros("safety.drain_grace_us"),
+			ListRefreshInterval: input.micros("safety.ask_within_us"), ColdCapacity: input.number("safety.cold_from"),
+			WarmUp: input.micros("safety.cold_us"), OverloadFactor: input.number("safety.overload_factor"),
+			OverloadWindow: input.micros("safety.tip_after_us"),
 		},
-		Prices: balance.Prices{CrossZone: in.number("tariffs.cross_zone"), Probe: in.number("tariffs.probe"),
-			Move: in.number("tariffs.moves"), Peer: in.number("tariffs.peer")},
+		Prices: balance.Prices{CrossZone: input.number("tariffs.cross_zone"), Probe: input.number("tariffs.probe"),
+			Move: input.number("tariffs.moves"), Peer: input.number("tariffs.peer")},
 	}
-	if in.boolean("permissions.retry_after") {
-		out.MaxRetryAfter = in.micros("permissions.max_retry_after_us")
+	if input.boolean("permissions.retry_after") {
+		settings.MaxRetryAfter = input.micros("permissions.max_retry_after_us")
 	}
-	for i := range in.length("parties") {
-		out.Tenants = append(out.Tenants, balance.Tenant{
-			Name:  in.text(key("parties", i, "name")),
-			Share: in.number(key("parties", i, "share")),
-			Quota: in.number(key("extra.tenant_quota_connections", i, "")),
+	for i := range input.length("parties") {
+		settings.Tenants = append(settings.Tenants, balance.Tenant{
+			Name:  input.text(key("parties", i, "name")),
+			Share: input.number(key("parties", i, "share")),
+			Quota: input.number(key("extra.tenant_quota_connections", i, "")),
 		})
 	}
-	for i := range in.length("request_classes") {
-		out.Classes = append(out.Classes, in.class(i))
+	for i := range input.length("request_classes") {
+		settings.Classes = append(settings.Classes, input.class(i))
 	}
-	return out, in.err
+	return settings, input.err
 }
 
 func (in *reader) class(i int) balance.Class {
-	at := func(name string) string { return key("request_classes", i, name) }
+	path := func(name string) string { return key("request_classes", i, name) }
 	c := balance.Class{
-		Name: in.text(at("name")), LatencyTarget: in.micros(at("aim_us")), Deadline: in.micros(at("deadline_us")),
-		Window: in.micros(at("window_us")), Streamed: in.boolean(at("streamed")), Value: in.number(at("points")),
+		Name: in.text(path("name")), LatencyTarget: in.micros(path("aim_us")), Deadline: in.micros(path("deadline_us")),
+		Window: in.micros(path("window_us")), Streamed: in.boolean(path("streamed")), Value: in.number(path("points")),
 		MessageLatencyTarget: in.micros(key("extra.message_aim_us", i, "")),
 	}
 	var ok bool
-	if c.Effect, ok = effects[in.text(at("semantics"))]; !ok {
-		in.fail(at("semantics"), fmt.Sprintf("unknown value %q", in.text(at("semantics"))))
+	if c.Effect, ok = effects[in.text(path("semantics"))]; !ok {
+		in.fail(path("semantics"), fmt.Sprintf("unknown value %q", in.text(path("semantics"))))
 	}
-	if c.Group, ok = groups[in.text(at("group"))]; !ok {
-		in.fail(at("group"), fmt.Sprintf("unknown value %q", in.text(at("group"))))
+	if c.Group, ok = groups[in.text(path("group"))]; !ok {
+		in.fail(path("group"), fmt.Sprintf("unknown value %q", in.text(path("group"))))
 	}
 	return c
 }
 
-// Check says which key is faulty or missing in settings that queries are to be taken under: what a decoder may leave out,
-// but no query can go without. What a node needs besides is told by Complete. An error is a *KeyError.
+// Check checks the settings that no request can be handled without, which Decode accepts as absent. CheckComplete checks what a
+// node requires besides these. The error is a *KeyError.
 func Check(set balance.Settings) error {
 	if len(set.Classes) == 0 {
-		return &KeyError{Key: "request_classes", Fault: "there is none"}
+		return &KeyError{Key: "request_classes", Fault: "missing or empty"}
 	}
 	if set.MaxAttempts <= 0 {
 		return &KeyError{Key: "permissions.max_attempts", Fault: notPositive}
@@ -99,7 +99,7 @@
 		case c.Name == "":
 			return &KeyError{Key: key("request_classes", i, "name"), Fault: "missing"}
 		case seen[c.Name]:
-			return &KeyError{Key: key("request_classes", i, "name"), Fault: fmt.Sprintf("%q stands there twice", c.Name)}
+			return &KeyError{Key: key("request_classes", i, "name"), Fault: fmt.Sprintf("%q is used twice", c.Name)}
 		case c.Deadline <= 0:
 			return &KeyError{Key: key("request_classes", i, "deadline_us"), Fault: notPositive}
 		case c.LatencyTarget <= 0:
@@ -119,7 +119,7 @@
 	return fmt.Sprintf("%s.%d.%s", list, i, name)
 }
 
-// reader takes values out of the object and keeps the first fault.
+// reader reads values from the object and keeps the first error.
 type reader struct {
 	root gjson.Result
 	err  error
@@ -131,7 +131,7 @@
 	}
 }
 
-// get returns the value at a path; an absent value and null are both "not told".
+// get returns the value at a path, and records an error if it is invalid. Absent and null values are both treated as not set.
 func (in *reader) get(path string, valid func(gjson.Result) bool, want string) gjson.Result {
 	v := in.root.Get(path)
 	if v.Exists() && v.Type != gjson.Null && !valid(v) {
@@ -146,23 +146,23 @@
 func (in *reader) number(path string) float64 { return in.get(path, isNumber, "a number").Num }
 
 func (in *reader) count(path string) int {
-	fits := func(v gjson.Result) bool {
+	valid := func(v gjson.Result) bool {
 		return isNumber(v) && v.Num >= 0 && v.Num <= math.MaxInt32 && v.Num == math.Trunc(v.Num)
 	}
-	return int(in.get(path, fits, "a whole number from 0").Num)
+	return int(in.get(path, valid, "a non-negative integer").Num)
 }
 
-// micros reads a time, which is never negative and, as a time.Duration, less than a century.
+// micros reads a time in microseconds, which must not be negative and must be less than a century, to fit a time.Duration.
 func (in *reader) micros(path string) time.Duration {
 	const century = 100 * 365 * 24 * time.Hour
-	fits := func(v gjson.Result) bool {
+	valid := func(v gjson.Result) bool {
 		return isNumber(v) && v.Num >= 0 && v.Num < float64(century/time.Microsecond)
 	}
-	return time.Duration(in.get(path, fits, "a time in microseconds").Num) * time.Microsecond
+	return time.Duration(in.get(path, valid, "a time in microseconds").Num) * time.Microsecond
 }
 
 func (in *reader) text(path string) string {
-	return in.get(path, func(v gjson.Result) bool { return v.Type == gjson.String }, "a text").Str
+	return in.get(path, func(v gjson.Result) bool { return v.Type == gjson.String }, "a string").Str
 }
 
 func (in *reader) boolean(path string) bool {
