--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what the node is told: the environment and the JSON file that it names. Everything is
-// read, checked and given its default here; messages name the faulty key.
+// Package config reads the node's configuration: the environment and the JSON file that GW_CONFIG names. It checks all values
+// and sets the defaults. Error messages name the faulty key.
 package config
 
 import (
@@ -18,35 +18,37 @@
 	"lichenhitch/internal/settings"
 )
 
-// The defaults of what may be left out.
+// Defaults and limits of optional keys.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	minSockets      = 64
 )
 
-// Config is what the node is told.
+// Config is the configuration of the node.
 type Config struct {
 	Name        string
 	Listen      string
-	Management  string // where operators call; "" where nobody does
+	Management  string // address of the operator API; "" for none
 	Discovery   string
 	Seed        uint64
 	MemoryMB    int // the node is killed above this
-	Sockets     int // descriptors that it may hold
+	Sockets     int // limit of open file descriptors
 	Known       *discovery.List
 	Settings    balance.Settings
-	RawSettings []byte // the settings as they stand in the file
-	Keys        Keys   // that the file has
-	SiteFile    string // the operator's file of sites; "" where the node takes no part in any site's affairs
-	SharedDir   string // where processes of one node share what they must
+	RawSettings []byte // the settings as written in the file
+	Keys        Keys   // the keys that the file contains
+	SiteFile    string // path of the site file; "" if the node takes no part in a site's control plane
+	SharedDir   string // directory of the state shared by the processes of one node
 }
 
-// Load reads the configuration at the start; getenv is os.Getenv outside tests. The environment wins over the file.
+// Load reads the configuration at the start. The environment takes precedence over the file. getenv is os.Getenv, except in
+// tests.
 func Load(getenv func(string) string) (Config, error) { return read(getenv, false) }
 
-// Reload reads it again for a node that runs by an earlier one. The environment still tells how things were at the start,
-// so that what a running node takes over is taken from the file. What the file had before may not be missing in it now.
+// Reload reads the configuration again for a running node. The environment still has its values from the start, so a value that
+// a running node can adopt is taken from the file if the file has it. A key that the file had before must not be missing from
+// it now.
 func Reload(getenv func(string) string, before Config) (Config, error) {
 	c, err := read(getenv, true)
 	if err == nil {
@@ -123,16 +125,16 @@
 	return c, nil
 }
 
-// Fixed names the keys in which a configuration differs from an earlier one and that only a start takes over.
+// RestartKeys returns the keys whose values differ from an earlier configuration and take effect only after a restart, sorted.
 func (c Config) RestartKeys(before Config) []string {
 	var keys []string
-	for key, same := range map[string]bool{
+	for key, unchanged := range map[string]bool{
 		"name": c.Name == before.Name, "listen": c.Listen == before.Listen,
 		"management":       c.Management == before.Management,
 		"limits.memory_mb": c.MemoryMB == before.MemoryMB, "limits.sockets": c.Sockets == before.Sockets,
 		"settings.extra.mode": c.Settings.PassThrough == before.Settings.PassThrough,
 	} {
-		if !same {
+		if !unchanged {
 			keys = append(keys, key)
 		}
 	}
@@ -161,7 +163,7 @@
 	return value, nil
 }
 
-// seed reads a seed in hexadecimal digits.
+// parseSeed reads a seed written in hexadecimal digits.
 func parseSeed(v gjson.Result) (uint64, error) {
 	if !v.Exists() {
 		return 0, errors.New("seed: missing")
@@ -179,7 +181,7 @@
 		return defaultValue, nil
 	}
 	if v.Type != gjson.Number || v.Num < float64(minimum) || v.Num > math.MaxInt32 {
-		return 0, fmt.Errorf("%s: %.40s is not a number from %d", key, v.Raw, minimum)
+		return 0, fmt.Errorf("%s: %.40s is not a number of at least %d", key, v.Raw, minimum)
 	}
 	return int(v.Num), nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 	c, err := load(t, validConfig, map[string]string{"GW_NAME": "n4", "GW_LISTEN": "127.0.0.9:1"})
 	require.NoError(t, err)
 	assert.Equal(t, "n4", c.Name)
-	assert.Equal(t, "127.0.0.9:1", c.Listen, "the environment wins")
+	assert.Equal(t, "127.0.0.9:1", c.Listen, "the environment must take precedence")
 	assert.Equal(t, "127.0.0.2:8500", c.Discovery)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
 	assert.Equal(t, 4096, c.Sockets)
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -8,12 +8,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// Keys are the keys of an object, each with those of its own value. Those of a list are what all objects in it have.
-// A value that holds no object has none.
+// Keys holds the keys of a JSON object, each with the keys of its value. The keys of a list are those that all its objects have
+// in common. A value without objects has no keys.
 type Keys map[string]Keys
 
-// passing are keys that may be missing in a later file though an earlier one had them: what tells of the start, and what
-// only some kinds of a class have.
+// optionalLater are keys that may be missing from a later file though an earlier one had them: those that matter only at the
+// start, and those that only some kinds of request classes have.
 var optionalLater = map[string]bool{"known": true, "settings.request_classes.group": true,
 	"settings.request_classes.window_us": true}
 
@@ -29,27 +29,27 @@
 		})
 	case v.IsArray():
 		for i, e := range v.Array() {
-			if of := keysOf(e); i == 0 {
-				keys = of
+			if common := keysOf(e); i == 0 {
+				keys = common
 			} else {
-				maps.DeleteFunc(keys, func(name string, _ Keys) bool { return of[name] == nil })
+				maps.DeleteFunc(keys, func(name string, _ Keys) bool { return common[name] == nil })
 			}
 		}
 	}
 	return keys
 }
 
-// missing returns an error that names the first key, in the order of the alphabet, that was there before and is not now.
-func checkMissing(before, now Keys, path string) error {
+// checkMissing returns an error that names the first key, in alphabetical order, that is in before but not in after.
+func checkMissing(before, after Keys, path string) error {
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		key := path + name
 		if optionalLater[key] {
 			continue
 		}
-		if now[name] == nil {
+		if after[name] == nil {
 			return fmt.Errorf("%s: missing, but the file had it before", key)
 		}
-		if err := checkMissing(before[name], now[name], key+"."); err != nil {
+		if err := checkMissing(before[name], after[name], key+"."); err != nil {
 			return err
 		}
 	}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -23,7 +23,7 @@
 {"name":"d","semantics":"idempotency_key","group":"zone","window_us":5,"aim_us":500000,"deadline_us":3000000,"points":1}],
 "extra":{"mode":"pass","message_aim_us":[250000,60000]}}}`
 
-// reloaded reads a file as a node does that runs by the file above.
+// reloadConfig reads a file the way a node that runs with runningConfig does.
 func reloadConfig(t *testing.T, text string) (Config, error) {
 	t.Helper()
 	before, err := load(t, runningConfig, map[string]string{"GW_DISCOVERY": "127.0.0.9:1"})
@@ -46,17 +46,17 @@
 	assert.Equal(t, "e", c.Settings.Classes[1].Name)
 }
 
-// A file that was cut at any byte is refused, and so is an empty one.
+// An empty file, and a file truncated at any byte, must be rejected.
 func TestReloadRejectsATruncatedFile(t *testing.T) {
 	for i := range len(runningConfig) - 1 {
 		_, err := reloadConfig(t, runningConfig[:i])
-		require.ErrorContains(t, err, "GW_CONFIG: ", "cut at byte %d", i)
+		require.ErrorContains(t, err, "GW_CONFIG: ", "truncated at byte %d", i)
 	}
 }
 
-// Each line of the file is left out in turn, and each key: the one that is missing is named.
+// Objects and keys of the file are removed one at a time; the error must name the missing key.
 func TestReloadNamesAMissingKey(t *testing.T) {
-	for out, want := range map[string]string{
+	for removed, want := range map[string]string{
 		`"seed":"8c1f30d27a5be964",`:               "seed: ",
 		`"limits":{"memory_mb":64,"sockets":384},`: "limits: missing",
 		`,"sockets":384`:                           "limits.sockets: missing",
@@ -75,12 +75,12 @@
 		`,"message_aim_us":[250000,60000]`: "settings.extra.message_aim_us: missing",
 		`"group":"zone",`:                  "",
 	} {
-		require.Contains(t, runningConfig, out)
-		_, err := reloadConfig(t, strings.Replace(runningConfig, out, "", 1))
+		require.Contains(t, runningConfig, removed)
+		_, err := reloadConfig(t, strings.Replace(runningConfig, removed, "", 1))
 		if want == "" {
-			assert.NoError(t, err, out)
+			assert.NoError(t, err, removed)
 		} else {
-			assert.ErrorContains(t, err, want, out)
+			assert.ErrorContains(t, err, want, removed)
 		}
 	}
 }
@@ -97,5 +97,5 @@
 	_, err := reloadConfig(t, strings.Replace(runningConfig, `"max_attempts":4`, `"max_attempts":2.5`, 1))
 	assert.ErrorContains(t, err, "settings.permissions.max_attempts: ")
 	_, err = reloadConfig(t, strings.Replace(runningConfig, `"name":"d"`, `"name":"c"`, 1))
-	assert.ErrorContains(t, err, `settings.request_classes.1.name: "c" stands there twice`)
+	assert.ErrorContains(t, err, `settings.request_classes.1.name: "c" is used twice`)
 }
