--- a/internal/site/check.go
+++ b/internal/site/check.go
@@ -20,15 +20,15 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// maxName is the longest name of a site or node, in bytes.
+// maxName is the maximum length of the name of a site, node or zone, in bytes.
 const maxName = 128
 
-// check judges what a file means.
+// checker validates the content of a file.
 type checker struct {
 	file      *sitepb.File
 	source    *scanner
 	node      string
-	checkDisk bool // what the file names is looked at on this machine too
+	checkDisk bool // also check the file system of this machine
 	faults    Faults
 }
 
@@ -48,7 +48,7 @@
 		c.report("", "this node has no name", "set GW_NAME to the name of a node of this file")
 		return nil
 	case own < 0:
-		c.report("sites", "no site has the node "+quote(c.node)+", which is this one",
+		c.report("sites", "no site has the node "+quote(c.node)+", which is this node",
 			"add nodes { name: "+strconv.Quote(c.node)+" } to its site, or set GW_NAME to a node of this file")
 		return nil
 	}
@@ -70,7 +70,7 @@
 	return s
 }
 
-// parentOf returns the index of the site above, or -1.
+// parentOf returns the index of the parent of site i, or -1.
 func parentOf(groups []Definition, i int) int {
 	if groups[i].Parent == "" {
 		return -1
@@ -78,7 +78,7 @@
 	return slices.IndexFunc(groups, func(g Definition) bool { return g.Name == groups[i].Parent })
 }
 
-// name judges a name, and whether it is the first of its kind.
+// checkName checks that a name is valid and not used before.
 func (c *checker) checkName(path, name string, seen map[string]string) {
 	first, duplicate := seen[name]
 	switch {
@@ -88,25 +88,25 @@
 	case duplicate:
 		at := c.source.fault(first, "", "")
 		c.report(path, fmt.Sprintf("%s is in use already, at %d:%d", quote(name), at.Line, at.Column),
-			"give each a name of its own, or take one of the two out")
+			"give each a unique name, or remove one of the two")
 	default:
 		seen[name] = path
 	}
 }
 
-// word judges what a name is written with.
+// checkNameChars checks the length and the characters of a name.
 func (c *checker) checkNameChars(path, name string) bool {
 	if len(name) <= maxName && !strings.ContainsFunc(name, func(r rune) bool { return !unicode.IsPrint(r) || r == ' ' }) {
 		return true
 	}
-	c.report(path, quote(name)+" is not a name", fmt.Sprintf("give at most %d bytes, without blanks", maxName))
+	c.report(path, quote(name)+" is not a valid name", fmt.Sprintf("use at most %d bytes, without blanks", maxName))
 	return false
 }
 
-// groups reads the sites and judges each by itself.
+// readSites reads the sites and checks each of them separately.
 func (c *checker) readSites() []Definition {
 	if len(c.file.GetSites()) == 0 {
-		c.report("sites", "missing", "name the sites, the one of this node among them: sites { name: ... level: ... nodes { ... } }")
+		c.report("sites", "missing", "list the sites, including the one of this node: sites { name: ... level: ... nodes { ... } }")
 	}
 	var groups []Definition
 	sites, nodes := map[string]string{}, map[string]string{}
@@ -114,7 +114,7 @@
 		path := fmt.Sprintf("sites[%d]", i)
 		c.checkName(path+".name", s.GetName(), sites)
 		if s.GetLevel() < sitepb.Level_PROVINCE || s.GetLevel() > sitepb.Level_BUILDING {
-			c.report(path+".level", "missing, or none that there is", "give PROVINCE, REGENCY or BUILDING")
+			c.report(path+".level", "missing or unknown", "set PROVINCE, REGENCY or BUILDING")
 		}
 		g := Definition{Name: s.GetName(), Level: int(s.GetLevel()) - 1, Parent: s.GetParent(), Zones: map[string]string{}}
 		for j, n := range s.GetNodes() {
@@ -133,17 +133,17 @@
 		switch n := len(g.Voters); {
 		case len(g.Nodes) == 0:
 		case n == 0:
-			c.report(path, "no node has a seat in the council", "set seat: true at 1, 3 or 5 nodes")
+			c.report(path, "no node has a seat in the council", "set seat: true for 1, 3 or 5 nodes")
 		case n > 5 || n%2 == 0:
-			c.report(path, fmt.Sprintf("%d nodes have a seat in the council", n), "set seat: true at 1, 3 or 5 nodes: "+
-				"an even number outlives no more failures than one less, and more than five slow each decision down")
+			c.report(path, fmt.Sprintf("%d nodes have a seat in the council", n), "set seat: true for 1, 3 or 5 nodes: "+
+				"an even number tolerates no more failures than one node less, and more than five slow down each decision")
 		}
 		groups = append(groups, g)
 	}
 	return groups
 }
 
-// tree judges how the sites stand to each other.
+// checkTree checks that the sites form a tree under one province, with levels in order.
 func (c *checker) checkTree(groups []Definition) {
 	province := -1
 	for i, g := range groups {
@@ -151,20 +151,20 @@
 		parent := parentOf(groups, i)
 		if g.Level == 0 {
 			if province >= 0 {
-				c.report(path+".level", "a second province, besides "+quote(groups[province].Name),
-					"leave one province; a file has the sites of one line")
+				c.report(path+".level", "a second province besides "+quote(groups[province].Name),
+					"keep one province; a file holds one site with those above and below it")
 			} else {
 				province = i
 			}
 		}
 		switch {
 		case g.Level == 0 && g.Parent != "":
-			c.report(path+".parent", "a province has no parent", "take the parent out, or correct the level")
+			c.report(path+".parent", "a province has no parent", "remove the parent, or correct the level")
 		case g.Level == 0:
 		case g.Parent == "":
 			c.report(path+".parent", "missing", "name the site above; only the province has none")
 		case parent < 0:
-			c.report(path+".parent", quote(g.Parent)+" is no site of this file", "correct the name, or add that site")
+			c.report(path+".parent", quote(g.Parent)+" is not a site of this file", "correct the name, or add that site")
 		default:
 			if loop := cycle(groups, i); loop != nil {
 				if slices.Min(loop) == i {
@@ -172,17 +172,17 @@
 					for _, j := range loop {
 						of = append(of, groups[j].Name)
 					}
-					c.report(path+".parent", "the sites are above themselves: "+strings.Join(append(of, g.Name), " under "),
+					c.report(path+".parent", "the parents form a cycle: "+strings.Join(append(of, g.Name), " under "),
 						"correct the parents, so that each line ends at the province")
 				}
 			} else if groups[parent].Level >= g.Level && g.Level > 0 && groups[parent].Level >= 0 {
-				c.report(path+".parent", quote(g.Parent)+" is not of a level above", "order them PROVINCE, REGENCY, BUILDING")
+				c.report(path+".parent", quote(g.Parent)+" does not have a higher level", "order them PROVINCE, REGENCY, BUILDING")
 			}
 		}
 	}
 }
 
-// cycle returns the sites on the way up from i back to itself, or nil.
+// cycle returns the sites on the path from i through its ancestors back to i, or nil if there is no such path.
 func cycle(groups []Definition, i int) []int {
 	path := []int{i}
 	for j := parentOf(groups, i); j >= 0 && len(path) <= len(groups); j = parentOf(groups, j) {
@@ -194,17 +194,17 @@
 	return nil
 }
 
-// addresses judges where this node and its peers are reached.
+// checkAddresses checks the addresses of this node and its peers, and the locations of the store and the witness.
 func (c *checker) checkAddresses(s *Site) {
 	listen, ok := c.parseAddress("listen", s.Listen)
 	switch {
 	case s.Store == "":
-		c.report("store", "missing", "name a folder of this node's own that outlives the process, as /var/lib/lichenhitch/"+
+		c.report("store", "missing", "name a directory used only by this node that persists across restarts, such as /var/lib/lichenhitch/"+
 			cmp.Or(c.node, "NODE"))
 	case !filepath.IsAbs(s.Store):
-		c.report("store", quote(s.Store)+" is not an absolute path", "begin it with /, so that it is the same folder at each start")
+		c.report("store", quote(s.Store)+" is not an absolute path", "start it with /, so that it is the same directory at each start")
 	case filepath.Clean(s.Store) == "/":
-		c.report("store", "is the root folder", "name a folder of this node's own")
+		c.report("store", "is the root directory", "name a directory used only by this node")
 	}
 	c.checkWitness(s)
 	known := map[string]bool{}
@@ -218,22 +218,22 @@
 		path := fmt.Sprintf("peers[%d]", i)
 		c.checkName(path+".node", p.GetNode(), seen)
 		if p.GetNode() != "" && !known[p.GetNode()] {
-			c.report(path+".node", quote(p.GetNode())+" is no node of any site", "correct the name, or add the node to its site")
+			c.report(path+".node", quote(p.GetNode())+" is not a node of any site", "correct the name, or add the node to its site")
 		}
 		a, valid := c.parseAddress(path+".address", p.GetAddress())
 		if !valid {
 			continue
 		}
 		if a.Addr().IsUnspecified() {
-			c.report(path+".address", quote(p.GetAddress())+" can only be listened at", "give the address that this node reaches it at")
+			c.report(path+".address", quote(p.GetAddress())+" is an unspecified address, which cannot be dialled", "give the address at which this node reaches the peer")
 		}
 		switch {
 		case p.GetNode() == c.node:
 			continue
 		case ok && a == listen:
-			c.report(path+".address", quote(p.GetAddress())+" is where this node listens itself", "give the peer's own address, or correct listen")
+			c.report(path+".address", quote(p.GetAddress())+" is the listen address of this node", "give the peer's own address, or correct listen")
 		case taken[a] != "":
-			c.report(path+".address", quote(p.GetAddress())+" is the address of "+quote(taken[a])+" too", "give each peer its own")
+			c.report(path+".address", quote(p.GetAddress())+" is also the address of "+quote(taken[a]), "give each peer its own")
 		default:
 			taken[a] = p.GetNode()
 		}
@@ -241,45 +241,46 @@
 	}
 }
 
-// address reads an address and says whether it is one.
+// parseAddress parses an address and reports whether it is valid.
 func (c *checker) parseAddress(path, value string) (netip.AddrPort, bool) {
 	a, err := netip.ParseAddrPort(value)
 	switch {
 	case value == "":
-		c.report(path, "missing", "give an address and a port, as 10.0.0.1:7400")
+		c.report(path, "missing", "give an address and a port, such as 10.0.0.1:7400")
 	case err != nil:
-		c.report(path, quote(value)+" is not an address and a port", "give it as 10.0.0.1:7400 or [fd00::1]:7400, without a name to look up")
-	case a.Port() == 0 && path != "listen": // there it is any port, which the log tells
-		c.report(path, "port 0 is any port", "give the port that peers and operators are to call")
+		c.report(path, quote(value)+" is not an address and a port", "give it as 10.0.0.1:7400 or [fd00::1]:7400, not with a host name")
+	case a.Port() == 0 && path != "listen": // for listen it means any free port, which the log shows
+		c.report(path, "port 0 means any free port", "give the port that peers and operators call")
 	}
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), err == nil && (a.Port() != 0 || path == "listen")
 }
 
-// witness judges the file that is to prove that the store was not put back from a copy.
+// checkWitness checks the path of the witness file, which verifies that the store was not restored from a copy.
 func (c *checker) checkWitness(s *Site) {
-	const orOmit = ", or leave it out: then a seat that starts again waits for the word of others"
+	const orOmit = ", or omit it: then a voter that restarts waits for confirmation by other voters"
 	relative, err := filepath.Rel(s.Store, s.Witness)
 	switch {
 	case s.Witness == "" && !c.source.isPresent("witness"):
 	case !filepath.IsAbs(s.Witness):
 		c.report("witness", quote(s.Witness)+" is not an absolute path", "name a file under /run or /dev/shm"+orOmit)
 	case strings.HasSuffix(s.Witness, "/"):
-		c.report("witness", quote(s.Witness)+" names a folder", "name a file in it"+orOmit)
+		c.report("witness", quote(s.Witness)+" names a directory", "name a file in it"+orOmit)
 	case err == nil && (relative == "." || filepath.IsLocal(relative)):
-		c.report("witness", quote(s.Witness)+" is in the store's folder: a copy that is put back has it too",
+		c.report("witness", quote(s.Witness)+" is in the store's directory: a restored copy would contain it too",
 			"name a file under /run or /dev/shm"+orOmit)
 	case c.checkDisk:
 		var fs unix.Statfs_t
 		if err := unix.Statfs(filepath.Dir(s.Witness), &fs); err != nil {
-			c.report("witness", fmt.Sprintf("its folder %s: %v", filepath.Dir(s.Witness), err), "make the folder at each start of the machine"+orOmit)
+			c.report("witness", fmt.Sprintf("its directory %s: %v", filepath.Dir(s.Witness), err), "create the directory at each boot of the machine"+orOmit)
 		} else if fs.Type != unix.TMPFS_MAGIC {
-			c.report("witness", quote(s.Witness)+" is not on a file system in memory (tmpfs): a copy of the disk brings it back too",
+			c.report("witness", quote(s.Witness)+" is not on an in-memory file system (tmpfs): a restored copy of the disk would contain it too",
 				"name a file under /run or /dev/shm"+orOmit)
 		}
 	}
 }
 
-// reach judges whether this node can call whom it has to: the seats of its own site, and as a seat those of the parent.
+// checkReachability checks that this node has the addresses of the nodes that it must call: the voters of its own site and, if
+// it is a voter itself, those of the parent site.
 func (c *checker) checkReachability(s *Site, groups []Definition) {
 	requireAddresses := func(site int, reason string) {
 		for j, n := range c.file.GetSites()[site].GetNodes() {
@@ -292,22 +293,22 @@
 	for i, g := range groups {
 		switch {
 		case g.Name == s.Own.Name:
-			requireAddresses(i, "asks it for its right to send")
+			requireAddresses(i, "requests its send lease from it")
 		case g.Name == s.Own.Parent && s.IsVoter && len(g.Voters) == 0 && len(g.Nodes) == 0:
-			c.report(fmt.Sprintf("sites[%d]", i), "no nodes, and it is the parent of this node's site",
-				"name at least the nodes that have a seat there: writes travel to them")
+			c.report(fmt.Sprintf("sites[%d]", i), "has no nodes, but is the parent of this node's site",
+				"name at least the nodes that have a seat there: writes are forwarded to them")
 		case g.Name == s.Own.Parent && s.IsVoter:
-			requireAddresses(i, "has a seat and sends writes up to it")
+			requireAddresses(i, "has a seat and forwards writes to it")
 		}
 	}
 }
 
-// listed says whether a peer is there, with whatever address.
+// hasPeer reports whether the file lists a peer, with any address.
 func (c *checker) hasPeer(node string) bool {
 	return slices.ContainsFunc(c.file.GetPeers(), func(p *sitepb.Peer) bool { return p.GetNode() == node })
 }
 
-// whole returns a whole number, or its default where it is not told.
+// intOption returns an integer option, or its default if it is not set.
 func (c *checker) intOption(path string, value uint32, defaultValue, minimum, maximum int) int {
 	if !c.source.isPresent(path) && value == 0 {
 		return defaultValue
@@ -318,10 +319,10 @@
 	return int(value)
 }
 
-// ends are which ends of a range are in it.
+// inclusive tells which bounds of a range belong to it.
 type inclusive struct{ lower, upper bool }
 
-// part returns a part, or its default where it is not told.
+// fractionOption returns an option that is a fraction, or its default if it is not set.
 func (c *checker) fractionOption(path string, value, defaultValue, maximum float64, including inclusive) float64 {
 	if !c.source.isPresent(path) && value == 0 {
 		return defaultValue
@@ -341,11 +342,11 @@
 }
 
 const (
-	weekSeconds = 7 * 24 * 3600 // seconds
+	weekSeconds = 7 * 24 * 3600
 	million     = 1_000_000
 )
 
-// limits reads the allowances and the times.
+// readLimits reads the limits and the times.
 func (c *checker) readLimits(s *Site) {
 	f := c.file
 	s.SendLease = rights.Terms{
@@ -373,14 +374,14 @@
 		Batch:  c.intOption("upstream.batch", u.GetBatch(), 256, 1, 4096),
 	}
 	if s.SiteSync.Batch > s.SiteSync.Number {
-		c.report("upstream.batch", fmt.Sprintf("%d writes in one call, of a queue of %d", s.SiteSync.Batch, s.SiteSync.Number),
-			"give batch at most number")
+		c.report("upstream.batch", fmt.Sprintf("%d writes in one call, but the queue holds only %d", s.SiteSync.Batch, s.SiteSync.Number),
+			"set batch to at most number")
 	}
 
 	c.readRollout(s, f.GetRollout())
 }
 
-// rollout reads the limits of policies in stages. What it takes, rollout.Limits.Check takes too.
+// readRollout reads the limits of policy rollouts. It accepts no limits that rollout.Limits.Check rejects.
 func (c *checker) readRollout(s *Site, r *sitepb.Rollout) {
 	exclusive := inclusive{}
 	seconds := func(field string, value uint32, defaultValue, minimum int) time.Duration {
@@ -403,20 +404,20 @@
 		Settle:  seconds("settle_s", r.GetSettleS(), 60, 0),
 		Longest: seconds("longest_s", r.GetLongestS(), 259200, 0),
 	}
-	// A change settles, the next whole spell is the first that counts, and it is judged a slice after its end: with a shorter
-	// hold a stage may be given up before anything was compared.
+	// After a change settles, the next complete observation window is the first that counts, and it is evaluated one time slice
+	// after its end. With a shorter hold, a stage could be given up before anything was compared.
 	l := s.Rollout
 	if firstEvidence := l.Settle + l.Slice*time.Duration(2*l.Spell+1); l.Hold < firstEvidence {
-		c.report("rollout.hold_s", fmt.Sprintf("%v, and the first evidence of a stage may take %v", l.Hold, firstEvidence),
+		c.report("rollout.hold_s", fmt.Sprintf("%v, but the first evidence of a stage may take %v", l.Hold, firstEvidence),
 			"give a longer hold, or shorten slice_s, spell or settle_s")
 	}
 }
 
-// within reads an allowance that may not be more than that of the site.
+// allowanceOption reads an allowance that must not exceed that of the site.
 func (c *checker) allowanceOption(path string, value uint32, site int) int {
 	if int64(value) > int64(site) {
-		c.report(path, fmt.Sprintf("%d, of %d for the whole site", value, site),
-			fmt.Sprintf("give 0 to %d (0: as many as of the site), or raise turns.site", site))
+		c.report(path, fmt.Sprintf("%d, but only %d for the whole site", value, site),
+			fmt.Sprintf("give 0 to %d (0: the same as for the site), or raise turns.site", site))
 	}
 	return int(value)
 }
--- a/internal/site/faults.go
+++ b/internal/site/faults.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a file, where it is wrong, and what an operator can do about it.
+// Fault is one fault of a site file, with its position and what an operator can do about it.
 type Fault struct {
 	Path    string // of the file
 	Line    int    // from 1
 	Column  int    // from 1, in characters
-	Field   string // as sites[1].nodes[2].seat; "" where it is none of a field
+	Field   string // such as sites[1].nodes[2].seat; "" if the fault is not about a field
 	Message string
 	Remedy  string
 }
 
-// Error names the place, the fault and what to do.
+// Error returns the position, the message and the remedy.
 func (f *Fault) Error() string {
 	field := f.Field
 	if field != "" {
@@ -26,13 +26,13 @@
 	return fmt.Sprintf("%s:%d:%d: %s%s; what to do: %s", f.Path, f.Line, f.Column, field, f.Message, f.Remedy)
 }
 
-// Action says what an operator can do.
+// Action returns what an operator can do about it.
 func (f *Fault) Action() string { return f.Remedy }
 
-// Faults are all that is wrong with a file, by line and column. Never empty where it is an error.
+// Faults are all faults of a file, ordered by line and column. A value returned as an error is never empty.
 type Faults []*Fault
 
-// Error has a line for each fault.
+// Error returns one line for each fault.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -41,7 +41,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Action has a line for each fault.
+// Action returns one line for each fault.
 func (fs Faults) Action() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -50,7 +50,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap gives errors.As each fault.
+// Unwrap returns the faults, for errors.As.
 func (fs Faults) Unwrap() []error {
 	errs := make([]error, len(fs))
 	for i, f := range fs {
@@ -59,7 +59,7 @@
 	return errs
 }
 
-// in puts the faults in order and names their file.
+// in sorts the faults and sets the path of their file.
 func (fs Faults) in(path string) Faults {
 	for _, f := range fs {
 		f.Path = path
@@ -70,28 +70,27 @@
 	return fs
 }
 
-// FileError says that the file cannot be read.
+// FileError means that the site file cannot be read.
 type FileError struct {
 	Path string
 	Err  error
 }
 
 func (e *FileError) Error() string {
-	return fmt.Sprintf("the file of sites %s cannot be read: %v; what to do: %s", e.Path, e.Err, e.Action())
+	return fmt.Sprintf("the site file %s cannot be read: %v; what to do: %s", e.Path, e.Err, e.Action())
 }
 
-// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Action says what an operator can do.
+// Action returns what an operator can do about it.
 func (e *FileError) Action() string {
 	return "name a readable file in protobuf text format, such as deploy/site.example.txtpb"
 }
 
-// SeatStep is one change of a council's seats.
+// VoterChange is one change of the voters of a consensus group.
 type VoterChange struct {
 	Node string
-	Add  bool // or else it leaves
+	Add  bool // true: added; false: removed
 }
 
 func (s VoterChange) String() string {
@@ -101,10 +100,10 @@
 	return "remove " + s.Node
 }
 
-// ChangeError says why a file cannot be taken by a node that runs: nothing of it was taken.
+// ChangeError is the reason why a running node cannot adopt a changed site file. Nothing of the file was adopted.
 type ChangeError struct {
-	Restart      []string      // what only a start takes over
-	VoterChanges []VoterChange // of the own council's seats, where too few of the present ones stay
+	Restart      []string      // names of what takes effect only at a restart
+	VoterChanges []VoterChange // changes of the own site's voters to make one at a time, if too few of the present voters remain
 }
 
 func (e *ChangeError) Error() string {
@@ -113,9 +112,9 @@
 		parts = append(parts, strings.Join(e.Restart, ", ")+": taken over only at a start")
 	}
 	if len(e.VoterChanges) > 0 {
-		parts = append(parts, "seats: new ones come, and no majority of the present ones stays: "+e.voterChangeList())
+		parts = append(parts, "seats: new ones are added, and no majority of the present ones remains: "+e.voterChangeList())
 	}
-	return "nothing of the changed file of sites was taken: " + strings.Join(parts, "; ") + "; what to do: " + e.Action()
+	return "the changed site file was rejected as a whole: " + strings.Join(parts, "; ") + "; what to do: " + e.Action()
 }
 
 func (e *ChangeError) voterChangeList() string {
@@ -126,17 +125,17 @@
 	return strings.Join(list, ", then ")
 }
 
-// Action says what an operator can do.
+// Action returns what an operator can do about it.
 func (e *ChangeError) Action() string {
 	var parts []string
 	if len(e.Restart) > 0 {
 		parts = append(parts, "put "+strings.Join(e.Restart, ", ")+" back and reload, or restart this node")
 	}
 	if slices.Contains(e.Restart, "rights") {
-		parts = append(parts, "longer rights or more drift go to all seats before any other node, shorter ones the other way round")
+		parts = append(parts, "with longer rights or more drift, change all seats before any other node; with shorter ones, change all seats last")
 	}
 	if len(e.VoterChanges) > 0 {
-		parts = append(parts, "take the seats in parts ("+e.voterChangeList()+"): a file in which more than half of the present seats stay, and the next one once Turns names its seats")
+		parts = append(parts, "change the seats in parts ("+e.voterChangeList()+"): first load a file in which more than half of the present seats remain, and the next one once Turns lists its seats")
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,6 +1,7 @@
-// Package site reads the operator's file of sites (deploy/site.example.txtpb): which sites there are, who has a seat in
-// a site's council, how this node reaches its peers, the allowances, and where the store is. The file is protobuf text
-// format; it is checked whole, and each fault names its line and column and what to do.
+// Package site reads the operator's site file (deploy/site.example.txtpb). It defines the sites, the nodes that vote in each
+// site's consensus group (in the file: that have a seat in its council), the addresses of this node's peers, the limits, and
+// the location of the store. The file is in protobuf text format. The whole file is checked; each fault has its line, its
+// column and a remedy.
 package site
 
 import (
@@ -20,41 +21,41 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// maxFile is the longest file that is read, in bytes.
+// maxFile is the maximum size of the site file, in bytes.
 const maxFile = 4 << 20
 
-// Site is what the file says, as one node sees it.
+// Site is the content of the site file from the point of view of one node.
 type Site struct {
 	Node          string
 	Own           Definition
-	Ancestors     []Definition // the parent first, up to the province
-	Descendants   []Definition // all of them, as the file orders them
+	Ancestors     []Definition // from the parent up to the province
+	Descendants   []Definition // all sites below, in the order of the file
 	Listen        string
 	Store         string
-	Witness       string            // path, "" for none
-	Voters        []string          // of the own site, sorted
-	Members       []string          // nodes of the own site, sorted
-	IsVoter       bool              // this node has one
-	Peers         map[string]string // address by node; this node is none
+	Witness       string            // path of the witness file, which verifies that the store was not restored from a copy; "" for none
+	Voters        []string          // nodes of the own site that vote in its consensus group, sorted
+	Members       []string          // all nodes of the own site, sorted
+	IsVoter       bool              // this node is one of Voters
+	Peers         map[string]string // addresses by node, without this node
 	SendLease     rights.Terms
 	Turns         turns.Limits
 	SiteSync      sitesync.Limits
 	Rollout       rollout.Limits
-	Tick          time.Duration // of the council
-	SnapshotEvery uint64        // entries of the council's log
+	Tick          time.Duration // of the consensus group's Raft clock
+	SnapshotEvery uint64        // Raft log entries between two snapshots
 }
 
-// Group is one site of the file.
+// Definition is one site as defined in the file.
 type Definition struct {
 	Name   string
 	Level  int // 0 is the province, 1 a regency, 2 a building
 	Parent string
 	Nodes  []string          // sorted
 	Voters []string          // sorted
-	Zones  map[string]string // by node; those that tell none have none
+	Zones  map[string]string // by node; nodes without a zone are absent
 }
 
-// Load reads the file at path for the node of a name. Its errors are a *FileError or Faults.
+// Load reads the file at path for the node with the given name. The error is a *FileError or Faults.
 func Load(path, node string) (*Site, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return parse(raw, path, node, true)
 }
 
-// Parse reads the text of a file. path is for messages. The error is Faults: all that were found, by line.
+// Parse reads the content of a file. path is used in messages only. The error is Faults: all faults found, ordered by line.
 func Parse(raw []byte, path, node string) (*Site, error) { return parse(raw, path, node, false) }
 
 func parse(raw []byte, path, node string, checkDisk bool) (*Site, error) {
@@ -87,8 +88,8 @@
 	return s, nil
 }
 
-// Change says whether a node that runs by s may take next as a whole: nil, or a *ChangeError with all that is against it.
-// Nothing of next is taken while it is not nil.
+// CheckChange checks whether a running node with configuration s can adopt next. If not, it returns a *ChangeError with all the
+// reasons, and the caller must adopt nothing of next.
 func (s *Site) CheckChange(next *Site) error {
 	var e ChangeError
 	for _, f := range []struct {
@@ -109,7 +110,8 @@
 		}
 	}
 	if changes := PlanVoterChanges(s.Voters, next.Voters); s.Own.Name == next.Own.Name && slices.ContainsFunc(changes, func(t VoterChange) bool { return t.Add }) {
-		// New seats found a council where all seats of the file are new. They do not while one of those that stay has its store.
+		// If all voters of the file are new, they bootstrap a new consensus group. They do not as long as one of the remaining
+		// voters has its store. So more than half of the present voters must remain.
 		staying := 0
 		for _, n := range s.Voters {
 			if slices.Contains(next.Voters, n) {
@@ -126,7 +128,8 @@
 	return &e
 }
 
-// Steps leads from one set of seats to another, one seat at a time: never fewer seats than the smaller of the two.
+// PlanVoterChanges returns the changes that lead from one set of voters to another, one voter at a time. At no point are there
+// fewer voters than in the smaller of the two sets.
 func PlanVoterChanges(now, next []string) (changes []VoterChange) {
 	var added, removed []string
 	for _, n := range next {
@@ -157,7 +160,7 @@
 	return list
 }
 
-// quote shows a text of the file, the start of it where it is long.
+// quote quotes a text of the file, truncated if it is long.
 func quote(s string) string {
 	if len(s) > 80 {
 		s = strings.ToValidUTF8(s[:80], "") + "…"
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -22,7 +22,7 @@
 )
 
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // verdicts do not vary
+	_ = flag.Set("rapid.seed", "1") // makes the results reproducible
 	m.Run()
 }
 
@@ -68,7 +68,7 @@
 	assert.Equal(t, 2, s.Own.Level)
 }
 
-// small is a sound file; each fault below is made by a change of it.
+// smallFile is a valid file; the tests below introduce faults by changing it.
 const smallFile = `listen: "10.0.0.1:7"
 store: "/var/a1"
 sites {
@@ -90,67 +90,67 @@
 	for _, tc := range []struct {
 		name, was, is, place, what, do string
 	}{
-		// of the text
+		// faults of the text
 		{"no closing quote", `"p" level`, `"p level`, "4:9", "", "correct the text"},
-		{"no closing brace", "seat: true }\n}\n#", "seat: true }\n\n#", "7:7", "has no end", "close it"},
+		{"no closing brace", "seat: true }\n}\n#", "seat: true }\n\n#", "7:7", "is not closed", "close it"},
 		{"unknown field", `store:`, `stores:`, "2:1", "no such field", "listen, store, sites"},
 		{"unknown field inside", `parent: "p"`, `parrent: "p"`, "8:29", "no such field", "name, level, parent, nodes"},
 		{"wrong enum", `BUILDING`, `HOUSE`, "8:13", "HOUSE is not one of", "PROVINCE, REGENCY, BUILDING"},
-		{"number for a text", `store: "/var/a1"`, `store: 7`, "2:1", "7 is not a text", "give a text in quotes"},
+		{"number for a text", `store: "/var/a1"`, `store: 7`, "2:1", "7 is not a quoted string", "give a quoted string"},
 		{"text for a bool", `"p1" seat: true`, `"p1" seat: 3`, "5:22", "3 is not true or false", "give true or false"},
-		{"value for a message", "# ü", "rights: 3 # ü", "13:1", "takes a message", "write it so"},
-		{"message for a value", `listen: "10.0.0.1:7"`, `listen {}`, "1:1", "takes a value", "write it so"},
-		{"given twice", "# ü", "store: '/x' # ü", "13:1", "given twice", "leave it once"},
-		{"negative", "# ü", "turns { site: -1 } # ü", "13:9", "-1 is not a whole number", "give a whole number"},
-		// of the sites
+		{"value for a message", "# ü", "rights: 3 # ü", "13:1", "expects a message", "write it in this form"},
+		{"message for a value", `listen: "10.0.0.1:7"`, `listen {}`, "1:1", "expects a value", "write it in this form"},
+		{"given twice", "# ü", "store: '/x' # ü", "13:1", "set twice", "set it once"},
+		{"negative", "# ü", "turns { site: -1 } # ü", "13:9", "-1 is not an integer from 0", "give an integer"},
+		// faults of the sites
 		{"node in no site", `"a1" seat`, `"b1" seat`, "3:1", `no site has the node "a1"`, "GW_NAME"},
-		{"no sites", smallFile[strings.Index(smallFile, "sites"):], "", "1:1", "missing", "name the sites"},
+		{"no sites", smallFile[strings.Index(smallFile, "sites"):], "", "1:1", "missing", "list the sites"},
 		{"site twice", `name: "a" level: BUILDING parent: "p"`, `name: "p" level: BUILDING parent: "p"`, "8:3",
-			`"p" is in use already, at 4:3`, "a name of its own"},
-		{"node twice", `"a3" seat`, `"p1" seat`, "11:11", `"p1" is in use already, at 5:11`, "a name of its own"},
-		{"peer twice", `node: "a3"`, `node: "a2"`, "14:52", `"a2" is in use already, at 14:9`, "a name of its own"},
+			`"p" is in use already, at 4:3`, "a unique name"},
+		{"node twice", `"a3" seat`, `"p1" seat`, "11:11", `"p1" is in use already, at 5:11`, "a unique name"},
+		{"peer twice", `node: "a3"`, `node: "a2"`, "14:52", `"a2" is in use already, at 14:9`, "a unique name"},
 		{"node without a name", `name: "a3" seat`, `seat`, "11:3", "missing", "give it a name"},
-		{"blank in a name", `"a3" seat`, `"a 3" seat`, "11:11", `"a 3" is not a name`, "without blanks"},
+		{"blank in a name", `"a3" seat`, `"a 3" seat`, "11:11", `"a 3" is not a valid name`, "without blanks"},
 		{"no seats", " seat: true }\n  nodes { name: \"a2\" seat: true }\n  nodes { name: \"a3\" seat: true }", "}", "7:1",
 			"no node has a seat", "1, 3 or 5"},
 		{"two seats", `"a3" seat: true`, `"a3"`, "7:1", "2 nodes have a seat", "1, 3 or 5"},
 		{"four seats", "}\n# ü", "nodes {name:'a4' seat: true}}\npeers{node:'a4' address:'10.0.0.4:7'}# ü", "7:1", "4 nodes", "1, 3 or 5"},
 		{"seven seats", `level: PROVINCE`, "level: PROVINCE" + strings.Repeat(" nodes { name: 'q' seat: true }", 6), "3:1", "7 nodes", "1, 3 or 5"},
 		{"parent missing", ` parent: "p"`, ``, "7:1", "missing", "name the site above"},
-		{"parent unknown", `parent: "p"`, `parent: "q"`, "8:29", `"q" is no site`, "correct the name"},
-		{"own parent", `parent: "p"`, `parent: "a"`, "8:29", "a under a", "correct the parents"},
-		{"not above", `level: PROVINCE`, `level: BUILDING parent: "r"}sites{name:"r" level:PROVINCE`, "8:29", "not of a level above", "PROVINCE, REGENCY"},
-		{"two provinces", `level: BUILDING parent: "p"`, `level: PROVINCE`, "8:13", "a second province", "leave one"},
-		{"province under one", `level: PROVINCE`, `level: PROVINCE parent: "a"`, "4:29", "a province has no parent", "take the parent out"},
+		{"parent unknown", `parent: "p"`, `parent: "q"`, "8:29", `"q" is not a site`, "correct the name"},
+		{"site is its own parent", `parent: "p"`, `parent: "a"`, "8:29", "a under a", "correct the parents"},
+		{"parent level not higher", `level: PROVINCE`, `level: BUILDING parent: "r"}sites{name:"r" level:PROVINCE`, "8:29", "does not have a higher level", "PROVINCE, REGENCY"},
+		{"two provinces", `level: BUILDING parent: "p"`, `level: PROVINCE`, "8:13", "a second province", "keep one"},
+		{"province under one", `level: PROVINCE`, `level: PROVINCE parent: "a"`, "4:29", "a province has no parent", "remove the parent"},
 		{"level missing", ` level: BUILDING`, ``, "7:1", "missing", "BUILDING"},
-		// of the addresses
-		{"peer not reached", `peers { node: "a3" address: "10.0.0.3:7" }`, ``, "11:3", `"a3" has no address`, `peers { node: "a3"`},
-		{"parent not reached", `peers { node: "p1" address: "10.0.0.9:7" }`, ``, "5:3", `"p1" has no address`, `peers { node: "p1"`},
-		{"parent without nodes", `  nodes { name: "p1" seat: true }`, ``, "3:1", "no nodes", "writes travel"},
-		{"listen is none", `"10.0.0.1:7"`, `"here:7"`, "1:1", "not an address and a port", "10.0.0.1:7400"},
+		// faults of the addresses
+		{"peer without address", `peers { node: "a3" address: "10.0.0.3:7" }`, ``, "11:3", `"a3" has no address`, `peers { node: "a3"`},
+		{"parent without address", `peers { node: "p1" address: "10.0.0.9:7" }`, ``, "5:3", `"p1" has no address`, `peers { node: "p1"`},
+		{"parent without nodes", `  nodes { name: "p1" seat: true }`, ``, "3:1", "no nodes", "writes are forwarded"},
+		{"listen is not an address", `"10.0.0.1:7"`, `"here:7"`, "1:1", "not an address and a port", "10.0.0.1:7400"},
 		{"listen missing", `listen: "10.0.0.1:7"`, ``, "1:1", "missing", "give an address"},
 		{"port 0", `"10.0.0.3:7"`, `"10.0.0.3:0"`, "14:63", "port 0", "give the port"},
-		{"peer's is none", `"10.0.0.3:7"`, `"10.0.0.3"`, "14:63", "not an address and a port", "10.0.0.1:7400"},
-		{"peer at none", `"10.0.0.3:7"`, `"0.0.0.0:7"`, "14:63", "can only be listened at", "reaches it"},
-		{"peer's is listen", `"10.0.0.3:7"`, `"[::ffff:10.0.0.1]:7"`, "14:63", "listens itself", "peer's own"},
-		{"one for two peers", `"10.0.0.3:7"`, `"10.0.0.2:7"`, "14:63", `the address of "a2" too`, "its own"},
-		{"peer of no site", `node: "p1"`, `node: "p2"`, "15:9", `"p2" is no node`, "correct the name"},
+		{"peer's address is invalid", `"10.0.0.3:7"`, `"10.0.0.3"`, "14:63", "not an address and a port", "10.0.0.1:7400"},
+		{"peer at an unspecified address", `"10.0.0.3:7"`, `"0.0.0.0:7"`, "14:63", "is an unspecified address", "reaches the peer"},
+		{"peer's address is listen", `"10.0.0.3:7"`, `"[::ffff:10.0.0.1]:7"`, "14:63", "listen address of this node", "peer's own"},
+		{"one address for two peers", `"10.0.0.3:7"`, `"10.0.0.2:7"`, "14:63", `also the address of "a2"`, "its own"},
+		{"peer of no site", `node: "p1"`, `node: "p2"`, "15:9", `"p2" is not a node`, "correct the name"},
 		{"no store", `store: "/var/a1"`, ``, "1:1", "missing", "/var/lib/lichenhitch/a1"},
-		{"store from here", `"/var/a1"`, `"var/a1"`, "2:1", "not an absolute path", "begin it with /"},
-		{"store at the root", `"/var/a1"`, `"//"`, "2:1", "root folder", "a folder of this node's own"},
-		{"witness from here", "# ü", "witness: 'run/a1'# ü", "13:1", "not an absolute path", "/dev/shm, or leave it out"},
-		{"witness of nothing", "# ü", "witness: ''# ü", "13:1", "not an absolute path", "name a file"},
-		{"witness a folder", "# ü", "witness: '/run/'# ü", "13:1", "names a folder", "name a file in it"},
-		{"witness in the store", "# ü", "witness: '/var/a1/w'# ü", "13:1", "in the store's folder", "/run"},
-		// of the limits
+		{"relative store", `"/var/a1"`, `"var/a1"`, "2:1", "not an absolute path", "start it with /"},
+		{"store at the root", `"/var/a1"`, `"//"`, "2:1", "root directory", "a directory used only by this node"},
+		{"relative witness", "# ü", "witness: 'run/a1'# ü", "13:1", "not an absolute path", "/dev/shm, or omit it"},
+		{"witness empty", "# ü", "witness: ''# ü", "13:1", "not an absolute path", "name a file"},
+		{"witness a folder", "# ü", "witness: '/run/'# ü", "13:1", "names a directory", "name a file in it"},
+		{"witness in the store", "# ü", "witness: '/var/a1/w'# ü", "13:1", "in the store's directory", "/run"},
+		// faults of the limits
 		{"drift", "# ü", "rights { drift: 0.3 }# ü", "13:10", "0.3 is out of range", "give 0 or more and at most 0.2, or leave it out for 0.01"},
 		{"drift no number", "# ü", "rights { drift: nan }# ü", "13:10", "NaN is out of range", "at most 0.2"},
 		{"lasts", "# ü", "rights { drift: 0 lasts_ms: 299 }# ü", "13:19", "299 is out of range", "300 to 60000"},
-		{"lasts nothing", "# ü", "rights { lasts_ms: 0 }# ü", "13:10", "0 is out of range", "leave it out for 3000"},
+		{"lasts zero", "# ü", "rights { lasts_ms: 0 }# ü", "13:10", "0 is out of range", "leave it out for 3000"},
 		{"tick", "# ü", "council <tick_ms: 5001; >  # ü", "13:10", "5001", "10 to 5000"},
 		{"snapshots", "# ü", "council {\n\tsnapshot_every: 1\n}  # ü", "14:2", "1 is out of range", "16 to"},
-		{"zone", "# ü", "turns { site: 2 zone: 3 }# ü", "13:17", "3, of 2 for the whole site", "raise turns.site"},
-		{"kind", "# ü", "turns { kind: 2 }# ü", "13:9", "2, of 1", "raise turns.site"},
+		{"zone", "# ü", "turns { site: 2 zone: 3 }# ü", "13:17", "3, but only 2 for the whole site", "raise turns.site"},
+		{"kind", "# ü", "turns { kind: 2 }# ü", "13:9", "2, but only 1", "raise turns.site"},
 		{"horizon", "# ü", "turns { horizon: 65 }# ü", "13:9", "65", "1 to 64"},
 		{"alpha", "# ü", "rollout { alpha: 0.5 }# ü", "13:11", "0.5", "more than 0 and less than 0.5"},
 		{"beta", "# ü", "rollout { beta: 0 }# ü", "13:11", "0 is out", "leave it out for 0.05"},
@@ -158,18 +158,18 @@
 		{"crashes", "# ü", "rollout { crashes: 101 }# ü", "13:11", "101", "1 to 100"},
 		{"slow", "# ü", "rollout { slow: 0.5 }# ü", "13:11", "0.5 is", "more than 0 and less than 0.5, or leave it out for 0.05"},
 		{"cover", "# ü", "rollout { cover: 1.1 }# ü", "13:11", "1.1 is", "more than 0 and at most 1, or leave it out for 0.9"},
-		{"cover nothing", "# ü", "rollout { cover: 0 }# ü", "13:11", "0 is", "more than 0"},
+		{"cover zero", "# ü", "rollout { cover: 0 }# ü", "13:11", "0 is", "more than 0"},
 		{"spell", "# ü", "rollout { spell: 65 }# ü", "13:11", "65 is", "1 to 64, or leave it out for 6"},
-		{"spell nothing", "# ü", "rollout { spell: 0 }# ü", "13:11", "0 is", "1 to 64"},
+		{"spell zero", "# ü", "rollout { spell: 0 }# ü", "13:11", "0 is", "1 to 64"},
 		{"watch", "# ü", "rollout { watch: 1001 }# ü", "13:11", "1001 is", "1 to 1000"},
 		{"slice", "# ü", "rollout { least: 9\n slice_s: 0 }# ü", "14:2", "0 is", "leave it out for 300"},
 		{"settle", "# ü", "rollout { settle_s: 604801 }# ü", "13:11", "604801", "0 to 604800, or leave it out for 60"},
 		{"longest", "# ü", "rollout { longest_s: 604801 }# ü", "13:11", "604801", "leave it out for 259200"},
-		{"hold too short", "# ü", "rollout { slice_s: 1 spell: 2 hold_s: 64 }# ü", "13:31", "1m4s, and the first evidence of a stage may take 1m5s", "shorten slice_s"},
-		{"slice too long", "# ü", "rollout { slice_s: 600 }# ü", "13:1", "2h0m0s, and the first evidence", "shorten slice_s"},
-		{"blank in a zone", `"a3" seat`, `"a3" zone: "z 1" seat`, "11:22", `"z 1" is not a name`, "without blanks"},
+		{"hold too short", "# ü", "rollout { slice_s: 1 spell: 2 hold_s: 64 }# ü", "13:31", "1m4s, but the first evidence of a stage may take 1m5s", "shorten slice_s"},
+		{"slice too long", "# ü", "rollout { slice_s: 600 }# ü", "13:1", "2h0m0s, but the first evidence", "shorten slice_s"},
+		{"blank in a zone", `"a3" seat`, `"a3" zone: "z 1" seat`, "11:22", `"z 1" is not a valid name`, "without blanks"},
 		{"bytes", "# ü", "upstream { bytes: 1 }# ü", "13:12", "1 is", "65536 to"},
-		{"batch", "# ü", "upstream { number: 16 batch: 17 }# ü", "13:23", "17 writes in one call", "at most number"},
+		{"batch", "# ü", "upstream { number: 16 batch: 17 }# ü", "13:23", "17 writes in one call, but the queue holds only 16", "to at most number"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			require.Contains(t, smallFile, tc.was)
@@ -187,16 +187,16 @@
 				}
 				reported = append(reported, f.Error())
 			}
-			assert.Fail(t, "not told", "%s %s\ntold: %s", tc.place, tc.what, strings.Join(reported, "\n      "))
+			assert.Fail(t, "fault not reported", "%s %s\nreported: %s", tc.place, tc.what, strings.Join(reported, "\n      "))
 		})
 	}
 }
 
-// What only the machine knows of a witness is told at the load, with its place.
+// Load must report witness faults that only a check of the file system finds, with their position in the file.
 func TestWitnessMustBeOnTmpfs(t *testing.T) {
 	for witness, want := range map[string][2]string{
-		t.TempDir() + "/none/w":   {"no such file", "make the folder"},
-		"/proc/lichenhitch":       {"not on a file system in memory", "/dev/shm"},
+		t.TempDir() + "/none/w":   {"no such file", "create the directory"},
+		"/proc/lichenhitch":       {"not on an in-memory file system", "/dev/shm"},
 		"/dev/shm/lichenhitch-a1": {},
 	} {
 		path := filepath.Join(t.TempDir(), "site.txtpb")
@@ -205,7 +205,7 @@
 		if want[0] == "" {
 			require.NoError(t, err)
 			assert.Equal(t, witness, s.Witness)
-			assert.NoFileExists(t, witness, "a load makes nothing")
+			assert.NoFileExists(t, witness, "Load must not create the file")
 			continue
 		}
 		var fault *Fault
@@ -258,14 +258,14 @@
 		restart []string
 		steps   string
 	}{
-		{"nothing", nil, nil, ""},
+		{"no change", nil, nil, ""},
 		{"a zone, and shorter stages", []string{`"a2" seat`, `"a2" zone: "z" seat`, "# ü",
 			"rollout {slice_s: 1 spell: 1 watch: 3 settle_s: 0 longest_s: 0 slow: .1 cover: 1 hold_s: 3} # ü"}, nil, ""},
 		{"allowances and addresses", []string{"# ü", "turns {site: 3} rollout {alpha: .1} upstream {batch: 9} # ü", "10.0.0.3", "10.0.0.4"}, nil, ""},
 		{"a node without a seat", []string{"}\n# ü", "nodes { name: 'a4' } }\n# ü"}, nil, ""},
 		{"listen and store", []string{"10.0.0.1", "10.0.0.8", "/var/a1", "/var/b", "# ü", "turns {site: 3} # ü"}, []string{"listen", "store"}, ""},
 		{"rights and ticks", []string{"# ü", "rights {lasts_ms: 900} council {tick_ms: 20} # ü"}, []string{"rights", "council.tick_ms"}, ""},
-		{"the line", []string{`"p"`, `"q"`}, []string{"the sites above"}, ""},
+		{"other ancestors", []string{`"p"`, `"q"`}, []string{"the sites above"}, ""},
 		{"a witness", []string{"# ü", "witness: '/run/a1'# ü"}, []string{"witness"}, ""},
 		{"one seat for another", []string{`"a3"`, `"a4"`}, nil, ""},
 		{"fewer seats", []string{"\"a2\" seat: true", `"a2"`, "\"a3\" seat: true", `"a3"`}, nil, ""},
@@ -295,7 +295,7 @@
 	}
 }
 
-// mangled cuts, repeats and replaces parts of a sound file.
+// mutatedFile removes, repeats and replaces parts of a valid file.
 func mutatedFile(t *rapid.T) []byte {
 	raw := []byte(smallFile)
 	for range rapid.IntRange(0, 6).Draw(t, "changes") {
@@ -340,7 +340,7 @@
 		require.NotNil(t, s)
 		require.Contains(t, s.Members, "a1")
 		require.NotEmpty(t, s.Voters)
-		require.NoError(t, scan(raw).err, "what prototext takes, the scanner has the places of")
+		require.NoError(t, scan(raw).err, "the scanner must accept what prototext accepts")
 		require.NoError(t, s.CheckChange(s))
 		require.NoError(t, s.Rollout.Check())
 		return
--- a/internal/site/text.go
+++ b/internal/site/text.go
@@ -15,36 +15,36 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// maxDepth is how deep messages may nest. Files nest three deep.
+// maxDepth is the maximum nesting depth of messages. Valid files are three levels deep.
 const maxDepth = 32
 
-// text finds the places of fields: prototext tells them for its own errors only, and txtpbfmt's parser tells the first
-// line of the comments before a field. What it scans was, or will be, judged by prototext.
+// scanner finds the positions of the fields in the file. prototext reports positions only for its own errors, and txtpbfmt's
+// parser reports the first line of the comments before a field. prototext validates the same text.
 type scanner struct {
 	raw      []byte
 	pos      int
 	root     []*field
 	err      error
-	unclosed int            // offset of the first message that has no end, or -1
-	offsets  map[string]int // offset by path
+	unclosed int            // offset of an unclosed message, or -1
+	offsets  map[string]int // offsets of the fields by path
 }
 
-// field is one field of a message, with one value: those of a list are fields of their own.
+// field is one field of a message with one value. Each element of a list is a field of its own.
 type field struct {
 	name    string
-	offset  int    // offset of the name, or of the value in a list
-	value   string // as written, of a scalar
+	offset  int    // offset of the name, or of the value for an element of a list
+	value   string // text of a scalar value, as written
 	message bool
 	fields  []*field
 }
 
-// form is what a file consists of.
+// fileDescriptor describes the message that a site file consists of.
 var fileDescriptor = (*sitepb.File)(nil).ProtoReflect().Descriptor()
 
-// errText says that a text is not in the text format, and nothing else: prototext says why.
+// errSyntax means that a text is not in protobuf text format. prototext reports the details.
 var errSyntax = errors.New("not in protobuf text format")
 
-// scan reads a text as far as it is sound.
+// scan scans a text up to its first syntax error.
 func scan(raw []byte) *scanner {
 	t := &scanner{raw: raw, unclosed: -1, offsets: map[string]int{}}
 	t.root, t.err = t.parseMessage(0, 0)
@@ -52,7 +52,7 @@
 	return t
 }
 
-// places notes where the fields of a kind of message are; those that it does not have are left out.
+// recordOffsets records the offsets of the fields of a message. Unknown fields are left out.
 func (t *scanner) recordOffsets(prefix string, fields []*field, d protoreflect.MessageDescriptor) {
 	count := map[string]int{}
 	for _, f := range fields {
@@ -75,10 +75,10 @@
 	}
 }
 
-// has says whether a field is written down.
+// isPresent reports whether a field is present in the file.
 func (t *scanner) isPresent(path string) bool { _, ok := t.offsets[path]; return ok }
 
-// fault makes a fault at a field, or where that is missing at the message that it is missing in.
+// fault returns a fault at the position of a field or, if the field is missing, of the message that should contain it.
 func (t *scanner) fault(path, what, do string) *Fault {
 	at, ok := 0, false
 	for p := path; !ok && p != ""; {
@@ -100,7 +100,8 @@
 
 var protoErrorPosition = regexp.MustCompile(`^proto:\s*(?:syntax error )?\(line (\d+):(\d+)\):\s*`)
 
-// structure tells why a text is not a file of sites: prototext's own error, and more of the kind that it would come to.
+// syntaxFaults returns the reasons why a text is not a site file: the faults that the scanner finds and, unless one of these is
+// on the same line, the error of prototext, which reports only the first one.
 func (t *scanner) syntaxFaults(err error) Faults {
 	message := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	protoFault := &Fault{Line: 1, Column: 1, Message: strings.TrimPrefix(message, "proto: "), Remedy: "correct the text"}
@@ -112,7 +113,7 @@
 	}
 	fs := t.checkFields(nil, "", t.root, fileDescriptor)
 	if t.unclosed >= 0 {
-		fs = append(fs, t.faultAt(t.unclosed, "this message has no end", "close it, and do not close another one twice"))
+		fs = append(fs, t.faultAt(t.unclosed, "this message is not closed", "close it, and check that no other message is closed twice"))
 	} else if t.err != nil {
 		fs = append(fs, t.faultAt(t.pos, "not in protobuf text format", "correct the text at or before this place"))
 	}
@@ -122,7 +123,7 @@
 	return fs
 }
 
-// judge appends what is wrong with fields by themselves.
+// checkFields appends the faults of fields that can be found without their context: unknown names, repetition and wrong types.
 func (t *scanner) checkFields(faults Faults, prefix string, fields []*field, d protoreflect.MessageDescriptor) Faults {
 	count := map[string]int{}
 	report := func(f *field, path, what, do string) {
@@ -133,23 +134,23 @@
 	for _, f := range fields {
 		path, fd := prefix+f.name, d.Fields().ByTextName(f.name)
 		if fd == nil {
-			report(f, path, "no such field", "take it out, or correct its name to one of "+fieldNames(d))
+			report(f, path, "no such field", "remove it, or correct its name to one of "+fieldNames(d))
 			continue
 		}
 		if fd.IsList() {
 			path += "[" + strconv.Itoa(count[f.name]) + "]"
 		} else if count[f.name] == 1 {
-			report(f, path, "given twice", "leave it once")
+			report(f, path, "set twice", "set it once")
 		}
 		count[f.name]++
 		switch {
-		case !f.message && f.value == "": // the text broke off
+		case !f.message && f.value == "": // the value is incomplete
 		case f.message != (fd.Kind() == protoreflect.MessageKind):
-			want := "a value, as in " + f.name + ": ..."
+			want := "a value, such as " + f.name + ": ..."
 			if !f.message {
-				want = "a message, as in " + f.name + " { ... }"
+				want = "a message, such as " + f.name + " { ... }"
 			}
-			report(f, path, "takes "+want, "write it so")
+			report(f, path, "expects "+want, "write it in this form")
 		case f.message:
 			faults = t.checkFields(faults, path+".", f.fields, fd.Message())
 		default:
@@ -169,12 +170,12 @@
 	return strings.Join(list, ", ")
 }
 
-// scalar says what a value would have to be, or "" where it is that.
+// expectedScalar returns "" if a value fits the type of its field, and a description of the expected value if not.
 func expectedScalar(value string, fd protoreflect.FieldDescriptor) string {
 	switch fd.Kind() {
 	case protoreflect.StringKind:
 		if value[0] != '"' && value[0] != '\'' {
-			return "a text in quotes"
+			return "a quoted string"
 		}
 	case protoreflect.BoolKind:
 		if !slices.Contains([]string{"true", "false", "True", "False", "t", "f", "0", "1"}, value) {
@@ -182,7 +183,7 @@
 		}
 	case protoreflect.Uint32Kind:
 		if _, err := strconv.ParseUint(value, 0, 32); err != nil {
-			return "a whole number from 0 to 4294967295"
+			return "an integer from 0 to 4294967295"
 		}
 	case protoreflect.DoubleKind:
 		if _, err := strconv.ParseFloat(strings.TrimRight(value, "fF"), 64); err != nil && !strings.Contains(strings.ToLower(value), "inf") {
@@ -194,7 +195,7 @@
 			return ""
 		}
 		var list []string
-		for i := 1; i < values.Len(); i++ { // the first one is that of a field that is missing
+		for i := 1; i < values.Len(); i++ { // the first value stands for an unset field
 			list = append(list, string(values.Get(i).Name()))
 		}
 		return "one of " + strings.Join(list, ", ")
@@ -202,7 +203,7 @@
 	return ""
 }
 
-// message reads fields up to an end: '}' or '>', or that of the text where it is 0.
+// parseMessage parses fields up to the end character '}' or '>', or up to the end of the text if end is 0.
 func (t *scanner) parseMessage(end byte, depth int) (fields []*field, err error) {
 	if depth > maxDepth {
 		return nil, errSyntax
@@ -227,7 +228,7 @@
 func (t *scanner) parseField(depth int) ([]*field, error) {
 	at := t.pos
 	name := t.readWord()
-	if name == "" && t.skipSpace() == '[' { // an extension, which the file has none of
+	if name == "" && t.skipSpace() == '[' { // the name of an extension; a site file has none
 		if n := bytes.IndexByte(t.raw[t.pos:], ']'); n > 0 {
 			name = string(t.raw[t.pos : t.pos+n+1])
 			t.pos += n + 1
@@ -273,7 +274,7 @@
 		}
 	case '"', '\'':
 		start := t.pos
-		for c = t.skipSpace(); c == '"' || c == '\''; c = t.skipSpace() { // neighbours are one
+		for c = t.skipSpace(); c == '"' || c == '\''; c = t.skipSpace() { // adjacent strings are concatenated
 			if err = t.skipString(c); err != nil {
 				break
 			}
@@ -295,7 +296,7 @@
 	return f, err
 }
 
-// quoted passes over a text in quotes, or stays where one has no end.
+// skipString skips a quoted string. If the string is not closed, it fails and the position stays at its start.
 func (t *scanner) skipString(quote byte) error {
 	start := t.pos
 	for t.pos++; t.pos < len(t.raw) && t.raw[t.pos] != '\n'; t.pos++ {
@@ -311,7 +312,7 @@
 	return errSyntax
 }
 
-// word reads a name or a number; "" where there is none.
+// readWord reads a name or a number, and returns "" if there is none.
 func (t *scanner) readWord() string {
 	start := t.pos
 	for t.pos < len(t.raw) {
@@ -325,7 +326,7 @@
 	return string(t.raw[start:t.pos])
 }
 
-// skip passes over blanks and comments and returns what comes next, 0 at the end.
+// skipSpace skips blanks and comments and returns the next character without consuming it, or 0 at the end.
 func (t *scanner) skipSpace() byte {
 	for ; t.pos < len(t.raw); t.pos++ {
 		switch c := t.raw[t.pos]; c {
