--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -15,7 +15,7 @@
 // version is the version of the file format. A file of another version is not read.
 const version = 1
 
-// State is the shared state. Times count from the Unix epoch by the node's clock.
+// State is the shared state. Times count from the Unix epoch, the start of 1970, by the node's clock.
 type State struct {
 	Bans      map[string]time.Duration // hosts banned by an operator, with the time of the ban
 	Draining  bool                     `json:"Drained"` // an operator drains the node
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -145,8 +145,8 @@
 
 func TestOperatorCallsInPlainJSON(t *testing.T) {
 	n, s := serve(t, Limits{MaxBody: 1000})
-	desk := "http://" + s.Addr() + "/lichenhitch.peer.Desk/"
-	status, body := curl(t, "POST", desk+"Ask", "application/json", `{"host":"g12","minutes":10}`)
+	deskURL := "http://" + s.Addr() + "/lichenhitch.peer.Desk/"
+	status, body := curl(t, "POST", deskURL+"Ask", "application/json", `{"host":"g12","minutes":10}`)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, map[string]any{"turn": map[string]any{"id": "t1", "host": "g12", "phase": "asked", "minutes": 10.0}}, body)
 	assert.Equal(t, "ask g12", <-n.asked)
@@ -165,7 +165,7 @@
 		{"GET", "../", "text/html", ``, 404, "not_found", "no such path", "POST to a path such as"},
 		{"POST", "Turns", "application/json", `{}`, 500, "internal", "panic", "look at the log"},
 	} {
-		status, body := curl(t, tc.method, desk+tc.path, tc.kind, tc.body)
+		status, body := curl(t, tc.method, deskURL+tc.path, tc.kind, tc.body)
 		assert.Equal(t, tc.status, status, tc)
 		assert.Equal(t, tc.code, body["code"], tc)
 		what, do, cut := splitRemedy(fmt.Sprint(body["message"]))
@@ -204,14 +204,14 @@
 	s, err := Serve("127.0.0.1:0", policyNode{}, Limits{})
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
-	desk := "http://" + s.Addr() + "/lichenhitch.peer.Desk/"
+	deskURL := "http://" + s.Addr() + "/lichenhitch.peer.Desk/"
 	c := client(t, s.Addr(), ClientLimits{})
 	policy := `{"request_classes":{"chat":{"aim_us":1}}}`
 	for name, call := range map[string]func(*peerpb.PolicyRequest, func(*peerpb.PolicyReply, error)){"StartPolicy": c.StartPolicy,
 		"HaltPolicy": c.HaltPolicy, "ResumePolicy": c.ResumePolicy, "ForcePolicy": c.ForcePolicy} {
 		body, err := json.Marshal(map[string]string{"id": "p1", "policy": policy, "stage": "building", "by": "rina", "why": "w"})
 		require.NoError(t, err)
-		status, reply := curl(t, "POST", desk+name, "application/json", string(body))
+		status, reply := curl(t, "POST", deskURL+name, "application/json", string(body))
 		assert.Equal(t, 200, status, name)
 		assert.Equal(t, map[string]any{"write": name, "rollout": map[string]any{"id": "p1", "policy": policy, "stage": "building",
 			"cause": "rina", "missing": "w"}}, reply)
@@ -220,11 +220,11 @@
 		a := <-answers
 		require.NoError(t, a.err)
 		assert.Equal(t, []string{name, "p2", "all"}, []string{a.reply.Write, a.reply.Rollout.Id, a.reply.Rollout.Stage})
-		status, reply = curl(t, "POST", desk+name, "application/json", `{"id":"p1","reason":"w"}`)
+		status, reply = curl(t, "POST", deskURL+name, "application/json", `{"id":"p1","reason":"w"}`)
 		assert.Equal(t, 400, status, name)
 		assert.Contains(t, reply["message"], "its keys are: id policy stage by why")
 	}
-	status, reply := curl(t, "POST", desk+"Policies", "application/json", `{}`)
+	status, reply := curl(t, "POST", deskURL+"Policies", "application/json", `{}`)
 	assert.Equal(t, 200, status)
 	assert.Equal(t, map[string]any{"site": "b", "good": "g", "age_ms": "40",
 		"nodes": []any{map[string]any{"node": "a", "trial": true, "fell": "silence"}}}, reply)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -105,10 +105,10 @@
 		}),
 	}
 	mux := http.NewServeMux()
-	_, council := peerpbconnect.NewCouncilHandler(callHandler{s}, options...)
-	_, desk := peerpbconnect.NewDeskHandler(callHandler{s}, options...)
-	s.register(mux, peerpbconnect.CouncilName, council)
-	s.register(mux, peerpbconnect.DeskName, desk)
+	_, councilHandler := peerpbconnect.NewCouncilHandler(callHandler{s}, options...)
+	_, deskHandler := peerpbconnect.NewDeskHandler(callHandler{s}, options...)
+	s.register(mux, peerpbconnect.CouncilName, councilHandler)
+	s.register(mux, peerpbconnect.DeskName, deskHandler)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		refuse(w, r, &Error{Kind: Unknown, Message: "no such path", Remedy: "POST to a path such as /lichenhitch.peer.Desk/Ask or /lichenhitch.peer.Desk/Turns"})
 	})
--- a/internal/site/check.go
+++ b/internal/site/check.go
@@ -32,16 +32,16 @@
 	faults    Faults
 }
 
-func (c *checker) report(path, what, do string) {
-	c.faults = append(c.faults, c.source.fault(path, what, do))
+func (c *checker) report(path, message, remedy string) {
+	c.faults = append(c.faults, c.source.fault(path, message, remedy))
 }
 
 func (c *checker) validate() *Site {
 	s := &Site{Node: c.node, Listen: c.file.GetListen(), Store: c.file.GetStore(), Witness: c.file.GetWitness(), Peers: map[string]string{}}
 	c.readLimits(s)
-	groups := c.readSites()
-	c.checkTree(groups)
-	own := slices.IndexFunc(groups, func(g Definition) bool { return slices.Contains(g.Nodes, c.node) })
+	definitions := c.readSites()
+	c.checkTree(definitions)
+	own := slices.IndexFunc(definitions, func(g Definition) bool { return slices.Contains(g.Nodes, c.node) })
 	c.checkAddresses(s)
 	switch {
 	case c.node == "":
@@ -52,30 +52,30 @@
 			"add nodes { name: "+strconv.Quote(c.node)+" } to its site, or set GW_NAME to a node of this file")
 		return nil
 	}
-	s.Own = groups[own]
+	s.Own = definitions[own]
 	s.Voters, s.Members = s.Own.Voters, s.Own.Nodes
 	s.IsVoter = slices.Contains(s.Voters, c.node)
-	for i := parentOf(groups, own); i >= 0 && len(s.Ancestors) < len(groups); i = parentOf(groups, i) {
-		s.Ancestors = append(s.Ancestors, groups[i])
+	for i := parentOf(definitions, own); i >= 0 && len(s.Ancestors) < len(definitions); i = parentOf(definitions, i) {
+		s.Ancestors = append(s.Ancestors, definitions[i])
 	}
-	for i := range groups {
-		for j, n := parentOf(groups, i), 0; j >= 0 && n < len(groups); j, n = parentOf(groups, j), n+1 {
+	for i := range definitions {
+		for j, n := parentOf(definitions, i), 0; j >= 0 && n < len(definitions); j, n = parentOf(definitions, j), n+1 {
 			if j == own {
-				s.Descendants = append(s.Descendants, groups[i])
+				s.Descendants = append(s.Descendants, definitions[i])
 				break
 			}
 		}
 	}
-	c.checkReachability(s, groups)
+	c.checkReachability(s, definitions)
 	return s
 }
 
 // parentOf returns the index of the parent of site i, or -1.
-func parentOf(groups []Definition, i int) int {
-	if groups[i].Parent == "" {
+func parentOf(definitions []Definition, i int) int {
+	if definitions[i].Parent == "" {
 		return -1
 	}
-	return slices.IndexFunc(groups, func(g Definition) bool { return g.Name == groups[i].Parent })
+	return slices.IndexFunc(definitions, func(g Definition) bool { return g.Name == definitions[i].Parent })
 }
 
 // checkName checks that a name is valid and not used before.
@@ -108,7 +108,7 @@
 	if len(c.file.GetSites()) == 0 {
 		c.report("sites", "missing", "list the sites, including the one of this node: sites { name: ... level: ... nodes { ... } }")
 	}
-	var groups []Definition
+	var definitions []Definition
 	sites, nodes := map[string]string{}, map[string]string{}
 	for i, s := range c.file.GetSites() {
 		path := fmt.Sprintf("sites[%d]", i)
@@ -138,20 +138,20 @@
 			c.report(path, fmt.Sprintf("%d nodes have a seat in the council", n), "set seat: true for 1, 3 or 5 nodes: "+
 				"an even number tolerates no more failures than one node less, and more than five slow down each decision")
 		}
-		groups = append(groups, g)
+		definitions = append(definitions, g)
 	}
-	return groups
+	return definitions
 }
 
 // checkTree checks that the sites form a tree under one province, with levels in order.
-func (c *checker) checkTree(groups []Definition) {
+func (c *checker) checkTree(definitions []Definition) {
 	province := -1
-	for i, g := range groups {
+	for i, g := range definitions {
 		path := fmt.Sprintf("sites[%d]", i)
-		parent := parentOf(groups, i)
+		parent := parentOf(definitions, i)
 		if g.Level == 0 {
 			if province >= 0 {
-				c.report(path+".level", "a second province besides "+quote(groups[province].Name),
+				c.report(path+".level", "a second province besides "+quote(definitions[province].Name),
 					"keep one province; a file holds one site with those above and below it")
 			} else {
 				province = i
@@ -166,16 +166,16 @@
 		case parent < 0:
 			c.report(path+".parent", quote(g.Parent)+" is not a site of this file", "correct the name, or add that site")
 		default:
-			if loop := cycle(groups, i); loop != nil {
+			if loop := cycle(definitions, i); loop != nil {
 				if slices.Min(loop) == i {
-					var of []string
+					var names []string
 					for _, j := range loop {
-						of = append(of, groups[j].Name)
+						names = append(names, definitions[j].Name)
 					}
-					c.report(path+".parent", "the parents form a cycle: "+strings.Join(append(of, g.Name), " under "),
+					c.report(path+".parent", "the parents form a cycle: "+strings.Join(append(names, g.Name), " under "),
 						"correct the parents, so that each line ends at the province")
 				}
-			} else if groups[parent].Level >= g.Level && g.Level > 0 && groups[parent].Level >= 0 {
+			} else if definitions[parent].Level >= g.Level && g.Level > 0 && definitions[parent].Level >= 0 {
 				c.report(path+".parent", quote(g.Parent)+" does not have a higher level", "order them PROVINCE, REGENCY, BUILDING")
 			}
 		}
@@ -183,9 +183,9 @@
 }
 
 // cycle returns the sites on the path from i through its ancestors back to i, or nil if there is no such path.
-func cycle(groups []Definition, i int) []int {
+func cycle(definitions []Definition, i int) []int {
 	path := []int{i}
-	for j := parentOf(groups, i); j >= 0 && len(path) <= len(groups); j = parentOf(groups, j) {
+	for j := parentOf(definitions, i); j >= 0 && len(path) <= len(definitions); j = parentOf(definitions, j) {
 		if j == i {
 			return path
 		}
@@ -196,7 +196,7 @@
 
 // checkAddresses checks the addresses of this node and its peers, and the locations of the store and the witness.
 func (c *checker) checkAddresses(s *Site) {
-	listen, ok := c.parseAddress("listen", s.Listen)
+	listen, listenValid := c.parseAddress("listen", s.Listen)
 	switch {
 	case s.Store == "":
 		c.report("store", "missing", "name a directory used only by this node that persists across restarts, such as /var/lib/lichenhitch/"+
@@ -213,7 +213,7 @@
 			known[n.GetName()] = true
 		}
 	}
-	seen, taken := map[string]string{}, map[netip.AddrPort]string{}
+	seen, usedBy := map[string]string{}, map[netip.AddrPort]string{}
 	for i, p := range c.file.GetPeers() {
 		path := fmt.Sprintf("peers[%d]", i)
 		c.checkName(path+".node", p.GetNode(), seen)
@@ -230,12 +230,12 @@
 		switch {
 		case p.GetNode() == c.node:
 			continue
-		case ok && a == listen:
+		case listenValid && a == listen:
 			c.report(path+".address", quote(p.GetAddress())+" is the listen address of this node", "give the peer's own address, or correct listen")
-		case taken[a] != "":
-			c.report(path+".address", quote(p.GetAddress())+" is also the address of "+quote(taken[a]), "give each peer its own")
+		case usedBy[a] != "":
+			c.report(path+".address", quote(p.GetAddress())+" is the address of "+quote(usedBy[a])+" as well", "give each peer its own")
 		default:
-			taken[a] = p.GetNode()
+			usedBy[a] = p.GetNode()
 		}
 		s.Peers[p.GetNode()] = p.GetAddress()
 	}
@@ -281,7 +281,7 @@
 
 // checkReachability checks that this node has the addresses of the nodes that it must call: the voters of its own site and, if
 // it is a voter itself, those of the parent site.
-func (c *checker) checkReachability(s *Site, groups []Definition) {
+func (c *checker) checkReachability(s *Site, definitions []Definition) {
 	requireAddresses := func(site int, reason string) {
 		for j, n := range c.file.GetSites()[site].GetNodes() {
 			if name := n.GetName(); n.GetSeat() && name != c.node && name != "" && s.Peers[name] == "" && !c.hasPeer(name) {
@@ -290,7 +290,7 @@
 			}
 		}
 	}
-	for i, g := range groups {
+	for i, g := range definitions {
 		switch {
 		case g.Name == s.Own.Name:
 			requireAddresses(i, "requests its send lease from it")
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -133,7 +133,7 @@
 		{"peer's address is invalid", `"10.0.0.3:7"`, `"10.0.0.3"`, "14:63", "not an address and a port", "10.0.0.1:7400"},
 		{"peer at an unspecified address", `"10.0.0.3:7"`, `"0.0.0.0:7"`, "14:63", "is an unspecified address", "reaches the peer"},
 		{"peer's address is listen", `"10.0.0.3:7"`, `"[::ffff:10.0.0.1]:7"`, "14:63", "listen address of this node", "peer's own"},
-		{"one address for two peers", `"10.0.0.3:7"`, `"10.0.0.2:7"`, "14:63", `also the address of "a2"`, "its own"},
+		{"one address for two peers", `"10.0.0.3:7"`, `"10.0.0.2:7"`, "14:63", `the address of "a2" as well`, "its own"},
 		{"peer of no site", `node: "p1"`, `node: "p2"`, "15:9", `"p2" is not a node`, "correct the name"},
 		{"no store", `store: "/var/a1"`, ``, "1:1", "missing", "/var/lib/lichenhitch/a1"},
 		{"relative store", `"/var/a1"`, `"var/a1"`, "2:1", "not an absolute path", "start it with /"},
--- a/internal/site/text.go
+++ b/internal/site/text.go
@@ -79,23 +79,23 @@
 func (t *scanner) isPresent(path string) bool { _, ok := t.offsets[path]; return ok }
 
 // fault returns a fault at the position of a field or, if the field is missing, of the message that should contain it.
-func (t *scanner) fault(path, what, do string) *Fault {
+func (t *scanner) fault(path, message, remedy string) *Fault {
 	at, ok := 0, false
 	for p := path; !ok && p != ""; {
 		if at, ok = t.offsets[p]; !ok {
 			p = p[:max(strings.LastIndexByte(p, '.'), 0)]
 		}
 	}
-	f := t.faultAt(at, what, do)
+	f := t.faultAt(at, message, remedy)
 	f.Field = path
 	return f
 }
 
-func (t *scanner) faultAt(at int, what, do string) *Fault {
+func (t *scanner) faultAt(at int, message, remedy string) *Fault {
 	before := t.raw[:at]
 	line := bytes.Count(before, []byte("\n")) + 1
 	column := utf8.RuneCount(before[bytes.LastIndexByte(before, '\n')+1:]) + 1
-	return &Fault{Line: line, Column: column, Message: what, Remedy: do}
+	return &Fault{Line: line, Column: column, Message: message, Remedy: remedy}
 }
 
 var protoErrorPosition = regexp.MustCompile(`^proto:\s*(?:syntax error )?\(line (\d+):(\d+)\):\s*`)
@@ -126,8 +126,8 @@
 // checkFields appends the faults of fields that can be found without their context: unknown names, repetition and wrong types.
 func (t *scanner) checkFields(faults Faults, prefix string, fields []*field, d protoreflect.MessageDescriptor) Faults {
 	count := map[string]int{}
-	report := func(f *field, path, what, do string) {
-		fault := t.faultAt(f.offset, what, do)
+	report := func(f *field, path, message, remedy string) {
+		fault := t.faultAt(f.offset, message, remedy)
 		fault.Field = path
 		faults = append(faults, fault)
 	}
