--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -127,7 +127,7 @@
 		p.Process, p.Seq = hostview.Process{Incarnation: c.holder.Saved().Incarnation, OpenCount: c.Boot}, s.own
 		s.reporter.Acknowledge(s.census.Record(now, c.Site.Node, p))
 	}
-	terms := hostview.MergeParams{MaxAge: freshFor * c.Site.Rights.Duration, LeaderWait: c.Site.Rights.Duration, Previous: c.book.Hosts(),
+	terms := hostview.MergeParams{MaxAge: freshFor * c.Site.SendLease.Duration, LeaderWait: c.Site.SendLease.Duration, Previous: c.book.Hosts(),
 		Returning: map[string]uint64{}}
 	for _, node := range c.book.Members() {
 		if !c.book.Dead(node) {
