--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return balance.Settings{}, err
 	}
-	raw, err := policy.Over(cfg.Raw)
+	raw, err := policy.ApplyTo(cfg.Raw)
 	if err != nil {
 		return balance.Settings{}, err
 	}
--- a/cmd/lichenhitch/policies_test.go
+++ b/cmd/lichenhitch/policies_test.go
@@ -248,7 +248,7 @@
 	require.Equal(t, "UP r1", advice(t, n, ""))
 	r, _ := told(n)
 	require.Len(t, r.Counted, 1)
-	assert.Equal(t, 3.0, r.Counted[0].Counts[1].Worth)
+	assert.Equal(t, 3.0, r.Counted[0].Counts[1].Value)
 }
 
 // The loop ends a trial whose lease is over by itself, however control stands; a longer lease keeps it.
--- a/internal/choice/rollout/bet.go
+++ b/internal/choice/rollout/bet.go
@@ -28,38 +28,38 @@
 )
 
 const (
-	slack     = 0.5   // of the margin: so much worse is not taken for a regression; covers the error of the base
-	mostBet   = 0.9   // the largest part of the wealth that is bet
-	memory    = 0.95  // of the sums behind the part to bet, from one spell to the next
-	leastWide = 0.002 // the smallest scale
+	slackPart      = 0.5   // of the margin: so much worse is not taken for a regression; covers the error of the base
+	maxBetFraction = 0.9   // the largest part of the wealth that is bet
+	decay          = 0.95  // of the sums behind the part to bet, from one spell to the next
+	minScale       = 0.002 // the smallest scale
 )
 
 // Bet is wealth against one hypothesis. The zero value has not begun.
-type Bet struct {
-	Wealth float64 `json:"wealth"`
-	Best   float64 `json:"best"` // the most that it ever was: what is compared with 1/a
-	Sum    float64 `json:"sum"`
-	Square float64 `json:"square"`
-	Spells int     `json:"spells"`
+type EProcess struct {
+	Wealth     float64 `json:"wealth"`
+	MaxWealth  float64 `json:"best"` // the most that it ever was: what is compared with 1/a
+	Sum        float64 `json:"sum"`
+	SumSquares float64 `json:"square"`
+	Windows    int     `json:"spells"`
 }
 
 // Take settles the bet of one spell. x lies in [-1, 1] and has, if the hypothesis holds, a mean of at most 0 given all
 // before. Only +, *, / with each result rounded: the same at each seat.
-func (b *Bet) Take(x float64) {
-	if b.Spells == 0 {
-		b.Wealth, b.Best = 1, 1
+func (b *EProcess) Update(x float64) {
+	if b.Windows == 0 {
+		b.Wealth, b.MaxWealth = 1, 1
 	}
 	x = clip(x)
-	part := min(max((b.Sum+0.5)/(b.Square+1), 0), mostBet)
-	b.Wealth = min(float64(b.Wealth*float64(1+float64(part*x))), 1e100)
-	b.Best = max(b.Best, b.Wealth)
-	b.Sum = float64(b.Sum*memory) + x
-	b.Square = float64(b.Square*memory) + float64(x*x)
-	b.Spells++
+	fraction := min(max((b.Sum+0.5)/(b.SumSquares+1), 0), maxBetFraction)
+	b.Wealth = min(float64(b.Wealth*float64(1+float64(fraction*x))), 1e100)
+	b.MaxWealth = max(b.MaxWealth, b.Wealth)
+	b.Sum = float64(b.Sum*decay) + x
+	b.SumSquares = float64(b.SumSquares*decay) + float64(x*x)
+	b.Windows++
 }
 
 // Reached says whether the wealth was ever 1/a.
-func (b *Bet) Reached(a float64) bool { return a > 0 && b.Best*a >= 1 }
+func (b *EProcess) Rejects(alpha float64) bool { return alpha > 0 && b.MaxWealth*alpha >= 1 }
 
 func clip(x float64) float64 {
 	if math.IsNaN(x) {
@@ -69,23 +69,23 @@
 }
 
 // pair is a treated node and one of its kind, each with what its value is above its own base.
-type pair struct{ treated, like, weight float64 }
+type pair struct{ treated, control, weight float64 }
 
 // bets returns the two bets of a spell and whether there are any.
-func bets(pairs []pair, margin, scale float64) (worse, fine float64, any bool) {
+func payoffs(pairs []pair, margin, scale float64) (inferior, nonInferior float64, ok bool) {
 	trouble := max(2*margin, 2*scale)
-	worse, w := mean(pairs, float64(slack*margin), scale, trouble)
-	fine, f := mean(pairs, margin, scale, trouble)
-	return worse, -fine, w && f
+	inferior, okInferior := meanPayoff(pairs, float64(slackPart*margin), scale, trouble)
+	nonInferior, okNonInferior := meanPayoff(pairs, margin, scale, trouble)
+	return inferior, -nonInferior, okInferior && okNonInferior
 }
 
 // mean is the mean over pairs of how far the treated lies above the other, but for a shift. A pair of which both are in
 // trouble but for the shift says nothing: exchanging the two leaves that as it is, so that the mean is not moved by it.
-func mean(pairs []pair, shift, scale, trouble float64) (x float64, any bool) {
+func meanPayoff(pairs []pair, shift, scale, trouble float64) (x float64, ok bool) {
 	weight := 0.0
 	for _, p := range pairs {
-		if t := p.treated - shift; min(t, p.like) <= trouble {
-			x += float64(p.weight * clip((t-p.like)/scale))
+		if treated := p.treated - shift; min(treated, p.control) <= trouble {
+			x += float64(p.weight * clip((treated-p.control)/scale))
 			weight += p.weight
 		}
 	}
@@ -97,14 +97,14 @@
 
 // share is the part of Alpha that a cell has in a stage: equal parts for the stages; half of each to the cells that were
 // known at the start, the other half to those that came later, in their order, by 1/(k(k+1)). The n-th attempt has 2^-n.
-func share(alpha float64, attempt, known, place int) float64 {
-	a := alpha / float64(Stages) / 2
+func alphaShare(alpha float64, attempt, known, position int) float64 {
+	part := alpha / float64(Stages) / 2
 	for range attempt {
-		a /= 2
+		part /= 2
 	}
-	if place < known {
-		return a / float64(known)
+	if position < known {
+		return part / float64(known)
 	}
-	k := float64(place - known + 1)
-	return a / (k * (k + 1))
+	k := float64(position - known + 1)
+	return part / (k * (k + 1))
 }
--- a/internal/choice/rollout/bet_test.go
+++ b/internal/choice/rollout/bet_test.go
@@ -8,23 +8,23 @@
 )
 
 // spells draws the pairs of a spell: treated nodes and others of which each has bursts of its own, and all what hits alike.
-func spells(rng *rand.Rand, treated, others int, worse float64) (pairs []pair) {
-	alike := 0.02 * rng.NormFloat64()
+func drawPairs(rng *rand.Rand, treatedCount, controlCount int, loss float64) (pairs []pair) {
+	common := 0.02 * rng.NormFloat64()
 	draw := func() float64 {
-		v := alike + 0.01*rng.NormFloat64()
+		v := common + 0.01*rng.NormFloat64()
 		if rng.Float64() < 0.05 {
 			v += 0.3 * rng.Float64() // a burst: skewed, as losses are
 		}
 		return v
 	}
-	like := make([]float64, others)
-	for i := range like {
-		like[i] = draw()
+	controls := make([]float64, controlCount)
+	for i := range controls {
+		controls[i] = draw()
 	}
-	for range treated {
-		x := draw() + worse
-		for _, y := range like {
-			pairs = append(pairs, pair{x, y, 1 / float64(others)})
+	for range treatedCount {
+		x := draw() + loss
+		for _, y := range controls {
+			pairs = append(pairs, pair{x, y, 1 / float64(controlCount)})
 		}
 	}
 	return pairs
@@ -34,16 +34,16 @@
 // holds, and though it does not.
 func TestTheBetsKeepTheirErrorRates(t *testing.T) {
 	const runs, long, margin, scale, a = 1000, 200, 0.02, 0.02, 0.05
-	rate := func(treated, others int, worse float64, of func(w, f *Bet) bool) float64 {
+	rate := func(treated, others int, worse float64, of func(w, f *EProcess) bool) float64 {
 		rng := rand.New(rand.NewPCG(9, uint64(treated)))
 		hit := 0
 		for range runs {
-			var w, f Bet
+			var w, f EProcess
 			for range long {
-				x, y, any := bets(spells(rng, treated, others, worse), margin, scale)
+				x, y, any := payoffs(drawPairs(rng, treated, others, worse), margin, scale)
 				if any {
-					w.Take(x)
-					f.Take(y)
+					w.Update(x)
+					f.Update(y)
 				}
 			}
 			if of(&w, &f) {
@@ -52,11 +52,11 @@
 		}
 		return float64(hit) / runs
 	}
-	isWorse := func(w, _ *Bet) bool { return w.Reached(a) }
-	isFine := func(_, f *Bet) bool { return f.Reached(a) }
+	isWorse := func(w, _ *EProcess) bool { return w.Rejects(a) }
+	isFine := func(_, f *EProcess) bool { return f.Rejects(a) }
 	const sure = a + 0.02 // three deviations of a thousand runs
 	for _, of := range [][2]int{{1, 1}, {1, 4}, {6, 2}} {
-		least, most := rate(of[0], of[1], slack*margin, isWorse), rate(of[0], of[1], margin, isFine)
+		least, most := rate(of[0], of[1], slackPart*margin, isWorse), rate(of[0], of[1], margin, isFine)
 		t.Logf("%v: halted at the edge of the slack %.3f, fine at the margin %.3f", of, least, most)
 		assert.LessOrEqual(t, least, sure, of)
 		assert.LessOrEqual(t, most, sure, of)
@@ -68,19 +68,19 @@
 func TestABetIsOddInItsPairs(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
-		pairs := spells(rng, 1+rng.IntN(3), 1+rng.IntN(3), 0.1*rng.Float64())
+		pairs := drawPairs(rng, 1+rng.IntN(3), 1+rng.IntN(3), 0.1*rng.Float64())
 		turned := make([]pair, len(pairs))
 		for i, p := range pairs {
-			turned[i] = pair{p.like, p.treated, p.weight}
+			turned[i] = pair{p.control, p.treated, p.weight}
 		}
-		x, _, _ := bets(pairs, 0, 0.02)
-		y, _, _ := bets(turned, 0, 0.02)
+		x, _, _ := payoffs(pairs, 0, 0.02)
+		y, _, _ := payoffs(turned, 0, 0.02)
 		assert.InDelta(t, x, -y, 1e-12)
 		assert.LessOrEqual(t, x*x, 1.0)
 	}
-	_, _, any := bets([]pair{{0.5, 0.6, 1}}, 0.02, 0.02)
+	_, _, any := payoffs([]pair{{0.5, 0.6, 1}}, 0.02, 0.02)
 	assert.False(t, any, "trouble of both says nothing")
-	x, _, _ := bets([]pair{{0.5, 0, 1}}, 0.02, 0.02)
+	x, _, _ := payoffs([]pair{{0.5, 0, 1}}, 0.02, 0.02)
 	assert.Equal(t, 1.0, x, "trouble of the treated alone says all")
 }
 
@@ -89,7 +89,7 @@
 		sum := 0.0
 		for attempt := 1; attempt <= 40; attempt++ {
 			for place := range 2000 {
-				sum += float64(Stages) * share(0.01, attempt, known, place)
+				sum += float64(Stages) * alphaShare(0.01, attempt, known, place)
 			}
 		}
 		assert.LessOrEqual(t, sum, 0.01+1e-12)
--- a/internal/choice/rollout/codec.go
+++ b/internal/choice/rollout/codec.go
@@ -11,17 +11,17 @@
 // keys in order, and a line that marks the end.
 const (
 	planHead   = "lichenhitch rollout plan 1\n"
-	holderHead = "lichenhitch rollout holder 1\n"
+	storedHead = "lichenhitch rollout holder 1\n"
 	endMark    = "\nend\n"
 )
 
 // Unread is an encoded state that cannot be taken.
-type Unread struct{ Why string }
+type DecodeError struct{ Why string }
 
-func (u *Unread) Error() string { return "rollouts: " + u.Why }
+func (u *DecodeError) Error() string { return "rollouts: " + u.Why }
 
 // Action says what an operator can do.
-func (u *Unread) Action() string {
+func (u *DecodeError) Action() string {
 	return "take the snapshot of another seat, or start the node with the version that wrote it"
 }
 
@@ -36,18 +36,18 @@
 func decode(head string, raw []byte, state any) error {
 	rest, ok := bytes.CutPrefix(raw, []byte(head))
 	if !ok {
-		return &Unread{fmt.Sprintf("it does not begin with %q", head)}
+		return &DecodeError{fmt.Sprintf("it does not begin with %q", head)}
 	}
 	if rest, ok = bytes.CutSuffix(rest, []byte(endMark)); !ok {
-		return &Unread{"its end is missing"}
+		return &DecodeError{"its end is missing"}
 	}
 	d := json.NewDecoder(bytes.NewReader(rest))
 	d.DisallowUnknownFields()
 	if err := d.Decode(state); err != nil {
-		return &Unread{err.Error()}
+		return &DecodeError{err.Error()}
 	}
 	if !bytes.Equal(encode(head, state), raw) {
-		return &Unread{"it is not in its one form"}
+		return &DecodeError{"it is not in its one form"}
 	}
 	return nil
 }
@@ -62,9 +62,9 @@
 		return nil, err
 	}
 	if err := p.s.check(); err != nil {
-		return nil, &Unread{err.Error()}
+		return nil, &DecodeError{err.Error()}
 	}
-	p.index = indexed(p.s.Tree)
+	p.topology = newTopology(p.s.Tree)
 	return p, nil
 }
 
@@ -73,15 +73,15 @@
 	if err := s.Limits.Check(); err != nil {
 		return err
 	}
-	if s.Texts[s.Good] == nil || s.Nodes == nil || s.Worked == nil || s.Edges == nil || s.Usual == nil {
+	if s.Texts[s.Good] == nil || s.Nodes == nil || s.MaintenanceEnded == nil || s.SlowThresholds == nil || s.Typical == nil {
 		return errors.New("a part is missing")
 	}
 	for name, n := range s.Nodes {
-		if n == nil || n.Base == nil {
+		if n == nil || n.Baselines == nil {
 			return fmt.Errorf("the node %q is empty", name)
 		}
 	}
-	for _, sp := range s.Open {
+	for _, sp := range s.OpenWindows {
 		if sp == nil || sp.Nodes == nil {
 			return errors.New("a spell is empty")
 		}
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, r := range s.Rollouts {
-		if r == nil || len(r.Targets) != Stages+1 || r.Stage >= stages || r.Phase >= phases || r.Cause >= causes {
+		if r == nil || len(r.Targets) != Stages+1 || r.Stage >= stageCount || r.Phase >= phaseCount || r.Cause >= causeCount {
 			return errors.New("a rollout is faulty")
 		}
 	}
@@ -102,7 +102,7 @@
 // Clone returns a copy that shares nothing.
 func (p *Plan) Clone() *Plan {
 	c := &Plan{s: clone(p.s)}
-	c.index = indexed(c.s.Tree)
+	c.topology = newTopology(c.s.Tree)
 	return c
 }
 
--- a/internal/choice/rollout/edges_test.go
+++ b/internal/choice/rollout/edges_test.go
@@ -12,25 +12,25 @@
 // Each of these was broken by hand, one line of the package at a time, and no other test of it saw it.
 
 func TestAStartOfATrialCountsAnew(t *testing.T) {
-	h := NewHolder(Stored{Good: "g", Trial: "t", Round: 4, Starts: 1}, 3, time.Minute, 0)
+	h := NewNodePolicy(Stored{Good: "g", Trial: "t", Round: 4, Starts: 1}, 3, time.Minute, 0)
 	require.Equal(t, 2, h.Stored().Starts)
 	trial := Assignment{Round: 5, Policy: "u", Good: "g", Trial: true, Lease: 2 * time.Minute}
-	require.True(t, h.Answer(trial, time.Second, sound))
+	require.True(t, h.HandleAssignment(trial, time.Second, acceptAny))
 	assert.Zero(t, h.Stored().Starts, "they were those of another trial")
-	_, next := h.Lapse(90 * time.Second)
+	_, next := h.CheckLease(90 * time.Second)
 	assert.Equal(t, 121*time.Second, next, "the lease is the newest answer's")
 	trial.Round = 6
 	trial.Policy = "v"
-	h.Answer(trial, 2*time.Second, func(Hash) error { return errors.New("faulty") })
-	assert.False(t, h.Answer(trial, 3*time.Second, sound), "what was faulty is not tried once more in its round")
-	h = NewHolder(Stored{Good: "g", Trial: "t", Round: 4, Starts: 1}, 3, time.Minute, 0)
-	h.Answer(Assignment{Round: 5, Policy: "g", Good: "g"}, time.Second, sound)
+	h.HandleAssignment(trial, 2*time.Second, func(Hash) error { return errors.New("faulty") })
+	assert.False(t, h.HandleAssignment(trial, 3*time.Second, acceptAny), "what was faulty is not tried once more in its round")
+	h = NewNodePolicy(Stored{Good: "g", Trial: "t", Round: 4, Starts: 1}, 3, time.Minute, 0)
+	h.HandleAssignment(Assignment{Round: 5, Policy: "g", Good: "g"}, time.Second, acceptAny)
 	assert.Equal(t, Stored{Good: "g", Round: 5}, h.Stored())
 }
 
 // halting has a rollout with two nodes that go back.
-func halting(t *testing.T) (*bench, *Rollout) {
-	b := newBench(t, plainly)
+func newTreatedHarness(t *testing.T) (*harness, *Rollout) {
+	b := newHarness(t, steadyCounts)
 	r := b.start()
 	for r.Stage < OneBuilding || len(r.Treated) < 2 {
 		b.run(b.p.s.Limits.Slice)
@@ -39,96 +39,96 @@
 }
 
 // plain applies a command and says nothing for the nodes.
-func (b *bench) plain(c Command) []Effect {
+func (b *harness) applyOnly(c Command) []Effect {
 	b.index++
 	c.At = b.now
 	return b.p.Apply(b.index, c)
 }
 
 func TestOnlyTheRoundAndThePolicyThatWereToldMakeANodeBack(t *testing.T) {
-	b, r := halting(t)
+	b, r := newTreatedHarness(t)
 	last := r.Treated[len(r.Treated)-1].Node
 	trial := b.p.Assigned(last)
-	b.plain(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "enough"}})
-	force := &Note{ID: "x", Stage: r.Stage, By: "desk", Why: "no"}
-	require.Equal(t, Refused, b.plain(Command{Force: force})[0].Kind, "force never overrides a halt")
+	b.applyOnly(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "enough"}})
+	force := &OperatorAction{ID: "x", Stage: r.Stage, By: "desk", Why: "no"}
+	require.Equal(t, Refused, b.applyOnly(Command{Force: force})[0].Kind, "force never overrides a halt")
 	back, _ := b.p.Next(b.now, 0)
-	b.plain(back)
+	b.applyOnly(back)
 	told := b.p.Assigned(last)
-	for _, s := range []Seen{{Node: last, Round: trial.Round, Policy: told.Policy}, {Node: last, Round: told.Round, Policy: trial.Policy}} {
-		b.plain(Command{Seen: &s})
+	for _, s := range []NodeStatus{{Node: last, Round: trial.Round, Policy: told.Policy}, {Node: last, Round: told.Round, Policy: trial.Policy}} {
+		b.applyOnly(Command{Status: &s})
 		_, any := b.p.Next(b.now, 0)
 		assert.False(t, any, "%+v", s)
 	}
-	b.plain(Command{Seen: &Seen{Node: last, Round: told.Round, Policy: told.Policy}})
+	b.applyOnly(Command{Status: &NodeStatus{Node: last, Round: told.Round, Policy: told.Policy}})
 	back, _ = b.p.Next(b.now, 0)
-	require.Equal(t, OneNode, back.TakeBack.Stage)
-	b.p.s.Nodes[r.Treated[0].Node].Trial = "y" // it left the site file, came back, and is another rollout's by now
-	b.plain(back)
-	assert.Equal(t, "y", b.p.s.Nodes[r.Treated[0].Node].Trial)
-	b.p.s.Nodes[r.Treated[0].Node].Trial, b.p.s.Nodes[r.Treated[0].Node].Told = "", false
-	b.plain(Command{Finish: &Step{"x", r.Stage}})
+	require.Equal(t, OneNode, back.RollBack.Stage)
+	b.p.s.Nodes[r.Treated[0].Node].Rollout = "y" // it left the site file, came back, and is another rollout's by now
+	b.applyOnly(back)
+	assert.Equal(t, "y", b.p.s.Nodes[r.Treated[0].Node].Rollout)
+	b.p.s.Nodes[r.Treated[0].Node].Rollout, b.p.s.Nodes[r.Treated[0].Node].Confirmed = "", false
+	b.applyOnly(Command{Finish: &StageRef{"x", r.Stage}})
 	assert.Equal(t, Halting, r.Phase, "one has not said that it is back")
 }
 
 func TestWhyARolloutIsTakenBack(t *testing.T) {
 	for name, test := range map[string]struct {
-		do   func(b *bench, node string) Command
+		do   func(b *harness, node string) Command
 		want Cause
 	}{
-		"a guard": {func(b *bench, node string) Command {
+		"a guard": {func(b *harness, node string) Command {
 			return Command{Evidence: &Evidence{Node: node, Policy: b.p.Rollout("x").Policy, Slice: 1, Guards: []string{"memory"}}}
 		}, Guard},
-		"a fault": {func(b *bench, node string) Command {
+		"a fault": {func(b *harness, node string) Command {
 			a := b.p.Assigned(node)
-			return Command{Seen: &Seen{Node: node, Round: a.Round, Policy: a.Good, Fell: Faulty}}
+			return Command{Status: &NodeStatus{Node: node, Round: a.Round, Policy: a.Good, Fallback: InvalidTrial}}
 		}, Guard},
-		"silence": {func(b *bench, node string) Command {
+		"silence": {func(b *harness, node string) Command {
 			a := b.p.Assigned(node)
-			return Command{Seen: &Seen{Node: node, Round: a.Round, Policy: a.Good, Fell: Silence}}
+			return Command{Status: &NodeStatus{Node: node, Round: a.Round, Policy: a.Good, Fallback: LeaseExpired}}
 		}, None},
 	} {
-		b, r := halting(t)
-		b.plain(test.do(b, r.Treated[0].Node))
+		b, r := newTreatedHarness(t)
+		b.applyOnly(test.do(b, r.Treated[0].Node))
 		assert.Equal(t, test.want, r.Cause, name)
 		if test.want == Guard {
-			b.plain(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "too"}})
+			b.applyOnly(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "too"}})
 			assert.Equal(t, Guard, r.Cause, "a guard's halt is not resumed on a word")
 			r.Cause = Regression
-			b.plain(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "too"}})
+			b.applyOnly(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "too"}})
 			assert.Equal(t, Operator, r.Cause)
 		}
 	}
 }
 
 func TestAStageIsForcedByItsName(t *testing.T) {
-	b, r := halting(t)
-	assert.Equal(t, Refused, b.plain(Command{Force: &Note{"x", OneNode, "desk", "the last one"}})[0].Kind)
+	b, r := newTreatedHarness(t)
+	assert.Equal(t, Refused, b.applyOnly(Command{Force: &OperatorAction{"x", OneNode, "desk", "the last one"}})[0].Kind)
 	for r.Phase == Running {
-		b.plain(Command{Force: &Note{"x", r.Stage, "desk", "known"}})
+		b.applyOnly(Command{Force: &OperatorAction{"x", r.Stage, "desk", "known"}})
 	}
-	require.Equal(t, Filling, r.Phase)
-	b.plain(Command{Finish: &Step{"x", r.Stage}})
-	assert.Equal(t, Filling, r.Phase, "nodes are left that were held back")
-	assert.Equal(t, Refused, b.plain(Command{Force: &Note{"x", r.Stage, "desk", "on"}})[0].Kind)
+	require.Equal(t, Completing, r.Phase)
+	b.applyOnly(Command{Finish: &StageRef{"x", r.Stage}})
+	assert.Equal(t, Completing, r.Phase, "nodes are left that were held back")
+	assert.Equal(t, Refused, b.applyOnly(Command{Force: &OperatorAction{"x", r.Stage, "desk", "on"}})[0].Kind)
 }
 
 func TestALaterAttemptSpendsItsOwnAlpha(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	r := b.start()
-	first := share(b.p.s.Limits.Alpha, 1, r.Known, 0)
-	r.Cells[0].Worse.Best = 1 / first
-	cause, _ := b.p.due(r, b.now)
+	first := alphaShare(b.p.s.Limits.Alpha, 1, r.KnownCells, 0)
+	r.Cells[0].Inferior.MaxWealth = 1 / first
+	cause, _ := b.p.haltCause(r, b.now)
 	assert.Equal(t, Regression, cause)
 	r.Attempt = 2
-	cause, _ = b.p.due(r, b.now)
+	cause, _ = b.p.haltCause(r, b.now)
 	assert.Equal(t, None, cause)
 }
 
 func TestSpellsAreClosedWithASliceOfGrace(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	l := b.p.s.Limits
-	for b.now%(l.Slice*time.Duration(l.Spell)) != 0 {
+	for b.now%(l.Slice*time.Duration(l.WindowSlices)) != 0 {
 		b.run(l.Slice)
 	}
 	_, any := b.p.Next(b.now, 0)
@@ -136,36 +136,36 @@
 	c, _ := b.p.Next(b.now+l.Slice, 0)
 	require.NotNil(t, c.Close)
 	b.now += l.Slice
-	b.plain(c)
-	open := len(b.p.s.Open)
-	e := Evidence{Node: "n00", Policy: b.p.Good(), Slice: b.p.s.Next*uint64(l.Spell) - 1, Counts: []Counts{plainly("", false)}}
-	b.plain(Command{Evidence: &e})
-	assert.Len(t, b.p.s.Open, open, "of the spell that was judged last")
-	e.Slice = (uint64(b.now/l.Slice)/uint64(l.Spell) + 2) * uint64(l.Spell)
-	assert.Equal(t, Refused, b.plain(Command{Evidence: &e})[0].Kind, "of the spell after the next one")
-	l.Spell *= 2
-	b.plain(Command{Limits: &l})
+	b.applyOnly(c)
+	open := len(b.p.s.OpenWindows)
+	e := Evidence{Node: "n00", Policy: b.p.Good(), Slice: b.p.s.NextWindow*uint64(l.WindowSlices) - 1, Counts: []Counts{steadyCounts("", false)}}
+	b.applyOnly(Command{Evidence: &e})
+	assert.Len(t, b.p.s.OpenWindows, open, "of the spell that was judged last")
+	e.Slice = (uint64(b.now/l.Slice)/uint64(l.WindowSlices) + 2) * uint64(l.WindowSlices)
+	assert.Equal(t, Refused, b.applyOnly(Command{Evidence: &e})[0].Kind, "of the spell after the next one")
+	l.WindowSlices *= 2
+	b.applyOnly(Command{Limits: &l})
 	b.run(4 * hour)
-	assert.NotZero(t, b.p.s.Nodes["n00"].Base["c"+sep+sep+metricLost].Spells, "spells have other numbers, and are judged")
+	assert.NotZero(t, b.p.s.Nodes["n00"].Baselines["c"+sep+sep+metricLost].Windows, "spells have other numbers, and are judged")
 }
 
 func TestWhatEvidenceIsOf(t *testing.T) {
-	b, r := halting(t)
-	v, of := (&tally{Sums: map[string]*sum{"c" + sep: {Offered: 100}}}).value("c" + sep + sep + metricLost)
+	b, r := newTreatedHarness(t)
+	v, of := (&tally{Sums: map[string]*classSums{"c" + sep: {Offered: 100}}}).value("c" + sep + sep + metricLost)
 	assert.Equal(t, []float64{1, 100}, []float64{v, of}, "who served nothing has counted all the same")
-	assert.Contains(t, b.p.missing(&Rollout{Targets: r.Targets}, 0), "no class of the treated")
+	assert.Contains(t, b.p.missingEvidence(&Rollout{Targets: r.Targets}, 0), "no class of the treated")
 
 	node := r.Treated[0].Node
-	sp := &spell{Number: b.p.s.Next, Nodes: map[string]*tally{node: {Policy: r.Policy}}}
-	begin := time.Duration(sp.Number) * b.p.s.Limits.Slice * time.Duration(b.p.s.Limits.Spell)
+	sp := &window{Number: b.p.s.NextWindow, Nodes: map[string]*tally{node: {Policy: r.Policy}}}
+	begin := time.Duration(sp.Number) * b.p.s.Limits.Slice * time.Duration(b.p.s.Limits.WindowSlices)
 	for _, n := range b.p.s.Nodes {
 		n.Changed = 0
 	}
 	b.p.s.Nodes[node].Changed = begin - b.p.s.Limits.Settle
-	assert.NotNil(t, b.p.fit(sp, node, r.Policy))
-	assert.Equal(t, 1, b.p.Disturbed(begin-1), "until it has settled")
+	assert.NotNil(t, b.p.usableTally(sp, node, r.Policy))
+	assert.Equal(t, 1, b.p.Disrupted(begin-1), "until it has settled")
 	b.p.s.Nodes[node].Changed++
-	assert.Nil(t, b.p.fit(sp, node, r.Policy), "it had not settled when the spell began")
+	assert.Nil(t, b.p.usableTally(sp, node, r.Policy), "it had not settled when the spell began")
 
 	for r.Missing != "" {
 		b.run(b.p.s.Limits.Slice)
@@ -174,34 +174,34 @@
 		if trial {
 			return Counts{Class: "c"}
 		}
-		return plainly(name, trial)
+		return steadyCounts(name, trial)
 	}
 	b.run(hour)
 	assert.Contains(t, r.Missing, "nothing to compare in the last spell")
 }
 
 func TestWhoIsOnTrialIsComparedWithNobody(t *testing.T) {
-	b, r := halting(t)
+	b, r := newTreatedHarness(t)
 	cell := "c" + sep + sep + metricLost
 	node, other := r.Treated[0].Node, ""
-	sp := &spell{Number: b.p.s.Next, Nodes: map[string]*tally{}}
-	for _, name := range b.p.index.levels(node)[0] {
-		if b.p.s.Nodes[name].Trial == "" {
+	sp := &window{Number: b.p.s.NextWindow, Nodes: map[string]*tally{}}
+	for _, name := range b.p.topology.nearest(node)[0] {
+		if b.p.s.Nodes[name].Rollout == "" {
 			other = name
 		}
 	}
 	require.NotEmpty(t, other)
-	sp.Nodes[other] = &tally{Policy: b.p.Good(), Sums: map[string]*sum{"c" + sep: {Offered: 1000, Served: 990}}}
-	require.Len(t, b.p.likes(sp, node, cell), 1)
-	b.p.s.Nodes[other].Trial = "y" // it has fallen back by itself
-	assert.Empty(t, b.p.likes(sp, node, cell))
-	tu := turn{Plan: b.p, at: b.now}
-	b.p.s.Nodes[other].Base[cell] = &base{Spells: 1, Recent: []float64{0}, Size: 1000}
-	tu.watch(sp)
-	assert.Equal(t, 1, b.p.s.Nodes[other].Base[cell].Spells)
+	sp.Nodes[other] = &tally{Policy: b.p.Good(), Sums: map[string]*classSums{"c" + sep: {Offered: 1000, Served: 990}}}
+	require.Len(t, b.p.controlExcesses(sp, node, cell), 1)
+	b.p.s.Nodes[other].Rollout = "y" // it has fallen back by itself
+	assert.Empty(t, b.p.controlExcesses(sp, node, cell))
+	tu := transition{Plan: b.p, at: b.now}
+	b.p.s.Nodes[other].Baselines[cell] = &baseline{Windows: 1, Recent: []float64{0}, MeanRequests: 1000}
+	tu.updateBaselines(sp)
+	assert.Equal(t, 1, b.p.s.Nodes[other].Baselines[cell].Windows)
 
 	h := NewSetUps()
 	h.Add(time.Second)
-	tu.setUps(&tally{Policy: r.Policy}, &sum{}, Counts{Class: "d", SetUp: h.Bytes()})
-	assert.Empty(t, b.p.s.Edges["d"].Sketch, "the edge is drawn from the good policy alone")
+	tu.addSetUps(&tally{Policy: r.Policy}, &classSums{}, Counts{Class: "d", SetUp: h.Bytes()})
+	assert.Empty(t, b.p.s.SlowThresholds["d"].Sketch, "the edge is drawn from the good policy alone")
 }
--- a/internal/choice/rollout/holder.go
+++ b/internal/choice/rollout/holder.go
@@ -3,85 +3,85 @@
 import "time"
 
 // Fall is why a node went back to the good policy by itself.
-type Fall uint8
+type Fallback uint8
 
 // The causes of a fall.
 const (
-	Stays   Fall = iota // it has not fallen back
-	Silence             // it heard nothing for the lease
-	Crashed             // it was started again too often under the trial
-	Faulty              // its own check refused the trial
-	falls
+	NoFallback     Fallback = iota // it has not fallen back
+	LeaseExpired                   // it heard nothing for the lease
+	TooManyCrashes                 // it was started again too often under the trial
+	InvalidTrial                   // its own check refused the trial
+	fallbackCount
 )
 
-var fallNames = [falls]string{"stays", "silence", "crashed", "faulty"}
+var fallbackNames = [fallbackCount]string{"stays", "silence", "crashed", "faulty"}
 
-func (f Fall) String() string { return fallNames[f] }
+func (f Fallback) String() string { return fallbackNames[f] }
 
 // Stored is what a node keeps over its starts, written before a trial is taken over and at each start.
 type Stored struct {
-	Good   Hash   `json:"good"`
-	Trial  Hash   `json:"trial,omitempty"`
-	Round  uint64 `json:"round,omitempty"`  // that the trial was told in
-	Starts int    `json:"starts"`           // of the process under the trial, or Refuse after silence; a start after a stop by hand counts too
-	Refuse Hash   `json:"refuse,omitempty"` // a trial that this node fell back from, in that round
-	Fell   Fall   `json:"fell,omitempty"`
-	Of     uint64 `json:"of,omitempty"` // the round that Refuse was told in
+	Good          Hash     `json:"good"`
+	Trial         Hash     `json:"trial,omitempty"`
+	Round         uint64   `json:"round,omitempty"`  // that the trial was told in
+	Starts        int      `json:"starts"`           // of the process under the trial, or Refuse after silence; a start after a stop by hand counts too
+	RejectedTrial Hash     `json:"refuse,omitempty"` // a trial that this node fell back from, in that round
+	Fallback      Fallback `json:"fell,omitempty"`
+	RejectedRound uint64   `json:"of,omitempty"` // the round that Refuse was told in
 }
 
 // Encode returns what Read reads.
-func (s Stored) Encode() []byte { return encode(holderHead, &s) }
+func (s Stored) Encode() []byte { return encode(storedHead, &s) }
 
 // Read reads what a node stored. An error is a *Unread.
-func Read(raw []byte) (s Stored, err error) {
-	if err = decode(holderHead, raw, &s); err == nil && s.Fell >= falls {
-		err = &Unread{"it names no fall"}
+func ReadStored(raw []byte) (s Stored, err error) {
+	if err = decode(storedHead, raw, &s); err == nil && s.Fallback >= fallbackCount {
+		err = &DecodeError{"it names no fall"}
 	}
 	return s, err
 }
 
 // Holder is a node's side: it goes by the good policy or by a trial that lapses. Times are of the node's own monotonic
 // clock. After each call that returns true the node stores Stored and StoredUntil, and then goes by Policy. Use NewHolder.
-type Holder struct {
-	s      Stored
-	asked  time.Duration // when the question was sent that the newest answer is to; before the first, the start
-	until  time.Duration // the end of the trial's lease
-	stored time.Duration // the end that is stored: until, or up to half a lease before it
-	now    time.Duration // the newest that it was told
+type NodePolicy struct {
+	s              Stored
+	newestAsked    time.Duration // when the question was sent that the newest answer is to; before the first, the start
+	leaseEnd       time.Duration // the end of the trial's lease
+	storedLeaseEnd time.Duration // the end that is stored: until, or up to half a lease before it
+	latest         time.Duration // the newest that it was told
 }
 
 // NewHolder begins a life of the process at now, with what was stored. Under a trial this counts as one more start: from
 // crashes on the node falls back by itself. The lease of a trial ends, without an answer, at until, which is the stored end by the
 // clock of this process; where that has passed, the node has fallen back by silence. The caller stores Stored before it goes on.
-func NewHolder(s Stored, crashes int, until, now time.Duration) *Holder {
-	h := &Holder{s: s, asked: now, until: until, stored: until, now: now}
+func NewNodePolicy(s Stored, crashes int, until, now time.Duration) *NodePolicy {
+	h := &NodePolicy{s: s, newestAsked: now, leaseEnd: until, storedLeaseEnd: until, latest: now}
 	if s.Trial == "" {
 		return h
 	}
 	h.s.Starts++
 	switch {
 	case h.s.Starts >= crashes:
-		h.fall(Crashed)
+		h.fallBack(TooManyCrashes)
 	case until <= now:
-		h.fall(Silence)
+		h.fallBack(LeaseExpired)
 	}
 	return h
 }
 
 // Stored is what the node has to have in its store.
-func (h *Holder) Stored() Stored { return h.s }
+func (h *NodePolicy) Stored() Stored { return h.s }
 
 // StoredUntil is the end of the trial's lease that the node has to have in its store with it, on a clock that goes on over its starts; 0
 // where there is no trial.
-func (h *Holder) StoredUntil() time.Duration {
+func (h *NodePolicy) StoredLeaseEnd() time.Duration {
 	if h.s.Trial == "" {
 		return 0
 	}
-	return h.stored
+	return h.storedLeaseEnd
 }
 
 // Starts is how often the process was started under the trial that the node goes by.
-func (h *Holder) Starts() int {
+func (h *NodePolicy) Starts() int {
 	if h.s.Trial == "" {
 		return 0
 	}
@@ -89,7 +89,7 @@
 }
 
 // Policy is what the node is to go by.
-func (h *Holder) Policy() Hash {
+func (h *NodePolicy) Policy() Hash {
 	if h.s.Trial != "" {
 		return h.s.Trial
 	}
@@ -97,10 +97,10 @@
 }
 
 // Seen is what the node tells its council.
-func (h *Holder) Seen(name string) Seen {
-	s := Seen{Node: name, Round: h.s.Round, Policy: h.Policy()}
-	if h.s.Refuse != "" && h.s.Of == h.s.Round {
-		s.Fell = h.s.Fell
+func (h *NodePolicy) Status(name string) NodeStatus {
+	s := NodeStatus{Node: name, Round: h.s.Round, Policy: h.Policy()}
+	if h.s.RejectedTrial != "" && h.s.RejectedRound == h.s.Round {
+		s.Fallback = h.s.Fallback
 	}
 	return s
 }
@@ -109,16 +109,16 @@
 // laid over its settings; a trial that it refuses is not taken over. An assignment of an older round changes nothing, nor
 // does the trial that this node fell back from in the same round, unless it fell by silence, nor a trial that has lapsed by now:
 // a site that hears nothing from above goes on answering with what it was told last, which is as old as it says.
-func (h *Holder) Answer(a Assignment, asked time.Duration, check func(Hash) error) (changed bool) {
-	if a.Round < h.s.Round || asked < h.asked || a.Trial && asked+a.Lease <= h.now {
+func (h *NodePolicy) HandleAssignment(a Assignment, asked time.Duration, check func(Hash) error) (changed bool) {
+	if a.Round < h.s.Round || asked < h.newestAsked || a.Trial && asked+a.Lease <= h.latest {
 		return false
 	}
-	before, stored := h.s, h.stored
-	again := a.Policy == h.s.Trial || a.Policy == h.s.Refuse && h.s.Fell == Silence
-	h.asked = asked
+	before, stored := h.s, h.storedLeaseEnd
+	again := a.Policy == h.s.Trial || a.Policy == h.s.RejectedTrial && h.s.Fallback == LeaseExpired
+	h.newestAsked = asked
 	h.s.Round = a.Round
-	if h.s.Of != a.Round {
-		h.s.Refuse, h.s.Fell, h.s.Of = "", Stays, 0
+	if h.s.RejectedRound != a.Round {
+		h.s.RejectedTrial, h.s.Fallback, h.s.RejectedRound = "", NoFallback, 0
 	}
 	if a.Good != h.s.Good && check(a.Good) == nil {
 		h.s.Good = a.Good
@@ -126,65 +126,65 @@
 	switch {
 	case !a.Trial:
 		h.s.Trial, h.s.Starts = "", 0
-	case a.Policy == h.s.Refuse && h.s.Fell != Silence:
+	case a.Policy == h.s.RejectedTrial && h.s.Fallback != LeaseExpired:
 	case a.Policy != h.s.Trial && check(a.Policy) != nil:
 		h.s.Trial = a.Policy
-		h.fall(Faulty)
+		h.fallBack(InvalidTrial)
 	default:
 		if !again {
 			h.s.Starts = 0
 		}
-		h.s.Trial, h.s.Refuse, h.s.Fell, h.s.Of = a.Policy, "", Stays, 0
+		h.s.Trial, h.s.RejectedTrial, h.s.Fallback, h.s.RejectedRound = a.Policy, "", NoFallback, 0
 		h.extend(asked+a.Lease, a.Lease, before.Trial != a.Policy)
 	}
-	return h.s != before || h.stored != stored
+	return h.s != before || h.storedLeaseEnd != stored
 }
 
 // extend takes a new end of the lease, and has it stored where the trial is new, or where the stored end is later, or more than half
 // a lease earlier.
-func (h *Holder) extend(until, lease time.Duration, isNew bool) {
-	h.until = until
-	if isNew || until < h.stored || until-h.stored > lease/2 {
-		h.stored = until
+func (h *NodePolicy) extend(until, lease time.Duration, isNew bool) {
+	h.leaseEnd = until
+	if isNew || until < h.storedLeaseEnd || until-h.storedLeaseEnd > lease/2 {
+		h.storedLeaseEnd = until
 	}
 }
 
 // Lapse says whether the node must go back now: its trial has lapsed. Next is when to ask once more, 0: never.
-func (h *Holder) Lapse(now time.Duration) (changed bool, next time.Duration) {
-	h.now = max(h.now, now)
+func (h *NodePolicy) CheckLease(now time.Duration) (changed bool, next time.Duration) {
+	h.latest = max(h.latest, now)
 	if h.s.Trial == "" {
 		return false, 0
 	}
-	if now < h.until {
-		return false, h.until
+	if now < h.leaseEnd {
+		return false, h.leaseEnd
 	}
-	h.fall(Silence)
+	h.fallBack(LeaseExpired)
 	return true, 0
 }
 
 // Until is the end of the trial's lease, 0 where there is no trial.
-func (h *Holder) Until() time.Duration {
+func (h *NodePolicy) LeaseEnd() time.Duration {
 	if h.s.Trial == "" {
 		return 0
 	}
-	return h.until
+	return h.leaseEnd
 }
 
 // Unfit says that the node's settings have changed and the trial does not fit them any more. It says whether there was one.
-func (h *Holder) Unfit() bool {
+func (h *NodePolicy) DropTrial() bool {
 	if h.s.Trial == "" {
 		return false
 	}
-	h.fall(Faulty)
+	h.fallBack(InvalidTrial)
 	return true
 }
 
 // fall goes back to the good policy. Starts are kept over silence, since the same trial may be taken again: else one that crashes a
 // node which is cut off now and then would never be known for it.
-func (h *Holder) fall(why Fall) {
-	h.s.Refuse, h.s.Fell, h.s.Of = h.s.Trial, why, h.s.Round
+func (h *NodePolicy) fallBack(why Fallback) {
+	h.s.RejectedTrial, h.s.Fallback, h.s.RejectedRound = h.s.Trial, why, h.s.Round
 	h.s.Trial = ""
-	if why != Silence {
+	if why != LeaseExpired {
 		h.s.Starts = 0
 	}
 }
--- a/internal/choice/rollout/node.go
+++ b/internal/choice/rollout/node.go
@@ -12,136 +12,136 @@
 //
 // A slice is spoilt when work is out in the node's zone in it, when the policy changed in it, and when it is the first one of
 // the process, or the first of another length, and when the node heard nothing in it until the trial lapsed. Of a slice in which the traffic told nothing there is no evidence.
-type Teller struct {
-	node, zone string
-	slice      time.Duration // 0: the site was told nothing yet
-	open       Evidence      // of the slice that is not over; without a policy until the traffic tells one
-	sums       map[string]*counted
-	record     Record // the newest, its slices and guards; Told is 0 before the first
-	before     Seen   // the last that named another policy than the present one
-	early      []early
-	dirty      bool   // there is more to tell than in the newest record
-	waiting    bool   // the council does not have the newest record
-	raw        []byte // the newest record, once somebody has asked
+type Reporter struct {
+	node, zone     string
+	slice          time.Duration // 0: the site was told nothing yet
+	current        Evidence      // of the slice that is not over; without a policy until the traffic tells one
+	sums           map[string]*classCounts
+	record         Record     // the newest, its slices and guards; Told is 0 before the first
+	previous       NodeStatus // the last that named another policy than the present one
+	earlyGuards    []earlyGuard
+	dirty          bool   // there is more to tell than in the newest record
+	unacknowledged bool   // the council does not have the newest record
+	raw            []byte // the newest record, once somebody has asked
 }
 
 // counted is a class of a tenant in the slice that is open.
-type counted struct {
+type classCounts struct {
 	Counts
 	setUps *SetUps
 }
 
 // early is a guard that fired before the number of a slice, or of a round, was known.
-type early struct {
+type earlyGuard struct {
 	at     time.Duration
 	policy Hash
-	what   string
+	guard  string
 }
 
 // NewTeller begins with nothing, at the start of the process.
-func NewTeller(node, zone string) *Teller {
-	return &Teller{node: node, zone: zone, sums: map[string]*counted{}, record: Record{Node: node}}
+func NewReporter(node, zone string) *Reporter {
+	return &Reporter{node: node, zone: zone, sums: map[string]*classCounts{}, record: Record{Node: node}}
 }
 
 // Count takes what the traffic counted under a policy since it told last ("": the settings as they are), and the guards that
 // fired. It is called with no counts too, or else the slice is one in which nothing was told.
-func (t *Teller) Count(now time.Duration, under Hash, counts []Counts, guards []string) {
+func (t *Reporter) Count(now time.Duration, under Hash, counts []Counts, guards []string) {
 	if under == "" {
-		under = AsTheyAre().Hash()
+		under = EmptyPolicy().Hash()
 	}
 	for _, g := range guards {
-		t.early = append(t.early, early{now, under, g})
+		t.earlyGuards = append(t.earlyGuards, earlyGuard{now, under, g})
 	}
-	t.early = t.early[max(0, len(t.early)-mostFired):]
+	t.earlyGuards = t.earlyGuards[max(0, len(t.earlyGuards)-maxFired):]
 	if t.slice > 0 {
-		t.turn(now)
-		t.open.Spoilt = t.open.Spoilt || t.open.Policy != "" && t.open.Policy != under
-		t.open.Policy = under
+		t.endSlice(now)
+		t.current.Tainted = t.current.Tainted || t.current.Policy != "" && t.current.Policy != under
+		t.current.Policy = under
 		for _, c := range counts {
 			t.add(c)
 		}
 	}
-	t.tell(now)
+	t.publish(now)
 }
 
 // Tick takes the length of slices that the site was told (0: none yet), what the node goes by, the starts of the process
 // under it, how many hosts are out for work at the site, and whether work is out in the node's zone.
-func (t *Teller) Tick(now, slice time.Duration, seen Seen, starts, out int, work bool) {
+func (t *Reporter) Tick(now, slice time.Duration, seen NodeStatus, starts, out int, work bool) {
 	if slice != t.slice {
 		t.slice, t.record.Slices = slice, nil // slices have other numbers now
-		t.begin(now, true)
+		t.beginSlice(now, true)
 	}
 	if slice > 0 {
-		t.turn(now)
-		t.open.Starts = starts
-		t.open.Spoilt = t.open.Spoilt || work || t.record.Seen.Node != "" && t.record.Seen.Policy != seen.Policy
+		t.endSlice(now)
+		t.current.Starts = starts
+		t.current.Tainted = t.current.Tainted || work || t.record.Status.Node != "" && t.record.Status.Policy != seen.Policy
 	}
-	t.record.Out = out
-	if last := t.record.Seen; last != seen {
+	t.record.OutOfService = out
+	if last := t.record.Status; last != seen {
 		if last.Policy != seen.Policy {
-			t.before = last
+			t.previous = last
 		}
-		if seen.Fell == Silence && last.Fell != Silence {
-			t.spoil(last.Policy)
+		if seen.Fallback == LeaseExpired && last.Fallback != LeaseExpired {
+			t.taintTrialSlices(last.Policy)
 		}
-		t.record.Seen, t.dirty = seen, true
+		t.record.Status, t.dirty = seen, true
 	}
-	t.tell(now)
+	t.publish(now)
 }
 
 // Pending is the newest record, nil if the council has it.
-func (t *Teller) Pending() []byte {
-	if t.waiting && t.raw == nil {
+func (t *Reporter) Pending() []byte {
+	if t.unacknowledged && t.raw == nil {
 		t.raw = t.record.Bytes()
 	}
 	return t.raw
 }
 
 // Waiting says whether the council does not have the newest record yet.
-func (t *Teller) Waiting() bool { return t.waiting }
+func (t *Reporter) HasPending() bool { return t.unacknowledged }
 
 // Newest is the newest record. Not to be changed.
-func (t *Teller) Newest() Record { return t.record }
+func (t *Reporter) Newest() Record { return t.record }
 
 // Recorded is called when the council has the record with a number.
-func (t *Teller) Recorded(told uint64) {
-	if told >= t.record.Told {
-		t.waiting, t.raw = false, nil
+func (t *Reporter) Acknowledge(told uint64) {
+	if told >= t.record.Sequence {
+		t.unacknowledged, t.raw = false, nil
 	}
 }
 
 // spoil spoils what was kept under a trial that fell by silence: else a policy that cuts a node off would be proven by what
 // the node tells when the trial has lapsed. What was heard in time stays as it is.
-func (t *Teller) spoil(trial Hash) {
+func (t *Reporter) taintTrialSlices(trial Hash) {
 	t.record.Slices = slices.Clone(t.record.Slices)
 	for i := range t.record.Slices {
 		if e := &t.record.Slices[i]; e.Policy == trial {
-			e.Spoilt = true
+			e.Tainted = true
 		}
 	}
 }
 
 // begin begins the slice of a moment.
-func (t *Teller) begin(now time.Duration, spoilt bool) {
+func (t *Reporter) beginSlice(now time.Duration, spoilt bool) {
 	clear(t.sums)
-	t.open = Evidence{Node: t.node, Zone: t.zone, Spoilt: spoilt}
+	t.current = Evidence{Node: t.node, Zone: t.zone, Tainted: spoilt}
 	if t.slice > 0 {
-		t.open.Slice = uint64(now / t.slice)
+		t.current.Slice = uint64(now / t.slice)
 	}
 }
 
 // turn ends the slice that is open if it is over. After a gap, or a step back of the clock, what comes first may be of
 // another slice.
-func (t *Teller) turn(now time.Duration) {
+func (t *Reporter) endSlice(now time.Duration) {
 	number := uint64(now / t.slice)
-	if number == t.open.Slice {
+	if number == t.current.Slice {
 		return
 	}
-	if e := t.open; number > e.Slice && e.Policy != "" {
-		if e.Policy != t.record.Seen.Policy {
+	if e := t.current; number > e.Slice && e.Policy != "" {
+		if e.Policy != t.record.Status.Policy {
 			e.Starts = 0
 		}
-		if e.At = now; !e.Spoilt { // or else nobody looks at the counts
+		if e.At = now; !e.Tainted { // or else nobody looks at the counts
 			for _, key := range slices.Sorted(maps.Keys(t.sums)) {
 				c := t.sums[key]
 				if c.setUps != nil {
@@ -153,15 +153,15 @@
 		t.record.Slices = append(slices.Clone(t.record.Slices), e)
 		t.record, t.dirty = t.record.trimmed(), true // a slice that a clock stepped back into ends twice and stands there once
 	}
-	t.begin(now, number != t.open.Slice+1)
+	t.beginSlice(now, number != t.current.Slice+1)
 }
 
 // add adds up what was counted of a class.
-func (t *Teller) add(c Counts) {
+func (t *Reporter) add(c Counts) {
 	key := c.Class + sep + c.Tenant
 	s := t.sums[key]
 	if s == nil {
-		s = &counted{Counts: Counts{Class: c.Class, Tenant: c.Tenant}}
+		s = &classCounts{Counts: Counts{Class: c.Class, Tenant: c.Tenant}}
 		t.sums[key] = s
 	}
 	s.Offered += c.Offered
@@ -171,43 +171,43 @@
 	s.TimedOut += c.TimedOut
 	s.Breaks += c.Breaks
 	s.Moves += c.Moves
-	if worth := s.Worth + c.Worth; !math.IsNaN(worth) && !math.IsInf(worth, 0) {
-		s.Worth = worth
+	if worth := s.Value + c.Value; !math.IsNaN(worth) && !math.IsInf(worth, 0) {
+		s.Value = worth
 	}
 	if len(c.SetUp) == 0 {
 		return
 	}
-	h, err := setUps(c.SetUp)
+	h, err := decodeSetUps(c.SetUp)
 	if err == nil && s.setUps != nil {
 		err = s.setUps.sketch.MergeWith(h.sketch)
 	} else if err == nil {
 		s.setUps = &h
 	}
-	t.open.Spoilt = t.open.Spoilt || err != nil
+	t.current.Tainted = t.current.Tainted || err != nil
 }
 
 // tell makes a record of all that is known, if there is more than in the last one.
-func (t *Teller) tell(now time.Duration) {
-	seen := t.record.Seen
+func (t *Reporter) publish(now time.Duration) {
+	seen := t.record.Status
 	if seen.Node == "" {
 		return
 	}
-	for _, g := range t.early {
+	for _, g := range t.earlyGuards {
 		if t.slice == 0 {
 			break
 		}
-		f := Fired{Slice: uint64(g.at / t.slice), Round: seen.Round, Policy: g.policy, What: g.what}
-		if g.policy != seen.Policy && g.policy == t.before.Policy {
-			f.Round = t.before.Round
+		f := FiredGuard{Slice: uint64(g.at / t.slice), Round: seen.Round, Policy: g.policy, Guard: g.guard}
+		if g.policy != seen.Policy && g.policy == t.previous.Policy {
+			f.Round = t.previous.Round
 		}
 		t.record.Fired, t.dirty = append(t.record.Fired, f), true
 		t.record = t.record.trimmed()
 	}
 	if t.slice > 0 {
-		t.early = nil
+		t.earlyGuards = nil
 	}
 	if t.dirty {
-		t.dirty, t.waiting, t.raw = false, true, nil
-		t.record.Told = max(t.record.Told+1, uint64(now/time.Microsecond))
+		t.dirty, t.unacknowledged, t.raw = false, true, nil
+		t.record.Sequence = max(t.record.Sequence+1, uint64(now/time.Microsecond))
 	}
 }
--- a/internal/choice/rollout/node_test.go
+++ b/internal/choice/rollout/node_test.go
@@ -19,17 +19,17 @@
 // drawRecord draws a record of one node from few values, so that ties come about.
 func drawRecord(t *rapid.T, what string) Record {
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }
-	r := Record{Node: "n", Told: uint64(1 + pick(3)), Out: pick(2), Seen: Seen{Node: "n", Round: uint64(pick(2))}}
+	r := Record{Node: "n", Sequence: uint64(1 + pick(3)), OutOfService: pick(2), Status: NodeStatus{Node: "n", Round: uint64(pick(2))}}
 	for range pick(12) {
 		e := Evidence{Node: "n", Policy: "p", Slice: uint64(pick(14)), At: time.Duration(pick(2)), Starts: pick(2)}
 		for range pick(3) {
-			long := []int{1, 2, maxSlice - 200, maxSlice}[pick(4)]
+			long := []int{1, 2, maxSliceBytes - 200, maxSliceBytes}[pick(4)]
 			e.Counts = append(e.Counts, Counts{Class: strings.Repeat("c", long), Offered: uint64(pick(3)), SetUp: make([]byte, 20)})
 		}
 		r.Slices = append(r.Slices, e)
 	}
 	for range pick(12) {
-		r.Fired = append(r.Fired, Fired{uint64(pick(9)), uint64(pick(2)), "p", strings.Repeat("<<\xff", pick(3)*40)})
+		r.Fired = append(r.Fired, FiredGuard{uint64(pick(9)), uint64(pick(2)), "p", strings.Repeat("<<\xff", pick(3)*40)})
 	}
 	return r
 }
@@ -49,41 +49,41 @@
 		require.Equal(rt, one(a.Merge(b)), one(b.Merge(a)), "commutative")
 		require.Equal(rt, one(a.Merge(b).Merge(c)), one(a.Merge(b.Merge(c))), "associative")
 	})
-	full := Record{Node: "n", Told: 1, Seen: Seen{Node: "n"}}
-	for i := range uint64(mostSlices) {
-		full.Slices = append(full.Slices, Evidence{Slice: i, Counts: []Counts{{Class: strings.Repeat("c", maxSlice-120)}}})
-		full.Fired = append(full.Fired, Fired{Slice: i, Policy: AsTheyAre().Hash(), What: strings.Repeat("<", 200)})
+	full := Record{Node: "n", Sequence: 1, Status: NodeStatus{Node: "n"}}
+	for i := range uint64(maxSlices) {
+		full.Slices = append(full.Slices, Evidence{Slice: i, Counts: []Counts{{Class: strings.Repeat("c", maxSliceBytes-120)}}})
+		full.Fired = append(full.Fired, FiredGuard{Slice: i, Policy: EmptyPolicy().Hash(), Guard: strings.Repeat("<", 200)})
 	}
 	require.Greater(t, len(full.Bytes()), MaxRecord-4<<10)
 	require.LessOrEqual(t, len(full.Bytes()), MaxRecord)
 	for _, bad := range []string{"", recordHead + "{}" + recordEnd, recordHead + "x" + recordEnd} {
 		_, err := MergeRecords([]byte(bad), []byte(bad))
-		var u *Unread
+		var u *DecodeError
 		require.ErrorAs(t, err, &u)
 	}
-	_, err := MergeRecords(Record{Node: "a", Told: 1, Seen: Seen{Node: "a"}}.Bytes(), Record{Node: "b", Told: 1, Seen: Seen{Node: "b"}}.Bytes())
+	_, err := MergeRecords(Record{Node: "a", Sequence: 1, Status: NodeStatus{Node: "a"}}.Bytes(), Record{Node: "b", Sequence: 1, Status: NodeStatus{Node: "b"}}.Bytes())
 	require.ErrorContains(t, err, "are not one")
 }
 
 // told is a node whose site goes by slices of a minute.
-type told struct {
-	*Teller
+type reporterHarness struct {
+	*Reporter
 	now  time.Duration
-	seen Seen
+	seen NodeStatus
 	work bool
 }
 
-func newTold(now time.Duration) *told {
-	return &told{Teller: NewTeller("n", "z"), now: now, seen: Seen{Node: "n", Policy: "p", Round: 1}}
+func newReporterHarness(now time.Duration) *reporterHarness {
+	return &reporterHarness{Reporter: NewReporter("n", "z"), now: now, seen: NodeStatus{Node: "n", Policy: "p", Round: 1}}
 }
 
-func (n *told) tick(long time.Duration, under Hash, counts []Counts, guards ...string) {
+func (n *reporterHarness) tick(long time.Duration, under Hash, counts []Counts, guards ...string) {
 	n.now += long
 	n.Tick(n.now, time.Minute, n.seen, 2, 3, n.work)
 	n.Count(n.now, under, counts, guards)
 }
 
-func (n *told) newest(t require.TestingT) Record {
+func (n *reporterHarness) newest(t require.TestingT) Record {
 	require.NotNil(t, n.Pending())
 	r, err := ParseRecord(n.Pending())
 	require.NoError(t, err)
@@ -94,7 +94,7 @@
 // number of a record rises.
 func TestTheNewestRecordSaysItAll(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		n := newTold(1000 * time.Hour)
+		n := newReporterHarness(1000 * time.Hour)
 		var all [][]byte
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			step := time.Duration(rapid.IntRange(-5, 40).Draw(rt, "seconds")) * time.Second
@@ -112,7 +112,7 @@
 		for _, raw := range all[:len(all)-1] {
 			r, err := ParseRecord(raw)
 			require.NoError(rt, err)
-			require.Less(rt, r.Told, last.Told)
+			require.Less(rt, r.Sequence, last.Sequence)
 			merged, err := MergeRecords(raw, n.Pending())
 			require.NoError(rt, err)
 			require.Equal(rt, string(n.Pending()), string(merged))
@@ -122,47 +122,47 @@
 
 // R2, where the clock steps back over the end of a slice: that slice ends twice, and the eight that are kept are eight all the same.
 func TestASliceThatEndsTwiceTakesNoPlaceOfAnother(t *testing.T) {
-	n := newTold(1000 * time.Hour)
+	n := newReporterHarness(1000 * time.Hour)
 	add := []Counts{{Class: "c", Offered: 1}}
 	var before []byte
-	for i := range mostSlices + 2 {
+	for i := range maxSlices + 2 {
 		n.tick(time.Minute, "p", add)
-		if i == mostSlices/2 {
+		if i == maxSlices/2 {
 			n.tick(-10*time.Second, "p", add)
 			n.tick(10*time.Second, "p", add)
 		}
 		before = n.Pending()
 	}
 	n.tick(time.Second, "p", add, "drain")
-	require.Len(t, n.newest(t).Slices, mostSlices)
+	require.Len(t, n.newest(t).Slices, maxSlices)
 	merged, err := MergeRecords(before, n.Pending())
 	require.NoError(t, err)
 	assert.Equal(t, string(n.Pending()), string(merged))
 }
 
 func TestANodeTellsItsSlices(t *testing.T) {
-	n := newTold(1000*time.Hour + 10*time.Second)
+	n := newReporterHarness(1000*time.Hour + 10*time.Second)
 	n.Count(n.now, "p", []Counts{{Class: "c", Offered: 9}}, nil)
 	n.Tick(n.now, 0, n.seen, 0, 0, false)
 	assert.NotNil(t, n.Pending(), "what it goes by is told before any slice")
 	h := NewSetUps()
 	h.Add(time.Millisecond)
-	add := []Counts{{Class: "c", Offered: 5, Served: 4, Failed: 1, SetUp: h.Bytes()}, {Class: "c", Tenant: "t", Offered: 1, Worth: 2}}
+	add := []Counts{{Class: "c", Offered: 5, Served: 4, Failed: 1, SetUp: h.Bytes()}, {Class: "c", Tenant: "t", Offered: 1, Value: 2}}
 	for range 6 {
 		n.tick(20*time.Second, "p", add)
 	}
 	r := n.newest(t)
 	require.Len(t, r.Slices, 2)
-	assert.True(t, r.Slices[0].Spoilt, "the first of the process")
-	assert.Equal(t, 3, r.Out)
+	assert.True(t, r.Slices[0].Tainted, "the first of the process")
+	assert.Equal(t, 3, r.OutOfService)
 	e := r.Slices[1]
 	assert.Equal(t, Evidence{Node: "n", Zone: "z", Policy: "p", Slice: 60001, Starts: 2, At: e.At, Counts: []Counts{
-		{Class: "c", Offered: 15, Served: 12, Failed: 3, SetUp: e.Counts[0].SetUp}, {Class: "c", Tenant: "t", Offered: 3, Worth: 6}}}, e)
-	sum, err := setUps(e.Counts[0].SetUp)
+		{Class: "c", Offered: 15, Served: 12, Failed: 3, SetUp: e.Counts[0].SetUp}, {Class: "c", Tenant: "t", Offered: 3, Value: 6}}}, e)
+	sum, err := decodeSetUps(e.Counts[0].SetUp)
 	require.NoError(t, err)
-	all, _ := sum.above(1)
+	all, _ := sum.countSlow(1)
 	assert.Equal(t, 3.0, all, "histograms merge")
-	n.Recorded(n.Newest().Told)
+	n.Acknowledge(n.Newest().Sequence)
 	assert.Nil(t, n.Pending())
 	n.tick(time.Second, "p", nil)
 	assert.Nil(t, n.Pending(), "nothing new")
@@ -173,7 +173,7 @@
 		do()
 		n.tick(time.Minute-n.now%time.Minute, n.seen.Policy, add)
 		r := n.newest(t)
-		assert.Equal(t, what != "", r.Slices[len(r.Slices)-1].Spoilt, what)
+		assert.Equal(t, what != "", r.Slices[len(r.Slices)-1].Tainted, what)
 		n.tick(time.Minute, n.seen.Policy, add) // a quiet one
 	}
 	spoilt("", func() { n.tick(time.Second, "p", add) })
@@ -181,25 +181,25 @@
 	spoilt("another policy was counted", func() { n.tick(time.Second, "q", add) })
 	spoilt("another policy was told", func() { n.seen.Policy, n.seen.Round = "q", 7; n.tick(time.Second, "q", add) })
 	spoilt("no histogram", func() { n.tick(time.Second, "q", []Counts{{Class: "c", SetUp: []byte("x")}}) })
-	n.Recorded(n.Newest().Told)
+	n.Acknowledge(n.Newest().Sequence)
 	n.tick(time.Second, "p", nil, "late")
 	n.tick(time.Second, "q", nil, "drain")
 	slice := uint64(n.now / time.Minute)
-	assert.Equal(t, []Fired{{slice, 1, "p", "late"}, {slice, 7, "q", "drain"}}, n.newest(t).Fired, "at once, with the round of its policy")
+	assert.Equal(t, []FiredGuard{{slice, 1, "p", "late"}, {slice, 7, "q", "drain"}}, n.newest(t).Fired, "at once, with the round of its policy")
 	n.tick(time.Minute, "q", add)
 	n.tick(time.Minute, "q", add)
 	before := n.newest(t)
-	require.False(t, before.Slices[mostSlices-1].Spoilt)
-	n.seen.Policy, n.seen.Fell = "p", Silence
+	require.False(t, before.Slices[maxSlices-1].Tainted)
+	n.seen.Policy, n.seen.Fallback = "p", LeaseExpired
 	n.tick(time.Second, "q", add)
-	require.True(t, n.newest(t).Slices[mostSlices-1].Spoilt, "nobody heard of it before the trial lapsed")
+	require.True(t, n.newest(t).Slices[maxSlices-1].Tainted, "nobody heard of it before the trial lapsed")
 	n.now -= time.Hour
 	n.tick(0, "q", nil, "again")
-	assert.Greater(t, n.newest(t).Told, before.Told, "though the clock went back")
+	assert.Greater(t, n.newest(t).Sequence, before.Sequence, "though the clock went back")
 	n.Tick(n.now, time.Hour, n.seen, 0, 0, false)
 	n.Count(n.now+time.Hour, "", nil, nil)
 	n.Count(n.now+2*time.Hour, "", nil, nil)
 	r = n.newest(t)
 	require.Len(t, r.Slices, 1, "slices of another length have other numbers")
-	assert.Equal(t, AsTheyAre().Hash(), r.Slices[0].Policy)
+	assert.Equal(t, EmptyPolicy().Hash(), r.Slices[0].Policy)
 }
--- a/internal/choice/rollout/overlay.go
+++ b/internal/choice/rollout/overlay.go
@@ -35,46 +35,46 @@
 }
 
 // form is what a value of a policy has to be.
-type form uint8
+type valueKind uint8
 
 const (
-	micros  form = iota // a time in microseconds, from 0
-	count               // a whole number from 0
-	number              // a number from 0
-	truth               // true or false
-	source              // of weights
-	group               // of a class
-	classes             // an object with a key for each class that it changes
-	parties             // an object with a key for each party that it changes
+	microseconds valueKind = iota // a time in microseconds, from 0
+	count                         // a whole number from 0
+	number                        // a number from 0
+	boolean                       // true or false
+	weightSource                  // of weights
+	classGroup                    // of a class
+	classes                       // an object with a key for each class that it changes
+	parties                       // an object with a key for each party that it changes
 	object
 )
 
 // key is a key that a policy may hold: what SIGHUP may change, less what tells of the node, the fleet or the clients.
-type key struct {
-	form form
-	in   map[string]key // of an object; of classes and parties: of each; nil: each is a value of form of
-	of   form
+type keyRule struct {
+	kind valueKind
+	keys map[string]keyRule // of an object; of classes and parties: of each; nil: each is a value of form of
+	elem valueKind
 }
 
-var keys = map[string]key{
-	"round_us": {form: micros}, "weight_source": {form: source},
-	"permissions": {form: object, in: map[string]key{"probes": {form: truth}, "peers": {form: truth},
-		"second_copies": {form: truth}, "max_attempts": {form: count}, "connect_timeout_us": {form: micros},
-		"retry_after": {form: truth}, "max_retry_after_us": {form: micros}}},
-	"safety": {form: object, in: map[string]key{"answer_slack_us": {form: micros}, "drain_grace_us": {form: micros},
-		"ask_within_us": {form: micros}, "cold_from": {form: number}, "cold_us": {form: micros},
-		"overload_factor": {form: number}, "tip_after_us": {form: micros}}},
-	"tariffs": {form: object, in: map[string]key{"cross_zone": {form: number}, "probe": {form: number},
-		"moves": {form: number}, "peer": {form: number}}},
-	"request_classes": {form: classes, in: map[string]key{"aim_us": {form: micros}, "deadline_us": {form: micros},
-		"window_us": {form: micros}, "points": {form: number}, "group": {form: group}}},
-	"parties": {form: parties, in: map[string]key{"share": {form: number}}},
-	"extra": {form: object, in: map[string]key{"message_aim_us": {form: classes, of: micros},
-		"tenant_quota_connections": {form: parties, of: number}}},
+var policyKeys = map[string]keyRule{
+	"round_us": {kind: microseconds}, "weight_source": {kind: weightSource},
+	"permissions": {kind: object, keys: map[string]keyRule{"probes": {kind: boolean}, "peers": {kind: boolean},
+		"second_copies": {kind: boolean}, "max_attempts": {kind: count}, "connect_timeout_us": {kind: microseconds},
+		"retry_after": {kind: boolean}, "max_retry_after_us": {kind: microseconds}}},
+	"safety": {kind: object, keys: map[string]keyRule{"answer_slack_us": {kind: microseconds}, "drain_grace_us": {kind: microseconds},
+		"ask_within_us": {kind: microseconds}, "cold_from": {kind: number}, "cold_us": {kind: microseconds},
+		"overload_factor": {kind: number}, "tip_after_us": {kind: microseconds}}},
+	"tariffs": {kind: object, keys: map[string]keyRule{"cross_zone": {kind: number}, "probe": {kind: number},
+		"moves": {kind: number}, "peer": {kind: number}}},
+	"request_classes": {kind: classes, keys: map[string]keyRule{"aim_us": {kind: microseconds}, "deadline_us": {kind: microseconds},
+		"window_us": {kind: microseconds}, "points": {kind: number}, "group": {kind: classGroup}}},
+	"parties": {kind: parties, keys: map[string]keyRule{"share": {kind: number}}},
+	"extra": {kind: object, keys: map[string]keyRule{"message_aim_us": {kind: classes, elem: microseconds},
+		"tenant_quota_connections": {kind: parties, elem: number}}},
 }
 
 // fixed are keys of the settings that no policy may hold, with the cause.
-var fixed = map[string]string{
+var forbiddenKeys = map[string]string{
 	"me": "tells of one node", "my_zone": "tells of one node", "balancers": "tells of the fleet",
 	"registry_mode": "only a start takes it over", "extra.mode": "only a start takes it over",
 	"request_classes.semantics": "is a fact of the class", "request_classes.streamed": "is a fact of the class",
@@ -93,7 +93,7 @@
 	if !gjson.ValidBytes(raw) {
 		return Policy{}, &Fault{"", "not valid JSON"}
 	}
-	tree, err := overlay(gjson.ParseBytes(raw), "", "", keys)
+	tree, err := parseObject(gjson.ParseBytes(raw), "", "", policyKeys)
 	if err != nil {
 		return Policy{}, err
 	}
@@ -105,7 +105,7 @@
 }
 
 // AsTheyAre is the policy that changes nothing: the settings as they are.
-func AsTheyAre() Policy {
+func EmptyPolicy() Policy {
 	p, err := Parse([]byte(`{}`))
 	if err != nil {
 		panic(err) // the text is a constant
@@ -126,65 +126,65 @@
 func (p Policy) Text() []byte { return bytes.Clone(p.text) }
 
 // overlay checks an object against the keys that it may hold. general is the path without names of classes.
-func overlay(v gjson.Result, path, general string, may map[string]key) (map[string]any, error) {
+func parseObject(v gjson.Result, path, general string, allowed map[string]keyRule) (map[string]any, error) {
 	if !v.IsObject() {
 		return nil, &Fault{path, "not an object"}
 	}
 	out, err := map[string]any{}, error(nil)
 	v.ForEach(func(name, value gjson.Result) bool {
-		at, plain := join(path, name.Str), join(general, name.Str)
-		k, known := may[name.Str]
-		_, twice := out[name.Str]
+		fullPath, generalPath := join(path, name.Str), join(general, name.Str)
+		k, known := allowed[name.Str]
+		_, repeated := out[name.Str]
 		switch {
-		case twice:
-			err = &Fault{at, "stands there twice"}
-		case fixed[plain] != "":
-			err = &Fault{at, "may not be in a policy: it " + fixed[plain]}
+		case repeated:
+			err = &Fault{fullPath, "stands there twice"}
+		case forbiddenKeys[generalPath] != "":
+			err = &Fault{fullPath, "may not be in a policy: it " + forbiddenKeys[generalPath]}
 		case !known:
-			err = &Fault{at, "no such key, or no policy may change it"}
+			err = &Fault{fullPath, "no such key, or no policy may change it"}
 		default:
-			out[name.Str], err = k.read(value, at, plain)
+			out[name.Str], err = k.parseValue(value, fullPath, generalPath)
 		}
 		return err == nil
 	})
 	return out, err
 }
 
-func (k key) read(v gjson.Result, at, plain string) (any, error) {
-	switch k.form {
+func (k keyRule) parseValue(v gjson.Result, path, general string) (any, error) {
+	switch k.kind {
 	case object:
-		return overlay(v, at, plain, k.in)
+		return parseObject(v, path, general, k.keys)
 	case classes, parties:
 		if !v.IsObject() {
-			return nil, &Fault{at, "not an object by name"}
+			return nil, &Fault{path, "not an object by name"}
 		}
 		out, err := map[string]any{}, error(nil)
 		v.ForEach(func(name, value gjson.Result) bool {
-			if _, twice := out[name.Str]; twice || name.Str == "" {
-				err = &Fault{join(at, name.Str), "stands there twice, or has no name"}
-			} else if k.in != nil {
-				out[name.Str], err = overlay(value, join(at, name.Str), plain, k.in)
+			if _, repeated := out[name.Str]; repeated || name.Str == "" {
+				err = &Fault{join(path, name.Str), "stands there twice, or has no name"}
+			} else if k.keys != nil {
+				out[name.Str], err = parseObject(value, join(path, name.Str), general, k.keys)
 			} else {
-				out[name.Str], err = key{form: k.of}.read(value, join(at, name.Str), plain)
+				out[name.Str], err = keyRule{kind: k.elem}.parseValue(value, join(path, name.Str), general)
 			}
 			return err == nil
 		})
 		return out, err
-	case truth:
+	case boolean:
 		if v.IsBool() {
 			return v.Bool(), nil
 		}
-		return nil, &Fault{at, fmt.Sprintf("%.40s is not true or false", v.Raw)}
-	case source, group:
-		may := map[form][]string{source: {"nominal", "rough", "measured"}, group: {"all", "zone", "cell"}}[k.form]
-		if v.Type == gjson.String && slices.Contains(may, v.Str) {
+		return nil, &Fault{path, fmt.Sprintf("%.40s is not true or false", v.Raw)}
+	case weightSource, classGroup:
+		allowed := map[valueKind][]string{weightSource: {"nominal", "rough", "measured"}, classGroup: {"all", "zone", "cell"}}[k.kind]
+		if v.Type == gjson.String && slices.Contains(allowed, v.Str) {
 			return v.Str, nil
 		}
-		return nil, &Fault{at, fmt.Sprintf("%.40s is none of %v", v.Raw, may)}
+		return nil, &Fault{path, fmt.Sprintf("%.40s is none of %v", v.Raw, allowed)}
 	}
 	whole := v.Num == math.Trunc(v.Num)
-	if v.Type != gjson.Number || math.IsInf(v.Num, 0) || v.Num < 0 || k.form == count && (!whole || v.Num > math.MaxInt32) {
-		return nil, &Fault{at, fmt.Sprintf("%.40s is not a number from 0", v.Raw)}
+	if v.Type != gjson.Number || math.IsInf(v.Num, 0) || v.Num < 0 || k.kind == count && (!whole || v.Num > math.MaxInt32) {
+		return nil, &Fault{path, fmt.Sprintf("%.40s is not a number from 0", v.Raw)}
 	}
 	if whole && v.Num < 1<<53 {
 		return json.Number(strconv.FormatInt(int64(v.Num), 10)), nil
@@ -201,16 +201,16 @@
 
 // Over returns the settings with the policy laid over them, as a JSON document that settings.Decode and settings.Check
 // accept, with no value out of range. The settings are not changed. An error is a *Fault.
-func (p Policy) Over(raw []byte) ([]byte, error) {
-	var doc, lay map[string]any
-	if err := number64(raw, &doc); err != nil || doc == nil {
+func (p Policy) ApplyTo(raw []byte) ([]byte, error) {
+	var doc, overlay map[string]any
+	if err := decodeNumbers(raw, &doc); err != nil || doc == nil {
 		return nil, &Fault{"", fmt.Sprintf("the settings below it are no JSON object: %v", err)}
 	}
-	if err := number64(p.text, &lay); err != nil {
+	if err := decodeNumbers(p.text, &overlay); err != nil {
 		return nil, &Fault{"", "no policy"}
 	}
-	named := map[form][]string{classes: names(doc["request_classes"]), parties: names(doc["parties"])}
-	if err := merge(doc, lay, "", keys, named); err != nil {
+	nameLists := map[valueKind][]string{classes: names(doc["request_classes"]), parties: names(doc["parties"])}
+	if err := merge(doc, overlay, "", policyKeys, nameLists); err != nil {
 		return nil, err
 	}
 	out, err := json.Marshal(doc)
@@ -230,7 +230,7 @@
 	return out, nil
 }
 
-func number64(raw []byte, into *map[string]any) error {
+func decodeNumbers(raw []byte, into *map[string]any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	return d.Decode(into)
@@ -256,39 +256,39 @@
 }
 
 // merge lays lay over doc, in place.
-func merge(doc, lay map[string]any, path string, may map[string]key, named map[form][]string) error {
-	for _, name := range slices.Sorted(maps.Keys(lay)) {
-		k, at := may[name], join(path, name)
-		switch k.form {
+func merge(doc, overlay map[string]any, path string, allowed map[string]keyRule, nameLists map[valueKind][]string) error {
+	for _, name := range slices.Sorted(maps.Keys(overlay)) {
+		k, fullPath := allowed[name], join(path, name)
+		switch k.kind {
 		case object:
-			below := asObject(doc[name])
-			if below == nil {
-				below = map[string]any{}
+			sub := asObject(doc[name])
+			if sub == nil {
+				sub = map[string]any{}
 			}
-			doc[name] = below
-			if err := merge(below, asObject(lay[name]), at, k.in, named); err != nil {
+			doc[name] = sub
+			if err := merge(sub, asObject(overlay[name]), fullPath, k.keys, nameLists); err != nil {
 				return err
 			}
 		case classes, parties:
 			list := asList(doc[name])
-			for _, of := range slices.Sorted(maps.Keys(asObject(lay[name]))) {
-				i := slices.Index(named[k.form], of)
+			for _, element := range slices.Sorted(maps.Keys(asObject(overlay[name]))) {
+				i := slices.Index(nameLists[k.kind], element)
 				if i < 0 {
-					return &Fault{join(at, of), "the settings name none such"}
+					return &Fault{join(fullPath, element), "the settings name none such"}
 				}
 				for len(list) <= i {
 					list = append(list, nil)
 				}
-				value := asObject(lay[name])[of]
-				if k.in == nil {
+				value := asObject(overlay[name])[element]
+				if k.keys == nil {
 					list[i] = value
-				} else if err := merge(asObject(list[i]), asObject(value), join(at, of), k.in, named); err != nil {
+				} else if err := merge(asObject(list[i]), asObject(value), join(fullPath, element), k.keys, nameLists); err != nil {
 					return err
 				}
 			}
 			doc[name] = list
 		default:
-			doc[name] = lay[name]
+			doc[name] = overlay[name]
 		}
 	}
 	return nil
--- a/internal/choice/rollout/overlay_test.go
+++ b/internal/choice/rollout/overlay_test.go
@@ -10,7 +10,7 @@
 	"lichenhitch/internal/settings"
 )
 
-const plain = `{"me":3,"my_zone":"z","round_us":50,"permissions":{"max_attempts":4,"probes":true},
+const baseSettings = `{"me":3,"my_zone":"z","round_us":50,"permissions":{"max_attempts":4,"probes":true},
 "parties":[{"name":"kota","share":0.5},{"name":"kab","share":0.5}],"request_classes":[
 {"name":"c","semantics":"read_like","aim_us":300000,"deadline_us":900000,"points":3},
 {"name":"d","semantics":"non_idempotent","aim_us":500000,"deadline_us":3000000,"points":1}],"extra":{"mode":"pass"}}`
@@ -19,11 +19,11 @@
 	p, err := Parse([]byte(`{"request_classes":{"d":{"aim_us":2.5e5}},"permissions":{"max_attempts":2},
 		"extra":{"message_aim_us":{"d":60000},"tenant_quota_connections":{"kab":7}},"safety":{"cold_from":0.25}}`))
 	require.NoError(t, err)
-	out, err := p.Over([]byte(plain))
+	out, err := p.ApplyTo([]byte(baseSettings))
 	require.NoError(t, err)
 	set, err := settings.Decode(out)
 	require.NoError(t, err)
-	want, err := settings.Decode([]byte(plain))
+	want, err := settings.Decode([]byte(baseSettings))
 	require.NoError(t, err)
 	want.MaxAttempts, want.Safety.ColdCapacity, want.Tenants[1].Quota = 2, 0.25, 7
 	want.Classes[1].LatencyTarget, want.Classes[1].MessageLatencyTarget = 250*time.Millisecond, 60*time.Millisecond
@@ -72,7 +72,7 @@
 	} {
 		p, err := Parse([]byte(text))
 		require.NoError(t, err, text)
-		_, err = p.Over([]byte(plain))
+		_, err = p.ApplyTo([]byte(baseSettings))
 		assert.ErrorContains(t, err, want)
 	}
 }
--- a/internal/choice/rollout/places.go
+++ b/internal/choice/rollout/places.go
@@ -7,39 +7,39 @@
 )
 
 // places is the tree by node.
-type places struct {
-	zone  map[string]string // of a node
-	site  map[string]string // its building
-	above map[string]string // its regency: the site above its building, or the building where none is above
-	in    map[string][]string
-	by    map[string][]string // nodes of a building and zone
-	under map[string][]string // nodes of a regency
-	all   []string
+type topology struct {
+	zone         map[string]string // of a node
+	site         map[string]string // its building
+	regency      map[string]string // its regency: the site above its building, or the building where none is above
+	siteNodes    map[string][]string
+	zoneNodes    map[string][]string // nodes of a building and zone
+	regencyNodes map[string][]string // nodes of a regency
+	allNodes     []string
 }
 
-func indexed(tree Tree) places {
-	ix := places{zone: map[string]string{}, site: map[string]string{}, above: map[string]string{}, in: map[string][]string{},
-		by: map[string][]string{}, under: map[string][]string{}}
+func newTopology(tree Tree) topology {
+	t := topology{zone: map[string]string{}, site: map[string]string{}, regency: map[string]string{}, siteNodes: map[string][]string{},
+		zoneNodes: map[string][]string{}, regencyNodes: map[string][]string{}}
 	for _, s := range tree.Sites {
-		above := s.Parent
-		if above == "" {
-			above = s.Name
+		regency := s.Parent
+		if regency == "" {
+			regency = s.Name
 		}
 		for _, n := range s.Nodes {
-			ix.zone[n.Name], ix.site[n.Name], ix.above[n.Name] = n.Zone, s.Name, above
-			ix.in[s.Name] = append(ix.in[s.Name], n.Name)
-			ix.by[s.Name+sep+n.Zone] = append(ix.by[s.Name+sep+n.Zone], n.Name)
-			ix.under[above] = append(ix.under[above], n.Name)
-			ix.all = append(ix.all, n.Name)
+			t.zone[n.Name], t.site[n.Name], t.regency[n.Name] = n.Zone, s.Name, regency
+			t.siteNodes[s.Name] = append(t.siteNodes[s.Name], n.Name)
+			t.zoneNodes[s.Name+sep+n.Zone] = append(t.zoneNodes[s.Name+sep+n.Zone], n.Name)
+			t.regencyNodes[regency] = append(t.regencyNodes[regency], n.Name)
+			t.allNodes = append(t.allNodes, n.Name)
 		}
 	}
-	slices.Sort(ix.all)
-	return ix
+	slices.Sort(t.allNodes)
+	return t
 }
 
 // levels are the nodes around a node, the nearest first: of its building and zone, its building, its regency, all.
-func (ix places) levels(name string) [4][]string {
-	return [4][]string{ix.by[ix.site[name]+sep+ix.zone[name]], ix.in[ix.site[name]], ix.under[ix.above[name]], ix.all}
+func (ix topology) nearest(name string) [4][]string {
+	return [4][]string{ix.zoneNodes[ix.site[name]+sep+ix.zone[name]], ix.siteNodes[ix.site[name]], ix.regencyNodes[ix.regency[name]], ix.allNodes}
 }
 
 // shuffled puts names into an order that depends on the rollout alone.
@@ -59,25 +59,25 @@
 }
 
 // drawn is how many nodes are looked at for the first.
-const drawn = 8
+const firstCandidates = 8
 
 // first is the node that a rollout begins with: of some drawn by lot that have the most cells with enough requests and two
 // others in their building, the one whose least cell is the largest, since its evidence says most.
-func (p *Plan) first(order []string) (name string) {
+func (p *Plan) chooseFirst(order []string) (name string) {
 	best, left, most := -1, 0, -1.0
 	for _, n := range order {
 		score, least := 0, -1.0
-		for _, b := range p.s.Nodes[n].Base {
-			if b.Size >= float64(p.s.Limits.Least) {
+		for _, b := range p.s.Nodes[n].Baselines {
+			if b.MeanRequests >= float64(p.s.Limits.MinRequests) {
 				score += 4
-				if least < 0 || b.Size < least {
-					least = b.Size
+				if least < 0 || b.MeanRequests < least {
+					least = b.MeanRequests
 				}
 			}
 		}
-		switch score += min(len(p.index.in[p.index.site[n]]), 3); {
+		switch score += min(len(p.topology.siteNodes[p.topology.site[n]]), 3); {
 		case score > best:
-			best, left, most, name = score, drawn-1, least, n
+			best, left, most, name = score, firstCandidates-1, least, n
 		case score == best && left > 0:
 			if left--; least > most {
 				most, name = least, n
@@ -92,8 +92,8 @@
 // first node comes from first.
 func (p *Plan) targets(id string) [][]string {
 	stages := make([][]string, Stages+1)
-	order := shuffled(id, p.index.all)
-	first := p.first(order)
+	order := shuffled(id, p.topology.allNodes)
+	first := p.chooseFirst(order)
 	held := map[string]bool{}
 	hold := func(list []string) {
 		for i := len(list) - 1; i >= 0 && len(list) > 1; i-- {
@@ -109,14 +109,14 @@
 		}
 	}
 	for _, s := range p.s.Tree.Sites {
-		hold(inOrder(order, p.index.in[s.Name]))
+		hold(inOrder(order, p.topology.siteNodes[s.Name]))
 	}
 	for _, s := range p.s.Tree.Sites {
-		hold(inOrder(order, p.index.under[s.Name]))
+		hold(inOrder(order, p.topology.regencyNodes[s.Name]))
 	}
 	hold(order)
-	regencies := shuffled(id, slices.Sorted(keysOf(p.index.under)))
-	half := map[string]bool{p.index.above[first]: true}
+	regencies := shuffled(id, slices.Sorted(keysOf(p.topology.regencyNodes)))
+	half := map[string]bool{p.topology.regency[first]: true}
 	for _, r := range regencies {
 		if 2*len(half) < len(regencies) {
 			half[r] = true
@@ -128,11 +128,11 @@
 			stages[OneNode] = append(stages[OneNode], name)
 		case held[name]:
 			stages[Stages] = append(stages[Stages], name)
-		case p.index.site[name] == p.index.site[first]:
+		case p.topology.site[name] == p.topology.site[first]:
 			stages[OneBuilding] = append(stages[OneBuilding], name)
-		case p.index.above[name] == p.index.above[first]:
+		case p.topology.regency[name] == p.topology.regency[first]:
 			stages[OneRegency] = append(stages[OneRegency], name)
-		case half[p.index.above[name]]:
+		case half[p.topology.regency[name]]:
 			stages[PartOfProvince] = append(stages[PartOfProvince], name)
 		default:
 			stages[All] = append(stages[All], name)
--- a/internal/choice/rollout/plan_test.go
+++ b/internal/choice/rollout/plan_test.go
@@ -17,7 +17,7 @@
 )
 
 // bench is a plan with a leader that never dies and nodes that take over at once, in two regencies of two buildings.
-type bench struct {
+type harness struct {
 	t     *testing.T
 	p     *Plan
 	index uint64
@@ -25,18 +25,18 @@
 	serve func(node string, trial bool) Counts
 }
 
-func plainly(string, bool) Counts { return Counts{Class: "c", Offered: 1000, Served: 990} }
+func steadyCounts(string, bool) Counts { return Counts{Class: "c", Offered: 1000, Served: 990} }
 
-func newBench(t *testing.T, serve func(string, bool) Counts) *bench {
-	b := &bench{t: t, p: NewPlan(), now: 1000 * hour, serve: serve}
+func newHarness(t *testing.T, serve func(string, bool) Counts) *harness {
+	b := &harness{t: t, p: NewPlan(), now: 1000 * hour, serve: serve}
 	l := Defaults()
-	l.Slice, l.Spell, l.Watch, l.Settle, l.Hold, l.Disturb = 10*time.Minute, 3, 4, time.Minute, 4*hour, 3
+	l.Slice, l.WindowSlices, l.BaselineWindows, l.Settle, l.MaxHold, l.MaxDisrupted = 10*time.Minute, 3, 4, time.Minute, 4*hour, 3
 	b.apply(Command{Limits: &l})
 	var tree Tree
 	for s := range 4 {
 		site := Site{Name: fmt.Sprint("b", s), Parent: fmt.Sprint("r", s/2)}
 		for n := range 3 {
-			site.Nodes = append(site.Nodes, Place{fmt.Sprintf("n%d%d", s, n), site.Name})
+			site.Nodes = append(site.Nodes, TreeNode{fmt.Sprintf("n%d%d", s, n), site.Name})
 		}
 		tree.Sites = append(tree.Sites, site)
 	}
@@ -45,7 +45,7 @@
 	return b
 }
 
-func (b *bench) apply(c Command) []Effect {
+func (b *harness) apply(c Command) []Effect {
 	b.index++
 	c.At = b.now
 	effects := b.p.Apply(b.index, c)
@@ -53,24 +53,24 @@
 		if e.Kind == Assign {
 			a := b.p.Assigned(e.Node)
 			b.index++
-			b.p.Apply(b.index, Command{At: b.now, Seen: &Seen{Node: e.Node, Round: a.Round, Policy: a.Policy}})
+			b.p.Apply(b.index, Command{At: b.now, Status: &NodeStatus{Node: e.Node, Round: a.Round, Policy: a.Policy}})
 		}
 	}
 	return effects
 }
 
-func (b *bench) start() *Rollout {
+func (b *harness) start() *Rollout {
 	b.apply(Command{Start: &Start{ID: "x", Policy: []byte(trialText), By: "desk", Why: "try"}})
 	require.NotNil(b.t, b.p.Rollout("x"))
 	return b.p.Rollout("x")
 }
 
 // run lets time pass, slice by slice.
-func (b *bench) run(long time.Duration) {
+func (b *harness) run(long time.Duration) {
 	for end := b.now + long; b.now < end; {
 		slice := uint64(b.now / b.p.s.Limits.Slice)
 		b.now += b.p.s.Limits.Slice
-		for _, name := range b.p.index.all {
+		for _, name := range b.p.topology.allNodes {
 			a := b.p.Assigned(name)
 			e := Evidence{Node: name, Policy: a.Policy, Slice: slice, Counts: []Counts{b.serve(name, a.Trial)}}
 			b.apply(Command{Evidence: &e})
@@ -79,7 +79,7 @@
 	}
 }
 
-func (b *bench) lead() {
+func (b *harness) lead() {
 	for n := 0; ; n++ {
 		require.Less(b.t, n, 100, "the leader proposes without end")
 		c, any := b.p.Next(b.now, 0)
@@ -87,18 +87,18 @@
 			return
 		}
 		b.apply(c)
-		require.LessOrEqual(b.t, b.p.Disturbed(b.now), 3+12*len(b.p.s.Rollouts), "a halt alone may disturb more")
+		require.LessOrEqual(b.t, b.p.Disrupted(b.now), 3+12*len(b.p.s.Rollouts), "a halt alone may disturb more")
 	}
 }
 
 func TestAHarmlessPolicyBecomesTheGoodOne(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	r := b.start()
 	b.run(60 * hour)
 	require.Equal(t, Done, r.Phase, "%+v", r)
 	assert.Equal(t, r.Policy, b.p.Good())
 	assert.Equal(t, []byte(trialText), b.p.Text(r.Policy))
-	for _, name := range b.p.index.all {
+	for _, name := range b.p.topology.allNodes {
 		assert.Equal(t, Assignment{Round: b.p.s.Nodes[name].Round, Policy: r.Policy, Good: r.Policy}, b.p.Assigned(name))
 	}
 	stages := map[Stage]int{}
@@ -140,7 +140,7 @@
 			return c
 		},
 	} {
-		b := newBench(t, serve)
+		b := newHarness(t, serve)
 		r := b.start()
 		b.run(20 * hour)
 		require.Equal(t, Halted, r.Phase, want)
@@ -152,21 +152,21 @@
 }
 
 func TestWhatIsMissingHoldsAndIsTakenBack(t *testing.T) {
-	for name, change := range map[string]func(b *bench, r *Rollout){
-		"few": func(b *bench, _ *Rollout) {
+	for name, change := range map[string]func(b *harness, r *Rollout){
+		"few": func(b *harness, _ *Rollout) {
 			b.serve = func(string, bool) Counts { return Counts{Class: "c", Offered: 20, Served: 20} }
 		},
-		"alike": func(b *bench, _ *Rollout) {
+		"alike": func(b *harness, _ *Rollout) {
 			b.serve = func(string, bool) Counts { return Counts{Class: "c", Offered: 1000, Served: 400} }
 		},
-		"work": func(b *bench, r *Rollout) {
-			b.apply(Command{Work: &Work{Zones: []string{b.p.index.zone[r.Targets[0][0]]}}})
+		"work": func(b *harness, r *Rollout) {
+			b.apply(Command{Maintenance: &Maintenance{Zones: []string{b.p.topology.zone[r.Targets[0][0]]}}})
 		},
-		"not known": func(b *bench, r *Rollout) {
+		"not known": func(b *harness, r *Rollout) {
 			b.serve = func(string, bool) Counts { return Counts{Class: "d", Offered: 1000, Served: 1000} }
 		},
 	} {
-		b := newBench(t, plainly)
+		b := newHarness(t, steadyCounts)
 		r := b.start()
 		b.lead()
 		change(b, r)
@@ -181,15 +181,15 @@
 }
 
 func TestAGuardHaltsAtOnceAndTheLatestStageGoesBackFirst(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	r := b.start()
 	for r.Stage < OneRegency || len(r.Treated) < 4 {
 		b.run(b.p.s.Limits.Slice)
 	}
 	last := r.Treated[len(r.Treated)-1].Node
 	b.index++
-	b.p.Apply(b.index, Command{At: b.now, Away: &Name{Node: last}})
-	b.apply(Command{Evidence: &Evidence{Node: r.Treated[0].Node, Policy: r.Policy, Slice: 1, Starts: b.p.s.Limits.Crashes}})
+	b.p.Apply(b.index, Command{At: b.now, Unreachable: &NodeName{Node: last}})
+	b.apply(Command{Evidence: &Evidence{Node: r.Treated[0].Node, Policy: r.Policy, Slice: 1, Starts: b.p.s.Limits.MaxCrashes}})
 	require.Equal(t, Halting, r.Phase, "even on evidence that comes too late to be judged")
 	assert.Equal(t, Guard, r.Cause)
 	var order []Stage
@@ -198,19 +198,19 @@
 		if !any {
 			break
 		}
-		if c.TakeBack != nil {
-			order = append(order, c.TakeBack.Stage)
+		if c.RollBack != nil {
+			order = append(order, c.RollBack.Stage)
 		}
 		b.apply(c)
 	}
 	assert.Equal(t, []Stage{OneRegency, OneBuilding, OneNode}, order)
 	assert.Equal(t, Halted, r.Phase, "who is away does not hold it up")
 	assert.Equal(t, b.p.Good(), b.p.Assigned(last).Policy, "and takes the halt on its return")
-	for _, c := range []Command{{Force: &Note{ID: "x", Stage: r.Stage, By: "desk", Why: "no"}},
-		{Resume: &Note{ID: "x", By: "desk", Why: "no"}},
+	for _, c := range []Command{{Force: &OperatorAction{ID: "x", Stage: r.Stage, By: "desk", Why: "no"}},
+		{Resume: &OperatorAction{ID: "x", By: "desk", Why: "no"}},
 		{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "no"}},
 		{Start: &Start{ID: "y", Policy: []byte(`{}`), By: "d", Why: "w"}},
-		{Start: &Start{ID: "y", Policy: []byte(`{"me":1}`), By: "d", Why: "w"}}, {Force: &Note{ID: "none", By: "desk", Why: "no"}},
+		{Start: &Start{ID: "y", Policy: []byte(`{"me":1}`), By: "d", Why: "w"}}, {Force: &OperatorAction{ID: "none", By: "desk", Why: "no"}},
 		{Start: &Start{ID: "x", Policy: []byte(`{"round_us":1}`), By: "d", Why: "w"}}, {Limits: &Limits{}}} {
 		e := b.apply(c)
 		require.Len(t, e, 1, "%+v", c)
@@ -222,32 +222,32 @@
 
 // A halt waits, stage by stage, for nodes that have not said that they are back, for as long as a trial lasts in silence.
 func TestAHaltWaitsForWhoHasNotSaidThatItIsBack(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	r := b.start()
 	for r.Stage < OneBuilding || len(r.Treated) < 2 {
 		b.run(b.p.s.Limits.Slice)
 	}
 	b.apply(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "enough"}})
 	c, _ := b.p.Next(b.now, 0)
-	require.NotNil(t, c.TakeBack)
+	require.NotNil(t, c.RollBack)
 	b.index++
 	b.p.Apply(b.index, c) // nobody answers
-	_, any := b.p.Next(b.now+b.p.s.Limits.Lease-1, 0)
+	_, any := b.p.Next(b.now+b.p.s.Limits.TrialLease-1, 0)
 	assert.False(t, any)
-	c, any = b.p.Next(b.now+b.p.s.Limits.Lease, 0)
+	c, any = b.p.Next(b.now+b.p.s.Limits.TrialLease, 0)
 	require.True(t, any)
-	assert.Equal(t, OneNode, c.TakeBack.Stage)
+	assert.Equal(t, OneNode, c.RollBack.Stage)
 	b.index++
-	assert.Empty(t, b.p.Apply(b.index, Command{At: b.now, TakeBack: &Step{"x", OneNode}}), "proposed too early, it changes nothing")
+	assert.Empty(t, b.p.Apply(b.index, Command{At: b.now, RollBack: &StageRef{"x", OneNode}}), "proposed too early, it changes nothing")
 }
 
 // Whatever commands come in whatever order, every seat has the same state, which can be written, read and copied.
 func TestSeatsAgreeWhateverComes(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		b := newBench(t, plainly)
+		b := newHarness(t, steadyCounts)
 		other := b.p.Clone()
-		nodes := append(b.p.index.all, "nobody", "")
+		nodes := append(b.p.topology.allNodes, "nobody", "")
 		ids := []string{"x", "y", "", "\xff"}
 		for range 400 {
 			b.now += time.Duration(rng.IntN(int(20 * time.Minute)))
@@ -258,11 +258,11 @@
 					Slice:  uint64(b.now/b.p.s.Limits.Slice) - uint64(rng.IntN(9)),
 					Counts: []Counts{{Class: "c", Offered: 900, Served: uint64(rng.IntN(1000)), SetUp: []byte("x")}}}},
 					{Start: &Start{id, []byte(fmt.Sprintf(`{"round_us":%d}`, rng.IntN(3))), "d", "w"}},
-					{Halt: &Halt{ID: id, Cause: Cause(rng.IntN(int(causes))), By: "d", Why: "w"}}, {Force: &Note{id, st, "d", "w"}},
-					{Resume: &Note{ID: id, By: "d", Why: "w"}}, {Away: &Name{n}}, {Back: &Name{n}}, {Close: &Close{rng.Uint64N(3000)}},
-					{Treat: &Treat{id, st, []string{n}, 0}}, {Advance: &Step{id, st}}, {TakeBack: &Step{id, st}}, {Finish: &Step{id, st}},
-					{Work: &Work{[]string{"b1", "b0"}[:rng.IntN(3)]}},
-					{Seen: &Seen{n, b.p.Assigned(n).Round, b.p.Good(), Fall(rng.IntN(3))}}}[rng.IntN(14)]
+					{Halt: &Halt{ID: id, Cause: Cause(rng.IntN(int(causeCount))), By: "d", Why: "w"}}, {Force: &OperatorAction{id, st, "d", "w"}},
+					{Resume: &OperatorAction{ID: id, By: "d", Why: "w"}}, {Unreachable: &NodeName{n}}, {Reachable: &NodeName{n}}, {Close: &Close{rng.Uint64N(3000)}},
+					{Treat: &Treat{id, st, []string{n}, 0}}, {Advance: &StageRef{id, st}}, {RollBack: &StageRef{id, st}}, {Finish: &StageRef{id, st}},
+					{Maintenance: &Maintenance{[]string{"b1", "b0"}[:rng.IntN(3)]}},
+					{Status: &NodeStatus{n, b.p.Assigned(n).Round, b.p.Good(), Fallback(rng.IntN(3))}}}[rng.IntN(14)]
 			}
 			b.index++
 			c.At = b.now - time.Duration(rng.IntN(int(time.Hour)))
@@ -276,7 +276,7 @@
 			owners := map[string]string{}
 			for _, r := range b.p.Rollouts() {
 				for _, tr := range r.Treated {
-					if !tr.Back && r.Phase.Active() {
+					if !tr.RolledBack && r.Phase.Active() {
 						require.Empty(t, owners[tr.Node], "two rollouts treat one node")
 						owners[tr.Node] = r.ID
 					}
@@ -285,10 +285,10 @@
 		}
 		require.Equal(t, string(b.p.Encode()), string(other.Encode()))
 	}
-	raw := string(newBench(t, plainly).p.Encode())
+	raw := string(newHarness(t, steadyCounts).p.Encode())
 	for _, bad := range []string{"", raw[:len(raw)-2], raw[1:], strings.Replace(raw, `{"applied"`, `{ "applied"`, 1), planHead + "{}" + endMark} {
 		_, err := Decode([]byte(bad))
-		var u *Unread
+		var u *DecodeError
 		assert.ErrorAs(t, err, &u)
 	}
 }
@@ -296,10 +296,10 @@
 // What a leader proposes is weighed by every seat: on less evidence, with no room, for nodes that are away, not watched or
 // another rollout's, it changes nothing.
 func TestALeaderIsNotTakenAtItsWord(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	r := b.start()
 	fresh := clone(b.p.s.Tree)
-	fresh.Sites[0].Nodes = append(fresh.Sites[0].Nodes, Place{"new", "b0"})
+	fresh.Sites[0].Nodes = append(fresh.Sites[0].Nodes, TreeNode{"new", "b0"})
 	b.apply(Command{Tree: &fresh})
 	first := r.Targets[OneNode][0]
 	r.Targets[OneNode] = append(r.Targets[OneNode], "new", "n10", "n11", "n12") // as if all were the first stage's
@@ -318,13 +318,13 @@
 	unchanged("another stage", Command{Treat: &Treat{"x", OneBuilding, []string{first}, 0}})
 	unchanged("not a target", treat(0, "nobody"))
 	b.index++
-	b.p.Apply(b.index, Command{At: b.now, Away: &Name{first}})
+	b.p.Apply(b.index, Command{At: b.now, Unreachable: &NodeName{first}})
 	unchanged("away", treat(0, first))
 	b.index++
-	b.p.Apply(b.index, Command{At: b.now, Back: &Name{first}})
-	for _, c := range []Command{{Advance: &Step{"x", OneNode}}, {Halt: &Halt{ID: "x", Cause: Regression}},
+	b.p.Apply(b.index, Command{At: b.now, Reachable: &NodeName{first}})
+	for _, c := range []Command{{Advance: &StageRef{"x", OneNode}}, {Halt: &Halt{ID: "x", Cause: Regression}},
 		{Halt: &Halt{ID: "x", Cause: Unproven}},
-		{Halt: &Halt{ID: "x"}}, {TakeBack: &Step{"x", OneNode}}, {Finish: &Step{"x", OneNode}}, {Close: &Close{1 << 40}},
+		{Halt: &Halt{ID: "x"}}, {RollBack: &StageRef{"x", OneNode}}, {Finish: &StageRef{"x", OneNode}}, {Close: &Close{1 << 40}},
 		{Close: &Close{1}}} {
 		unchanged(fmt.Sprintf("%+v", c), c)
 	}
@@ -336,26 +336,26 @@
 // Evidence that is late, repeated, mixed, spoilt, of a zone that was in work, or of a spell that the policy changed in, says
 // nothing.
 func TestWhatIsNoEvidence(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	r := b.start()
 	b.lead()
 	first, l := r.Treated[0].Node, b.p.s.Limits
-	zone := b.p.index.zone[first]
-	spell := uint64(b.now/l.Slice)/uint64(l.Spell) + 1 // the first whole one under the trial
-	at := func(slice uint64) time.Duration { return time.Duration(spell*uint64(l.Spell)+slice) * l.Slice }
+	zone := b.p.topology.zone[first]
+	spell := uint64(b.now/l.Slice)/uint64(l.WindowSlices) + 1 // the first whole one under the trial
+	at := func(slice uint64) time.Duration { return time.Duration(spell*uint64(l.WindowSlices)+slice) * l.Slice }
 	fit := func(do func(e *Evidence, p *Plan)) bool {
 		p := b.p.Clone()
 		send := func(c Command) { p.Apply(p.s.Applied+1, c) }
-		for i := range uint64(l.Spell) {
-			e := Evidence{Node: first, Policy: r.Policy, Slice: spell*uint64(l.Spell) + i, Counts: []Counts{plainly("", true)}}
+		for i := range uint64(l.WindowSlices) {
+			e := Evidence{Node: first, Policy: r.Policy, Slice: spell*uint64(l.WindowSlices) + i, Counts: []Counts{steadyCounts("", true)}}
 			if do != nil && i == 1 {
 				do(&e, p)
 			}
 			send(Command{At: at(i + 1), Evidence: &e})
 			send(Command{At: at(i + 1), Evidence: &e}) // once more
 		}
-		sp := p.s.Open[len(p.s.Open)-1]
-		ta := p.fit(sp, first, r.Policy)
+		sp := p.s.OpenWindows[len(p.s.OpenWindows)-1]
+		ta := p.usableTally(sp, first, r.Policy)
 		if ta != nil {
 			assert.Equal(t, 3000.0, ta.Sums["c"+sep].Offered, "each slice counts once")
 		}
@@ -363,63 +363,63 @@
 	}
 	assert.True(t, fit(nil))
 	for name, do := range map[string]func(e *Evidence, p *Plan){
-		"spoilt": func(e *Evidence, _ *Plan) { e.Spoilt = true },
+		"spoilt": func(e *Evidence, _ *Plan) { e.Tainted = true },
 		"mixed":  func(e *Evidence, _ *Plan) { e.Policy = "other" },
 		"faulty": func(e *Evidence, _ *Plan) { e.Counts[0].Served = 2000 },
 		"text":   func(e *Evidence, _ *Plan) { e.Counts[0].Class = "\xff" },
 		"in work": func(_ *Evidence, p *Plan) {
-			p.Apply(p.s.Applied+1, Command{At: at(1), Work: &Work{[]string{zone}}})
-			p.Apply(p.s.Applied+1, Command{At: at(1), Work: &Work{}})
+			p.Apply(p.s.Applied+1, Command{At: at(1), Maintenance: &Maintenance{[]string{zone}}})
+			p.Apply(p.s.Applied+1, Command{At: at(1), Maintenance: &Maintenance{}})
 		},
 		"changed": func(_ *Evidence, p *Plan) { p.s.Nodes[first].Changed = at(1) },
 	} {
 		if name == "in work" {
 			p := b.p.Clone() // work that ended before the first word of the spell came
-			p.Apply(p.s.Applied+1, Command{At: at(0), Work: &Work{[]string{zone}}})
-			p.Apply(p.s.Applied+1, Command{At: at(1) - 1, Work: &Work{}})
-			assert.Contains(t, p.spoiltIn(spell), zone)
-			assert.NotContains(t, p.spoiltIn(spell+1), zone)
+			p.Apply(p.s.Applied+1, Command{At: at(0), Maintenance: &Maintenance{[]string{zone}}})
+			p.Apply(p.s.Applied+1, Command{At: at(1) - 1, Maintenance: &Maintenance{}})
+			assert.Contains(t, p.taintedZones(spell), zone)
+			assert.NotContains(t, p.taintedZones(spell+1), zone)
 		}
 		assert.False(t, fit(do), name)
 	}
-	e := Evidence{Node: first, Policy: r.Policy, Slice: uint64(b.now/l.Slice) + 100, Counts: []Counts{plainly("", true)}}
+	e := Evidence{Node: first, Policy: r.Policy, Slice: uint64(b.now/l.Slice) + 100, Counts: []Counts{steadyCounts("", true)}}
 	assert.Equal(t, Refused, b.apply(Command{Evidence: &e})[0].Kind, "of a time to come")
-	open := len(b.p.s.Open)
+	open := len(b.p.s.OpenWindows)
 	e.Slice = 1
 	b.apply(Command{Evidence: &e})
-	assert.Len(t, b.p.s.Open, open, "too late")
+	assert.Len(t, b.p.s.OpenWindows, open, "too late")
 }
 
 func TestTheLaterRolloutWaitsAndIsOvertaken(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	x := b.start()
 	b.run(hour)
 	b.apply(Command{Start: &Start{ID: "y", Policy: []byte(`{"round_us":7}`), By: "desk", Why: "another"}})
 	y := b.p.Rollout("y")
-	b.apply(Command{Force: &Note{ID: "y", By: "desk", Why: "known"}})
+	b.apply(Command{Force: &OperatorAction{ID: "y", By: "desk", Why: "known"}})
 	for x.Phase != Done {
 		require.Less(t, b.now, 1100*hour)
 		b.run(b.p.s.Limits.Slice)
 		require.False(t, y.Phase == Running && y.Stage == All, "it waits before its last stage")
 		for _, tr := range x.Treated {
 			for _, o := range y.Treated {
-				require.True(t, tr.Node != o.Node || o.Back, "one node, one rollout")
+				require.True(t, tr.Node != o.Node || o.RolledBack, "one node, one rollout")
 			}
 		}
 	}
 	b.run(hour)
 	assert.Equal(t, Halted, y.Phase)
-	assert.Equal(t, Overtaken, y.Cause)
-	for _, name := range b.p.index.all {
+	assert.Equal(t, Superseded, y.Cause)
+	for _, name := range b.p.topology.allNodes {
 		assert.Equal(t, x.Policy, b.p.Assigned(name).Policy)
 	}
-	e := b.apply(Command{Resume: &Note{ID: "y", By: "desk", Why: "again"}})
+	e := b.apply(Command{Resume: &OperatorAction{ID: "y", By: "desk", Why: "again"}})
 	assert.Equal(t, Refused, e[0].Kind, "what it was compared with is not the good policy any more")
 }
 
 // What a node always loses is its own; what all lose while a rollout is under way moves no base.
 func TestNodesThatAlwaysDifferAreNotBlamed(t *testing.T) {
-	b := newBench(t, func(name string, _ bool) Counts {
+	b := newHarness(t, func(name string, _ bool) Counts {
 		return Counts{Class: "c", Offered: 1000, Served: 990 - 30*uint64(name[2]-'0')}
 	})
 	r := b.start()
@@ -433,7 +433,7 @@
 	}
 	b.run(2 * hour)
 	for name, n := range b.p.s.Nodes {
-		assert.Equal(t, before[name].Base, n.Base, "frozen")
+		assert.Equal(t, before[name].Baselines, n.Baselines, "frozen")
 	}
 	b.run(60 * hour)
 	assert.Equal(t, Done, r.Phase, "%+v", r.Log)
@@ -442,9 +442,9 @@
 // A stage waits for nodes that say nothing, be they a whole regency or a few here and there.
 func TestAStageWaitsForWhoSaysNothing(t *testing.T) {
 	for what, cover := range map[string]float64{"no node has spoken of r": 0.1, " nodes have spoken": 0.9} {
-		b := newBench(t, plainly)
+		b := newHarness(t, steadyCounts)
 		l := b.p.s.Limits
-		l.Cover, l.Hold = cover, 200*hour
+		l.Coverage, l.MaxHold = cover, 200*hour
 		b.apply(Command{Limits: &l})
 		r := b.start()
 		silent := map[string]bool{}
@@ -457,7 +457,7 @@
 			if trial && silent[name] {
 				return Counts{Class: "c"}
 			}
-			return plainly(name, trial)
+			return steadyCounts(name, trial)
 		}
 		b.run(80 * hour)
 		assert.Equal(t, Running, r.Phase, what)
@@ -467,9 +467,9 @@
 
 // A stage is about the nodes that it adds: those of earlier stages have spoken for it already, and with few in it make up its cover.
 func TestAStageDoesNotEndOnTheWordOfEarlierOnes(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	l := b.p.s.Limits
-	l.Cover, l.Hold = 0.5, 200*hour
+	l.Coverage, l.MaxHold = 0.5, 200*hour
 	b.apply(Command{Limits: &l})
 	r := b.start()
 	first := r.Targets[OneNode][0]
@@ -477,22 +477,22 @@
 		if trial && name != first {
 			return Counts{Class: "c"}
 		}
-		return plainly(name, trial)
+		return steadyCounts(name, trial)
 	}
 	b.run(40 * hour)
 	assert.Equal(t, "running building", r.Phase.String()+" "+r.Stage.String())
 	assert.Equal(t, "of those that this stage adds, 0 of 1 nodes have spoken", r.Missing)
-	b.serve = plainly
+	b.serve = steadyCounts
 	b.run(60 * hour)
 	assert.Equal(t, Done, r.Phase, "%+v", r.Log)
 }
 
 func TestWhatAnOperatorDoesWantsAReason(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	r := b.start()
-	for _, c := range []Command{{Start: &Start{ID: "y", Policy: []byte(`{"round_us":7}`), By: "desk"}}, {Force: &Note{ID: "x", Why: "w"}},
-		{Start: &Start{ID: "z", Policy: []byte(trialText), By: "desk", Why: "twice"}}, {Force: &Note{"x", OneBuilding, "desk", "w"}},
-		{Halt: &Halt{ID: "x", Cause: Operator, Why: "w"}}, {Resume: &Note{ID: "x", By: "desk", Why: "it runs"}}} {
+	for _, c := range []Command{{Start: &Start{ID: "y", Policy: []byte(`{"round_us":7}`), By: "desk"}}, {Force: &OperatorAction{ID: "x", Why: "w"}},
+		{Start: &Start{ID: "z", Policy: []byte(trialText), By: "desk", Why: "twice"}}, {Force: &OperatorAction{"x", OneBuilding, "desk", "w"}},
+		{Halt: &Halt{ID: "x", Cause: Operator, Why: "w"}}, {Resume: &OperatorAction{ID: "x", By: "desk", Why: "it runs"}}} {
 		e := b.apply(c)
 		require.Len(t, e, 1, "%+v", c)
 		assert.Equal(t, Refused, e[0].Kind)
@@ -503,9 +503,9 @@
 }
 
 func TestAStageThatIsUndecidedForTooLongIsTakenBack(t *testing.T) {
-	b := newBench(t, plainly)
+	b := newHarness(t, steadyCounts)
 	l := b.p.s.Limits
-	l.Longest = hour
+	l.MaxStageTime = hour
 	b.apply(Command{Limits: &l})
 	r := b.start()
 	b.run(2 * hour)
--- a/internal/choice/rollout/record.go
+++ b/internal/choice/rollout/record.go
@@ -18,35 +18,35 @@
 //	R3  No record is longer than MaxRecord: what does not fit is left out, the oldest slice first, and missing evidence is
 //	    no health.
 type Record struct {
-	Node   string     `json:"node"`
-	Told   uint64     `json:"told"` // rises with each that the node tells: Unix time in microseconds by its own clock
-	Seen   Seen       `json:"seen"`
-	Out    int        `json:"out,omitempty"`    // hosts out for work at the node's site, as the node was told
-	Fired  []Fired    `json:"fired,omitempty"`  // guards, sorted: the newest mostFired
-	Slices []Evidence `json:"slices,omitempty"` // by number: the newest mostSlices
+	Node         string       `json:"node"`
+	Sequence     uint64       `json:"told"` // rises with each that the node tells: Unix time in microseconds by its own clock
+	Status       NodeStatus   `json:"seen"`
+	OutOfService int          `json:"out,omitempty"`    // hosts out for work at the node's site, as the node was told
+	Fired        []FiredGuard `json:"fired,omitempty"`  // guards, sorted: the newest mostFired
+	Slices       []Evidence   `json:"slices,omitempty"` // by number: the newest mostSlices
 }
 
 // Fired is a guard that fired at a node: it halts, whatever was counted.
-type Fired struct {
+type FiredGuard struct {
 	Slice  uint64 `json:"slice"`
 	Round  uint64 `json:"round"` // that the policy was told in: a guard is no word on a later treatment
 	Policy Hash   `json:"policy"`
-	What   string `json:"what"`
+	Guard  string `json:"what"`
 }
 
 const (
 	// MaxRecord is the longest record in bytes: what the value of one write may have, less room for its frame.
-	MaxRecord  = 60 << 10
-	mostSlices = 8
-	mostFired  = 8
-	mostWhat   = 120                              // bytes of a guard's name
-	maxSlice   = (MaxRecord - 4<<10) / mostSlices // bytes of one slice's evidence
-	recordHead = "rollout record 1 "              // what a record begins with
-	recordEnd  = " end"                           // and ends with
+	MaxRecord     = 60 << 10
+	maxSlices     = 8
+	maxFired      = 8
+	maxGuardBytes = 120                             // bytes of a guard's name
+	maxSliceBytes = (MaxRecord - 4<<10) / maxSlices // bytes of one slice's evidence
+	recordHead    = "rollout record 1 "             // what a record begins with
+	recordEnd     = " end"                          // and ends with
 )
 
 // Thing is what a node's records are written about.
-func Thing(node string) string { return "node/" + node }
+func NodeKey(node string) string { return "node/" + node }
 
 // Bytes returns the record in its one form, cut to the bounds of R3.
 func (r Record) Bytes() []byte {
@@ -63,25 +63,25 @@
 	text, head := bytes.CutPrefix(raw, []byte(recordHead))
 	text, end := bytes.CutSuffix(text, []byte(recordEnd))
 	if !head || !end || len(raw) > MaxRecord {
-		return r, &Unread{"no record of a node, or too long a one"}
+		return r, &DecodeError{"no record of a node, or too long a one"}
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
-		return r, &Unread{err.Error()}
+		return r, &DecodeError{err.Error()}
 	}
-	if r.Node == "" || r.Told == 0 || r.Out < 0 || r.Seen.Fell >= falls || r.Seen.Node != r.Node || !bytes.Equal(r.Bytes(), raw) {
-		return r, &Unread{"the record of a node is not in its one form"}
+	if r.Node == "" || r.Sequence == 0 || r.OutOfService < 0 || r.Status.Fallback >= fallbackCount || r.Status.Node != r.Node || !bytes.Equal(r.Bytes(), raw) {
+		return r, &DecodeError{"the record of a node is not in its one form"}
 	}
 	return r, nil
 }
 
 // Brief returns what is left of a node's record once a Top has taken it in: the newest word, without the slices and guards, which
 // the plan has. It is a record, and what is no record is returned as it is.
-func Brief(raw []byte) []byte {
+func StripEvidence(raw []byte) []byte {
 	r, err := ParseRecord(raw)
 	if err != nil {
 		return raw
 	}
-	return Record{Node: r.Node, Told: r.Told, Seen: r.Seen, Out: r.Out}.Bytes()
+	return Record{Node: r.Node, Sequence: r.Sequence, Status: r.Status, OutOfService: r.OutOfService}.Bytes()
 }
 
 // MergeRecords merges two records of one node, in their bytes: see upstream.Merge. An error is an *Unread.
@@ -95,14 +95,14 @@
 		return nil, err
 	}
 	if x.Node != y.Node {
-		return nil, &Unread{"records of " + x.Node + " and " + y.Node + " are not one"}
+		return nil, &DecodeError{"records of " + x.Node + " and " + y.Node + " are not one"}
 	}
 	return x.Merge(y).Bytes(), nil
 }
 
 // Merge takes the newer word of two records of one node, and the slices and guards of both.
 func (r Record) Merge(o Record) Record {
-	if cmp.Or(cmp.Compare(r.Told, o.Told), compareJSON(r.Seen, o.Seen), cmp.Compare(r.Out, o.Out)) < 0 {
+	if cmp.Or(cmp.Compare(r.Sequence, o.Sequence), compareJSON(r.Status, o.Status), cmp.Compare(r.OutOfService, o.OutOfService)) < 0 {
 		r, o = o, r
 	}
 	r.Slices = append(slices.Clone(r.Slices), o.Slices...)
@@ -114,33 +114,33 @@
 func (r Record) trimmed() Record {
 	r.Slices = slices.Clone(r.Slices)
 	for i := range r.Slices {
-		r.Slices[i] = r.Slices[i].fitting()
+		r.Slices[i] = r.Slices[i].trimToSize()
 	}
 	slices.SortFunc(r.Slices, func(a, b Evidence) int {
 		return cmp.Or(cmp.Compare(a.Slice, b.Slice), cmp.Compare(b.At, a.At), compareJSON(b, a))
 	})
 	r.Slices = slices.CompactFunc(r.Slices, func(a, b Evidence) bool { return a.Slice == b.Slice })
-	r.Slices = r.Slices[max(0, len(r.Slices)-mostSlices):]
+	r.Slices = r.Slices[max(0, len(r.Slices)-maxSlices):]
 	r.Fired = slices.Clone(r.Fired)
 	for i := range r.Fired {
-		what := &r.Fired[i].What
-		*what = strings.ToValidUTF8((*what)[:min(len(*what), mostWhat)], "?")
-		for len(asJSON(*what)) > mostWhat+2 { // signs that take more bytes there
+		what := &r.Fired[i].Guard
+		*what = strings.ToValidUTF8((*what)[:min(len(*what), maxGuardBytes)], "?")
+		for len(asJSON(*what)) > maxGuardBytes+2 { // signs that take more bytes there
 			*what = strings.ToValidUTF8((*what)[:len(*what)-1], "")
 		}
 	}
-	slices.SortFunc(r.Fired, Fired.compare)
+	slices.SortFunc(r.Fired, FiredGuard.compare)
 	r.Fired = slices.Compact(r.Fired)
-	r.Fired = r.Fired[max(0, len(r.Fired)-mostFired):]
+	r.Fired = r.Fired[max(0, len(r.Fired)-maxFired):]
 	return r
 }
 
-func (f Fired) compare(o Fired) int {
-	return cmp.Or(cmp.Compare(f.Slice, o.Slice), cmp.Compare(f.Round, o.Round), cmp.Compare(f.Policy, o.Policy), cmp.Compare(f.What, o.What))
+func (f FiredGuard) compare(o FiredGuard) int {
+	return cmp.Or(cmp.Compare(f.Slice, o.Slice), cmp.Compare(f.Round, o.Round), cmp.Compare(f.Policy, o.Policy), cmp.Compare(f.Guard, o.Guard))
 }
 
 // fitting leaves out of a slice's evidence what does not fit: histograms first, then the cells with the fewest requests.
-func (e Evidence) fitting() Evidence {
+func (e Evidence) trimToSize() Evidence {
 	most := 400 + 6*(len(e.Node)+len(e.Zone)+len(e.Policy)) // at most so long in JSON, which is dear to make
 	for _, c := range e.Counts {
 		most += 400 + 6*(len(c.Class)+len(c.Tenant)) + 4*len(c.SetUp)/3
@@ -148,7 +148,7 @@
 	for _, g := range e.Guards {
 		most += 4 + 6*len(g)
 	}
-	if most <= maxSlice || len(asJSON(e)) <= maxSlice {
+	if most <= maxSliceBytes || len(asJSON(e)) <= maxSliceBytes {
 		return e
 	}
 	e.Counts = slices.Clone(e.Counts)
@@ -158,7 +158,7 @@
 	slices.SortStableFunc(e.Counts, func(a, b Counts) int {
 		return cmp.Or(cmp.Compare(b.Offered, a.Offered), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
 	})
-	for len(e.Counts) > 0 && len(asJSON(e)) > maxSlice {
+	for len(e.Counts) > 0 && len(asJSON(e)) > maxSliceBytes {
 		e.Counts = e.Counts[:len(e.Counts)-1-len(e.Counts)/16]
 	}
 	return e
--- a/internal/choice/rollout/rollout.go
+++ b/internal/choice/rollout/rollout.go
@@ -26,28 +26,28 @@
 
 // Limits are those of the rollouts of a site.
 type Limits struct {
-	Alpha   float64       // probability of a halt without a regression, over a whole rollout
-	Beta    float64       // probability of a stage that ends though one class lost Margin
-	Margin  float64       // the loss of served requests, as a part, that must be found
-	Least   uint64        // requests of a class on each side before it says anything
-	Hold    time.Duration // the longest hold
-	Lease   time.Duration // of a trial policy at a node
-	Crashes int           // of one node under a trial policy, before it falls back by itself
-	Disturb int           // nodes and hosts that rollouts and work may disturb at once; 0: no bound of their own
-
-	Slice   time.Duration // what evidence is counted by
-	Spell   int           // slices that are one observation: about as long as a node's own trouble lasts
-	Watch   int           // spells of a node on the old policy before it is compared
-	Settle  time.Duration // how long a change of its policy disturbs a node
-	Longest time.Duration // the longest stage: undecided for so long is unproven; 0: no bound
-	Slow    float64       // as Margin, of the part of connections that takes longer than the edge to stand
-	Cover   float64       // the part of a stage's nodes that must have spoken before it ends
+	Alpha        float64       // probability of a halt without a regression, over a whole rollout
+	Beta         float64       // probability of a stage that ends though one class lost Margin
+	Margin       float64       // the loss of served requests, as a part, that must be found
+	MinRequests  uint64        `json:"Least"`   // requests of a class on each side before it says anything
+	MaxHold      time.Duration `json:"Hold"`    // the longest hold
+	TrialLease   time.Duration `json:"Lease"`   // of a trial policy at a node
+	MaxCrashes   int           `json:"Crashes"` // of one node under a trial policy, before it falls back by itself
+	MaxDisrupted int           `json:"Disturb"` // nodes and hosts that rollouts and work may disturb at once; 0: no bound of their own
+
+	Slice           time.Duration // what evidence is counted by
+	WindowSlices    int           `json:"Spell"` // slices that are one observation: about as long as a node's own trouble lasts
+	BaselineWindows int           `json:"Watch"` // spells of a node on the old policy before it is compared
+	Settle          time.Duration // how long a change of its policy disturbs a node
+	MaxStageTime    time.Duration `json:"Longest"` // the longest stage: undecided for so long is unproven; 0: no bound
+	SlowMargin      float64       `json:"Slow"`    // as Margin, of the part of connections that takes longer than the edge to stand
+	Coverage        float64       `json:"Cover"`   // the part of a stage's nodes that must have spoken before it ends
 }
 
 // Defaults are limits for a site that tells none.
 func Defaults() Limits {
-	return Limits{Alpha: 0.01, Beta: 0.05, Margin: 0.02, Least: 100, Hold: 2 * time.Hour, Lease: 5 * time.Minute, Crashes: 3,
-		Slice: 5 * time.Minute, Spell: 6, Watch: 12, Settle: time.Minute, Longest: 72 * time.Hour, Slow: 0.05, Cover: 0.9}
+	return Limits{Alpha: 0.01, Beta: 0.05, Margin: 0.02, MinRequests: 100, MaxHold: 2 * time.Hour, TrialLease: 5 * time.Minute, MaxCrashes: 3,
+		Slice: 5 * time.Minute, WindowSlices: 6, BaselineWindows: 12, Settle: time.Minute, MaxStageTime: 72 * time.Hour, SlowMargin: 0.05, Coverage: 0.9}
 }
 
 // Check returns a *Refusal that names the first limit that no rollout can go by.
@@ -57,10 +57,10 @@
 		ok   bool
 	}{
 		{"alpha", l.Alpha > 0 && l.Alpha < 1}, {"beta", l.Beta > 0 && l.Beta < 1}, {"margin", l.Margin > 0 && l.Margin < 1},
-		{"slow", l.Slow > 0 && l.Slow < 1}, {"cover", l.Cover > 0 && l.Cover <= 1}, {"least", l.Least > 0},
-		{"hold", l.Hold > 0}, {"lease", l.Lease > 0}, {"crashes", l.Crashes > 0}, {"disturb", l.Disturb >= 0},
-		{"slice", l.Slice > 0}, {"spell", l.Spell > 0 && l.Spell <= 64}, {"watch", l.Watch > 0},
-		{"settle", l.Settle >= 0}, {"longest", l.Longest >= 0},
+		{"slow", l.SlowMargin > 0 && l.SlowMargin < 1}, {"cover", l.Coverage > 0 && l.Coverage <= 1}, {"least", l.MinRequests > 0},
+		{"hold", l.MaxHold > 0}, {"lease", l.TrialLease > 0}, {"crashes", l.MaxCrashes > 0}, {"disturb", l.MaxDisrupted >= 0},
+		{"slice", l.Slice > 0}, {"spell", l.WindowSlices > 0 && l.WindowSlices <= 64}, {"watch", l.BaselineWindows > 0},
+		{"settle", l.Settle >= 0}, {"longest", l.MaxStageTime >= 0},
 	} {
 		if !f.ok {
 			return &Refusal{"the limit " + f.name + " is out of range", "set rollout." + f.name + " in the site file"}
@@ -87,17 +87,17 @@
 	OneRegency
 	PartOfProvince
 	All
-	stages
+	stageCount
 )
 
 // Stages is how many there are.
-const Stages = int(stages)
+const Stages = int(stageCount)
 
-var stageNames = [stages]string{"one-node", "building", "regency", "part", "all"}
+var stageNames = [stageCount]string{"one-node", "building", "regency", "part", "all"}
 
 // String is the name that operators write; what is held back for comparison to the end has none of its own.
 func (s Stage) String() string {
-	if s < stages {
+	if s < stageCount {
 		return stageNames[s]
 	}
 	return "held-back"
@@ -123,19 +123,19 @@
 	TimedOut uint64  `json:"timed_out,omitempty"`
 	Breaks   uint64  `json:"breaks,omitempty"`
 	Moves    uint64  `json:"moves,omitempty"`
-	Worth    float64 `json:"worth,omitempty"`
+	Value    float64 `json:"worth,omitempty"`
 	SetUp    []byte  `json:"set_up,omitempty"` // a mergeable histogram of set-up times
 }
 
 // Evidence is what a node counted in one slice of time.
 type Evidence struct {
-	Node   string        `json:"node"`
-	Zone   string        `json:"zone,omitempty"`
-	Policy Hash          `json:"policy"`
-	Slice  uint64        `json:"slice"` // the slice's number since 1970, the same at every node
-	Counts []Counts      `json:"counts"`
-	Guards []string      `json:"guards,omitempty"` // those that fired
-	Starts int           `json:"starts,omitempty"` // of the process under this policy
-	Spoilt bool          `json:"spoilt,omitempty"` // work in progress disturbed it
-	At     time.Duration `json:"at"`
+	Node    string        `json:"node"`
+	Zone    string        `json:"zone,omitempty"`
+	Policy  Hash          `json:"policy"`
+	Slice   uint64        `json:"slice"` // the slice's number since 1970, the same at every node
+	Counts  []Counts      `json:"counts"`
+	Guards  []string      `json:"guards,omitempty"` // those that fired
+	Starts  int           `json:"starts,omitempty"` // of the process under this policy
+	Tainted bool          `json:"spoilt,omitempty"` // work in progress disturbed it
+	At      time.Duration `json:"at"`
 }
--- a/internal/choice/rollout/setup.go
+++ b/internal/choice/rollout/setup.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	accuracy    = 0.01    // of a set-up time in a histogram, as a part
-	mostSketch  = 1 << 15 // bytes of one histogram
-	leastSetUps = 200     // before an edge is drawn
-	edgeAt      = 0.95    // the quantile at which it is drawn
+	relativeAccuracy = 0.01    // of a set-up time in a histogram, as a part
+	maxSketchBytes   = 1 << 15 // bytes of one histogram
+	minSetUps        = 200     // before an edge is drawn
+	slowQuantile     = 0.95    // the quantile at which it is drawn
 )
 
 // SetUps is a histogram of set-up times that can be merged: a DDSketch of seconds. The zero value is not usable.
@@ -20,7 +20,7 @@
 
 // NewSetUps returns an empty histogram.
 func NewSetUps() SetUps {
-	s, err := ddsketch.NewDefaultDDSketch(accuracy)
+	s, err := ddsketch.NewDefaultDDSketch(relativeAccuracy)
 	if err != nil {
 		panic(err) // the accuracy is a constant that the library takes
 	}
@@ -37,8 +37,8 @@
 	return b
 }
 
-func setUps(b []byte) (SetUps, error) {
-	if len(b) > mostSketch {
+func decodeSetUps(b []byte) (SetUps, error) {
+	if len(b) > maxSketchBytes {
 		return SetUps{}, fmt.Errorf("a histogram of %d bytes", len(b))
 	}
 	s, err := ddsketch.DecodeDDSketch(b, store.SparseStoreConstructor, nil)
@@ -49,10 +49,10 @@
 }
 
 // above counts all set-ups and those that took longer than the edge, in seconds.
-func (s SetUps) above(edge float64) (all, slow float64) {
+func (s SetUps) countSlow(threshold float64) (all, slow float64) {
 	s.sketch.ForEach(func(value, n float64) bool {
 		all += n
-		if value > edge*(1+accuracy/2) { // between two bars, so that no rounding counts
+		if value > threshold*(1+relativeAccuracy/2) { // between two bars, so that no rounding counts
 			slow += n
 		}
 		return false
--- a/internal/choice/rollout/top.go
+++ b/internal/choice/rollout/top.go
@@ -22,39 +22,39 @@
 // One entry of the council's log may hold many commands and records (a batch of writes). The plan gets each command under an
 // index of its own, entry<<16 | i, with i counting within the entry: rounds are such indices. A record of 56 kB makes some 20
 // commands, so that an entry has far fewer than 1<<16.
-type Top struct {
-	plan  *Plan
-	index uint64            // the newest entry of the log
-	next  uint64            // i of the plan's next command in that entry
-	done  []string          // digests of the commands in that entry
-	taken map[string]*taken // by node
+type RootState struct {
+	plan     *Plan
+	entry    uint64               // the newest entry of the log
+	subIndex uint64               // i of the plan's next command in that entry
+	digests  []string             // digests of the commands in that entry
+	ingested map[string]*ingested // by node
 }
 
 // taken is what was taken of a node's records.
-type taken struct {
-	Told  uint64        `json:"told"`            // of the newest record
-	At    time.Duration `json:"at"`              // when it was taken, by the council's time
-	Slice uint64        `json:"slice"`           // the newest of which evidence was taken
-	Heard uint64        `json:"heard"`           // a bit for each slice taken, the lowest for Slice, the next for the one before
-	Seen  Seen          `json:"seen"`            // as the plan was told it last
-	Out   int           `json:"out,omitempty"`   // hosts out for work at the node's site
-	Fired []Fired       `json:"fired,omitempty"` // the newest mostFired that were taken, sorted
+type ingested struct {
+	Sequence     uint64        `json:"told"`            // of the newest record
+	At           time.Duration `json:"at"`              // when it was taken, by the council's time
+	NewestSlice  uint64        `json:"slice"`           // the newest of which evidence was taken
+	SliceBits    uint64        `json:"heard"`           // a bit for each slice taken, the lowest for Slice, the next for the one before
+	Status       NodeStatus    `json:"seen"`            // as the plan was told it last
+	OutOfService int           `json:"out,omitempty"`   // hosts out for work at the node's site
+	Fired        []FiredGuard  `json:"fired,omitempty"` // the newest mostFired that were taken, sorted
 }
 
 const (
-	topHead    = "lichenhitch rollout top 1\n"
-	mostText   = 8 << 10      // bytes of a policy's text
-	mostTexts  = 2 * mostText // of the good one's and of those under way together: they have to fit in a site's Doc
-	mostID     = 40           // bytes of a rollout's ID, which stands with each group of nodes in it
-	mostUnder  = 2            // rollouts under way at once: a third would wait for both
-	indexShift = 16
+	rootHead            = "lichenhitch rollout top 1\n"
+	maxPolicyBytes      = 8 << 10            // bytes of a policy's text
+	maxPolicyBytesTotal = 2 * maxPolicyBytes // of the good one's and of those under way together: they have to fit in a site's Doc
+	maxIDBytes          = 40                 // bytes of a rollout's ID, which stands with each group of nodes in it
+	maxActiveRollouts   = 2                  // rollouts under way at once: a third would wait for both
+	indexShift          = 16
 )
 
 // NewTop returns an empty state.
-func NewTop() *Top { return &Top{plan: NewPlan(), taken: map[string]*taken{}} }
+func NewRootState() *RootState { return &RootState{plan: NewPlan(), ingested: map[string]*ingested{}} }
 
 // Sites are the sites of the tree, in its order.
-func (t *Top) Sites() (names []string) {
+func (t *RootState) Sites() (names []string) {
 	for _, s := range t.plan.s.Tree.Sites {
 		names = append(names, s.Name)
 	}
@@ -62,49 +62,49 @@
 }
 
 // Plan is the plan, not to be changed.
-func (t *Top) Plan() *Plan { return t.plan }
+func (t *RootState) Plan() *Plan { return t.plan }
 
 // topState is a Top in its encoded form.
-type topState struct {
-	Index uint64            `json:"index"`
-	Next  uint64            `json:"next"`
-	Done  []string          `json:"done"`
-	Taken map[string]*taken `json:"taken"`
-	Plan  *state            `json:"plan"`
+type encodedRoot struct {
+	Index    uint64               `json:"index"`
+	SubIndex uint64               `json:"next"`
+	Digests  []string             `json:"done"`
+	Ingested map[string]*ingested `json:"taken"`
+	Plan     *state               `json:"plan"`
 }
 
 // Encode returns the state as bytes: the same for the same state.
-func (t *Top) Encode() []byte {
-	return encode(topHead, &topState{t.index, t.next, t.done, t.taken, &t.plan.s})
+func (t *RootState) Encode() []byte {
+	return encode(rootHead, &encodedRoot{t.entry, t.subIndex, t.digests, t.ingested, &t.plan.s})
 }
 
 // DecodeTop reads what Encode wrote. An error is an *Unread.
-func DecodeTop(raw []byte) (*Top, error) {
-	var s topState
-	if err := decode(topHead, raw, &s); err != nil {
+func DecodeRootState(raw []byte) (*RootState, error) {
+	var s encodedRoot
+	if err := decode(rootHead, raw, &s); err != nil {
 		return nil, err
 	}
-	if s.Plan == nil || s.Taken == nil {
-		return nil, &Unread{"a part is missing"}
+	if s.Plan == nil || s.Ingested == nil {
+		return nil, &DecodeError{"a part is missing"}
 	}
 	if err := s.Plan.check(); err != nil {
-		return nil, &Unread{err.Error()}
+		return nil, &DecodeError{err.Error()}
 	}
-	for name, k := range s.Taken {
+	for name, k := range s.Ingested {
 		if k == nil || s.Plan.Nodes[name] == nil {
-			return nil, &Unread{fmt.Sprintf("what was taken of %q is empty, or it is no node", name)}
+			return nil, &DecodeError{fmt.Sprintf("what was taken of %q is empty, or it is no node", name)}
 		}
 	}
-	return &Top{&Plan{*s.Plan, indexed(s.Plan.Tree)}, s.Index, s.Next, s.Done, s.Taken}, nil
+	return &RootState{&Plan{*s.Plan, newTopology(s.Plan.Tree)}, s.Index, s.SubIndex, s.Digests, s.Ingested}, nil
 }
 
 // Clone returns a copy that shares nothing.
-func (t *Top) Clone() *Top {
-	return &Top{t.plan.Clone(), t.index, t.next, slices.Clone(t.done), clone(t.taken)}
+func (t *RootState) Clone() *RootState {
+	return &RootState{t.plan.Clone(), t.entry, t.subIndex, slices.Clone(t.digests), clone(t.ingested)}
 }
 
 // Check says why a command of an operator, limits or a tree would be refused now; nil: it would not be. It changes nothing.
-func (t *Top) Check(c Command) *Refusal {
+func (t *RootState) Check(c Command) *Refusal {
 	if r := t.plan.Check(c); r != nil {
 		return r
 	}
@@ -112,11 +112,11 @@
 	switch {
 	case c.Start != nil && t.plan.Rollout(c.Start.ID) == nil:
 		p, _ := Parse(c.Start.Policy) // the plan takes it
-		if text = p.text; len(text) > mostText {
-			return &Refusal{fmt.Sprintf("the policy has %d bytes, %d at most", len(text), mostText), "change fewer keys by it"}
+		if text = p.text; len(text) > maxPolicyBytes {
+			return &Refusal{fmt.Sprintf("the policy has %d bytes, %d at most", len(text), maxPolicyBytes), "change fewer keys by it"}
 		}
-		if len(c.Start.ID) > mostID {
-			return &Refusal{fmt.Sprintf("the ID has %d bytes, %d at most", len(c.Start.ID), mostID), "choose a shorter ID"}
+		if len(c.Start.ID) > maxIDBytes {
+			return &Refusal{fmt.Sprintf("the ID has %d bytes, %d at most", len(c.Start.ID), maxIDBytes), "choose a shorter ID"}
 		}
 	case c.Resume != nil:
 		text = t.plan.s.Texts[t.plan.Rollout(c.Resume.ID).Policy]
@@ -130,87 +130,87 @@
 			bytes += len(t.plan.s.Texts[r.Policy])
 		}
 	}
-	if under >= mostUnder {
+	if under >= maxActiveRollouts {
 		return &Refusal{fmt.Sprintf("%d rollouts are under way, no more may be", under), "wait for the end of one, or halt one"}
 	}
-	if bytes > mostTexts {
-		return &Refusal{fmt.Sprintf("the good policy and those under way have %d bytes, %d at most", bytes, mostTexts),
+	if bytes > maxPolicyBytesTotal {
+		return &Refusal{fmt.Sprintf("the good policy and those under way have %d bytes, %d at most", bytes, maxPolicyBytesTotal),
 			"wait for the end of one, or change fewer keys by it"}
 	}
 	return nil
 }
 
 // enter says whether an entry of the log is the newest or a later one.
-func (t *Top) enter(index uint64) bool {
-	if index > t.index {
-		t.index, t.next, t.done = index, 0, nil
+func (t *RootState) beginEntry(index uint64) bool {
+	if index > t.entry {
+		t.entry, t.subIndex, t.digests = index, 0, nil
 	}
-	return index == t.index
+	return index == t.entry
 }
 
 // step gives the plan a command under the next index.
-func (t *Top) step(c Command) []Effect {
-	t.next++
-	return t.plan.Apply(t.index<<indexShift|(t.next-1), c)
+func (t *RootState) applyToPlan(c Command) []Effect {
+	t.subIndex++
+	return t.plan.Apply(t.entry<<indexShift|(t.subIndex-1), c)
 }
 
 // Apply takes a command of an entry of the log. An earlier entry than the newest, or the same command in the same entry,
 // changes nothing.
-func (t *Top) Apply(index uint64, c Command) []Effect {
+func (t *RootState) Apply(index uint64, c Command) []Effect {
 	text, err := json.Marshal(&c)
 	if err != nil {
 		text = []byte(err.Error()) // it is refused below
 	}
 	mark := digest(text)
-	if !t.enter(index) || slices.Contains(t.done, mark) {
+	if !t.beginEntry(index) || slices.Contains(t.digests, mark) {
 		return nil
 	}
-	t.done = append(t.done, mark)
+	t.digests = append(t.digests, mark)
 	if r := t.Check(c); r != nil {
-		return []Effect{{Kind: Refused, ID: c.of(), Why: r.Why, Err: r}}
+		return []Effect{{Kind: Refused, ID: c.rolloutID(), Why: r.Why, Err: r}}
 	}
-	out := t.step(c)
+	out := t.applyToPlan(c)
 	if c.Tree != nil {
-		maps.DeleteFunc(t.taken, func(name string, _ *taken) bool { return t.plan.s.Nodes[name] == nil })
+		maps.DeleteFunc(t.ingested, func(name string, _ *ingested) bool { return t.plan.s.Nodes[name] == nil })
 	}
 	return out
 }
 
 // Record takes what is new in a node's record. One of a node that is not in the tree is dropped; the same once more, in
 // whatever entry, changes nothing.
-func (t *Top) Record(index uint64, at time.Duration, r Record) (out []Effect) {
+func (t *RootState) Record(index uint64, at time.Duration, r Record) (out []Effect) {
 	n := t.plan.s.Nodes[r.Node]
-	if !t.enter(index) || n == nil {
+	if !t.beginEntry(index) || n == nil {
 		return nil
 	}
 	give := func(c Command) {
 		c.At = at
-		out = append(out, t.step(c)...)
+		out = append(out, t.applyToPlan(c)...)
 	}
-	if told := time.Duration(min(r.Told, 1<<52)) * time.Microsecond; t.plan.ahead(t.plan.spellOf(told), at) {
+	if told := time.Duration(min(r.Sequence, 1<<52)) * time.Microsecond; t.plan.inFuture(t.plan.windowAt(told), at) {
 		why := "the record of " + r.Node + " is from a time to come"
 		return []Effect{{Kind: Refused, Node: r.Node, Why: why, Err: &Refusal{why, "set the node's clock"}}}
 	}
-	k := t.taken[r.Node]
+	k := t.ingested[r.Node]
 	if k == nil {
-		k = &taken{}
-		t.taken[r.Node] = k
+		k = &ingested{}
+		t.ingested[r.Node] = k
 	}
-	if r.Told > k.Told {
-		k.Told, k.At, k.Out = r.Told, max(at, t.plan.s.At), r.Out
-		if r.Seen.Node = r.Node; r.Seen != k.Seen {
-			k.Seen = r.Seen
-			give(Command{Seen: &r.Seen})
+	if r.Sequence > k.Sequence {
+		k.Sequence, k.At, k.OutOfService = r.Sequence, max(at, t.plan.s.At), r.OutOfService
+		if r.Status.Node = r.Node; r.Status != k.Status {
+			k.Status = r.Status
+			give(Command{Status: &r.Status})
 		}
 	}
 	for _, f := range r.Fired {
 		// A guard of an earlier round is no word on the present treatment: that one was taken back.
-		if a := t.plan.Assigned(r.Node); k.fires(f) && a.Trial && f.Round == a.Round && f.Policy == a.Policy {
-			give(Command{Evidence: &Evidence{Node: r.Node, Policy: f.Policy, Slice: f.Slice, Guards: []string{f.What}, Spoilt: true}})
+		if a := t.plan.Assigned(r.Node); k.markGuard(f) && a.Trial && f.Round == a.Round && f.Policy == a.Policy {
+			give(Command{Evidence: &Evidence{Node: r.Node, Policy: f.Policy, Slice: f.Slice, Guards: []string{f.Guard}, Tainted: true}})
 		}
 	}
 	for _, e := range r.Slices {
-		if l := t.plan.s.Limits; t.plan.ahead(e.Slice/uint64(l.Spell), at) || !k.hears(e.Slice) {
+		if l := t.plan.s.Limits; t.plan.inFuture(e.Slice/uint64(l.WindowSlices), at) || !k.markSlice(e.Slice) {
 			continue
 		} else if e.Node = r.Node; time.Duration(e.Slice)*l.Slice < n.Changed { // it may be of another treatment
 			e.Guards, e.Starts = nil, 0
@@ -221,72 +221,72 @@
 }
 
 // ahead says whether a spell lies so far ahead that the plan takes no evidence of it.
-func (p *Plan) ahead(spell uint64, at time.Duration) bool {
-	return spell > p.spellOf(max(at, p.s.At))+1
+func (p *Plan) inFuture(spell uint64, at time.Duration) bool {
+	return spell > p.windowAt(max(at, p.s.At))+1
 }
 
 // hears says whether a slice was not taken yet, and marks it as taken.
-func (k *taken) hears(slice uint64) bool {
-	if slice > k.Slice {
-		k.Heard <<= min(slice-k.Slice, 64)
-		k.Slice = slice
+func (k *ingested) markSlice(slice uint64) bool {
+	if slice > k.NewestSlice {
+		k.SliceBits <<= min(slice-k.NewestSlice, 64)
+		k.NewestSlice = slice
 	}
-	bit := uint64(1) << min(k.Slice-slice, 64) // 0: so long ago that the plan would not take it
-	if bit == 0 || k.Heard&bit != 0 {
+	bit := uint64(1) << min(k.NewestSlice-slice, 64) // 0: so long ago that the plan would not take it
+	if bit == 0 || k.SliceBits&bit != 0 {
 		return false
 	}
-	k.Heard |= bit
+	k.SliceBits |= bit
 	return true
 }
 
 // fires says whether a guard was not taken yet, and marks it as taken. Those below all that are kept were.
-func (k *taken) fires(f Fired) bool {
-	i, there := slices.BinarySearchFunc(k.Fired, f, Fired.compare)
-	if there || i == 0 && len(k.Fired) == mostFired {
+func (k *ingested) markGuard(f FiredGuard) bool {
+	i, there := slices.BinarySearchFunc(k.Fired, f, FiredGuard.compare)
+	if there || i == 0 && len(k.Fired) == maxFired {
 		return false
 	}
 	k.Fired = slices.Insert(k.Fired, i, f)
-	k.Fired = k.Fired[max(0, len(k.Fired)-mostFired):]
+	k.Fired = k.Fired[max(0, len(k.Fired)-maxFired):]
 	return true
 }
 
 // Next is what the leader proposes now, if anything, for the limits and the tree of the site file: those where they differ
 // and can be taken, then who cannot be heard or is heard again while a rollout is under way, then what the plan wants.
-func (t *Top) Next(now time.Duration, limits Limits, tree Tree) (Command, bool) {
-	return t.NextKnowing(now, limits, tree, "", 0)
+func (t *RootState) Next(now time.Duration, limits Limits, tree Tree) (Command, bool) {
+	return t.NextWithLocalCount(now, limits, tree, "", 0)
 }
 
 // NextKnowing is Next for a leader that knows itself how many hosts are out for work at one site.
-func (t *Top) NextKnowing(now time.Duration, limits Limits, tree Tree, site string, known int) (Command, bool) {
+func (t *RootState) NextWithLocalCount(now time.Duration, limits Limits, tree Tree, site string, known int) (Command, bool) {
 	p := t.plan
 	now = max(now, p.s.At)
 	c := Command{At: now}
 	if p.active() {
-		limits.Slice, limits.Spell = p.s.Limits.Slice, p.s.Limits.Spell // until it has ended
+		limits.Slice, limits.WindowSlices = p.s.Limits.Slice, p.s.Limits.WindowSlices // until it has ended
 	}
-	if limits != p.s.Limits && p.mayLimit(limits) == nil {
+	if limits != p.s.Limits && p.checkLimits(limits) == nil {
 		c.Limits = &limits
 		return c, true
 	}
 	if !tree.same(p.s.Tree) {
-		if _, r := tree.names(); r == nil && !clone(tree).same(p.s.Tree) {
+		if _, r := tree.nodeNames(); r == nil && !clone(tree).same(p.s.Tree) {
 			c.Tree = &tree
 			return c, true
 		}
 	}
-	fresh := func(k *taken) bool { return k != nil && now-k.At <= 2*p.s.Limits.Slice+p.s.Limits.Settle }
+	fresh := func(k *ingested) bool { return k != nil && now-k.At <= 2*p.s.Limits.Slice+p.s.Limits.Settle }
 	out := map[string]int{}
-	for _, name := range p.index.all {
-		k, n := t.taken[name], p.s.Nodes[name]
-		if heard := fresh(k); heard == n.Away && p.active() {
-			if n.Away {
-				c.Back = &Name{name}
+	for _, name := range p.topology.allNodes {
+		k, n := t.ingested[name], p.s.Nodes[name]
+		if heard := fresh(k); heard == n.Unreachable && p.active() {
+			if n.Unreachable {
+				c.Reachable = &NodeName{name}
 			} else {
-				c.Away = &Name{name}
+				c.Unreachable = &NodeName{name}
 			}
 			return c, true
 		} else if heard {
-			out[p.index.site[name]] = max(out[p.index.site[name]], k.Out)
+			out[p.topology.site[name]] = max(out[p.topology.site[name]], k.OutOfService)
 		}
 	}
 	sum := 0
--- a/internal/choice/rollout/top_test.go
+++ b/internal/choice/rollout/top_test.go
@@ -13,34 +13,34 @@
 )
 
 // field is a top with nodes that ask and tell, in two buildings of two regencies.
-type field struct {
+type rootHarness struct {
 	t      require.TestingT
-	top    *Top
+	top    *RootState
 	index  uint64
 	now    time.Duration
 	limits Limits
 	tree   Tree
-	nodes  []*fieldNode
+	nodes  []*harnessNode
 	sent   []Record // all that nodes ever told, in order
 }
 
-type fieldNode struct {
+type harnessNode struct {
 	name, site string
-	holder     *Holder
-	teller     *Teller
+	policy     *NodePolicy
+	reporter   *Reporter
 }
 
-func newField(t require.TestingT) *field {
-	f := &field{t: t, top: NewTop(), now: 1000 * hour, limits: Defaults()}
-	f.limits.Slice, f.limits.Spell, f.limits.Watch, f.limits.Settle = 10*time.Minute, 1, 1, time.Minute
-	f.limits.Hold, f.limits.Lease, f.limits.Disturb = 40*hour, hour, 2
+func newRootHarness(t require.TestingT) *rootHarness {
+	f := &rootHarness{t: t, top: NewRootState(), now: 1000 * hour, limits: Defaults()}
+	f.limits.Slice, f.limits.WindowSlices, f.limits.BaselineWindows, f.limits.Settle = 10*time.Minute, 1, 1, time.Minute
+	f.limits.MaxHold, f.limits.TrialLease, f.limits.MaxDisrupted = 40*hour, hour, 2
 	for s := range 4 {
 		site := Site{Name: fmt.Sprint("b", s), Parent: fmt.Sprint("r", s/2)}
 		for n := range 2 {
 			name := fmt.Sprintf("n%d%d", s, n)
-			site.Nodes = append(site.Nodes, Place{name, site.Name})
-			f.nodes = append(f.nodes, &fieldNode{name, site.Name,
-				NewHolder(Stored{Good: AsTheyAre().Hash()}, 3, 0, f.now), NewTeller(name, site.Name)})
+			site.Nodes = append(site.Nodes, TreeNode{name, site.Name})
+			f.nodes = append(f.nodes, &harnessNode{name, site.Name,
+				NewNodePolicy(Stored{Good: EmptyPolicy().Hash()}, 3, 0, f.now), NewReporter(name, site.Name)})
 		}
 		f.tree.Sites = append(f.tree.Sites, site)
 	}
@@ -48,19 +48,19 @@
 	return f
 }
 
-func (f *field) apply(c Command) []Effect {
+func (f *rootHarness) apply(c Command) []Effect {
 	f.index++
 	c.At = f.now
 	return f.top.Apply(f.index, c)
 }
 
-func (f *field) record(r Record) {
+func (f *rootHarness) record(r Record) {
 	f.index++
 	f.top.Record(f.index, f.now, r)
 }
 
 // lead applies what the leader proposes until there is nothing: T3.
-func (f *field) lead() {
+func (f *rootHarness) lead() {
 	for n := 0; ; n++ {
 		require.Less(f.t, n, 100, "the leader proposes without end")
 		before := f.top.Encode()
@@ -76,29 +76,29 @@
 }
 
 // slice lets a slice pass: nodes ask their site and tell records, those heard the top.
-func (f *field) slice(heard func(name string) bool, fire string) {
+func (f *rootHarness) passSlice(heard func(name string) bool, fire string) {
 	f.now += f.limits.Slice / 2
-	f.tell(heard, fire)
+	f.report(heard, fire)
 	f.now += f.limits.Slice / 2
-	f.tell(heard, "")
+	f.report(heard, "")
 }
 
-func (f *field) tell(heard func(name string) bool, fire string) {
+func (f *rootHarness) report(heard func(name string) bool, fire string) {
 	for _, n := range f.nodes {
-		d, err := ParseDoc(f.top.Doc(n.site).Bytes())
+		d, err := ParseSitePolicies(f.top.SitePolicies(n.site).Bytes())
 		require.NoError(f.t, err)
-		require.Equal(f.t, f.top.Doc(n.site), d)
-		n.holder.Answer(d.Assigned(n.name, nil), f.now, sound)
-		n.teller.Tick(f.now, d.Slice, n.holder.Seen(n.name), n.holder.Starts(), 0, false)
+		require.Equal(f.t, f.top.SitePolicies(n.site), d)
+		n.policy.HandleAssignment(d.Assigned(n.name, nil), f.now, acceptAny)
+		n.reporter.Tick(f.now, d.Slice, n.policy.Status(n.name), n.policy.Starts(), 0, false)
 		var guards []string
 		if n.name == fire {
 			guards = []string{"drain"}
 		}
-		n.teller.Count(f.now, n.holder.Policy(), []Counts{{Class: "c", Offered: 1000, Served: 990}}, guards)
-		if raw := n.teller.Pending(); raw != nil {
+		n.reporter.Count(f.now, n.policy.Policy(), []Counts{{Class: "c", Offered: 1000, Served: 990}}, guards)
+		if raw := n.reporter.Pending(); raw != nil {
 			r, err := ParseRecord(raw)
 			require.NoError(f.t, err)
-			n.teller.Recorded(r.Told)
+			n.reporter.Acknowledge(r.Sequence)
 			f.sent = append(f.sent, r)
 			if heard(n.name) {
 				f.record(r)
@@ -107,27 +107,27 @@
 	}
 }
 
-func all(string) bool { return true }
+func everyNode(string) bool { return true }
 
-func (f *field) start(id, text string) *Rollout {
+func (f *rootHarness) startRollout(id, text string) *Rollout {
 	for range 4 {
-		f.slice(all, "")
+		f.passSlice(everyNode, "")
 		f.lead()
 	}
 	require.Empty(f.t, f.apply(Command{Start: &Start{id, []byte(text), "desk", "try"}})[1:], "only told")
 	f.lead()
-	f.slice(all, "")
+	f.passSlice(everyNode, "")
 	return f.top.Plan().Rollout(id)
 }
 
 // T1 to T3, whatever comes: records late, lost and repeated, by any number in an entry, operators, seats that read snapshots.
 func TestWhateverComesToTheTop(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f := newField(rt)
+		f := newRootHarness(rt)
 		newest := map[string]Record{}
 		take := func(r Record) {
 			f.record(r)
-			if r.Told > newest[r.Node].Told {
+			if r.Sequence > newest[r.Node].Sequence {
 				newest[r.Node] = r
 			}
 		}
@@ -140,7 +140,7 @@
 				lost := rapid.IntRange(0, 3).Draw(rt, "lost")
 				fires := rapid.SampledFrom([]string{"", "", "", "n00", "n10"}).Draw(rt, "fires")
 				at := len(f.sent)
-				f.slice(func(string) bool { return false }, fires)
+				f.passSlice(func(string) bool { return false }, fires)
 				for i, r := range f.sent[at:] {
 					if lost == 0 || i%4 != lost {
 						take(r)
@@ -165,9 +165,9 @@
 			case 7:
 				c.Halt = &Halt{ID: id, Cause: Operator, By: "desk", Why: "enough"}
 			case 8:
-				c.Resume = &Note{ID: id, By: "desk", Why: "again"}
+				c.Resume = &OperatorAction{ID: id, By: "desk", Why: "again"}
 			case 9:
-				c.Force = &Note{ID: id, Stage: Stage(rapid.IntRange(0, 2).Draw(rt, "stage")), By: "desk", Why: "known"}
+				c.Force = &OperatorAction{ID: id, Stage: Stage(rapid.IntRange(0, 2).Draw(rt, "stage")), By: "desk", Why: "known"}
 			}
 			before := string(f.top.Encode())
 			why := f.top.Check(c)
@@ -178,17 +178,17 @@
 			c.At = f.now
 			require.Empty(rt, f.top.Apply(f.index, c))
 			require.Equal(rt, once, string(f.top.Encode()), "once in an entry")
-			seat, err := DecodeTop(f.top.Clone().Encode())
+			seat, err := DecodeRootState(f.top.Clone().Encode())
 			require.NoError(rt, err)
 			require.Equal(rt, once, string(seat.Encode()))
 			for _, s := range f.tree.Sites {
-				require.Equal(rt, string(f.top.Doc(s.Name).Bytes()), string(seat.Doc(s.Name).Bytes()), "T2")
+				require.Equal(rt, string(f.top.SitePolicies(s.Name).Bytes()), string(seat.SitePolicies(s.Name).Bytes()), "T2")
 			}
 			f.top = seat
 			f.lead()
 		}
 		for name, r := range newest {
-			require.Equal(rt, r.Seen, f.top.taken[name].Seen, "T1: never replaced by an older one")
+			require.Equal(rt, r.Status, f.top.ingested[name].Status, "T1: never replaced by an older one")
 		}
 	})
 }
@@ -197,22 +197,22 @@
 // knows nothing of the slices before.
 func TestRecordsThatWereLostBeforeTheNewest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f := newField(rt)
-		r := f.start("x", trialText)
+		f := newRootHarness(rt)
+		r := f.startRollout("x", trialText)
 		fires := ""
 		if rapid.Bool().Draw(rt, "fires") {
 			fires = r.Treated[0].Node
 		}
 		lossy, backwards, at := f.top.Clone(), f.top.Clone(), len(f.sent)
 		first := uint64(f.now / f.limits.Slice)
-		f.slice(all, fires)
-		f.slice(all, "")
+		f.passSlice(everyNode, fires)
+		f.passSlice(everyNode, "")
 		started, last := len(f.sent), map[string]int{}
 		for _, n := range f.nodes {
-			n.teller = NewTeller(n.name, n.site)
+			n.reporter = NewReporter(n.name, n.site)
 		}
-		f.slice(all, "")
-		f.slice(all, "")
+		f.passSlice(everyNode, "")
+		f.passSlice(everyNode, "")
 		for i, r := range f.sent[at:] {
 			last[fmt.Sprint(r.Node, at+i < started)] = i
 		}
@@ -234,36 +234,36 @@
 		require.Equal(rt, string(full.plan.Encode()), string(lossy.plan.Encode()))
 		require.Equal(rt, string(full.plan.Encode()), string(backwards.plan.Encode()))
 		require.Equal(rt, fires != "", lossy.plan.Rollout("x").Cause == Guard)
-		i := slices.IndexFunc(full.plan.s.Open, func(sp *spell) bool { return sp.Number == first })
+		i := slices.IndexFunc(full.plan.s.OpenWindows, func(sp *window) bool { return sp.Number == first })
 		require.GreaterOrEqual(rt, i, 0)
-		require.Len(rt, full.plan.s.Open[i].Nodes, len(f.nodes))
-		for name, ta := range full.plan.s.Open[i].Nodes {
-			require.True(rt, !ta.Unfit && ta.Sums["c"+sep].Offered == 2000, name)
+		require.Len(rt, full.plan.s.OpenWindows[i].Nodes, len(f.nodes))
+		for name, ta := range full.plan.s.OpenWindows[i].Nodes {
+			require.True(rt, !ta.Unusable && ta.Sums["c"+sep].Offered == 2000, name)
 		}
 	})
 }
 
 // A guard halts whenever its record comes, but for a treatment after that in which it fired.
 func TestAGuardOfAnEarlierTreatmentHaltsNothing(t *testing.T) {
-	f := newField(t)
-	r := f.start("x", trialText)
+	f := newRootHarness(t)
+	r := f.startRollout("x", trialText)
 	first := r.Treated[0].Node
 	f.apply(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "a doubt"}})
-	f.slice(func(n string) bool { return n != first }, "")
+	f.passSlice(func(n string) bool { return n != first }, "")
 	at := len(f.sent)
 	f.now += time.Second
-	n := f.nodes[slices.IndexFunc(f.nodes, func(n *fieldNode) bool { return n.name == first })]
-	n.teller.Count(f.now, r.Policy, nil, []string{"drain"}) // of the loop, told late
-	late, err := ParseRecord(n.teller.Pending())
+	n := f.nodes[slices.IndexFunc(f.nodes, func(n *harnessNode) bool { return n.name == first })]
+	n.reporter.Count(f.now, r.Policy, nil, []string{"drain"}) // of the loop, told late
+	late, err := ParseRecord(n.reporter.Pending())
 	require.NoError(t, err)
-	n.teller = NewTeller(n.name, n.site) // a start: nobody else tells of it
+	n.reporter = NewReporter(n.name, n.site) // a start: nobody else tells of it
 	for r.Phase != Halted {
 		f.lead()
-		f.slice(all, "")
+		f.passSlice(everyNode, "")
 	}
-	f.apply(Command{Resume: &Note{ID: "x", By: "desk", Why: "cleared"}})
+	f.apply(Command{Resume: &OperatorAction{ID: "x", By: "desk", Why: "cleared"}})
 	f.lead()
-	f.slice(all, "")
+	f.passSlice(everyNode, "")
 	f.record(late)
 	for _, r := range f.sent[at:] {
 		f.record(r)
@@ -278,7 +278,7 @@
 	starts(uint64(f.now/f.limits.Slice) - 30)
 	require.Equal(t, Running, r.Phase, "%v", r.Log)
 	other := f.top.Clone()
-	f.slice(all, r.Treated[0].Node)
+	f.passSlice(everyNode, r.Treated[0].Node)
 	require.Equal(t, Guard, r.Cause, "%v", r.Log)
 	f.top = other
 	starts(uint64(f.now / f.limits.Slice))
@@ -286,56 +286,56 @@
 }
 
 func TestWhoCannotBeHeardIsAway(t *testing.T) {
-	f := newField(t)
-	r := f.start("x", trialText)
+	f := newRootHarness(t)
+	r := f.startRollout("x", trialText)
 	silent := func(n string) bool { return n != "n00" }
 	for range 4 {
-		f.slice(silent, "")
+		f.passSlice(silent, "")
 		f.lead()
 	}
-	assert.True(t, f.top.plan.s.Nodes["n00"].Away)
-	f.slice(all, "")
+	assert.True(t, f.top.plan.s.Nodes["n00"].Unreachable)
+	f.passSlice(everyNode, "")
 	f.lead()
-	assert.False(t, f.top.plan.s.Nodes["n00"].Away)
+	assert.False(t, f.top.plan.s.Nodes["n00"].Unreachable)
 	late := f.sent[len(f.sent)-1]
-	late.Told += uint64(48 * hour / time.Microsecond)
+	late.Sequence += uint64(48 * hour / time.Microsecond)
 	f.index++
 	assert.Equal(t, Refused, f.top.Record(f.index, f.now, late)[0].Kind, "of a time to come")
 	assert.Equal(t, Running, r.Phase, "%v", r.Log)
-	late.Node, late.Told = "nobody", 1
+	late.Node, late.Sequence = "nobody", 1
 	f.record(late)
-	assert.NotContains(t, f.top.taken, "nobody")
+	assert.NotContains(t, f.top.ingested, "nobody")
 	f.tree = Tree{Sites: f.tree.Sites[:3]}
 	f.lead()
-	assert.NotContains(t, f.top.taken, "n30")
-	f.limits.Slice, f.limits.Lease = hour, 2*hour
+	assert.NotContains(t, f.top.ingested, "n30")
+	f.limits.Slice, f.limits.TrialLease = hour, 2*hour
 	f.tree.Sites[0].Nodes = append(f.tree.Sites[0].Nodes, f.tree.Sites[0].Nodes[0])
 	f.lead()
-	assert.Equal(t, 10*time.Minute, f.top.Doc("b0").Slice, "not while a rollout is under way")
-	assert.Equal(t, 2*hour, f.top.Doc("b0").Lease)
+	assert.Equal(t, 10*time.Minute, f.top.SitePolicies("b0").Slice, "not while a rollout is under way")
+	assert.Equal(t, 2*hour, f.top.SitePolicies("b0").TrialLease)
 	assert.Len(t, f.top.plan.s.Tree.Sites[0].Nodes, 2, "a tree that names a node twice is not proposed")
 }
 
 func TestADocumentFitsIntoAWriteAndATrialCanBeWithheld(t *testing.T) {
-	f := newField(t)
-	huge := fmt.Sprintf(`{"extra":{"message_aim_us":{%q:1}}}`, strings.Repeat("c", mostText))
+	f := newRootHarness(t)
+	huge := fmt.Sprintf(`{"extra":{"message_aim_us":{%q:1}}}`, strings.Repeat("c", maxPolicyBytes))
 	for what, c := range map[string]Command{"bytes": {Start: &Start{"x", []byte(huge), "desk", "try"}},
 		"the ID": {Start: &Start{strings.Repeat("x", 41), []byte(trialText), "desk", "try"}},
 		"JSON":   {Start: &Start{"x", []byte(`{`), "desk", "try"}}} {
 		require.ErrorContains(t, f.top.Check(c), what)
 		require.Equal(t, Refused, f.apply(c)[0].Kind)
 	}
-	f.start("x", trialText)
+	f.startRollout("x", trialText)
 	good := f.top.plan.s.Good
 	f.top.plan.s.Texts[good] = []byte(huge[:40] + huge[60:])
 	large := Command{Start: &Start{"z", []byte(huge[:40] + huge[80:]), "desk", "try"}}
 	require.ErrorContains(t, f.top.Check(large), "the good policy and those under way")
-	f.top.plan.s.Texts[good] = AsTheyAre().Text()
+	f.top.plan.s.Texts[good] = EmptyPolicy().Text()
 	require.Nil(t, f.top.Check(large))
-	f.start("y", `{"round_us":7}`)
+	f.startRollout("y", `{"round_us":7}`)
 	require.ErrorContains(t, f.top.Check(Command{Start: &Start{"z", []byte(`{"round_us":8}`), "desk", "try"}}), "under way")
 	x := f.top.Plan().Rollout("x")
-	node, d := x.Treated[0].Node, f.top.Doc(f.top.plan.index.site[x.Treated[0].Node])
+	node, d := x.Treated[0].Node, f.top.SitePolicies(f.top.plan.topology.site[x.Treated[0].Node])
 	given := d.Assigned(node, nil)
 	assert.Equal(t, f.top.Plan().Assigned(node), given)
 	assert.JSONEq(t, trialText, string(d.Text(given.Policy)))
@@ -343,34 +343,34 @@
 	assert.Equal(t, Assignment{Round: given.Round, Policy: d.Good, Good: d.Good}, held)
 	assert.Equal(t, Assignment{Policy: d.Good, Good: d.Good}, d.Assigned("nobody", nil))
 	changed := d.Nodes[node].Changed
-	assert.Equal(t, []int{1, 0}, []int{d.Disturbed(changed), d.Disturbed(changed + d.Settle)})
+	assert.Equal(t, []int{1, 0}, []int{d.Disrupted(changed), d.Disrupted(changed + d.Settle)})
 
 	for i := range 300 { // each went over alone
-		d.Nodes[fmt.Sprintf("regency-07/building-%03d", i)] = Given{uint64(i+1)<<28 + 1, given.Policy, strings.Repeat("x", mostID),
+		d.Nodes[fmt.Sprintf("regency-07/building-%03d", i)] = NodeEntry{uint64(i+1)<<28 + 1, given.Policy, strings.Repeat("x", maxIDBytes),
 			2000000*hour + time.Duration(i)}
 	}
-	assert.Less(t, len(d.Bytes())+mostTexts, 60<<10, "with its texts")
+	assert.Less(t, len(d.Bytes())+maxPolicyBytesTotal, 60<<10, "with its texts")
 	assert.Equal(t, string(d.Bytes()), string(d.Bytes()))
-	whole := string(f.top.Doc("b0").Bytes())
+	whole := string(f.top.SitePolicies("b0").Bytes())
 	for _, bad := range []string{"", whole[1:], whole[:len(whole)-1], strings.Replace(whole, `{"site"`, `{ "site"`, 1),
-		strings.Replace(whole, `{}`, `{"round_us":1}`, 1), docHead + "{}" + recordEnd, docHead + "{" + recordEnd} {
-		_, err := ParseDoc([]byte(bad))
-		var u *Unread
+		strings.Replace(whole, `{}`, `{"round_us":1}`, 1), sitePoliciesHead + "{}" + recordEnd, sitePoliciesHead + "{" + recordEnd} {
+		_, err := ParseSitePolicies([]byte(bad))
+		var u *DecodeError
 		require.ErrorAs(t, err, &u, bad)
 	}
-	for _, bad := range []string{"", topHead + "{}" + endMark, topHead + "x" + endMark} {
-		_, err := DecodeTop([]byte(bad))
-		var u *Unread
+	for _, bad := range []string{"", rootHead + "{}" + endMark, rootHead + "x" + endMark} {
+		_, err := DecodeRootState([]byte(bad))
+		var u *DecodeError
 		require.ErrorAs(t, err, &u, bad)
 	}
 }
 
 func TestStagesAreNamed(t *testing.T) {
-	for s := range stages {
+	for s := range stageCount {
 		got, ok := StageOf(s.String())
 		assert.True(t, ok)
 		assert.Equal(t, s, got)
 	}
-	_, ok := StageOf(stages.String())
+	_, ok := StageOf(stageCount.String())
 	assert.False(t, ok)
 }
--- a/internal/control/errors_test.go
+++ b/internal/control/errors_test.go
@@ -66,7 +66,7 @@
 	}{
 		{&NotTopError{Site: "b", Top: "p"}, "b is not where", "a node of p"},
 		{&NoTrialError{ID: "r1", Site: "b", Top: "p"}, `"r1"`, "halted at p"},
-		{&OwnError{Thing: rollout.HaltThing("r1")}, "rollout/r1", "HaltPolicy"},
+		{&OwnError{Thing: rollout.HaltKey("r1")}, "rollout/r1", "HaltPolicy"},
 		{&ElsewhereError{Leader: "n1"}, "n1", "call n1"},
 		{&StoppedError{Cause: &NoSeatError{Node: "n1"}}, "n1 has no seat", "compare the site files"},
 		{&SocketsError{Lacks: 7}, "7 too low", "by 7"},
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -71,20 +71,20 @@
 )
 
 // asIs is the policy that changes nothing.
-var asIs = rollout.AsTheyAre()
+var asIs = rollout.EmptyPolicy()
 
 // policies is what a Core has of them.
 type policies struct {
-	top     *rollout.Top             // at a seat of the top site, once its place is agreed on
+	top     *rollout.RootState       // at a seat of the top site, once its place is agreed on
 	told    map[string]uint64        // rollout.Record.Told of the newest record in the log, by node; those that were looked up
 	writes  map[string]bool          // nodes whose record this leader has proposed
-	doc     rollout.Doc              // what this site's nodes are to go by, as it was read last
+	doc     rollout.SitePolicies     // what this site's nodes are to go by, as it was read last
 	docOf   upstream.ID              // the write that it was read from
 	heard   time.Duration            // a moment whose word of the top holds here: see topAge; 0: never
 	rounds  map[uint64]time.Duration // a top's: when reads began that a quorum has not answered
-	holder  *rollout.Holder          // of this node, as is what follows
+	holder  *rollout.NodePolicy      // of this node, as is what follows
 	texts   map[rollout.Hash][]byte  // that the node has
-	teller  *rollout.Teller
+	teller  *rollout.Reporter
 	sent    map[uint64]time.Duration // when questions for the right were sent
 	slice   time.Duration            // what evidence is counted by; 0: not known yet
 	wanted  rollout.Hash             // that the loop was told to go by, and until when
@@ -93,7 +93,7 @@
 }
 
 // Top returns the plan of policies as it is applied here, which only a seat of the top site has; not to be changed.
-func (c *Core) Top() *rollout.Top { return c.policies.top }
+func (c *Core) Top() *rollout.RootState { return c.policies.top }
 
 // isTop says whether this node's site is the top of the line, as far as its log says.
 func (c *Core) isTop() bool { return c.writes != nil && len(c.writes.Self().Above) == 0 }
@@ -104,18 +104,18 @@
 		c.Kept.Stored.Good = asIs.Hash()
 	}
 	if c.Kept.Crashes == 0 || c.Kept.Lease == 0 {
-		c.Kept.Crashes, c.Kept.Lease = c.Site.Rollout.Crashes, c.Site.Rollout.Lease
+		c.Kept.Crashes, c.Kept.Lease = c.Site.Rollout.MaxCrashes, c.Site.Rollout.TrialLease
 	}
 	p := policies{told: map[string]uint64{}, writes: map[string]bool{}, texts: map[rollout.Hash][]byte{asIs.Hash(): asIs.Text()},
-		sent: map[uint64]time.Duration{}, rounds: map[uint64]time.Duration{}, teller: rollout.NewTeller(c.Site.Node, c.zone())}
+		sent: map[uint64]time.Duration{}, rounds: map[uint64]time.Duration{}, teller: rollout.NewReporter(c.Site.Node, c.zone())}
 	for h, text := range c.Kept.Texts {
 		p.texts[h] = text
 	}
-	p.holder = rollout.NewHolder(c.Kept.Stored, c.Kept.Crashes, c.Kept.LeaseEnd, now)
+	p.holder = rollout.NewNodePolicy(c.Kept.Stored, c.Kept.Crashes, c.Kept.LeaseEnd, now)
 	p.wanted = asIs.Hash() // which the loop goes by from its start
 	c.policies = p
 	if t := p.holder.Stored().Trial; t != "" && c.fits(t) != nil {
-		p.holder.Unfit()
+		p.holder.DropTrial()
 	}
 	if c.Kept.Stored.Trial != "" {
 		return c.goBy()
@@ -127,9 +127,9 @@
 // goBy makes durable what the node goes by, and then has the loop go by it.
 func (c *Core) goBy() error {
 	s := c.policies.holder.Stored()
-	k := Kept{Stored: s, Crashes: c.Kept.Crashes, Lease: c.Kept.Lease, LeaseEnd: c.policies.holder.StoredUntil(),
+	k := Kept{Stored: s, Crashes: c.Kept.Crashes, Lease: c.Kept.Lease, LeaseEnd: c.policies.holder.StoredLeaseEnd(),
 		Texts: map[rollout.Hash]json.RawMessage{}}
-	for _, h := range []rollout.Hash{s.Good, s.Trial, s.Refuse} {
+	for _, h := range []rollout.Hash{s.Good, s.Trial, s.RejectedTrial} {
 		if text := c.policies.texts[h]; text != nil {
 			k.Texts[h] = text
 		}
@@ -146,7 +146,7 @@
 // lay tells the loop which policy to go by and until when, unless it was told.
 func (c *Core) lay() {
 	p := &c.policies
-	s, until := p.holder.Stored(), p.holder.Until()
+	s, until := p.holder.Stored(), p.holder.LeaseEnd()
 	h := p.holder.Policy()
 	if h == p.wanted && until == p.until {
 		return
@@ -176,10 +176,10 @@
 // tickPolicies lets a trial lapse and closes slices of evidence.
 func (c *Core) tickPolicies(now time.Duration) {
 	p := &c.policies
-	if lapsed, _ := p.holder.Lapse(now); lapsed {
+	if lapsed, _ := p.holder.CheckLease(now); lapsed {
 		c.changed(unheard)
 	}
-	p.teller.Tick(now, p.slice, p.holder.Seen(c.Site.Node), p.holder.Starts(), len(c.report.Taken.Outs),
+	p.teller.Tick(now, p.slice, p.holder.Status(c.Site.Node), p.holder.Starts(), len(c.report.Taken.Outs),
 		c.disturbed() || p.retuned)
 	p.retuned = false
 }
@@ -206,9 +206,9 @@
 	if canonical(r.Asked) != p.wanted || canonical(r.Under) == p.wanted {
 		return
 	}
-	if lapsed, _ := p.holder.Lapse(now); lapsed { // the loop has seen to it
+	if lapsed, _ := p.holder.CheckLease(now); lapsed { // the loop has seen to it
 		c.changed(unheard)
-	} else if p.holder.Unfit() { // the settings have changed under it
+	} else if p.holder.DropTrial() { // the settings have changed under it
 		c.changed("the trial does not fit the node's settings any more")
 	}
 }
@@ -236,7 +236,7 @@
 // answered takes over what an answer says of the node's record, and of what it is to go by.
 func (c *Core) answered(r *peerpb.RenewReply) {
 	p := &c.policies
-	p.teller.Recorded(r.Told)
+	p.teller.Acknowledge(r.Told)
 	asked, known := p.sent[r.Seq]
 	delete(p.sent, r.Seq)
 	a := r.Policy
@@ -259,7 +259,7 @@
 	if a.Trial { // what the site heard long ago keeps no trial alive; back to the good policy any word leads
 		asked -= time.Duration(a.AgeUs) * time.Microsecond
 	}
-	changed := p.holder.Answer(rollout.Assignment{Round: a.Round, Policy: rollout.Hash(a.Policy), Good: rollout.Hash(a.Good), Trial: a.Trial,
+	changed := p.holder.HandleAssignment(rollout.Assignment{Round: a.Round, Policy: rollout.Hash(a.Policy), Good: rollout.Hash(a.Good), Trial: a.Trial,
 		Lease: time.Duration(a.LeaseUs) * time.Microsecond}, asked, c.fits)
 	if changed {
 		c.changed("the council says so")
@@ -292,9 +292,9 @@
 	p := &c.policies
 	told, known := p.told[node]
 	if !known {
-		if v, any := c.writes.Value(upstream.Evidence, rollout.Thing(node)); any {
+		if v, any := c.writes.Value(upstream.Evidence, rollout.NodeKey(node)); any {
 			if r, err := rollout.ParseRecord(v.Value); err == nil {
-				told = r.Told
+				told = r.Sequence
 			}
 		}
 		p.told[node] = told
@@ -303,10 +303,10 @@
 		return told
 	}
 	r, err := rollout.ParseRecord(record)
-	if err != nil || r.Node != node || r.Told <= told {
+	if err != nil || r.Node != node || r.Sequence <= told {
 		return told
 	}
-	cmd := upstream.Command{Write: &upstream.Local{Kind: upstream.Evidence, Thing: rollout.Thing(node), Value: record, By: node}}
+	cmd := upstream.Command{Write: &upstream.Local{Kind: upstream.Evidence, Thing: rollout.NodeKey(node), Value: record, By: node}}
 	if c.writes.Check(cmd) == nil { // a full queue takes no evidence: it is missing, and that is no health
 		p.writes[node] = true
 		c.proposeWrite(now, written{Command: &cmd}, func(Reply, error) { delete(p.writes, node) })
@@ -315,25 +315,25 @@
 }
 
 // document returns what this site's nodes are to go by; false where it was told nothing.
-func (c *Core) document() (rollout.Doc, bool) {
+func (c *Core) document() (rollout.SitePolicies, bool) {
 	if c.isTop() {
 		if c.policies.top == nil {
-			return rollout.Doc{}, false
+			return rollout.SitePolicies{}, false
 		}
-		return c.policies.top.Doc(c.Site.Own.Name), true
+		return c.policies.top.SitePolicies(c.Site.Own.Name), true
 	}
 	if c.writes == nil {
-		return rollout.Doc{}, false
+		return rollout.SitePolicies{}, false
 	}
-	v, any := c.writes.Value(upstream.Policy, rollout.DocThing(c.Site.Own.Name))
+	v, any := c.writes.Value(upstream.Policy, rollout.SitePoliciesKey(c.Site.Own.Name))
 	if !any {
-		return rollout.Doc{}, false
+		return rollout.SitePolicies{}, false
 	}
 	if p := &c.policies; v.Write.ID != p.docOf {
-		d, err := rollout.ParseDoc([]byte(strings.TrimPrefix(string(v.Value), docWord)))
+		d, err := rollout.ParseSitePolicies([]byte(strings.TrimPrefix(string(v.Value), docWord)))
 		if err != nil {
 			c.env.Tell("what the top says of policies cannot be read", "error", err)
-			return rollout.Doc{}, false
+			return rollout.SitePolicies{}, false
 		}
 		p.doc, p.docOf = d, v.Write.ID
 	}
@@ -342,7 +342,7 @@
 
 // halted says whether a rollout is halted at this site, by a write that holds here.
 func (c *Core) halted(id string) bool {
-	v, any := c.writes.Value(upstream.Policy, rollout.HaltThing(id))
+	v, any := c.writes.Value(upstream.Policy, rollout.HaltKey(id))
 	return any && strings.HasPrefix(string(v.Value), haltWord)
 }
 
@@ -360,7 +360,7 @@
 	}
 	out := &peerpb.Assignment{Round: a.Round, Policy: string(a.Policy), Good: string(a.Good), Trial: a.Trial,
 		LeaseUs: uint64(a.Lease / time.Microsecond), AgeUs: uint64(age / time.Microsecond), SliceUs: uint64(d.Slice / time.Microsecond),
-		Crashes: uint32(d.Crashes), Texts: map[string][]byte{}}
+		Crashes: uint32(d.MaxCrashes), Texts: map[string][]byte{}}
 	for _, h := range []rollout.Hash{a.Policy, a.Good} {
 		if !slices.Contains(has, string(h)) {
 			out.Texts[string(h)] = d.Text(h)
@@ -407,10 +407,10 @@
 	}
 	refused := c.tellAll(top.Apply(index, cmd))
 	if r := cmd.Resume; r != nil && refused == nil && c.halted(r.ID) { // where it was halted by sites below
-		c.writes.Apply(cmd.At, upstream.Command{Write: &upstream.Local{Kind: upstream.Policy, Thing: rollout.HaltThing(r.ID),
+		c.writes.Apply(cmd.At, upstream.Command{Write: &upstream.Local{Kind: upstream.Policy, Thing: rollout.HaltKey(r.ID),
 			Value: []byte(backWord + r.Why), By: r.By}})
 	}
-	if cmd.Evidence == nil && cmd.Seen == nil && cmd.Close == nil && cmd.Away == nil && cmd.Back == nil {
+	if cmd.Evidence == nil && cmd.Status == nil && cmd.Close == nil && cmd.Unreachable == nil && cmd.Reachable == nil {
 		c.publish(cmd.At)
 	}
 	return refused
@@ -423,17 +423,17 @@
 			continue
 		}
 		w := f.Write
-		if node, is := strings.CutPrefix(w.Thing, rollout.Thing("")); is && w.Kind == upstream.Evidence {
+		if node, is := strings.CutPrefix(w.Thing, rollout.NodeKey("")); is && w.Kind == upstream.Evidence {
 			r, err := rollout.ParseRecord(w.Value)
 			if err != nil || r.Node != node {
 				continue
 			}
-			c.policies.told[node] = max(c.policies.told[node], r.Told)
+			c.policies.told[node] = max(c.policies.told[node], r.Sequence)
 			if c.policies.top != nil {
 				c.tellAll(c.policies.top.Record(index, at, r))
 			}
 		}
-		id, is := strings.CutPrefix(w.Thing, rollout.HaltThing(""))
+		id, is := strings.CutPrefix(w.Thing, rollout.HaltKey(""))
 		if why, halts := strings.CutPrefix(string(w.Value), haltWord); is && halts && w.Kind == upstream.Policy && c.policies.top != nil &&
 			w.ID.Origin.Site != c.Site.Own.Name {
 			c.tellAll(c.policies.top.Apply(index, rollout.Command{At: at, Halt: &rollout.Halt{ID: id, Cause: rollout.Operator,
@@ -448,7 +448,7 @@
 		switch f.Kind {
 		case rollout.Refused:
 			refused = f.Err
-		case rollout.Tell:
+		case rollout.Notify:
 			if c.leading {
 				c.env.Tell("policies", "rollout", f.ID, "what", f.Why, "cause", f.Cause.String())
 			}
@@ -464,8 +464,8 @@
 		if s == c.Site.Own.Name {
 			continue
 		}
-		d := c.policies.top.Doc(s)
-		thing, value := rollout.DocThing(s), append([]byte(docWord), d.Bytes()...)
+		d := c.policies.top.SitePolicies(s)
+		thing, value := rollout.SitePoliciesKey(s), append([]byte(docWord), d.Bytes()...)
 		if v, any := c.writes.Value(upstream.Policy, thing); any && string(v.Value) == string(value) {
 			continue
 		}
@@ -487,7 +487,7 @@
 			s.Parent = ""
 		}
 		for _, n := range g.Nodes {
-			s.Nodes = append(s.Nodes, rollout.Place{Name: n, Zone: g.Zones[n]})
+			s.Nodes = append(s.Nodes, rollout.TreeNode{Name: n, Zone: g.Zones[n]})
 		}
 		t.Sites = append(t.Sites, s)
 	}
@@ -500,7 +500,7 @@
 	if c.policies.top == nil {
 		return rollout.Command{}, false
 	}
-	return c.policies.top.NextKnowing(max(c.stamp, now), c.Site.Rollout, c.tree(), c.Site.Own.Name, len(c.book.Outs()))
+	return c.policies.top.NextWithLocalCount(max(c.stamp, now), c.Site.Rollout, c.tree(), c.Site.Own.Name, len(c.book.Outs()))
 }
 
 // proposePolicy brings a command about policies before the council and returns its number, 0 where this seat does not lead.
@@ -511,12 +511,12 @@
 
 // keepsRoom says whether a command would disturb more at this site than rollouts and work may together.
 func (c *Core) keepsRoom(now time.Duration, cmd turns.Command) bool {
-	most := c.Site.Rollout.Disturb
+	most := c.Site.Rollout.MaxDisrupted
 	if cmd.Prepare == nil || most == 0 {
 		return true
 	}
 	d, any := c.document()
-	return !any || len(c.book.Outs())+d.Disturbed(max(c.stamp, now)) < most
+	return !any || len(c.book.Outs())+d.Disrupted(max(c.stamp, now)) < most
 }
 
 // ---- Calls ----
@@ -565,7 +565,7 @@
 		return
 	}
 	d, _ := c.document()
-	if !slices.ContainsFunc(slices.Collect(maps.Values(d.Nodes)), func(g rollout.Given) bool { return g.Rollout == id && id != "" }) {
+	if !slices.ContainsFunc(slices.Collect(maps.Values(d.Nodes)), func(g rollout.NodeEntry) bool { return g.Rollout == id && id != "" }) {
 		done(Reply{}, &NoTrialError{ID: id, Site: c.Site.Own.Name, Top: c.topName()})
 		return
 	}
@@ -573,7 +573,7 @@
 		done(Reply{}, &rollout.Refusal{Why: "who halts it and why are wanted", Do: "tell both"})
 		return
 	}
-	c.Write(now, upstream.Local{Kind: upstream.Policy, Thing: rollout.HaltThing(id), Value: []byte(haltWord + why), By: by, Urgent: true}, done)
+	c.Write(now, upstream.Local{Kind: upstream.Policy, Thing: rollout.HaltKey(id), Value: []byte(haltWord + why), By: by, Urgent: true}, done)
 }
 
 // Policies tells what this site's nodes go by, and at the top how rollouts stand. Another node than a seat asks the leader.
@@ -597,11 +597,11 @@
 		if a.Trial {
 			g.Rollout = d.Nodes[node].Rollout
 		}
-		if v, any := c.writes.Value(upstream.Evidence, rollout.Thing(node)); any {
+		if v, any := c.writes.Value(upstream.Evidence, rollout.NodeKey(node)); any {
 			if record, err := rollout.ParseRecord(v.Value); err == nil {
-				g.Seen = string(record.Seen.Policy)
-				if record.Seen.Fell != rollout.Stays {
-					g.Fell = record.Seen.Fell.String()
+				g.Seen = string(record.Status.Policy)
+				if record.Status.Fallback != rollout.NoFallback {
+					g.Fell = record.Status.Fallback.String()
 				}
 			}
 		}
@@ -618,7 +618,7 @@
 // rolloutOf is a rollout as operators are told of it.
 func rolloutOf(o *rollout.Rollout) *peerpb.Rollout {
 	r := &peerpb.Rollout{Id: o.ID, Policy: string(o.Policy), Phase: o.Phase.String(), Stage: o.Stage.String(), Attempt: uint32(o.Attempt),
-		BegunMs: int64(o.Begun / time.Millisecond)}
+		BegunMs: int64(o.StageBegan / time.Millisecond)}
 	if o.Phase == rollout.Running {
 		r.Missing = o.Missing
 	}
@@ -626,12 +626,12 @@
 		r.Cause = o.Cause.String()
 	}
 	for _, t := range o.Treated {
-		if !t.Back {
+		if !t.RolledBack {
 			r.Treated = append(r.Treated, t.Node)
 		}
 	}
 	for _, e := range o.Log {
-		r.Log = append(r.Log, &peerpb.PolicyNote{AtMs: int64(e.At / time.Millisecond), What: e.What, Stage: e.Stage.String(), By: e.By, Why: e.Why})
+		r.Log = append(r.Log, &peerpb.PolicyNote{AtMs: int64(e.At / time.Millisecond), What: e.Event, Stage: e.Stage.String(), By: e.By, Why: e.Why})
 	}
 	return r
 }
@@ -686,7 +686,7 @@
 
 // ResumePolicy implements peer.Node.
 func (d desk) ResumePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	d.plan(q, done, rollout.Command{Resume: &rollout.Note{ID: q.Id, By: q.By, Why: q.Why}}, (*peer.Client).ResumePolicy)
+	d.plan(q, done, rollout.Command{Resume: &rollout.OperatorAction{ID: q.Id, By: q.By, Why: q.Why}}, (*peer.Client).ResumePolicy)
 }
 
 // ForcePolicy implements peer.Node.
@@ -696,7 +696,7 @@
 		done(nil, &NameError{What: "stage", Name: q.Stage, Want: "the stage that Policies tells: one-node, building, regency, part or all"})
 		return
 	}
-	d.plan(q, done, rollout.Command{Force: &rollout.Note{ID: q.Id, Stage: stage, By: q.By, Why: q.Why}}, (*peer.Client).ForcePolicy)
+	d.plan(q, done, rollout.Command{Force: &rollout.OperatorAction{ID: q.Id, Stage: stage, By: q.By, Why: q.Why}}, (*peer.Client).ForcePolicy)
 }
 
 // Policies implements peer.Node. The leader tells most; where it is not reached, a seat's own log serves.
@@ -752,6 +752,6 @@
 
 // owned says whether only nodes themselves write about a thing.
 func owned(thing string) bool {
-	return slices.ContainsFunc([]string{rollout.DocThing(""), rollout.HaltThing(""), rollout.Thing("")},
+	return slices.ContainsFunc([]string{rollout.SitePoliciesKey(""), rollout.HaltKey(""), rollout.NodeKey("")},
 		func(head string) bool { return strings.HasPrefix(thing, head) })
 }
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -86,11 +86,11 @@
 	}
 	if err == nil && s.Writes != nil {
 		if c.writes, err = upstream.Decode(s.Writes, MergeEvidence); err == nil {
-			c.writes.Keeping(rollout.Brief)
+			c.writes.Keeping(rollout.StripEvidence)
 		}
 	}
 	if err == nil && s.Policies != nil {
-		c.policies.top, err = rollout.DecodeTop(s.Policies)
+		c.policies.top, err = rollout.DecodeRootState(s.Policies)
 	}
 	c.crown()
 	return err
@@ -99,7 +99,7 @@
 // crown gives the top site its plan.
 func (c *Core) crown() {
 	if c.isTop() && c.policies.top == nil {
-		c.policies.top = rollout.NewTop()
+		c.policies.top = rollout.NewRootState()
 	}
 }
 
@@ -119,7 +119,7 @@
 	c.stamp = max(c.stamp, e.At)
 	if e.Place != nil {
 		if c.writes == nil {
-			c.writes = upstream.New(*e.Place, e.Limits).Merging(MergeEvidence).Keeping(rollout.Brief)
+			c.writes = upstream.New(*e.Place, e.Limits).Merging(MergeEvidence).Keeping(rollout.StripEvidence)
 			c.crown()
 		}
 		return nil, nil
--- a/internal/control/writes_test.go
+++ b/internal/control/writes_test.go
@@ -16,7 +16,7 @@
 )
 
 func record(node string, told uint64) []byte {
-	return rollout.Record{Node: node, Told: told, Seen: rollout.Seen{Node: node}}.Bytes()
+	return rollout.Record{Node: node, Sequence: told, Status: rollout.NodeStatus{Node: node}}.Bytes()
 }
 
 // TestEvidenceIsMergedByItsHead, and still is once the state went through a snapshot.
@@ -42,11 +42,11 @@
 		raw, err := c.encode()
 		require.NoError(t, err)
 		require.NoError(t, c.decode(raw))
-		l := &upstream.Local{Kind: upstream.Evidence, Thing: rollout.Thing("n"), Value: record("n", told+1)}
+		l := &upstream.Local{Kind: upstream.Evidence, Thing: rollout.NodeKey("n"), Value: record("n", told+1)}
 		_, err = c.write(1, written{Command: &upstream.Command{Write: l}})
 		require.NoError(t, err)
 	}
-	v, _ := c.writes.Value(upstream.Evidence, rollout.Thing("n"))
+	v, _ := c.writes.Value(upstream.Evidence, rollout.NodeKey("n"))
 	assert.Equal(t, string(record("n", 3)), string(v.Value))
 	id, err := parseID(v.Write.ID.String())
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 
 // full is the longest record of a node, or nearly.
 func full(node string, told, slice uint64) []byte {
-	r := rollout.Record{Node: node, Told: told, Seen: rollout.Seen{Node: node}}
+	r := rollout.Record{Node: node, Sequence: told, Status: rollout.NodeStatus{Node: node}}
 	for i := range uint64(8) {
 		e := rollout.Evidence{Node: node, Slice: slice + i}
 		for j := range 15 {
@@ -73,7 +73,7 @@
 	from := upstream.Origin{Site: "b", Life: 1, Evidence: true}
 	tree := rollout.Tree{Sites: []rollout.Site{{Name: "p"}, {Name: "b", Parent: "p"}}}
 	for i := range nodes {
-		tree.Sites[1].Nodes = append(tree.Sites[1].Nodes, rollout.Place{Name: fmt.Sprint("n", i), Zone: "z"})
+		tree.Sites[1].Nodes = append(tree.Sites[1].Nodes, rollout.TreeNode{Name: fmt.Sprint("n", i), Zone: "z"})
 	}
 	c.policies.told = map[string]uint64{}
 	c.tellAll(c.policies.top.Apply(2, rollout.Command{Tree: &tree}))
@@ -82,7 +82,7 @@
 		for _, place := range tree.Sites[1].Nodes {
 			n := place.Name
 			number++
-			w := upstream.Write{ID: upstream.ID{Origin: from, Number: number}, Kind: upstream.Evidence, Level: 1, Thing: rollout.Thing(n),
+			w := upstream.Write{ID: upstream.ID{Origin: from, Number: number}, Kind: upstream.Evidence, Level: 1, Thing: rollout.NodeKey(n),
 				Value: full(n, t+1, 4*t+1)}
 			b := &upstream.Batch{From: upstream.Place{Site: "b", Level: 1, Life: 1}, Writes: []upstream.Write{w}}
 			if _, refused := c.write(number+2, written{Command: &upstream.Command{Batch: b}}); refused != nil {
@@ -109,10 +109,10 @@
 	for _, seat := range []*Core{c, other} {
 		assert.Less(t, len(seat.writes.Encode()), 4096)
 		assert.Equal(t, plan, string(seat.policies.top.Encode()))
-		v, _ := seat.writes.Value(upstream.Evidence, rollout.Thing("n1"))
+		v, _ := seat.writes.Value(upstream.Evidence, rollout.NodeKey("n1"))
 		assert.Equal(t, string(record("n1", 4)), string(v.Value))
 		assert.Equal(t, uint64(4), seat.recorded(0, "n1", nil), "a new leader knows how far the node has told")
-		l := &upstream.Local{Kind: upstream.Evidence, Thing: rollout.Thing("n1"), Value: full("n1", 9, 17)} // of the top's own site
+		l := &upstream.Local{Kind: upstream.Evidence, Thing: rollout.NodeKey("n1"), Value: full("n1", 9, 17)} // of the top's own site
 		f, refused := seat.write(99, written{Command: &upstream.Command{Write: l}})
 		require.NoError(t, refused)
 		assert.Equal(t, string(full("n1", 9, 17)), string(f[0].Write.Value), "what is handed over is whole")
--- a/internal/query/count.go
+++ b/internal/query/count.go
@@ -84,7 +84,7 @@
 		if *t != (tally{}) {
 			all = append(all, rollout.Counts{Class: of.class, Tenant: of.tenant, Offered: t.offered, Served: t.served,
 				Refused: t.refused, Failed: t.failed, TimedOut: t.timedOut, Breaks: t.breaks, Moves: t.moves,
-				Worth: float64(t.served) * worth(of.class)})
+				Value: float64(t.served) * worth(of.class)})
 		}
 	}
 	for class, h := range n.setUps {
--- a/internal/query/count_test.go
+++ b/internal/query/count_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestWhatBecameOfAQueryIsCounted(t *testing.T) {
-	served, left := rollout.Counts{Offered: 1, Served: 1, Worth: 2.5}, rollout.Counts{Offered: 1}
+	served, left := rollout.Counts{Offered: 1, Served: 1, Value: 2.5}, rollout.Counts{Offered: 1}
 	broken, moved, refused, failed, late := served, served, left, left, left
 	broken.Breaks, moved.Moves, refused.Refused, failed.Failed, late.TimedOut = 1, 1, 1, 1, 1
 	for name, is := range map[string]struct {
@@ -142,7 +142,7 @@
 	counts, _ := s.c.Counted(worth)
 	require.Len(t, counts, 2)
 	assert.Equal(t, rollout.Counts{Class: "chat", SetUp: want.Bytes()}, counts[0])
-	assert.Equal(t, rollout.Counts{Class: "chat", Tenant: "kota", Offered: 3, Served: 3, Worth: 7.5}, counts[1])
+	assert.Equal(t, rollout.Counts{Class: "chat", Tenant: "kota", Offered: 3, Served: 3, Value: 7.5}, counts[1])
 }
 
 // again is told, and places anew what has failed.
--- a/internal/site/check.go
+++ b/internal/site/check.go
@@ -387,27 +387,27 @@
 		return time.Duration(c.whole("rollout."+field, value, otherwise, from, week)) * time.Second
 	}
 	s.Rollout = rollout.Limits{
-		Alpha:   c.part("rollout.alpha", r.GetAlpha(), 0.01, 0.5, inside),
-		Beta:    c.part("rollout.beta", r.GetBeta(), 0.05, 0.5, inside),
-		Margin:  c.part("rollout.margin", r.GetMargin(), 0.02, 0.5, inside),
-		Slow:    c.part("rollout.slow", r.GetSlow(), 0.05, 0.5, inside),
-		Cover:   c.part("rollout.cover", r.GetCover(), 0.9, 1, ends{to: true}),
-		Least:   uint64(c.whole("rollout.least", r.GetLeast(), 100, 1, 1000*many)),
-		Crashes: c.whole("rollout.crashes", r.GetCrashes(), 3, 1, 100),
-		Disturb: c.whole("rollout.disturb", r.GetDisturb(), 0, 0, many),
-		Spell:   c.whole("rollout.spell", r.GetSpell(), 6, 1, 64),
-		Watch:   c.whole("rollout.watch", r.GetWatch(), 12, 1, 1000),
-		Hold:    seconds("hold_s", r.GetHoldS(), 7200, 1),
-		Lease:   seconds("lease_s", r.GetLeaseS(), 300, 1),
-		Slice:   seconds("slice_s", r.GetSliceS(), 300, 1),
-		Settle:  seconds("settle_s", r.GetSettleS(), 60, 0),
-		Longest: seconds("longest_s", r.GetLongestS(), 259200, 0),
+		Alpha:           c.part("rollout.alpha", r.GetAlpha(), 0.01, 0.5, inside),
+		Beta:            c.part("rollout.beta", r.GetBeta(), 0.05, 0.5, inside),
+		Margin:          c.part("rollout.margin", r.GetMargin(), 0.02, 0.5, inside),
+		SlowMargin:      c.part("rollout.slow", r.GetSlow(), 0.05, 0.5, inside),
+		Coverage:        c.part("rollout.cover", r.GetCover(), 0.9, 1, ends{to: true}),
+		MinRequests:     uint64(c.whole("rollout.least", r.GetLeast(), 100, 1, 1000*many)),
+		MaxCrashes:      c.whole("rollout.crashes", r.GetCrashes(), 3, 1, 100),
+		MaxDisrupted:    c.whole("rollout.disturb", r.GetDisturb(), 0, 0, many),
+		WindowSlices:    c.whole("rollout.spell", r.GetSpell(), 6, 1, 64),
+		BaselineWindows: c.whole("rollout.watch", r.GetWatch(), 12, 1, 1000),
+		MaxHold:         seconds("hold_s", r.GetHoldS(), 7200, 1),
+		TrialLease:      seconds("lease_s", r.GetLeaseS(), 300, 1),
+		Slice:           seconds("slice_s", r.GetSliceS(), 300, 1),
+		Settle:          seconds("settle_s", r.GetSettleS(), 60, 0),
+		MaxStageTime:    seconds("longest_s", r.GetLongestS(), 259200, 0),
 	}
 	// A change settles, the next whole spell is the first that counts, and it is judged a slice after its end: with a shorter
 	// hold a stage may be given up before anything was compared.
 	l := s.Rollout
-	if first := l.Settle + l.Slice*time.Duration(2*l.Spell+1); l.Hold < first {
-		c.tell("rollout.hold_s", fmt.Sprintf("%v, and the first evidence of a stage may take %v", l.Hold, first),
+	if first := l.Settle + l.Slice*time.Duration(2*l.WindowSlices+1); l.MaxHold < first {
+		c.tell("rollout.hold_s", fmt.Sprintf("%v, and the first evidence of a stage may take %v", l.MaxHold, first),
 			"give a longer hold, or shorten slice_s, spell or settle_s")
 	}
 }
--- a/rehearsal/province/policies.go
+++ b/rehearsal/province/policies.go
@@ -19,8 +19,8 @@
 //   - at the end, with nothing broken any more, every rollout is over and every loop goes by the top's good policy.
 
 // stages are the limits of the rollouts here: what takes days takes seconds.
-var stages = rollout.Limits{Alpha: 0.05, Beta: 0.3, Margin: 0.1, Least: 10, Hold: 30 * time.Second, Lease: 8 * time.Second, Crashes: 3,
-	Slice: 2 * time.Second, Spell: 1, Watch: 2, Settle: time.Second, Longest: 60 * time.Second, Slow: 0.3, Cover: 0.5}
+var stages = rollout.Limits{Alpha: 0.05, Beta: 0.3, Margin: 0.1, MinRequests: 10, MaxHold: 30 * time.Second, TrialLease: 8 * time.Second, MaxCrashes: 3,
+	Slice: 2 * time.Second, WindowSlices: 1, BaselineWindows: 2, Settle: time.Second, MaxStageTime: 60 * time.Second, SlowMargin: 0.3, Coverage: 0.5}
 
 // slack is what the end of a lease may be late at a node: its tick, and the way to its loop.
 const slack = time.Second
@@ -90,11 +90,11 @@
 	switch {
 	case r == nil:
 	case what == 0:
-		w.operate(w.sites[0], x, rollout.Command{Force: &rollout.Note{ID: x.id, Stage: r.Stage, By: "desk", Why: "known"}})
+		w.operate(w.sites[0], x, rollout.Command{Force: &rollout.OperatorAction{ID: x.id, Stage: r.Stage, By: "desk", Why: "known"}})
 	case what == 1:
 		w.operate(p, x, rollout.Command{Halt: &rollout.Halt{ID: x.id, Cause: rollout.Operator, By: "desk", Why: "a doubt"}})
 	default:
-		w.operate(w.sites[0], x, rollout.Command{Resume: &rollout.Note{ID: x.id, By: "desk", Why: "no doubt"}})
+		w.operate(w.sites[0], x, rollout.Command{Resume: &rollout.OperatorAction{ID: x.id, By: "desk", Why: "no doubt"}})
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 // newest is what the top's log says, at the seat that has applied most of it.
-func (w *World) newest() (top *rollout.Top) {
+func (w *World) newest() (top *rollout.RootState) {
 	most := uint64(0)
 	for _, n := range w.sites[0].nodes {
 		if n.core != nil && n.core.Top() != nil && n.core.Applied() >= most {
@@ -170,7 +170,7 @@
 			continue
 		}
 		w.tally.Tried++
-		if since := w.now - max(k.assigned, k.awake); since > stages.Lease+stages.Lease/50+slack {
+		if since := w.now - max(k.assigned, k.awake); since > stages.TrialLease+stages.TrialLease/50+slack {
 			w.broken(fmt.Sprintf("%s goes by a trial %v after the top had it do so", n.name, since))
 		}
 	}
@@ -220,7 +220,7 @@
 	for _, n := range w.nodes {
 		goes := n.goes.Hash
 		if goes == "" {
-			goes = rollout.AsTheyAre().Hash()
+			goes = rollout.EmptyPolicy().Hash()
 		}
 		if n.up && goes != good {
 			w.broken(fmt.Sprintf("%s goes by %q, the good policy is %q", n.name, n.goes.Hash, good))
--- a/rehearsal/rolloutsim/check.go
+++ b/rehearsal/rolloutsim/check.go
@@ -36,7 +36,7 @@
 	fired   time.Duration             // when a guard fired last, or a process crashed
 	resumed time.Duration             // when the trial was resumed
 	last    map[string]time.Duration  // rollout: when evidence of it came last
-	want    []rollout.Entry           // what operators did
+	want    []rollout.LogEntry        // what operators did
 }
 
 // spoke is a node in a spell.
@@ -82,11 +82,11 @@
 	case cmd.Treat != nil:
 		c.treated(cmd, effects)
 	case cmd.Halt != nil && cmd.Halt.Cause == rollout.Operator:
-		c.want = append(c.want, rollout.Entry{What: "halt", By: cmd.Halt.By, Why: cmd.Halt.Why})
+		c.want = append(c.want, rollout.LogEntry{Event: "halt", By: cmd.Halt.By, Why: cmd.Halt.Why})
 	case cmd.Force != nil && c.phase[cmd.Force.ID] == rollout.Running:
-		c.want = append(c.want, rollout.Entry{What: "force", By: cmd.Force.By, Why: cmd.Force.Why})
+		c.want = append(c.want, rollout.LogEntry{Event: "force", By: cmd.Force.By, Why: cmd.Force.Why})
 	case cmd.Resume != nil:
-		c.want = append(c.want, rollout.Entry{What: "resume", By: cmd.Resume.By, Why: cmd.Resume.Why})
+		c.want = append(c.want, rollout.LogEntry{Event: "resume", By: cmd.Resume.By, Why: cmd.Resume.Why})
 	}
 	if cmd.Treat == nil {
 		c.back(effects)
@@ -132,8 +132,8 @@
 			disturbed++
 		}
 	}
-	if len(effects) > 0 && disturbed > c.s.o.Limits.Disturb {
-		c.say("P6", "%d are disturbed, %d may be", disturbed, c.s.o.Limits.Disturb)
+	if len(effects) > 0 && disturbed > c.s.o.Limits.MaxDisrupted {
+		c.say("P6", "%d are disturbed, %d may be", disturbed, c.s.o.Limits.MaxDisrupted)
 	}
 }
 
@@ -166,13 +166,13 @@
 	goesOn := func(round uint64, policy rollout.Hash) bool {
 		return now.Trial && round == now.Round && policy == now.Policy && policy == trialHash && trial.Phase < rollout.Halting
 	}
-	if r.Told > c.newest[r.Node].Told {
+	if r.Sequence > c.newest[r.Node].Sequence {
 		c.newest[r.Node] = r
-		if r.Out > 0 {
+		if r.OutOfService > 0 {
 			c.out[site] = s.now
 		}
-		if r.Seen.Fell > rollout.Silence && goesOn(r.Seen.Round, now.Policy) {
-			c.say("P2", "%s fell back by itself (%v) and %s goes on", r.Node, r.Seen.Fell, trial.ID)
+		if r.Status.Fallback > rollout.LeaseExpired && goesOn(r.Status.Round, now.Policy) {
+			c.say("P2", "%s fell back by itself (%v) and %s goes on", r.Node, r.Status.Fallback, trial.ID)
 		}
 	}
 	for _, f := range r.Fired {
@@ -188,14 +188,14 @@
 			c.evidence(e, b)
 		}
 	}
-	if len(r.Fired) > 0 || r.Seen.Fell > rollout.Silence {
+	if len(r.Fired) > 0 || r.Status.Fallback > rollout.LeaseExpired {
 		c.phases(false)
 	}
 }
 
 // evidence counts what is fit to be judged.
 func (c *check) evidence(e rollout.Evidence, b book) {
-	n := e.Slice / uint64(c.s.o.Limits.Spell)
+	n := e.Slice / uint64(c.s.o.Limits.WindowSlices)
 	if len(e.Counts) > 0 && c.s.o.Nodes <= most {
 		c.offered[spoke{e.Node, n}] += float64(e.Counts[0].Offered)
 	}
@@ -204,11 +204,11 @@
 		delete(c.this, n-8)
 	}
 	h := c.s.named2(e.Node)
-	begin := time.Duration(n) * time.Duration(c.s.o.Limits.Spell) * c.s.o.Limits.Slice
+	begin := time.Duration(n) * time.Duration(c.s.o.Limits.WindowSlices) * c.s.o.Limits.Slice
 	at, changed := c.changed[e.Node]
 	work := anyAt(c.s.w.work[h.site], time.Duration(e.Slice)*c.s.o.Limits.Slice)
 	l := c.s.o.Limits
-	enough := slices.ContainsFunc(e.Counts, func(k rollout.Counts) bool { return k.Offered*uint64(l.Spell) >= l.Least/2 })
+	enough := slices.ContainsFunc(e.Counts, func(k rollout.Counts) bool { return k.Offered*uint64(l.WindowSlices) >= l.MinRequests/2 })
 	if e.Policy != trialHash || work || !enough || changed && at > begin {
 		return
 	}
@@ -233,22 +233,22 @@
 // entries: P1, P3, P4 and P7, on what a rollout did since the last look.
 func (c *check) entries(r *rollout.Rollout) {
 	for _, e := range r.Log[min(c.log[r.ID], len(r.Log)):] {
-		switch e.What {
+		switch e.Event {
 		case "started", "resumed", "ended by force":
 			c.stageBegins(r.ID)
 		case "ended on evidence":
 			c.ended(r, e)
 			c.stageBegins(r.ID)
 		}
-		if e.What == "halt: regression" && r.ID == trialID && !c.worse(0) {
+		if e.Event == "halt: regression" && r.ID == trialID && !c.worse(0) {
 			c.say("P1", "halted for a regression that there is not: %s", e.Why)
 		}
-		if e.What == "halt: guard" && c.fired < c.resumed {
+		if e.Event == "halt: guard" && c.fired < c.resumed {
 			c.say("P7", "halted by a guard that fired before an operator resumed it: %s", e.Why)
 		}
 		for i, w := range c.want {
-			if len(e.What) >= 4 && (e.What[:4] == w.What[:4] || w.What == "force" && e.What == "ended by force" ||
-				w.What == "resume" && e.What == "resumed") && e.By == w.By && e.Why == w.Why {
+			if len(e.Event) >= 4 && (e.Event[:4] == w.Event[:4] || w.Event == "force" && e.Event == "ended by force" ||
+				w.Event == "resume" && e.Event == "resumed") && e.By == w.By && e.Why == w.Why {
 				c.want = slices.Delete(c.want, i, i+1)
 				break
 			}
@@ -256,7 +256,7 @@
 	}
 	c.log[r.ID] = len(r.Log)
 	if len(c.want) > 0 && r.ID == trialID {
-		c.say("P7", "%s by %s (%s) is not recorded", c.want[0].What, c.want[0].By, c.want[0].Why)
+		c.say("P7", "%s by %s (%s) is not recorded", c.want[0].Event, c.want[0].By, c.want[0].Why)
 	}
 }
 
@@ -265,7 +265,7 @@
 	c.clean[id] = map[string]int{}
 	l := c.s.o.Limits
 	for n, nodes := range c.this { // spells that are open count in the new stage
-		if id == trialID && n >= uint64((c.s.now-l.Slice)/(l.Slice*time.Duration(l.Spell))) {
+		if id == trialID && n >= uint64((c.s.now-l.Slice)/(l.Slice*time.Duration(l.WindowSlices))) {
 			for name, fit := range nodes {
 				c.clean[id][name] += fit
 			}
@@ -279,13 +279,13 @@
 }
 
 // ended: a stage may end only on evidence, of each class, and of the nodes that it treats.
-func (c *check) ended(r *rollout.Rollout, e rollout.Entry) {
+func (c *check) ended(r *rollout.Rollout, e rollout.LogEntry) {
 	if r.ID != trialID {
 		return
 	}
 	const fewest = 5 // spells: what wealth of 20 takes at 1.9 a spell, less rounding
 	l := c.s.o.Limits
-	if c.s.now-c.began[r.ID] < fewest*time.Duration(l.Spell)*l.Slice {
+	if c.s.now-c.began[r.ID] < fewest*time.Duration(l.WindowSlices)*l.Slice {
 		c.say("P1", "stage %d ends after %v", e.Stage, c.s.now-c.began[r.ID])
 	}
 	if c.s.o.Scenario == Deaf {
@@ -303,11 +303,11 @@
 			}
 		}
 		want, spoke = want+added, spoke+heard
-		if rollout.Stage(stage) == e.Stage && float64(heard) < l.Cover*float64(added) {
+		if rollout.Stage(stage) == e.Stage && float64(heard) < l.Coverage*float64(added) {
 			c.say("P3", "stage %d ends, and of %d nodes that it adds %d have spoken", e.Stage, added, heard)
 		}
 	}
-	if float64(spoke) < l.Cover*float64(want) {
+	if float64(spoke) < l.Coverage*float64(want) {
 		c.say("P3", "stage %d ends, and of %d nodes %d have spoken", e.Stage, want, spoke)
 	}
 	if c.worse(0.1) {
@@ -319,7 +319,7 @@
 // halted: P2, every node is on the good policy, whoever is away too, once it is heard.
 func (c *check) halted(r *rollout.Rollout, b book) {
 	for _, n := range c.s.nodes {
-		if a := b.Doc(c.s.w.site[n.site]).Assigned(n.name, nil); a.Policy == r.Policy {
+		if a := b.SitePolicies(c.s.w.site[n.site]).Assigned(n.name, nil); a.Policy == r.Policy {
 			c.say("P2", "%s is halted, and %s is to go by its policy", r.ID, n.name)
 			return
 		}
@@ -339,10 +339,10 @@
 		if n.under != trialHash {
 			continue
 		}
-		if n.starts >= l.Crashes && n.holder.Policy() == trialHash {
+		if n.starts >= l.MaxCrashes && n.holder.Policy() == trialHash {
 			c.say("P5", "%s was started %d times under the trial and stays", n.name, n.starts)
 		}
-		if s.now-n.heard > l.Lease+2*l.Slice {
+		if s.now-n.heard > l.TrialLease+2*l.Slice {
 			c.say("P5", "%s has heard nothing since %v and goes by the trial", n.name, n.heard)
 		}
 	}
@@ -364,10 +364,10 @@
 		return
 	}
 	if r.Phase == rollout.Running {
-		if idle := s.now - c.last[trialID]; idle > l.Hold+4*time.Hour {
+		if idle := s.now - c.last[trialID]; idle > l.MaxHold+4*time.Hour {
 			c.say("P3", "no evidence for %v, and it goes on", idle)
 		}
-		for _, name := range r.Counted {
+		for _, name := range r.Observed {
 			if c.clean[trialID][name] == 0 {
 				c.say("P6", "%s counts, whose zone is in work", name)
 				break
@@ -386,7 +386,7 @@
 	}
 	text := s.seats[0].Encode()
 	var state struct {
-		Taken map[string]struct{ Seen rollout.Seen }
+		Taken map[string]struct{ Seen rollout.NodeStatus }
 		Plan  struct {
 			Open []struct {
 				Number uint64
@@ -401,8 +401,8 @@
 		c.say("T1", "%v", err)
 	}
 	for name, k := range state.Taken {
-		if k.Seen != c.newest[name].Seen {
-			c.say("T1", "%s said %+v, and %+v is taken", name, c.newest[name].Seen, k.Seen)
+		if k.Seen != c.newest[name].Status {
+			c.say("T1", "%s said %+v, and %+v is taken", name, c.newest[name].Status, k.Seen)
 		}
 	}
 	for _, sp := range state.Plan.Open {
--- a/rehearsal/rolloutsim/plain.go
+++ b/rehearsal/rolloutsim/plain.go
@@ -64,10 +64,10 @@
 					u[j] += at[0][i][j]
 				}
 			}
-			if u[0] < float64(l.Least) {
+			if u[0] < float64(l.MinRequests) {
 				u = before[i]
 			}
-			if t[0] >= float64(l.Least) && t[1]/t[0]-u[1]/u[0] > threshold {
+			if t[0] >= float64(l.MinRequests) && t[1]/t[0]-u[1]/u[0] > threshold {
 				return Outcome{Phase: rollout.Halted, Cause: rollout.Regression, Stage: stage, Hours: (s.now - warm).Hours()}, nil
 			}
 		}
--- a/rehearsal/rolloutsim/plants.go
+++ b/rehearsal/rolloutsim/plants.go
@@ -15,7 +15,7 @@
 	name, about  string
 	breaks       string // the property
 	scenario     func(*Options)
-	book         func(*rollout.Top) book
+	book         func(*rollout.RootState) book
 	deafToWork   bool
 	noLapse      bool
 	forgetStarts bool
@@ -37,7 +37,7 @@
 // Small is the options of a small province without noise, in the scenario that a plant asks for, if one is named.
 func Small(plant string) Options {
 	o := Options{Seed: 5, Regencies: 4, Nodes: 24, Limits: Limits(), Longest: 200 * time.Hour, Seats: 3}
-	o.Limits.Disturb = 4
+	o.Limits.MaxDisrupted = 4
 	for _, p := range plants {
 		if p.name == plant && p.scenario != nil {
 			p.scenario(&o)
@@ -48,11 +48,11 @@
 
 // twisted is a top with a bug: each hook may be nil.
 type twisted struct {
-	*rollout.Top
+	*rollout.RootState
 	come   func(*rollout.Command)                      // commands, and what is in a record, as the commands that it makes
 	record func(*rollout.Record)                       // a record
 	state  func(c rollout.Command, text string) string // the state after a command, in its encoded form
-	doc    func(*rollout.Doc)                          // on its way down
+	doc    func(*rollout.SitePolicies)                 // on its way down
 	told   func(rollout.Command, []rollout.Effect)     // what came of a command
 	limits func(*rollout.Limits)                       // of the site file
 }
@@ -61,18 +61,18 @@
 	if w.come != nil {
 		w.come(&c)
 	}
-	effects := w.Top.Apply(index, c)
+	effects := w.RootState.Apply(index, c)
 	if w.told != nil {
 		w.told(c, effects)
 	}
 	if w.state != nil {
 		before := string(w.Encode())
 		if after := w.state(c, before); after != before {
-			t, err := rollout.DecodeTop([]byte(after))
+			t, err := rollout.DecodeRootState([]byte(after))
 			if err != nil {
 				panic(fmt.Sprint("the plant is faulty: ", err))
 			}
-			w.Top = t
+			w.RootState = t
 		}
 	}
 	return effects
@@ -83,13 +83,13 @@
 		w.record(&r)
 	}
 	if w.come != nil {
-		c := rollout.Command{Seen: &r.Seen}
+		c := rollout.Command{Status: &r.Status}
 		w.come(&c)
-		r.Seen = *c.Seen
+		r.Status = *c.Status
 		old := r
 		r.Fired, r.Slices = nil, nil
 		for _, f := range old.Fired {
-			c := rollout.Command{Evidence: &rollout.Evidence{Guards: []string{f.What}}}
+			c := rollout.Command{Evidence: &rollout.Evidence{Guards: []string{f.Guard}}}
 			if w.come(&c); c.Evidence != nil && len(c.Evidence.Guards) > 0 {
 				r.Fired = append(r.Fired, f)
 			}
@@ -101,11 +101,11 @@
 			}
 		}
 	}
-	return w.Top.Record(index, at, r)
+	return w.RootState.Record(index, at, r)
 }
 
-func (w *twisted) Doc(site string) rollout.Doc {
-	d := w.Top.Doc(site)
+func (w *twisted) SitePolicies(site string) rollout.SitePolicies {
+	d := w.RootState.SitePolicies(site)
 	if w.doc != nil {
 		w.doc(&d)
 	}
@@ -116,18 +116,18 @@
 	if w.limits != nil {
 		w.limits(&l)
 	}
-	return w.Top.Next(now, l, tree)
+	return w.RootState.Next(now, l, tree)
 }
 
 // coming changes commands on their way in.
-func coming(f func(*rollout.Command)) func(*rollout.Top) book {
-	return func(p *rollout.Top) book { return &twisted{Top: p, come: f} }
+func coming(f func(*rollout.Command)) func(*rollout.RootState) book {
+	return func(p *rollout.RootState) book { return &twisted{RootState: p, come: f} }
 }
 
 // stated changes the state after each command that is picked, by its text.
-func stated(when func(rollout.Command) bool, change func(c rollout.Command, text string) string) func(*rollout.Top) book {
-	return func(p *rollout.Top) book {
-		return &twisted{Top: p, state: func(c rollout.Command, text string) string {
+func stated(when func(rollout.Command) bool, change func(c rollout.Command, text string) string) func(*rollout.RootState) book {
+	return func(p *rollout.RootState) book {
+		return &twisted{RootState: p, state: func(c rollout.Command, text string) string {
 			if !when(c) {
 				return text
 			}
@@ -137,8 +137,8 @@
 }
 
 // recorded changes records on their way in.
-func recorded(f func(*rollout.Record)) func(*rollout.Top) book {
-	return func(p *rollout.Top) book { return &twisted{Top: p, record: f} }
+func recorded(f func(*rollout.Record)) func(*rollout.RootState) book {
+	return func(p *rollout.RootState) book { return &twisted{RootState: p, record: f} }
 }
 
 func closes(c rollout.Command) bool { return c.Close != nil }
@@ -152,8 +152,8 @@
 }
 
 // limited changes the limits that the top goes by.
-func limited(f func(*rollout.Limits)) func(*rollout.Top) book {
-	return func(p *rollout.Top) book { return &twisted{Top: p, limits: f} }
+func limited(f func(*rollout.Limits)) func(*rollout.RootState) book {
+	return func(p *rollout.RootState) book { return &twisted{RootState: p, limits: f} }
 }
 
 func scene(s Scenario) func(*Options) { return func(o *Options) { o.Scenario = s } }
@@ -179,9 +179,9 @@
 	{name: "guard-lost", about: "evidence loses its guards on the way", breaks: "P2",
 		scenario: scene(Guarded), book: coming(guardless)},
 	{name: "guard-thrice", about: "a guard halts only when it has fired three times", breaks: "P2", scenario: scene(Guarded),
-		book: func(p *rollout.Top) book {
+		book: func(p *rollout.RootState) book {
 			fired := 0
-			return &twisted{Top: p, come: func(c *rollout.Command) {
+			return &twisted{RootState: p, come: func(c *rollout.Command) {
 				if c.Evidence != nil && len(c.Evidence.Guards) > 0 {
 					if fired++; fired < 3 {
 						guardless(c)
@@ -197,21 +197,21 @@
 		})},
 	{name: "away-kept", about: "a node that is away when its stage goes back keeps the trial", breaks: "P2",
 		scenario: scene(CutHalt),
-		book: func(p *rollout.Top) book {
-			away, kept := map[string]bool{}, map[string]rollout.Given{}
-			return &twisted{Top: p, told: func(c rollout.Command, effects []rollout.Effect) {
+		book: func(p *rollout.RootState) book {
+			away, kept := map[string]bool{}, map[string]rollout.NodeEntry{}
+			return &twisted{RootState: p, told: func(c rollout.Command, effects []rollout.Effect) {
 				switch {
-				case c.Away != nil:
-					away[c.Away.Node] = true
-				case c.Back != nil:
-					delete(away, c.Back.Node)
+				case c.Unreachable != nil:
+					away[c.Unreachable.Node] = true
+				case c.Reachable != nil:
+					delete(away, c.Reachable.Node)
 				}
 				for _, e := range effects {
 					if e.Kind == rollout.Assign && e.ID == "" && away[e.Node] {
-						kept[e.Node] = rollout.Given{Round: 1 << 40, Policy: trialHash, Rollout: trialID}
+						kept[e.Node] = rollout.NodeEntry{Round: 1 << 40, Policy: trialHash, Rollout: trialID}
 					}
 				}
-			}, doc: func(d *rollout.Doc) {
+			}, doc: func(d *rollout.SitePolicies) {
 				for name := range d.Nodes {
 					if k, ok := kept[name]; ok {
 						d.Nodes[name], d.Texts[trialHash] = k, []byte(trialText)
@@ -221,10 +221,10 @@
 		}},
 	{name: "fall-unheard", about: "that a node fell back by itself reaches nobody", breaks: "P2", scenario: scene(Crashes),
 		book: coming(func(c *rollout.Command) {
-			if c.Seen != nil {
-				s := *c.Seen
-				s.Fell = rollout.Stays
-				c.Seen = &s
+			if c.Status != nil {
+				s := *c.Status
+				s.Fallback = rollout.NoFallback
+				c.Status = &s
 			}
 		})},
 	{name: "silence-is-health", about: "a stage that hears nothing ends as if all were well", breaks: "P3", scenario: scene(Silent),
@@ -232,7 +232,7 @@
 			return fine.ReplaceAllString(missing.ReplaceAllString(text, `"missing":""`), `"fine":{"wealth":1000,"best":1000`)
 		})},
 	{name: "word-of-earlier", about: "a stage ends on the word of those that earlier stages took", breaks: "P3",
-		scenario: func(o *Options) { o.Seed, o.Scenario, o.Limits.Cover = 6, Shy, 0.2 },
+		scenario: func(o *Options) { o.Seed, o.Scenario, o.Limits.Coverage = 6, Shy, 0.2 },
 		book: stated(closes, func(_ rollout.Command, text string) string {
 			return unadded.ReplaceAllString(text, `"missing":""`)
 		})},
@@ -242,7 +242,7 @@
 			r.Slices = slices.Clone(r.Slices)
 			for i := range r.Slices {
 				e := &r.Slices[i]
-				e.Spoilt = e.Spoilt && e.Policy != trialHash
+				e.Tainted = e.Tainted && e.Policy != trialHash
 			}
 		})},
 	{name: "holds-for-ever", about: "a hold begins anew with each spell", breaks: "P3", scenario: scene(Silent),
@@ -250,9 +250,9 @@
 			return held.ReplaceAllString(text, fmt.Sprintf(`"held":%d`, int64(c.At)))
 		})},
 	{name: "another-time", about: "the treated are compared with the others as they were at the start", breaks: "P1",
-		scenario: scene(ZoneLost), book: func(p *rollout.Top) book {
+		scenario: scene(ZoneLost), book: func(p *rollout.RootState) book {
 			first := map[string][]rollout.Counts{}
-			return &twisted{Top: p, come: func(c *rollout.Command) {
+			return &twisted{RootState: p, come: func(c *rollout.Command) {
 				if e := c.Evidence; e != nil && e.Policy != trialHash {
 					if len(first[e.Node]) == 0 {
 						first[e.Node] = e.Counts
@@ -305,7 +305,7 @@
 		})},
 	{name: "budget-alone", about: "rollouts do not see what work has out", breaks: "P6",
 		scenario: func(o *Options) { o.Noise.Work = 200 },
-		book:     recorded(func(r *rollout.Record) { r.Out = 0 })},
+		book:     recorded(func(r *rollout.Record) { r.OutOfService = 0 })},
 	{name: "settled-at-once", about: "a change of policy is taken for no disturbance", breaks: "P6",
 		book: limited(func(l *rollout.Limits) { l.Settle = 0 })},
 	{name: "work-counts", about: "evidence counts though a host of the zone is in work", breaks: "P6",
@@ -321,8 +321,8 @@
 	{name: "halt-forgotten", about: "what an operator halted goes on after a while", breaks: "P7", scenario: scene(Operator),
 		book: stated(closes, func(_ rollout.Command, text string) string { return ended.ReplaceAllString(text, "${1}0") })},
 	{name: "guard-of-before", about: "a guard halts whatever treatment it fired in", breaks: "P7", scenario: scene(Operator),
-		book: func(p *rollout.Top) book {
-			return &twisted{Top: p, record: func(r *rollout.Record) {
+		book: func(p *rollout.RootState) book {
+			return &twisted{RootState: p, record: func(r *rollout.Record) {
 				r.Fired = slices.Clone(r.Fired)
 				for i := range r.Fired {
 					r.Fired[i].Round = p.Plan().Assigned(r.Node).Round
@@ -332,11 +332,11 @@
 	{name: "slice-twice", about: "it is forgotten which slices were taken", breaks: "T1",
 		book: stated(closes, func(_ rollout.Command, text string) string { return bits.ReplaceAllString(text, `"$1":0`) })},
 	{name: "older-seen", about: "what a node goes by is taken from whichever record came last", breaks: "T1",
-		scenario: func(o *Options) { o.Lossy = 0.2 }, book: func(p *rollout.Top) book {
+		scenario: func(o *Options) { o.Lossy = 0.2 }, book: func(p *rollout.RootState) book {
 			newest := map[string]uint64{}
-			return &twisted{Top: p, record: func(r *rollout.Record) {
-				r.Told = max(r.Told, newest[r.Node]+1)
-				newest[r.Node] = r.Told
+			return &twisted{RootState: p, record: func(r *rollout.Record) {
+				r.Sequence = max(r.Sequence, newest[r.Node]+1)
+				newest[r.Node] = r.Sequence
 			}}
 		}},
 	{name: "word-of-now", about: "a site that is cut off renews the leases of its nodes", breaks: "P5",
@@ -344,15 +344,15 @@
 	{name: "halt-below-forgotten", about: "a halt at a site is forgotten when its leader dies", breaks: "P7",
 		scenario: func(o *Options) { o.Scenario, o.Deaths = HaltBelow, 0.2 }, forgetHalts: true},
 	{name: "seat-deaf", about: "one seat misses an entry of the log", breaks: "seats",
-		scenario: func(o *Options) { o.Deaths = 0.2 }, book: func() func(*rollout.Top) book {
+		scenario: func(o *Options) { o.Deaths = 0.2 }, book: func() func(*rollout.RootState) book {
 			seat := 0
-			return func(p *rollout.Top) book {
+			return func(p *rollout.RootState) book {
 				seat++
 				if mine := seat; mine%3 != 2 {
 					return p
 				}
 				n := 0
-				return &twisted{Top: p, come: func(c *rollout.Command) {
+				return &twisted{RootState: p, come: func(c *rollout.Command) {
 					if n++; c.Evidence != nil && n%50 == 0 {
 						c.Evidence = nil
 					}
