--- a/rehearsal/rolloutsim/run.go
+++ b/rehearsal/rolloutsim/run.go
@@ -14,8 +14,8 @@
 // Limits are those of the simulated rollouts.
 func Limits() rollout.Limits {
 	l := rollout.Defaults()
-	l.Slice, l.Spell, l.Watch = 15*time.Minute, 2, 28
-	l.Hold, l.Lease, l.Settle, l.Longest, l.Disturb = 14*time.Hour, 40*time.Minute, 15*time.Minute, 96*time.Hour, 20
+	l.Slice, l.WindowSlices, l.BaselineWindows = 15*time.Minute, 2, 28
+	l.MaxHold, l.TrialLease, l.Settle, l.MaxStageTime, l.MaxDisrupted = 14*time.Hour, 40*time.Minute, 15*time.Minute, 96*time.Hour, 20
 	return l
 }
 
@@ -70,7 +70,7 @@
 	Apply(uint64, rollout.Command) []rollout.Effect
 	Record(uint64, time.Duration, rollout.Record) []rollout.Effect
 	Next(time.Duration, rollout.Limits, rollout.Tree) (rollout.Command, bool)
-	Doc(string) rollout.Doc
+	SitePolicies(string) rollout.SitePolicies
 	Plan() *rollout.Plan
 	Encode() []byte
 }
@@ -95,9 +95,9 @@
 // node is the side of one node.
 type node struct {
 	*host
-	holder *rollout.Holder
+	holder *rollout.NodePolicy
 	stored rollout.Stored
-	teller *rollout.Teller
+	teller *rollout.Reporter
 	heard  time.Duration // the top's word that it was answered with last
 	starts int           // of its present trial, as the world counts them
 	under  rollout.Hash
@@ -108,7 +108,7 @@
 type council struct {
 	name    string
 	cut     bool
-	doc     rollout.Doc
+	doc     rollout.SitePolicies
 	asked   time.Duration // when the top answered it last
 	halted  map[string]bool
 	waiting map[string]rollout.Record
@@ -193,9 +193,9 @@
 		s.plant = plants[i]
 	}
 	for range max(o.Seats, 1) {
-		var b book = rollout.NewTop()
+		var b book = rollout.NewRootState()
 		if s.plant.book != nil {
-			b = s.plant.book(rollout.NewTop())
+			b = s.plant.book(rollout.NewRootState())
 		}
 		s.seats = append(s.seats, b)
 	}
@@ -203,8 +203,8 @@
 		s.sites = append(s.sites, &council{name: name, halted: map[string]bool{}, waiting: map[string]rollout.Record{}})
 	}
 	for _, h := range s.w.hosts {
-		n := &node{host: h, stored: rollout.Stored{Good: s.seats[0].Plan().Good()}, teller: rollout.NewTeller(h.name, s.w.site[h.site])}
-		n.holder = rollout.NewHolder(n.stored, o.Limits.Crashes, 0, 0)
+		n := &node{host: h, stored: rollout.Stored{Good: s.seats[0].Plan().Good()}, teller: rollout.NewReporter(h.name, s.w.site[h.site])}
+		n.holder = rollout.NewNodePolicy(n.stored, o.Limits.MaxCrashes, 0, 0)
 		s.nodes = append(s.nodes, n)
 	}
 	s.check = newCheck(s)
@@ -214,7 +214,7 @@
 
 // warmUp is how long nodes are watched before anything begins: a day and some, since nights say little of rare classes.
 func warmUp(o Options) time.Duration {
-	return time.Duration(o.Limits.Watch*o.Limits.Spell)*o.Limits.Slice*12/7 + 2*time.Hour
+	return time.Duration(o.Limits.BaselineWindows*o.Limits.WindowSlices)*o.Limits.Slice*12/7 + 2*time.Hour
 }
 
 // propose brings a command into the log, at all seats.
@@ -296,22 +296,22 @@
 		})
 	case Operator:
 		do(0, len(r.Treated) > 0, func() {
-			s.propose(rollout.Command{Force: &rollout.Note{ID: trialID, Stage: r.Stage, By: "desk", Why: "known to be good"}})
+			s.propose(rollout.Command{Force: &rollout.OperatorAction{ID: trialID, Stage: r.Stage, By: "desk", Why: "known to be good"}})
 		})
 		do(1, r.Stage == rollout.OneBuilding && s.now >= s.since+4*slice, func() {
 			s.propose(rollout.Command{Halt: &rollout.Halt{ID: trialID, Cause: rollout.Operator, By: "desk", Why: "a doubt"}})
 			s.fire(first, "too late") // nobody hears of it before the rollout is resumed
 			s.strays = append(s.strays, stray{s.now + 14*slice, first.teller.Newest()})
-			first.teller = rollout.NewTeller(first.name, s.w.site[first.site])
+			first.teller = rollout.NewReporter(first.name, s.w.site[first.site])
 		})
 		do(2, r.Phase == rollout.Halted && s.now >= s.since+6*slice, func() {
 			s.check.resumed = s.now
-			s.propose(rollout.Command{Resume: &rollout.Note{ID: trialID, By: "desk", Why: "the doubt is cleared"}})
+			s.propose(rollout.Command{Resume: &rollout.OperatorAction{ID: trialID, By: "desk", Why: "the doubt is cleared"}})
 		})
 		do(3, first.under == trialHash && r.Attempt == 2 && s.now >= s.since+12*slice, func() {
 			s.fire(first, "rule")
 			s.record(first.teller.Newest())
-			s.propose(rollout.Command{Force: &rollout.Note{ID: trialID, Stage: r.Stage, By: "desk", Why: "in spite of it"}})
+			s.propose(rollout.Command{Force: &rollout.OperatorAction{ID: trialID, Stage: r.Stage, By: "desk", Why: "in spite of it"}})
 		})
 	}
 }
@@ -341,9 +341,9 @@
 			clear(c.halted)
 		}
 		if c.cut = anyAt(s.w.cut[s.w.regency[i]], s.now); !c.cut && (c.asked == 0 || s.rng.Float64() >= s.o.Lossy) {
-			c.doc, c.asked = s.seats[s.leader].Doc(c.name), s.now
+			c.doc, c.asked = s.seats[s.leader].SitePolicies(c.name), s.now
 			if s.rng.IntN(256) == 0 {
-				if c.doc, s.err = rollout.ParseDoc(c.doc.Bytes()); s.err != nil {
+				if c.doc, s.err = rollout.ParseSitePolicies(c.doc.Bytes()); s.err != nil {
 					return
 				}
 			}
@@ -356,10 +356,10 @@
 				asked = s.now
 			}
 			a := c.doc.Assigned(n.name, func(id string) bool { return c.halted[id] })
-			n.holder.Answer(a, asked, func(rollout.Hash) error { return nil })
+			n.holder.HandleAssignment(a, asked, func(rollout.Hash) error { return nil })
 		}
 		if !s.plant.noLapse {
-			n.holder.Lapse(s.now)
+			n.holder.CheckLease(s.now)
 		}
 		n.stored = n.holder.Stored()
 		if p := n.holder.Policy(); p != n.under {
@@ -377,7 +377,7 @@
 	if work {
 		out = 1
 	}
-	n.teller.Tick(s.now, s.sites[n.site].doc.Slice, n.holder.Seen(n.name), n.holder.Starts(), out, work && !s.plant.deafToWork)
+	n.teller.Tick(s.now, s.sites[n.site].doc.Slice, n.holder.Status(n.name), n.holder.Starts(), out, work && !s.plant.deafToWork)
 }
 
 // fire lets a guard fire at a node now.
@@ -399,13 +399,13 @@
 	s.strays = slices.DeleteFunc(s.strays, func(st stray) bool { return st.due == 1<<62 })
 	for _, n := range s.nodes {
 		c := s.sites[n.site]
-		if r := n.teller.Newest(); n.teller.Waiting() && !s.deaf(n) {
+		if r := n.teller.Newest(); n.teller.HasPending() && !s.deaf(n) {
 			if s.rng.IntN(256) == 0 {
 				if r, s.err = rollout.ParseRecord(n.teller.Pending()); s.err != nil {
 					return
 				}
 			}
-			n.teller.Recorded(r.Told)
+			n.teller.Acknowledge(r.Sequence)
 			if old, there := c.waiting[n.name]; there {
 				r = old.Merge(r)
 			}
@@ -444,9 +444,9 @@
 			if s.plant.forgetStarts {
 				stored.Starts = 0
 			}
-			n.holder = rollout.NewHolder(stored, s.o.Limits.Crashes, n.holder.StoredUntil(), s.now)
+			n.holder = rollout.NewNodePolicy(stored, s.o.Limits.MaxCrashes, n.holder.StoredLeaseEnd(), s.now)
 			n.stored = n.holder.Stored()
-			n.teller = rollout.NewTeller(n.name, s.w.site[n.site])
+			n.teller = rollout.NewReporter(n.name, s.w.site[n.site])
 			s.check.fired = s.now
 		}
 	}
@@ -462,8 +462,8 @@
 				s.err = &Broken{"seats", "two seats of one log differ"}
 				return
 			}
-			if p, ok := s.seats[s.leader].(*rollout.Top); ok && s.rng.IntN(4) == 0 {
-				again, err := rollout.DecodeTop(p.Encode())
+			if p, ok := s.seats[s.leader].(*rollout.RootState); ok && s.rng.IntN(4) == 0 {
+				again, err := rollout.DecodeRootState(p.Encode())
 				if err != nil {
 					s.err = err
 					return
@@ -494,7 +494,7 @@
 	}
 	o := Outcome{Phase: r.Phase, Cause: r.Cause, Stage: r.Stage, Hours: (s.now - s.begun).Hours()}
 	for _, e := range r.Log {
-		if r.Cause != rollout.None && e.What == "halt: "+r.Cause.String() {
+		if r.Cause != rollout.None && e.Event == "halt: "+r.Cause.String() {
 			o.Hours, o.Why = (e.At - s.begun).Hours(), e.Why
 		}
 	}
--- a/rehearsal/rolloutsim/sim_test.go
+++ b/rehearsal/rolloutsim/sim_test.go
@@ -94,7 +94,7 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				o := Small("")
-				o.Seed, o.Second, o.Deaths, o.Lossy, o.Noise, o.Limits.Disturb = uint64(seed), true, 0.2, 0.1, Ordinary, 6
+				o.Seed, o.Second, o.Deaths, o.Lossy, o.Noise, o.Limits.MaxDisrupted = uint64(seed), true, 0.2, 0.1, Ordinary, 6
 				o.Noise.Work, o.Longest = 100, 400*time.Hour
 				o.Lost[seed%3] = []float64{0, 0.2}[seed/4]
 				var err error
--- a/rehearsal/rolloutsim/world.go
+++ b/rehearsal/rolloutsim/world.go
@@ -106,7 +106,7 @@
 					size: 2000 * math.Exp(0.5*rng.NormFloat64()), own: 0.003 * rng.NormFloat64(),
 					rng: rand.New(rand.NewPCG(seed, uint64(len(w.hosts))+2))}
 				w.hosts = append(w.hosts, h)
-				s.Nodes = append(s.Nodes, rollout.Place{Name: h.name, Zone: s.Name})
+				s.Nodes = append(s.Nodes, rollout.TreeNode{Name: h.name, Zone: s.Name})
 			}
 			w.tree.Sites = append(w.tree.Sites, s)
 			w.site = append(w.site, s.Name)
