--- a/internal/choice/rollout/bet.go
+++ b/internal/choice/rollout/bet.go
@@ -2,49 +2,53 @@
 
 import "math"
 
-// The test. A cell is a class of a tenant and a metric: the part of the requests that was not served, the part of the
-// connections that took longer than the edge to stand, the part that broke. One observation is the value of a node in a
-// spell of some slices, less what the same node had before the rollout: a node is one cluster, however many requests it
-// had and however they hang together. In each spell the treated are paired with their own kind on the old policy, and
+// The statistical test. A cell is a class of a tenant and a metric: the fraction of requests that were not served, the
+// fraction of connections that took longer than the slow threshold to establish, or the fraction of served requests that
+// broke. One observation is the value of a node in an observation window (several time slices) minus the baseline of the
+// same node from before the rollout. A node is one cluster in the statistical sense, however many requests it had and
+// however they are correlated. In each window the treated nodes are paired with similar control nodes, which apply the good
+// policy, and
 //
-//	x = mean over pairs of clip((treated - untreated - shift) / scale), in [-1, 1]
+//	x = mean over pairs of clip((treated - control - shift) / scale), in [-1, 1]
 //
-// is one bet. clip is odd, so that where the two of a pair could be exchanged but for a difference of at most shift, the
-// mean of x given all earlier spells is at most 0, whatever hits both alike and however pairs hang together. Wealth that
-// starts at 1 and is multiplied by 1 + part*x, with a part in [0, 0.9] that is fixed before the spell, is then a
-// supermartingale that is never negative; by Ville's inequality it ever reaches 1/a with a probability of at most a, at
-// whatever moments somebody looks. That is testing by betting, as Shafer and Vovk, and for bounded means Waudby-Smith
-// and Ramdas, describe it; the part bet follows their approximate growth rule. The scale comes from earlier spells.
+// is the payoff of one bet. clip is an odd function. Hence, where the two nodes of a pair are exchangeable except for a
+// difference of at most shift, the mean of x given all earlier windows is at most 0, whatever affects both nodes alike and
+// however pairs are correlated. Wealth that starts at 1 and is multiplied by 1 + fraction*x, with a fraction in [0, 0.9]
+// that is fixed before the window, is then a non-negative supermartingale; by Ville's inequality the probability that it
+// ever reaches 1/a is at most a, so the test may be inspected at any time. This is testing by betting as described by Shafer
+// and Vovk and, for bounded means, by Waudby-Smith and Ramdas; the fraction follows their approximate growth-rate-optimal
+// rule. The scale is computed from earlier windows.
 //
-// Two bets run for each cell. Worse bets that the treated lose more than half of the margin: it halts at the part of
-// Alpha that the cell has in its stage. Fine bets that they lose less than the margin: it is what ends a stage, at Beta.
-// A stage ends only when all cells are fine, so that Beta is not divided: the cell that lost the margin is one of them.
+// Each cell has two e-processes. Inferior bets that the treated nodes are worse by more than half of the margin; it halts
+// the rollout at the share of Alpha that the cell has in its stage. NonInferior bets that they are worse by less than the
+// margin; it ends a stage, at level Beta. A stage ends only when NonInferior rejects for all cells (an intersection-union
+// test), so Beta is not divided: if any cell is worse by the margin, its own test bounds the error.
 
-// The metrics.
+// The metrics of a cell.
 const (
-	metricLost   = "lost"   // of the requests offered, those not served
-	metricSlow   = "slow"   // of the connections that stand, those that took longer than the edge
-	metricBroken = "broken" // of the requests served, those that broke
+	metricLost   = "lost"   // fraction of offered requests that were not served
+	metricSlow   = "slow"   // fraction of established connections that took longer than the slow threshold
+	metricBroken = "broken" // fraction of served requests that broke
 )
 
 const (
-	slackPart      = 0.5   // of the margin: so much worse is not taken for a regression; covers the error of the base
-	maxBetFraction = 0.9   // the largest part of the wealth that is bet
-	decay          = 0.95  // of the sums behind the part to bet, from one spell to the next
-	minScale       = 0.002 // the smallest scale
+	slackPart      = 0.5   // fraction of the margin that is not counted as a regression; covers the error of the baseline
+	maxBetFraction = 0.9   // largest fraction of the wealth that is bet
+	decay          = 0.95  // factor per window for the sums behind the bet fraction
+	minScale       = 0.002 // smallest scale of a payoff
 )
 
-// Bet is wealth against one hypothesis. The zero value has not begun.
+// EProcess is the wealth of a betting test against one null hypothesis. In the zero value no window has been observed yet.
 type EProcess struct {
 	Wealth     float64 `json:"wealth"`
-	MaxWealth  float64 `json:"best"` // the most that it ever was: what is compared with 1/a
+	MaxWealth  float64 `json:"best"` // maximum of Wealth so far, which is compared with 1/alpha
 	Sum        float64 `json:"sum"`
 	SumSquares float64 `json:"square"`
 	Windows    int     `json:"spells"`
 }
 
-// Take settles the bet of one spell. x lies in [-1, 1] and has, if the hypothesis holds, a mean of at most 0 given all
-// before. Only +, *, / with each result rounded: the same at each seat.
+// Update applies the payoff x of one window. x lies in [-1, 1]; under the null hypothesis its mean given all earlier windows
+// is at most 0. It uses only +, *, / and rounds each result explicitly, so that every replica computes the same value.
 func (b *EProcess) Update(x float64) {
 	if b.Windows == 0 {
 		b.Wealth, b.MaxWealth = 1, 1
@@ -58,7 +62,7 @@
 	b.Windows++
 }
 
-// Reached says whether the wealth was ever 1/a.
+// Rejects reports whether the wealth has ever reached 1/alpha.
 func (b *EProcess) Rejects(alpha float64) bool { return alpha > 0 && b.MaxWealth*alpha >= 1 }
 
 func clip(x float64) float64 {
@@ -68,10 +72,10 @@
 	return min(max(x, -1), 1)
 }
 
-// pair is a treated node and one of its kind, each with what its value is above its own base.
+// pair is a treated node and a control node, each with the excess of its value over its own baseline.
 type pair struct{ treated, control, weight float64 }
 
-// bets returns the two bets of a spell and whether there are any.
+// payoffs returns the payoffs of both tests of a cell for one window. ok is false if no pair gives information.
 func payoffs(pairs []pair, margin, scale float64) (inferior, nonInferior float64, ok bool) {
 	trouble := max(2*margin, 2*scale)
 	inferior, okInferior := meanPayoff(pairs, float64(slackPart*margin), scale, trouble)
@@ -79,8 +83,9 @@
 	return inferior, -nonInferior, okInferior && okNonInferior
 }
 
-// mean is the mean over pairs of how far the treated lies above the other, but for a shift. A pair of which both are in
-// trouble but for the shift says nothing: exchanging the two leaves that as it is, so that the mean is not moved by it.
+// meanPayoff returns the weighted mean over pairs of the clipped difference between treated and control, less shift. A pair
+// in which both nodes, after the shift, exceed the trouble threshold is left out: swapping the two leaves that condition
+// unchanged, so leaving the pair out does not bias the mean.
 func meanPayoff(pairs []pair, shift, scale, trouble float64) (x float64, ok bool) {
 	weight := 0.0
 	for _, p := range pairs {
@@ -95,8 +100,9 @@
 	return x / weight, true
 }
 
-// share is the part of Alpha that a cell has in a stage: equal parts for the stages; half of each to the cells that were
-// known at the start, the other half to those that came later, in their order, by 1/(k(k+1)). The n-th attempt has 2^-n.
+// alphaShare returns the share of Alpha for one cell in one stage. Stages get equal shares. Within a stage one half is
+// divided equally among the cells known at its start; the other half goes to cells that appear later, in order of
+// appearance, by 1/(k(k+1)). The n-th attempt gets a factor of 2^-n.
 func alphaShare(alpha float64, attempt, known, position int) float64 {
 	part := alpha / float64(Stages) / 2
 	for range attempt {
--- a/internal/choice/rollout/bet_test.go
+++ b/internal/choice/rollout/bet_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// spells draws the pairs of a spell: treated nodes and others of which each has bursts of its own, and all what hits alike.
+// drawPairs draws the pairs of a window. All nodes share one common disturbance, and each has independent bursts of its own.
 func drawPairs(rng *rand.Rand, treatedCount, controlCount int, loss float64) (pairs []pair) {
 	common := 0.02 * rng.NormFloat64()
 	draw := func() float64 {
@@ -30,8 +30,8 @@
 	return pairs
 }
 
-// TestTheBetsKeepTheirErrorRates looks after every spell, and measures how often each hypothesis is rejected though it
-// holds, and though it does not.
+// TestTheBetsKeepTheirErrorRates inspects the tests after every window and measures how often each null hypothesis is rejected
+// when it is true, and when it is false.
 func TestTheBetsKeepTheirErrorRates(t *testing.T) {
 	const runs, long, margin, scale, a = 1000, 200, 0.02, 0.02, 0.05
 	rate := func(treated, others int, worse float64, of func(w, f *EProcess) bool) float64 {
@@ -54,7 +54,7 @@
 	}
 	isWorse := func(w, _ *EProcess) bool { return w.Rejects(a) }
 	isFine := func(_, f *EProcess) bool { return f.Rejects(a) }
-	const sure = a + 0.02 // three deviations of a thousand runs
+	const sure = a + 0.02 // three standard deviations of the rate over 1000 runs
 	for _, of := range [][2]int{{1, 1}, {1, 4}, {6, 2}} {
 		least, most := rate(of[0], of[1], slackPart*margin, isWorse), rate(of[0], of[1], margin, isFine)
 		t.Logf("%v: halted at the edge of the slack %.3f, fine at the margin %.3f", of, least, most)
--- a/internal/choice/rollout/codec.go
+++ b/internal/choice/rollout/codec.go
@@ -7,20 +7,20 @@
 	"fmt"
 )
 
-// The frame of an encoded plan or holder: a line that names it and the version of its form, the state in JSON with its
-// keys in order, and a line that marks the end.
+// An encoded Plan or Stored has three parts: a line with the name and format version, the state as JSON with keys in a fixed
+// order, and an end marker.
 const (
 	planHead   = "lichenhitch rollout plan 1\n"
 	storedHead = "lichenhitch rollout holder 1\n"
 	endMark    = "\nend\n"
 )
 
-// Unread is an encoded state that cannot be taken.
+// DecodeError reports encoded state that cannot be decoded.
 type DecodeError struct{ Why string }
 
 func (u *DecodeError) Error() string { return "rollouts: " + u.Why }
 
-// Action says what an operator can do.
+// Action returns what an operator can do about the error.
 func (u *DecodeError) Action() string {
 	return "take the snapshot of another seat, or start the node with the version that wrote it"
 }
@@ -28,7 +28,7 @@
 func encode(head string, state any) []byte {
 	text, err := json.Marshal(state)
 	if err != nil {
-		panic(err) // only numbers that are not finite fail, and none are kept
+		panic(err) // only non-finite numbers fail to encode, and none are stored
 	}
 	return append(append([]byte(head), text...), endMark...)
 }
@@ -52,10 +52,10 @@
 	return nil
 }
 
-// Encode returns the plan as bytes: the same for the same state.
+// Encode returns the canonical encoding of the plan: equal states have equal bytes.
 func (p *Plan) Encode() []byte { return encode(planHead, &p.s) }
 
-// Decode reads what Encode wrote. An error is a *Unread.
+// Decode decodes the output of Encode. An error is a *DecodeError.
 func Decode(raw []byte) (*Plan, error) {
 	p := &Plan{}
 	if err := decode(planHead, raw, &p.s); err != nil {
@@ -68,7 +68,7 @@
 	return p, nil
 }
 
-// check finds what later steps rely on.
+// check verifies the invariants that later commands rely on.
 func (s *state) check() error {
 	if err := s.Limits.Check(); err != nil {
 		return err
@@ -99,21 +99,21 @@
 	return nil
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (p *Plan) Clone() *Plan {
 	c := &Plan{s: clone(p.s)}
 	c.topology = newTopology(c.s.Tree)
 	return c
 }
 
-// clone copies a value by its encoded form.
+// clone returns a deep copy of a value by encoding and decoding it.
 func clone[T any](v T) (out T) {
 	text, err := json.Marshal(v)
 	if err == nil {
 		err = json.Unmarshal(text, &out)
 	}
 	if err != nil {
-		panic(err) // as in encode
+		panic(err) // for the same reason as in encode
 	}
 	return out
 }
--- a/internal/choice/rollout/doc.go
+++ b/internal/choice/rollout/doc.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// Doc is what a site's nodes are to go by, whole. It comes down to the site as a decision of the top.
+// SitePolicies is the complete set of policies that a site's nodes have to apply. The root site sends it down to the site as
+// a decision.
 type SitePolicies struct {
 	Site         string                   `json:"site"`
 	Good         Hash                     `json:"good"`
-	Texts        map[Hash]json.RawMessage `json:"texts"` // of the good policy and of the trials of its nodes
-	Nodes        map[string]NodeEntry     `json:"nodes"` // those whose policy ever changed; the others go by the good one
+	Texts        map[Hash]json.RawMessage `json:"texts"` // the good policy and the trials of the site's nodes
+	Nodes        map[string]NodeEntry     `json:"nodes"` // only nodes whose policy has ever changed; all others apply the good policy
 	Slice        time.Duration            `json:"slice"`
 	TrialLease   time.Duration            `json:"lease"`
 	Settle       time.Duration            `json:"settle"`
@@ -21,15 +22,15 @@
 	MaxDisrupted int                      `json:"disturb,omitempty"`
 }
 
-// Given is what one node is to go by.
+// NodeEntry is the policy that one node has to apply.
 type NodeEntry struct {
 	Round   uint64        `json:"round"`
 	Policy  Hash          `json:"policy"`
-	Rollout string        `json:"rollout,omitempty"` // that treats it: its policy is a trial
-	Changed time.Duration `json:"changed,omitempty"` // of its policy, by the council's time
+	Rollout string        `json:"rollout,omitempty"` // set if the policy is a trial: the rollout that it belongs to
+	Changed time.Duration `json:"changed,omitempty"` // time of the last change of policy, by the clock of the consensus group
 }
 
-// Doc is what the nodes of a site are to go by now.
+// SitePolicies returns the policies that the nodes of a site have to apply now.
 func (t *RootState) SitePolicies(site string) SitePolicies {
 	s, l := &t.plan.s, t.plan.s.Limits
 	d := SitePolicies{Site: site, Good: s.Good, Texts: map[Hash]json.RawMessage{s.Good: s.Texts[s.Good]}, Nodes: map[string]NodeEntry{},
@@ -49,11 +50,12 @@
 	return d
 }
 
-// docForm is the form of a Doc in bytes: a site may have 300 nodes, and the value of one write has 60 KiB. Nodes whose policy
-// changed in one go stand together, and a policy stands there once for its rollout.
+// encodedSitePolicies is the encoded form of SitePolicies. It is compact because a site may have 300 nodes and the value of
+// one write is limited to 60 KiB: nodes whose policy changed together are grouped, and the hash of a trial policy is stored
+// once per rollout.
 type encodedSitePolicies struct {
 	SitePolicies
-	Nodes  *struct{}       `json:"nodes,omitempty"` // in place of the Doc's
+	Nodes  *struct{}       `json:"nodes,omitempty"` // hides the Nodes of the embedded SitePolicies
 	Trials map[string]Hash `json:"trials"`
 	Groups []nodeGroup     `json:"groups"`
 }
@@ -67,7 +69,7 @@
 
 const sitePoliciesHead = "rollout policies 1 "
 
-// Bytes returns the document in its one form.
+// Bytes returns the canonical encoding.
 func (d SitePolicies) Bytes() []byte {
 	form := encodedSitePolicies{SitePolicies: d, Trials: map[string]Hash{}, Groups: []nodeGroup{}}
 	by := map[NodeEntry]int{}
@@ -87,7 +89,7 @@
 	return slices.Concat([]byte(sitePoliciesHead), asJSON(form), []byte(recordEnd))
 }
 
-// ParseDoc reads what Bytes wrote. An error is an *Unread.
+// ParseSitePolicies decodes the output of Bytes. An error is a *DecodeError.
 func ParseSitePolicies(raw []byte) (SitePolicies, error) {
 	text, head := bytes.CutPrefix(raw, []byte(sitePoliciesHead))
 	text, end := bytes.CutSuffix(text, []byte(recordEnd))
@@ -121,7 +123,8 @@
 	return d, nil
 }
 
-// Assigned is what a node is to go by. The trial of a rollout that is halted at this site is withheld, in the same round.
+// Assigned returns the assignment of a node. If halted reports that the node's rollout is halted at this site, the node gets
+// the good policy instead of the trial, in the same round.
 func (d SitePolicies) Assigned(node string, halted func(rollout string) bool) Assignment {
 	g := d.Nodes[node]
 	a := Assignment{Round: g.Round, Policy: d.Good, Good: d.Good}
@@ -131,7 +134,7 @@
 	return a
 }
 
-// Disturbed is how many nodes of the site a change of policy disturbs at a time.
+// Disrupted returns how many nodes of the site are disrupted at a time by a recent change of policy.
 func (d SitePolicies) Disrupted(at time.Duration) (n int) {
 	for _, g := range d.Nodes {
 		if g.Changed > 0 && at-g.Changed < d.Settle {
@@ -141,11 +144,12 @@
 	return n
 }
 
-// Text is the canonical text of a policy that the document has; nil for others.
+// Text returns the canonical text of a policy that the set contains, or nil.
 func (d SitePolicies) Text(h Hash) []byte { return slices.Clone(d.Texts[h]) }
 
-// DocThing is what a site's documents are written about.
+// SitePoliciesKey returns the key under which the policies of a site are written.
 func SitePoliciesKey(site string) string { return "policy/at/" + site }
 
-// HaltThing is what a halt at a site below the top is written about, and the resume at the top that is written over it.
+// HaltKey returns the key under which a site below the root writes a halt. The root site overwrites it when the rollout is
+// resumed.
 func HaltKey(id string) string { return "rollout/" + id }
--- a/internal/choice/rollout/edges_test.go
+++ b/internal/choice/rollout/edges_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each of these was broken by hand, one line of the package at a time, and no other test of it saw it.
+// Each test in this file guards a line of the package that could be broken without any other test of the package failing.
 
 func TestAStartOfATrialCountsAnew(t *testing.T) {
 	h := NewNodePolicy(Stored{Good: "g", Trial: "t", Round: 4, Starts: 1}, 3, time.Minute, 0)
@@ -28,7 +28,7 @@
 	assert.Equal(t, Stored{Good: "g", Round: 5}, h.Stored())
 }
 
-// halting has a rollout with two nodes that go back.
+// newTreatedHarness returns a harness with a running rollout that has at least two treated nodes.
 func newTreatedHarness(t *testing.T) (*harness, *Rollout) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
@@ -38,7 +38,7 @@
 	return b, r
 }
 
-// plain applies a command and says nothing for the nodes.
+// applyOnly applies a command without the confirmations that nodes would send.
 func (b *harness) applyOnly(c Command) []Effect {
 	b.index++
 	c.At = b.now
@@ -63,7 +63,7 @@
 	b.applyOnly(Command{Status: &NodeStatus{Node: last, Round: told.Round, Policy: told.Policy}})
 	back, _ = b.p.Next(b.now, 0)
 	require.Equal(t, OneNode, back.RollBack.Stage)
-	b.p.s.Nodes[r.Treated[0].Node].Rollout = "y" // it left the site file, came back, and is another rollout's by now
+	b.p.s.Nodes[r.Treated[0].Node].Rollout = "y" // the node left the tree, came back, and belongs to another rollout now
 	b.applyOnly(back)
 	assert.Equal(t, "y", b.p.s.Nodes[r.Treated[0].Node].Rollout)
 	b.p.s.Nodes[r.Treated[0].Node].Rollout, b.p.s.Nodes[r.Treated[0].Node].Confirmed = "", false
@@ -193,7 +193,7 @@
 	require.NotEmpty(t, other)
 	sp.Nodes[other] = &tally{Policy: b.p.Good(), Sums: map[string]*classSums{"c" + sep: {Offered: 1000, Served: 990}}}
 	require.Len(t, b.p.controlExcesses(sp, node, cell), 1)
-	b.p.s.Nodes[other].Rollout = "y" // it has fallen back by itself
+	b.p.s.Nodes[other].Rollout = "y" // as if it had fallen back on its own
 	assert.Empty(t, b.p.controlExcesses(sp, node, cell))
 	tu := transition{Plan: b.p, at: b.now}
 	b.p.s.Nodes[other].Baselines[cell] = &baseline{Windows: 1, Recent: []float64{0}, MeanRequests: 1000}
--- a/internal/choice/rollout/evidence.go
+++ b/internal/choice/rollout/evidence.go
@@ -10,18 +10,18 @@
 	"unicode/utf8"
 )
 
-// spell is what the nodes said of some slices that are judged together.
+// window is an observation window: the evidence of several consecutive time slices, evaluated together.
 type window struct {
 	Number       uint64            `json:"number"`
 	Nodes        map[string]*tally `json:"nodes"`
-	TaintedZones []string          `json:"spoil"` // zones that had a host in work at any time of it, sorted
+	TaintedZones []string          `json:"spoil"` // zones with a host in maintenance at any time during the window, sorted
 }
 
-// tally adds up what one node said in a spell.
+// tally is the sum of what one node reported for a window.
 type tally struct {
 	Policy    Hash                  `json:"policy"`
-	SliceBits uint64                `json:"slices"`          // a bit for each that was heard
-	Unusable  bool                  `json:"unfit,omitempty"` // spoilt, or more than one policy
+	SliceBits uint64                `json:"slices"`          // one bit for each time slice whose evidence has been added
+	Unusable  bool                  `json:"unfit,omitempty"` // tainted, inconsistent, or more than one policy in the window
 	Sums      map[string]*classSums `json:"sums"`            // by class and tenant
 }
 
@@ -33,17 +33,17 @@
 	Slow    float64 `json:"slow"`
 }
 
-// edge is the set-up time of a class above which a connection counts as slow: the 95th percentile of all set-ups on the
-// good policy up to when there were enough of them.
+// slowThreshold is the set-up time of a class above which a connection counts as slow: the 95th percentile of all set-ups on
+// the good policy, computed once enough of them were observed.
 type slowThreshold struct {
-	Seconds float64 `json:"at"` // in seconds; 0: not drawn yet
+	Seconds float64 `json:"at"` // 0: not computed yet
 	Sketch  []byte  `json:"sketch,omitempty"`
 }
 
-// usual is what is usual in a cell for nodes on the good policy.
+// typicalValue holds what is typical in a cell for nodes on the good policy.
 type typicalValue struct {
-	Level baseline `json:"level"` // of the medians of spells
-	Scale float64  `json:"scale"` // the median distance of a node from its base, fading
+	Level baseline `json:"level"` // of the median over the nodes in each window
+	Scale float64  `json:"scale"` // median distance of a node from its baseline, exponentially weighted
 }
 
 func (u *typicalValue) level() float64 {
@@ -60,20 +60,21 @@
 	return u.Scale
 }
 
-// sep parts the parts of a cell's name. Names are operators' texts, in which it never stands.
+// sep separates the parts of a cell's key. Operators choose the names of classes and tenants and never use it; evidence with a
+// name that contains it is rejected.
 const sep = "\x1f"
 
 func cellName(key string) string { return strings.ReplaceAll(strings.TrimPrefix(key, sep), sep, " ") }
 
 const (
-	maxControls    = 16      // untreated nodes that one treated is compared with in a spell
-	maxOpenWindows = 4       // spells that are open at once
-	baselineSize   = 48      // spells that the base of a node is the middle of, if Limits.Watch is not more
-	scaleWeight    = 1.0 / 8 // what one spell weighs in a scale; a power of two
-	scaleFactor    = 3       // scales are so many times the median distance of a node from what is usual for it: two deviations
+	maxControls    = 16      // control nodes that one treated node is compared with in a window
+	maxOpenWindows = 4       // windows open at the same time
+	baselineSize   = 48      // windows in a node's baseline, unless Limits.BaselineWindows is larger
+	scaleWeight    = 1.0 / 8 // weight of one window in the scale; a power of two
+	scaleFactor    = 3       // a scale is this multiple of the median distance from typical, about two standard deviations
 )
 
-// evidence takes what a node counted in one slice. A guard that fired on a trial halts it at once.
+// addEvidence adds what a node counted in one time slice. A guard that fired on a trial halts the rollout at once.
 func (t *transition) addEvidence(e Evidence) {
 	n := t.s.Nodes[e.Node]
 	if n == nil {
@@ -91,11 +92,11 @@
 		}
 	}
 	if len(e.Guards) > 0 && len(e.Counts) == 0 {
-		return // a guard alone: what was counted in its slice comes by itself
+		return // only a guard: the counts of its time slice are reported separately
 	}
 	number := e.Slice / uint64(t.s.Limits.WindowSlices)
 	if number < t.s.NextWindow {
-		return // too late: the spell was judged
+		return // too late: the window has been evaluated
 	}
 	if number > t.windowAt(t.at)+1 {
 		t.refuse("", "evidence of "+e.Node+" is from a time to come", "set the node's clock")
@@ -104,7 +105,7 @@
 	ta := t.openWindow(number).tally(e)
 	bit := uint64(1) << (e.Slice % uint64(t.s.Limits.WindowSlices))
 	if ta == nil || ta.SliceBits&bit != 0 {
-		return // heard already
+		return // duplicate
 	}
 	ta.SliceBits |= bit
 	ta.Unusable = ta.Unusable || e.Tainted || e.Policy != ta.Policy
@@ -127,7 +128,7 @@
 	}
 }
 
-// setUps counts the set-ups of a class, or keeps them until an edge can be drawn.
+// addSetUps counts the set-up times of a class, or collects them until the slow threshold can be computed.
 func (t *transition) addSetUps(ta *tally, s *classSums, c Counts) {
 	h, err := decodeSetUps(c.SetUp)
 	if err != nil {
@@ -162,7 +163,8 @@
 	}
 }
 
-// open returns a spell that is open, in the order of the numbers.
+// openWindow returns the window with the given number. If needed it opens it, and drops the oldest window when more than
+// maxOpenWindows are open; it returns nil if the dropped one is the requested one.
 func (t *transition) openWindow(number uint64) *window {
 	i, there := slices.BinarySearchFunc(t.s.OpenWindows, number, func(s *window, n uint64) int { return cmp.Compare(s.Number, n) })
 	if !there {
@@ -177,7 +179,7 @@
 	return t.s.OpenWindows[i]
 }
 
-// spoiltIn are the zones that have had a host in work since a spell began, as far as is known.
+// taintedZones returns the zones that have had a host in maintenance since the start of a window, as far as known.
 func (p *Plan) taintedZones(number uint64) []string {
 	begin := time.Duration(number) * p.s.Limits.Slice * time.Duration(p.s.Limits.WindowSlices)
 	zones := slices.Clone(p.s.MaintenanceZones)
@@ -199,8 +201,9 @@
 	return s.Nodes[e.Node]
 }
 
-// fit returns a node's tally if it is evidence of a policy: the node went by it for the whole of the spell, no host of
-// its zone was in work, and its last change of policy lies far enough back.
+// usableTally returns a node's tally if it is valid evidence on a policy: the node applied that policy during the whole
+// window, no host of its zone was in maintenance, and its last change of policy had settled before the window began. It
+// returns nil otherwise.
 func (p *Plan) usableTally(sp *window, name string, policy Hash) *tally {
 	n, ta := p.s.Nodes[name], sp.Nodes[name]
 	if n == nil || ta == nil || ta.Unusable || ta.Policy != policy {
@@ -214,7 +217,7 @@
 	return ta
 }
 
-// value is what a tally says of a cell, from 0 to 1, and of how many requests.
+// value returns a tally's value for a cell, from 0 to 1, and the number of requests or connections behind it.
 func (ta *tally) value(cell string) (v, of float64) {
 	i := strings.LastIndex(cell, sep)
 	s := ta.Sums[cell[:max(i, 0)]]
@@ -237,7 +240,7 @@
 	return a / of
 }
 
-// cells are the cells that a tally says something of, sorted.
+// cells returns the keys of the cells that a tally has data for, sorted.
 func (ta *tally) cells() (list []string) {
 	for _, key := range slices.Sorted(maps.Keys(ta.Sums)) {
 		list = append(list, key+sep+metricBroken, key+sep+metricLost)
@@ -255,7 +258,8 @@
 	return p.s.Limits.Margin
 }
 
-// excess is how far a node's value of a cell lies above its own base, if there were enough requests and watched spells.
+// excess returns how far a node's value of a cell exceeds its own baseline. It returns false if there were too few requests
+// or too few baseline windows.
 func (p *Plan) excess(ta *tally, name, cell string) (float64, bool) {
 	v, of := ta.value(cell)
 	b := p.s.Nodes[name].Baselines[cell]
@@ -265,7 +269,7 @@
 	return v - b.Median - p.s.Typical[cell].level(), true
 }
 
-// closeUpTo ends spells: each is judged once, in order, and then watched or thrown away.
+// closeWindows closes windows up to a number. Each is evaluated once, in order; afterwards it is dropped.
 func (t *transition) closeWindows(number uint64) {
 	if number < t.s.NextWindow || number > t.windowAt(t.at) {
 		return
@@ -292,7 +296,7 @@
 	t.updateBaselines(sp)
 }
 
-// compare settles the bets of a rollout on a spell.
+// updateTests updates the tests of a rollout with the evidence of a window.
 func (t *transition) updateTests(r *Rollout, sp *window) {
 	pairs, spoke := map[string][]pair{}, map[string]bool{}
 	for _, tr := range r.Treated {
@@ -316,7 +320,7 @@
 		m := t.margin(cell)
 		worse, fine, any := payoffs(pairs[cell], m, max(scaleFactor*t.s.Typical[cell].scale(), minScale))
 		if !any {
-			continue // trouble on both sides
+			continue // both treated and control nodes were in trouble
 		}
 		i := slices.IndexFunc(r.Cells, func(c Cell) bool { return c.Key == cell })
 		if i < 0 {
@@ -334,8 +338,8 @@
 	}
 }
 
-// likes are the excesses of untreated nodes of the same kind as a treated one: of its building and zone, or else of its
-// building, its regency, any. Whoever has another rollout's policy is none.
+// controlExcesses returns the excesses of control nodes similar to a treated one: from its building and zone or, if there
+// are none, from its building, its regency, or anywhere. Nodes that are treated by any rollout are not control nodes.
 func (p *Plan) controlExcesses(sp *window, name, cell string) (list []float64) {
 	for _, level := range p.topology.nearest(name) {
 		for _, other := range level {
@@ -358,8 +362,8 @@
 	return nil
 }
 
-// needed are the cells without which a stage does not end, sorted: of those nodes that it treats, at least one had
-// enough requests for it in an ordinary spell.
+// requiredCells returns the cells without which a stage does not end, sorted: those in which at least one of the treated
+// nodes has enough requests in a typical window.
 func (p *Plan) requiredCells(r *Rollout) []string {
 	need := map[string]bool{}
 	for _, tr := range r.Treated {
@@ -374,7 +378,8 @@
 	return slices.Sorted(maps.Keys(need))
 }
 
-// missing says what evidence a stage lacks, "" if none: no evidence is no health.
+// missingEvidence returns what evidence a stage lacks, or "" if it is complete. Missing evidence is never taken as proof of
+// health.
 func (p *Plan) missingEvidence(r *Rollout, now uint64) string {
 	need := p.requiredCells(r)
 	if len(need) == 0 {
@@ -386,7 +391,7 @@
 			return "nothing to compare in the last spell: " + cellName(cell)
 		}
 	}
-	var all, adds coverage // adds: of those that this stage adds. Without their word it would end on that of earlier stages
+	var all, adds coverage // adds: coverage of the nodes added by this stage; without it, a stage could end on the evidence of earlier stages
 	regency := map[string]bool{}
 	for _, names := range r.Targets[:r.Stage+1] {
 		adds = coverage{}
@@ -416,7 +421,7 @@
 	return ""
 }
 
-// heardOf is how many of some nodes have spoken.
+// coverage counts how many of a set of nodes have given usable evidence.
 type coverage struct{ expected, observed int }
 
 func (h *coverage) add(observed bool) {
@@ -434,8 +439,8 @@
 	return fmt.Sprintf("%d of %d nodes have spoken", h.observed, h.expected)
 }
 
-// proven says whether a stage may end: nothing is missing, and every class that has enough requests is known not to be
-// worse by the margin, each by itself. The last stage waits for older rollouts.
+// proven reports whether a stage may end: no evidence is missing, and for each class with enough requests separately the
+// treated nodes are shown not to be worse by the margin. The last stage also waits for older rollouts to end.
 func (p *Plan) proven(r *Rollout) bool {
 	if r.Phase != Running || r.Missing != "" {
 		return false
@@ -462,7 +467,7 @@
 	return true
 }
 
-// take adds a spell to a base and forgets those before the newest so many.
+// add adds the value of a window to a baseline and keeps only the newest ones, up to most.
 func (b *baseline) add(v float64, most int) {
 	b.Recent = append(b.Recent, v)
 	if len(b.Recent) > most {
@@ -472,9 +477,9 @@
 	b.Median = median(slices.Clone(b.Recent))
 }
 
-// watch takes a spell into the bases of nodes on the good policy, and into what is usual in each cell. Bases are counted
-// from the median of all that were untreated in the same spell, so that the drift of a day is in none. While a rollout
-// treats anybody, those that are ready stay as they are.
+// updateBaselines adds a window to the baselines of nodes on the good policy and to the typical values of each cell. A
+// baseline is relative to the median of all control nodes in the same window, so that drift during a day does not enter
+// it. While a rollout treats any node, baselines that are complete stay frozen.
 func (t *transition) updateBaselines(sp *window) {
 	frozen := slices.ContainsFunc(t.s.Rollouts, func(r *Rollout) bool { return r.Phase.Active() && len(r.Treated) > 0 })
 	least := float64(t.s.Limits.MinRequests)
@@ -494,7 +499,7 @@
 	far := map[string][]float64{}
 	for _, name := range names {
 		ta, bases := sp.Nodes[name], t.s.Nodes[name].Baselines
-		for _, cell := range merged(ta.cells(), slices.Collect(maps.Keys(bases))) { // what is not asked for any more fades
+		for _, cell := range merged(ta.cells(), slices.Collect(maps.Keys(bases))) { // MeanRequests of cells without requests decays
 			v, of := ta.value(cell)
 			b := bases[cell]
 			if b == nil {
@@ -538,13 +543,13 @@
 	}
 }
 
-// median sorts a list and returns its middle.
+// median sorts a list and returns its median.
 func median(list []float64) float64 {
 	slices.Sort(list)
 	return (list[(len(list)-1)/2] + list[len(list)/2]) / 2
 }
 
-// merged is the union of two sorted lists.
+// merged returns the sorted union of two lists without duplicates.
 func merged(a, b []string) []string {
 	all := append(slices.Clone(a), b...)
 	slices.Sort(all)
--- a/internal/choice/rollout/holder.go
+++ b/internal/choice/rollout/holder.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Fall is why a node went back to the good policy by itself.
+// Fallback is the reason why a node returned to the good policy on its own.
 type Fallback uint8
 
-// The causes of a fall.
+// The reasons for a fallback.
 const (
-	NoFallback     Fallback = iota // it has not fallen back
-	LeaseExpired                   // it heard nothing for the lease
-	TooManyCrashes                 // it was started again too often under the trial
-	InvalidTrial                   // its own check refused the trial
+	NoFallback     Fallback = iota // the node has not fallen back
+	LeaseExpired                   // the trial lease expired without a renewal
+	TooManyCrashes                 // the process was started too often under the trial
+	InvalidTrial                   // the node's own check rejected the trial
 	fallbackCount
 )
 
@@ -18,21 +18,21 @@
 
 func (f Fallback) String() string { return fallbackNames[f] }
 
-// Stored is what a node keeps over its starts, written before a trial is taken over and at each start.
+// Stored is the part of a NodePolicy that the node persists: before it applies a trial and at each start of the process.
 type Stored struct {
 	Good          Hash     `json:"good"`
 	Trial         Hash     `json:"trial,omitempty"`
-	Round         uint64   `json:"round,omitempty"`  // that the trial was told in
-	Starts        int      `json:"starts"`           // of the process under the trial, or Refuse after silence; a start after a stop by hand counts too
-	RejectedTrial Hash     `json:"refuse,omitempty"` // a trial that this node fell back from, in that round
+	Round         uint64   `json:"round,omitempty"`  // round in which the trial was assigned
+	Starts        int      `json:"starts"`           // of the process under the trial, or under RejectedTrial after a lease expiry; includes restarts by an operator
+	RejectedTrial Hash     `json:"refuse,omitempty"` // the trial that this node fell back from in RejectedRound
 	Fallback      Fallback `json:"fell,omitempty"`
-	RejectedRound uint64   `json:"of,omitempty"` // the round that Refuse was told in
+	RejectedRound uint64   `json:"of,omitempty"` // round in which RejectedTrial was assigned
 }
 
-// Encode returns what Read reads.
+// Encode returns the encoding that ReadStored decodes.
 func (s Stored) Encode() []byte { return encode(storedHead, &s) }
 
-// Read reads what a node stored. An error is a *Unread.
+// ReadStored decodes what a node persisted. An error is a *DecodeError.
 func ReadStored(raw []byte) (s Stored, err error) {
 	if err = decode(storedHead, raw, &s); err == nil && s.Fallback >= fallbackCount {
 		err = &DecodeError{"it names no fall"}
@@ -40,19 +40,21 @@
 	return s, err
 }
 
-// Holder is a node's side: it goes by the good policy or by a trial that lapses. Times are of the node's own monotonic
-// clock. After each call that returns true the node stores Stored and StoredUntil, and then goes by Policy. Use NewHolder.
+// NodePolicy tracks which policy one node applies: the good policy, or a trial under a lease. Times are of the node's own
+// monotonic clock. After each call that returns true, the node persists Stored and StoredLeaseEnd and then applies Policy.
+// Use NewNodePolicy.
 type NodePolicy struct {
 	s              Stored
-	newestAsked    time.Duration // when the question was sent that the newest answer is to; before the first, the start
-	leaseEnd       time.Duration // the end of the trial's lease
-	storedLeaseEnd time.Duration // the end that is stored: until, or up to half a lease before it
-	latest         time.Duration // the newest that it was told
+	newestAsked    time.Duration // send time of the request that the newest accepted assignment answers; initially the start time
+	leaseEnd       time.Duration // end of the trial lease
+	storedLeaseEnd time.Duration // persisted end of the lease: leaseEnd, or up to half a lease earlier
+	latest         time.Duration // latest time passed to CheckLease
 }
 
-// NewHolder begins a life of the process at now, with what was stored. Under a trial this counts as one more start: from
-// crashes on the node falls back by itself. The lease of a trial ends, without an answer, at until, which is the stored end by the
-// clock of this process; where that has passed, the node has fallen back by silence. The caller stores Stored before it goes on.
+// NewNodePolicy resumes from the persisted state at the start of a process, at time now. Under a trial this counts as one
+// more start; at the given number of crashes the node falls back. until is the persisted lease end, converted to the clock
+// of this process: without an answer the lease ends then, and if that time has passed, the node falls back with
+// LeaseExpired. The caller must persist Stored before it continues.
 func NewNodePolicy(s Stored, crashes int, until, now time.Duration) *NodePolicy {
 	h := &NodePolicy{s: s, newestAsked: now, leaseEnd: until, storedLeaseEnd: until, latest: now}
 	if s.Trial == "" {
@@ -68,11 +70,11 @@
 	return h
 }
 
-// Stored is what the node has to have in its store.
+// Stored returns the state that the node must persist.
 func (h *NodePolicy) Stored() Stored { return h.s }
 
-// StoredUntil is the end of the trial's lease that the node has to have in its store with it, on a clock that goes on over its starts; 0
-// where there is no trial.
+// StoredLeaseEnd returns the end of the trial lease that the node must persist with Stored, on a clock that keeps running
+// across restarts of the process. It is 0 without a trial.
 func (h *NodePolicy) StoredLeaseEnd() time.Duration {
 	if h.s.Trial == "" {
 		return 0
@@ -80,7 +82,7 @@
 	return h.storedLeaseEnd
 }
 
-// Starts is how often the process was started under the trial that the node goes by.
+// Starts returns how often the process was started under the current trial.
 func (h *NodePolicy) Starts() int {
 	if h.s.Trial == "" {
 		return 0
@@ -88,7 +90,7 @@
 	return h.s.Starts
 }
 
-// Policy is what the node is to go by.
+// Policy returns the policy that the node has to apply.
 func (h *NodePolicy) Policy() Hash {
 	if h.s.Trial != "" {
 		return h.s.Trial
@@ -96,7 +98,7 @@
 	return h.s.Good
 }
 
-// Seen is what the node tells its council.
+// Status returns what the node reports to its site's consensus group.
 func (h *NodePolicy) Status(name string) NodeStatus {
 	s := NodeStatus{Node: name, Round: h.s.Round, Policy: h.Policy()}
 	if h.s.RejectedTrial != "" && h.s.RejectedRound == h.s.Round {
@@ -105,10 +107,11 @@
 	return s
 }
 
-// Answer takes an assignment that answers a question sent at asked. check is the node's own check of the policy's text
-// laid over its settings; a trial that it refuses is not taken over. An assignment of an older round changes nothing, nor
-// does the trial that this node fell back from in the same round, unless it fell by silence, nor a trial that has lapsed by now:
-// a site that hears nothing from above goes on answering with what it was told last, which is as old as it says.
+// HandleAssignment applies an assignment that answers a request sent at the time asked. check validates the policy's text
+// merged into the node's settings; a trial that it rejects is not applied. Four kinds of assignment change nothing:
+// one of an older round, one that answers an older request than the newest answered one, the trial that this node fell back
+// from in the same round (unless its lease expired), and a trial whose lease has already expired. The last happens at a site that is cut off from its parents: it keeps answering with the last
+// assignment that it received, stamped with that assignment's age.
 func (h *NodePolicy) HandleAssignment(a Assignment, asked time.Duration, check func(Hash) error) (changed bool) {
 	if a.Round < h.s.Round || asked < h.newestAsked || a.Trial && asked+a.Lease <= h.latest {
 		return false
@@ -140,8 +143,8 @@
 	return h.s != before || h.storedLeaseEnd != stored
 }
 
-// extend takes a new end of the lease, and has it stored where the trial is new, or where the stored end is later, or more than half
-// a lease earlier.
+// extend sets a new lease end. It is persisted if the trial is new, or if the persisted end is later than the new one or more
+// than half a lease earlier.
 func (h *NodePolicy) extend(until, lease time.Duration, isNew bool) {
 	h.leaseEnd = until
 	if isNew || until < h.storedLeaseEnd || until-h.storedLeaseEnd > lease/2 {
@@ -149,7 +152,7 @@
 	}
 }
 
-// Lapse says whether the node must go back now: its trial has lapsed. Next is when to ask once more, 0: never.
+// CheckLease falls back if the trial lease has expired, and reports whether it did. next is when to check again, 0 for never.
 func (h *NodePolicy) CheckLease(now time.Duration) (changed bool, next time.Duration) {
 	h.latest = max(h.latest, now)
 	if h.s.Trial == "" {
@@ -162,7 +165,7 @@
 	return true, 0
 }
 
-// Until is the end of the trial's lease, 0 where there is no trial.
+// LeaseEnd returns the end of the trial lease, 0 without a trial.
 func (h *NodePolicy) LeaseEnd() time.Duration {
 	if h.s.Trial == "" {
 		return 0
@@ -170,7 +173,8 @@
 	return h.leaseEnd
 }
 
-// Unfit says that the node's settings have changed and the trial does not fit them any more. It says whether there was one.
+// DropTrial falls back because the trial is no longer valid with the node's changed settings. It reports whether there was a
+// trial.
 func (h *NodePolicy) DropTrial() bool {
 	if h.s.Trial == "" {
 		return false
@@ -179,8 +183,8 @@
 	return true
 }
 
-// fall goes back to the good policy. Starts are kept over silence, since the same trial may be taken again: else one that crashes a
-// node which is cut off now and then would never be known for it.
+// fallBack returns to the good policy. Starts are kept when the lease expired, since the same trial may be applied again:
+// otherwise a trial that crashes a node with intermittent connectivity would never be detected.
 func (h *NodePolicy) fallBack(why Fallback) {
 	h.s.RejectedTrial, h.s.Fallback, h.s.RejectedRound = h.s.Trial, why, h.s.Round
 	h.s.Trial = ""
--- a/internal/choice/rollout/holder_test.go
+++ b/internal/choice/rollout/holder_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// TestAStartPastTheLeaseGoesByTheGoodPolicy from its first moment; the trial is taken again once the top is heard, and starts count on.
+// A process that starts after the end of the trial lease must apply the good policy from its first moment. When the root site
+// is reachable again it applies the trial again, and starts continue to be counted.
 func TestAStartPastTheLeaseGoesByTheGoodPolicy(t *testing.T) {
 	trial := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Minute}
 	h := NewNodePolicy(Stored{Good: "g"}, 3, 0, 0)
@@ -85,7 +86,7 @@
 	assert.Equal(t, TooManyCrashes, NewNodePolicy(h.Stored(), 2, h.StoredLeaseEnd(), 63*time.Second).Status("n").Fallback)
 }
 
-// TestTheStoredEndIsNeverLate and at most half a lease early, and few writes keep it so.
+// The persisted lease end must never be later than the true one and at most half a lease earlier, with few writes.
 func TestTheStoredEndIsNeverLate(t *testing.T) {
 	trial := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Minute}
 	h := NewNodePolicy(Stored{Good: "g"}, 3, 0, 0)
@@ -103,18 +104,19 @@
 	assert.Equal(t, 601*time.Second, h.StoredLeaseEnd(), "a shorter lease is stored at once")
 }
 
-// outliving plays restarts, words of the top of any age and silence in an order from a seed. It returns when a node went by a trial once
-// the lease of the newest word was over, or was back although less than half of it was; "" for neither. A plant is a fault of the caller.
+// trialOutlivesLease runs a random sequence, from a seed, of restarts, assignments of various ages, and losses of contact. It
+// returns a message if the node applied a trial after the lease of the newest assignment had expired, or fell back at a
+// start although less than half of that lease had passed; "" otherwise. injectedBug selects a bug to inject into the caller.
 func trialOutlivesLease(seed uint64, injectedBug string) string {
 	r := rand.New(rand.NewPCG(seed, 7))
 	ms := func(n int) time.Duration { return time.Duration(r.IntN(n)) * time.Millisecond }
-	now, confirmedAt, lease := time.Hour, time.Duration(0), time.Duration(0) // heard: the newest word that was taken
+	now, confirmedAt, lease := time.Hour, time.Duration(0), time.Duration(0) // confirmedAt: time of the newest accepted assignment
 	h := NewNodePolicy(Stored{Good: "g"}, 1<<30, 0, now)
 	stored, until := h.Stored(), h.StoredLeaseEnd()
 	for i := range 3000 {
 		now += ms(400)
 		switch k := r.IntN(10); {
-		case k == 0: // the process is down for a while, and starts again
+		case k == 0: // the process is down for a while and restarts
 			now += ms([]int{1, 500, 3000}[r.IntN(3)])
 			if injectedBug == "start" {
 				until = now + lease
@@ -124,7 +126,7 @@
 			if early := stored.Trial == "" && now < confirmedAt+lease/2; early && stored.Fallback == LeaseExpired {
 				return fmt.Sprintf("step %d: back %v after the top was heard, with a lease of %v", i, now-confirmedAt, lease)
 			}
-		case k < 5: // an answer, to a question of a while ago, with a word that is older than that
+		case k < 5: // an answer that arrives late, with an assignment that is older still
 			a := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Duration(1+r.IntN(2)) * time.Second}
 			answered := now - ms(900)
 			before := h.newestAsked
@@ -139,7 +141,7 @@
 				stored, until = h.Stored(), h.StoredLeaseEnd()
 			}
 		}
-		h.CheckLease(now) // the loop sees to the end of the lease by itself
+		h.CheckLease(now) // the caller's loop checks the lease on its own
 		if h.Policy() == "t" && now >= confirmedAt+lease {
 			return fmt.Sprintf("step %d: goes by a trial %v after the top was heard, with a lease of %v", i, now-confirmedAt, lease)
 		}
--- a/internal/choice/rollout/node.go
+++ b/internal/choice/rollout/node.go
@@ -7,44 +7,46 @@
 	"time"
 )
 
-// Teller is what a node tells its council: it gathers what the traffic counted by slices and makes a record of it, as soon as
-// a slice is over, a guard fires, or what the node goes by changes. Times are Unix time by the node's clock. Use NewTeller.
+// Reporter builds the records that a node sends to its site's consensus group. It sums the traffic counts by time slice and
+// publishes a new record as soon as a slice ends, a guard fires, or the node's status changes. Times are Unix time by the
+// node's clock. Use NewReporter.
 //
-// A slice is spoilt when work is out in the node's zone in it, when the policy changed in it, and when it is the first one of
-// the process, or the first of another length, and when the node heard nothing in it until the trial lapsed. Of a slice in which the traffic told nothing there is no evidence.
+// A slice is tainted if, during it, maintenance took place in the node's zone or the policy changed; if it is the first one
+// of the process, the first one after a change of the slice length, or follows a gap; and if it was counted under a trial
+// whose lease then expired. A slice without any call of Count yields no evidence.
 type Reporter struct {
 	node, zone     string
-	slice          time.Duration // 0: the site was told nothing yet
-	current        Evidence      // of the slice that is not over; without a policy until the traffic tells one
+	slice          time.Duration // 0: not known yet
+	current        Evidence      // of the slice in progress; its policy is empty until the first Count
 	sums           map[string]*classCounts
-	record         Record     // the newest, its slices and guards; Told is 0 before the first
-	previous       NodeStatus // the last that named another policy than the present one
+	record         Record     // the newest, with its slices and guards; Sequence is 0 before the first one
+	previous       NodeStatus // the latest with a policy other than the present one
 	earlyGuards    []earlyGuard
-	dirty          bool   // there is more to tell than in the newest record
-	unacknowledged bool   // the council does not have the newest record
-	raw            []byte // the newest record, once somebody has asked
+	dirty          bool   // there are changes that are not in the newest record
+	unacknowledged bool   // the consensus group does not have the newest record yet
+	raw            []byte // encoded newest record, set on the first request
 }
 
-// counted is a class of a tenant in the slice that is open.
+// classCounts are the counts of a class of a tenant in the slice in progress.
 type classCounts struct {
 	Counts
 	setUps *SetUps
 }
 
-// early is a guard that fired before the number of a slice, or of a round, was known.
+// earlyGuard is a guard that fired before the slice length or the node's status was known.
 type earlyGuard struct {
 	at     time.Duration
 	policy Hash
 	guard  string
 }
 
-// NewTeller begins with nothing, at the start of the process.
+// NewReporter returns a Reporter without any counts, for the start of a process.
 func NewReporter(node, zone string) *Reporter {
 	return &Reporter{node: node, zone: zone, sums: map[string]*classCounts{}, record: Record{Node: node}}
 }
 
-// Count takes what the traffic counted under a policy since it told last ("": the settings as they are), and the guards that
-// fired. It is called with no counts too, or else the slice is one in which nothing was told.
+// Count adds what the traffic path counted under a policy since the last call ("" for the unchanged settings), and the
+// guards that fired. It must also be called without counts: a slice without a call yields no evidence.
 func (t *Reporter) Count(now time.Duration, under Hash, counts []Counts, guards []string) {
 	if under == "" {
 		under = EmptyPolicy().Hash()
@@ -64,11 +66,12 @@
 	t.publish(now)
 }
 
-// Tick takes the length of slices that the site was told (0: none yet), what the node goes by, the starts of the process
-// under it, how many hosts are out for work at the site, and whether work is out in the node's zone.
+// Tick sets the slice length of the site (0 if not known yet), the node's status, the starts of the process under its
+// policy, the number of hosts out of service for maintenance at the site, and whether maintenance takes place in the node's
+// zone.
 func (t *Reporter) Tick(now, slice time.Duration, seen NodeStatus, starts, out int, work bool) {
 	if slice != t.slice {
-		t.slice, t.record.Slices = slice, nil // slices have other numbers now
+		t.slice, t.record.Slices = slice, nil // slice numbers depend on the slice length
 		t.beginSlice(now, true)
 	}
 	if slice > 0 {
@@ -89,7 +92,7 @@
 	t.publish(now)
 }
 
-// Pending is the newest record, nil if the council has it.
+// Pending returns the newest record, or nil if the consensus group has it.
 func (t *Reporter) Pending() []byte {
 	if t.unacknowledged && t.raw == nil {
 		t.raw = t.record.Bytes()
@@ -97,21 +100,21 @@
 	return t.raw
 }
 
-// Waiting says whether the council does not have the newest record yet.
+// HasPending reports whether the consensus group does not have the newest record yet.
 func (t *Reporter) HasPending() bool { return t.unacknowledged }
 
-// Newest is the newest record. Not to be changed.
+// Newest returns the newest record. The caller must not modify it.
 func (t *Reporter) Newest() Record { return t.record }
 
-// Recorded is called when the council has the record with a number.
+// Acknowledge notes that the consensus group has the record with this sequence number.
 func (t *Reporter) Acknowledge(told uint64) {
 	if told >= t.record.Sequence {
 		t.unacknowledged, t.raw = false, nil
 	}
 }
 
-// spoil spoils what was kept under a trial that fell by silence: else a policy that cuts a node off would be proven by what
-// the node tells when the trial has lapsed. What was heard in time stays as it is.
+// taintTrialSlices taints the slices counted under a trial whose lease expired. Otherwise a policy that cuts a node off could
+// be proven by evidence that the node delivers after the lease has expired. Evidence that arrived in time stays valid.
 func (t *Reporter) taintTrialSlices(trial Hash) {
 	t.record.Slices = slices.Clone(t.record.Slices)
 	for i := range t.record.Slices {
@@ -121,7 +124,7 @@
 	}
 }
 
-// begin begins the slice of a moment.
+// beginSlice starts the slice that contains now.
 func (t *Reporter) beginSlice(now time.Duration, spoilt bool) {
 	clear(t.sums)
 	t.current = Evidence{Node: t.node, Zone: t.zone, Tainted: spoilt}
@@ -130,8 +133,8 @@
 	}
 }
 
-// turn ends the slice that is open if it is over. After a gap, or a step back of the clock, what comes first may be of
-// another slice.
+// endSlice ends the slice in progress if it is over. After a gap or a backward step of the clock the next slice is tainted,
+// since the first counts may belong to another slice.
 func (t *Reporter) endSlice(now time.Duration) {
 	number := uint64(now / t.slice)
 	if number == t.current.Slice {
@@ -141,7 +144,7 @@
 		if e.Policy != t.record.Status.Policy {
 			e.Starts = 0
 		}
-		if e.At = now; !e.Tainted { // or else nobody looks at the counts
+		if e.At = now; !e.Tainted { // the counts of a tainted slice are never used
 			for _, key := range slices.Sorted(maps.Keys(t.sums)) {
 				c := t.sums[key]
 				if c.setUps != nil {
@@ -151,12 +154,12 @@
 			}
 		}
 		t.record.Slices = append(slices.Clone(t.record.Slices), e)
-		t.record, t.dirty = t.record.trimmed(), true // a slice that a clock stepped back into ends twice and stands there once
+		t.record, t.dirty = t.record.trimmed(), true // a slice that the clock steps back into ends twice but is stored once
 	}
 	t.beginSlice(now, number != t.current.Slice+1)
 }
 
-// add adds up what was counted of a class.
+// add adds the counts of a class.
 func (t *Reporter) add(c Counts) {
 	key := c.Class + sep + c.Tenant
 	s := t.sums[key]
@@ -186,7 +189,7 @@
 	t.current.Tainted = t.current.Tainted || err != nil
 }
 
-// tell makes a record of all that is known, if there is more than in the last one.
+// publish builds a new record if anything has changed since the last one.
 func (t *Reporter) publish(now time.Duration) {
 	seen := t.record.Status
 	if seen.Node == "" {
--- a/internal/choice/rollout/node_test.go
+++ b/internal/choice/rollout/node_test.go
@@ -12,11 +12,11 @@
 )
 
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // verdicts do not vary
+	_ = flag.Set("rapid.seed", "1") // deterministic results
 	m.Run()
 }
 
-// drawRecord draws a record of one node from few values, so that ties come about.
+// drawRecord draws a record of one node from a small set of values, so that ties occur.
 func drawRecord(t *rapid.T, what string) Record {
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 	r := Record{Node: "n", Sequence: uint64(1 + pick(3)), OutOfService: pick(2), Status: NodeStatus{Node: "n", Round: uint64(pick(2))}}
@@ -65,7 +65,7 @@
 	require.ErrorContains(t, err, "are not one")
 }
 
-// told is a node whose site goes by slices of a minute.
+// reporterHarness is a node whose site has slices of a minute.
 type reporterHarness struct {
 	*Reporter
 	now  time.Duration
@@ -90,8 +90,8 @@
 	return r
 }
 
-// R2: the newest record of a node says all that the earlier ones said, within the bounds of R3, whatever was lost, and the
-// number of a record rises.
+// R2: the newest record of a node contains everything that the earlier ones contained, within the bounds of R3, whatever was
+// lost, and sequence numbers increase.
 func TestTheNewestRecordSaysItAll(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newReporterHarness(1000 * time.Hour)
@@ -120,7 +120,7 @@
 	})
 }
 
-// R2, where the clock steps back over the end of a slice: that slice ends twice, and the eight that are kept are eight all the same.
+// R2, when the clock steps back over the end of a slice: that slice ends twice but takes only one of the eight places.
 func TestASliceThatEndsTwiceTakesNoPlaceOfAnother(t *testing.T) {
 	n := newReporterHarness(1000 * time.Hour)
 	add := []Counts{{Class: "c", Offered: 1}}
@@ -174,7 +174,7 @@
 		n.tick(time.Minute-n.now%time.Minute, n.seen.Policy, add)
 		r := n.newest(t)
 		assert.Equal(t, what != "", r.Slices[len(r.Slices)-1].Tainted, what)
-		n.tick(time.Minute, n.seen.Policy, add) // a quiet one
+		n.tick(time.Minute, n.seen.Policy, add) // a slice without a cause of tainting
 	}
 	spoilt("", func() { n.tick(time.Second, "p", add) })
 	spoilt("work", func() { n.work = true; n.tick(time.Second, "p", add); n.work = false })
--- a/internal/choice/rollout/overlay.go
+++ b/internal/choice/rollout/overlay.go
@@ -16,7 +16,7 @@
 	"lichenhitch/internal/settings"
 )
 
-// Fault is what is wrong with a policy. Key is the faulty key's path, "" for the whole.
+// Fault describes what is wrong with a policy. Key is the path of the invalid key, "" for the whole policy.
 type Fault struct{ Key, Fault string }
 
 func (f *Fault) Error() string {
@@ -26,7 +26,7 @@
 	return "policy: " + f.Key + ": " + f.Fault
 }
 
-// Action says what an operator can do.
+// Action returns what an operator can do about the fault.
 func (f *Fault) Action() string {
 	if f.Key == "" {
 		return "write the policy as one JSON object of keys of the settings"
@@ -34,25 +34,26 @@
 	return "mend or leave out " + f.Key + " in the policy, and start the rollout again"
 }
 
-// form is what a value of a policy has to be.
+// valueKind is the kind of value that a key of a policy takes.
 type valueKind uint8
 
 const (
-	microseconds valueKind = iota // a time in microseconds, from 0
-	count                         // a whole number from 0
-	number                        // a number from 0
+	microseconds valueKind = iota // integer or fractional time in microseconds, at least 0
+	count                         // integer of at least 0
+	number                        // number of at least 0
 	boolean                       // true or false
-	weightSource                  // of weights
-	classGroup                    // of a class
-	classes                       // an object with a key for each class that it changes
-	parties                       // an object with a key for each party that it changes
+	weightSource                  // source of the weights
+	classGroup                    // group of a class
+	classes                       // object with one key per class that it changes
+	parties                       // object with one key per party that it changes
 	object
 )
 
-// key is a key that a policy may hold: what SIGHUP may change, less what tells of the node, the fleet or the clients.
+// keyRule describes a key that a policy may contain: what SIGHUP may change, except for keys about the node, the fleet or the
+// clients.
 type keyRule struct {
 	kind valueKind
-	keys map[string]keyRule // of an object; of classes and parties: of each; nil: each is a value of form of
+	keys map[string]keyRule // of an object; for classes and parties: of each element; nil: each element is a value of kind elem
 	elem valueKind
 }
 
@@ -73,7 +74,7 @@
 		"tenant_quota_connections": {kind: parties, elem: number}}},
 }
 
-// fixed are keys of the settings that no policy may hold, with the cause.
+// forbiddenKeys are keys of the settings that no policy may contain, with the reason.
 var forbiddenKeys = map[string]string{
 	"me": "tells of one node", "my_zone": "tells of one node", "balancers": "tells of the fleet",
 	"registry_mode": "only a start takes it over", "extra.mode": "only a start takes it over",
@@ -81,14 +82,15 @@
 	"request_classes.name": "is a fact of the class",
 }
 
-// Policy is a checked overlay on the settings, in its canonical text. The zero value is none.
+// Policy is a validated overlay on the settings, in canonical form. The zero value is no policy.
 type Policy struct {
 	hash Hash
 	text []byte
 }
 
-// Parse reads a policy: a JSON object with the keys of the settings that it changes. Classes and parties are named, not
-// counted: {"request_classes":{"c":{"aim_us":250000}},"extra":{"message_aim_us":{"c":40000}}}. An error is a *Fault.
+// Parse parses a policy: a JSON object with the keys of the settings that it changes. Classes and parties are addressed by
+// name, not by index: {"request_classes":{"c":{"aim_us":250000}},"extra":{"message_aim_us":{"c":40000}}}. An error is a
+// *Fault.
 func Parse(raw []byte) (Policy, error) {
 	if !gjson.ValidBytes(raw) {
 		return Policy{}, &Fault{"", "not valid JSON"}
@@ -97,35 +99,35 @@
 	if err != nil {
 		return Policy{}, err
 	}
-	text, err := json.Marshal(tree) // keys of maps come sorted
+	text, err := json.Marshal(tree) // json.Marshal sorts map keys
 	if err != nil {
 		return Policy{}, &Fault{"", err.Error()}
 	}
 	return Policy{Hash(digest(text)), text}, nil
 }
 
-// AsTheyAre is the policy that changes nothing: the settings as they are.
+// EmptyPolicy returns the policy that changes nothing: the settings as configured.
 func EmptyPolicy() Policy {
 	p, err := Parse([]byte(`{}`))
 	if err != nil {
-		panic(err) // the text is a constant
+		panic(err) // unreachable: the text is constant
 	}
 	return p
 }
 
-// digest is 32 hexadecimal digits of a text's SHA-256.
+// digest returns the first 32 hexadecimal digits of a text's SHA-256.
 func digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:16])
 }
 
-// Hash names the policy: the digest of its canonical text.
+// Hash identifies the policy: the digest of its canonical text.
 func (p Policy) Hash() Hash { return p.hash }
 
 // Text returns the canonical text.
 func (p Policy) Text() []byte { return bytes.Clone(p.text) }
 
-// overlay checks an object against the keys that it may hold. general is the path without names of classes.
+// parseObject validates an object against the allowed keys. general is its path without the names of classes and parties.
 func parseObject(v gjson.Result, path, general string, allowed map[string]keyRule) (map[string]any, error) {
 	if !v.IsObject() {
 		return nil, &Fault{path, "not an object"}
@@ -199,8 +201,8 @@
 	return path + "." + name
 }
 
-// Over returns the settings with the policy laid over them, as a JSON document that settings.Decode and settings.Check
-// accept, with no value out of range. The settings are not changed. An error is a *Fault.
+// ApplyTo returns the settings with the policy merged into them, as a JSON document that settings.Decode and settings.Check
+// accept and in which no value is out of range. raw is not modified. An error is a *Fault.
 func (p Policy) ApplyTo(raw []byte) ([]byte, error) {
 	var doc, overlay map[string]any
 	if err := decodeNumbers(raw, &doc); err != nil || doc == nil {
@@ -236,7 +238,7 @@
 	return d.Decode(into)
 }
 
-// names returns the names in a list of classes or parties, in its order.
+// names returns the names in a list of classes or parties, in list order.
 func names(list any) (all []string) {
 	for _, e := range asList(list) {
 		name, _ := asObject(e)["name"].(string)
@@ -255,7 +257,7 @@
 	return o
 }
 
-// merge lays lay over doc, in place.
+// merge merges overlay into doc in place.
 func merge(doc, overlay map[string]any, path string, allowed map[string]keyRule, nameLists map[valueKind][]string) error {
 	for _, name := range slices.Sorted(maps.Keys(overlay)) {
 		k, fullPath := allowed[name], join(path, name)
--- a/internal/choice/rollout/places.go
+++ b/internal/choice/rollout/places.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// places is the tree by node.
+// topology indexes the site tree by node.
 type topology struct {
-	zone         map[string]string // of a node
-	site         map[string]string // its building
-	regency      map[string]string // its regency: the site above its building, or the building where none is above
+	zone         map[string]string // zone of a node
+	site         map[string]string // building of a node
+	regency      map[string]string // regency of a node: the site above its building, or the building itself if there is none
 	siteNodes    map[string][]string
-	zoneNodes    map[string][]string // nodes of a building and zone
-	regencyNodes map[string][]string // nodes of a regency
+	zoneNodes    map[string][]string // nodes by building and zone
+	regencyNodes map[string][]string // nodes by regency
 	allNodes     []string
 }
 
@@ -37,12 +37,12 @@
 	return t
 }
 
-// levels are the nodes around a node, the nearest first: of its building and zone, its building, its regency, all.
+// nearest returns the nodes around a node, nearest first: those of its building and zone, its building, its regency, all.
 func (ix topology) nearest(name string) [4][]string {
 	return [4][]string{ix.zoneNodes[ix.site[name]+sep+ix.zone[name]], ix.siteNodes[ix.site[name]], ix.regencyNodes[ix.regency[name]], ix.allNodes}
 }
 
-// shuffled puts names into an order that depends on the rollout alone.
+// shuffled returns the names in a pseudo-random order that depends only on the rollout's ID.
 func shuffled(id string, names []string) []string {
 	type ticket struct{ lot, name string }
 	var lots []ticket
@@ -58,11 +58,12 @@
 	return out
 }
 
-// drawn is how many nodes are looked at for the first.
+// firstCandidates is how many of the best-ranked nodes are considered as the first node of a rollout.
 const firstCandidates = 8
 
-// first is the node that a rollout begins with: of some drawn by lot that have the most cells with enough requests and two
-// others in their building, the one whose least cell is the largest, since its evidence says most.
+// chooseFirst returns the first node of a rollout. It considers some random nodes among those that have the most cells with
+// enough requests and two other nodes in their building, and returns the one whose smallest cell is the largest, since its
+// evidence is the most informative.
 func (p *Plan) chooseFirst(order []string) (name string) {
 	best, left, most := -1, 0, -1.0
 	for _, n := range order {
@@ -87,9 +88,9 @@
 	return name
 }
 
-// targets are the nodes that each stage adds and, at last, those that are held back to the end for comparison: one of
-// each building with more than one node, and one of the regency or of all if nobody is held back there otherwise. The
-// first node comes from first.
+// targets returns the nodes that each stage adds and, as the last element, the nodes held back as controls until the end:
+// one of each building with more than one node, and one of a regency or of the whole tree if none is held back there
+// otherwise. The first stage has the node from chooseFirst.
 func (p *Plan) targets(id string) [][]string {
 	stages := make([][]string, Stages+1)
 	order := shuffled(id, p.topology.allNodes)
--- a/internal/choice/rollout/plan.go
+++ b/internal/choice/rollout/plan.go
@@ -8,109 +8,111 @@
 	"time"
 )
 
-// Command is one entry of the council's log about rollouts: one of the pointers is set. At is the leader's time, in Unix
-// time, and never falls from one command to the next.
+// Command is one entry about rollouts in the Raft log. Exactly one of the pointers is set. At is the leader's Unix time and
+// never decreases from one command to the next.
 type Command struct {
 	At          time.Duration   `json:"at"`
 	Limits      *Limits         `json:"limits,omitempty"`
-	Tree        *Tree           `json:"tree,omitempty"`      // the sites below, whole
-	Maintenance *Maintenance    `json:"work,omitempty"`      // zones with a host in work, whole
+	Tree        *Tree           `json:"tree,omitempty"`      // the complete tree of sites below
+	Maintenance *Maintenance    `json:"work,omitempty"`      // all zones with a host in maintenance
 	Start       *Start          `json:"start,omitempty"`     // by an operator
-	Halt        *Halt           `json:"halt,omitempty"`      // by an operator, or by the leader with a cause that evidence bears out
-	Resume      *OperatorAction `json:"resume,omitempty"`    // by an operator: from the first stage once more
-	Force       *OperatorAction `json:"force,omitempty"`     // by an operator: the stage ends without evidence
-	Evidence    *Evidence       `json:"evidence,omitempty"`  // of a node
-	Status      *NodeStatus     `json:"seen,omitempty"`      // what a node goes by
-	Unreachable *NodeName       `json:"away,omitempty"`      // a node cannot be heard
-	Reachable   *NodeName       `json:"back,omitempty"`      // it is heard again
-	Close       *Close          `json:"close,omitempty"`     // by the leader: a spell is over
-	Treat       *Treat          `json:"treat,omitempty"`     // by the leader: these nodes go over to the trial
-	Advance     *StageRef       `json:"advance,omitempty"`   // by the leader: the stage has its evidence
-	RollBack    *StageRef       `json:"take_back,omitempty"` // by the leader: the nodes of this stage go back
-	Finish      *StageRef       `json:"finish,omitempty"`    // by the leader: taken back whole, or taken over whole
+	Halt        *Halt           `json:"halt,omitempty"`      // by an operator, or by the leader with a cause that the evidence confirms
+	Resume      *OperatorAction `json:"resume,omitempty"`    // by an operator: run again from the first stage
+	Force       *OperatorAction `json:"force,omitempty"`     // by an operator: end the stage without evidence
+	Evidence    *Evidence       `json:"evidence,omitempty"`  // from a node
+	Status      *NodeStatus     `json:"seen,omitempty"`      // the policy that a node applies
+	Unreachable *NodeName       `json:"away,omitempty"`      // a node has stopped reporting
+	Reachable   *NodeName       `json:"back,omitempty"`      // the node reports again
+	Close       *Close          `json:"close,omitempty"`     // by the leader: an observation window is over
+	Treat       *Treat          `json:"treat,omitempty"`     // by the leader: these nodes switch to the trial
+	Advance     *StageRef       `json:"advance,omitempty"`   // by the leader: the stage has the evidence it needs
+	RollBack    *StageRef       `json:"take_back,omitempty"` // by the leader: the nodes of this stage return to the good policy
+	Finish      *StageRef       `json:"finish,omitempty"`    // by the leader: completely rolled back, or applied by all nodes
 }
 
 type (
-	// Tree is the sites that policies go down, sorted by name, a parent before or after its own.
+	// Tree is the tree of sites that policies are rolled out to, sorted by name; parents and children come in any order.
 	Tree struct {
 		Sites []Site `json:"sites"`
 	}
-	// Site is a place of the tree. A site with nodes is a building, the site above it a regency.
+	// Site is a site of the tree. A site with nodes is a building, the site above it a regency.
 	Site struct {
 		Name   string     `json:"name"`
 		Parent string     `json:"parent,omitempty"`
 		Nodes  []TreeNode `json:"nodes,omitempty"` // sorted by name
 	}
-	// Place is a node and the zone that it stands in.
+	// TreeNode is a node and its zone.
 	TreeNode struct {
 		Name string `json:"name"`
 		Zone string `json:"zone,omitempty"`
 	}
-	// Work is the zones with a host in work, sorted.
+	// Maintenance lists the zones with a host in maintenance, sorted.
 	Maintenance struct {
 		Zones []string `json:"zones"`
 	}
-	// Start begins a rollout. The same ID and policy once more is the same rollout.
+	// Start starts a rollout. Repeating it with the same ID and policy has no effect.
 	Start struct {
 		ID     string          `json:"id"`
 		Policy json.RawMessage `json:"policy"`
 		By     string          `json:"by"`
 		Why    string          `json:"why"`
 	}
-	// Halt takes a rollout back.
+	// Halt halts a rollout, which is then rolled back.
 	Halt struct {
 		ID    string `json:"id"`
 		Cause Cause  `json:"cause"`
 		By    string `json:"by,omitempty"`
 		Why   string `json:"why,omitempty"`
 	}
-	// Note is a word of an operator on a rollout.
+	// OperatorAction is an action of an operator on a rollout, with its reason.
 	OperatorAction struct {
 		ID    string `json:"id"`
-		Stage Stage  `json:"stage,omitempty"` // the one that is forced: no other is
+		Stage Stage  `json:"stage,omitempty"` // the stage to force; the action is refused in any other stage
 		By    string `json:"by"`
 		Why   string `json:"why"`
 	}
-	// Seen says what policy a node goes by, for which round it was told it, and, if it fell back by itself, why.
+	// NodeStatus says which policy a node applies, the round in which the policy was assigned and, if the node fell back on its
+	// own, why.
 	NodeStatus struct {
 		Node     string   `json:"node"`
 		Round    uint64   `json:"round"`
 		Policy   Hash     `json:"policy"`
 		Fallback Fallback `json:"fell,omitempty"`
 	}
-	// Name names a node.
+	// NodeName names a node.
 	NodeName struct {
 		Node string `json:"node"`
 	}
-	// Close ends the spells up to one.
+	// Close closes the windows up to one.
 	Close struct {
 		Window uint64 `json:"spell"`
 	}
-	// Treat names nodes that go over. Out is how many hosts and nodes work has out as the leader knows it.
+	// Treat names the nodes that switch to the trial. OutOfService is the number of hosts and nodes out of service for
+	// maintenance, as known to the leader.
 	Treat struct {
 		ID           string   `json:"id"`
 		Stage        Stage    `json:"stage"`
 		Nodes        []string `json:"nodes"`
 		OutOfService int      `json:"out"`
 	}
-	// Step names a rollout and the stage that the leader means.
+	// StageRef identifies the rollout and the stage that a command of the leader applies to.
 	StageRef struct {
 		ID    string `json:"id"`
 		Stage Stage  `json:"stage"`
 	}
 )
 
-// Cause is why a rollout was halted.
+// Cause is the reason why a rollout was halted.
 type Cause uint8
 
 // The causes.
 const (
 	None       Cause = iota
-	Operator         // an operator said so
-	Guard            // a crash, a restart loop, a rule's guard
+	Operator         // by an operator
+	Guard            // a crash, a crash loop, or a guard of a rule
 	Regression       // the evidence of a class
 	Unproven         // held for too long, or undecided for too long
-	Superseded       // another rollout has ended, and its policy is the good one now
+	Superseded       // another rollout has completed, and its policy is now the good one
 	causeCount
 )
 
@@ -118,15 +120,15 @@
 
 func (c Cause) String() string { return causeNames[c] }
 
-// Phase is where a rollout stands.
+// Phase is the phase of a rollout.
 type Phase uint8
 
 // The phases.
 const (
 	Running    Phase = iota // in a stage
-	Completing              // all stages have ended; the nodes that were held back for comparison go over
-	Halting                 // nodes are taken back, the latest stage first
-	Halted                  // every node is back
+	Completing              // all stages have ended; the nodes held back as controls switch to the policy
+	Halting                 // nodes are rolled back, the latest stage first
+	Halted                  // all nodes are rolled back
 	Done                    // its policy is the good one
 	phaseCount
 )
@@ -135,23 +137,23 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Active says whether a rollout may have nodes of its own.
+// Active reports whether the rollout may have treated nodes.
 func (p Phase) Active() bool { return p <= Halting }
 
-// EffectKind names an effect.
+// EffectKind is the kind of an effect.
 type EffectKind uint8
 
-// The effects.
+// The kinds of effects.
 const (
-	Assign  EffectKind = iota // a node is to go by another policy
-	Notify                    // operators are told
+	Assign  EffectKind = iota // a node has to apply another policy
+	Notify                    // operators are notified
 	Refused                   // the command was refused
 )
 
-// Effect is one thing that follows from a command.
+// Effect is a consequence of a command.
 type Effect struct {
 	Kind   EffectKind
-	ID     string // of a rollout
+	ID     string // of the rollout
 	Node   string
 	Policy Hash
 	Cause  Cause
@@ -159,10 +161,10 @@
 	Err    *Refusal
 }
 
-// Plan is the state that a site's council replicates. Use NewPlan or Decode.
+// Plan is the replicated state machine of the rollouts. Use NewPlan or Decode.
 type Plan struct {
 	s        state
-	topology topology // from the tree; not encoded
+	topology topology // derived from the tree; not encoded
 }
 
 type state struct {
@@ -174,59 +176,59 @@
 	Texts            map[Hash]json.RawMessage  `json:"texts"`
 	Nodes            map[string]*node          `json:"nodes"`
 	MaintenanceZones []string                  `json:"work"`
-	MaintenanceEnded map[string]time.Duration  `json:"worked"` // by zone: when its last work ended
+	MaintenanceEnded map[string]time.Duration  `json:"worked"` // end of the latest maintenance, by zone
 	SlowThresholds   map[string]*slowThreshold `json:"edges"`  // by class
 	Typical          map[string]*typicalValue  `json:"usual"`  // by cell
 	OpenWindows      []*window                 `json:"open"`
-	NextWindow       uint64                    `json:"next"` // the first spell that is not closed
+	NextWindow       uint64                    `json:"next"` // the first window that is not closed
 	Rollouts         []*Rollout                `json:"rollouts"`
 }
 
 type node struct {
-	Rollout     string               `json:"trial"` // the rollout that treats it; "": none
-	Round       uint64               `json:"round"` // the log's index of the last change of its policy
+	Rollout     string               `json:"trial"` // the rollout that treats the node, "" for none
+	Round       uint64               `json:"round"` // log index of the last change of its policy
 	Changed     time.Duration        `json:"changed"`
-	Confirmed   bool                 `json:"told"` // it has confirmed that round
+	Confirmed   bool                 `json:"told"` // the node has confirmed that round
 	Unreachable bool                 `json:"away"`
 	Baselines   map[string]*baseline `json:"base"` // by cell
 }
 
-// base is what a node was before any rollout.
+// baseline is the value of a node in a cell before it is treated.
 type baseline struct {
 	Windows      int       `json:"spells"`
-	Recent       []float64 `json:"recent"` // the value in each, less the median of all nodes in it, the newest last
-	Median       float64   `json:"mid"`    // their median: trouble of some hours does not move it
-	MeanRequests float64   `json:"size"`   // requests in a spell, on the mean
+	Recent       []float64 `json:"recent"` // values of the windows, oldest first, each less the median over all nodes in that window
+	Median       float64   `json:"mid"`    // of Recent; a disturbance of a few hours does not move it
+	MeanRequests float64   `json:"size"`   // mean number of requests in a window
 }
 
-// Rollout is one policy on its way.
+// Rollout is the rollout of one policy.
 type Rollout struct {
 	ID         string        `json:"id"`
 	Policy     Hash          `json:"policy"`
 	Phase      Phase         `json:"phase"`
 	Stage      Stage         `json:"stage"`
 	Attempt    int           `json:"attempt"`
-	StageBegan time.Duration `json:"begun"` // the stage
-	HeldSince  time.Duration `json:"held"`  // since when something is missing, or the last time nothing was
+	StageBegan time.Duration `json:"begun"` // start of the present stage
+	HeldSince  time.Duration `json:"held"`  // since when evidence has been missing, or the last time when none was
 	Missing    string        `json:"missing"`
 	Cause      Cause         `json:"cause"`
 	Log        []LogEntry    `json:"log"`
-	Targets    [][]string    `json:"targets"` // of each stage, those that it adds; at last those held back
-	Treated    []Treatment   `json:"treated"` // in the order in which they went over
+	Targets    [][]string    `json:"targets"` // the nodes added by each stage; as the last element, those held back as controls
+	Treated    []Treatment   `json:"treated"` // in the order in which the nodes switched
 	Cells      []Cell        `json:"cells"`
-	KnownCells int           `json:"known"`   // how many of the cells were known when the stage began
-	Observed   []string      `json:"counted"` // nodes that spoke in this stage, sorted
+	KnownCells int           `json:"known"`   // number of cells known when the stage began
+	Observed   []string      `json:"counted"` // nodes with usable evidence in this stage, sorted
 }
 
-// Treatment is a node that went over, with the stage that took it.
+// Treatment is a node that switched to the trial, with the stage that added it.
 type Treatment struct {
 	Node       string        `json:"node"`
-	Stage      Stage         `json:"stage"` // Stages: it was held back for comparison
+	Stage      Stage         `json:"stage"` // equal to Stages for a node that was held back as a control
 	RolledBack bool          `json:"back"`
-	Changed    time.Duration `json:"at"` // of the last change
+	Changed    time.Duration `json:"at"` // time of the last change
 }
 
-// Entry records what was done with a rollout, by whom and why.
+// LogEntry records an event of a rollout, who caused it and why.
 type LogEntry struct {
 	At    time.Duration `json:"at"`
 	Event string        `json:"what"`
@@ -235,16 +237,16 @@
 	Why   string        `json:"why,omitempty"`
 }
 
-// Cell is the two bets on a class, a tenant and a metric in the present stage.
+// Cell holds the two tests of a class, a tenant and a metric in the present stage.
 type Cell struct {
 	Key         string   `json:"key"`
 	Inferior    EProcess `json:"worse"`
 	NonInferior EProcess `json:"fine"`
-	LastWindow  uint64   `json:"last"`  // the last spell with a bet
-	LastPayoff  float64  `json:"value"` // the last x of Worse, for people
+	LastWindow  uint64   `json:"last"`  // the last window with a payoff
+	LastPayoff  float64  `json:"value"` // last payoff of Inferior, for display
 }
 
-// NewPlan returns an empty plan: no limits but the defaults, no sites, and as the good policy the settings as they are.
+// NewPlan returns an empty plan: default limits, no sites, and the empty policy as the good one.
 func NewPlan() *Plan {
 	none := EmptyPolicy()
 	p := &Plan{s: state{Limits: Defaults(), Good: none.Hash(), Texts: map[Hash]json.RawMessage{none.Hash(): none.Text()},
@@ -253,19 +255,19 @@
 	return p
 }
 
-// Good is the last good policy.
+// Good returns the hash of the good policy.
 func (p *Plan) Good() Hash { return p.s.Good }
 
-// Text is the canonical text of the good policy or of a rollout's; nil for others.
+// Text returns the canonical text of the good policy or of a rollout's policy, or nil.
 func (p *Plan) Text(h Hash) []byte { return slices.Clone(p.s.Texts[h]) }
 
-// Applied is the log's index up to which commands were applied.
+// Applied returns the log index up to which commands have been applied.
 func (p *Plan) Applied() uint64 { return p.s.Applied }
 
-// Rollouts are all, in the order of their starts. Not to be changed.
+// Rollouts returns all rollouts in the order in which they started. The caller must not modify them.
 func (p *Plan) Rollouts() []*Rollout { return p.s.Rollouts }
 
-// Rollout returns one by its ID, nil if there is none. Not to be changed.
+// Rollout returns the rollout with an ID, or nil. The caller must not modify it.
 func (p *Plan) Rollout(id string) *Rollout {
 	i := slices.IndexFunc(p.s.Rollouts, func(r *Rollout) bool { return r.ID == id })
 	if i < 0 {
@@ -274,16 +276,17 @@
 	return p.s.Rollouts[i]
 }
 
-// Assignment is what a node is to go by. A trial lapses at the node after Lease without word; 0: it does not lapse.
+// Assignment is the policy that a node has to apply. The node falls back from a trial when it receives no renewal for Lease;
+// 0 means that there is no lease.
 type Assignment struct {
 	Round  uint64
 	Policy Hash
-	Good   Hash // what it falls back to
+	Good   Hash // the policy to fall back to
 	Trial  bool
 	Lease  time.Duration
 }
 
-// Assigned returns what a node is to go by; nodes that are not known go by the good policy.
+// Assigned returns the assignment of a node. Unknown nodes get the good policy.
 func (p *Plan) Assigned(name string) Assignment {
 	a := Assignment{Policy: p.s.Good, Good: p.s.Good}
 	n := p.s.Nodes[name]
@@ -297,7 +300,8 @@
 	return a
 }
 
-// Disturbed is how many nodes a change of policy disturbs at a time: what work has to leave room for.
+// Disrupted returns how many nodes are disrupted at a time by a recent change of policy; maintenance has to leave room for
+// them in the disruption budget.
 func (p *Plan) Disrupted(at time.Duration) (n int) {
 	for _, node := range p.s.Nodes {
 		if node.Changed > 0 && at-node.Changed < p.s.Limits.Settle {
@@ -307,7 +311,7 @@
 	return n
 }
 
-// Apply takes one entry of the log, in order. An index that was applied already changes nothing.
+// Apply applies one entry of the log. Entries come in order; an index that was applied already has no effect.
 func (p *Plan) Apply(index uint64, c Command) []Effect {
 	if index <= p.s.Applied {
 		return nil
@@ -315,7 +319,7 @@
 	p.s.Applied = index
 	p.s.At = max(p.s.At, c.At)
 	if c.Evidence == nil && (c.Limits == nil || c.Limits.Check() == nil) && (c.Start == nil || json.Valid(c.Start.Policy)) {
-		c = clone(c) // shares nothing with the caller, and its texts are such as Encode writes
+		c = clone(c) // shares nothing with the caller, and its JSON texts are in the form that Encode writes
 	}
 	t := transition{Plan: p, logIndex: index, at: p.s.At}
 	if r := p.Check(c); r != nil {
@@ -361,7 +365,8 @@
 	return t.effects
 }
 
-// limit takes over the limits. With another slice or spell, spells have other numbers.
+// setLimits sets the limits. If the slice or window length changes, windows are numbered differently, so that open windows and
+// all baselines are dropped.
 func (t *transition) setLimits(l Limits) {
 	if l.Slice != t.s.Limits.Slice || l.WindowSlices != t.s.Limits.WindowSlices {
 		t.s.OpenWindows, t.s.NextWindow, t.s.Typical = nil, 0, map[string]*typicalValue{}
@@ -372,10 +377,10 @@
 	t.s.Limits = l
 }
 
-// turn is the work on one command.
+// transition is the application of one command.
 type transition struct {
 	*Plan
-	logIndex uint64 // its index
+	logIndex uint64 // of the command
 	at       time.Duration
 	effects  []Effect
 }
@@ -400,8 +405,8 @@
 	return slices.ContainsFunc(p.s.Rollouts, func(r *Rollout) bool { return r.Phase.Active() })
 }
 
-// work takes over the zones that have a host in work. Spells that are open were disturbed, whatever is said later, and so
-// are those that open later and began before the work ended.
+// setMaintenance sets the zones that have a host in maintenance. It taints the windows that are open now, even if the end of
+// the maintenance is reported later, and those that are opened later but began before the maintenance ended.
 func (t *transition) setMaintenance(zones []string) {
 	maps.DeleteFunc(t.s.MaintenanceEnded, func(_ string, ended time.Duration) bool {
 		return t.windowAt(ended)+maxOpenWindows < t.s.NextWindow
@@ -417,7 +422,7 @@
 	}
 }
 
-// names are the nodes of a tree, or why it cannot be taken.
+// nodeNames returns the names of all nodes of a tree, or why the tree is invalid.
 func (t Tree) nodeNames() (map[string]bool, *Refusal) {
 	seen := map[string]bool{}
 	for _, s := range t.Sites {
@@ -431,7 +436,7 @@
 	return seen, nil
 }
 
-// plant takes over the tree. A node that is off it is forgotten.
+// setTree sets the tree. Nodes that are no longer in it are forgotten.
 func (t *transition) setTree(tree Tree) {
 	seen, _ := tree.nodeNames()
 	t.s.Tree = tree
@@ -444,7 +449,7 @@
 	maps.DeleteFunc(t.s.Nodes, func(name string, _ *node) bool { return !seen[name] })
 }
 
-// of is the rollout that a word of an operator is about.
+// rolloutID returns the ID of the rollout that an operator's command applies to, "" for other commands.
 func (c Command) rolloutID() string {
 	switch {
 	case c.Start != nil:
@@ -459,7 +464,7 @@
 	return ""
 }
 
-// Check says why a command of an operator, limits or a tree would be refused now; nil: it would not be. It changes nothing.
+// Check returns why an operator's command, limits or a tree would be refused now, or nil. It changes nothing.
 func (p *Plan) Check(c Command) *Refusal {
 	switch {
 	case c.Limits != nil:
@@ -512,7 +517,7 @@
 func (t *transition) start(c Start) {
 	policy, err := Parse(c.Policy)
 	if err != nil || t.Rollout(c.ID) != nil {
-		return // the same once more
+		return // a repetition
 	}
 	r := &Rollout{ID: c.ID, Policy: policy.Hash(), Log: []LogEntry{}, Targets: t.targets(c.ID)}
 	t.s.Texts[policy.Hash()] = policy.Text()
@@ -522,14 +527,14 @@
 	t.logEvent(r, "started", c.By, c.Why)
 }
 
-// begin begins the first stage of an attempt.
+// beginAttempt starts the first stage of a new attempt.
 func (t *transition) beginAttempt(r *Rollout) {
 	r.Attempt++
 	r.Phase, r.Stage, r.Cause, r.Treated = Running, OneNode, None, []Treatment{}
 	t.beginStage(r)
 }
 
-// stage begins a stage: nothing of an earlier one counts in it.
+// beginStage starts a stage. No evidence of earlier stages counts in it.
 func (t *transition) beginStage(r *Rollout) {
 	r.StageBegan, r.HeldSince, r.Missing, r.Observed, r.Cells = t.at, t.at, "it has just begun", []string{}, []Cell{}
 	known := map[string]bool{}
@@ -586,7 +591,7 @@
 	}
 }
 
-// halt begins to take a rollout back.
+// halt starts to roll back a rollout.
 func (t *transition) halt(r *Rollout, cause Cause, by, why string) {
 	r.Phase, r.Cause = Halting, cause
 	t.logEvent(r, "halt: "+cause.String(), by, why)
@@ -653,7 +658,7 @@
 	}
 }
 
-// room is how many nodes more may be disturbed now, while work has out hosts and nodes out.
+// disruptionBudget returns how many more nodes may be disrupted now, with out hosts and nodes out of service for maintenance.
 func (p *Plan) disruptionBudget(at time.Duration, out int) int {
 	if p.s.Limits.MaxDisrupted == 0 {
 		return len(p.s.Nodes)
@@ -681,7 +686,7 @@
 	r.HeldSince = t.at
 }
 
-// untreated are the nodes that a rollout may treat now, in the order of its targets.
+// treatable returns the nodes that a rollout may treat now, in the order of its targets.
 func (p *Plan) treatable(r *Rollout) (list []string) {
 	var upTo int
 	switch {
@@ -693,7 +698,7 @@
 	for _, names := range r.Targets[:upTo] {
 		for _, name := range names {
 			if n := p.s.Nodes[name]; n != nil && n.Rollout == "" && !n.Unreachable &&
-				(r.Phase == Completing || p.hasBaseline(n)) { // or else it could not be compared
+				(r.Phase == Completing || p.hasBaseline(n)) { // without a baseline the node could not be compared
 				list = append(list, name)
 			}
 		}
@@ -701,8 +706,8 @@
 	return list
 }
 
-// based says whether a node was watched for long enough to be compared in every cell in which it ordinarily has enough
-// requests, and has such cells.
+// hasBaseline reports whether a node has a complete baseline in every cell in which it typically has enough requests, and has
+// at least one such cell.
 func (p *Plan) hasBaseline(n *node) bool {
 	any := false
 	for _, b := range n.Baselines {
@@ -716,7 +721,7 @@
 	return any
 }
 
-// latest is the last stage of which nodes are not taken back.
+// latestStage returns the last stage that has nodes not rolled back yet.
 func (r *Rollout) latestStage() (last Stage, any bool) {
 	for _, t := range r.Treated {
 		if !t.RolledBack {
@@ -726,8 +731,8 @@
 	return last, any
 }
 
-// settled says whether every node that was taken back is known to be back: it said so, or cannot be heard, or has heard
-// nothing for so long that it fell back by itself.
+// rollbackConfirmed reports whether every node that was rolled back is known to apply the good policy: it has confirmed this, it
+// is unreachable, or its trial lease has run out since.
 func (p *Plan) rollbackConfirmed(r *Rollout, at time.Duration) bool {
 	for _, tr := range r.Treated {
 		n := p.s.Nodes[tr.Node]
@@ -738,8 +743,8 @@
 	return true
 }
 
-// filled says whether every node went over and is known to go by the trial: it said so, or cannot be heard, or has had the time
-// of a lease to say why it does not.
+// completionConfirmed reports whether every node has switched and is known to apply the trial: it has confirmed this, it is
+// unreachable, or it had the time of a lease to report why it does not.
 func (p *Plan) completionConfirmed(r *Rollout, at time.Duration) bool {
 	for _, tr := range r.Treated {
 		n := p.s.Nodes[tr.Node]
@@ -782,7 +787,7 @@
 		r.Phase, t.s.Good = Done, r.Policy
 		for _, n := range t.s.Nodes {
 			if n.Rollout == r.ID {
-				n.Rollout = "" // it goes by the same policy as before
+				n.Rollout = "" // the node applies the same policy as before, now as the good one
 				n.Round, n.Confirmed = t.logIndex, false
 			}
 		}
@@ -795,10 +800,10 @@
 	}
 }
 
-// mostOver is how many rollouts that are over are kept.
+// maxEndedRollouts is how many rollouts are kept after their end.
 const maxEndedRollouts = 32
 
-// prune forgets the oldest of the rollouts that are over, and texts that nothing needs.
+// prune removes the oldest rollouts that have ended, and texts that are no longer referenced.
 func (t *transition) prune() {
 	over := 0
 	for _, r := range t.s.Rollouts {
@@ -818,12 +823,12 @@
 	})
 }
 
-// spellOf is the spell that a moment lies in.
+// windowAt returns the number of the window that contains a point in time.
 func (p *Plan) windowAt(at time.Duration) uint64 {
 	return uint64(at / (p.s.Limits.Slice * time.Duration(p.s.Limits.WindowSlices)))
 }
 
-// due says whether a rollout is to be halted on what is known, and why.
+// haltCause returns whether and why a rollout has to be halted on the present evidence.
 func (p *Plan) haltCause(r *Rollout, at time.Duration) (Cause, string) {
 	if r.Phase != Running && r.Phase != Completing {
 		return None, ""
@@ -842,8 +847,9 @@
 	return None, ""
 }
 
-// Next is what the leader proposes now, if anything; out is how many hosts and nodes work has out. It depends on the
-// plan, the time and out alone, so that a new leader goes on where the last one stopped.
+// Next returns what the leader has to propose now, if anything. out is the number of hosts and nodes out of service for
+// maintenance. The result depends only on the plan and the arguments, so that a new leader continues where the last one
+// stopped.
 func (p *Plan) Next(now time.Duration, out int) (Command, bool) {
 	now = max(now, p.s.At)
 	c := Command{At: now}
@@ -858,7 +864,7 @@
 		}
 		return c, true
 	}
-	if over := p.windowAt(now - p.s.Limits.Slice); over > 0 && over > p.s.NextWindow { // a slice of grace for what is late
+	if over := p.windowAt(now - p.s.Limits.Slice); over > 0 && over > p.s.NextWindow { // one slice of grace for late evidence
 		c.Close = &Close{over - 1}
 		return c, true
 	}
--- a/internal/choice/rollout/plan_test.go
+++ b/internal/choice/rollout/plan_test.go
@@ -16,7 +16,8 @@
 	hour      = time.Hour
 )
 
-// bench is a plan with a leader that never dies and nodes that take over at once, in two regencies of two buildings.
+// harness is a plan with a leader that never fails and nodes that apply assignments at once, in two regencies of two
+// buildings each.
 type harness struct {
 	t     *testing.T
 	p     *Plan
@@ -65,7 +66,7 @@
 	return b.p.Rollout("x")
 }
 
-// run lets time pass, slice by slice.
+// run advances the time, slice by slice.
 func (b *harness) run(long time.Duration) {
 	for end := b.now + long; b.now < end; {
 		slice := uint64(b.now / b.p.s.Limits.Slice)
@@ -108,7 +109,7 @@
 	assert.Equal(t, map[Stage]int{OneNode: 1, OneBuilding: 1, OneRegency: 2, All: 4, Stage(Stages): 4}, stages)
 }
 
-// Each metric halts by itself, whatever becomes of the others.
+// Each metric halts a rollout on its own, even if the others improve.
 func TestEveryMetricHalts(t *testing.T) {
 	setUps := func(slow int) []byte {
 		s := NewSetUps()
@@ -128,7 +129,7 @@
 		"c t broken": func(_ string, trial bool) Counts {
 			c := Counts{Class: "c", Tenant: "t", Offered: 1000, Served: 990}
 			if trial {
-				c.Served, c.Breaks = 1000, 60 // it serves more, and breaks more
+				c.Served, c.Breaks = 1000, 60 // more requests are served, but more connections break
 			}
 			return c
 		},
@@ -220,7 +221,7 @@
 	}
 }
 
-// A halt waits, stage by stage, for nodes that have not said that they are back, for as long as a trial lasts in silence.
+// A rollback waits, stage by stage, for nodes that have not confirmed it, for at most the length of a trial lease.
 func TestAHaltWaitsForWhoHasNotSaidThatItIsBack(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
@@ -231,7 +232,7 @@
 	c, _ := b.p.Next(b.now, 0)
 	require.NotNil(t, c.RollBack)
 	b.index++
-	b.p.Apply(b.index, c) // nobody answers
+	b.p.Apply(b.index, c) // no node confirms
 	_, any := b.p.Next(b.now+b.p.s.Limits.TrialLease-1, 0)
 	assert.False(t, any)
 	c, any = b.p.Next(b.now+b.p.s.Limits.TrialLease, 0)
@@ -241,7 +242,7 @@
 	assert.Empty(t, b.p.Apply(b.index, Command{At: b.now, RollBack: &StageRef{"x", OneNode}}), "proposed too early, it changes nothing")
 }
 
-// Whatever commands come in whatever order, every seat has the same state, which can be written, read and copied.
+// After any sequence of commands all replicas have the same state, which survives encoding, decoding and copying.
 func TestSeatsAgreeWhateverComes(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -293,8 +294,8 @@
 	}
 }
 
-// What a leader proposes is weighed by every seat: on less evidence, with no room, for nodes that are away, not watched or
-// another rollout's, it changes nothing.
+// Each replica validates the leader's proposals: one without enough evidence or budget, or for nodes that are unreachable,
+// without a baseline or treated by another rollout, changes nothing.
 func TestALeaderIsNotTakenAtItsWord(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
@@ -302,7 +303,7 @@
 	fresh.Sites[0].Nodes = append(fresh.Sites[0].Nodes, TreeNode{"new", "b0"})
 	b.apply(Command{Tree: &fresh})
 	first := r.Targets[OneNode][0]
-	r.Targets[OneNode] = append(r.Targets[OneNode], "new", "n10", "n11", "n12") // as if all were the first stage's
+	r.Targets[OneNode] = append(r.Targets[OneNode], "new", "n10", "n11", "n12") // as if all were targets of the first stage
 	unchanged := func(what string, c Command) {
 		t.Helper()
 		index, before := b.index+1, b.p.Clone()
@@ -333,15 +334,15 @@
 	unchanged("treated already", treat(0, first))
 }
 
-// Evidence that is late, repeated, mixed, spoilt, of a zone that was in work, or of a spell that the policy changed in, says
-// nothing.
+// Evidence has no effect if it is late, duplicate, tainted, of more than one policy, of a zone in maintenance, or of a window
+// in which the policy changed.
 func TestWhatIsNoEvidence(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
 	b.lead()
 	first, l := r.Treated[0].Node, b.p.s.Limits
 	zone := b.p.topology.zone[first]
-	spell := uint64(b.now/l.Slice)/uint64(l.WindowSlices) + 1 // the first whole one under the trial
+	spell := uint64(b.now/l.Slice)/uint64(l.WindowSlices) + 1 // the first complete one under the trial
 	at := func(slice uint64) time.Duration { return time.Duration(spell*uint64(l.WindowSlices)+slice) * l.Slice }
 	fit := func(do func(e *Evidence, p *Plan)) bool {
 		p := b.p.Clone()
@@ -352,7 +353,7 @@
 				do(&e, p)
 			}
 			send(Command{At: at(i + 1), Evidence: &e})
-			send(Command{At: at(i + 1), Evidence: &e}) // once more
+			send(Command{At: at(i + 1), Evidence: &e}) // a duplicate
 		}
 		sp := p.s.OpenWindows[len(p.s.OpenWindows)-1]
 		ta := p.usableTally(sp, first, r.Policy)
@@ -374,7 +375,7 @@
 		"changed": func(_ *Evidence, p *Plan) { p.s.Nodes[first].Changed = at(1) },
 	} {
 		if name == "in work" {
-			p := b.p.Clone() // work that ended before the first word of the spell came
+			p := b.p.Clone() // maintenance that ended before the first evidence of the window arrived
 			p.Apply(p.s.Applied+1, Command{At: at(0), Maintenance: &Maintenance{[]string{zone}}})
 			p.Apply(p.s.Applied+1, Command{At: at(1) - 1, Maintenance: &Maintenance{}})
 			assert.Contains(t, p.taintedZones(spell), zone)
@@ -417,7 +418,8 @@
 	assert.Equal(t, Refused, e[0].Kind, "what it was compared with is not the good policy any more")
 }
 
-// What a node always loses is its own; what all lose while a rollout is under way moves no base.
+// A node that always loses requests is compared with its own baseline, and a loss common to all nodes during a rollout does not
+// move any baseline.
 func TestNodesThatAlwaysDifferAreNotBlamed(t *testing.T) {
 	b := newHarness(t, func(name string, _ bool) Counts {
 		return Counts{Class: "c", Offered: 1000, Served: 990 - 30*uint64(name[2]-'0')}
@@ -439,7 +441,7 @@
 	assert.Equal(t, Done, r.Phase, "%+v", r.Log)
 }
 
-// A stage waits for nodes that say nothing, be they a whole regency or a few here and there.
+// A stage waits for nodes without evidence, whether they are a whole regency or single nodes.
 func TestAStageWaitsForWhoSaysNothing(t *testing.T) {
 	for what, cover := range map[string]float64{"no node has spoken of r": 0.1, " nodes have spoken": 0.9} {
 		b := newHarness(t, steadyCounts)
@@ -465,7 +467,8 @@
 	}
 }
 
-// A stage is about the nodes that it adds: those of earlier stages have spoken for it already, and with few in it make up its cover.
+// The nodes that a stage adds need coverage of their own: otherwise a stage that adds few nodes could reach the coverage through
+// the evidence of the nodes of earlier stages.
 func TestAStageDoesNotEndOnTheWordOfEarlierOnes(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	l := b.p.s.Limits
--- a/internal/choice/rollout/record.go
+++ b/internal/choice/rollout/record.go
@@ -9,56 +9,56 @@
 	"strings"
 )
 
-// Record is what the top is told of a node: by the node to its site's council, which writes it as evidence, and from there
-// upwards. It is whole, so that records may be lost, repeated and overtaken: of two of one node, Merge takes the newer word
-// and the slices of both.
+// Record is what a node reports to the root site. The node sends it to its site's consensus group, which writes it as
+// evidence and forwards it up the tree. Each record is cumulative, so that records may be lost, duplicated and reordered:
+// Merge takes the newer status of two records of one node and the slices of both.
 //
 //	R1  Merging is commutative, associative and idempotent.
-//	R2  A record that was merged with an older one says all that the newer one says.
-//	R3  No record is longer than MaxRecord: what does not fit is left out, the oldest slice first, and missing evidence is
-//	    no health.
+//	R2  A record that was merged with an older one contains everything that the newer one contains.
+//	R3  No record is longer than MaxRecord: what does not fit is left out, the oldest slice first. Evidence that is
+//	    missing for this reason is not taken as proof of health either.
 type Record struct {
 	Node         string       `json:"node"`
-	Sequence     uint64       `json:"told"` // rises with each that the node tells: Unix time in microseconds by its own clock
+	Sequence     uint64       `json:"told"` // increases with each record of the node: Unix time in microseconds by its own clock
 	Status       NodeStatus   `json:"seen"`
-	OutOfService int          `json:"out,omitempty"`    // hosts out for work at the node's site, as the node was told
-	Fired        []FiredGuard `json:"fired,omitempty"`  // guards, sorted: the newest mostFired
-	Slices       []Evidence   `json:"slices,omitempty"` // by number: the newest mostSlices
+	OutOfService int          `json:"out,omitempty"`    // hosts out of service for maintenance at the node's site, as known to the node
+	Fired        []FiredGuard `json:"fired,omitempty"`  // guards, sorted: the newest maxFired
+	Slices       []Evidence   `json:"slices,omitempty"` // by number: the newest maxSlices
 }
 
-// Fired is a guard that fired at a node: it halts, whatever was counted.
+// FiredGuard is a guard that fired at a node. It halts the rollout, whatever the counts are.
 type FiredGuard struct {
 	Slice  uint64 `json:"slice"`
-	Round  uint64 `json:"round"` // that the policy was told in: a guard is no word on a later treatment
+	Round  uint64 `json:"round"` // in which the policy was assigned: a guard does not apply to a later treatment
 	Policy Hash   `json:"policy"`
 	Guard  string `json:"what"`
 }
 
 const (
-	// MaxRecord is the longest record in bytes: what the value of one write may have, less room for its frame.
+	// MaxRecord is the maximum length of a record in bytes: the size limit of one write, less room for its framing.
 	MaxRecord     = 60 << 10
 	maxSlices     = 8
 	maxFired      = 8
 	maxGuardBytes = 120                             // bytes of a guard's name
 	maxSliceBytes = (MaxRecord - 4<<10) / maxSlices // bytes of one slice's evidence
-	recordHead    = "rollout record 1 "             // what a record begins with
-	recordEnd     = " end"                          // and ends with
+	recordHead    = "rollout record 1 "             // prefix of an encoded record
+	recordEnd     = " end"                          // suffix of an encoded record
 )
 
-// Thing is what a node's records are written about.
+// NodeKey returns the key under which a node's records are written.
 func NodeKey(node string) string { return "node/" + node }
 
-// Bytes returns the record in its one form, cut to the bounds of R3.
+// Bytes returns the canonical encoding, cut to the bounds of R3.
 func (r Record) Bytes() []byte {
 	r = r.trimmed()
 	text, err := json.Marshal(&r)
 	if err != nil {
-		panic(err) // numbers that are not finite: none is kept
+		panic(err) // only non-finite numbers fail to encode, and none are stored
 	}
 	return slices.Concat([]byte(recordHead), text, []byte(recordEnd))
 }
 
-// ParseRecord reads what Bytes wrote. An error is an *Unread.
+// ParseRecord decodes the output of Bytes. An error is a *DecodeError.
 func ParseRecord(raw []byte) (r Record, err error) {
 	text, head := bytes.CutPrefix(raw, []byte(recordHead))
 	text, end := bytes.CutSuffix(text, []byte(recordEnd))
@@ -74,8 +74,8 @@
 	return r, nil
 }
 
-// Brief returns what is left of a node's record once a Top has taken it in: the newest word, without the slices and guards, which
-// the plan has. It is a record, and what is no record is returned as it is.
+// StripEvidence returns a record without its slices and guards, which the plan has once a RootState has ingested the record;
+// the status stays. Input that is not a record is returned unchanged.
 func StripEvidence(raw []byte) []byte {
 	r, err := ParseRecord(raw)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return Record{Node: r.Node, Sequence: r.Sequence, Status: r.Status, OutOfService: r.OutOfService}.Bytes()
 }
 
-// MergeRecords merges two records of one node, in their bytes: see upstream.Merge. An error is an *Unread.
+// MergeRecords merges two encoded records of one node; see upstream.Merge. An error is a *DecodeError.
 func MergeRecords(a, b []byte) ([]byte, error) {
 	x, err := ParseRecord(a)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return x.Merge(y).Bytes(), nil
 }
 
-// Merge takes the newer word of two records of one node, and the slices and guards of both.
+// Merge returns the newer status of two records of one node, with the slices and guards of both.
 func (r Record) Merge(o Record) Record {
 	if cmp.Or(cmp.Compare(r.Sequence, o.Sequence), compareJSON(r.Status, o.Status), cmp.Compare(r.OutOfService, o.OutOfService)) < 0 {
 		r, o = o, r
@@ -110,7 +110,7 @@
 	return r.trimmed()
 }
 
-// trimmed sorts what a record has and keeps to its bounds. Of two pieces of evidence of one slice the later counts.
+// trimmed sorts a record's contents and cuts them to the bounds. Of two pieces of evidence for one slice it keeps the later.
 func (r Record) trimmed() Record {
 	r.Slices = slices.Clone(r.Slices)
 	for i := range r.Slices {
@@ -125,7 +125,7 @@
 	for i := range r.Fired {
 		what := &r.Fired[i].Guard
 		*what = strings.ToValidUTF8((*what)[:min(len(*what), maxGuardBytes)], "?")
-		for len(asJSON(*what)) > maxGuardBytes+2 { // signs that take more bytes there
+		for len(asJSON(*what)) > maxGuardBytes+2 { // characters that are escaped in JSON
 			*what = strings.ToValidUTF8((*what)[:len(*what)-1], "")
 		}
 	}
@@ -139,9 +139,9 @@
 	return cmp.Or(cmp.Compare(f.Slice, o.Slice), cmp.Compare(f.Round, o.Round), cmp.Compare(f.Policy, o.Policy), cmp.Compare(f.Guard, o.Guard))
 }
 
-// fitting leaves out of a slice's evidence what does not fit: histograms first, then the cells with the fewest requests.
+// trimToSize drops evidence that does not fit: histograms first, then the cells with the fewest requests.
 func (e Evidence) trimToSize() Evidence {
-	most := 400 + 6*(len(e.Node)+len(e.Zone)+len(e.Policy)) // at most so long in JSON, which is dear to make
+	most := 400 + 6*(len(e.Node)+len(e.Zone)+len(e.Policy)) // upper bound of the length in JSON, since encoding is expensive
 	for _, c := range e.Counts {
 		most += 400 + 6*(len(c.Class)+len(c.Tenant)) + 4*len(c.SetUp)/3
 	}
@@ -167,7 +167,7 @@
 func asJSON(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // as in Bytes
+		panic(err) // for the same reason as in Bytes
 	}
 	return text
 }
--- a/internal/choice/rollout/rollout.go
+++ b/internal/choice/rollout/rollout.go
@@ -1,22 +1,26 @@
-// Package rollout takes a policy down the hierarchy in stages, each of which ends on evidence, and halts by itself. Plan
-// is the state that a site's council replicates: commands in, effects out, no I/O and no clock; the time is the one that
-// the council's leader stamped.
+// Package rollout distributes a policy to the nodes of a hierarchy of sites in stages. Each stage ends when there is
+// statistical evidence that the policy does no harm, and a rollout halts automatically otherwise. Plan is the state machine
+// that a consensus group replicates: commands in, effects out, no I/O and no clock; the time is the one with which the
+// leader stamped the command.
 //
-// The properties:
+// The nodes on trial of a policy are the treated nodes (the treatment group of an experiment); similar nodes on the last
+// good policy are the control nodes that they are compared with. Properties:
 //
-//	P1  A stage ends only when, for every class with enough requests, the treated were compared with their own kind on the
-//	    old policy at the same time and are not worse by more than the margin, by a test that may be looked at at any
-//	    moment with the stated error rates.
-//	P2  A guard (crash, restart loop, a rule's guard fired) halts at once. A halt takes the latest stage back first and
-//	    ends with every node on the last good policy; a node that was away takes the halt when it returns.
-//	P3  No evidence is no health: too few requests, cut-off sites and quiet nights hold the stage; trouble that hits
-//	    treated and untreated alike holds it too. A hold that lasts longer than Limits.Hold is taken back as unproven.
-//	P4  A loss in one class is not paid for by a gain in another.
-//	P5  A trial policy has a lease: a node that hears nothing for Limits.Lease, or crashes Limits.Crashes times under it,
-//	    falls back by itself.
-//	P6  Two rollouts never treat one node at once, and what rollouts disturb and what is out for work together keep one
-//	    budget; evidence of a node is not counted while a host of its zone is in work.
-//	P7  An operator's halt, resume or force holds, with its reason recorded; force ends a stage, never a guard's halt.
+//	P1  A stage ends only when, for every class with enough requests, the treated nodes were compared with similar control
+//	    nodes at the same time and are not worse by more than the margin, by an anytime-valid test (it may be inspected at
+//	    any moment) with the stated error rates.
+//	P2  A guard (crash, crash loop, or a guard of a rule) halts at once. A halt rolls back the latest stage first and ends
+//	    with every node on the last good policy; a node that was unreachable is rolled back when it returns.
+//	P3  Missing evidence is not proof of health: too few requests, sites that are cut off and nights with little traffic
+//	    hold the stage, and so does trouble that affects treated and control nodes alike. A hold longer than
+//	    Limits.MaxHold is rolled back as unproven.
+//	P4  A loss in one class is not offset by a gain in another.
+//	P5  A trial policy has a lease: a node that receives no renewal for Limits.TrialLease, or crashes Limits.MaxCrashes
+//	    times under the trial, falls back on its own.
+//	P6  Two rollouts never treat the same node at once. Disruption by rollouts and by maintenance shares one budget. A
+//	    node's evidence does not count while a host of its zone is in maintenance.
+//	P7  An operator's halt, resume or force takes effect and is recorded with its reason; force ends a stage but never
+//	    overrides a halt by a guard.
 package rollout
 
 import (
@@ -24,33 +28,33 @@
 	"time"
 )
 
-// Limits are those of the rollouts of a site.
+// Limits are the limits of a site's rollouts.
 type Limits struct {
 	Alpha        float64       // probability of a halt without a regression, over a whole rollout
-	Beta         float64       // probability of a stage that ends though one class lost Margin
-	Margin       float64       // the loss of served requests, as a part, that must be found
-	MinRequests  uint64        `json:"Least"`   // requests of a class on each side before it says anything
-	MaxHold      time.Duration `json:"Hold"`    // the longest hold
-	TrialLease   time.Duration `json:"Lease"`   // of a trial policy at a node
-	MaxCrashes   int           `json:"Crashes"` // of one node under a trial policy, before it falls back by itself
-	MaxDisrupted int           `json:"Disturb"` // nodes and hosts that rollouts and work may disturb at once; 0: no bound of their own
-
-	Slice           time.Duration // what evidence is counted by
-	WindowSlices    int           `json:"Spell"` // slices that are one observation: about as long as a node's own trouble lasts
-	BaselineWindows int           `json:"Watch"` // spells of a node on the old policy before it is compared
-	Settle          time.Duration // how long a change of its policy disturbs a node
-	MaxStageTime    time.Duration `json:"Longest"` // the longest stage: undecided for so long is unproven; 0: no bound
-	SlowMargin      float64       `json:"Slow"`    // as Margin, of the part of connections that takes longer than the edge to stand
-	Coverage        float64       `json:"Cover"`   // the part of a stage's nodes that must have spoken before it ends
+	Beta         float64       // probability that a stage ends although one class is worse by Margin
+	Margin       float64       // decrease in the fraction of served requests that has to be detected
+	MinRequests  uint64        `json:"Least"`   // requests of a class at a node in a window, for treated and control nodes, below which the class is not compared
+	MaxHold      time.Duration `json:"Hold"`    // longest time for which missing evidence may hold a stage
+	TrialLease   time.Duration `json:"Lease"`   // lease of a trial policy at a node
+	MaxCrashes   int           `json:"Crashes"` // crashes of one node under a trial policy after which it falls back on its own
+	MaxDisrupted int           `json:"Disturb"` // nodes and hosts that rollouts and maintenance may disrupt at once; 0: no limit
+
+	Slice           time.Duration // length of the time slices in which evidence is counted
+	WindowSlices    int           `json:"Spell"` // time slices in one observation window: about as long as a disturbance of a single node lasts
+	BaselineWindows int           `json:"Watch"` // windows of a node on the good policy before it is compared
+	Settle          time.Duration // how long a change of policy disrupts a node
+	MaxStageTime    time.Duration `json:"Longest"` // longest stage, after which an undecided one is halted as unproven; 0: no limit
+	SlowMargin      float64       `json:"Slow"`    // like Margin, for the fraction of connections slower to establish than the slow threshold
+	Coverage        float64       `json:"Cover"`   // fraction of a stage's nodes that must have given usable evidence before it ends
 }
 
-// Defaults are limits for a site that tells none.
+// Defaults returns the limits of a site that configures none.
 func Defaults() Limits {
 	return Limits{Alpha: 0.01, Beta: 0.05, Margin: 0.02, MinRequests: 100, MaxHold: 2 * time.Hour, TrialLease: 5 * time.Minute, MaxCrashes: 3,
 		Slice: 5 * time.Minute, WindowSlices: 6, BaselineWindows: 12, Settle: time.Minute, MaxStageTime: 72 * time.Hour, SlowMargin: 0.05, Coverage: 0.9}
 }
 
-// Check returns a *Refusal that names the first limit that no rollout can go by.
+// Check returns a *Refusal that names the first limit that is out of range.
 func (l Limits) Check() error {
 	for _, f := range []struct {
 		name string
@@ -69,15 +73,15 @@
 	return nil
 }
 
-// Refusal is why a command was not taken, and what can be done.
+// Refusal says why a command was refused, and what to do.
 type Refusal struct{ Why, Do string }
 
 func (r *Refusal) Error() string { return r.Why }
 
-// Action says what an operator can do.
+// Action returns what an operator can do.
 func (r *Refusal) Action() string { return r.Do }
 
-// Stage is a step down the hierarchy.
+// Stage is a stage of a rollout, each with more of the hierarchy than the one before.
 type Stage uint8
 
 // The stages.
@@ -90,12 +94,12 @@
 	stageCount
 )
 
-// Stages is how many there are.
+// Stages is the number of stages.
 const Stages = int(stageCount)
 
 var stageNames = [stageCount]string{"one-node", "building", "regency", "part", "all"}
 
-// String is the name that operators write; what is held back for comparison to the end has none of its own.
+// String returns the name that operators use. The nodes held back as controls to the end have no stage name of their own.
 func (s Stage) String() string {
 	if s < stageCount {
 		return stageNames[s]
@@ -103,16 +107,16 @@
 	return "held-back"
 }
 
-// StageOf is the stage with a name.
+// StageOf returns the stage with a name.
 func StageOf(name string) (Stage, bool) {
 	i := slices.Index(stageNames[:], name)
 	return Stage(max(i, 0)), i >= 0
 }
 
-// Hash names a policy: the hash of its content.
+// Hash identifies a policy by a hash of its content.
 type Hash string
 
-// Counts is what a node did with the requests of one class (and tenant) under one policy in one slice of time.
+// Counts are a node's counts of the requests of one class (and tenant) under one policy in one time slice.
 type Counts struct {
 	Class    string  `json:"class"`
 	Tenant   string  `json:"tenant,omitempty"`
@@ -127,15 +131,15 @@
 	SetUp    []byte  `json:"set_up,omitempty"` // a mergeable histogram of set-up times
 }
 
-// Evidence is what a node counted in one slice of time.
+// Evidence is what a node counted in one time slice.
 type Evidence struct {
 	Node    string        `json:"node"`
 	Zone    string        `json:"zone,omitempty"`
 	Policy  Hash          `json:"policy"`
-	Slice   uint64        `json:"slice"` // the slice's number since 1970, the same at every node
+	Slice   uint64        `json:"slice"` // number of the slice since 1970, the same at every node
 	Counts  []Counts      `json:"counts"`
-	Guards  []string      `json:"guards,omitempty"` // those that fired
-	Starts  int           `json:"starts,omitempty"` // of the process under this policy
-	Tainted bool          `json:"spoilt,omitempty"` // work in progress disturbed it
+	Guards  []string      `json:"guards,omitempty"` // guards that fired
+	Starts  int           `json:"starts,omitempty"` // starts of the process under this policy
+	Tainted bool          `json:"spoilt,omitempty"` // disrupted by maintenance or by a change of policy
 	At      time.Duration `json:"at"`
 }
--- a/internal/choice/rollout/top.go
+++ b/internal/choice/rollout/top.go
@@ -8,52 +8,53 @@
 	"time"
 )
 
-// Top is what the council of the top site replicates of policies: the plan, and what was taken of each node's records. No I/O
-// and no clock; at is the time that the leader stamped.
+// RootState is the state about policies that the consensus group of the root site replicates: the plan, and which parts of
+// each node's records have been ingested. It does no I/O and has no clock; at is the time with which the leader stamped a
+// command.
 //
-//	T1  A slice's evidence and a guard count once, however often and by whichever route their record came, and a node's word
-//	    is never replaced by an older one of its.
-//	T2  A site's Doc follows from the state alone: equal states, equal documents, at each seat.
-//	T3  Next depends on the state, the time and its arguments alone, changes nothing, and comes to an end: what it returns,
-//	    applied again and again at one time, leads to nothing more to do.
-//	T4  What a node's records make of the plan does not depend on how many of them were lost before the newest, but for the
-//	    slices that no record had any more.
+//	T1  A slice's evidence and a guard count once, however often and by whichever route their record arrives, and a node's
+//	    status is never replaced by an older one.
+//	T2  SitePolicies depends only on the state: equal states give equal policies at each replica.
+//	T3  Next depends only on the state and its arguments, changes nothing, and terminates: applying what it returns again
+//	    and again at one time reaches a state with nothing more to do.
+//	T4  The effect of a node's records on the plan does not depend on how many of them were lost before the newest one,
+//	    except for slices that no later record contained.
 //
-// One entry of the council's log may hold many commands and records (a batch of writes). The plan gets each command under an
-// index of its own, entry<<16 | i, with i counting within the entry: rounds are such indices. A record of 56 kB makes some 20
+// One entry of the Raft log may hold many commands and records (a batch of writes). The plan gets each command under an index
+// of its own, entry<<16 | i, where i counts within the entry; rounds are such indices. A record of 56 kB produces about 20
 // commands, so that an entry has far fewer than 1<<16.
 type RootState struct {
 	plan     *Plan
 	entry    uint64               // the newest entry of the log
-	subIndex uint64               // i of the plan's next command in that entry
+	subIndex uint64               // i of the next command in that entry
 	digests  []string             // digests of the commands in that entry
 	ingested map[string]*ingested // by node
 }
 
-// taken is what was taken of a node's records.
+// ingested tracks which parts of a node's records have been ingested.
 type ingested struct {
 	Sequence     uint64        `json:"told"`            // of the newest record
-	At           time.Duration `json:"at"`              // when it was taken, by the council's time
-	NewestSlice  uint64        `json:"slice"`           // the newest of which evidence was taken
-	SliceBits    uint64        `json:"heard"`           // a bit for each slice taken, the lowest for Slice, the next for the one before
-	Status       NodeStatus    `json:"seen"`            // as the plan was told it last
-	OutOfService int           `json:"out,omitempty"`   // hosts out for work at the node's site
-	Fired        []FiredGuard  `json:"fired,omitempty"` // the newest mostFired that were taken, sorted
+	At           time.Duration `json:"at"`              // when that record was ingested, by the clock of the consensus group
+	NewestSlice  uint64        `json:"slice"`           // the newest slice whose evidence was ingested
+	SliceBits    uint64        `json:"heard"`           // one bit per ingested slice: the lowest for NewestSlice, the next for the slice before, and so on
+	Status       NodeStatus    `json:"seen"`            // the latest status passed to the plan
+	OutOfService int           `json:"out,omitempty"`   // hosts out of service for maintenance at the node's site
+	Fired        []FiredGuard  `json:"fired,omitempty"` // the newest maxFired guards that were ingested, sorted
 }
 
 const (
 	rootHead            = "lichenhitch rollout top 1\n"
-	maxPolicyBytes      = 8 << 10            // bytes of a policy's text
-	maxPolicyBytesTotal = 2 * maxPolicyBytes // of the good one's and of those under way together: they have to fit in a site's Doc
-	maxIDBytes          = 40                 // bytes of a rollout's ID, which stands with each group of nodes in it
-	maxActiveRollouts   = 2                  // rollouts under way at once: a third would wait for both
+	maxPolicyBytes      = 8 << 10            // bytes of one policy's text
+	maxPolicyBytesTotal = 2 * maxPolicyBytes // of the good policy and of all active rollouts together: these texts have to fit into SitePolicies
+	maxIDBytes          = 40                 // bytes of a rollout's ID, which is repeated in each group of nodes in SitePolicies
+	maxActiveRollouts   = 2                  // a third would have to wait for both
 	indexShift          = 16
 )
 
-// NewTop returns an empty state.
+// NewRootState returns an empty state.
 func NewRootState() *RootState { return &RootState{plan: NewPlan(), ingested: map[string]*ingested{}} }
 
-// Sites are the sites of the tree, in its order.
+// Sites returns the names of the sites in the order of the tree.
 func (t *RootState) Sites() (names []string) {
 	for _, s := range t.plan.s.Tree.Sites {
 		names = append(names, s.Name)
@@ -61,10 +62,10 @@
 	return names
 }
 
-// Plan is the plan, not to be changed.
+// Plan returns the plan. The caller must not modify it.
 func (t *RootState) Plan() *Plan { return t.plan }
 
-// topState is a Top in its encoded form.
+// encodedRoot is the encoded form of a RootState.
 type encodedRoot struct {
 	Index    uint64               `json:"index"`
 	SubIndex uint64               `json:"next"`
@@ -73,12 +74,12 @@
 	Plan     *state               `json:"plan"`
 }
 
-// Encode returns the state as bytes: the same for the same state.
+// Encode returns the canonical encoding: equal states have equal bytes.
 func (t *RootState) Encode() []byte {
 	return encode(rootHead, &encodedRoot{t.entry, t.subIndex, t.digests, t.ingested, &t.plan.s})
 }
 
-// DecodeTop reads what Encode wrote. An error is an *Unread.
+// DecodeRootState decodes the output of Encode. An error is a *DecodeError.
 func DecodeRootState(raw []byte) (*RootState, error) {
 	var s encodedRoot
 	if err := decode(rootHead, raw, &s); err != nil {
@@ -98,12 +99,12 @@
 	return &RootState{&Plan{*s.Plan, newTopology(s.Plan.Tree)}, s.Index, s.SubIndex, s.Digests, s.Ingested}, nil
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (t *RootState) Clone() *RootState {
 	return &RootState{t.plan.Clone(), t.entry, t.subIndex, slices.Clone(t.digests), clone(t.ingested)}
 }
 
-// Check says why a command of an operator, limits or a tree would be refused now; nil: it would not be. It changes nothing.
+// Check returns why an operator's command, limits or a tree would be refused now, or nil. It changes nothing.
 func (t *RootState) Check(c Command) *Refusal {
 	if r := t.plan.Check(c); r != nil {
 		return r
@@ -111,7 +112,7 @@
 	var text []byte
 	switch {
 	case c.Start != nil && t.plan.Rollout(c.Start.ID) == nil:
-		p, _ := Parse(c.Start.Policy) // the plan takes it
+		p, _ := Parse(c.Start.Policy) // cannot fail: the plan has checked it
 		if text = p.text; len(text) > maxPolicyBytes {
 			return &Refusal{fmt.Sprintf("the policy has %d bytes, %d at most", len(text), maxPolicyBytes), "change fewer keys by it"}
 		}
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// enter says whether an entry of the log is the newest or a later one.
+// beginEntry reports whether an entry of the log is the newest or a later one, which then becomes the newest.
 func (t *RootState) beginEntry(index uint64) bool {
 	if index > t.entry {
 		t.entry, t.subIndex, t.digests = index, 0, nil
@@ -148,18 +149,18 @@
 	return index == t.entry
 }
 
-// step gives the plan a command under the next index.
+// applyToPlan applies a command to the plan under the next index.
 func (t *RootState) applyToPlan(c Command) []Effect {
 	t.subIndex++
 	return t.plan.Apply(t.entry<<indexShift|(t.subIndex-1), c)
 }
 
-// Apply takes a command of an entry of the log. An earlier entry than the newest, or the same command in the same entry,
-// changes nothing.
+// Apply applies a command of an entry of the log. An entry earlier than the newest, or a repetition of a command in the same
+// entry, has no effect.
 func (t *RootState) Apply(index uint64, c Command) []Effect {
 	text, err := json.Marshal(&c)
 	if err != nil {
-		text = []byte(err.Error()) // it is refused below
+		text = []byte(err.Error()) // the command is refused below
 	}
 	mark := digest(text)
 	if !t.beginEntry(index) || slices.Contains(t.digests, mark) {
@@ -176,8 +177,8 @@
 	return out
 }
 
-// Record takes what is new in a node's record. One of a node that is not in the tree is dropped; the same once more, in
-// whatever entry, changes nothing.
+// Record ingests what is new in a node's record. A record of a node that is not in the tree is dropped; a repetition, in
+// whatever entry, has no effect.
 func (t *RootState) Record(index uint64, at time.Duration, r Record) (out []Effect) {
 	n := t.plan.s.Nodes[r.Node]
 	if !t.beginEntry(index) || n == nil {
@@ -204,7 +205,7 @@
 		}
 	}
 	for _, f := range r.Fired {
-		// A guard of an earlier round is no word on the present treatment: that one was taken back.
+		// A guard of an earlier round says nothing about the present treatment: the earlier one was rolled back.
 		if a := t.plan.Assigned(r.Node); k.markGuard(f) && a.Trial && f.Round == a.Round && f.Policy == a.Policy {
 			give(Command{Evidence: &Evidence{Node: r.Node, Policy: f.Policy, Slice: f.Slice, Guards: []string{f.Guard}, Tainted: true}})
 		}
@@ -212,7 +213,7 @@
 	for _, e := range r.Slices {
 		if l := t.plan.s.Limits; t.plan.inFuture(e.Slice/uint64(l.WindowSlices), at) || !k.markSlice(e.Slice) {
 			continue
-		} else if e.Node = r.Node; time.Duration(e.Slice)*l.Slice < n.Changed { // it may be of another treatment
+		} else if e.Node = r.Node; time.Duration(e.Slice)*l.Slice < n.Changed { // the slice may belong to another treatment
 			e.Guards, e.Starts = nil, 0
 		}
 		give(Command{Evidence: &e})
@@ -220,18 +221,18 @@
 	return out
 }
 
-// ahead says whether a spell lies so far ahead that the plan takes no evidence of it.
+// inFuture reports whether a window lies too far in the future for the plan to accept its evidence.
 func (p *Plan) inFuture(spell uint64, at time.Duration) bool {
 	return spell > p.windowAt(max(at, p.s.At))+1
 }
 
-// hears says whether a slice was not taken yet, and marks it as taken.
+// markSlice marks a slice as ingested and reports whether it was not before.
 func (k *ingested) markSlice(slice uint64) bool {
 	if slice > k.NewestSlice {
 		k.SliceBits <<= min(slice-k.NewestSlice, 64)
 		k.NewestSlice = slice
 	}
-	bit := uint64(1) << min(k.NewestSlice-slice, 64) // 0: so long ago that the plan would not take it
+	bit := uint64(1) << min(k.NewestSlice-slice, 64) // 0: too old for the plan to accept
 	if bit == 0 || k.SliceBits&bit != 0 {
 		return false
 	}
@@ -239,7 +240,7 @@
 	return true
 }
 
-// fires says whether a guard was not taken yet, and marks it as taken. Those below all that are kept were.
+// markGuard marks a guard as ingested and reports whether it was not before. Guards that sort before all stored ones were.
 func (k *ingested) markGuard(f FiredGuard) bool {
 	i, there := slices.BinarySearchFunc(k.Fired, f, FiredGuard.compare)
 	if there || i == 0 && len(k.Fired) == maxFired {
@@ -250,19 +251,21 @@
 	return true
 }
 
-// Next is what the leader proposes now, if anything, for the limits and the tree of the site file: those where they differ
-// and can be taken, then who cannot be heard or is heard again while a rollout is under way, then what the plan wants.
+// Next returns what the leader has to propose now, if anything, given the limits and the tree of the site file: first these,
+// where they differ and are valid; then, while a rollout is active, nodes that have become unreachable or reachable; then
+// what the plan proposes.
 func (t *RootState) Next(now time.Duration, limits Limits, tree Tree) (Command, bool) {
 	return t.NextWithLocalCount(now, limits, tree, "", 0)
 }
 
-// NextKnowing is Next for a leader that knows itself how many hosts are out for work at one site.
+// NextWithLocalCount is Next for a leader that knows by itself how many hosts of its own site are out of service for
+// maintenance.
 func (t *RootState) NextWithLocalCount(now time.Duration, limits Limits, tree Tree, site string, known int) (Command, bool) {
 	p := t.plan
 	now = max(now, p.s.At)
 	c := Command{At: now}
 	if p.active() {
-		limits.Slice, limits.WindowSlices = p.s.Limits.Slice, p.s.Limits.WindowSlices // until it has ended
+		limits.Slice, limits.WindowSlices = p.s.Limits.Slice, p.s.Limits.WindowSlices // cannot change during a rollout
 	}
 	if limits != p.s.Limits && p.checkLimits(limits) == nil {
 		c.Limits = &limits
--- a/internal/choice/rollout/top_test.go
+++ b/internal/choice/rollout/top_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// field is a top with nodes that ask and tell, in two buildings of two regencies.
+// rootHarness is a RootState with nodes that fetch assignments and report records, in four buildings of two regencies.
 type rootHarness struct {
 	t      require.TestingT
 	top    *RootState
@@ -21,7 +21,7 @@
 	limits Limits
 	tree   Tree
 	nodes  []*harnessNode
-	sent   []Record // all that nodes ever told, in order
+	sent   []Record // all records that nodes ever sent, in order
 }
 
 type harnessNode struct {
@@ -59,7 +59,7 @@
 	f.top.Record(f.index, f.now, r)
 }
 
-// lead applies what the leader proposes until there is nothing: T3.
+// lead applies what the leader proposes until there is nothing left: T3.
 func (f *rootHarness) lead() {
 	for n := 0; ; n++ {
 		require.Less(f.t, n, 100, "the leader proposes without end")
@@ -75,7 +75,7 @@
 	}
 }
 
-// slice lets a slice pass: nodes ask their site and tell records, those heard the top.
+// passSlice lets a slice pass: nodes fetch their assignments and send records, of which those selected by heard arrive.
 func (f *rootHarness) passSlice(heard func(name string) bool, fire string) {
 	f.now += f.limits.Slice / 2
 	f.report(heard, fire)
@@ -120,7 +120,8 @@
 	return f.top.Plan().Rollout(id)
 }
 
-// T1 to T3, whatever comes: records late, lost and repeated, by any number in an entry, operators, seats that read snapshots.
+// T1 to T3, under any sequence of events: late, lost and repeated records, any number of them in an entry, operators' commands,
+// and replicas that restore snapshots.
 func TestWhateverComesToTheTop(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newRootHarness(rt)
@@ -193,8 +194,8 @@
 	})
 }
 
-// T4: with and without the records before the newest, and backwards. Each node's process is started once more in between, and
-// knows nothing of the slices before.
+// T4: with and without the records before the newest, and in reverse order. Each node's process restarts in between and has no
+// memory of the slices before.
 func TestRecordsThatWereLostBeforeTheNewest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newRootHarness(rt)
@@ -225,7 +226,7 @@
 		full := f.top.Clone()
 		for _, p := range []*Plan{full.plan, lossy.plan, backwards.plan} {
 			p.s.Applied, p.s.At = 0, f.now
-			for _, r := range p.s.Rollouts { // the same entries at another time
+			for _, r := range p.s.Rollouts { // the same events were logged at different times
 				for i := range r.Log {
 					r.Log[i].At = 0
 				}
@@ -243,7 +244,7 @@
 	})
 }
 
-// A guard halts whenever its record comes, but for a treatment after that in which it fired.
+// A guard halts the rollout whenever its record arrives, unless a later treatment than the one in which it fired is under way.
 func TestAGuardOfAnEarlierTreatmentHaltsNothing(t *testing.T) {
 	f := newRootHarness(t)
 	r := f.startRollout("x", trialText)
@@ -253,10 +254,10 @@
 	at := len(f.sent)
 	f.now += time.Second
 	n := f.nodes[slices.IndexFunc(f.nodes, func(n *harnessNode) bool { return n.name == first })]
-	n.reporter.Count(f.now, r.Policy, nil, []string{"drain"}) // of the loop, told late
+	n.reporter.Count(f.now, r.Policy, nil, []string{"drain"}) // counted by the traffic loop and reported late
 	late, err := ParseRecord(n.reporter.Pending())
 	require.NoError(t, err)
-	n.reporter = NewReporter(n.name, n.site) // a start: nobody else tells of it
+	n.reporter = NewReporter(n.name, n.site) // a restart: no later record repeats the guard
 	for r.Phase != Halted {
 		f.lead()
 		f.passSlice(everyNode, "")
@@ -345,7 +346,7 @@
 	changed := d.Nodes[node].Changed
 	assert.Equal(t, []int{1, 0}, []int{d.Disrupted(changed), d.Disrupted(changed + d.Settle)})
 
-	for i := range 300 { // each went over alone
+	for i := range 300 { // each node switched alone
 		d.Nodes[fmt.Sprintf("regency-07/building-%03d", i)] = NodeEntry{uint64(i+1)<<28 + 1, given.Policy, strings.Repeat("x", maxIDBytes),
 			2000000*hour + time.Duration(i)}
 	}
