--- a/internal/choice/rollout/bet_test.go
+++ b/internal/choice/rollout/bet_test.go
@@ -32,7 +32,7 @@
 
 // TestTheBetsKeepTheirErrorRates inspects the tests after every window and measures how often each null hypothesis is rejected
 // when it is true, and when it is false.
-func TestTheBetsKeepTheirErrorRates(t *testing.T) {
+func TestEProcessesKeepTheirErrorRates(t *testing.T) {
 	const runs, long, margin, scale, a = 1000, 200, 0.02, 0.02, 0.05
 	rate := func(treated, others int, worse float64, of func(w, f *EProcess) bool) float64 {
 		rng := rand.New(rand.NewPCG(9, uint64(treated)))
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestABetIsOddInItsPairs(t *testing.T) {
+func TestThePayoffIsOddInItsPairs(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
 		pairs := drawPairs(rng, 1+rng.IntN(3), 1+rng.IntN(3), 0.1*rng.Float64())
--- a/internal/choice/rollout/codec.go
+++ b/internal/choice/rollout/codec.go
@@ -22,7 +22,7 @@
 
 // Action returns what an operator can do about the error.
 func (u *DecodeError) Action() string {
-	return "take the snapshot of another seat, or start the node with the version that wrote it"
+	return "restore the snapshot of another replica, or start the node with the version that wrote this state"
 }
 
 func encode(head string, state any) []byte {
@@ -36,10 +36,10 @@
 func decode(head string, raw []byte, state any) error {
 	rest, ok := bytes.CutPrefix(raw, []byte(head))
 	if !ok {
-		return &DecodeError{fmt.Sprintf("it does not begin with %q", head)}
+		return &DecodeError{fmt.Sprintf("the encoded state does not begin with %q", head)}
 	}
 	if rest, ok = bytes.CutSuffix(rest, []byte(endMark)); !ok {
-		return &DecodeError{"its end is missing"}
+		return &DecodeError{"the end mark of the encoded state is missing"}
 	}
 	d := json.NewDecoder(bytes.NewReader(rest))
 	d.DisallowUnknownFields()
@@ -47,7 +47,7 @@
 		return &DecodeError{err.Error()}
 	}
 	if !bytes.Equal(encode(head, state), raw) {
-		return &DecodeError{"it is not in its one form"}
+		return &DecodeError{"the encoded state is not in canonical form"}
 	}
 	return nil
 }
@@ -74,26 +74,26 @@
 		return err
 	}
 	if s.Texts[s.Good] == nil || s.Nodes == nil || s.MaintenanceEnded == nil || s.SlowThresholds == nil || s.Typical == nil {
-		return errors.New("a part is missing")
+		return errors.New("the texts, nodes or another part of the plan is missing")
 	}
 	for name, n := range s.Nodes {
 		if n == nil || n.Baselines == nil {
-			return fmt.Errorf("the node %q is empty", name)
+			return fmt.Errorf("the node %q has no state or no baselines", name)
 		}
 	}
-	for _, sp := range s.OpenWindows {
-		if sp == nil || sp.Nodes == nil {
-			return errors.New("a spell is empty")
+	for _, w := range s.OpenWindows {
+		if w == nil || w.Nodes == nil {
+			return errors.New("an open window is empty")
 		}
-		for name, ta := range sp.Nodes {
-			if ta == nil || ta.Sums == nil {
-				return fmt.Errorf("what %q said is empty", name)
+		for name, t := range w.Nodes {
+			if t == nil || t.Sums == nil {
+				return fmt.Errorf("the tally of node %q is empty", name)
 			}
 		}
 	}
 	for _, r := range s.Rollouts {
 		if r == nil || len(r.Targets) != Stages+1 || r.Stage >= stageCount || r.Phase >= phaseCount || r.Cause >= causeCount {
-			return errors.New("a rollout is faulty")
+			return errors.New("a rollout has an invalid stage, phase, cause or number of targets")
 		}
 	}
 	return nil
--- a/internal/choice/rollout/doc.go
+++ b/internal/choice/rollout/doc.go
@@ -72,13 +72,13 @@
 // Bytes returns the canonical encoding.
 func (d SitePolicies) Bytes() []byte {
 	form := encodedSitePolicies{SitePolicies: d, Trials: map[string]Hash{}, Groups: []nodeGroup{}}
-	by := map[NodeEntry]int{}
+	groupOf := map[NodeEntry]int{}
 	for _, name := range slices.Sorted(maps.Keys(d.Nodes)) {
 		g := d.Nodes[name]
-		i, there := by[g]
-		if !there {
+		i, found := groupOf[g]
+		if !found {
 			i = len(form.Groups)
-			by[g] = i
+			groupOf[g] = i
 			form.Groups = append(form.Groups, nodeGroup{Round: g.Round, Rollout: g.Rollout, Changed: g.Changed})
 			if g.Rollout != "" {
 				form.Trials[g.Rollout] = g.Policy
@@ -91,34 +91,34 @@
 
 // ParseSitePolicies decodes the output of Bytes. An error is a *DecodeError.
 func ParseSitePolicies(raw []byte) (SitePolicies, error) {
-	text, head := bytes.CutPrefix(raw, []byte(sitePoliciesHead))
-	text, end := bytes.CutSuffix(text, []byte(recordEnd))
+	text, hasHead := bytes.CutPrefix(raw, []byte(sitePoliciesHead))
+	text, hasEnd := bytes.CutSuffix(text, []byte(recordEnd))
 	var form encodedSitePolicies
-	if !head || !end {
-		return SitePolicies{}, &DecodeError{"no document of a site's policies"}
+	if !hasHead || !hasEnd {
+		return SitePolicies{}, &DecodeError{"not an encoded set of site policies"}
 	}
 	if err := json.Unmarshal(text, &form); err != nil {
 		return SitePolicies{}, &DecodeError{err.Error()}
 	}
 	d := form.SitePolicies
 	d.Nodes = map[string]NodeEntry{}
-	whole := d.Texts[d.Good] != nil && d.Site != "" && d.Slice > 0 && d.TrialLease > 0 && d.MaxCrashes > 0
+	valid := d.Texts[d.Good] != nil && d.Site != "" && d.Slice > 0 && d.TrialLease > 0 && d.MaxCrashes > 0
 	for _, g := range form.Groups {
-		given := NodeEntry{Round: g.Round, Policy: d.Good, Rollout: g.Rollout, Changed: g.Changed}
+		entry := NodeEntry{Round: g.Round, Policy: d.Good, Rollout: g.Rollout, Changed: g.Changed}
 		if g.Rollout != "" {
-			given.Policy = form.Trials[g.Rollout]
+			entry.Policy = form.Trials[g.Rollout]
 		}
-		whole = whole && d.Texts[given.Policy] != nil && g.Round > 0
+		valid = valid && d.Texts[entry.Policy] != nil && g.Round > 0
 		for _, name := range g.Names {
-			d.Nodes[name] = given
+			d.Nodes[name] = entry
 		}
 	}
 	for h, text := range d.Texts {
 		p, err := Parse(text)
-		whole = whole && err == nil && p.Hash() == h
+		valid = valid && err == nil && p.Hash() == h
 	}
-	if !whole || !bytes.Equal(d.Bytes(), raw) {
-		return SitePolicies{}, &DecodeError{"the document of a site's policies is not whole, or not in its one form"}
+	if !valid || !bytes.Equal(d.Bytes(), raw) {
+		return SitePolicies{}, &DecodeError{"the site policies are incomplete or not in canonical form"}
 	}
 	return d, nil
 }
--- a/internal/choice/rollout/edges_test.go
+++ b/internal/choice/rollout/edges_test.go
@@ -11,7 +11,7 @@
 
 // Each test in this file guards a line of the package that could be broken without any other test of the package failing.
 
-func TestAStartOfATrialCountsAnew(t *testing.T) {
+func TestStartsAreResetForANewTrial(t *testing.T) {
 	h := NewNodePolicy(Stored{Good: "g", Trial: "t", Round: 4, Starts: 1}, 3, time.Minute, 0)
 	require.Equal(t, 2, h.Stored().Starts)
 	trial := Assignment{Round: 5, Policy: "u", Good: "g", Trial: true, Lease: 2 * time.Minute}
@@ -45,7 +45,7 @@
 	return b.p.Apply(b.index, c)
 }
 
-func TestOnlyTheRoundAndThePolicyThatWereToldMakeANodeBack(t *testing.T) {
+func TestRollbackIsConfirmedOnlyByMatchingRoundAndPolicy(t *testing.T) {
 	b, r := newTreatedHarness(t)
 	last := r.Treated[len(r.Treated)-1].Node
 	trial := b.p.Assigned(last)
@@ -71,7 +71,7 @@
 	assert.Equal(t, Halting, r.Phase, "one has not said that it is back")
 }
 
-func TestWhyARolloutIsTakenBack(t *testing.T) {
+func TestCausesOfAHalt(t *testing.T) {
 	for name, test := range map[string]struct {
 		do   func(b *harness, node string) Command
 		want Cause
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestAStageIsForcedByItsName(t *testing.T) {
+func TestForceAppliesOnlyToTheNamedStage(t *testing.T) {
 	b, r := newTreatedHarness(t)
 	assert.Equal(t, Refused, b.applyOnly(Command{Force: &OperatorAction{"x", OneNode, "desk", "the last one"}})[0].Kind)
 	for r.Phase == Running {
@@ -125,7 +125,7 @@
 	assert.Equal(t, None, cause)
 }
 
-func TestSpellsAreClosedWithASliceOfGrace(t *testing.T) {
+func TestWindowsAreClosedWithASliceOfGrace(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	l := b.p.s.Limits
 	for b.now%(l.Slice*time.Duration(l.WindowSlices)) != 0 {
@@ -149,28 +149,28 @@
 	assert.NotZero(t, b.p.s.Nodes["n00"].Baselines["c"+sep+sep+metricLost].Windows, "spells have other numbers, and are judged")
 }
 
-func TestWhatEvidenceIsOf(t *testing.T) {
+func TestUsableEvidence(t *testing.T) {
 	b, r := newTreatedHarness(t)
-	v, of := (&tally{Sums: map[string]*classSums{"c" + sep: {Offered: 100}}}).value("c" + sep + sep + metricLost)
-	assert.Equal(t, []float64{1, 100}, []float64{v, of}, "who served nothing has counted all the same")
+	v, count := (&tally{Sums: map[string]*classSums{"c" + sep: {Offered: 100}}}).value("c" + sep + sep + metricLost)
+	assert.Equal(t, []float64{1, 100}, []float64{v, count}, "who served nothing has counted all the same")
 	assert.Contains(t, b.p.missingEvidence(&Rollout{Targets: r.Targets}, 0), "no class of the treated")
 
 	node := r.Treated[0].Node
-	sp := &window{Number: b.p.s.NextWindow, Nodes: map[string]*tally{node: {Policy: r.Policy}}}
-	begin := time.Duration(sp.Number) * b.p.s.Limits.Slice * time.Duration(b.p.s.Limits.WindowSlices)
+	w := &window{Number: b.p.s.NextWindow, Nodes: map[string]*tally{node: {Policy: r.Policy}}}
+	begin := time.Duration(w.Number) * b.p.s.Limits.Slice * time.Duration(b.p.s.Limits.WindowSlices)
 	for _, n := range b.p.s.Nodes {
 		n.Changed = 0
 	}
 	b.p.s.Nodes[node].Changed = begin - b.p.s.Limits.Settle
-	assert.NotNil(t, b.p.usableTally(sp, node, r.Policy))
+	assert.NotNil(t, b.p.usableTally(w, node, r.Policy))
 	assert.Equal(t, 1, b.p.Disrupted(begin-1), "until it has settled")
 	b.p.s.Nodes[node].Changed++
-	assert.Nil(t, b.p.usableTally(sp, node, r.Policy), "it had not settled when the spell began")
+	assert.Nil(t, b.p.usableTally(w, node, r.Policy), "it had not settled when the spell began")
 
 	for r.Missing != "" {
 		b.run(b.p.s.Limits.Slice)
 	}
-	b.serve = func(name string, trial bool) Counts {
+	b.countsOf = func(name string, trial bool) Counts {
 		if trial {
 			return Counts{Class: "c"}
 		}
@@ -180,28 +180,28 @@
 	assert.Contains(t, r.Missing, "nothing to compare in the last spell")
 }
 
-func TestWhoIsOnTrialIsComparedWithNobody(t *testing.T) {
+func TestTreatedNodesAreNotControls(t *testing.T) {
 	b, r := newTreatedHarness(t)
 	cell := "c" + sep + sep + metricLost
 	node, other := r.Treated[0].Node, ""
-	sp := &window{Number: b.p.s.NextWindow, Nodes: map[string]*tally{}}
+	w := &window{Number: b.p.s.NextWindow, Nodes: map[string]*tally{}}
 	for _, name := range b.p.topology.nearest(node)[0] {
 		if b.p.s.Nodes[name].Rollout == "" {
 			other = name
 		}
 	}
 	require.NotEmpty(t, other)
-	sp.Nodes[other] = &tally{Policy: b.p.Good(), Sums: map[string]*classSums{"c" + sep: {Offered: 1000, Served: 990}}}
-	require.Len(t, b.p.controlExcesses(sp, node, cell), 1)
+	w.Nodes[other] = &tally{Policy: b.p.Good(), Sums: map[string]*classSums{"c" + sep: {Offered: 1000, Served: 990}}}
+	require.Len(t, b.p.controlExcesses(w, node, cell), 1)
 	b.p.s.Nodes[other].Rollout = "y" // as if it had fallen back on its own
-	assert.Empty(t, b.p.controlExcesses(sp, node, cell))
-	tu := transition{Plan: b.p, at: b.now}
+	assert.Empty(t, b.p.controlExcesses(w, node, cell))
+	tr := transition{Plan: b.p, at: b.now}
 	b.p.s.Nodes[other].Baselines[cell] = &baseline{Windows: 1, Recent: []float64{0}, MeanRequests: 1000}
-	tu.updateBaselines(sp)
+	tr.updateBaselines(w)
 	assert.Equal(t, 1, b.p.s.Nodes[other].Baselines[cell].Windows)
 
 	h := NewSetUps()
 	h.Add(time.Second)
-	tu.addSetUps(&tally{Policy: r.Policy}, &classSums{}, Counts{Class: "d", SetUp: h.Bytes()})
+	tr.addSetUps(&tally{Policy: r.Policy}, &classSums{}, Counts{Class: "d", SetUp: h.Bytes()})
 	assert.Empty(t, b.p.s.SlowThresholds["d"].Sketch, "the edge is drawn from the good policy alone")
 }
--- a/internal/choice/rollout/evidence.go
+++ b/internal/choice/rollout/evidence.go
@@ -78,7 +78,7 @@
 func (t *transition) addEvidence(e Evidence) {
 	n := t.s.Nodes[e.Node]
 	if n == nil {
-		t.refuse("", "evidence of a node that is not known: "+e.Node, "name the node in the site file")
+		t.refuse("", "evidence from an unknown node: "+e.Node, "name the node in the site file")
 		return
 	}
 	for _, r := range t.s.Rollouts {
@@ -99,40 +99,40 @@
 		return // too late: the window has been evaluated
 	}
 	if number > t.windowAt(t.at)+1 {
-		t.refuse("", "evidence of "+e.Node+" is from a time to come", "set the node's clock")
+		t.refuse("", "evidence from "+e.Node+" has a time in the future", "set the node's clock")
 		return
 	}
-	ta := t.openWindow(number).tally(e)
+	tally := t.openWindow(number).tally(e)
 	bit := uint64(1) << (e.Slice % uint64(t.s.Limits.WindowSlices))
-	if ta == nil || ta.SliceBits&bit != 0 {
+	if tally == nil || tally.SliceBits&bit != 0 {
 		return // duplicate
 	}
-	ta.SliceBits |= bit
-	ta.Unusable = ta.Unusable || e.Tainted || e.Policy != ta.Policy
+	tally.SliceBits |= bit
+	tally.Unusable = tally.Unusable || e.Tainted || e.Policy != tally.Policy
 	for _, c := range e.Counts {
 		if strings.Contains(c.Class+c.Tenant, sep) || !utf8.ValidString(c.Class+c.Tenant) || c.Served > c.Offered || c.Class == "" {
-			ta.Unusable = true
+			tally.Unusable = true
 			continue
 		}
 		key := c.Class + sep + c.Tenant
-		if ta.Sums[key] == nil {
-			ta.Sums[key] = &classSums{}
+		if tally.Sums[key] == nil {
+			tally.Sums[key] = &classSums{}
 		}
-		s := ta.Sums[key]
+		s := tally.Sums[key]
 		s.Offered += float64(c.Offered)
 		s.Served += float64(c.Served)
 		s.Broken += float64(min(c.Breaks, c.Served))
 		if len(c.SetUp) > 0 {
-			t.addSetUps(ta, s, c)
+			t.addSetUps(tally, s, c)
 		}
 	}
 }
 
 // addSetUps counts the set-up times of a class, or collects them until the slow threshold can be computed.
-func (t *transition) addSetUps(ta *tally, s *classSums, c Counts) {
+func (t *transition) addSetUps(tally *tally, s *classSums, c Counts) {
 	h, err := decodeSetUps(c.SetUp)
 	if err != nil {
-		ta.Unusable = true
+		tally.Unusable = true
 		return
 	}
 	e := t.s.SlowThresholds[c.Class]
@@ -146,13 +146,13 @@
 		s.Slow += slow
 		return
 	}
-	if ta.Policy != t.s.Good {
+	if tally.Policy != t.s.Good {
 		return
 	}
 	if len(e.Sketch) > 0 {
 		before, err := decodeSetUps(e.Sketch)
 		if err != nil || h.sketch.MergeWith(before.sketch) != nil {
-			ta.Unusable = true
+			tally.Unusable = true
 			return
 		}
 	}
@@ -166,8 +166,8 @@
 // openWindow returns the window with the given number. If needed it opens it, and drops the oldest window when more than
 // maxOpenWindows are open; it returns nil if the dropped one is the requested one.
 func (t *transition) openWindow(number uint64) *window {
-	i, there := slices.BinarySearchFunc(t.s.OpenWindows, number, func(s *window, n uint64) int { return cmp.Compare(s.Number, n) })
-	if !there {
+	i, found := slices.BinarySearchFunc(t.s.OpenWindows, number, func(s *window, n uint64) int { return cmp.Compare(s.Number, n) })
+	if !found {
 		t.s.OpenWindows = slices.Insert(t.s.OpenWindows, i, &window{number, map[string]*tally{}, t.taintedZones(number)})
 		if len(t.s.OpenWindows) > maxOpenWindows {
 			t.s.OpenWindows = slices.Delete(t.s.OpenWindows, 0, 1)
@@ -204,21 +204,21 @@
 // usableTally returns a node's tally if it is valid evidence on a policy: the node applied that policy during the whole
 // window, no host of its zone was in maintenance, and its last change of policy had settled before the window began. It
 // returns nil otherwise.
-func (p *Plan) usableTally(sp *window, name string, policy Hash) *tally {
-	n, ta := p.s.Nodes[name], sp.Nodes[name]
-	if n == nil || ta == nil || ta.Unusable || ta.Policy != policy {
+func (p *Plan) usableTally(w *window, name string, policy Hash) *tally {
+	n, t := p.s.Nodes[name], w.Nodes[name]
+	if n == nil || t == nil || t.Unusable || t.Policy != policy {
 		return nil
 	}
-	begin := time.Duration(sp.Number) * p.s.Limits.Slice * time.Duration(p.s.Limits.WindowSlices)
-	_, spoilt := slices.BinarySearch(sp.TaintedZones, p.topology.zone[name])
-	if spoilt || n.Changed > 0 && n.Changed+p.s.Limits.Settle > begin {
+	begin := time.Duration(w.Number) * p.s.Limits.Slice * time.Duration(p.s.Limits.WindowSlices)
+	_, tainted := slices.BinarySearch(w.TaintedZones, p.topology.zone[name])
+	if tainted || n.Changed > 0 && n.Changed+p.s.Limits.Settle > begin {
 		return nil
 	}
-	return ta
+	return t
 }
 
 // value returns a tally's value for a cell, from 0 to 1, and the number of requests or connections behind it.
-func (ta *tally) value(cell string) (v, of float64) {
+func (ta *tally) value(cell string) (v, count float64) {
 	i := strings.LastIndex(cell, sep)
 	s := ta.Sums[cell[:max(i, 0)]]
 	if s == nil {
@@ -233,11 +233,11 @@
 	return ratio(s.Broken, s.Served), s.Served
 }
 
-func ratio(a, of float64) float64 {
-	if of == 0 {
+func ratio(part, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return a / of
+	return part / total
 }
 
 // cells returns the keys of the cells that a tally has data for, sorted.
@@ -260,10 +260,10 @@
 
 // excess returns how far a node's value of a cell exceeds its own baseline. It returns false if there were too few requests
 // or too few baseline windows.
-func (p *Plan) excess(ta *tally, name, cell string) (float64, bool) {
-	v, of := ta.value(cell)
+func (p *Plan) excess(t *tally, name, cell string) (float64, bool) {
+	v, count := t.value(cell)
 	b := p.s.Nodes[name].Baselines[cell]
-	if of < float64(p.s.Limits.MinRequests) || b == nil || b.Windows < p.s.Limits.BaselineWindows {
+	if count < float64(p.s.Limits.MinRequests) || b == nil || b.Windows < p.s.Limits.BaselineWindows {
 		return 0, false
 	}
 	return v - b.Median - p.s.Typical[cell].level(), true
@@ -287,39 +287,39 @@
 	t.s.NextWindow = number + 1
 }
 
-func (t *transition) evaluate(sp *window) {
+func (t *transition) evaluate(w *window) {
 	for _, r := range t.s.Rollouts {
 		if r.Phase == Running || r.Phase == Completing {
-			t.updateTests(r, sp)
+			t.updateTests(r, w)
 		}
 	}
-	t.updateBaselines(sp)
+	t.updateBaselines(w)
 }
 
 // updateTests updates the tests of a rollout with the evidence of a window.
-func (t *transition) updateTests(r *Rollout, sp *window) {
-	pairs, spoke := map[string][]pair{}, map[string]bool{}
+func (t *transition) updateTests(r *Rollout, w *window) {
+	pairs, observed := map[string][]pair{}, map[string]bool{}
 	for _, tr := range r.Treated {
-		ta := t.usableTally(sp, tr.Node, r.Policy)
-		if ta == nil || t.s.Nodes[tr.Node].Rollout != r.ID {
+		tally := t.usableTally(w, tr.Node, r.Policy)
+		if tally == nil || t.s.Nodes[tr.Node].Rollout != r.ID {
 			continue
 		}
-		for _, cell := range ta.cells() {
-			x, ok := t.excess(ta, tr.Node, cell)
+		for _, cell := range tally.cells() {
+			x, ok := t.excess(tally, tr.Node, cell)
 			if !ok {
 				continue
 			}
-			likes := t.controlExcesses(sp, tr.Node, cell)
-			for _, y := range likes {
-				pairs[cell] = append(pairs[cell], pair{x, y, 1 / float64(len(likes))})
+			controls := t.controlExcesses(w, tr.Node, cell)
+			for _, y := range controls {
+				pairs[cell] = append(pairs[cell], pair{x, y, 1 / float64(len(controls))})
 			}
-			spoke[tr.Node] = spoke[tr.Node] || len(likes) > 0
+			observed[tr.Node] = observed[tr.Node] || len(controls) > 0
 		}
 	}
 	for _, cell := range slices.Sorted(maps.Keys(pairs)) {
 		m := t.margin(cell)
-		worse, fine, any := payoffs(pairs[cell], m, max(scaleFactor*t.s.Typical[cell].scale(), minScale))
-		if !any {
+		inferior, nonInferior, informative := payoffs(pairs[cell], m, max(scaleFactor*t.s.Typical[cell].scale(), minScale))
+		if !informative {
 			continue // both treated and control nodes were in trouble
 		}
 		i := slices.IndexFunc(r.Cells, func(c Cell) bool { return c.Key == cell })
@@ -328,26 +328,26 @@
 			r.Cells = append(r.Cells, Cell{Key: cell})
 		}
 		c := &r.Cells[i]
-		c.Inferior.Update(worse)
-		c.NonInferior.Update(fine)
-		c.LastWindow, c.LastPayoff = sp.Number, worse
+		c.Inferior.Update(inferior)
+		c.NonInferior.Update(nonInferior)
+		c.LastWindow, c.LastPayoff = w.Number, inferior
 	}
-	r.Observed = merged(r.Observed, slices.Sorted(maps.Keys(spoke)))
-	if r.Missing = t.missingEvidence(r, sp.Number); r.Missing == "" {
+	r.Observed = merged(r.Observed, slices.Sorted(maps.Keys(observed)))
+	if r.Missing = t.missingEvidence(r, w.Number); r.Missing == "" {
 		r.HeldSince = t.at
 	}
 }
 
 // controlExcesses returns the excesses of control nodes similar to a treated one: from its building and zone or, if there
 // are none, from its building, its regency, or anywhere. Nodes that are treated by any rollout are not control nodes.
-func (p *Plan) controlExcesses(sp *window, name, cell string) (list []float64) {
+func (p *Plan) controlExcesses(w *window, name, cell string) (list []float64) {
 	for _, level := range p.topology.nearest(name) {
 		for _, other := range level {
 			if n := p.s.Nodes[other]; other == name || n == nil || n.Rollout != "" {
 				continue
 			}
-			if ta := p.usableTally(sp, other, p.s.Good); ta != nil {
-				if y, ok := p.excess(ta, other, cell); ok {
+			if t := p.usableTally(w, other, p.s.Good); t != nil {
+				if y, ok := p.excess(t, other, cell); ok {
 					list = append(list, y)
 				}
 			}
@@ -365,36 +365,36 @@
 // requiredCells returns the cells without which a stage does not end, sorted: those in which at least one of the treated
 // nodes has enough requests in a typical window.
 func (p *Plan) requiredCells(r *Rollout) []string {
-	need := map[string]bool{}
+	required := map[string]bool{}
 	for _, tr := range r.Treated {
 		if n := p.s.Nodes[tr.Node]; n != nil && !tr.RolledBack {
 			for cell, b := range n.Baselines {
 				if b.MeanRequests >= float64(p.s.Limits.MinRequests) {
-					need[cell] = true
+					required[cell] = true
 				}
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(need))
+	return slices.Sorted(maps.Keys(required))
 }
 
 // missingEvidence returns what evidence a stage lacks, or "" if it is complete. Missing evidence is never taken as proof of
 // health.
 func (p *Plan) missingEvidence(r *Rollout, now uint64) string {
-	need := p.requiredCells(r)
-	if len(need) == 0 {
+	required := p.requiredCells(r)
+	if len(required) == 0 {
 		return "no class of the treated has enough requests"
 	}
-	for _, cell := range need {
+	for _, cell := range required {
 		i := slices.IndexFunc(r.Cells, func(c Cell) bool { return c.Key == cell })
 		if i < 0 || r.Cells[i].Inferior.Windows == 0 || r.Cells[i].LastWindow != now {
 			return "nothing to compare in the last spell: " + cellName(cell)
 		}
 	}
-	var all, adds coverage // adds: coverage of the nodes added by this stage; without it, a stage could end on the evidence of earlier stages
-	regency := map[string]bool{}
+	var all, added coverage // adds: coverage of the nodes added by this stage; without it, a stage could end on the evidence of earlier stages
+	observedRegencies := map[string]bool{}
 	for _, names := range r.Targets[:r.Stage+1] {
-		adds = coverage{}
+		added = coverage{}
 		for _, name := range names {
 			n := p.s.Nodes[name]
 			if n == nil || n.Rollout != "" && n.Rollout != r.ID {
@@ -402,21 +402,21 @@
 			}
 			_, ok := slices.BinarySearch(r.Observed, name)
 			all.add(ok)
-			adds.add(ok)
-			above := p.topology.regency[name]
-			regency[above] = regency[above] || ok
+			added.add(ok)
+			regency := p.topology.regency[name]
+			observedRegencies[regency] = observedRegencies[regency] || ok
 		}
 	}
-	for _, above := range slices.Sorted(maps.Keys(regency)) {
-		if !regency[above] {
-			return "no node has spoken of " + above
+	for _, regency := range slices.Sorted(maps.Keys(observedRegencies)) {
+		if !observedRegencies[regency] {
+			return "no node has spoken of " + regency
 		}
 	}
 	if !all.reaches(p.s.Limits.Coverage) {
 		return all.String()
 	}
-	if !adds.reaches(p.s.Limits.Coverage) {
-		return "of those that this stage adds, " + adds.String()
+	if !added.reaches(p.s.Limits.Coverage) {
+		return "of those that this stage adds, " + added.String()
 	}
 	return ""
 }
@@ -468,10 +468,10 @@
 }
 
 // add adds the value of a window to a baseline and keeps only the newest ones, up to most.
-func (b *baseline) add(v float64, most int) {
+func (b *baseline) add(v float64, size int) {
 	b.Recent = append(b.Recent, v)
-	if len(b.Recent) > most {
-		b.Recent = slices.Delete(b.Recent, 0, len(b.Recent)-most)
+	if len(b.Recent) > size {
+		b.Recent = slices.Delete(b.Recent, 0, len(b.Recent)-size)
 	}
 	b.Windows = len(b.Recent)
 	b.Median = median(slices.Clone(b.Recent))
@@ -480,51 +480,51 @@
 // updateBaselines adds a window to the baselines of nodes on the good policy and to the typical values of each cell. A
 // baseline is relative to the median of all control nodes in the same window, so that drift during a day does not enter
 // it. While a rollout treats any node, baselines that are complete stay frozen.
-func (t *transition) updateBaselines(sp *window) {
+func (t *transition) updateBaselines(w *window) {
 	frozen := slices.ContainsFunc(t.s.Rollouts, func(r *Rollout) bool { return r.Phase.Active() && len(r.Treated) > 0 })
 	least := float64(t.s.Limits.MinRequests)
 	values, names := map[string][]float64{}, []string{}
-	for _, name := range slices.Sorted(maps.Keys(sp.Nodes)) {
-		ta := t.usableTally(sp, name, t.s.Good)
-		if ta == nil || t.s.Nodes[name].Rollout != "" {
+	for _, name := range slices.Sorted(maps.Keys(w.Nodes)) {
+		tally := t.usableTally(w, name, t.s.Good)
+		if tally == nil || t.s.Nodes[name].Rollout != "" {
 			continue
 		}
 		names = append(names, name)
-		for _, cell := range ta.cells() {
-			if v, of := ta.value(cell); of >= least {
+		for _, cell := range tally.cells() {
+			if v, count := tally.value(cell); count >= least {
 				values[cell] = append(values[cell], v)
 			}
 		}
 	}
-	far := map[string][]float64{}
+	distances := map[string][]float64{}
 	for _, name := range names {
-		ta, bases := sp.Nodes[name], t.s.Nodes[name].Baselines
-		for _, cell := range merged(ta.cells(), slices.Collect(maps.Keys(bases))) { // MeanRequests of cells without requests decays
-			v, of := ta.value(cell)
-			b := bases[cell]
+		tally, baselines := w.Nodes[name], t.s.Nodes[name].Baselines
+		for _, cell := range merged(tally.cells(), slices.Collect(maps.Keys(baselines))) { // MeanRequests of cells without requests decays
+			v, count := tally.value(cell)
+			b := baselines[cell]
 			if b == nil {
 				b = &baseline{}
-				bases[cell] = b
+				baselines[cell] = b
 			}
-			off := 0.0
-			if of >= least {
-				off = v - median(values[cell])
+			offset := 0.0
+			if count >= least {
+				offset = v - median(values[cell])
 				if b.Windows >= min(t.s.Limits.BaselineWindows, 4) {
-					far[cell] = append(far[cell], max(off-b.Median, b.Median-off))
+					distances[cell] = append(distances[cell], max(offset-b.Median, b.Median-offset))
 				}
 			}
 			if frozen && b.Windows >= t.s.Limits.BaselineWindows {
 				continue
 			}
-			if of >= least {
-				b.add(off, max(baselineSize, t.s.Limits.BaselineWindows))
+			if count >= least {
+				b.add(offset, max(baselineSize, t.s.Limits.BaselineWindows))
 			}
 			if b.MeanRequests == 0 {
-				b.MeanRequests = of
+				b.MeanRequests = count
 			}
-			b.MeanRequests += (of - b.MeanRequests) / float64(b.Windows+1)
+			b.MeanRequests += (count - b.MeanRequests) / float64(b.Windows+1)
 			if b.MeanRequests < 1 {
-				delete(bases, cell)
+				delete(baselines, cell)
 			}
 		}
 	}
@@ -537,8 +537,8 @@
 		if !frozen {
 			u.Level.add(median(values[cell]), baselineSize)
 		}
-		if len(far[cell]) > 0 {
-			u.Scale += (median(far[cell]) - u.Scale) * scaleWeight
+		if len(distances[cell]) > 0 {
+			u.Scale += (median(distances[cell]) - u.Scale) * scaleWeight
 		}
 	}
 }
--- a/internal/choice/rollout/holder.go
+++ b/internal/choice/rollout/holder.go
@@ -35,7 +35,7 @@
 // ReadStored decodes what a node persisted. An error is a *DecodeError.
 func ReadStored(raw []byte) (s Stored, err error) {
 	if err = decode(storedHead, raw, &s); err == nil && s.Fallback >= fallbackCount {
-		err = &DecodeError{"it names no fall"}
+		err = &DecodeError{"unknown cause of a fallback"}
 	}
 	return s, err
 }
@@ -117,7 +117,7 @@
 		return false
 	}
 	before, stored := h.s, h.storedLeaseEnd
-	again := a.Policy == h.s.Trial || a.Policy == h.s.RejectedTrial && h.s.Fallback == LeaseExpired
+	reapplied := a.Policy == h.s.Trial || a.Policy == h.s.RejectedTrial && h.s.Fallback == LeaseExpired
 	h.newestAsked = asked
 	h.s.Round = a.Round
 	if h.s.RejectedRound != a.Round {
@@ -134,7 +134,7 @@
 		h.s.Trial = a.Policy
 		h.fallBack(InvalidTrial)
 	default:
-		if !again {
+		if !reapplied {
 			h.s.Starts = 0
 		}
 		h.s.Trial, h.s.RejectedTrial, h.s.Fallback, h.s.RejectedRound = a.Policy, "", NoFallback, 0
--- a/internal/choice/rollout/holder_test.go
+++ b/internal/choice/rollout/holder_test.go
@@ -13,7 +13,7 @@
 
 func acceptAny(Hash) error { return nil }
 
-func TestATrialLapsesInSilence(t *testing.T) {
+func TestATrialLeaseExpires(t *testing.T) {
 	h := NewNodePolicy(Stored{Good: "g"}, 3, time.Minute, 0)
 	trial := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Minute}
 	require.True(t, h.HandleAssignment(trial, 10*time.Second, acceptAny))
@@ -35,7 +35,7 @@
 	assert.Equal(t, Hash("g"), h.Policy())
 }
 
-func TestANodeFallsBackFromWhatCrashesItOrIsFaulty(t *testing.T) {
+func TestANodeFallsBackFromATrialThatCrashesItOrIsInvalid(t *testing.T) {
 	stored := Stored{Good: "g", Trial: "t", Round: 4}
 	for start := 1; start <= 3; start++ {
 		h := NewNodePolicy(stored, 3, time.Hour+time.Minute, time.Hour)
@@ -65,7 +65,7 @@
 
 // A process that starts after the end of the trial lease must apply the good policy from its first moment. When the root site
 // is reachable again it applies the trial again, and starts continue to be counted.
-func TestAStartPastTheLeaseGoesByTheGoodPolicy(t *testing.T) {
+func TestAStartAfterTheLeaseAppliesTheGoodPolicy(t *testing.T) {
 	trial := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Minute}
 	h := NewNodePolicy(Stored{Good: "g"}, 3, 0, 0)
 	require.True(t, h.HandleAssignment(trial, time.Second, acceptAny))
@@ -87,7 +87,7 @@
 }
 
 // The persisted lease end must never be later than the true one and at most half a lease earlier, with few writes.
-func TestTheStoredEndIsNeverLate(t *testing.T) {
+func TestTheStoredLeaseEndIsNeverLate(t *testing.T) {
 	trial := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Minute}
 	h := NewNodePolicy(Stored{Good: "g"}, 3, 0, 0)
 	writes := 0
@@ -149,7 +149,7 @@
 	return ""
 }
 
-func TestUnderNoOrderOfRestartsDoesATrialOutliveItsLease(t *testing.T) {
+func TestNoSequenceOfRestartsLetsATrialOutliveItsLease(t *testing.T) {
 	for seed := range uint64(300) {
 		require.Empty(t, trialOutlivesLease(seed, ""), "seed %d", seed)
 	}
--- a/internal/choice/rollout/node.go
+++ b/internal/choice/rollout/node.go
@@ -47,18 +47,18 @@
 
 // Count adds what the traffic path counted under a policy since the last call ("" for the unchanged settings), and the
 // guards that fired. It must also be called without counts: a slice without a call yields no evidence.
-func (t *Reporter) Count(now time.Duration, under Hash, counts []Counts, guards []string) {
-	if under == "" {
-		under = EmptyPolicy().Hash()
+func (t *Reporter) Count(now time.Duration, policy Hash, counts []Counts, guards []string) {
+	if policy == "" {
+		policy = EmptyPolicy().Hash()
 	}
 	for _, g := range guards {
-		t.earlyGuards = append(t.earlyGuards, earlyGuard{now, under, g})
+		t.earlyGuards = append(t.earlyGuards, earlyGuard{now, policy, g})
 	}
 	t.earlyGuards = t.earlyGuards[max(0, len(t.earlyGuards)-maxFired):]
 	if t.slice > 0 {
 		t.endSlice(now)
-		t.current.Tainted = t.current.Tainted || t.current.Policy != "" && t.current.Policy != under
-		t.current.Policy = under
+		t.current.Tainted = t.current.Tainted || t.current.Policy != "" && t.current.Policy != policy
+		t.current.Policy = policy
 		for _, c := range counts {
 			t.add(c)
 		}
@@ -69,7 +69,7 @@
 // Tick sets the slice length of the site (0 if not known yet), the node's status, the starts of the process under its
 // policy, the number of hosts out of service for maintenance at the site, and whether maintenance takes place in the node's
 // zone.
-func (t *Reporter) Tick(now, slice time.Duration, seen NodeStatus, starts, out int, work bool) {
+func (t *Reporter) Tick(now, slice time.Duration, status NodeStatus, starts, outOfService int, maintenance bool) {
 	if slice != t.slice {
 		t.slice, t.record.Slices = slice, nil // slice numbers depend on the slice length
 		t.beginSlice(now, true)
@@ -77,17 +77,17 @@
 	if slice > 0 {
 		t.endSlice(now)
 		t.current.Starts = starts
-		t.current.Tainted = t.current.Tainted || work || t.record.Status.Node != "" && t.record.Status.Policy != seen.Policy
+		t.current.Tainted = t.current.Tainted || maintenance || t.record.Status.Node != "" && t.record.Status.Policy != status.Policy
 	}
-	t.record.OutOfService = out
-	if last := t.record.Status; last != seen {
-		if last.Policy != seen.Policy {
+	t.record.OutOfService = outOfService
+	if last := t.record.Status; last != status {
+		if last.Policy != status.Policy {
 			t.previous = last
 		}
-		if seen.Fallback == LeaseExpired && last.Fallback != LeaseExpired {
+		if status.Fallback == LeaseExpired && last.Fallback != LeaseExpired {
 			t.taintTrialSlices(last.Policy)
 		}
-		t.record.Status, t.dirty = seen, true
+		t.record.Status, t.dirty = status, true
 	}
 	t.publish(now)
 }
@@ -107,8 +107,8 @@
 func (t *Reporter) Newest() Record { return t.record }
 
 // Acknowledge notes that the consensus group has the record with this sequence number.
-func (t *Reporter) Acknowledge(told uint64) {
-	if told >= t.record.Sequence {
+func (t *Reporter) Acknowledge(sequence uint64) {
+	if sequence >= t.record.Sequence {
 		t.unacknowledged, t.raw = false, nil
 	}
 }
@@ -174,8 +174,8 @@
 	s.TimedOut += c.TimedOut
 	s.Breaks += c.Breaks
 	s.Moves += c.Moves
-	if worth := s.Value + c.Value; !math.IsNaN(worth) && !math.IsInf(worth, 0) {
-		s.Value = worth
+	if value := s.Value + c.Value; !math.IsNaN(value) && !math.IsInf(value, 0) {
+		s.Value = value
 	}
 	if len(c.SetUp) == 0 {
 		return
@@ -191,16 +191,16 @@
 
 // publish builds a new record if anything has changed since the last one.
 func (t *Reporter) publish(now time.Duration) {
-	seen := t.record.Status
-	if seen.Node == "" {
+	status := t.record.Status
+	if status.Node == "" {
 		return
 	}
 	for _, g := range t.earlyGuards {
 		if t.slice == 0 {
 			break
 		}
-		f := FiredGuard{Slice: uint64(g.at / t.slice), Round: seen.Round, Policy: g.policy, Guard: g.guard}
-		if g.policy != seen.Policy && g.policy == t.previous.Policy {
+		f := FiredGuard{Slice: uint64(g.at / t.slice), Round: status.Round, Policy: g.policy, Guard: g.guard}
+		if g.policy != status.Policy && g.policy == t.previous.Policy {
 			f.Round = t.previous.Round
 		}
 		t.record.Fired, t.dirty = append(t.record.Fired, f), true
--- a/internal/choice/rollout/node_test.go
+++ b/internal/choice/rollout/node_test.go
@@ -62,25 +62,25 @@
 		require.ErrorAs(t, err, &u)
 	}
 	_, err := MergeRecords(Record{Node: "a", Sequence: 1, Status: NodeStatus{Node: "a"}}.Bytes(), Record{Node: "b", Sequence: 1, Status: NodeStatus{Node: "b"}}.Bytes())
-	require.ErrorContains(t, err, "are not one")
+	require.ErrorContains(t, err, "belong to different nodes")
 }
 
 // reporterHarness is a node whose site has slices of a minute.
 type reporterHarness struct {
 	*Reporter
-	now  time.Duration
-	seen NodeStatus
-	work bool
+	now         time.Duration
+	status      NodeStatus
+	maintenance bool
 }
 
 func newReporterHarness(now time.Duration) *reporterHarness {
-	return &reporterHarness{Reporter: NewReporter("n", "z"), now: now, seen: NodeStatus{Node: "n", Policy: "p", Round: 1}}
+	return &reporterHarness{Reporter: NewReporter("n", "z"), now: now, status: NodeStatus{Node: "n", Policy: "p", Round: 1}}
 }
 
-func (n *reporterHarness) tick(long time.Duration, under Hash, counts []Counts, guards ...string) {
-	n.now += long
-	n.Tick(n.now, time.Minute, n.seen, 2, 3, n.work)
-	n.Count(n.now, under, counts, guards)
+func (n *reporterHarness) tick(step time.Duration, policy Hash, counts []Counts, guards ...string) {
+	n.now += step
+	n.Tick(n.now, time.Minute, n.status, 2, 3, n.maintenance)
+	n.Count(n.now, policy, counts, guards)
 }
 
 func (n *reporterHarness) newest(t require.TestingT) Record {
@@ -92,13 +92,13 @@
 
 // R2: the newest record of a node contains everything that the earlier ones contained, within the bounds of R3, whatever was
 // lost, and sequence numbers increase.
-func TestTheNewestRecordSaysItAll(t *testing.T) {
+func TestTheNewestRecordContainsAllEarlierOnes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newReporterHarness(1000 * time.Hour)
 		var all [][]byte
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			step := time.Duration(rapid.IntRange(-5, 40).Draw(rt, "seconds")) * time.Second
-			n.seen.Round = max(n.seen.Round, uint64(rapid.IntRange(0, 30).Draw(rt, "round")))
+			n.status.Round = max(n.status.Round, uint64(rapid.IntRange(0, 30).Draw(rt, "round")))
 			var guards []string
 			if rapid.IntRange(0, 5).Draw(rt, "fires") == 0 {
 				guards = []string{"drain"}
@@ -121,7 +121,7 @@
 }
 
 // R2, when the clock steps back over the end of a slice: that slice ends twice but takes only one of the eight places.
-func TestASliceThatEndsTwiceTakesNoPlaceOfAnother(t *testing.T) {
+func TestASliceThatEndsTwiceIsStoredOnce(t *testing.T) {
 	n := newReporterHarness(1000 * time.Hour)
 	add := []Counts{{Class: "c", Offered: 1}}
 	var before []byte
@@ -140,10 +140,10 @@
 	assert.Equal(t, string(n.Pending()), string(merged))
 }
 
-func TestANodeTellsItsSlices(t *testing.T) {
+func TestAReporterPublishesItsSlices(t *testing.T) {
 	n := newReporterHarness(1000*time.Hour + 10*time.Second)
 	n.Count(n.now, "p", []Counts{{Class: "c", Offered: 9}}, nil)
-	n.Tick(n.now, 0, n.seen, 0, 0, false)
+	n.Tick(n.now, 0, n.status, 0, 0, false)
 	assert.NotNil(t, n.Pending(), "what it goes by is told before any slice")
 	h := NewSetUps()
 	h.Add(time.Millisecond)
@@ -169,17 +169,17 @@
 
 	spoilt := func(what string, do func()) {
 		t.Helper()
-		n.tick(time.Minute-n.now%time.Minute, n.seen.Policy, add)
+		n.tick(time.Minute-n.now%time.Minute, n.status.Policy, add)
 		do()
-		n.tick(time.Minute-n.now%time.Minute, n.seen.Policy, add)
+		n.tick(time.Minute-n.now%time.Minute, n.status.Policy, add)
 		r := n.newest(t)
 		assert.Equal(t, what != "", r.Slices[len(r.Slices)-1].Tainted, what)
-		n.tick(time.Minute, n.seen.Policy, add) // a slice without a cause of tainting
+		n.tick(time.Minute, n.status.Policy, add) // a slice without a cause of tainting
 	}
 	spoilt("", func() { n.tick(time.Second, "p", add) })
-	spoilt("work", func() { n.work = true; n.tick(time.Second, "p", add); n.work = false })
+	spoilt("work", func() { n.maintenance = true; n.tick(time.Second, "p", add); n.maintenance = false })
 	spoilt("another policy was counted", func() { n.tick(time.Second, "q", add) })
-	spoilt("another policy was told", func() { n.seen.Policy, n.seen.Round = "q", 7; n.tick(time.Second, "q", add) })
+	spoilt("another policy was told", func() { n.status.Policy, n.status.Round = "q", 7; n.tick(time.Second, "q", add) })
 	spoilt("no histogram", func() { n.tick(time.Second, "q", []Counts{{Class: "c", SetUp: []byte("x")}}) })
 	n.Acknowledge(n.Newest().Sequence)
 	n.tick(time.Second, "p", nil, "late")
@@ -190,13 +190,13 @@
 	n.tick(time.Minute, "q", add)
 	before := n.newest(t)
 	require.False(t, before.Slices[maxSlices-1].Tainted)
-	n.seen.Policy, n.seen.Fallback = "p", LeaseExpired
+	n.status.Policy, n.status.Fallback = "p", LeaseExpired
 	n.tick(time.Second, "q", add)
 	require.True(t, n.newest(t).Slices[maxSlices-1].Tainted, "nobody heard of it before the trial lapsed")
 	n.now -= time.Hour
 	n.tick(0, "q", nil, "again")
 	assert.Greater(t, n.newest(t).Sequence, before.Sequence, "though the clock went back")
-	n.Tick(n.now, time.Hour, n.seen, 0, 0, false)
+	n.Tick(n.now, time.Hour, n.status, 0, 0, false)
 	n.Count(n.now+time.Hour, "", nil, nil)
 	n.Count(n.now+2*time.Hour, "", nil, nil)
 	r = n.newest(t)
--- a/internal/choice/rollout/overlay.go
+++ b/internal/choice/rollout/overlay.go
@@ -29,9 +29,9 @@
 // Action returns what an operator can do about the fault.
 func (f *Fault) Action() string {
 	if f.Key == "" {
-		return "write the policy as one JSON object of keys of the settings"
+		return "write the policy as one JSON object with keys of the settings"
 	}
-	return "mend or leave out " + f.Key + " in the policy, and start the rollout again"
+	return "correct or remove " + f.Key + " in the policy, and start the rollout again"
 }
 
 // valueKind is the kind of value that a key of a policy takes.
@@ -76,10 +76,10 @@
 
 // forbiddenKeys are keys of the settings that no policy may contain, with the reason.
 var forbiddenKeys = map[string]string{
-	"me": "tells of one node", "my_zone": "tells of one node", "balancers": "tells of the fleet",
-	"registry_mode": "only a start takes it over", "extra.mode": "only a start takes it over",
-	"request_classes.semantics": "is a fact of the class", "request_classes.streamed": "is a fact of the class",
-	"request_classes.name": "is a fact of the class",
+	"me": "describes one node", "my_zone": "describes one node", "balancers": "describes the fleet",
+	"registry_mode": "takes effect only at a start", "extra.mode": "takes effect only at a start",
+	"request_classes.semantics": "is a property of the class", "request_classes.streamed": "is a property of the class",
+	"request_classes.name": "is a property of the class",
 }
 
 // Policy is a validated overlay on the settings, in canonical form. The zero value is no policy.
@@ -139,11 +139,11 @@
 		_, repeated := out[name.Str]
 		switch {
 		case repeated:
-			err = &Fault{fullPath, "stands there twice"}
+			err = &Fault{fullPath, "duplicate key"}
 		case forbiddenKeys[generalPath] != "":
-			err = &Fault{fullPath, "may not be in a policy: it " + forbiddenKeys[generalPath]}
+			err = &Fault{fullPath, "not allowed in a policy: it " + forbiddenKeys[generalPath]}
 		case !known:
-			err = &Fault{fullPath, "no such key, or no policy may change it"}
+			err = &Fault{fullPath, "unknown key, or one that no policy may change"}
 		default:
 			out[name.Str], err = k.parseValue(value, fullPath, generalPath)
 		}
@@ -158,12 +158,12 @@
 		return parseObject(v, path, general, k.keys)
 	case classes, parties:
 		if !v.IsObject() {
-			return nil, &Fault{path, "not an object by name"}
+			return nil, &Fault{path, "not an object with one key per name"}
 		}
 		out, err := map[string]any{}, error(nil)
 		v.ForEach(func(name, value gjson.Result) bool {
 			if _, repeated := out[name.Str]; repeated || name.Str == "" {
-				err = &Fault{join(path, name.Str), "stands there twice, or has no name"}
+				err = &Fault{join(path, name.Str), "duplicate or empty name"}
 			} else if k.keys != nil {
 				out[name.Str], err = parseObject(value, join(path, name.Str), general, k.keys)
 			} else {
@@ -186,7 +186,7 @@
 	}
 	whole := v.Num == math.Trunc(v.Num)
 	if v.Type != gjson.Number || math.IsInf(v.Num, 0) || v.Num < 0 || k.kind == count && (!whole || v.Num > math.MaxInt32) {
-		return nil, &Fault{path, fmt.Sprintf("%.40s is not a number from 0", v.Raw)}
+		return nil, &Fault{path, fmt.Sprintf("%.40s is not a number of at least 0, or not an integer where one is needed", v.Raw)}
 	}
 	if whole && v.Num < 1<<53 {
 		return json.Number(strconv.FormatInt(int64(v.Num), 10)), nil
@@ -206,10 +206,10 @@
 func (p Policy) ApplyTo(raw []byte) ([]byte, error) {
 	var doc, overlay map[string]any
 	if err := decodeNumbers(raw, &doc); err != nil || doc == nil {
-		return nil, &Fault{"", fmt.Sprintf("the settings below it are no JSON object: %v", err)}
+		return nil, &Fault{"", fmt.Sprintf("the settings to apply the policy to are not a JSON object: %v", err)}
 	}
 	if err := decodeNumbers(p.text, &overlay); err != nil {
-		return nil, &Fault{"", "no policy"}
+		return nil, &Fault{"", "the policy is empty: it was not parsed"}
 	}
 	nameLists := map[valueKind][]string{classes: names(doc["request_classes"]), parties: names(doc["parties"])}
 	if err := merge(doc, overlay, "", policyKeys, nameLists); err != nil {
@@ -227,7 +227,7 @@
 		err = settings.InRange(out)
 	}
 	if err != nil {
-		return nil, &Fault{"", "laid over the settings: " + err.Error()}
+		return nil, &Fault{"", "applied to the settings: " + err.Error()}
 	}
 	return out, nil
 }
@@ -276,7 +276,7 @@
 			for _, element := range slices.Sorted(maps.Keys(asObject(overlay[name]))) {
 				i := slices.Index(nameLists[k.kind], element)
 				if i < 0 {
-					return &Fault{join(fullPath, element), "the settings name none such"}
+					return &Fault{join(fullPath, element), "the settings have no class or party with this name"}
 				}
 				for len(list) <= i {
 					list = append(list, nil)
--- a/internal/choice/rollout/overlay_test.go
+++ b/internal/choice/rollout/overlay_test.go
@@ -15,7 +15,7 @@
 {"name":"c","semantics":"read_like","aim_us":300000,"deadline_us":900000,"points":3},
 {"name":"d","semantics":"non_idempotent","aim_us":500000,"deadline_us":3000000,"points":1}],"extra":{"mode":"pass"}}`
 
-func TestAPolicyIsLaidOverTheSettings(t *testing.T) {
+func TestAPolicyIsMergedIntoTheSettings(t *testing.T) {
 	p, err := Parse([]byte(`{"request_classes":{"d":{"aim_us":2.5e5}},"permissions":{"max_attempts":2},
 		"extra":{"message_aim_us":{"d":60000},"tenant_quota_connections":{"kab":7}},"safety":{"cold_from":0.25}}`))
 	require.NoError(t, err)
@@ -30,7 +30,7 @@
 	assert.Equal(t, want, set)
 }
 
-func TestThePolicyIsNamedByItsContentAlone(t *testing.T) {
+func TestAPolicyIsIdentifiedByItsContent(t *testing.T) {
 	a, err := Parse([]byte(`{"tariffs":{"probe":1000,"peer":-0}, "permissions":{"probes":true}}`))
 	require.NoError(t, err)
 	b, err := Parse([]byte(`{"permissions":{"probes":true},"tariffs":{"peer":0.0,"probe":1e3}}`))
@@ -64,7 +64,7 @@
 		assert.NotEmpty(t, f.Action())
 	}
 	_, err := Parse([]byte(`{"my_zone":"z"}`))
-	assert.ErrorContains(t, err, "my_zone: may not be in a policy: it tells of one node")
+	assert.ErrorContains(t, err, "my_zone: not allowed in a policy: it describes one node")
 	for text, want := range map[string]string{
 		`{"request_classes":{"x":{"aim_us":1}}}`: "request_classes.x: ",
 		`{"parties":{"desa":{"share":1}}}`:       "parties.desa: ",
--- a/internal/choice/rollout/places.go
+++ b/internal/choice/rollout/places.go
@@ -44,18 +44,18 @@
 
 // shuffled returns the names in a pseudo-random order that depends only on the rollout's ID.
 func shuffled(id string, names []string) []string {
-	type ticket struct{ lot, name string }
-	var lots []ticket
+	type hashedName struct{ hash, name string }
+	var hashed []hashedName
 	for _, n := range names {
 		sum := sha256.Sum256([]byte(id + sep + n))
-		lots = append(lots, ticket{string(sum[:]), n})
+		hashed = append(hashed, hashedName{string(sum[:]), n})
 	}
-	slices.SortFunc(lots, func(a, b ticket) int { return cmp.Compare(a.lot, b.lot) })
-	out := make([]string, 0, len(names))
-	for _, l := range lots {
-		out = append(out, l.name)
+	slices.SortFunc(hashed, func(a, b hashedName) int { return cmp.Compare(a.hash, b.hash) })
+	result := make([]string, 0, len(names))
+	for _, l := range hashed {
+		result = append(result, l.name)
 	}
-	return out
+	return result
 }
 
 // firstCandidates is how many of the best-ranked nodes are considered as the first node of a rollout.
@@ -65,23 +65,23 @@
 // enough requests and two other nodes in their building, and returns the one whose smallest cell is the largest, since its
 // evidence is the most informative.
 func (p *Plan) chooseFirst(order []string) (name string) {
-	best, left, most := -1, 0, -1.0
+	best, remaining, largest := -1, 0, -1.0
 	for _, n := range order {
-		score, least := 0, -1.0
+		score, smallest := 0, -1.0
 		for _, b := range p.s.Nodes[n].Baselines {
 			if b.MeanRequests >= float64(p.s.Limits.MinRequests) {
 				score += 4
-				if least < 0 || b.MeanRequests < least {
-					least = b.MeanRequests
+				if smallest < 0 || b.MeanRequests < smallest {
+					smallest = b.MeanRequests
 				}
 			}
 		}
 		switch score += min(len(p.topology.siteNodes[p.topology.site[n]]), 3); {
 		case score > best:
-			best, left, most, name = score, firstCandidates-1, least, n
-		case score == best && left > 0:
-			if left--; least > most {
-				most, name = least, n
+			best, remaining, largest, name = score, firstCandidates-1, smallest, n
+		case score == best && remaining > 0:
+			if remaining--; smallest > largest {
+				largest, name = smallest, n
 			}
 		}
 	}
@@ -95,45 +95,45 @@
 	stages := make([][]string, Stages+1)
 	order := shuffled(id, p.topology.allNodes)
 	first := p.chooseFirst(order)
-	held := map[string]bool{}
-	hold := func(list []string) {
+	heldBack := map[string]bool{}
+	holdBack := func(list []string) {
 		for i := len(list) - 1; i >= 0 && len(list) > 1; i-- {
-			if held[list[i]] {
+			if heldBack[list[i]] {
 				return
 			}
 		}
 		for i := len(list) - 1; i >= 0 && len(list) > 1; i-- {
 			if list[i] != first {
-				held[list[i]] = true
+				heldBack[list[i]] = true
 				return
 			}
 		}
 	}
 	for _, s := range p.s.Tree.Sites {
-		hold(inOrder(order, p.topology.siteNodes[s.Name]))
+		holdBack(inOrder(order, p.topology.siteNodes[s.Name]))
 	}
 	for _, s := range p.s.Tree.Sites {
-		hold(inOrder(order, p.topology.regencyNodes[s.Name]))
+		holdBack(inOrder(order, p.topology.regencyNodes[s.Name]))
 	}
-	hold(order)
+	holdBack(order)
 	regencies := shuffled(id, slices.Sorted(keysOf(p.topology.regencyNodes)))
-	half := map[string]bool{p.topology.regency[first]: true}
+	firstHalf := map[string]bool{p.topology.regency[first]: true}
 	for _, r := range regencies {
-		if 2*len(half) < len(regencies) {
-			half[r] = true
+		if 2*len(firstHalf) < len(regencies) {
+			firstHalf[r] = true
 		}
 	}
 	for _, name := range order {
 		switch {
 		case name == first:
 			stages[OneNode] = append(stages[OneNode], name)
-		case held[name]:
+		case heldBack[name]:
 			stages[Stages] = append(stages[Stages], name)
 		case p.topology.site[name] == p.topology.site[first]:
 			stages[OneBuilding] = append(stages[OneBuilding], name)
 		case p.topology.regency[name] == p.topology.regency[first]:
 			stages[OneRegency] = append(stages[OneRegency], name)
-		case half[p.topology.regency[name]]:
+		case firstHalf[p.topology.regency[name]]:
 			stages[PartOfProvince] = append(stages[PartOfProvince], name)
 		default:
 			stages[All] = append(stages[All], name)
--- a/internal/choice/rollout/plan.go
+++ b/internal/choice/rollout/plan.go
@@ -417,8 +417,8 @@
 		}
 	}
 	t.s.MaintenanceZones = zones
-	for _, sp := range t.s.OpenWindows {
-		sp.TaintedZones = merged(sp.TaintedZones, zones)
+	for _, w := range t.s.OpenWindows {
+		w.TaintedZones = merged(w.TaintedZones, zones)
 	}
 }
 
@@ -428,7 +428,7 @@
 	for _, s := range t.Sites {
 		for _, n := range s.Nodes {
 			if seen[n.Name] || n.Name == "" {
-				return nil, &Refusal{fmt.Sprintf("the node %q stands in the tree twice, or has no name", n.Name), "mend the site file"}
+				return nil, &Refusal{fmt.Sprintf("the node %q is in the tree twice or has no name", n.Name), "correct the site file"}
 			}
 			seen[n.Name] = true
 		}
@@ -489,7 +489,7 @@
 		return err.(*Refusal)
 	}
 	if p.active() && (l.Slice != p.s.Limits.Slice || l.WindowSlices != p.s.Limits.WindowSlices) {
-		return &Refusal{"slice and spell cannot change while a rollout is under way", "halt it or wait for its end"}
+		return &Refusal{"slice and spell cannot change while a rollout is active", "halt it or wait for its end"}
 	}
 	return nil
 }
@@ -503,11 +503,11 @@
 	case r != nil:
 		return &Refusal{"another rollout has this ID", "choose another ID"}
 	case c.ID == "" || c.By == "" || c.Why == "":
-		return &Refusal{"an ID, who starts it and why are wanted", "tell them"}
+		return &Refusal{"an ID, the operator and a reason are required", "give all three"}
 	case policy.Hash() == p.s.Good:
-		return &Refusal{"this policy is the good one already", "nothing is left to do"}
+		return &Refusal{"this policy is already the good one", "nothing is left to do"}
 	case slices.ContainsFunc(p.s.Rollouts, func(r *Rollout) bool { return r.Phase.Active() && r.Policy == policy.Hash() }):
-		return &Refusal{"this policy is on its way already", "wait for that rollout, or halt it"}
+		return &Refusal{"an active rollout already has this policy", "wait for that rollout, or halt it"}
 	case len(p.s.Nodes) == 0:
 		return &Refusal{"no node is known", "name the sites in the site file"}
 	}
@@ -569,7 +569,7 @@
 	case !r.Phase.Active():
 		return &Refusal{"the rollout is " + r.Phase.String(), "nothing is left to halt"}
 	case c.Cause == Operator && (c.By == "" || c.Why == ""):
-		return &Refusal{"who halts it and why are wanted", "tell both"}
+		return &Refusal{"the operator and a reason for the halt are required", "give both"}
 	}
 	return nil
 }
@@ -585,8 +585,8 @@
 		t.halt(r, Operator, c.By, c.Why)
 	case r.Phase == Halting:
 	default:
-		if cause, why := t.haltCause(r, t.at); cause != None && cause == c.Cause {
-			t.halt(r, cause, "", why)
+		if cause, reason := t.haltCause(r, t.at); cause != None && cause == c.Cause {
+			t.halt(r, cause, "", reason)
 		}
 	}
 }
@@ -602,15 +602,15 @@
 	case r == nil:
 		return &Refusal{"no rollout has this ID", "see the list of rollouts"}
 	case c.By == "" || c.Why == "":
-		return &Refusal{"who resumes it and why are wanted", "tell both"}
+		return &Refusal{"the operator and a reason for the resume are required", "give both"}
 	case r.Phase != Halted:
 		return &Refusal{"the rollout is " + r.Phase.String(), "wait until it is halted"}
 	case r.Cause == Guard || r.Cause == Superseded:
-		return &Refusal{"it was halted: " + r.Cause.String(), "start a rollout of a mended policy"}
+		return &Refusal{"it was halted: " + r.Cause.String(), "start a rollout of a corrected policy"}
 	case r.Policy == p.s.Good || slices.ContainsFunc(p.s.Rollouts, func(o *Rollout) bool {
 		return o != r && o.Phase.Active() && o.Policy == r.Policy
 	}):
-		return &Refusal{"its policy is good or on its way already", "nothing is left to do"}
+		return &Refusal{"its policy is already the good one or in an active rollout", "nothing is left to do"}
 	}
 	return nil
 }
@@ -627,11 +627,11 @@
 	case r == nil:
 		return &Refusal{"no rollout has this ID", "see the list of rollouts"}
 	case c.By == "" || c.Why == "":
-		return &Refusal{"who forces it and why are wanted", "tell both"}
+		return &Refusal{"the operator and a reason for the force are required", "give both"}
 	case r.Phase != Running:
 		return &Refusal{"the rollout is " + r.Phase.String(), "force ends a stage; it never overrides a halt"}
 	case r.Stage != c.Stage:
-		return &Refusal{"it is in another stage by now", "look where it stands, and force that stage if need be"}
+		return &Refusal{"the rollout is in another stage by now", "look up its stage, and force that one if needed"}
 	}
 	return nil
 }
@@ -652,18 +652,18 @@
 	}
 }
 
-func (t *transition) setUnreachable(name string, away bool) {
+func (t *transition) setUnreachable(name string, unreachable bool) {
 	if n := t.s.Nodes[name]; n != nil {
-		n.Unreachable = away
+		n.Unreachable = unreachable
 	}
 }
 
 // disruptionBudget returns how many more nodes may be disrupted now, with out hosts and nodes out of service for maintenance.
-func (p *Plan) disruptionBudget(at time.Duration, out int) int {
+func (p *Plan) disruptionBudget(at time.Duration, outOfService int) int {
 	if p.s.Limits.MaxDisrupted == 0 {
 		return len(p.s.Nodes)
 	}
-	return p.s.Limits.MaxDisrupted - out - p.Disrupted(at)
+	return p.s.Limits.MaxDisrupted - outOfService - p.Disrupted(at)
 }
 
 func (t *transition) treat(c Treat) {
@@ -671,8 +671,8 @@
 	if r == nil || r.Stage != c.Stage || len(c.Nodes) > t.disruptionBudget(t.at, c.OutOfService) {
 		return
 	}
-	may := t.treatable(r)
-	if slices.ContainsFunc(c.Nodes, func(name string) bool { return !slices.Contains(may, name) }) {
+	allowed := t.treatable(r)
+	if slices.ContainsFunc(c.Nodes, func(name string) bool { return !slices.Contains(allowed, name) }) {
 		return
 	}
 	stage := r.Stage
@@ -709,26 +709,26 @@
 // hasBaseline reports whether a node has a complete baseline in every cell in which it typically has enough requests, and has
 // at least one such cell.
 func (p *Plan) hasBaseline(n *node) bool {
-	any := false
+	found := false
 	for _, b := range n.Baselines {
 		if b.MeanRequests >= float64(p.s.Limits.MinRequests) {
 			if b.Windows < p.s.Limits.BaselineWindows {
 				return false
 			}
-			any = true
+			found = true
 		}
 	}
-	return any
+	return found
 }
 
 // latestStage returns the last stage that has nodes not rolled back yet.
-func (r *Rollout) latestStage() (last Stage, any bool) {
+func (r *Rollout) latestStage() (last Stage, ok bool) {
 	for _, t := range r.Treated {
 		if !t.RolledBack {
-			last, any = max(last, t.Stage), true
+			last, ok = max(last, t.Stage), true
 		}
 	}
-	return last, any
+	return last, ok
 }
 
 // rollbackConfirmed reports whether every node that was rolled back is known to apply the good policy: it has confirmed this, it
@@ -760,7 +760,7 @@
 	if r == nil || r.Phase != Halting {
 		return
 	}
-	if last, any := r.latestStage(); !any || last != c.Stage || !t.rollbackConfirmed(r, t.at) {
+	if last, ok := r.latestStage(); !ok || last != c.Stage || !t.rollbackConfirmed(r, t.at) {
 		return
 	}
 	for i := range r.Treated {
@@ -779,7 +779,7 @@
 	switch {
 	case r == nil:
 	case r.Phase == Halting:
-		if _, any := r.latestStage(); !any && t.rollbackConfirmed(r, t.at) {
+		if _, ok := r.latestStage(); !ok && t.rollbackConfirmed(r, t.at) {
 			r.Phase = Halted
 			t.logEvent(r, "every node is on the good policy", "", "")
 		}
@@ -805,17 +805,17 @@
 
 // prune removes the oldest rollouts that have ended, and texts that are no longer referenced.
 func (t *transition) prune() {
-	over := 0
+	ended := 0
 	for _, r := range t.s.Rollouts {
 		if !r.Phase.Active() {
-			over++
+			ended++
 		}
 	}
 	t.s.Rollouts = slices.DeleteFunc(t.s.Rollouts, func(r *Rollout) bool {
-		if r.Phase.Active() || over <= maxEndedRollouts {
+		if r.Phase.Active() || ended <= maxEndedRollouts {
 			return false
 		}
-		over--
+		ended--
 		return true
 	})
 	maps.DeleteFunc(t.s.Texts, func(h Hash, _ json.RawMessage) bool {
@@ -850,22 +850,22 @@
 // Next returns what the leader has to propose now, if anything. out is the number of hosts and nodes out of service for
 // maintenance. The result depends only on the plan and the arguments, so that a new leader continues where the last one
 // stopped.
-func (p *Plan) Next(now time.Duration, out int) (Command, bool) {
+func (p *Plan) Next(now time.Duration, outOfService int) (Command, bool) {
 	now = max(now, p.s.At)
 	c := Command{At: now}
 	for _, r := range p.s.Rollouts {
 		if r.Phase != Halting || !p.rollbackConfirmed(r, now) {
 			continue
 		}
-		if last, any := r.latestStage(); any {
+		if last, ok := r.latestStage(); ok {
 			c.RollBack = &StageRef{r.ID, last}
 		} else {
 			c.Finish = &StageRef{r.ID, r.Stage}
 		}
 		return c, true
 	}
-	if over := p.windowAt(now - p.s.Limits.Slice); over > 0 && over > p.s.NextWindow { // one slice of grace for late evidence
-		c.Close = &Close{over - 1}
+	if current := p.windowAt(now - p.s.Limits.Slice); current > 0 && current > p.s.NextWindow { // one slice of grace for late evidence
+		c.Close = &Close{current - 1}
 		return c, true
 	}
 	for _, r := range p.s.Rollouts {
@@ -884,8 +884,8 @@
 			c.Finish = &StageRef{r.ID, r.Stage}
 			return c, true
 		}
-		if room := p.disruptionBudget(now, out); len(list) > 0 && room > 0 {
-			c.Treat = &Treat{r.ID, r.Stage, list[:min(room, len(list))], out}
+		if budget := p.disruptionBudget(now, outOfService); len(list) > 0 && budget > 0 {
+			c.Treat = &Treat{r.ID, r.Stage, list[:min(budget, len(list))], outOfService}
 			return c, true
 		}
 	}
--- a/internal/choice/rollout/plan_test.go
+++ b/internal/choice/rollout/plan_test.go
@@ -19,17 +19,17 @@
 // harness is a plan with a leader that never fails and nodes that apply assignments at once, in two regencies of two
 // buildings each.
 type harness struct {
-	t     *testing.T
-	p     *Plan
-	index uint64
-	now   time.Duration
-	serve func(node string, trial bool) Counts
+	t        *testing.T
+	p        *Plan
+	index    uint64
+	now      time.Duration
+	countsOf func(node string, trial bool) Counts
 }
 
 func steadyCounts(string, bool) Counts { return Counts{Class: "c", Offered: 1000, Served: 990} }
 
-func newHarness(t *testing.T, serve func(string, bool) Counts) *harness {
-	b := &harness{t: t, p: NewPlan(), now: 1000 * hour, serve: serve}
+func newHarness(t *testing.T, countsOf func(string, bool) Counts) *harness {
+	b := &harness{t: t, p: NewPlan(), now: 1000 * hour, countsOf: countsOf}
 	l := Defaults()
 	l.Slice, l.WindowSlices, l.BaselineWindows, l.Settle, l.MaxHold, l.MaxDisrupted = 10*time.Minute, 3, 4, time.Minute, 4*hour, 3
 	b.apply(Command{Limits: &l})
@@ -67,13 +67,13 @@
 }
 
 // run advances the time, slice by slice.
-func (b *harness) run(long time.Duration) {
-	for end := b.now + long; b.now < end; {
+func (b *harness) run(duration time.Duration) {
+	for end := b.now + duration; b.now < end; {
 		slice := uint64(b.now / b.p.s.Limits.Slice)
 		b.now += b.p.s.Limits.Slice
 		for _, name := range b.p.topology.allNodes {
 			a := b.p.Assigned(name)
-			e := Evidence{Node: name, Policy: a.Policy, Slice: slice, Counts: []Counts{b.serve(name, a.Trial)}}
+			e := Evidence{Node: name, Policy: a.Policy, Slice: slice, Counts: []Counts{b.countsOf(name, a.Trial)}}
 			b.apply(Command{Evidence: &e})
 		}
 		b.lead()
@@ -152,19 +152,19 @@
 	}
 }
 
-func TestWhatIsMissingHoldsAndIsTakenBack(t *testing.T) {
+func TestMissingEvidenceHoldsAndIsRolledBack(t *testing.T) {
 	for name, change := range map[string]func(b *harness, r *Rollout){
 		"few": func(b *harness, _ *Rollout) {
-			b.serve = func(string, bool) Counts { return Counts{Class: "c", Offered: 20, Served: 20} }
+			b.countsOf = func(string, bool) Counts { return Counts{Class: "c", Offered: 20, Served: 20} }
 		},
 		"alike": func(b *harness, _ *Rollout) {
-			b.serve = func(string, bool) Counts { return Counts{Class: "c", Offered: 1000, Served: 400} }
+			b.countsOf = func(string, bool) Counts { return Counts{Class: "c", Offered: 1000, Served: 400} }
 		},
 		"work": func(b *harness, r *Rollout) {
 			b.apply(Command{Maintenance: &Maintenance{Zones: []string{b.p.topology.zone[r.Targets[0][0]]}}})
 		},
 		"not known": func(b *harness, r *Rollout) {
-			b.serve = func(string, bool) Counts { return Counts{Class: "d", Offered: 1000, Served: 1000} }
+			b.countsOf = func(string, bool) Counts { return Counts{Class: "d", Offered: 1000, Served: 1000} }
 		},
 	} {
 		b := newHarness(t, steadyCounts)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestAGuardHaltsAtOnceAndTheLatestStageGoesBackFirst(t *testing.T) {
+func TestAGuardHaltsAtOnceAndTheLatestStageIsRolledBackFirst(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
 	for r.Stage < OneRegency || len(r.Treated) < 4 {
@@ -222,7 +222,7 @@
 }
 
 // A rollback waits, stage by stage, for nodes that have not confirmed it, for at most the length of a trial lease.
-func TestAHaltWaitsForWhoHasNotSaidThatItIsBack(t *testing.T) {
+func TestARollbackWaitsForUnconfirmedNodes(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
 	for r.Stage < OneBuilding || len(r.Treated) < 2 {
@@ -243,7 +243,7 @@
 }
 
 // After any sequence of commands all replicas have the same state, which survives encoding, decoding and copying.
-func TestSeatsAgreeWhateverComes(t *testing.T) {
+func TestReplicasAgreeAfterAnySequenceOfCommands(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		b := newHarness(t, steadyCounts)
@@ -296,7 +296,7 @@
 
 // Each replica validates the leader's proposals: one without enough evidence or budget, or for nodes that are unreachable,
 // without a baseline or treated by another rollout, changes nothing.
-func TestALeaderIsNotTakenAtItsWord(t *testing.T) {
+func TestReplicasValidateTheLeadersProposals(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
 	fresh := clone(b.p.s.Tree)
@@ -336,31 +336,31 @@
 
 // Evidence has no effect if it is late, duplicate, tainted, of more than one policy, of a zone in maintenance, or of a window
 // in which the policy changed.
-func TestWhatIsNoEvidence(t *testing.T) {
+func TestUnusableEvidence(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
 	b.lead()
 	first, l := r.Treated[0].Node, b.p.s.Limits
 	zone := b.p.topology.zone[first]
-	spell := uint64(b.now/l.Slice)/uint64(l.WindowSlices) + 1 // the first complete one under the trial
-	at := func(slice uint64) time.Duration { return time.Duration(spell*uint64(l.WindowSlices)+slice) * l.Slice }
+	number := uint64(b.now/l.Slice)/uint64(l.WindowSlices) + 1 // the first complete one under the trial
+	at := func(slice uint64) time.Duration { return time.Duration(number*uint64(l.WindowSlices)+slice) * l.Slice }
 	fit := func(do func(e *Evidence, p *Plan)) bool {
 		p := b.p.Clone()
 		send := func(c Command) { p.Apply(p.s.Applied+1, c) }
 		for i := range uint64(l.WindowSlices) {
-			e := Evidence{Node: first, Policy: r.Policy, Slice: spell*uint64(l.WindowSlices) + i, Counts: []Counts{steadyCounts("", true)}}
+			e := Evidence{Node: first, Policy: r.Policy, Slice: number*uint64(l.WindowSlices) + i, Counts: []Counts{steadyCounts("", true)}}
 			if do != nil && i == 1 {
 				do(&e, p)
 			}
 			send(Command{At: at(i + 1), Evidence: &e})
 			send(Command{At: at(i + 1), Evidence: &e}) // a duplicate
 		}
-		sp := p.s.OpenWindows[len(p.s.OpenWindows)-1]
-		ta := p.usableTally(sp, first, r.Policy)
-		if ta != nil {
-			assert.Equal(t, 3000.0, ta.Sums["c"+sep].Offered, "each slice counts once")
+		w := p.s.OpenWindows[len(p.s.OpenWindows)-1]
+		tally := p.usableTally(w, first, r.Policy)
+		if tally != nil {
+			assert.Equal(t, 3000.0, tally.Sums["c"+sep].Offered, "each slice counts once")
 		}
-		return ta != nil
+		return tally != nil
 	}
 	assert.True(t, fit(nil))
 	for name, do := range map[string]func(e *Evidence, p *Plan){
@@ -378,8 +378,8 @@
 			p := b.p.Clone() // maintenance that ended before the first evidence of the window arrived
 			p.Apply(p.s.Applied+1, Command{At: at(0), Maintenance: &Maintenance{[]string{zone}}})
 			p.Apply(p.s.Applied+1, Command{At: at(1) - 1, Maintenance: &Maintenance{}})
-			assert.Contains(t, p.taintedZones(spell), zone)
-			assert.NotContains(t, p.taintedZones(spell+1), zone)
+			assert.Contains(t, p.taintedZones(number), zone)
+			assert.NotContains(t, p.taintedZones(number+1), zone)
 		}
 		assert.False(t, fit(do), name)
 	}
@@ -391,7 +391,7 @@
 	assert.Len(t, b.p.s.OpenWindows, open, "too late")
 }
 
-func TestTheLaterRolloutWaitsAndIsOvertaken(t *testing.T) {
+func TestTheLaterRolloutWaitsAndIsSuperseded(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	x := b.start()
 	b.run(hour)
@@ -427,8 +427,8 @@
 	r := b.start()
 	b.run(2 * hour)
 	before := clone(b.p.s.Nodes)
-	always := b.serve
-	b.serve = func(name string, trial bool) Counts {
+	always := b.countsOf
+	b.countsOf = func(name string, trial bool) Counts {
 		c := always(name, trial)
 		c.Served -= 15
 		return c
@@ -442,41 +442,41 @@
 }
 
 // A stage waits for nodes without evidence, whether they are a whole regency or single nodes.
-func TestAStageWaitsForWhoSaysNothing(t *testing.T) {
-	for what, cover := range map[string]float64{"no node has spoken of r": 0.1, " nodes have spoken": 0.9} {
+func TestAStageWaitsForNodesWithoutEvidence(t *testing.T) {
+	for missing, coverage := range map[string]float64{"no node has spoken of r": 0.1, " nodes have spoken": 0.9} {
 		b := newHarness(t, steadyCounts)
 		l := b.p.s.Limits
-		l.Coverage, l.MaxHold = cover, 200*hour
+		l.Coverage, l.MaxHold = coverage, 200*hour
 		b.apply(Command{Limits: &l})
 		r := b.start()
 		silent := map[string]bool{}
 		for _, names := range r.Targets[PartOfProvince : All+1] {
 			for _, name := range names {
-				silent[name] = cover < 0.5 || len(silent) == 0
+				silent[name] = coverage < 0.5 || len(silent) == 0
 			}
 		}
-		b.serve = func(name string, trial bool) Counts {
+		b.countsOf = func(name string, trial bool) Counts {
 			if trial && silent[name] {
 				return Counts{Class: "c"}
 			}
 			return steadyCounts(name, trial)
 		}
 		b.run(80 * hour)
-		assert.Equal(t, Running, r.Phase, what)
-		assert.Contains(t, r.Missing, what)
+		assert.Equal(t, Running, r.Phase, missing)
+		assert.Contains(t, r.Missing, missing)
 	}
 }
 
 // The nodes that a stage adds need coverage of their own: otherwise a stage that adds few nodes could reach the coverage through
 // the evidence of the nodes of earlier stages.
-func TestAStageDoesNotEndOnTheWordOfEarlierOnes(t *testing.T) {
+func TestAStageDoesNotEndOnEvidenceOfEarlierStages(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	l := b.p.s.Limits
 	l.Coverage, l.MaxHold = 0.5, 200*hour
 	b.apply(Command{Limits: &l})
 	r := b.start()
 	first := r.Targets[OneNode][0]
-	b.serve = func(name string, trial bool) Counts {
+	b.countsOf = func(name string, trial bool) Counts {
 		if trial && name != first {
 			return Counts{Class: "c"}
 		}
@@ -485,12 +485,12 @@
 	b.run(40 * hour)
 	assert.Equal(t, "running building", r.Phase.String()+" "+r.Stage.String())
 	assert.Equal(t, "of those that this stage adds, 0 of 1 nodes have spoken", r.Missing)
-	b.serve = steadyCounts
+	b.countsOf = steadyCounts
 	b.run(60 * hour)
 	assert.Equal(t, Done, r.Phase, "%+v", r.Log)
 }
 
-func TestWhatAnOperatorDoesWantsAReason(t *testing.T) {
+func TestOperatorActionsNeedAReason(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
 	for _, c := range []Command{{Start: &Start{ID: "y", Policy: []byte(`{"round_us":7}`), By: "desk"}}, {Force: &OperatorAction{ID: "x", Why: "w"}},
@@ -505,7 +505,7 @@
 	assert.Len(t, b.p.Rollouts(), 1)
 }
 
-func TestAStageThatIsUndecidedForTooLongIsTakenBack(t *testing.T) {
+func TestAStageThatIsUndecidedForTooLongIsRolledBack(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	l := b.p.s.Limits
 	l.MaxStageTime = hour
--- a/internal/choice/rollout/record.go
+++ b/internal/choice/rollout/record.go
@@ -60,16 +60,16 @@
 
 // ParseRecord decodes the output of Bytes. An error is a *DecodeError.
 func ParseRecord(raw []byte) (r Record, err error) {
-	text, head := bytes.CutPrefix(raw, []byte(recordHead))
-	text, end := bytes.CutSuffix(text, []byte(recordEnd))
-	if !head || !end || len(raw) > MaxRecord {
-		return r, &DecodeError{"no record of a node, or too long a one"}
+	text, hasHead := bytes.CutPrefix(raw, []byte(recordHead))
+	text, hasEnd := bytes.CutSuffix(text, []byte(recordEnd))
+	if !hasHead || !hasEnd || len(raw) > MaxRecord {
+		return r, &DecodeError{"not a record of a node, or too long"}
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
 		return r, &DecodeError{err.Error()}
 	}
 	if r.Node == "" || r.Sequence == 0 || r.OutOfService < 0 || r.Status.Fallback >= fallbackCount || r.Status.Node != r.Node || !bytes.Equal(r.Bytes(), raw) {
-		return r, &DecodeError{"the record of a node is not in its one form"}
+		return r, &DecodeError{"the record of a node is invalid or not in canonical form"}
 	}
 	return r, nil
 }
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	if x.Node != y.Node {
-		return nil, &DecodeError{"records of " + x.Node + " and " + y.Node + " are not one"}
+		return nil, &DecodeError{"records of " + x.Node + " and " + y.Node + " belong to different nodes"}
 	}
 	return x.Merge(y).Bytes(), nil
 }
@@ -123,10 +123,10 @@
 	r.Slices = r.Slices[max(0, len(r.Slices)-maxSlices):]
 	r.Fired = slices.Clone(r.Fired)
 	for i := range r.Fired {
-		what := &r.Fired[i].Guard
-		*what = strings.ToValidUTF8((*what)[:min(len(*what), maxGuardBytes)], "?")
-		for len(asJSON(*what)) > maxGuardBytes+2 { // characters that are escaped in JSON
-			*what = strings.ToValidUTF8((*what)[:len(*what)-1], "")
+		guard := &r.Fired[i].Guard
+		*guard = strings.ToValidUTF8((*guard)[:min(len(*guard), maxGuardBytes)], "?")
+		for len(asJSON(*guard)) > maxGuardBytes+2 { // characters that are escaped in JSON
+			*guard = strings.ToValidUTF8((*guard)[:len(*guard)-1], "")
 		}
 	}
 	slices.SortFunc(r.Fired, FiredGuard.compare)
@@ -141,14 +141,14 @@
 
 // trimToSize drops evidence that does not fit: histograms first, then the cells with the fewest requests.
 func (e Evidence) trimToSize() Evidence {
-	most := 400 + 6*(len(e.Node)+len(e.Zone)+len(e.Policy)) // upper bound of the length in JSON, since encoding is expensive
+	bound := 400 + 6*(len(e.Node)+len(e.Zone)+len(e.Policy)) // upper bound of the length in JSON, since encoding is expensive
 	for _, c := range e.Counts {
-		most += 400 + 6*(len(c.Class)+len(c.Tenant)) + 4*len(c.SetUp)/3
+		bound += 400 + 6*(len(c.Class)+len(c.Tenant)) + 4*len(c.SetUp)/3
 	}
 	for _, g := range e.Guards {
-		most += 4 + 6*len(g)
+		bound += 4 + 6*len(g)
 	}
-	if most <= maxSliceBytes || len(asJSON(e)) <= maxSliceBytes {
+	if bound <= maxSliceBytes || len(asJSON(e)) <= maxSliceBytes {
 		return e
 	}
 	e.Counts = slices.Clone(e.Counts)
--- a/internal/choice/rollout/setup.go
+++ b/internal/choice/rollout/setup.go
@@ -39,7 +39,7 @@
 
 func decodeSetUps(b []byte) (SetUps, error) {
 	if len(b) > maxSketchBytes {
-		return SetUps{}, fmt.Errorf("a histogram of %d bytes", len(b))
+		return SetUps{}, fmt.Errorf("histogram of %d bytes is too long", len(b))
 	}
 	s, err := ddsketch.DecodeDDSketch(b, store.SparseStoreConstructor, nil)
 	if err != nil {
--- a/internal/choice/rollout/top.go
+++ b/internal/choice/rollout/top.go
@@ -86,14 +86,14 @@
 		return nil, err
 	}
 	if s.Plan == nil || s.Ingested == nil {
-		return nil, &DecodeError{"a part is missing"}
+		return nil, &DecodeError{"the plan or the ingested records are missing"}
 	}
 	if err := s.Plan.check(); err != nil {
 		return nil, &DecodeError{err.Error()}
 	}
-	for name, k := range s.Ingested {
-		if k == nil || s.Plan.Nodes[name] == nil {
-			return nil, &DecodeError{fmt.Sprintf("what was taken of %q is empty, or it is no node", name)}
+	for name, in := range s.Ingested {
+		if in == nil || s.Plan.Nodes[name] == nil {
+			return nil, &DecodeError{fmt.Sprintf("the ingested records of %q are empty, or it is not a node", name)}
 		}
 	}
 	return &RootState{&Plan{*s.Plan, newTopology(s.Plan.Tree)}, s.Index, s.SubIndex, s.Digests, s.Ingested}, nil
@@ -114,7 +114,7 @@
 	case c.Start != nil && t.plan.Rollout(c.Start.ID) == nil:
 		p, _ := Parse(c.Start.Policy) // cannot fail: the plan has checked it
 		if text = p.text; len(text) > maxPolicyBytes {
-			return &Refusal{fmt.Sprintf("the policy has %d bytes, %d at most", len(text), maxPolicyBytes), "change fewer keys by it"}
+			return &Refusal{fmt.Sprintf("the policy has %d bytes, %d at most", len(text), maxPolicyBytes), "change fewer keys in it"}
 		}
 		if len(c.Start.ID) > maxIDBytes {
 			return &Refusal{fmt.Sprintf("the ID has %d bytes, %d at most", len(c.Start.ID), maxIDBytes), "choose a shorter ID"}
@@ -124,19 +124,19 @@
 	default:
 		return nil
 	}
-	under, bytes := 0, len(text)+len(t.plan.s.Texts[t.plan.s.Good])
+	active, total := 0, len(text)+len(t.plan.s.Texts[t.plan.s.Good])
 	for _, r := range t.plan.Rollouts() {
 		if r.Phase.Active() {
-			under++
-			bytes += len(t.plan.s.Texts[r.Policy])
+			active++
+			total += len(t.plan.s.Texts[r.Policy])
 		}
 	}
-	if under >= maxActiveRollouts {
-		return &Refusal{fmt.Sprintf("%d rollouts are under way, no more may be", under), "wait for the end of one, or halt one"}
+	if active >= maxActiveRollouts {
+		return &Refusal{fmt.Sprintf("%d rollouts are active, which is the maximum", active), "wait for the end of one, or halt one"}
 	}
-	if bytes > maxPolicyBytesTotal {
-		return &Refusal{fmt.Sprintf("the good policy and those under way have %d bytes, %d at most", bytes, maxPolicyBytesTotal),
-			"wait for the end of one, or change fewer keys by it"}
+	if total > maxPolicyBytesTotal {
+		return &Refusal{fmt.Sprintf("the good policy and those of the active rollouts have %d bytes, %d at most", total, maxPolicyBytesTotal),
+			"wait for the end of one, or change fewer keys in it"}
 	}
 	return nil
 }
@@ -162,63 +162,63 @@
 	if err != nil {
 		text = []byte(err.Error()) // the command is refused below
 	}
-	mark := digest(text)
-	if !t.beginEntry(index) || slices.Contains(t.digests, mark) {
+	sum := digest(text)
+	if !t.beginEntry(index) || slices.Contains(t.digests, sum) {
 		return nil
 	}
-	t.digests = append(t.digests, mark)
+	t.digests = append(t.digests, sum)
 	if r := t.Check(c); r != nil {
 		return []Effect{{Kind: Refused, ID: c.rolloutID(), Why: r.Why, Err: r}}
 	}
-	out := t.applyToPlan(c)
+	effects := t.applyToPlan(c)
 	if c.Tree != nil {
 		maps.DeleteFunc(t.ingested, func(name string, _ *ingested) bool { return t.plan.s.Nodes[name] == nil })
 	}
-	return out
+	return effects
 }
 
 // Record ingests what is new in a node's record. A record of a node that is not in the tree is dropped; a repetition, in
 // whatever entry, has no effect.
-func (t *RootState) Record(index uint64, at time.Duration, r Record) (out []Effect) {
+func (t *RootState) Record(index uint64, at time.Duration, r Record) (effects []Effect) {
 	n := t.plan.s.Nodes[r.Node]
 	if !t.beginEntry(index) || n == nil {
 		return nil
 	}
-	give := func(c Command) {
+	apply := func(c Command) {
 		c.At = at
-		out = append(out, t.applyToPlan(c)...)
+		effects = append(effects, t.applyToPlan(c)...)
 	}
-	if told := time.Duration(min(r.Sequence, 1<<52)) * time.Microsecond; t.plan.inFuture(t.plan.windowAt(told), at) {
-		why := "the record of " + r.Node + " is from a time to come"
+	if stamped := time.Duration(min(r.Sequence, 1<<52)) * time.Microsecond; t.plan.inFuture(t.plan.windowAt(stamped), at) {
+		why := "the record of " + r.Node + " has a time in the future"
 		return []Effect{{Kind: Refused, Node: r.Node, Why: why, Err: &Refusal{why, "set the node's clock"}}}
 	}
-	k := t.ingested[r.Node]
-	if k == nil {
-		k = &ingested{}
-		t.ingested[r.Node] = k
+	in := t.ingested[r.Node]
+	if in == nil {
+		in = &ingested{}
+		t.ingested[r.Node] = in
 	}
-	if r.Sequence > k.Sequence {
-		k.Sequence, k.At, k.OutOfService = r.Sequence, max(at, t.plan.s.At), r.OutOfService
-		if r.Status.Node = r.Node; r.Status != k.Status {
-			k.Status = r.Status
-			give(Command{Status: &r.Status})
+	if r.Sequence > in.Sequence {
+		in.Sequence, in.At, in.OutOfService = r.Sequence, max(at, t.plan.s.At), r.OutOfService
+		if r.Status.Node = r.Node; r.Status != in.Status {
+			in.Status = r.Status
+			apply(Command{Status: &r.Status})
 		}
 	}
 	for _, f := range r.Fired {
 		// A guard of an earlier round says nothing about the present treatment: the earlier one was rolled back.
-		if a := t.plan.Assigned(r.Node); k.markGuard(f) && a.Trial && f.Round == a.Round && f.Policy == a.Policy {
-			give(Command{Evidence: &Evidence{Node: r.Node, Policy: f.Policy, Slice: f.Slice, Guards: []string{f.Guard}, Tainted: true}})
+		if a := t.plan.Assigned(r.Node); in.markGuard(f) && a.Trial && f.Round == a.Round && f.Policy == a.Policy {
+			apply(Command{Evidence: &Evidence{Node: r.Node, Policy: f.Policy, Slice: f.Slice, Guards: []string{f.Guard}, Tainted: true}})
 		}
 	}
 	for _, e := range r.Slices {
-		if l := t.plan.s.Limits; t.plan.inFuture(e.Slice/uint64(l.WindowSlices), at) || !k.markSlice(e.Slice) {
+		if l := t.plan.s.Limits; t.plan.inFuture(e.Slice/uint64(l.WindowSlices), at) || !in.markSlice(e.Slice) {
 			continue
 		} else if e.Node = r.Node; time.Duration(e.Slice)*l.Slice < n.Changed { // the slice may belong to another treatment
 			e.Guards, e.Starts = nil, 0
 		}
-		give(Command{Evidence: &e})
+		apply(Command{Evidence: &e})
 	}
-	return out
+	return effects
 }
 
 // inFuture reports whether a window lies too far in the future for the plan to accept its evidence.
@@ -227,27 +227,27 @@
 }
 
 // markSlice marks a slice as ingested and reports whether it was not before.
-func (k *ingested) markSlice(slice uint64) bool {
-	if slice > k.NewestSlice {
-		k.SliceBits <<= min(slice-k.NewestSlice, 64)
-		k.NewestSlice = slice
+func (in *ingested) markSlice(slice uint64) bool {
+	if slice > in.NewestSlice {
+		in.SliceBits <<= min(slice-in.NewestSlice, 64)
+		in.NewestSlice = slice
 	}
-	bit := uint64(1) << min(k.NewestSlice-slice, 64) // 0: too old for the plan to accept
-	if bit == 0 || k.SliceBits&bit != 0 {
+	bit := uint64(1) << min(in.NewestSlice-slice, 64) // 0: too old for the plan to accept
+	if bit == 0 || in.SliceBits&bit != 0 {
 		return false
 	}
-	k.SliceBits |= bit
+	in.SliceBits |= bit
 	return true
 }
 
 // markGuard marks a guard as ingested and reports whether it was not before. Guards that sort before all stored ones were.
-func (k *ingested) markGuard(f FiredGuard) bool {
-	i, there := slices.BinarySearchFunc(k.Fired, f, FiredGuard.compare)
-	if there || i == 0 && len(k.Fired) == maxFired {
+func (in *ingested) markGuard(f FiredGuard) bool {
+	i, found := slices.BinarySearchFunc(in.Fired, f, FiredGuard.compare)
+	if found || i == 0 && len(in.Fired) == maxFired {
 		return false
 	}
-	k.Fired = slices.Insert(k.Fired, i, f)
-	k.Fired = k.Fired[max(0, len(k.Fired)-maxFired):]
+	in.Fired = slices.Insert(in.Fired, i, f)
+	in.Fired = in.Fired[max(0, len(in.Fired)-maxFired):]
 	return true
 }
 
@@ -260,7 +260,7 @@
 
 // NextWithLocalCount is Next for a leader that knows by itself how many hosts of its own site are out of service for
 // maintenance.
-func (t *RootState) NextWithLocalCount(now time.Duration, limits Limits, tree Tree, site string, known int) (Command, bool) {
+func (t *RootState) NextWithLocalCount(now time.Duration, limits Limits, tree Tree, site string, localCount int) (Command, bool) {
 	p := t.plan
 	now = max(now, p.s.At)
 	c := Command{At: now}
@@ -277,29 +277,29 @@
 			return c, true
 		}
 	}
-	fresh := func(k *ingested) bool { return k != nil && now-k.At <= 2*p.s.Limits.Slice+p.s.Limits.Settle }
-	out := map[string]int{}
+	recent := func(in *ingested) bool { return in != nil && now-in.At <= 2*p.s.Limits.Slice+p.s.Limits.Settle }
+	outOfService := map[string]int{}
 	for _, name := range p.topology.allNodes {
-		k, n := t.ingested[name], p.s.Nodes[name]
-		if heard := fresh(k); heard == n.Unreachable && p.active() {
+		in, n := t.ingested[name], p.s.Nodes[name]
+		if reporting := recent(in); reporting == n.Unreachable && p.active() {
 			if n.Unreachable {
 				c.Reachable = &NodeName{name}
 			} else {
 				c.Unreachable = &NodeName{name}
 			}
 			return c, true
-		} else if heard {
-			out[p.topology.site[name]] = max(out[p.topology.site[name]], k.OutOfService)
+		} else if reporting {
+			outOfService[p.topology.site[name]] = max(outOfService[p.topology.site[name]], in.OutOfService)
 		}
 	}
-	sum := 0
+	total := 0
 	if site != "" {
-		out[site] = known
+		outOfService[site] = localCount
 	}
-	for _, n := range out {
-		sum += n
+	for _, n := range outOfService {
+		total += n
 	}
-	return p.Next(now, sum)
+	return p.Next(now, total)
 }
 
 func (t Tree) same(o Tree) bool {
--- a/internal/choice/rollout/top_test.go
+++ b/internal/choice/rollout/top_test.go
@@ -76,14 +76,14 @@
 }
 
 // passSlice lets a slice pass: nodes fetch their assignments and send records, of which those selected by heard arrive.
-func (f *rootHarness) passSlice(heard func(name string) bool, fire string) {
+func (f *rootHarness) passSlice(arrives func(name string) bool, guardAt string) {
 	f.now += f.limits.Slice / 2
-	f.report(heard, fire)
+	f.report(arrives, guardAt)
 	f.now += f.limits.Slice / 2
-	f.report(heard, "")
+	f.report(arrives, "")
 }
 
-func (f *rootHarness) report(heard func(name string) bool, fire string) {
+func (f *rootHarness) report(arrives func(name string) bool, guardAt string) {
 	for _, n := range f.nodes {
 		d, err := ParseSitePolicies(f.top.SitePolicies(n.site).Bytes())
 		require.NoError(f.t, err)
@@ -91,7 +91,7 @@
 		n.policy.HandleAssignment(d.Assigned(n.name, nil), f.now, acceptAny)
 		n.reporter.Tick(f.now, d.Slice, n.policy.Status(n.name), n.policy.Starts(), 0, false)
 		var guards []string
-		if n.name == fire {
+		if n.name == guardAt {
 			guards = []string{"drain"}
 		}
 		n.reporter.Count(f.now, n.policy.Policy(), []Counts{{Class: "c", Offered: 1000, Served: 990}}, guards)
@@ -100,7 +100,7 @@
 			require.NoError(f.t, err)
 			n.reporter.Acknowledge(r.Sequence)
 			f.sent = append(f.sent, r)
-			if heard(n.name) {
+			if arrives(n.name) {
 				f.record(r)
 			}
 		}
@@ -122,7 +122,7 @@
 
 // T1 to T3, under any sequence of events: late, lost and repeated records, any number of them in an entry, operators' commands,
 // and replicas that restore snapshots.
-func TestWhateverComesToTheTop(t *testing.T) {
+func TestRootStateUnderAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newRootHarness(rt)
 		newest := map[string]Record{}
@@ -196,7 +196,7 @@
 
 // T4: with and without the records before the newest, and in reverse order. Each node's process restarts in between and has no
 // memory of the slices before.
-func TestRecordsThatWereLostBeforeTheNewest(t *testing.T) {
+func TestLostRecordsBeforeTheNewestHaveNoEffect(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newRootHarness(rt)
 		r := f.startRollout("x", trialText)
@@ -245,7 +245,7 @@
 }
 
 // A guard halts the rollout whenever its record arrives, unless a later treatment than the one in which it fired is under way.
-func TestAGuardOfAnEarlierTreatmentHaltsNothing(t *testing.T) {
+func TestAGuardOfAnEarlierTreatmentHasNoEffect(t *testing.T) {
 	f := newRootHarness(t)
 	r := f.startRollout("x", trialText)
 	first := r.Treated[0].Node
@@ -286,12 +286,12 @@
 	require.Equal(t, Guard, f.top.Plan().Rollout("x").Cause)
 }
 
-func TestWhoCannotBeHeardIsAway(t *testing.T) {
+func TestNodesThatStopReportingAreUnreachable(t *testing.T) {
 	f := newRootHarness(t)
 	r := f.startRollout("x", trialText)
-	silent := func(n string) bool { return n != "n00" }
+	arrives := func(n string) bool { return n != "n00" }
 	for range 4 {
-		f.passSlice(silent, "")
+		f.passSlice(arrives, "")
 		f.lead()
 	}
 	assert.True(t, f.top.plan.s.Nodes["n00"].Unreachable)
@@ -317,7 +317,7 @@
 	assert.Len(t, f.top.plan.s.Tree.Sites[0].Nodes, 2, "a tree that names a node twice is not proposed")
 }
 
-func TestADocumentFitsIntoAWriteAndATrialCanBeWithheld(t *testing.T) {
+func TestSitePoliciesFitIntoAWriteAndATrialCanBeWithheld(t *testing.T) {
 	f := newRootHarness(t)
 	huge := fmt.Sprintf(`{"extra":{"message_aim_us":{%q:1}}}`, strings.Repeat("c", maxPolicyBytes))
 	for what, c := range map[string]Command{"bytes": {Start: &Start{"x", []byte(huge), "desk", "try"}},
@@ -330,11 +330,11 @@
 	good := f.top.plan.s.Good
 	f.top.plan.s.Texts[good] = []byte(huge[:40] + huge[60:])
 	large := Command{Start: &Start{"z", []byte(huge[:40] + huge[80:]), "desk", "try"}}
-	require.ErrorContains(t, f.top.Check(large), "the good policy and those under way")
+	require.ErrorContains(t, f.top.Check(large), "the good policy and those of the active rollouts")
 	f.top.plan.s.Texts[good] = EmptyPolicy().Text()
 	require.Nil(t, f.top.Check(large))
 	f.startRollout("y", `{"round_us":7}`)
-	require.ErrorContains(t, f.top.Check(Command{Start: &Start{"z", []byte(`{"round_us":8}`), "desk", "try"}}), "under way")
+	require.ErrorContains(t, f.top.Check(Command{Start: &Start{"z", []byte(`{"round_us":8}`), "desk", "try"}}), "rollouts are active")
 	x := f.top.Plan().Rollout("x")
 	node, d := x.Treated[0].Node, f.top.SitePolicies(f.top.plan.topology.site[x.Treated[0].Node])
 	given := d.Assigned(node, nil)
