--- a/internal/choice/rollout/bet_test.go
+++ b/internal/choice/rollout/bet_test.go
@@ -33,35 +33,36 @@
 // TestTheBetsKeepTheirErrorRates inspects the tests after every window and measures how often each null hypothesis is rejected
 // when it is true, and when it is false.
 func TestEProcessesKeepTheirErrorRates(t *testing.T) {
-	const runs, long, margin, scale, a = 1000, 200, 0.02, 0.02, 0.05
-	rate := func(treated, others int, worse float64, of func(w, f *EProcess) bool) float64 {
-		rng := rand.New(rand.NewPCG(9, uint64(treated)))
+	const runs, windows, margin, scale, alpha = 1000, 200, 0.02, 0.02, 0.05
+	rate := func(treatedCount, controlCount int, loss float64, rejects func(w, f *EProcess) bool) float64 {
+		rng := rand.New(rand.NewPCG(9, uint64(treatedCount)))
 		hit := 0
 		for range runs {
 			var w, f EProcess
-			for range long {
-				x, y, any := payoffs(drawPairs(rng, treated, others, worse), margin, scale)
+			for range windows {
+				x, y, any := payoffs(drawPairs(rng, treatedCount, controlCount, loss), margin, scale)
 				if any {
 					w.Update(x)
 					f.Update(y)
 				}
 			}
-			if of(&w, &f) {
+			if rejects(&w, &f) {
 				hit++
 			}
 		}
 		return float64(hit) / runs
 	}
-	isWorse := func(w, _ *EProcess) bool { return w.Rejects(a) }
-	isFine := func(_, f *EProcess) bool { return f.Rejects(a) }
-	const sure = a + 0.02 // three standard deviations of the rate over 1000 runs
-	for _, of := range [][2]int{{1, 1}, {1, 4}, {6, 2}} {
-		least, most := rate(of[0], of[1], slackPart*margin, isWorse), rate(of[0], of[1], margin, isFine)
-		t.Logf("%v: halted at the edge of the slack %.3f, fine at the margin %.3f", of, least, most)
-		assert.LessOrEqual(t, least, sure, of)
-		assert.LessOrEqual(t, most, sure, of)
-		assert.Greater(t, rate(of[0], of[1], margin, isWorse), 0.9, "a loss of the margin is found: %v", of)
-		assert.Greater(t, rate(of[0], of[1], 0, isFine), 0.9, "no loss is proven: %v", of)
+	isInferior := func(w, _ *EProcess) bool { return w.Rejects(alpha) }
+	isNonInferior := func(_, f *EProcess) bool { return f.Rejects(alpha) }
+	const bound = alpha + 0.02 // three standard deviations of the rate over 1000 runs
+	for _, sizes := range [][2]int{{1, 1}, {1, 4}, {6, 2}} {
+		falseInferior, falseNonInferior := rate(sizes[0], sizes[1], slackPart*margin, isInferior),
+			rate(sizes[0], sizes[1], margin, isNonInferior)
+		t.Logf("%v: Inferior sizes at the tolerated loss %.3f, NonInferior at the margin %.3f", sizes, falseInferior, falseNonInferior)
+		assert.LessOrEqual(t, falseInferior, bound, sizes)
+		assert.LessOrEqual(t, falseNonInferior, bound, sizes)
+		assert.Greater(t, rate(sizes[0], sizes[1], margin, isInferior), 0.9, "a loss of the margin is detected: %v", sizes)
+		assert.Greater(t, rate(sizes[0], sizes[1], 0, isNonInferior), 0.9, "no loss is shown to be non-inferior: %v", sizes)
 	}
 }
 
@@ -69,19 +70,19 @@
 	rng := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
 		pairs := drawPairs(rng, 1+rng.IntN(3), 1+rng.IntN(3), 0.1*rng.Float64())
-		turned := make([]pair, len(pairs))
+		swapped := make([]pair, len(pairs))
 		for i, p := range pairs {
-			turned[i] = pair{p.control, p.treated, p.weight}
+			swapped[i] = pair{p.control, p.treated, p.weight}
 		}
 		x, _, _ := payoffs(pairs, 0, 0.02)
-		y, _, _ := payoffs(turned, 0, 0.02)
+		y, _, _ := payoffs(swapped, 0, 0.02)
 		assert.InDelta(t, x, -y, 1e-12)
 		assert.LessOrEqual(t, x*x, 1.0)
 	}
 	_, _, any := payoffs([]pair{{0.5, 0.6, 1}}, 0.02, 0.02)
-	assert.False(t, any, "trouble of both says nothing")
+	assert.False(t, any, "trouble of both nodes gives no information")
 	x, _, _ := payoffs([]pair{{0.5, 0, 1}}, 0.02, 0.02)
-	assert.Equal(t, 1.0, x, "trouble of the treated alone says all")
+	assert.Equal(t, 1.0, x, "trouble of the treated node alone gives the maximum payoff")
 }
 
 func TestAlphaIsNotSpentTwice(t *testing.T) {
--- a/internal/choice/rollout/edges_test.go
+++ b/internal/choice/rollout/edges_test.go
@@ -16,13 +16,13 @@
 	require.Equal(t, 2, h.Stored().Starts)
 	trial := Assignment{Round: 5, Policy: "u", Good: "g", Trial: true, Lease: 2 * time.Minute}
 	require.True(t, h.HandleAssignment(trial, time.Second, acceptAny))
-	assert.Zero(t, h.Stored().Starts, "they were those of another trial")
+	assert.Zero(t, h.Stored().Starts, "the starts counted before were of another trial")
 	_, next := h.CheckLease(90 * time.Second)
-	assert.Equal(t, 121*time.Second, next, "the lease is the newest answer's")
+	assert.Equal(t, 121*time.Second, next, "the lease is that of the newest answer")
 	trial.Round = 6
 	trial.Policy = "v"
 	h.HandleAssignment(trial, 2*time.Second, func(Hash) error { return errors.New("faulty") })
-	assert.False(t, h.HandleAssignment(trial, 3*time.Second, acceptAny), "what was faulty is not tried once more in its round")
+	assert.False(t, h.HandleAssignment(trial, 3*time.Second, acceptAny), "an invalid trial is not tried again in its round")
 	h = NewNodePolicy(Stored{Good: "g", Trial: "t", Round: 4, Starts: 1}, 3, time.Minute, 0)
 	h.HandleAssignment(Assignment{Round: 5, Policy: "g", Good: "g"}, time.Second, acceptAny)
 	assert.Equal(t, Stored{Good: "g", Round: 5}, h.Stored())
@@ -52,23 +52,24 @@
 	b.applyOnly(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "enough"}})
 	force := &OperatorAction{ID: "x", Stage: r.Stage, By: "desk", Why: "no"}
 	require.Equal(t, Refused, b.applyOnly(Command{Force: force})[0].Kind, "force never overrides a halt")
-	back, _ := b.p.Next(b.now, 0)
-	b.applyOnly(back)
-	told := b.p.Assigned(last)
-	for _, s := range []NodeStatus{{Node: last, Round: trial.Round, Policy: told.Policy}, {Node: last, Round: told.Round, Policy: trial.Policy}} {
+	rollBack, _ := b.p.Next(b.now, 0)
+	b.applyOnly(rollBack)
+	assigned := b.p.Assigned(last)
+	for _, s := range []NodeStatus{{Node: last, Round: trial.Round, Policy: assigned.Policy},
+		{Node: last, Round: assigned.Round, Policy: trial.Policy}} {
 		b.applyOnly(Command{Status: &s})
 		_, any := b.p.Next(b.now, 0)
 		assert.False(t, any, "%+v", s)
 	}
-	b.applyOnly(Command{Status: &NodeStatus{Node: last, Round: told.Round, Policy: told.Policy}})
-	back, _ = b.p.Next(b.now, 0)
-	require.Equal(t, OneNode, back.RollBack.Stage)
+	b.applyOnly(Command{Status: &NodeStatus{Node: last, Round: assigned.Round, Policy: assigned.Policy}})
+	rollBack, _ = b.p.Next(b.now, 0)
+	require.Equal(t, OneNode, rollBack.RollBack.Stage)
 	b.p.s.Nodes[r.Treated[0].Node].Rollout = "y" // the node left the tree, came back, and belongs to another rollout now
-	b.applyOnly(back)
+	b.applyOnly(rollBack)
 	assert.Equal(t, "y", b.p.s.Nodes[r.Treated[0].Node].Rollout)
 	b.p.s.Nodes[r.Treated[0].Node].Rollout, b.p.s.Nodes[r.Treated[0].Node].Confirmed = "", false
 	b.applyOnly(Command{Finish: &StageRef{"x", r.Stage}})
-	assert.Equal(t, Halting, r.Phase, "one has not said that it is back")
+	assert.Equal(t, Halting, r.Phase, "one node has not confirmed the rollback")
 }
 
 func TestCausesOfAHalt(t *testing.T) {
@@ -79,11 +80,11 @@
 		"a guard": {func(b *harness, node string) Command {
 			return Command{Evidence: &Evidence{Node: node, Policy: b.p.Rollout("x").Policy, Slice: 1, Guards: []string{"memory"}}}
 		}, Guard},
-		"a fault": {func(b *harness, node string) Command {
+		"an invalid trial": {func(b *harness, node string) Command {
 			a := b.p.Assigned(node)
 			return Command{Status: &NodeStatus{Node: node, Round: a.Round, Policy: a.Good, Fallback: InvalidTrial}}
 		}, Guard},
-		"silence": {func(b *harness, node string) Command {
+		"an expired lease": {func(b *harness, node string) Command {
 			a := b.p.Assigned(node)
 			return Command{Status: &NodeStatus{Node: node, Round: a.Round, Policy: a.Good, Fallback: LeaseExpired}}
 		}, None},
@@ -93,7 +94,7 @@
 		assert.Equal(t, test.want, r.Cause, name)
 		if test.want == Guard {
 			b.applyOnly(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "too"}})
-			assert.Equal(t, Guard, r.Cause, "a guard's halt is not resumed on a word")
+			assert.Equal(t, Guard, r.Cause, "an operator's halt does not replace the cause of a halt by a guard")
 			r.Cause = Regression
 			b.applyOnly(Command{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "too"}})
 			assert.Equal(t, Operator, r.Cause)
@@ -109,7 +110,7 @@
 	}
 	require.Equal(t, Completing, r.Phase)
 	b.applyOnly(Command{Finish: &StageRef{"x", r.Stage}})
-	assert.Equal(t, Completing, r.Phase, "nodes are left that were held back")
+	assert.Equal(t, Completing, r.Phase, "nodes held back as controls have not switched")
 	assert.Equal(t, Refused, b.applyOnly(Command{Force: &OperatorAction{"x", r.Stage, "desk", "on"}})[0].Kind)
 }
 
@@ -132,27 +133,28 @@
 		b.run(l.Slice)
 	}
 	_, any := b.p.Next(b.now, 0)
-	assert.False(t, any, "what is late may still come")
+	assert.False(t, any, "late evidence may still arrive")
 	c, _ := b.p.Next(b.now+l.Slice, 0)
 	require.NotNil(t, c.Close)
 	b.now += l.Slice
 	b.applyOnly(c)
 	open := len(b.p.s.OpenWindows)
-	e := Evidence{Node: "n00", Policy: b.p.Good(), Slice: b.p.s.NextWindow*uint64(l.WindowSlices) - 1, Counts: []Counts{steadyCounts("", false)}}
+	e := Evidence{Node: "n00", Policy: b.p.Good(), Slice: b.p.s.NextWindow*uint64(l.WindowSlices) - 1,
+		Counts: []Counts{steadyCounts("", false)}}
 	b.applyOnly(Command{Evidence: &e})
-	assert.Len(t, b.p.s.OpenWindows, open, "of the spell that was judged last")
+	assert.Len(t, b.p.s.OpenWindows, open, "of the window evaluated last")
 	e.Slice = (uint64(b.now/l.Slice)/uint64(l.WindowSlices) + 2) * uint64(l.WindowSlices)
-	assert.Equal(t, Refused, b.applyOnly(Command{Evidence: &e})[0].Kind, "of the spell after the next one")
+	assert.Equal(t, Refused, b.applyOnly(Command{Evidence: &e})[0].Kind, "of the window after the next one")
 	l.WindowSlices *= 2
 	b.applyOnly(Command{Limits: &l})
 	b.run(4 * hour)
-	assert.NotZero(t, b.p.s.Nodes["n00"].Baselines["c"+sep+sep+metricLost].Windows, "spells have other numbers, and are judged")
+	assert.NotZero(t, b.p.s.Nodes["n00"].Baselines["c"+sep+sep+metricLost].Windows, "windows are numbered differently, and are evaluated")
 }
 
 func TestUsableEvidence(t *testing.T) {
 	b, r := newTreatedHarness(t)
 	v, count := (&tally{Sums: map[string]*classSums{"c" + sep: {Offered: 100}}}).value("c" + sep + sep + metricLost)
-	assert.Equal(t, []float64{1, 100}, []float64{v, count}, "who served nothing has counted all the same")
+	assert.Equal(t, []float64{1, 100}, []float64{v, count}, "a node that served nothing still gives evidence")
 	assert.Contains(t, b.p.missingEvidence(&Rollout{Targets: r.Targets}, 0), "no class of the treated")
 
 	node := r.Treated[0].Node
@@ -165,7 +167,7 @@
 	assert.NotNil(t, b.p.usableTally(w, node, r.Policy))
 	assert.Equal(t, 1, b.p.Disrupted(begin-1), "until it has settled")
 	b.p.s.Nodes[node].Changed++
-	assert.Nil(t, b.p.usableTally(w, node, r.Policy), "it had not settled when the spell began")
+	assert.Nil(t, b.p.usableTally(w, node, r.Policy), "the change had not settled when the window began")
 
 	for r.Missing != "" {
 		b.run(b.p.s.Limits.Slice)
@@ -203,5 +205,5 @@
 	h := NewSetUps()
 	h.Add(time.Second)
 	tr.addSetUps(&tally{Policy: r.Policy}, &classSums{}, Counts{Class: "d", SetUp: h.Bytes()})
-	assert.Empty(t, b.p.s.SlowThresholds["d"].Sketch, "the edge is drawn from the good policy alone")
+	assert.Empty(t, b.p.s.SlowThresholds["d"].Sketch, "the slow threshold is computed from the good policy only")
 }
--- a/internal/choice/rollout/holder.go
+++ b/internal/choice/rollout/holder.go
@@ -23,7 +23,7 @@
 	Good          Hash     `json:"good"`
 	Trial         Hash     `json:"trial,omitempty"`
 	Round         uint64   `json:"round,omitempty"`  // round in which the trial was assigned
-	Starts        int      `json:"starts"`           // of the process under the trial, or under RejectedTrial after a lease expiry; includes restarts by an operator
+	Starts        int      `json:"starts"`           // of the process under the trial, or RejectedTrial once its lease expired; operators' restarts count too
 	RejectedTrial Hash     `json:"refuse,omitempty"` // the trial that this node fell back from in RejectedRound
 	Fallback      Fallback `json:"fell,omitempty"`
 	RejectedRound uint64   `json:"of,omitempty"` // round in which RejectedTrial was assigned
@@ -110,8 +110,9 @@
 // HandleAssignment applies an assignment that answers a request sent at the time asked. check validates the policy's text
 // merged into the node's settings; a trial that it rejects is not applied. Four kinds of assignment change nothing:
 // one of an older round, one that answers an older request than the newest answered one, the trial that this node fell back
-// from in the same round (unless its lease expired), and a trial whose lease has already expired. The last happens at a site that is cut off from its parents: it keeps answering with the last
-// assignment that it received, stamped with that assignment's age.
+// from in the same round (unless its lease expired), and a trial whose lease has already expired. The last happens at a site
+// that is cut off from its parents: it keeps answering with the last assignment that it received, which is as old as the
+// answer says.
 func (h *NodePolicy) HandleAssignment(a Assignment, asked time.Duration, check func(Hash) error) (changed bool) {
 	if a.Round < h.s.Round || asked < h.newestAsked || a.Trial && asked+a.Lease <= h.latest {
 		return false
--- a/internal/choice/rollout/holder_test.go
+++ b/internal/choice/rollout/holder_test.go
@@ -18,20 +18,20 @@
 	trial := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Minute}
 	require.True(t, h.HandleAssignment(trial, 10*time.Second, acceptAny))
 	assert.Equal(t, Hash("t"), h.Policy())
-	assert.False(t, h.HandleAssignment(trial, 40*time.Second, acceptAny), "renewed")
-	assert.False(t, h.HandleAssignment(trial, 20*time.Second, acceptAny), "a late answer shortens nothing")
+	assert.False(t, h.HandleAssignment(trial, 40*time.Second, acceptAny), "a renewal changes nothing that is applied or persisted")
+	assert.False(t, h.HandleAssignment(trial, 20*time.Second, acceptAny), "a late answer does not shorten the lease")
 	changed, next := h.CheckLease(99 * time.Second)
 	assert.False(t, changed)
-	assert.Equal(t, 100*time.Second, next, "the lease counts from the question")
+	assert.Equal(t, 100*time.Second, next, "the lease starts when the request was sent")
 	changed, _ = h.CheckLease(100 * time.Second)
 	assert.True(t, changed)
 	assert.Equal(t, Hash("g"), h.Policy())
 	assert.Equal(t, NodeStatus{Node: "n", Round: 4, Policy: "g", Fallback: LeaseExpired}, h.Status("n"))
-	assert.False(t, h.HandleAssignment(trial, 40*time.Second, acceptAny), "the same word once more, of a site that is cut off")
+	assert.False(t, h.HandleAssignment(trial, 40*time.Second, acceptAny), "the same assignment again, from a site that is cut off")
 	assert.False(t, h.HandleAssignment(Assignment{Round: 3, Policy: "old", Good: "g", Trial: true}, 101*time.Second, acceptAny))
-	assert.True(t, h.HandleAssignment(trial, 102*time.Second, acceptAny), "it is heard again: the trial goes on")
+	assert.True(t, h.HandleAssignment(trial, 102*time.Second, acceptAny), "the root site is reachable again: the trial continues")
 	assert.Equal(t, NodeStatus{Node: "n", Round: 4, Policy: "t"}, h.Status("n"))
-	assert.True(t, h.HandleAssignment(Assignment{Round: 5, Policy: "g", Good: "g"}, 103*time.Second, acceptAny), "taken back")
+	assert.True(t, h.HandleAssignment(Assignment{Round: 5, Policy: "g", Good: "g"}, 103*time.Second, acceptAny), "rolled back")
 	assert.Equal(t, Hash("g"), h.Policy())
 }
 
@@ -49,12 +49,12 @@
 	h := NewNodePolicy(stored, 3, time.Minute, 0)
 	trial := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Minute}
 	h.HandleAssignment(trial, time.Second, acceptAny)
-	assert.Equal(t, NodeStatus{Node: "n", Round: 4, Policy: "g", Fallback: TooManyCrashes}, h.Status("n"), "the same round is not tried once more")
+	assert.Equal(t, NodeStatus{Node: "n", Round: 4, Policy: "g", Fallback: TooManyCrashes}, h.Status("n"), "the same round is not tried again")
 	trial.Round = 9
 	h.HandleAssignment(trial, 2*time.Second, func(Hash) error { return errors.New("faulty") })
 	assert.Equal(t, NodeStatus{Node: "n", Round: 9, Policy: "g", Fallback: InvalidTrial}, h.Status("n"))
 	h.HandleAssignment(Assignment{Round: 10, Policy: "b", Good: "b"}, 3*time.Second, func(Hash) error { return errors.New("faulty") })
-	assert.Equal(t, Hash("g"), h.Policy(), "a good policy that is faulty here is not taken over")
+	assert.Equal(t, Hash("g"), h.Policy(), "a good policy that the node's check rejects is not applied")
 	for _, bad := range []string{"", "x", string(stored.Encode()[:40]), storedHead + `{"good":"g","more":1}` + endMark} {
 		_, err := ReadStored([]byte(bad))
 		var u *DecodeError
@@ -75,11 +75,11 @@
 	h = NewNodePolicy(stored, 3, until, 60*time.Second)
 	assert.Equal(t, Hash("t"), h.Policy())
 	changed, _ := h.CheckLease(61 * time.Second)
-	assert.True(t, changed, "the start begins no lease of its own")
+	assert.True(t, changed, "a start does not begin a new lease")
 
 	h = NewNodePolicy(stored, 3, until, 61*time.Second)
 	assert.Equal(t, NodeStatus{Node: "n", Round: 4, Policy: "g", Fallback: LeaseExpired}, h.Status("n"))
-	assert.Zero(t, h.Starts(), "of the good policy")
+	assert.Zero(t, h.Starts(), "the good policy has no starts")
 	require.True(t, h.HandleAssignment(trial, 62*time.Second, acceptAny))
 	assert.Equal(t, NodeStatus{Node: "n", Round: 4, Policy: "t"}, h.Status("n"))
 	assert.Equal(t, 1, h.Starts())
@@ -98,10 +98,10 @@
 		assert.LessOrEqual(t, h.StoredLeaseEnd(), h.LeaseEnd())
 		assert.GreaterOrEqual(t, h.StoredLeaseEnd(), h.LeaseEnd()-30*time.Second)
 	}
-	assert.Equal(t, 20, writes, "one each half lease, and the first")
+	assert.Equal(t, 20, writes, "one per half lease, and the first")
 	trial.Lease = time.Second
 	require.True(t, h.HandleAssignment(trial, 10*time.Minute, acceptAny))
-	assert.Equal(t, 601*time.Second, h.StoredLeaseEnd(), "a shorter lease is stored at once")
+	assert.Equal(t, 601*time.Second, h.StoredLeaseEnd(), "a shorter lease is persisted at once")
 }
 
 // trialOutlivesLease runs a random sequence, from a seed, of restarts, assignments of various ages, and losses of contact. It
@@ -124,7 +124,7 @@
 			h = NewNodePolicy(stored, 1<<30, until, now)
 			stored, until = h.Stored(), h.StoredLeaseEnd()
 			if early := stored.Trial == "" && now < confirmedAt+lease/2; early && stored.Fallback == LeaseExpired {
-				return fmt.Sprintf("step %d: back %v after the top was heard, with a lease of %v", i, now-confirmedAt, lease)
+				return fmt.Sprintf("step %d: fell back %v after the assignment, with a lease of %v", i, now-confirmedAt, lease)
 			}
 		case k < 5: // an answer that arrives late, with an assignment that is older still
 			a := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Duration(1+r.IntN(2)) * time.Second}
@@ -143,7 +143,7 @@
 		}
 		h.CheckLease(now) // the caller's loop checks the lease on its own
 		if h.Policy() == "t" && now >= confirmedAt+lease {
-			return fmt.Sprintf("step %d: goes by a trial %v after the top was heard, with a lease of %v", i, now-confirmedAt, lease)
+			return fmt.Sprintf("step %d: applies a trial %v after the assignment, with a lease of %v", i, now-confirmedAt, lease)
 		}
 	}
 	return ""
@@ -157,5 +157,5 @@
 	for seed := uint64(0); seed < 300 && !found; seed++ {
 		found = trialOutlivesLease(seed, "start") != ""
 	}
-	assert.True(t, found, "a lease that begins at a start is found")
+	assert.True(t, found, "the injected bug, a lease that begins at a start, is detected")
 }
--- a/internal/choice/rollout/node.go
+++ b/internal/choice/rollout/node.go
@@ -125,9 +125,9 @@
 }
 
 // beginSlice starts the slice that contains now.
-func (t *Reporter) beginSlice(now time.Duration, spoilt bool) {
+func (t *Reporter) beginSlice(now time.Duration, tainted bool) {
 	clear(t.sums)
-	t.current = Evidence{Node: t.node, Zone: t.zone, Tainted: spoilt}
+	t.current = Evidence{Node: t.node, Zone: t.zone, Tainted: tainted}
 	if t.slice > 0 {
 		t.current.Slice = uint64(now / t.slice)
 	}
--- a/internal/choice/rollout/node_test.go
+++ b/internal/choice/rollout/node_test.go
@@ -17,14 +17,14 @@
 }
 
 // drawRecord draws a record of one node from a small set of values, so that ties occur.
-func drawRecord(t *rapid.T, what string) Record {
-	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }
+func drawRecord(t *rapid.T, label string) Record {
+	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
 	r := Record{Node: "n", Sequence: uint64(1 + pick(3)), OutOfService: pick(2), Status: NodeStatus{Node: "n", Round: uint64(pick(2))}}
 	for range pick(12) {
 		e := Evidence{Node: "n", Policy: "p", Slice: uint64(pick(14)), At: time.Duration(pick(2)), Starts: pick(2)}
 		for range pick(3) {
-			long := []int{1, 2, maxSliceBytes - 200, maxSliceBytes}[pick(4)]
-			e.Counts = append(e.Counts, Counts{Class: strings.Repeat("c", long), Offered: uint64(pick(3)), SetUp: make([]byte, 20)})
+			length := []int{1, 2, maxSliceBytes - 200, maxSliceBytes}[pick(4)]
+			e.Counts = append(e.Counts, Counts{Class: strings.Repeat("c", length), Offered: uint64(pick(3)), SetUp: make([]byte, 20)})
 		}
 		r.Slices = append(r.Slices, e)
 	}
@@ -61,7 +61,8 @@
 		var u *DecodeError
 		require.ErrorAs(t, err, &u)
 	}
-	_, err := MergeRecords(Record{Node: "a", Sequence: 1, Status: NodeStatus{Node: "a"}}.Bytes(), Record{Node: "b", Sequence: 1, Status: NodeStatus{Node: "b"}}.Bytes())
+	_, err := MergeRecords(Record{Node: "a", Sequence: 1, Status: NodeStatus{Node: "a"}}.Bytes(),
+		Record{Node: "b", Sequence: 1, Status: NodeStatus{Node: "b"}}.Bytes())
 	require.ErrorContains(t, err, "belong to different nodes")
 }
 
@@ -144,7 +145,7 @@
 	n := newReporterHarness(1000*time.Hour + 10*time.Second)
 	n.Count(n.now, "p", []Counts{{Class: "c", Offered: 9}}, nil)
 	n.Tick(n.now, 0, n.status, 0, 0, false)
-	assert.NotNil(t, n.Pending(), "what it goes by is told before any slice")
+	assert.NotNil(t, n.Pending(), "the status is published before any slice")
 	h := NewSetUps()
 	h.Add(time.Millisecond)
 	add := []Counts{{Class: "c", Offered: 5, Served: 4, Failed: 1, SetUp: h.Bytes()}, {Class: "c", Tenant: "t", Offered: 1, Value: 2}}
@@ -153,7 +154,7 @@
 	}
 	r := n.newest(t)
 	require.Len(t, r.Slices, 2)
-	assert.True(t, r.Slices[0].Tainted, "the first of the process")
+	assert.True(t, r.Slices[0].Tainted, "the first slice of the process")
 	assert.Equal(t, 3, r.OutOfService)
 	e := r.Slices[1]
 	assert.Equal(t, Evidence{Node: "n", Zone: "z", Policy: "p", Slice: 60001, Starts: 2, At: e.At, Counts: []Counts{
@@ -161,13 +162,13 @@
 	sum, err := decodeSetUps(e.Counts[0].SetUp)
 	require.NoError(t, err)
 	all, _ := sum.countSlow(1)
-	assert.Equal(t, 3.0, all, "histograms merge")
+	assert.Equal(t, 3.0, all, "histograms are merged")
 	n.Acknowledge(n.Newest().Sequence)
 	assert.Nil(t, n.Pending())
 	n.tick(time.Second, "p", nil)
 	assert.Nil(t, n.Pending(), "nothing new")
 
-	spoilt := func(what string, do func()) {
+	tainted := func(what string, do func()) {
 		t.Helper()
 		n.tick(time.Minute-n.now%time.Minute, n.status.Policy, add)
 		do()
@@ -176,26 +177,27 @@
 		assert.Equal(t, what != "", r.Slices[len(r.Slices)-1].Tainted, what)
 		n.tick(time.Minute, n.status.Policy, add) // a slice without a cause of tainting
 	}
-	spoilt("", func() { n.tick(time.Second, "p", add) })
-	spoilt("work", func() { n.maintenance = true; n.tick(time.Second, "p", add); n.maintenance = false })
-	spoilt("another policy was counted", func() { n.tick(time.Second, "q", add) })
-	spoilt("another policy was told", func() { n.status.Policy, n.status.Round = "q", 7; n.tick(time.Second, "q", add) })
-	spoilt("no histogram", func() { n.tick(time.Second, "q", []Counts{{Class: "c", SetUp: []byte("x")}}) })
+	tainted("", func() { n.tick(time.Second, "p", add) })
+	tainted("maintenance", func() { n.maintenance = true; n.tick(time.Second, "p", add); n.maintenance = false })
+	tainted("another policy was counted", func() { n.tick(time.Second, "q", add) })
+	tainted("another policy was assigned", func() { n.status.Policy, n.status.Round = "q", 7; n.tick(time.Second, "q", add) })
+	tainted("invalid histogram", func() { n.tick(time.Second, "q", []Counts{{Class: "c", SetUp: []byte("x")}}) })
 	n.Acknowledge(n.Newest().Sequence)
 	n.tick(time.Second, "p", nil, "late")
 	n.tick(time.Second, "q", nil, "drain")
 	slice := uint64(n.now / time.Minute)
-	assert.Equal(t, []FiredGuard{{slice, 1, "p", "late"}, {slice, 7, "q", "drain"}}, n.newest(t).Fired, "at once, with the round of its policy")
+	assert.Equal(t, []FiredGuard{{slice, 1, "p", "late"}, {slice, 7, "q", "drain"}}, n.newest(t).Fired,
+		"published at once, with the round of the policy")
 	n.tick(time.Minute, "q", add)
 	n.tick(time.Minute, "q", add)
 	before := n.newest(t)
 	require.False(t, before.Slices[maxSlices-1].Tainted)
 	n.status.Policy, n.status.Fallback = "p", LeaseExpired
 	n.tick(time.Second, "q", add)
-	require.True(t, n.newest(t).Slices[maxSlices-1].Tainted, "nobody heard of it before the trial lapsed")
+	require.True(t, n.newest(t).Slices[maxSlices-1].Tainted, "its record was not delivered before the trial lease expired")
 	n.now -= time.Hour
 	n.tick(0, "q", nil, "again")
-	assert.Greater(t, n.newest(t).Sequence, before.Sequence, "though the clock went back")
+	assert.Greater(t, n.newest(t).Sequence, before.Sequence, "although the clock went back")
 	n.Tick(n.now, time.Hour, n.status, 0, 0, false)
 	n.Count(n.now+time.Hour, "", nil, nil)
 	n.Count(n.now+2*time.Hour, "", nil, nil)
--- a/internal/choice/rollout/overlay.go
+++ b/internal/choice/rollout/overlay.go
@@ -186,7 +186,7 @@
 	}
 	whole := v.Num == math.Trunc(v.Num)
 	if v.Type != gjson.Number || math.IsInf(v.Num, 0) || v.Num < 0 || k.kind == count && (!whole || v.Num > math.MaxInt32) {
-		return nil, &Fault{path, fmt.Sprintf("%.40s is not a number of at least 0, or not an integer where one is needed", v.Raw)}
+		return nil, &Fault{path, fmt.Sprintf("%.40s is not a number of at least 0, or not an integer in range where one is needed", v.Raw)}
 	}
 	if whole && v.Num < 1<<53 {
 		return json.Number(strconv.FormatInt(int64(v.Num), 10)), nil
--- a/internal/choice/rollout/places.go
+++ b/internal/choice/rollout/places.go
@@ -39,7 +39,8 @@
 
 // nearest returns the nodes around a node, nearest first: those of its building and zone, its building, its regency, all.
 func (ix topology) nearest(name string) [4][]string {
-	return [4][]string{ix.zoneNodes[ix.site[name]+sep+ix.zone[name]], ix.siteNodes[ix.site[name]], ix.regencyNodes[ix.regency[name]], ix.allNodes}
+	return [4][]string{ix.zoneNodes[ix.site[name]+sep+ix.zone[name]], ix.siteNodes[ix.site[name]],
+		ix.regencyNodes[ix.regency[name]], ix.allNodes}
 }
 
 // shuffled returns the names in a pseudo-random order that depends only on the rollout's ID.
--- a/internal/choice/rollout/plan.go
+++ b/internal/choice/rollout/plan.go
@@ -250,7 +250,8 @@
 func NewPlan() *Plan {
 	none := EmptyPolicy()
 	p := &Plan{s: state{Limits: Defaults(), Good: none.Hash(), Texts: map[Hash]json.RawMessage{none.Hash(): none.Text()},
-		Nodes: map[string]*node{}, MaintenanceEnded: map[string]time.Duration{}, SlowThresholds: map[string]*slowThreshold{}, Typical: map[string]*typicalValue{}}}
+		Nodes: map[string]*node{}, MaintenanceEnded: map[string]time.Duration{},
+		SlowThresholds: map[string]*slowThreshold{}, Typical: map[string]*typicalValue{}}}
 	p.topology = newTopology(p.s.Tree)
 	return p
 }
@@ -389,9 +390,9 @@
 	t.effects = append(t.effects, Effect{Kind: Refused, ID: id, Why: why, Err: &Refusal{why, do}})
 }
 
-func (t *transition) logEvent(r *Rollout, what, by, why string) {
-	r.Log = append(r.Log, LogEntry{t.at, what, r.Stage, by, why})
-	t.effects = append(t.effects, Effect{Kind: Notify, ID: r.ID, Cause: r.Cause, Why: what + " " + why})
+func (t *transition) logEvent(r *Rollout, event, by, why string) {
+	r.Log = append(r.Log, LogEntry{t.at, event, r.Stage, by, why})
+	t.effects = append(t.effects, Effect{Kind: Notify, ID: r.ID, Cause: r.Cause, Why: event + " " + why})
 }
 
 // assign changes a node's policy.
--- a/internal/choice/rollout/plan_test.go
+++ b/internal/choice/rollout/plan_test.go
@@ -82,13 +82,13 @@
 
 func (b *harness) lead() {
 	for n := 0; ; n++ {
-		require.Less(b.t, n, 100, "the leader proposes without end")
-		c, any := b.p.Next(b.now, 0)
-		if !any {
+		require.Less(b.t, n, 100, "the leader never stops proposing")
+		c, ok := b.p.Next(b.now, 0)
+		if !ok {
 			return
 		}
 		b.apply(c)
-		require.LessOrEqual(b.t, b.p.Disrupted(b.now), 3+12*len(b.p.s.Rollouts), "a halt alone may disturb more")
+		require.LessOrEqual(b.t, b.p.Disrupted(b.now), 3+12*len(b.p.s.Rollouts), "only a rollback may exceed the disruption budget")
 	}
 }
 
@@ -154,16 +154,16 @@
 
 func TestMissingEvidenceHoldsAndIsRolledBack(t *testing.T) {
 	for name, change := range map[string]func(b *harness, r *Rollout){
-		"few": func(b *harness, _ *Rollout) {
+		"too few requests": func(b *harness, _ *Rollout) {
 			b.countsOf = func(string, bool) Counts { return Counts{Class: "c", Offered: 20, Served: 20} }
 		},
-		"alike": func(b *harness, _ *Rollout) {
+		"both sides in trouble": func(b *harness, _ *Rollout) {
 			b.countsOf = func(string, bool) Counts { return Counts{Class: "c", Offered: 1000, Served: 400} }
 		},
-		"work": func(b *harness, r *Rollout) {
+		"maintenance": func(b *harness, r *Rollout) {
 			b.apply(Command{Maintenance: &Maintenance{Zones: []string{b.p.topology.zone[r.Targets[0][0]]}}})
 		},
-		"not known": func(b *harness, r *Rollout) {
+		"unknown class": func(b *harness, r *Rollout) {
 			b.countsOf = func(string, bool) Counts { return Counts{Class: "d", Offered: 1000, Served: 1000} }
 		},
 	} {
@@ -191,7 +191,7 @@
 	b.index++
 	b.p.Apply(b.index, Command{At: b.now, Unreachable: &NodeName{Node: last}})
 	b.apply(Command{Evidence: &Evidence{Node: r.Treated[0].Node, Policy: r.Policy, Slice: 1, Starts: b.p.s.Limits.MaxCrashes}})
-	require.Equal(t, Halting, r.Phase, "even on evidence that comes too late to be judged")
+	require.Equal(t, Halting, r.Phase, "even on evidence too late to be evaluated")
 	assert.Equal(t, Guard, r.Cause)
 	var order []Stage
 	for {
@@ -205,8 +205,8 @@
 		b.apply(c)
 	}
 	assert.Equal(t, []Stage{OneRegency, OneBuilding, OneNode}, order)
-	assert.Equal(t, Halted, r.Phase, "who is away does not hold it up")
-	assert.Equal(t, b.p.Good(), b.p.Assigned(last).Policy, "and takes the halt on its return")
+	assert.Equal(t, Halted, r.Phase, "unreachable nodes do not delay the rollback")
+	assert.Equal(t, b.p.Good(), b.p.Assigned(last).Policy, "and is rolled back when it returns")
 	for _, c := range []Command{{Force: &OperatorAction{ID: "x", Stage: r.Stage, By: "desk", Why: "no"}},
 		{Resume: &OperatorAction{ID: "x", By: "desk", Why: "no"}},
 		{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "no"}},
@@ -260,7 +260,8 @@
 					Counts: []Counts{{Class: "c", Offered: 900, Served: uint64(rng.IntN(1000)), SetUp: []byte("x")}}}},
 					{Start: &Start{id, []byte(fmt.Sprintf(`{"round_us":%d}`, rng.IntN(3))), "d", "w"}},
 					{Halt: &Halt{ID: id, Cause: Cause(rng.IntN(int(causeCount))), By: "d", Why: "w"}}, {Force: &OperatorAction{id, st, "d", "w"}},
-					{Resume: &OperatorAction{ID: id, By: "d", Why: "w"}}, {Unreachable: &NodeName{n}}, {Reachable: &NodeName{n}}, {Close: &Close{rng.Uint64N(3000)}},
+					{Resume: &OperatorAction{ID: id, By: "d", Why: "w"}}, {Unreachable: &NodeName{n}}, {Reachable: &NodeName{n}},
+					{Close: &Close{rng.Uint64N(3000)}},
 					{Treat: &Treat{id, st, []string{n}, 0}}, {Advance: &StageRef{id, st}}, {RollBack: &StageRef{id, st}}, {Finish: &StageRef{id, st}},
 					{Maintenance: &Maintenance{[]string{"b1", "b0"}[:rng.IntN(3)]}},
 					{Status: &NodeStatus{n, b.p.Assigned(n).Round, b.p.Good(), Fallback(rng.IntN(3))}}}[rng.IntN(14)]
@@ -268,7 +269,7 @@
 			b.index++
 			c.At = b.now - time.Duration(rng.IntN(int(time.Hour)))
 			assert.Equal(t, fmt.Sprint(b.p.Apply(b.index, c)), fmt.Sprint(other.Apply(b.index, c)))
-			assert.Nil(t, b.p.Apply(b.index, c), "once only")
+			assert.Nil(t, b.p.Apply(b.index, c), "a repeated index has no effect")
 			if rng.IntN(20) == 0 {
 				var err error
 				other, err = Decode(other.Encode())
@@ -278,7 +279,7 @@
 			for _, r := range b.p.Rollouts() {
 				for _, tr := range r.Treated {
 					if !tr.RolledBack && r.Phase.Active() {
-						require.Empty(t, owners[tr.Node], "two rollouts treat one node")
+						require.Empty(t, owners[tr.Node], "two rollouts treat the same node")
 						owners[tr.Node] = r.ID
 					}
 				}
@@ -287,7 +288,8 @@
 		require.Equal(t, string(b.p.Encode()), string(other.Encode()))
 	}
 	raw := string(newHarness(t, steadyCounts).p.Encode())
-	for _, bad := range []string{"", raw[:len(raw)-2], raw[1:], strings.Replace(raw, `{"applied"`, `{ "applied"`, 1), planHead + "{}" + endMark} {
+	for _, bad := range []string{"", raw[:len(raw)-2], raw[1:], strings.Replace(raw, `{"applied"`, `{ "applied"`, 1),
+		planHead + "{}" + endMark} {
 		_, err := Decode([]byte(bad))
 		var u *DecodeError
 		assert.ErrorAs(t, err, &u)
@@ -313,14 +315,14 @@
 		require.Equal(t, string(before.Encode()), string(b.p.Encode()), what)
 	}
 	treat := func(out int, nodes ...string) Command { return Command{Treat: &Treat{"x", OneNode, nodes, out}} }
-	unchanged("no room", treat(3, first))
-	unchanged("more than there is room for", treat(0, first, "n10", "n11", "n12"))
-	unchanged("not watched", treat(0, "new"))
+	unchanged("no budget", treat(3, first))
+	unchanged("more than the budget", treat(0, first, "n10", "n11", "n12"))
+	unchanged("no baseline", treat(0, "new"))
 	unchanged("another stage", Command{Treat: &Treat{"x", OneBuilding, []string{first}, 0}})
 	unchanged("not a target", treat(0, "nobody"))
 	b.index++
 	b.p.Apply(b.index, Command{At: b.now, Unreachable: &NodeName{first}})
-	unchanged("away", treat(0, first))
+	unchanged("unreachable", treat(0, first))
 	b.index++
 	b.p.Apply(b.index, Command{At: b.now, Reachable: &NodeName{first}})
 	for _, c := range []Command{{Advance: &StageRef{"x", OneNode}}, {Halt: &Halt{ID: "x", Cause: Regression}},
@@ -331,7 +333,7 @@
 	}
 	b.apply(treat(0, first))
 	assert.Len(t, r.Treated, 1)
-	unchanged("treated already", treat(0, first))
+	unchanged("already treated", treat(0, first))
 }
 
 // Evidence has no effect if it is late, duplicate, tainted, of more than one policy, of a zone in maintenance, or of a window
@@ -364,17 +366,17 @@
 	}
 	assert.True(t, fit(nil))
 	for name, do := range map[string]func(e *Evidence, p *Plan){
-		"spoilt": func(e *Evidence, _ *Plan) { e.Tainted = true },
-		"mixed":  func(e *Evidence, _ *Plan) { e.Policy = "other" },
-		"faulty": func(e *Evidence, _ *Plan) { e.Counts[0].Served = 2000 },
-		"text":   func(e *Evidence, _ *Plan) { e.Counts[0].Class = "\xff" },
-		"in work": func(_ *Evidence, p *Plan) {
+		"tainted":        func(e *Evidence, _ *Plan) { e.Tainted = true },
+		"two policies":   func(e *Evidence, _ *Plan) { e.Policy = "other" },
+		"invalid counts": func(e *Evidence, _ *Plan) { e.Counts[0].Served = 2000 },
+		"invalid text":   func(e *Evidence, _ *Plan) { e.Counts[0].Class = "\xff" },
+		"in maintenance": func(_ *Evidence, p *Plan) {
 			p.Apply(p.s.Applied+1, Command{At: at(1), Maintenance: &Maintenance{[]string{zone}}})
 			p.Apply(p.s.Applied+1, Command{At: at(1), Maintenance: &Maintenance{}})
 		},
-		"changed": func(_ *Evidence, p *Plan) { p.s.Nodes[first].Changed = at(1) },
+		"policy changed": func(_ *Evidence, p *Plan) { p.s.Nodes[first].Changed = at(1) },
 	} {
-		if name == "in work" {
+		if name == "in maintenance" {
 			p := b.p.Clone() // maintenance that ended before the first evidence of the window arrived
 			p.Apply(p.s.Applied+1, Command{At: at(0), Maintenance: &Maintenance{[]string{zone}}})
 			p.Apply(p.s.Applied+1, Command{At: at(1) - 1, Maintenance: &Maintenance{}})
@@ -384,11 +386,11 @@
 		assert.False(t, fit(do), name)
 	}
 	e := Evidence{Node: first, Policy: r.Policy, Slice: uint64(b.now/l.Slice) + 100, Counts: []Counts{steadyCounts("", true)}}
-	assert.Equal(t, Refused, b.apply(Command{Evidence: &e})[0].Kind, "of a time to come")
+	assert.Equal(t, Refused, b.apply(Command{Evidence: &e})[0].Kind, "a time in the future")
 	open := len(b.p.s.OpenWindows)
 	e.Slice = 1
 	b.apply(Command{Evidence: &e})
-	assert.Len(t, b.p.s.OpenWindows, open, "too late")
+	assert.Len(t, b.p.s.OpenWindows, open, "evidence of a closed window has no effect")
 }
 
 func TestTheLaterRolloutWaitsAndIsSuperseded(t *testing.T) {
@@ -404,7 +406,7 @@
 		require.False(t, y.Phase == Running && y.Stage == All, "it waits before its last stage")
 		for _, tr := range x.Treated {
 			for _, o := range y.Treated {
-				require.True(t, tr.Node != o.Node || o.RolledBack, "one node, one rollout")
+				require.True(t, tr.Node != o.Node || o.RolledBack, "a node is treated by one rollout only")
 			}
 		}
 	}
@@ -415,7 +417,7 @@
 		assert.Equal(t, x.Policy, b.p.Assigned(name).Policy)
 	}
 	e := b.apply(Command{Resume: &OperatorAction{ID: "y", By: "desk", Why: "again"}})
-	assert.Equal(t, Refused, e[0].Kind, "what it was compared with is not the good policy any more")
+	assert.Equal(t, Refused, e[0].Kind, "the policy that it was compared with is no longer the good one")
 }
 
 // A node that always loses requests is compared with its own baseline, and a loss common to all nodes during a rollout does not
@@ -435,7 +437,7 @@
 	}
 	b.run(2 * hour)
 	for name, n := range b.p.s.Nodes {
-		assert.Equal(t, before[name].Baselines, n.Baselines, "frozen")
+		assert.Equal(t, before[name].Baselines, n.Baselines, "baselines are frozen during a rollout")
 	}
 	b.run(60 * hour)
 	assert.Equal(t, Done, r.Phase, "%+v", r.Log)
@@ -493,7 +495,8 @@
 func TestOperatorActionsNeedAReason(t *testing.T) {
 	b := newHarness(t, steadyCounts)
 	r := b.start()
-	for _, c := range []Command{{Start: &Start{ID: "y", Policy: []byte(`{"round_us":7}`), By: "desk"}}, {Force: &OperatorAction{ID: "x", Why: "w"}},
+	for _, c := range []Command{{Start: &Start{ID: "y", Policy: []byte(`{"round_us":7}`), By: "desk"}},
+		{Force: &OperatorAction{ID: "x", Why: "w"}},
 		{Start: &Start{ID: "z", Policy: []byte(trialText), By: "desk", Why: "twice"}}, {Force: &OperatorAction{"x", OneBuilding, "desk", "w"}},
 		{Halt: &Halt{ID: "x", Cause: Operator, Why: "w"}}, {Resume: &OperatorAction{ID: "x", By: "desk", Why: "it runs"}}} {
 		e := b.apply(c)
--- a/internal/choice/rollout/record.go
+++ b/internal/choice/rollout/record.go
@@ -68,7 +68,8 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		return r, &DecodeError{err.Error()}
 	}
-	if r.Node == "" || r.Sequence == 0 || r.OutOfService < 0 || r.Status.Fallback >= fallbackCount || r.Status.Node != r.Node || !bytes.Equal(r.Bytes(), raw) {
+	if r.Node == "" || r.Sequence == 0 || r.OutOfService < 0 || r.Status.Fallback >= fallbackCount ||
+		r.Status.Node != r.Node || !bytes.Equal(r.Bytes(), raw) {
 		return r, &DecodeError{"the record of a node is invalid or not in canonical form"}
 	}
 	return r, nil
--- a/internal/choice/rollout/rollout.go
+++ b/internal/choice/rollout/rollout.go
@@ -33,14 +33,14 @@
 	Alpha        float64       // probability of a halt without a regression, over a whole rollout
 	Beta         float64       // probability that a stage ends although one class is worse by Margin
 	Margin       float64       // decrease in the fraction of served requests that has to be detected
-	MinRequests  uint64        `json:"Least"`   // requests of a class at a node in a window, for treated and control nodes, below which the class is not compared
+	MinRequests  uint64        `json:"Least"`   // requests of a class at a node in a window needed to compare it
 	MaxHold      time.Duration `json:"Hold"`    // longest time for which missing evidence may hold a stage
 	TrialLease   time.Duration `json:"Lease"`   // lease of a trial policy at a node
 	MaxCrashes   int           `json:"Crashes"` // crashes of one node under a trial policy after which it falls back on its own
 	MaxDisrupted int           `json:"Disturb"` // nodes and hosts that rollouts and maintenance may disrupt at once; 0: no limit
 
 	Slice           time.Duration // length of the time slices in which evidence is counted
-	WindowSlices    int           `json:"Spell"` // time slices in one observation window: about as long as a disturbance of a single node lasts
+	WindowSlices    int           `json:"Spell"` // time slices per window: about as long as a disturbance of one node lasts
 	BaselineWindows int           `json:"Watch"` // windows of a node on the good policy before it is compared
 	Settle          time.Duration // how long a change of policy disrupts a node
 	MaxStageTime    time.Duration `json:"Longest"` // longest stage, after which an undecided one is halted as unproven; 0: no limit
@@ -51,7 +51,8 @@
 // Defaults returns the limits of a site that configures none.
 func Defaults() Limits {
 	return Limits{Alpha: 0.01, Beta: 0.05, Margin: 0.02, MinRequests: 100, MaxHold: 2 * time.Hour, TrialLease: 5 * time.Minute, MaxCrashes: 3,
-		Slice: 5 * time.Minute, WindowSlices: 6, BaselineWindows: 12, Settle: time.Minute, MaxStageTime: 72 * time.Hour, SlowMargin: 0.05, Coverage: 0.9}
+		Slice: 5 * time.Minute, WindowSlices: 6, BaselineWindows: 12, Settle: time.Minute, MaxStageTime: 72 * time.Hour,
+		SlowMargin: 0.05, Coverage: 0.9}
 }
 
 // Check returns a *Refusal that names the first limit that is out of range.
--- a/internal/choice/rollout/top.go
+++ b/internal/choice/rollout/top.go
@@ -36,7 +36,7 @@
 	Sequence     uint64        `json:"told"`            // of the newest record
 	At           time.Duration `json:"at"`              // when that record was ingested, by the clock of the consensus group
 	NewestSlice  uint64        `json:"slice"`           // the newest slice whose evidence was ingested
-	SliceBits    uint64        `json:"heard"`           // one bit per ingested slice: the lowest for NewestSlice, the next for the slice before, and so on
+	SliceBits    uint64        `json:"heard"`           // one bit per ingested slice, from NewestSlice (lowest bit) backwards
 	Status       NodeStatus    `json:"seen"`            // the latest status passed to the plan
 	OutOfService int           `json:"out,omitempty"`   // hosts out of service for maintenance at the node's site
 	Fired        []FiredGuard  `json:"fired,omitempty"` // the newest maxFired guards that were ingested, sorted
@@ -45,7 +45,7 @@
 const (
 	rootHead            = "lichenhitch rollout top 1\n"
 	maxPolicyBytes      = 8 << 10            // bytes of one policy's text
-	maxPolicyBytesTotal = 2 * maxPolicyBytes // of the good policy and of all active rollouts together: these texts have to fit into SitePolicies
+	maxPolicyBytesTotal = 2 * maxPolicyBytes // of the good and all active policies, which have to fit into SitePolicies
 	maxIDBytes          = 40                 // bytes of a rollout's ID, which is repeated in each group of nodes in SitePolicies
 	maxActiveRollouts   = 2                  // a third would have to wait for both
 	indexShift          = 16
@@ -222,8 +222,8 @@
 }
 
 // inFuture reports whether a window lies too far in the future for the plan to accept its evidence.
-func (p *Plan) inFuture(spell uint64, at time.Duration) bool {
-	return spell > p.windowAt(max(at, p.s.At))+1
+func (p *Plan) inFuture(number uint64, at time.Duration) bool {
+	return number > p.windowAt(max(at, p.s.At))+1
 }
 
 // markSlice marks a slice as ingested and reports whether it was not before.
--- a/internal/choice/rollout/top_test.go
+++ b/internal/choice/rollout/top_test.go
@@ -15,7 +15,7 @@
 // rootHarness is a RootState with nodes that fetch assignments and report records, in four buildings of two regencies.
 type rootHarness struct {
 	t      require.TestingT
-	top    *RootState
+	root   *RootState
 	index  uint64
 	now    time.Duration
 	limits Limits
@@ -31,7 +31,7 @@
 }
 
 func newRootHarness(t require.TestingT) *rootHarness {
-	f := &rootHarness{t: t, top: NewRootState(), now: 1000 * hour, limits: Defaults()}
+	f := &rootHarness{t: t, root: NewRootState(), now: 1000 * hour, limits: Defaults()}
 	f.limits.Slice, f.limits.WindowSlices, f.limits.BaselineWindows, f.limits.Settle = 10*time.Minute, 1, 1, time.Minute
 	f.limits.MaxHold, f.limits.TrialLease, f.limits.MaxDisrupted = 40*hour, hour, 2
 	for s := range 4 {
@@ -51,31 +51,31 @@
 func (f *rootHarness) apply(c Command) []Effect {
 	f.index++
 	c.At = f.now
-	return f.top.Apply(f.index, c)
+	return f.root.Apply(f.index, c)
 }
 
 func (f *rootHarness) record(r Record) {
 	f.index++
-	f.top.Record(f.index, f.now, r)
+	f.root.Record(f.index, f.now, r)
 }
 
 // lead applies what the leader proposes until there is nothing left: T3.
 func (f *rootHarness) lead() {
 	for n := 0; ; n++ {
-		require.Less(f.t, n, 100, "the leader proposes without end")
-		before := f.top.Encode()
-		c, any := f.top.Next(f.now, f.limits, f.tree)
-		again, _ := f.top.Next(f.now, f.limits, f.tree)
+		require.Less(f.t, n, 100, "the leader never stops proposing")
+		before := f.root.Encode()
+		c, ok := f.root.Next(f.now, f.limits, f.tree)
+		again, _ := f.root.Next(f.now, f.limits, f.tree)
 		require.Equal(f.t, c, again)
-		require.Equal(f.t, string(before), string(f.top.Encode()), "Next changes nothing")
-		if !any {
+		require.Equal(f.t, string(before), string(f.root.Encode()), "Next changes nothing")
+		if !ok {
 			return
 		}
 		f.apply(c)
 	}
 }
 
-// passSlice lets a slice pass: nodes fetch their assignments and send records, of which those selected by heard arrive.
+// passSlice lets a slice pass: nodes fetch their assignments and send records, of which those of the nodes selected by arrives arrive.
 func (f *rootHarness) passSlice(arrives func(name string) bool, guardAt string) {
 	f.now += f.limits.Slice / 2
 	f.report(arrives, guardAt)
@@ -85,9 +85,9 @@
 
 func (f *rootHarness) report(arrives func(name string) bool, guardAt string) {
 	for _, n := range f.nodes {
-		d, err := ParseSitePolicies(f.top.SitePolicies(n.site).Bytes())
+		d, err := ParseSitePolicies(f.root.SitePolicies(n.site).Bytes())
 		require.NoError(f.t, err)
-		require.Equal(f.t, f.top.SitePolicies(n.site), d)
+		require.Equal(f.t, f.root.SitePolicies(n.site), d)
 		n.policy.HandleAssignment(d.Assigned(n.name, nil), f.now, acceptAny)
 		n.reporter.Tick(f.now, d.Slice, n.policy.Status(n.name), n.policy.Starts(), 0, false)
 		var guards []string
@@ -114,10 +114,10 @@
 		f.passSlice(everyNode, "")
 		f.lead()
 	}
-	require.Empty(f.t, f.apply(Command{Start: &Start{id, []byte(text), "desk", "try"}})[1:], "only told")
+	require.Empty(f.t, f.apply(Command{Start: &Start{id, []byte(text), "desk", "try"}})[1:], "only a notification")
 	f.lead()
 	f.passSlice(everyNode, "")
-	return f.top.Plan().Rollout(id)
+	return f.root.Plan().Rollout(id)
 }
 
 // T1 to T3, under any sequence of events: late, lost and repeated records, any number of them in an entry, operators' commands,
@@ -153,12 +153,12 @@
 				if len(f.sent) > 0 {
 					r := rapid.SampledFrom(f.sent).Draw(rt, "again")
 					take(r)
-					before := f.top.Encode()
-					f.top.Record(f.index, f.now, r)
-					require.Equal(rt, string(before), string(f.top.Encode()), "once in an entry")
-					applied := f.top.Plan().Applied()
+					before := f.root.Encode()
+					f.root.Record(f.index, f.now, r)
+					require.Equal(rt, string(before), string(f.root.Encode()), "a repetition in the same entry has no effect")
+					applied := f.root.Plan().Applied()
 					f.record(r)
-					require.Equal(rt, applied, f.top.Plan().Applied(), "once in all")
+					require.Equal(rt, applied, f.root.Plan().Applied(), "a repetition in another entry has no effect")
 				}
 				continue
 			case 6:
@@ -170,26 +170,26 @@
 			case 9:
 				c.Force = &OperatorAction{ID: id, Stage: Stage(rapid.IntRange(0, 2).Draw(rt, "stage")), By: "desk", Why: "known"}
 			}
-			before := string(f.top.Encode())
-			why := f.top.Check(c)
-			require.Equal(rt, before, string(f.top.Encode()), "a check changes nothing")
+			before := string(f.root.Encode())
+			why := f.root.Check(c)
+			require.Equal(rt, before, string(f.root.Encode()), "a check changes nothing")
 			effects := f.apply(c)
 			require.Equal(rt, why != nil, len(effects) == 1 && effects[0].Kind == Refused, "%+v %v", c, why)
-			once := string(f.top.Encode())
+			once := string(f.root.Encode())
 			c.At = f.now
-			require.Empty(rt, f.top.Apply(f.index, c))
-			require.Equal(rt, once, string(f.top.Encode()), "once in an entry")
-			seat, err := DecodeRootState(f.top.Clone().Encode())
+			require.Empty(rt, f.root.Apply(f.index, c))
+			require.Equal(rt, once, string(f.root.Encode()), "a repetition in the same entry has no effect")
+			replica, err := DecodeRootState(f.root.Clone().Encode())
 			require.NoError(rt, err)
-			require.Equal(rt, once, string(seat.Encode()))
+			require.Equal(rt, once, string(replica.Encode()))
 			for _, s := range f.tree.Sites {
-				require.Equal(rt, string(f.top.SitePolicies(s.Name).Bytes()), string(seat.SitePolicies(s.Name).Bytes()), "T2")
+				require.Equal(rt, string(f.root.SitePolicies(s.Name).Bytes()), string(replica.SitePolicies(s.Name).Bytes()), "T2")
 			}
-			f.top = seat
+			f.root = replica
 			f.lead()
 		}
 		for name, r := range newest {
-			require.Equal(rt, r.Status, f.top.ingested[name].Status, "T1: never replaced by an older one")
+			require.Equal(rt, r.Status, f.root.ingested[name].Status, "T1: a status is never replaced by an older one")
 		}
 	})
 }
@@ -204,7 +204,7 @@
 		if rapid.Bool().Draw(rt, "fires") {
 			fires = r.Treated[0].Node
 		}
-		lossy, backwards, at := f.top.Clone(), f.top.Clone(), len(f.sent)
+		lossy, backwards, at := f.root.Clone(), f.root.Clone(), len(f.sent)
 		first := uint64(f.now / f.limits.Slice)
 		f.passSlice(everyNode, fires)
 		f.passSlice(everyNode, "")
@@ -223,7 +223,7 @@
 			}
 			backwards.Record(f.index+uint64(i), f.now, f.sent[len(f.sent)-1-i])
 		}
-		full := f.top.Clone()
+		full := f.root.Clone()
 		for _, p := range []*Plan{full.plan, lossy.plan, backwards.plan} {
 			p.s.Applied, p.s.At = 0, f.now
 			for _, r := range p.s.Rollouts { // the same events were logged at different times
@@ -235,7 +235,7 @@
 		require.Equal(rt, string(full.plan.Encode()), string(lossy.plan.Encode()))
 		require.Equal(rt, string(full.plan.Encode()), string(backwards.plan.Encode()))
 		require.Equal(rt, fires != "", lossy.plan.Rollout("x").Cause == Guard)
-		i := slices.IndexFunc(full.plan.s.OpenWindows, func(sp *window) bool { return sp.Number == first })
+		i := slices.IndexFunc(full.plan.s.OpenWindows, func(w *window) bool { return w.Number == first })
 		require.GreaterOrEqual(rt, i, 0)
 		require.Len(rt, full.plan.s.OpenWindows[i].Nodes, len(f.nodes))
 		for name, ta := range full.plan.s.OpenWindows[i].Nodes {
@@ -278,12 +278,12 @@
 	}
 	starts(uint64(f.now/f.limits.Slice) - 30)
 	require.Equal(t, Running, r.Phase, "%v", r.Log)
-	other := f.top.Clone()
+	other := f.root.Clone()
 	f.passSlice(everyNode, r.Treated[0].Node)
 	require.Equal(t, Guard, r.Cause, "%v", r.Log)
-	f.top = other
+	f.root = other
 	starts(uint64(f.now / f.limits.Slice))
-	require.Equal(t, Guard, f.top.Plan().Rollout("x").Cause)
+	require.Equal(t, Guard, f.root.Plan().Rollout("x").Cause)
 }
 
 func TestNodesThatStopReportingAreUnreachable(t *testing.T) {
@@ -294,27 +294,27 @@
 		f.passSlice(arrives, "")
 		f.lead()
 	}
-	assert.True(t, f.top.plan.s.Nodes["n00"].Unreachable)
+	assert.True(t, f.root.plan.s.Nodes["n00"].Unreachable)
 	f.passSlice(everyNode, "")
 	f.lead()
-	assert.False(t, f.top.plan.s.Nodes["n00"].Unreachable)
+	assert.False(t, f.root.plan.s.Nodes["n00"].Unreachable)
 	late := f.sent[len(f.sent)-1]
 	late.Sequence += uint64(48 * hour / time.Microsecond)
 	f.index++
-	assert.Equal(t, Refused, f.top.Record(f.index, f.now, late)[0].Kind, "of a time to come")
+	assert.Equal(t, Refused, f.root.Record(f.index, f.now, late)[0].Kind, "a time in the future")
 	assert.Equal(t, Running, r.Phase, "%v", r.Log)
 	late.Node, late.Sequence = "nobody", 1
 	f.record(late)
-	assert.NotContains(t, f.top.ingested, "nobody")
+	assert.NotContains(t, f.root.ingested, "nobody")
 	f.tree = Tree{Sites: f.tree.Sites[:3]}
 	f.lead()
-	assert.NotContains(t, f.top.ingested, "n30")
+	assert.NotContains(t, f.root.ingested, "n30")
 	f.limits.Slice, f.limits.TrialLease = hour, 2*hour
 	f.tree.Sites[0].Nodes = append(f.tree.Sites[0].Nodes, f.tree.Sites[0].Nodes[0])
 	f.lead()
-	assert.Equal(t, 10*time.Minute, f.top.SitePolicies("b0").Slice, "not while a rollout is under way")
-	assert.Equal(t, 2*hour, f.top.SitePolicies("b0").TrialLease)
-	assert.Len(t, f.top.plan.s.Tree.Sites[0].Nodes, 2, "a tree that names a node twice is not proposed")
+	assert.Equal(t, 10*time.Minute, f.root.SitePolicies("b0").Slice, "not changed during a rollout")
+	assert.Equal(t, 2*hour, f.root.SitePolicies("b0").TrialLease)
+	assert.Len(t, f.root.plan.s.Tree.Sites[0].Nodes, 2, "a tree that names a node twice is not proposed")
 }
 
 func TestSitePoliciesFitIntoAWriteAndATrialCanBeWithheld(t *testing.T) {
@@ -323,38 +323,38 @@
 	for what, c := range map[string]Command{"bytes": {Start: &Start{"x", []byte(huge), "desk", "try"}},
 		"the ID": {Start: &Start{strings.Repeat("x", 41), []byte(trialText), "desk", "try"}},
 		"JSON":   {Start: &Start{"x", []byte(`{`), "desk", "try"}}} {
-		require.ErrorContains(t, f.top.Check(c), what)
+		require.ErrorContains(t, f.root.Check(c), what)
 		require.Equal(t, Refused, f.apply(c)[0].Kind)
 	}
 	f.startRollout("x", trialText)
-	good := f.top.plan.s.Good
-	f.top.plan.s.Texts[good] = []byte(huge[:40] + huge[60:])
+	good := f.root.plan.s.Good
+	f.root.plan.s.Texts[good] = []byte(huge[:40] + huge[60:])
 	large := Command{Start: &Start{"z", []byte(huge[:40] + huge[80:]), "desk", "try"}}
-	require.ErrorContains(t, f.top.Check(large), "the good policy and those of the active rollouts")
-	f.top.plan.s.Texts[good] = EmptyPolicy().Text()
-	require.Nil(t, f.top.Check(large))
+	require.ErrorContains(t, f.root.Check(large), "the good policy and those of the active rollouts")
+	f.root.plan.s.Texts[good] = EmptyPolicy().Text()
+	require.Nil(t, f.root.Check(large))
 	f.startRollout("y", `{"round_us":7}`)
-	require.ErrorContains(t, f.top.Check(Command{Start: &Start{"z", []byte(`{"round_us":8}`), "desk", "try"}}), "rollouts are active")
-	x := f.top.Plan().Rollout("x")
-	node, d := x.Treated[0].Node, f.top.SitePolicies(f.top.plan.topology.site[x.Treated[0].Node])
-	given := d.Assigned(node, nil)
-	assert.Equal(t, f.top.Plan().Assigned(node), given)
-	assert.JSONEq(t, trialText, string(d.Text(given.Policy)))
-	held := d.Assigned(node, func(id string) bool { return id == "x" })
-	assert.Equal(t, Assignment{Round: given.Round, Policy: d.Good, Good: d.Good}, held)
+	require.ErrorContains(t, f.root.Check(Command{Start: &Start{"z", []byte(`{"round_us":8}`), "desk", "try"}}), "rollouts are active")
+	x := f.root.Plan().Rollout("x")
+	node, d := x.Treated[0].Node, f.root.SitePolicies(f.root.plan.topology.site[x.Treated[0].Node])
+	assigned := d.Assigned(node, nil)
+	assert.Equal(t, f.root.Plan().Assigned(node), assigned)
+	assert.JSONEq(t, trialText, string(d.Text(assigned.Policy)))
+	withheld := d.Assigned(node, func(id string) bool { return id == "x" })
+	assert.Equal(t, Assignment{Round: assigned.Round, Policy: d.Good, Good: d.Good}, withheld)
 	assert.Equal(t, Assignment{Policy: d.Good, Good: d.Good}, d.Assigned("nobody", nil))
 	changed := d.Nodes[node].Changed
 	assert.Equal(t, []int{1, 0}, []int{d.Disrupted(changed), d.Disrupted(changed + d.Settle)})
 
 	for i := range 300 { // each node switched alone
-		d.Nodes[fmt.Sprintf("regency-07/building-%03d", i)] = NodeEntry{uint64(i+1)<<28 + 1, given.Policy, strings.Repeat("x", maxIDBytes),
+		d.Nodes[fmt.Sprintf("regency-07/building-%03d", i)] = NodeEntry{uint64(i+1)<<28 + 1, assigned.Policy, strings.Repeat("x", maxIDBytes),
 			2000000*hour + time.Duration(i)}
 	}
-	assert.Less(t, len(d.Bytes())+maxPolicyBytesTotal, 60<<10, "with its texts")
+	assert.Less(t, len(d.Bytes())+maxPolicyBytesTotal, 60<<10, "including the texts")
 	assert.Equal(t, string(d.Bytes()), string(d.Bytes()))
-	whole := string(f.top.SitePolicies("b0").Bytes())
-	for _, bad := range []string{"", whole[1:], whole[:len(whole)-1], strings.Replace(whole, `{"site"`, `{ "site"`, 1),
-		strings.Replace(whole, `{}`, `{"round_us":1}`, 1), sitePoliciesHead + "{}" + recordEnd, sitePoliciesHead + "{" + recordEnd} {
+	encoded := string(f.root.SitePolicies("b0").Bytes())
+	for _, bad := range []string{"", encoded[1:], encoded[:len(encoded)-1], strings.Replace(encoded, `{"site"`, `{ "site"`, 1),
+		strings.Replace(encoded, `{}`, `{"round_us":1}`, 1), sitePoliciesHead + "{}" + recordEnd, sitePoliciesHead + "{" + recordEnd} {
 		_, err := ParseSitePolicies([]byte(bad))
 		var u *DecodeError
 		require.ErrorAs(t, err, &u, bad)
