--- a/internal/choice/rollout/evidence.go
+++ b/internal/choice/rollout/evidence.go
@@ -391,7 +391,7 @@
 			return "nothing to compare in the last spell: " + cellName(cell)
 		}
 	}
-	var all, added coverage // adds: coverage of the nodes added by this stage; without it, a stage could end on the evidence of earlier stages
+	var all, added coverage // added: of the nodes that this stage adds; without it, a stage could end on evidence of earlier ones
 	observedRegencies := map[string]bool{}
 	for _, names := range r.Targets[:r.Stage+1] {
 		added = coverage{}
@@ -431,8 +431,8 @@
 	}
 }
 
-func (h coverage) reaches(part float64) bool {
-	return float64(h.observed) >= float64(float64(h.expected)*part)
+func (h coverage) reaches(least float64) bool {
+	return float64(h.observed) >= float64(float64(h.expected)*least)
 }
 
 func (h coverage) String() string {
@@ -467,7 +467,7 @@
 	return true
 }
 
-// add adds the value of a window to a baseline and keeps only the newest ones, up to most.
+// add adds the value of a window to a baseline and keeps only the newest ones, up to size.
 func (b *baseline) add(v float64, size int) {
 	b.Recent = append(b.Recent, v)
 	if len(b.Recent) > size {
--- a/internal/choice/rollout/holder.go
+++ b/internal/choice/rollout/holder.go
@@ -23,7 +23,7 @@
 	Good          Hash     `json:"good"`
 	Trial         Hash     `json:"trial,omitempty"`
 	Round         uint64   `json:"round,omitempty"`  // round in which the trial was assigned
-	Starts        int      `json:"starts"`           // of the process under the trial, or RejectedTrial once its lease expired; operators' restarts count too
+	Starts        int      `json:"starts"`           // of the process under the trial, kept for RejectedTrial after a lease expiry; operators' restarts count too
 	RejectedTrial Hash     `json:"refuse,omitempty"` // the trial that this node fell back from in RejectedRound
 	Fallback      Fallback `json:"fell,omitempty"`
 	RejectedRound uint64   `json:"of,omitempty"` // round in which RejectedTrial was assigned
--- a/internal/choice/rollout/places.go
+++ b/internal/choice/rollout/places.go
@@ -143,9 +143,9 @@
 	return stages
 }
 
-func inOrder(order, of []string) (list []string) {
+func inOrder(order, members []string) (list []string) {
 	for _, name := range order {
-		if slices.Contains(of, name) {
+		if slices.Contains(members, name) {
 			list = append(list, name)
 		}
 	}
--- a/internal/choice/rollout/top.go
+++ b/internal/choice/rollout/top.go
@@ -226,7 +226,7 @@
 	return number > p.windowAt(max(at, p.s.At))+1
 }
 
-// markSlice marks a slice as ingested and reports whether it was not before.
+// markSlice marks a slice as ingested and reports whether it is new.
 func (in *ingested) markSlice(slice uint64) bool {
 	if slice > in.NewestSlice {
 		in.SliceBits <<= min(slice-in.NewestSlice, 64)
@@ -240,7 +240,8 @@
 	return true
 }
 
-// markGuard marks a guard as ingested and reports whether it was not before. Guards that sort before all stored ones were.
+// markGuard marks a guard as ingested and reports whether it is new. If the list is full, a guard that sorts before all of it
+// counts as ingested.
 func (in *ingested) markGuard(f FiredGuard) bool {
 	i, found := slices.BinarySearchFunc(in.Fired, f, FiredGuard.compare)
 	if found || i == 0 && len(in.Fired) == maxFired {
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -17,7 +17,7 @@
 	"lichenhitch/internal/site"
 )
 
-// This file takes policies down the sites in stages, on evidence. The council of the top site has the plan (rollout.Top).
+// This file takes policies down the sites in stages, on evidence. The council of the top site has the plan (rollout.RootState).
 // Down come documents, one a site, as decisions that the top writes; a site's leader answers its nodes out of its own, with how
 // long ago the top was heard, which counts against a trial's lease. Up go records, one a node, as evidence that the node's site
 // writes. A halt by an operator holds at his own site at once, and travels up as a write.
@@ -76,7 +76,7 @@
 // policies is what a Core has of them.
 type policies struct {
 	top     *rollout.RootState       // at a seat of the top site, once its place is agreed on
-	told    map[string]uint64        // rollout.Record.Told of the newest record in the log, by node; those that were looked up
+	told    map[string]uint64        // rollout.Record.Sequence of the newest record in the log, by node; those that were looked up
 	writes  map[string]bool          // nodes whose record this leader has proposed
 	doc     rollout.SitePolicies     // what this site's nodes are to go by, as it was read last
 	docOf   upstream.ID              // the write that it was read from
