--- a/internal/choice/rollout/rollout.go
+++ b/internal/choice/rollout/rollout.go
@@ -12,8 +12,8 @@
 //	P2  A guard (crash, crash loop, or a guard of a rule) halts at once. A halt rolls back the latest stage first and ends
 //	    with every node on the last good policy; a node that was unreachable is rolled back when it returns.
 //	P3  Missing evidence is not proof of health: too few requests, sites that are cut off and nights with little traffic
-//	    hold the stage, and so does trouble that affects treated and control nodes alike. A hold longer than
-//	    Limits.MaxHold is rolled back as unproven.
+//	    hold the stage, and so does trouble that affects treated and control nodes alike. A rollout that is held
+//	    longer than Limits.MaxHold is rolled back as unproven.
 //	P4  A loss in one class is not offset by a gain in another.
 //	P5  A trial policy has a lease: a node that receives no renewal for Limits.TrialLease, or crashes Limits.MaxCrashes
 //	    times under the trial, falls back on its own.
