--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return balance.Settings{}, err
 	}
-	raw, err := policy.Over(cfg.RawSettings)
+	raw, err := policy.ApplyTo(cfg.RawSettings)
 	if err != nil {
 		return balance.Settings{}, err
 	}
--- a/internal/choice/rollout/codec.go
+++ b/internal/choice/rollout/codec.go
@@ -7,28 +7,28 @@
 	"fmt"
 )
 
-// The frame of an encoded plan or holder: a line that names it and the version of its form, the state in JSON with its
-// keys in order, and a line that marks the end.
+// An encoded Plan or Stored has three parts: a line with the name and format version, the state as JSON with keys in a fixed
+// order, and an end marker.
 const (
 	planHead   = "lichenhitch rollout plan 1\n"
-	holderHead = "lichenhitch rollout holder 1\n"
+	storedHead = "lichenhitch rollout holder 1\n"
 	endMark    = "\nend\n"
 )
 
-// Unread is an encoded state that cannot be taken.
-type Unread struct{ Why string }
+// DecodeError reports encoded state that cannot be decoded.
+type DecodeError struct{ Why string }
 
-func (u *Unread) Error() string { return "rollouts: " + u.Why }
+func (u *DecodeError) Error() string { return "rollouts: " + u.Why }
 
-// Action says what an operator can do.
-func (u *Unread) Action() string {
-	return "take the snapshot of another seat, or start the node with the version that wrote it"
+// Action returns what an operator can do about the error.
+func (u *DecodeError) Action() string {
+	return "restore the snapshot of another replica, or start the node with the version that wrote this state"
 }
 
 func encode(head string, state any) []byte {
 	text, err := json.Marshal(state)
 	if err != nil {
-		panic(err) // only numbers that are not finite fail, and none are kept
+		panic(err) // only non-finite numbers fail to encode, and none are stored
 	}
 	return append(append([]byte(head), text...), endMark...)
 }
@@ -36,84 +36,84 @@
 func decode(head string, raw []byte, state any) error {
 	rest, ok := bytes.CutPrefix(raw, []byte(head))
 	if !ok {
-		return &Unread{fmt.Sprintf("it does not begin with %q", head)}
+		return &DecodeError{fmt.Sprintf("the encoded state does not begin with %q", head)}
 	}
 	if rest, ok = bytes.CutSuffix(rest, []byte(endMark)); !ok {
-		return &Unread{"its end is missing"}
+		return &DecodeError{"the end mark of the encoded state is missing"}
 	}
 	d := json.NewDecoder(bytes.NewReader(rest))
 	d.DisallowUnknownFields()
 	if err := d.Decode(state); err != nil {
-		return &Unread{err.Error()}
+		return &DecodeError{err.Error()}
 	}
 	if !bytes.Equal(encode(head, state), raw) {
-		return &Unread{"it is not in its one form"}
+		return &DecodeError{"the encoded state is not in canonical form"}
 	}
 	return nil
 }
 
-// Encode returns the plan as bytes: the same for the same state.
+// Encode returns the canonical encoding of the plan: equal states have equal bytes.
 func (p *Plan) Encode() []byte { return encode(planHead, &p.s) }
 
-// Decode reads what Encode wrote. An error is a *Unread.
+// Decode decodes the output of Encode. An error is a *DecodeError.
 func Decode(raw []byte) (*Plan, error) {
 	p := &Plan{}
 	if err := decode(planHead, raw, &p.s); err != nil {
 		return nil, err
 	}
 	if err := p.s.check(); err != nil {
-		return nil, &Unread{err.Error()}
+		return nil, &DecodeError{err.Error()}
 	}
-	p.index = indexed(p.s.Tree)
+	p.topology = newTopology(p.s.Tree)
 	return p, nil
 }
 
-// check finds what later steps rely on.
+// check verifies the invariants that later commands rely on.
 func (s *state) check() error {
 	if err := s.Limits.Check(); err != nil {
 		return err
 	}
-	if s.Texts[s.Good] == nil || s.Nodes == nil || s.Worked == nil || s.Edges == nil || s.Usual == nil {
-		return errors.New("a part is missing")
+	if s.Texts[s.Good] == nil || s.Nodes == nil || s.MaintenanceEnded == nil || s.SlowThresholds == nil || s.Typical == nil {
+		return errors.New("the texts, nodes or another part of the plan is missing")
 	}
 	for name, n := range s.Nodes {
-		if n == nil || n.Base == nil {
-			return fmt.Errorf("the node %q is empty", name)
+		if n == nil || n.Baselines == nil {
+			return fmt.Errorf("the node %q has no state or no baselines", name)
 		}
 	}
-	for _, sp := range s.Open {
-		if sp == nil || sp.Nodes == nil {
-			return errors.New("a spell is empty")
+	for _, w := range s.OpenWindows {
+		if w == nil || w.Nodes == nil {
+			return errors.New("an open window is empty")
 		}
-		for name, ta := range sp.Nodes {
-			if ta == nil || ta.Sums == nil {
-				return fmt.Errorf("what %q said is empty", name)
+		for name, t := range w.Nodes {
+			if t == nil || t.Sums == nil {
+				return fmt.Errorf("the tally of node %q is empty", name)
 			}
 		}
 	}
 	for _, r := range s.Rollouts {
-		if r == nil || len(r.Targets) != Stages+1 || r.Stage >= stages || r.Phase >= phases || r.Cause >= causes {
-			return errors.New("a rollout is faulty")
+		if r == nil || len(r.Targets) != Stages+1 || r.Stage >= stageCount || r.Phase >= phaseCount || r.Cause >= causeCount {
+			return errors.New("a rollout has an invalid stage, phase, cause or number of targets")
 		}
 	}
 	return nil
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (p *Plan) Clone() *Plan {
 	c := &Plan{s: clone(p.s)}
-	c.index = indexed(c.s.Tree)
+	c.topology = newTopology(c.s.Tree)
 	return c
 }
 
-// clone copies a value by its encoded form.
+// clone returns a deep copy of a value by encoding and decoding it.
 func clone[T any](v T) (out T) {
 	text, err := json.Marshal(v)
 	if err == nil {
 		err = json.Unmarshal(text, &out)
 	}
 	if err != nil {
-		panic(err) // as in encode
+		panic(err) // for the same reason as in encode
 	}
 	return out
 }
--- a/internal/choice/rollout/record.go
+++ b/internal/choice/rollout/record.go
@@ -9,82 +9,83 @@
 	"strings"
 )
 
-// Record is what the top is told of a node: by the node to its site's council, which writes it as evidence, and from there
-// upwards. It is whole, so that records may be lost, repeated and overtaken: of two of one node, Merge takes the newer word
-// and the slices of both.
+// Record is what a node reports to the root site. The node sends it to its site's consensus group, which writes it as
+// evidence and forwards it up the tree. Each record is cumulative, so that records may be lost, duplicated and reordered:
+// Merge takes the newer status of two records of one node and the slices of both.
 //
 //	R1  Merging is commutative, associative and idempotent.
-//	R2  A record that was merged with an older one says all that the newer one says.
-//	R3  No record is longer than MaxRecord: what does not fit is left out, the oldest slice first, and missing evidence is
-//	    no health.
+//	R2  A record that was merged with an older one contains everything that the newer one contains.
+//	R3  No record is longer than MaxRecord: what does not fit is left out, the oldest slice first. Evidence that is
+//	    missing for this reason is not taken as proof of health either.
 type Record struct {
-	Node   string     `json:"node"`
-	Told   uint64     `json:"told"` // rises with each that the node tells: Unix time in microseconds by its own clock
-	Seen   Seen       `json:"seen"`
-	Out    int        `json:"out,omitempty"`    // hosts out for work at the node's site, as the node was told
-	Fired  []Fired    `json:"fired,omitempty"`  // guards, sorted: the newest mostFired
-	Slices []Evidence `json:"slices,omitempty"` // by number: the newest mostSlices
+	Node         string       `json:"node"`
+	Sequence     uint64       `json:"told"` // increases with each record of the node: Unix time in microseconds by its own clock
+	Status       NodeStatus   `json:"seen"`
+	OutOfService int          `json:"out,omitempty"`    // hosts out of service for maintenance at the node's site, as known to the node
+	Fired        []FiredGuard `json:"fired,omitempty"`  // guards, sorted: the newest maxFired
+	Slices       []Evidence   `json:"slices,omitempty"` // by number: the newest maxSlices
 }
 
-// Fired is a guard that fired at a node: it halts, whatever was counted.
-type Fired struct {
+// FiredGuard is a guard that fired at a node. It halts the rollout, whatever the counts are.
+type FiredGuard struct {
 	Slice  uint64 `json:"slice"`
-	Round  uint64 `json:"round"` // that the policy was told in: a guard is no word on a later treatment
+	Round  uint64 `json:"round"` // in which the policy was assigned: a guard does not apply to a later treatment
 	Policy Hash   `json:"policy"`
-	What   string `json:"what"`
+	Guard  string `json:"what"`
 }
 
 const (
-	// MaxRecord is the longest record in bytes: what the value of one write may have, less room for its frame.
-	MaxRecord  = 60 << 10
-	mostSlices = 8
-	mostFired  = 8
-	mostWhat   = 120                              // bytes of a guard's name
-	maxSlice   = (MaxRecord - 4<<10) / mostSlices // bytes of one slice's evidence
-	recordHead = "rollout record 1 "              // what a record begins with
-	recordEnd  = " end"                           // and ends with
+	// MaxRecord is the maximum length of a record in bytes: the size limit of one write, less room for its framing.
+	MaxRecord     = 60 << 10
+	maxSlices     = 8
+	maxFired      = 8
+	maxGuardBytes = 120                             // bytes of a guard's name
+	maxSliceBytes = (MaxRecord - 4<<10) / maxSlices // bytes of one slice's evidence
+	recordHead    = "rollout record 1 "             // prefix of an encoded record
+	recordEnd     = " end"                          // suffix of an encoded record
 )
 
-// Thing is what a node's records are written about.
-func Thing(node string) string { return "node/" + node }
+// NodeKey returns the key under which a node's records are written.
+func NodeKey(node string) string { return "node/" + node }
 
-// Bytes returns the record in its one form, cut to the bounds of R3.
+// Bytes returns the canonical encoding, cut to the bounds of R3.
 func (r Record) Bytes() []byte {
 	r = r.trimmed()
 	text, err := json.Marshal(&r)
 	if err != nil {
-		panic(err) // numbers that are not finite: none is kept
+		panic(err) // only non-finite numbers fail to encode, and none are stored
 	}
 	return slices.Concat([]byte(recordHead), text, []byte(recordEnd))
 }
 
-// ParseRecord reads what Bytes wrote. An error is an *Unread.
+// ParseRecord decodes the output of Bytes. An error is a *DecodeError.
 func ParseRecord(raw []byte) (r Record, err error) {
-	text, head := bytes.CutPrefix(raw, []byte(recordHead))
-	text, end := bytes.CutSuffix(text, []byte(recordEnd))
-	if !head || !end || len(raw) > MaxRecord {
-		return r, &Unread{"no record of a node, or too long a one"}
+	text, hasHead := bytes.CutPrefix(raw, []byte(recordHead))
+	text, hasEnd := bytes.CutSuffix(text, []byte(recordEnd))
+	if !hasHead || !hasEnd || len(raw) > MaxRecord {
+		return r, &DecodeError{"not a record of a node, or too long"}
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
-		return r, &Unread{err.Error()}
+		return r, &DecodeError{err.Error()}
 	}
-	if r.Node == "" || r.Told == 0 || r.Out < 0 || r.Seen.Fell >= falls || r.Seen.Node != r.Node || !bytes.Equal(r.Bytes(), raw) {
-		return r, &Unread{"the record of a node is not in its one form"}
+	if r.Node == "" || r.Sequence == 0 || r.OutOfService < 0 || r.Status.Fallback >= fallbackCount ||
+		r.Status.Node != r.Node || !bytes.Equal(r.Bytes(), raw) {
+		return r, &DecodeError{"the record of a node is invalid or not in canonical form"}
 	}
 	return r, nil
 }
 
-// Brief returns what is left of a node's record once a Top has taken it in: the newest word, without the slices and guards, which
-// the plan has. It is a record, and what is no record is returned as it is.
-func Brief(raw []byte) []byte {
+// StripEvidence returns a record without its slices and guards, which the plan has once a RootState has ingested the record;
+// the status stays. Input that is not a record is returned unchanged.
+func StripEvidence(raw []byte) []byte {
 	r, err := ParseRecord(raw)
 	if err != nil {
 		return raw
 	}
-	return Record{Node: r.Node, Told: r.Told, Seen: r.Seen, Out: r.Out}.Bytes()
+	return Record{Node: r.Node, Sequence: r.Sequence, Status: r.Status, OutOfService: r.OutOfService}.Bytes()
 }
 
-// MergeRecords merges two records of one node, in their bytes: see sitesync.Merge. An error is an *Unread.
+// MergeRecords merges two encoded records of one node; see sitesync.Merge. An error is a *DecodeError.
 func MergeRecords(a, b []byte) ([]byte, error) {
 	x, err := ParseRecord(a)
 	if err != nil {
@@ -95,14 +96,14 @@
 		return nil, err
 	}
 	if x.Node != y.Node {
-		return nil, &Unread{"records of " + x.Node + " and " + y.Node + " are not one"}
+		return nil, &DecodeError{"records of " + x.Node + " and " + y.Node + " belong to different nodes"}
 	}
 	return x.Merge(y).Bytes(), nil
 }
 
-// Merge takes the newer word of two records of one node, and the slices and guards of both.
+// Merge returns the newer status of two records of one node, with the slices and guards of both.
 func (r Record) Merge(o Record) Record {
-	if cmp.Or(cmp.Compare(r.Told, o.Told), compareJSON(r.Seen, o.Seen), cmp.Compare(r.Out, o.Out)) < 0 {
+	if cmp.Or(cmp.Compare(r.Sequence, o.Sequence), compareJSON(r.Status, o.Status), cmp.Compare(r.OutOfService, o.OutOfService)) < 0 {
 		r, o = o, r
 	}
 	r.Slices = append(slices.Clone(r.Slices), o.Slices...)
@@ -110,45 +111,45 @@
 	return r.trimmed()
 }
 
-// trimmed sorts what a record has and keeps to its bounds. Of two pieces of evidence of one slice the later counts.
+// trimmed sorts a record's contents and cuts them to the bounds. Of two pieces of evidence for one slice it keeps the later.
 func (r Record) trimmed() Record {
 	r.Slices = slices.Clone(r.Slices)
 	for i := range r.Slices {
-		r.Slices[i] = r.Slices[i].fitting()
+		r.Slices[i] = r.Slices[i].trimToSize()
 	}
 	slices.SortFunc(r.Slices, func(a, b Evidence) int {
 		return cmp.Or(cmp.Compare(a.Slice, b.Slice), cmp.Compare(b.At, a.At), compareJSON(b, a))
 	})
 	r.Slices = slices.CompactFunc(r.Slices, func(a, b Evidence) bool { return a.Slice == b.Slice })
-	r.Slices = r.Slices[max(0, len(r.Slices)-mostSlices):]
+	r.Slices = r.Slices[max(0, len(r.Slices)-maxSlices):]
 	r.Fired = slices.Clone(r.Fired)
 	for i := range r.Fired {
-		what := &r.Fired[i].What
-		*what = strings.ToValidUTF8((*what)[:min(len(*what), mostWhat)], "?")
-		for len(asJSON(*what)) > mostWhat+2 { // signs that take more bytes there
-			*what = strings.ToValidUTF8((*what)[:len(*what)-1], "")
+		guard := &r.Fired[i].Guard
+		*guard = strings.ToValidUTF8((*guard)[:min(len(*guard), maxGuardBytes)], "?")
+		for len(asJSON(*guard)) > maxGuardBytes+2 { // characters that are escaped in JSON
+			*guard = strings.ToValidUTF8((*guard)[:len(*guard)-1], "")
 		}
 	}
-	slices.SortFunc(r.Fired, Fired.compare)
+	slices.SortFunc(r.Fired, FiredGuard.compare)
 	r.Fired = slices.Compact(r.Fired)
-	r.Fired = r.Fired[max(0, len(r.Fired)-mostFired):]
+	r.Fired = r.Fired[max(0, len(r.Fired)-maxFired):]
 	return r
 }
 
-func (f Fired) compare(o Fired) int {
-	return cmp.Or(cmp.Compare(f.Slice, o.Slice), cmp.Compare(f.Round, o.Round), cmp.Compare(f.Policy, o.Policy), cmp.Compare(f.What, o.What))
+func (f FiredGuard) compare(o FiredGuard) int {
+	return cmp.Or(cmp.Compare(f.Slice, o.Slice), cmp.Compare(f.Round, o.Round), cmp.Compare(f.Policy, o.Policy), cmp.Compare(f.Guard, o.Guard))
 }
 
-// fitting leaves out of a slice's evidence what does not fit: histograms first, then the cells with the fewest requests.
-func (e Evidence) fitting() Evidence {
-	most := 400 + 6*(len(e.Node)+len(e.Zone)+len(e.Policy)) // at most so long in JSON, which is dear to make
+// trimToSize drops evidence that does not fit: histograms first, then the cells with the fewest requests.
+func (e Evidence) trimToSize() Evidence {
+	bound := 400 + 6*(len(e.Node)+len(e.Zone)+len(e.Policy)) // upper bound of the length in JSON, since encoding is expensive
 	for _, c := range e.Counts {
-		most += 400 + 6*(len(c.Class)+len(c.Tenant)) + 4*len(c.SetUp)/3
+		bound += 400 + 6*(len(c.Class)+len(c.Tenant)) + 4*len(c.SetUp)/3
 	}
 	for _, g := range e.Guards {
-		most += 4 + 6*len(g)
+		bound += 4 + 6*len(g)
 	}
-	if most <= maxSlice || len(asJSON(e)) <= maxSlice {
+	if bound <= maxSliceBytes || len(asJSON(e)) <= maxSliceBytes {
 		return e
 	}
 	e.Counts = slices.Clone(e.Counts)
@@ -158,7 +159,7 @@
 	slices.SortStableFunc(e.Counts, func(a, b Counts) int {
 		return cmp.Or(cmp.Compare(b.Offered, a.Offered), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Tenant, b.Tenant))
 	})
-	for len(e.Counts) > 0 && len(asJSON(e)) > maxSlice {
+	for len(e.Counts) > 0 && len(asJSON(e)) > maxSliceBytes {
 		e.Counts = e.Counts[:len(e.Counts)-1-len(e.Counts)/16]
 	}
 	return e
@@ -167,7 +168,7 @@
 func asJSON(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // as in Bytes
+		panic(err) // for the same reason as in Bytes
 	}
 	return text
 }
--- a/internal/choice/rollout/rollout.go
+++ b/internal/choice/rollout/rollout.go
@@ -1,22 +1,26 @@
-// Package rollout takes a policy down the hierarchy in stages, each of which ends on evidence, and halts by itself. Plan
-// is the state that a site's council replicates: commands in, effects out, no I/O and no clock; the time is the one that
-// the council's leader stamped.
+// Package rollout distributes a policy to the nodes of a hierarchy of sites in stages. Each stage ends when there is
+// statistical evidence that the policy does no harm, and a rollout halts automatically otherwise. Plan is the state machine
+// that a consensus group replicates: commands in, effects out, no I/O and no clock; the time is the one with which the
+// leader stamped the command.
 //
-// The properties:
+// The nodes on trial of a policy are the treated nodes (the treatment group of an experiment); similar nodes on the last
+// good policy are the control nodes that they are compared with. Properties:
 //
-//	P1  A stage ends only when, for every class with enough requests, the treated were compared with their own kind on the
-//	    old policy at the same time and are not worse by more than the margin, by a test that may be looked at at any
-//	    moment with the stated error rates.
-//	P2  A guard (crash, restart loop, a rule's guard fired) halts at once. A halt takes the latest stage back first and
-//	    ends with every node on the last good policy; a node that was away takes the halt when it returns.
-//	P3  No evidence is no health: too few requests, cut-off sites and quiet nights hold the stage; trouble that hits
-//	    treated and untreated alike holds it too. A hold that lasts longer than Limits.Hold is taken back as unproven.
-//	P4  A loss in one class is not paid for by a gain in another.
-//	P5  A trial policy has a lease: a node that hears nothing for Limits.Lease, or crashes Limits.Crashes times under it,
-//	    falls back by itself.
-//	P6  Two rollouts never treat one node at once, and what rollouts disturb and what is out for work together keep one
-//	    budget; evidence of a node is not counted while a host of its zone is in work.
-//	P7  An operator's halt, resume or force holds, with its reason recorded; force ends a stage, never a guard's halt.
+//	P1  A stage ends only when, for every class with enough requests, the treated nodes were compared with similar control
+//	    nodes at the same time and are not worse by more than the margin, by an anytime-valid test (it may be inspected at
+//	    any moment) with the stated error rates.
+//	P2  A guard (crash, crash loop, or a guard of a rule) halts at once. A halt rolls back the latest stage first and ends
+//	    with every node on the last good policy; a node that was unreachable is rolled back when it returns.
+//	P3  Missing evidence is not proof of health: too few requests, sites that are cut off and nights with little traffic
+//	    hold the stage, and so does trouble that affects treated and control nodes alike. A rollout that is held
+//	    longer than Limits.MaxHold is rolled back as unproven.
+//	P4  A loss in one class is not offset by a gain in another.
+//	P5  A trial policy has a lease: a node that receives no renewal for Limits.TrialLease, or crashes Limits.MaxCrashes
+//	    times under the trial, falls back on its own.
+//	P6  Two rollouts never treat the same node at once. Disruption by rollouts and by maintenance shares one budget. A
+//	    node's evidence does not count while a host of its zone is in maintenance.
+//	P7  An operator's halt, resume or force takes effect and is recorded with its reason; force ends a stage but never
+//	    overrides a halt by a guard.
 package rollout
 
 import (
@@ -24,43 +28,44 @@
 	"time"
 )
 
-// Limits are those of the rollouts of a site.
+// Limits are the limits of a site's rollouts.
 type Limits struct {
-	Alpha   float64       // probability of a halt without a regression, over a whole rollout
-	Beta    float64       // probability of a stage that ends though one class lost Margin
-	Margin  float64       // the loss of served requests, as a part, that must be found
-	Least   uint64        // requests of a class on each side before it says anything
-	Hold    time.Duration // the longest hold
-	Lease   time.Duration // of a trial policy at a node
-	Crashes int           // of one node under a trial policy, before it falls back by itself
-	Disturb int           // nodes and hosts that rollouts and work may disturb at once; 0: no bound of their own
-
-	Slice   time.Duration // what evidence is counted by
-	Spell   int           // slices that are one observation: about as long as a node's own trouble lasts
-	Watch   int           // spells of a node on the old policy before it is compared
-	Settle  time.Duration // how long a change of its policy disturbs a node
-	Longest time.Duration // the longest stage: undecided for so long is unproven; 0: no bound
-	Slow    float64       // as Margin, of the part of connections that takes longer than the edge to stand
-	Cover   float64       // the part of a stage's nodes that must have spoken before it ends
+	Alpha        float64       // probability of a halt without a regression, over a whole rollout
+	Beta         float64       // probability that a stage ends although one class is worse by Margin
+	Margin       float64       // decrease in the fraction of served requests that has to be detected
+	MinRequests  uint64        `json:"Least"`   // requests of a class at a node in a window needed to compare it
+	MaxHold      time.Duration `json:"Hold"`    // longest time for which missing evidence may hold a stage
+	TrialLease   time.Duration `json:"Lease"`   // lease of a trial policy at a node
+	MaxCrashes   int           `json:"Crashes"` // crashes of one node under a trial policy after which it falls back on its own
+	MaxDisrupted int           `json:"Disturb"` // nodes and hosts that rollouts and maintenance may disrupt at once; 0: no limit
+
+	Slice           time.Duration // length of the time slices in which evidence is counted
+	WindowSlices    int           `json:"Spell"` // time slices per window: about as long as a disturbance of one node lasts
+	BaselineWindows int           `json:"Watch"` // windows of a node on the good policy before it is compared
+	Settle          time.Duration // how long a change of policy disrupts a node
+	MaxStageTime    time.Duration `json:"Longest"` // longest stage, after which an undecided one is halted as unproven; 0: no limit
+	SlowMargin      float64       `json:"Slow"`    // like Margin, for the fraction of connections slower to establish than the slow threshold
+	Coverage        float64       `json:"Cover"`   // fraction of a stage's nodes that must have given usable evidence before it ends
 }
 
-// Defaults are limits for a site that tells none.
+// Defaults returns the limits of a site that configures none.
 func Defaults() Limits {
-	return Limits{Alpha: 0.01, Beta: 0.05, Margin: 0.02, Least: 100, Hold: 2 * time.Hour, Lease: 5 * time.Minute, Crashes: 3,
-		Slice: 5 * time.Minute, Spell: 6, Watch: 12, Settle: time.Minute, Longest: 72 * time.Hour, Slow: 0.05, Cover: 0.9}
+	return Limits{Alpha: 0.01, Beta: 0.05, Margin: 0.02, MinRequests: 100, MaxHold: 2 * time.Hour, TrialLease: 5 * time.Minute, MaxCrashes: 3,
+		Slice: 5 * time.Minute, WindowSlices: 6, BaselineWindows: 12, Settle: time.Minute, MaxStageTime: 72 * time.Hour,
+		SlowMargin: 0.05, Coverage: 0.9}
 }
 
-// Check returns a *Refusal that names the first limit that no rollout can go by.
+// Check returns a *Refusal that names the first limit that is out of range.
 func (l Limits) Check() error {
 	for _, f := range []struct {
 		name string
 		ok   bool
 	}{
 		{"alpha", l.Alpha > 0 && l.Alpha < 1}, {"beta", l.Beta > 0 && l.Beta < 1}, {"margin", l.Margin > 0 && l.Margin < 1},
-		{"slow", l.Slow > 0 && l.Slow < 1}, {"cover", l.Cover > 0 && l.Cover <= 1}, {"least", l.Least > 0},
-		{"hold", l.Hold > 0}, {"lease", l.Lease > 0}, {"crashes", l.Crashes > 0}, {"disturb", l.Disturb >= 0},
-		{"slice", l.Slice > 0}, {"spell", l.Spell > 0 && l.Spell <= 64}, {"watch", l.Watch > 0},
-		{"settle", l.Settle >= 0}, {"longest", l.Longest >= 0},
+		{"slow", l.SlowMargin > 0 && l.SlowMargin < 1}, {"cover", l.Coverage > 0 && l.Coverage <= 1}, {"least", l.MinRequests > 0},
+		{"hold", l.MaxHold > 0}, {"lease", l.TrialLease > 0}, {"crashes", l.MaxCrashes > 0}, {"disturb", l.MaxDisrupted >= 0},
+		{"slice", l.Slice > 0}, {"spell", l.WindowSlices > 0 && l.WindowSlices <= 64}, {"watch", l.BaselineWindows > 0},
+		{"settle", l.Settle >= 0}, {"longest", l.MaxStageTime >= 0},
 	} {
 		if !f.ok {
 			return &Refusal{"the limit " + f.name + " is out of range", "set rollout." + f.name + " in the site file"}
@@ -69,15 +74,15 @@
 	return nil
 }
 
-// Refusal is why a command was not taken, and what can be done.
+// Refusal says why a command was refused, and what to do.
 type Refusal struct{ Why, Do string }
 
 func (r *Refusal) Error() string { return r.Why }
 
-// Action says what an operator can do.
+// Action returns what an operator can do.
 func (r *Refusal) Action() string { return r.Do }
 
-// Stage is a step down the hierarchy.
+// Stage is a stage of a rollout, each with more of the hierarchy than the one before.
 type Stage uint8
 
 // The stages.
@@ -87,32 +92,32 @@
 	OneRegency
 	PartOfProvince
 	All
-	stages
+	stageCount
 )
 
-// Stages is how many there are.
-const Stages = int(stages)
+// Stages is the number of stages.
+const Stages = int(stageCount)
 
-var stageNames = [stages]string{"one-node", "building", "regency", "part", "all"}
+var stageNames = [stageCount]string{"one-node", "building", "regency", "part", "all"}
 
-// String is the name that operators write; what is held back for comparison to the end has none of its own.
+// String returns the name that operators use. The nodes held back as controls to the end have no stage name of their own.
 func (s Stage) String() string {
-	if s < stages {
+	if s < stageCount {
 		return stageNames[s]
 	}
 	return "held-back"
 }
 
-// StageOf is the stage with a name.
+// StageOf returns the stage with a name.
 func StageOf(name string) (Stage, bool) {
 	i := slices.Index(stageNames[:], name)
 	return Stage(max(i, 0)), i >= 0
 }
 
-// Hash names a policy: the hash of its content.
+// Hash identifies a policy by a hash of its content.
 type Hash string
 
-// Counts is what a node did with the requests of one class (and tenant) under one policy in one slice of time.
+// Counts are a node's counts of the requests of one class (and tenant) under one policy in one time slice.
 type Counts struct {
 	Class    string  `json:"class"`
 	Tenant   string  `json:"tenant,omitempty"`
@@ -123,19 +128,19 @@
 	TimedOut uint64  `json:"timed_out,omitempty"`
 	Breaks   uint64  `json:"breaks,omitempty"`
 	Moves    uint64  `json:"moves,omitempty"`
-	Worth    float64 `json:"worth,omitempty"`
+	Value    float64 `json:"worth,omitempty"`
 	SetUp    []byte  `json:"set_up,omitempty"` // a mergeable histogram of set-up times
 }
 
-// Evidence is what a node counted in one slice of time.
+// Evidence is what a node counted in one time slice.
 type Evidence struct {
-	Node   string        `json:"node"`
-	Zone   string        `json:"zone,omitempty"`
-	Policy Hash          `json:"policy"`
-	Slice  uint64        `json:"slice"` // the slice's number since 1970, the same at every node
-	Counts []Counts      `json:"counts"`
-	Guards []string      `json:"guards,omitempty"` // those that fired
-	Starts int           `json:"starts,omitempty"` // of the process under this policy
-	Spoilt bool          `json:"spoilt,omitempty"` // work in progress disturbed it
-	At     time.Duration `json:"at"`
+	Node    string        `json:"node"`
+	Zone    string        `json:"zone,omitempty"`
+	Policy  Hash          `json:"policy"`
+	Slice   uint64        `json:"slice"` // number of the slice since 1970, the same at every node
+	Counts  []Counts      `json:"counts"`
+	Guards  []string      `json:"guards,omitempty"` // guards that fired
+	Starts  int           `json:"starts,omitempty"` // starts of the process under this policy
+	Tainted bool          `json:"spoilt,omitempty"` // disrupted by maintenance or by a change of policy
+	At      time.Duration `json:"at"`
 }
--- a/internal/query/count.go
+++ b/internal/query/count.go
@@ -88,7 +88,7 @@
 		if *t != (tally{}) {
 			all = append(all, rollout.Counts{Class: key.class, Tenant: key.tenant, Offered: t.offered, Served: t.served,
 				Refused: t.refused, Failed: t.failed, TimedOut: t.timedOut, Breaks: t.breaks, Moves: t.moves,
-				Worth: float64(t.served) * value(key.class)})
+				Value: float64(t.served) * value(key.class)})
 		}
 	}
 	for class, setUps := range n.setUps {
--- a/internal/query/count_test.go
+++ b/internal/query/count_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestRequestOutcomesAreCounted(t *testing.T) {
-	served, unserved := rollout.Counts{Offered: 1, Served: 1, Worth: 2.5}, rollout.Counts{Offered: 1}
+	served, unserved := rollout.Counts{Offered: 1, Served: 1, Value: 2.5}, rollout.Counts{Offered: 1}
 	broken, moved, refused, failed, timedOut := served, served, unserved, unserved, unserved
 	broken.Breaks, moved.Moves, refused.Refused, failed.Failed, timedOut.TimedOut = 1, 1, 1, 1, 1
 	for name, test := range map[string]struct {
@@ -156,7 +156,7 @@
 	counts, _ := f.core.Counts(valueOf)
 	require.Len(t, counts, 2)
 	assert.Equal(t, rollout.Counts{Class: "chat", SetUp: want.Bytes()}, counts[0])
-	assert.Equal(t, rollout.Counts{Class: "chat", Tenant: "kota", Offered: 3, Served: 3, Worth: 7.5}, counts[1])
+	assert.Equal(t, rollout.Counts{Class: "chat", Tenant: "kota", Offered: 3, Served: 3, Value: 7.5}, counts[1])
 }
 
 // retryingBalancer is a recordingBalancer that places a request again when its attempt has failed.
--- a/internal/site/check.go
+++ b/internal/site/check.go
@@ -388,27 +388,27 @@
 		return time.Duration(c.intOption("rollout."+field, value, defaultValue, minimum, weekSeconds)) * time.Second
 	}
 	s.Rollout = rollout.Limits{
-		Alpha:   c.fractionOption("rollout.alpha", r.GetAlpha(), 0.01, 0.5, exclusive),
-		Beta:    c.fractionOption("rollout.beta", r.GetBeta(), 0.05, 0.5, exclusive),
-		Margin:  c.fractionOption("rollout.margin", r.GetMargin(), 0.02, 0.5, exclusive),
-		Slow:    c.fractionOption("rollout.slow", r.GetSlow(), 0.05, 0.5, exclusive),
-		Cover:   c.fractionOption("rollout.cover", r.GetCover(), 0.9, 1, inclusive{upper: true}),
-		Least:   uint64(c.intOption("rollout.least", r.GetLeast(), 100, 1, 1000*million)),
-		Crashes: c.intOption("rollout.crashes", r.GetCrashes(), 3, 1, 100),
-		Disturb: c.intOption("rollout.disturb", r.GetDisturb(), 0, 0, million),
-		Spell:   c.intOption("rollout.spell", r.GetSpell(), 6, 1, 64),
-		Watch:   c.intOption("rollout.watch", r.GetWatch(), 12, 1, 1000),
-		Hold:    seconds("hold_s", r.GetHoldS(), 7200, 1),
-		Lease:   seconds("lease_s", r.GetLeaseS(), 300, 1),
-		Slice:   seconds("slice_s", r.GetSliceS(), 300, 1),
-		Settle:  seconds("settle_s", r.GetSettleS(), 60, 0),
-		Longest: seconds("longest_s", r.GetLongestS(), 259200, 0),
+		Alpha:           c.fractionOption("rollout.alpha", r.GetAlpha(), 0.01, 0.5, exclusive),
+		Beta:            c.fractionOption("rollout.beta", r.GetBeta(), 0.05, 0.5, exclusive),
+		Margin:          c.fractionOption("rollout.margin", r.GetMargin(), 0.02, 0.5, exclusive),
+		SlowMargin:      c.fractionOption("rollout.slow", r.GetSlow(), 0.05, 0.5, exclusive),
+		Coverage:        c.fractionOption("rollout.cover", r.GetCover(), 0.9, 1, inclusive{upper: true}),
+		MinRequests:     uint64(c.intOption("rollout.least", r.GetLeast(), 100, 1, 1000*million)),
+		MaxCrashes:      c.intOption("rollout.crashes", r.GetCrashes(), 3, 1, 100),
+		MaxDisrupted:    c.intOption("rollout.disturb", r.GetDisturb(), 0, 0, million),
+		WindowSlices:    c.intOption("rollout.spell", r.GetSpell(), 6, 1, 64),
+		BaselineWindows: c.intOption("rollout.watch", r.GetWatch(), 12, 1, 1000),
+		MaxHold:         seconds("hold_s", r.GetHoldS(), 7200, 1),
+		TrialLease:      seconds("lease_s", r.GetLeaseS(), 300, 1),
+		Slice:           seconds("slice_s", r.GetSliceS(), 300, 1),
+		Settle:          seconds("settle_s", r.GetSettleS(), 60, 0),
+		MaxStageTime:    seconds("longest_s", r.GetLongestS(), 259200, 0),
 	}
 	// After a change settles, the next complete observation window is the first that counts, and it is evaluated one time slice
 	// after its end. With a shorter hold, a stage could be given up before anything was compared.
 	l := s.Rollout
-	if firstEvidence := l.Settle + l.Slice*time.Duration(2*l.Spell+1); l.Hold < firstEvidence {
-		c.report("rollout.hold_s", fmt.Sprintf("%v, but the first evidence of a stage may take %v", l.Hold, firstEvidence),
+	if firstEvidence := l.Settle + l.Slice*time.Duration(2*l.WindowSlices+1); l.MaxHold < firstEvidence {
+		c.report("rollout.hold_s", fmt.Sprintf("%v, but the first evidence of a stage may take %v", l.MaxHold, firstEvidence),
 			"give a longer hold, or shorten slice_s, spell or settle_s")
 	}
 }
