--- a/rehearsal/catalog/catalog.go
+++ b/rehearsal/catalog/catalog.go
@@ -182,7 +182,7 @@
 	for _, w := range append(turnsmodel.Worlds(), turnsmodel.Larger()...) {
 		e.Scenarios = append(e.Scenarios, Named{w.Name, w.About})
 	}
-	for _, p := range turnsmodel.Plants() {
+	for _, p := range turnsmodel.InjectedBugs() {
 		e.Plants = append(e.Plants, Plant{Named{p.Name, p.About}, p.World})
 	}
 	return e
@@ -200,7 +200,7 @@
 	for _, s := range upstreammodel.Scenarios() {
 		e.Scenarios = append(e.Scenarios, Named{s.Name, s.About})
 	}
-	for _, p := range upstreammodel.Plants() {
+	for _, p := range upstreammodel.InjectedBugs() {
 		e.Plants = append(e.Plants, Plant{Named{p.Name, p.About}, p.Scenario})
 	}
 	return e
--- a/rehearsal/turnsmodel/describe.go
+++ b/rehearsal/turnsmodel/describe.go
@@ -10,84 +10,84 @@
 
 // Describe implements model.Model. It tells what happens and what comes of it.
 func (m *Model) Describe(s State, st model.Step, next State) string {
-	o, n, arg := Decode(st)
-	node, seat := "", fmt.Sprint("seat ", n+1)
+	op, n, arg := Decode(st)
+	node, replica := "", fmt.Sprint("seat ", n+1)
 	if n < m.Nodes {
 		node = nodeNames[n]
 	}
-	var what string
-	switch o {
+	var text string
+	switch op {
 	case Tick:
-		what = fmt.Sprint("time passes: ", next.Tick)
-	case AskRight:
+		text = fmt.Sprint("time passes: ", next.Tick)
+	case RequestLease:
 		for _, c := range next.Nodes[n].Calls {
-			if c.Stage == Asked && !c.Gone {
-				what = fmt.Sprintf("%s asks, number %d: horizon %d acknowledged, holds%s", node, c.Q.Seq, c.Q.Acked, outs(c.Q.Confirmed))
+			if c.Stage == RequestInTransit && !c.RequesterGone {
+				text = fmt.Sprintf("%s asks, number %d: horizon %d acknowledged, holds%s", node, c.Request.Seq, c.Request.Acked, formatExcluded(c.Request.Confirmed))
 			}
 		}
-	case Receive, Repeat, Unheard:
+	case Receive, ReceiveDuplicated, ReceiveAckLost:
 		c := s.Nodes[n].Calls[arg>>1]
-		what = fmt.Sprintf("question %d of %s comes to seat %d", c.Q.Seq, node, arg&1+1)
-		if o == Repeat {
-			what += ", and will come again"
+		text = fmt.Sprintf("question %d of %s comes to seat %d", c.Request.Seq, node, arg&1+1)
+		if op == ReceiveDuplicated {
+			text += ", and will come again"
 		}
-		if o == Unheard {
-			what += ", and what it acknowledges is lost"
+		if op == ReceiveAckLost {
+			text += ", and what it acknowledges is lost"
 		}
-		if c.Gone {
-			what += "; the process that asked is no more"
+		if c.RequesterGone {
+			text += "; the process that asked is no more"
 		}
-	case Answer:
+	case Respond:
 		c := s.Nodes[n].Calls[arg]
-		what = fmt.Sprintf("seat %d answers question %d of %s", c.Seat+1, c.Q.Seq, node)
-		a := next.Nodes[n].Calls[arg].A
-		what += fmt.Sprintf(": log %d, out%s, horizon %d%v, recorded %d", a.Applied, outs(a.ExcludedHosts), a.ExclusionSet.Version, a.ExclusionSet.Hosts,
+		text = fmt.Sprintf("seat %d answers question %d of %s", c.Replica+1, c.Request.Seq, node)
+		a := next.Nodes[n].Calls[arg].Response
+		text += fmt.Sprintf(": log %d, out%s, horizon %d%v, recorded %d", a.Applied, formatExcluded(a.ExcludedHosts), a.ExclusionSet.Version, a.ExclusionSet.Hosts,
 			a.Recorded)
 	case Deliver:
-		what = fmt.Sprintf("the answer to question %d comes to %s", s.Nodes[n].Calls[arg].Q.Seq, node)
+		text = fmt.Sprintf("the answer to question %d comes to %s", s.Nodes[n].Calls[arg].Request.Seq, node)
 	case Store:
-		what = "it stands in the store of " + node
-	case Take:
-		what = "the loop of " + node + " takes the newest verdict"
-	case Hear:
-		what = "the control of " + node + " hears that its loop has taken it"
+		text = "it stands in the store of " + node
+	case ApplyRestrictions:
+		text = "the loop of " + node + " takes the newest verdict"
+	case ReportInEffect:
+		text = "the control of " + node + " hears that its loop has taken it"
 	case Restart:
-		what = node + " starts again with " + [...]string{"its store", "its store, just written", "an empty store",
+		text = node + " starts again with " + [...]string{"its store", "its store, just written", "an empty store",
 			"an older store"}[arg]
 	case Elect:
-		what = "seat 2 is elected; seat 1 goes on believing that it leads"
-	case Learn:
-		what = "seat 1 learns that it leads no more"
+		text = "seat 2 is elected; seat 1 goes on believing that it leads"
+	case StepDown:
+		text = "seat 1 learns that it leads no more"
 	case Propose:
-		what = seat + " proposes what follows from its book"
+		text = replica + " proposes what follows from its book"
 	case Grant:
-		what = seat + " hands host " + hostNames[arg] + " over"
-	case AskTurn:
-		what = "a turn is asked for host " + hostNames[arg]
+		text = replica + " hands host " + hostNames[arg] + " over"
+	case RequestTurn:
+		text = "a turn is asked for host " + hostNames[arg]
 	case Withdraw:
-		what = "the turn of host " + hostNames[arg] + " is withdrawn"
+		text = "the turn of host " + hostNames[arg] + " is withdrawn"
 	case Finish:
-		what = "the work at host " + hostNames[arg] + " is begun and done, and it is back"
-	case Renew:
-		what = node + " asks and is answered" + [...]string{"", "; what it acknowledges is lost"}[arg]
+		text = "the work at host " + hostNames[arg] + " is begun and done, and it is back"
+	case CompleteCall:
+		text = node + " asks and is answered" + [...]string{"", "; what it acknowledges is lost"}[arg]
 	case Prepare:
-		what = seat + " has host " + hostNames[arg] + " emptied"
-	case Stuck:
-		what = seat + " calls a turn back"
-	case Ban:
-		what = "host " + hostNames[arg] + " is " + [...]string{"put back", "banned"}[bits(next.Banned[arg])] + " by hand"
-	case Declare:
-		what = node + " is " + [...]string{"declared dead", "taken in anew"}[arg]
-	case Cut:
-		what = "the link of " + node + " " + [...]string{"is mended", "goes"}[arg]
-	case Fail:
-		what = "host " + hostNames[arg] + " fails by itself, or is back"
+		text = replica + " has host " + hostNames[arg] + " emptied"
+	case RevokeTurn:
+		text = replica + " calls a turn back"
+	case SwitchBan:
+		text = "host " + hostNames[arg] + " is " + [...]string{"put back", "banned"}[bits(next.Banned[arg])] + " by hand"
+	case DeclareNode:
+		text = node + " is " + [...]string{"declared dead", "taken in anew"}[arg]
+	case SwitchLink:
+		text = "the link of " + node + " " + [...]string{"is mended", "goes"}[arg]
+	case SwitchFailure:
+		text = "host " + hostNames[arg] + " fails by itself, or is back"
 	}
-	return what + m.changes(&s, &next)
+	return text + m.describeChanges(&s, &next)
 }
 
 // changes tells what a step did to the book and to the loops.
-func (m *Model) changes(s, next *State) string {
+func (m *Model) describeChanges(s, next *State) string {
 	var b strings.Builder
 	for h := range m.Hosts {
 		before, after := &s.Log.turns[h], &next.Log.turns[h]
@@ -95,12 +95,12 @@
 			fmt.Fprintf(&b, "; turn of %s: %v, round %d", hostNames[h], after.Phase, after.Round)
 		}
 	}
-	if z := next.Log.book.ExclusionSet(); z.Version != s.Log.book.ExclusionSet().Version {
-		fmt.Fprintf(&b, "; horizon %d%v", z.Version, z.Hosts)
+	if set := next.Log.schedule.ExclusionSet(); set.Version != s.Log.schedule.ExclusionSet().Version {
+		fmt.Fprintf(&b, "; horizon %d%v", set.Version, set.Hosts)
 	}
 	for i := range m.Nodes {
-		if v, w := s.Nodes[i].Loop, next.Nodes[i].Loop; v != w {
-			fmt.Fprintf(&b, "; %s withholds%s, %v more from %v on", nodeNames[i], outs(w.ExcludedHosts), w.ExcludedAfterExpiry, w.LeaseEnd)
+		if v, w := s.Nodes[i].LoopRestrictions, next.Nodes[i].LoopRestrictions; v != w {
+			fmt.Fprintf(&b, "; %s withholds%s, %v more from %v on", nodeNames[i], formatExcluded(w.ExcludedHosts), w.ExcludedAfterExpiry, w.LeaseEnd)
 			if w.AllAfterExpiry {
 				b.WriteString(", and all others")
 			}
@@ -109,7 +109,7 @@
 	return b.String()
 }
 
-func outs(list []sendlease.ExcludedHost) string {
+func formatExcluded(list []sendlease.ExcludedHost) string {
 	var b strings.Builder
 	for _, o := range list {
 		fmt.Fprintf(&b, " %s of round %d", o.Host, o.Round)
--- a/rehearsal/turnsmodel/model.go
+++ b/rehearsal/turnsmodel/model.go
@@ -12,46 +12,46 @@
 
 // Model is the model of rights and turns. It implements model.Model and model.Coverer.
 type Model struct {
-	Nodes, Hosts int
-	Budget       Budget
-	Calls        int  // questions and answers of one node on their way, 1 or 2
-	Asked        int  // turns asked for at the start, one for each of the first hosts
-	Horizon      int  // how many of the next hosts stand in the horizon
-	LateWord     bool // control hears of what the loop has taken later than it is taken
-	Even         bool // start also with nodes that are not slow
-	Prompt       bool // loops take verdicts at once
-	Settled      bool // operators do something only when the leader has nothing to propose
-	Whole        bool // a call goes there and back at once, and what it brings is stored and taken at once; or it is lost
-	Steady       int  // how many nodes, the last ones, call whenever something is new
-	Free         bool // the leader prepares and calls back whatever the book allows, in any order
-	Alike        bool // nodes are told apart by what they are in, not by their names
-	Promised     bool // the promises are checked
-	plant        planted
-	counted      sendlease.Terms // of the seats
-	pool         *pool
+	Nodes, Hosts       int
+	Budget             Budget
+	MaxCalls           int  // questions and answers of one node on their way, 1 or 2
+	RequestedTurns     int  // turns asked for at the start, one for each of the first hosts
+	Lookahead          int  // how many of the next hosts stand in the horizon
+	DelayedReport      bool // control hears of what the loop has taken later than it is taken
+	EqualClocks        bool // start also with nodes that are not slow
+	ImmediateApply     bool // loops take verdicts at once
+	OperatorsWait      bool // operators do something only when the leader has nothing to propose
+	AtomicCalls        bool // a call goes there and back at once, and what it brings is stored and taken at once; or it is lost
+	CurrentNodes       int  // how many nodes, the last ones, call whenever something is new
+	UnrestrictedLeader bool // the leader prepares and calls back whatever the book allows, in any order
+	SymmetricNodes     bool // nodes are told apart by what they are in, not by their names
+	CheckLiveness      bool // the promises are checked
+	bug                injectedBug
+	countedTerms       sendlease.Terms // of the seats
+	pool               *pool
 }
 
 // New returns the model of a world, with a planted bug if one is named.
-func New(nodes, hosts int, budget Budget, plantName string) (*Model, error) {
+func New(nodes, hosts int, budget Budget, bugName string) (*Model, error) {
 	switch {
 	case nodes < 1 || nodes > MaxNodes:
 		return nil, fmt.Errorf("nodes: %d is not within 1 to %d", nodes, MaxNodes)
 	case hosts < 1 || hosts > MaxHosts:
 		return nil, fmt.Errorf("hosts: %d is not within 1 to %d", hosts, MaxHosts)
-	case budget.Changes > 1:
-		return nil, fmt.Errorf("changes of leaders: %d is not 0 or 1", budget.Changes)
+	case budget.LeaderChanges > 1:
+		return nil, fmt.Errorf("changes of leaders: %d is not 0 or 1", budget.LeaderChanges)
 	}
-	m := &Model{Nodes: nodes, Hosts: hosts, Budget: budget, Calls: 1, Asked: 1, Horizon: 1, counted: terms, pool: &pool{all: map[sum]*record{}}}
-	if plantName == "" {
+	m := &Model{Nodes: nodes, Hosts: hosts, Budget: budget, MaxCalls: 1, RequestedTurns: 1, Lookahead: 1, countedTerms: terms, pool: &pool{all: map[sum]*logPrefix{}}}
+	if bugName == "" {
 		return m, nil
 	}
-	i := slices.IndexFunc(plants, func(p planted) bool { return p.name == plantName })
+	i := slices.IndexFunc(injectedBugs, func(p injectedBug) bool { return p.name == bugName })
 	if i < 0 {
-		return nil, fmt.Errorf("no bug is named %q; see rehearse model list", plantName)
+		return nil, fmt.Errorf("no bug is named %q; see rehearse model list", bugName)
 	}
-	m.plant = plants[i]
-	if m.plant.noDrift {
-		m.counted.Drift = 0
+	m.bug = injectedBugs[i]
+	if m.bug.noDrift {
+		m.countedTerms.Drift = 0
 	}
 	return m, nil
 }
@@ -59,31 +59,31 @@
 // Initial implements model.Model: seat 1 leads, somebody has asked for a turn on the first host, and the nodes have empty
 // stores.
 func (m *Model) Initial() []State {
-	b := turns.New()
+	schedule := turns.New()
 	for i, c := range []turns.Command{
-		{Limits: &turns.Limits{Site: 1, Lookahead: m.Horizon}},
+		{Limits: &turns.Limits{Site: 1, Lookahead: m.Lookahead}},
 		{Fleet: &turns.Fleet{Hosts: m.fleet(false, [MaxHosts]bool{})}},
 		{Members: &turns.Members{Nodes: nodeNames[:m.Nodes]}},
 	} {
-		b.Apply(uint64(i+1), c)
+		schedule.Apply(uint64(i+1), c)
 	}
-	for h := range m.Asked {
-		b.Apply(uint64(h+4), turns.Command{Request: &turns.Request{ID: "first-" + hostNames[h], Host: hostNames[h], Duration: unit}})
+	for h := range m.RequestedTurns {
+		schedule.Apply(uint64(h+4), turns.Command{Request: &turns.Request{ID: "first-" + hostNames[h], Host: hostNames[h], Duration: unit}})
 	}
 	var all []State
 	for _, slow := range [...]bool{true, false} {
-		if !slow && !m.Even {
+		if !slow && !m.EqualClocks {
 			continue
 		}
-		s := State{Left: m.Budget, Log: m.pool.record(b, uint64(3+m.Asked))}
-		t := sendlease.NewTable(m.counted)
+		s := State{Remaining: m.Budget, Log: m.pool.prefix(schedule, uint64(3+m.RequestedTurns))}
+		t := sendlease.NewTable(m.countedTerms)
 		t.BecomeLeader(0)
-		s.Seats[0] = Seat{Believes: true, Table: t}
+		s.Replicas[0] = Replica{BelievesLeader: true, Table: t}
 		for i := range m.Nodes {
-			s.Nodes[i].Slow = slow
-			m.start(&s, i, sendlease.Saved{Incarnation: 1})
+			s.Nodes[i].SlowClock = slow
+			m.startNode(&s, i, sendlease.Saved{Incarnation: 1})
 		}
-		m.keep(&s)
+		m.refreshCurrentNodes(&s)
 		all = append(all, s)
 	}
 	return all
@@ -93,8 +93,8 @@
 // out, is as good as none.
 func (m *Model) Canonical(s State) State {
 	for i := range m.Nodes {
-		if n := &s.Nodes[i]; n.Queue != nil && bytes.Equal(n.Queue.Append(nil, s.now(i)), n.Loop.Append(nil, s.now(i))) {
-			n.Queue = nil
+		if n := &s.Nodes[i]; n.QueuedRestrictions != nil && bytes.Equal(n.QueuedRestrictions.Append(nil, s.nodeNow(i)), n.LoopRestrictions.Append(nil, s.nodeNow(i))) {
+			n.QueuedRestrictions = nil
 		}
 	}
 	return s
@@ -106,19 +106,19 @@
 // The classes of steps that are weakly fair, for each node and in all.
 const (
 	fairCall   model.Fairness = 1 // of the first node; the next ones follow
-	fairLead   model.Fairness = 1 << MaxNodes
-	fairFinish                = fairLead << 1 // work that was handed over ends
-	fairTime                  = fairLead << 2
+	fairLeader model.Fairness = 1 << MaxNodes
+	fairFinish                = fairLeader << 1 // work that was handed over ends
+	fairTime                  = fairLeader << 2
 )
 
 // Fair implements model.Model. A call that comes through is fair, one that is lost is not; links that are cut need not be
 // mended, nor bans lifted, nor dead nodes taken in.
 func (m *Model) Fair(st model.Step) model.Fairness {
 	switch o, n, arg := Decode(st); {
-	case o == Renew && arg == 0:
+	case o == CompleteCall && arg == 0:
 		return fairCall << n
-	case o == Propose || o == Grant || o == Stuck:
-		return fairLead
+	case o == Propose || o == Grant || o == RevokeTurn:
+		return fairLeader
 	case o == Finish:
 		return fairFinish
 	case o == Tick:
@@ -130,21 +130,21 @@
 // Pending implements model.Model: a host's turn waits that can be given. It cannot while another host is out by hand or by
 // itself, or while a node is cut off that has to come back or be declared dead.
 func (m *Model) Pending(s State) (b uint8) {
-	if !m.Promised {
+	if !m.CheckLiveness {
 		return 0
 	}
 	for h := range m.Hosts {
-		if t := s.Log.turns[h]; t.ID != "" && t.Phase <= turns.Preparing && m.possible(&s, h) {
+		if t := s.Log.turns[h]; t.ID != "" && t.Phase <= turns.Preparing && m.grantPossible(&s, h) {
 			b |= 1 << h
 		}
 	}
 	return b
 }
 
-func (m *Model) possible(s *State, h int) bool {
-	book := s.Log.book
+func (m *Model) grantPossible(s *State, h int) bool {
+	schedule := s.Log.schedule
 	for i := range m.Nodes {
-		if s.Nodes[i].Cut && !book.Dead(nodeNames[i]) && !slices.Contains(s.Log.acknowledged(nodeNames[i]), hostNames[h]) {
+		if s.Nodes[i].LinkCut && !schedule.Dead(nodeNames[i]) && !slices.Contains(s.Log.acknowledgedHosts(nodeNames[i]), hostNames[h]) {
 			return false
 		}
 	}
@@ -153,12 +153,12 @@
 			return false
 		}
 	}
-	return !m.failed(book)
+	return !m.lastHostFailed(schedule)
 }
 
 // Promises implements model.Model.
 func (m *Model) Promises() []string {
-	if !m.Promised {
+	if !m.CheckLiveness {
 		return nil
 	}
 	var all []string
@@ -170,133 +170,133 @@
 
 // The safety properties.
 const (
-	badPlaced = iota
+	badPlacement = iota
 	badClear
 	badAllowance
-	badLapsed
-	badUntold
-	badBan
-	badForgotten
+	badExpiry
+	badNeverAnswered
+	badExclusionGap
+	badExclusionLost
 )
 
 // Properties implements model.Model.
 func (m *Model) Properties() []string {
 	return []string{
-		badPlaced:    "T2: nothing is placed on a host that is handed over",
-		badClear:     "R1: nothing is placed on a host that a seat takes for clear of the node",
-		badAllowance: "T1: no more hosts are out than the allowances",
-		badLapsed:    "R4: the leader takes no right for lapsed that runs",
-		badUntold:    "R3: a node that was never told anything withholds all hosts",
-		badBan:       "T6: a host is out for as long as it is banned or its work lasts",
-		badForgotten: "T6: a node that knows a host as out withholds it until it is out no more",
+		badPlacement:     "T2: nothing is placed on a host that is handed over",
+		badClear:         "R1: nothing is placed on a host that a seat takes for clear of the node",
+		badAllowance:     "T1: no more hosts are out than the allowances",
+		badExpiry:        "R4: the leader takes no right for lapsed that runs",
+		badNeverAnswered: "R3: a node that was never told anything withholds all hosts",
+		badExclusionGap:  "T6: a host is out for as long as it is banned or its work lasts",
+		badExclusionLost: "T6: a node that knows a host as out withholds it until it is out no more",
 	}
 }
 
 // Broken implements model.Model.
 func (m *Model) Broken(s State) (b uint32) {
-	out := 0
+	outOfService := 0
 	for h := range m.Hosts {
 		t := &s.Log.turns[h]
-		if s.Since[h] == 0 && (s.Banned[h] || t.Phase == turns.Granted || t.Phase == turns.Working) {
-			b |= 1 << badBan
+		if s.ExcludedSince[h] == 0 && (s.Banned[h] || t.Phase == turns.Granted || t.Phase == turns.Working) {
+			b |= 1 << badExclusionGap
 		}
 		if !t.Phase.OutOfService() {
 			continue
 		}
-		out++
+		outOfService++
 		for i := range m.Nodes {
-			if s.Nodes[i].Excused || s.Nodes[i].Loop.Excludes(t.Host, s.now(i)) {
+			if s.Nodes[i].Exempt || s.Nodes[i].LoopRestrictions.Excludes(t.Host, s.nodeNow(i)) {
 				continue
 			}
 			if t.Phase == turns.Granted || t.Phase == turns.Working {
-				b |= 1 << badPlaced
+				b |= 1 << badPlacement
 			}
-			for seat := range s.Seats {
-				if s.Seats[seat].Believes && m.takesForClear(&s, seat, i, h) {
+			for replica := range s.Replicas {
+				if s.Replicas[replica].BelievesLeader && m.considersClear(&s, replica, i, h) {
 					b |= 1 << badClear
 				}
 			}
 		}
 	}
-	if out > s.Log.book.Limits().Site {
+	if outOfService > s.Log.schedule.Limits().Site {
 		b |= 1 << badAllowance
 	}
-	lead := s.Seats[s.Lead].Table
+	leaderTable := s.Replicas[s.Leader].Table
 	for i := range m.Nodes {
-		n, now := &s.Nodes[i], s.now(i)
-		runs := now < n.Loop.LeaseEnd || n.Queue != nil && now < n.Queue.LeaseEnd
-		if runs && lead.LeaseState(s.seatNow(), nodeNames[i]) == sendlease.Expired {
-			b |= 1 << badLapsed
+		n, now := &s.Nodes[i], s.nodeNow(i)
+		leaseValid := now < n.LoopRestrictions.LeaseEnd || n.QueuedRestrictions != nil && now < n.QueuedRestrictions.LeaseEnd
+		if leaseValid && leaderTable.LeaseState(s.replicaNow(), nodeNames[i]) == sendlease.Expired {
+			b |= 1 << badExpiry
 		}
-		if m.Whole && s.Since != [MaxHosts]uint64{} {
-			for h, since := range s.Since[:m.Hosts] {
-				if since > 0 && n.heard >= since && !n.Loop.Excludes(hostNames[h], now) {
-					b |= 1 << badForgotten
+		if m.AtomicCalls && s.ExcludedSince != [MaxHosts]uint64{} {
+			for h, since := range s.ExcludedSince[:m.Hosts] {
+				if since > 0 && n.responseApplied >= since && !n.LoopRestrictions.Excludes(hostNames[h], now) {
+					b |= 1 << badExclusionLost
 				}
 			}
 		}
-		if !n.Told && !n.Loop.Excludes(hostNames[0], now) {
-			b |= 1 << badUntold
+		if !n.WasAnswered && !n.LoopRestrictions.Excludes(hostNames[0], now) {
+			b |= 1 << badNeverAnswered
 		}
 	}
 	return b
 }
 
 // takesForClear says whether a seat takes a node for clear of a host in the round that the log has it out in.
-func (m *Model) takesForClear(s *State, seat, node, host int) bool {
-	seen, is := s.view(seat).turns[host], &s.Log.turns[host]
-	if seen.ID != is.ID || seen.Round != is.Round || seen.Phase != turns.Preparing {
+func (m *Model) considersClear(s *State, replica, node, host int) bool {
+	known, committed := s.view(replica).turns[host], &s.Log.turns[host]
+	if known.ID != committed.ID || known.Round != committed.Round || known.Phase != turns.Preparing {
 		return false
 	}
-	return !slices.ContainsFunc(m.clear(s, seat, seen), func(b turns.Blocker) bool { return b.Node == nodeNames[node] })
+	return !slices.ContainsFunc(m.blockers(s, replica, known), func(b turns.Blocker) bool { return b.Node == nodeNames[node] })
 }
 
 // What a complete run comes across; see Sights.
 const (
 	sawConfirmed = iota
-	sawBeyond
+	sawGrantWhileCutOff
 	sawStaleClear
 	sawSecondRound
 	sawOldRound
-	sawTwoHorizons
-	sawLapsedNews
-	sawUncovered
-	sawLostHolds
-	sawLateLoop
-	sawCutWriting
-	sawRoundOver
+	sawTwoExclusionSets
+	sawExpiredResponse
+	sawRecordedAheadOfStore
+	sawLostStoreConfirmation
+	sawExpiryBehindControl
+	sawGrantWhileWriting
+	sawExclusionAfterTurn
 	sawSecondHost
 	sawBannedGranted
-	sawBannedLater
-	sawDeadSends
-	sawTakenIn
-	sawCalledBack
-	sawApart
+	sawBanAfterTurn
+	sawDeadNodeSends
+	sawReadmittedExcludes
+	sawRevoked
+	sawDifferentExclusionSets
 )
 
 // Sights implements model.Coverer.
 func (m *Model) Sights() []string {
 	return []string{
-		sawConfirmed:   "a host is handed over that a node with a right has confirmed",
-		sawBeyond:      "a host is handed over while a node is cut off that has it in its horizon",
-		sawStaleClear:  "a seat that leads no more takes a host for clear",
-		sawSecondRound: "a turn that was called back or withdrawn is granted in a later round",
-		sawOldRound:    "the leader has a node's confirmation of an earlier round only",
-		sawTwoHorizons: "a node keeps an older horizon until a newer one is recorded",
-		sawLapsedNews:  "an answer comes after its own right has run out",
-		sawUncovered:   "a node that was told, with no right, withholds all: the council may go by what its store lacks",
-		sawLostHolds:   "a node with a new store has its old one's confirmation counted",
-		sawLateLoop:    "a right runs out at a loop that is behind its control",
-		sawCutWriting:  "a host is handed over while a node's store is behind",
-		sawRoundOver:   "a node withholds a host whose turn is over",
-		sawSecondHost:  "a second host is handed over",
+		sawConfirmed:             "a host is handed over that a node with a right has confirmed",
+		sawGrantWhileCutOff:      "a host is handed over while a node is cut off that has it in its horizon",
+		sawStaleClear:            "a seat that leads no more takes a host for clear",
+		sawSecondRound:           "a turn that was called back or withdrawn is granted in a later round",
+		sawOldRound:              "the leader has a node's confirmation of an earlier round only",
+		sawTwoExclusionSets:      "a node keeps an older horizon until a newer one is recorded",
+		sawExpiredResponse:       "an answer comes after its own right has run out",
+		sawRecordedAheadOfStore:  "a node that was told, with no right, withholds all: the council may go by what its store lacks",
+		sawLostStoreConfirmation: "a node with a new store has its old one's confirmation counted",
+		sawExpiryBehindControl:   "a right runs out at a loop that is behind its control",
+		sawGrantWhileWriting:     "a host is handed over while a node's store is behind",
+		sawExclusionAfterTurn:    "a node withholds a host whose turn is over",
+		sawSecondHost:            "a second host is handed over",
 
-		sawBannedGranted: "a host that is banned is handed over",
-		sawBannedLater:   "a host stays out by hand when its turn is over",
-		sawDeadSends:     "a node that is declared dead sends to a host that is handed over: the one exception",
-		sawTakenIn:       "a node that is taken in anew keeps a host back that was handed over without it",
-		sawCalledBack:    "a turn is called back for one that can go while a node is cut off",
-		sawApart:         "a host is handed over while two nodes are cut off whose horizons differ",
+		sawBannedGranted:          "a host that is banned is handed over",
+		sawBanAfterTurn:           "a host stays out by hand when its turn is over",
+		sawDeadNodeSends:          "a node that is declared dead sends to a host that is handed over: the one exception",
+		sawReadmittedExcludes:     "a node that is taken in anew keeps a host back that was handed over without it",
+		sawRevoked:                "a turn is called back for one that can go while a node is cut off",
+		sawDifferentExclusionSets: "a host is handed over while two nodes are cut off whose horizons differ",
 	}
 }
 
@@ -310,50 +310,50 @@
 			b |= 1 << what
 		}
 	}
-	lead := s.Seats[s.Lead].Table
+	leaderTable := s.Replicas[s.Leader].Table
 	for h := range m.Hosts {
 		t := &s.Log.turns[h]
-		out := t.Phase.OutOfService()
-		granted := out && t.Phase == turns.Granted
+		outOfService := t.Phase.OutOfService()
+		granted := outOfService && t.Phase == turns.Granted
 		saw(granted && h > 0, sawSecondHost)
 		saw(granted && s.Banned[h], sawBannedGranted)
-		saw(t.ID == "" && s.Since[h] > 0 && len(s.Log.book.Turns()) > 0, sawBannedLater)
-		saw(t.ID != "" && t.Why != "" && m.Budget.Withdrawals+m.Budget.Failures+m.Budget.Bans == 0, sawCalledBack)
-		apart := map[uint64]bool{}
-		saw(granted && s.Left.Withdrawals+s.Left.Failures < m.Budget.Withdrawals+m.Budget.Failures && h == 0, sawSecondRound)
+		saw(t.ID == "" && s.ExcludedSince[h] > 0 && len(s.Log.schedule.Turns()) > 0, sawBanAfterTurn)
+		saw(t.ID != "" && t.Why != "" && m.Budget.Withdrawals+m.Budget.Failures+m.Budget.Bans == 0, sawRevoked)
+		versions := map[uint64]bool{}
+		saw(granted && s.Remaining.Withdrawals+s.Remaining.Failures < m.Budget.Withdrawals+m.Budget.Failures && h == 0, sawSecondRound)
 		for i := range m.Nodes {
-			n, now := &s.Nodes[i], s.now(i)
-			lapsed := lead.LeaseState(s.seatNow(), nodeNames[i]) == sendlease.Expired
-			round := lead.Confirmed(nodeNames[i])[hostNames[h]]
-			holds := slices.Contains(n.Loop.ExcludedHosts, sendlease.ExcludedHost{Host: t.Host, Round: t.Round})
-			saw(granted && !lapsed && now < n.Loop.LeaseEnd && holds, sawConfirmed)
-			saw(granted && lapsed && !holds, sawBeyond)
-			saw(granted && n.Excused && !n.Loop.Excludes(t.Host, now), sawDeadSends)
-			saw(granted && m.Budget.Deaths > s.Left.Deaths && !n.Excused && holds && s.Log.book.RecordedVersion(nodeNames[i]) > 0 &&
-				!slices.Contains(s.Log.acknowledged(nodeNames[i]), t.Host), sawTakenIn)
-			if lapsed {
-				apart[s.Log.book.RecordedVersion(nodeNames[i])] = true
+			n, now := &s.Nodes[i], s.nodeNow(i)
+			expired := leaderTable.LeaseState(s.replicaNow(), nodeNames[i]) == sendlease.Expired
+			round := leaderTable.Confirmed(nodeNames[i])[hostNames[h]]
+			excludes := slices.Contains(n.LoopRestrictions.ExcludedHosts, sendlease.ExcludedHost{Host: t.Host, Round: t.Round})
+			saw(granted && !expired && now < n.LoopRestrictions.LeaseEnd && excludes, sawConfirmed)
+			saw(granted && expired && !excludes, sawGrantWhileCutOff)
+			saw(granted && n.Exempt && !n.LoopRestrictions.Excludes(t.Host, now), sawDeadNodeSends)
+			saw(granted && m.Budget.DeathDeclarations > s.Remaining.DeathDeclarations && !n.Exempt && excludes && s.Log.schedule.RecordedVersion(nodeNames[i]) > 0 &&
+				!slices.Contains(s.Log.acknowledgedHosts(nodeNames[i]), t.Host), sawReadmittedExcludes)
+			if expired {
+				versions[s.Log.schedule.RecordedVersion(nodeNames[i])] = true
 			}
-			saw(granted && n.Writing != nil, sawCutWriting)
-			saw(granted && s.Log.book.RecordedVersion(nodeNames[i]) > 0 && n.Durable.Incarnation > 1 && !n.Told && round == t.Round, sawLostHolds)
-			saw(out && round != 0 && round != t.Round, sawOldRound)
-			saw(!out && n.Loop.Excludes(hostNames[h], now) && now < n.Loop.LeaseEnd, sawRoundOver)
+			saw(granted && n.Writing != nil, sawGrantWhileWriting)
+			saw(granted && s.Log.schedule.RecordedVersion(nodeNames[i]) > 0 && n.Stored.Incarnation > 1 && !n.WasAnswered && round == t.Round, sawLostStoreConfirmation)
+			saw(outOfService && round != 0 && round != t.Round, sawOldRound)
+			saw(!outOfService && n.LoopRestrictions.Excludes(hostNames[h], now) && now < n.LoopRestrictions.LeaseEnd, sawExclusionAfterTurn)
 		}
-		saw(granted && len(apart) > 1, sawApart)
+		saw(granted && len(versions) > 1, sawDifferentExclusionSets)
 	}
 	for i := range m.Nodes {
-		n, now := &s.Nodes[i], s.now(i)
-		saw(len(n.Durable.ExclusionSets) > 1, sawTwoHorizons)
-		saw(n.Told && n.Loop.AllAfterExpiry && now >= n.Loop.LeaseEnd && len(n.Durable.ExclusionSets) > 0, sawUncovered)
-		saw(now >= n.Loop.LeaseEnd && n.Loop.LeaseEnd > 0 && n.Queue != nil && now < n.Queue.LeaseEnd, sawLateLoop)
+		n, now := &s.Nodes[i], s.nodeNow(i)
+		saw(len(n.Stored.ExclusionSets) > 1, sawTwoExclusionSets)
+		saw(n.WasAnswered && n.LoopRestrictions.AllAfterExpiry && now >= n.LoopRestrictions.LeaseEnd && len(n.Stored.ExclusionSets) > 0, sawRecordedAheadOfStore)
+		saw(now >= n.LoopRestrictions.LeaseEnd && n.LoopRestrictions.LeaseEnd > 0 && n.QueuedRestrictions != nil && now < n.QueuedRestrictions.LeaseEnd, sawExpiryBehindControl)
 		for _, c := range n.Calls {
-			saw(c.Stage == Answered && now >= c.At+terms.Duration, sawLapsedNews)
+			saw(c.Stage == ResponseInTransit && now >= c.SentAt+terms.Duration, sawExpiredResponse)
 		}
 	}
-	old := 1 - s.Lead
-	if s.Seats[old].Believes {
-		if t := s.view(int(old)).turns[0]; t.Phase == turns.Preparing {
-			saw(len(m.clear(&s, int(old), t)) == 0, sawStaleClear)
+	former := 1 - s.Leader
+	if s.Replicas[former].BelievesLeader {
+		if t := s.view(int(former)).turns[0]; t.Phase == turns.Preparing {
+			saw(len(m.blockers(&s, int(former), t)) == 0, sawStaleClear)
 		}
 	}
 	return b
--- a/rehearsal/turnsmodel/model_test.go
+++ b/rehearsal/turnsmodel/model_test.go
@@ -15,28 +15,28 @@
 	traces = flag.Bool("traces", false, "print how each planted bug shows")
 )
 
-func check(t *testing.T, w World, plant string, opt model.Options) (*Model, *model.Result[State]) {
+func check(t *testing.T, w World, bugName string, opt model.Options) (*Model, *model.Result[State]) {
 	t.Helper()
-	m, err := w.Model(plant)
+	m, err := w.Model(bugName)
 	require.NoError(t, err)
 	res, err := model.Check[State](m, opt)
 	require.NoError(t, err)
 	return m, res
 }
 
-func tell(t *testing.T, m *Model, v *model.Violation[State]) {
+func logTrace(t *testing.T, m *Model, v *model.Violation[State]) {
 	t.Log(v.Property)
 	for i, step := range v.Trace.Steps {
 		t.Logf("%3d  %s", i+1, m.Describe(v.Trace.States[i], step, v.Trace.States[i+1]))
 	}
 }
 
-func TestRightsAndTurnsHoldWhole(t *testing.T) {
+func TestLeasesAndTurnsHoldInAllWorlds(t *testing.T) {
 	var covered uint64
 	for _, w := range Worlds() {
 		m, res := check(t, w, "", model.Options{})
 		if res.Violation != nil {
-			tell(t, m, res.Violation)
+			logTrace(t, m, res.Violation)
 		}
 		require.Nil(t, res.Violation, w.Name)
 		assert.True(t, res.Complete, w.Name)
@@ -55,7 +55,7 @@
 	for _, w := range Larger() {
 		m, res := check(t, w, "", model.Options{Within: *larger, Memory: 8 << 30, NoLiveness: true})
 		if res.Violation != nil {
-			tell(t, m, res.Violation)
+			logTrace(t, m, res.Violation)
 		}
 		assert.Nil(t, res.Violation, w.Name)
 		t.Logf("%s: %d states, %d steps, %d deep, %.1f s, whole: %v %s", w.Name, res.States, res.Transitions, res.Depth, res.Seconds,
--- a/rehearsal/turnsmodel/plants_test.go
+++ b/rehearsal/turnsmodel/plants_test.go
@@ -11,45 +11,45 @@
 )
 
 // promised stands for one of the promises.
-const promised = -1
+const livenessProperty = -1
 
 // TestEveryPlantIsFound plants each bug into a small world and expects the property that it breaks.
-func TestEveryPlantIsFound(t *testing.T) {
+func TestEveryInjectedBugIsFound(t *testing.T) {
 	want := map[int][]string{
-		badLapsed: {"right-from-arrival", "right-without-end", "new-leader-goes-on", "counts-without-drift",
+		badExpiry: {"right-from-arrival", "right-without-end", "new-leader-goes-on", "counts-without-drift",
 			"answers-without-quorum", "answer-of-another-question"},
 		badClear: {"acks-before-stored", "acks-before-loop", "confirms-before-loop", "horizon-dropped-on-ack",
 			"round-not-compared", "grants-beyond-horizon", "grants-without-node", "horizon-taken-as-lapsed",
 			"older-store-put-back", "told-is-enough", "one-horizon-for-all", "one-confirmation-for-all", "dead-for-all"},
-		badPlaced:    {"right-before-outs"},
-		badUntold:    {"empty-store-withholds-nothing"},
-		badForgotten: {"ban-not-told"},
-		badBan:       {"ban-lost-in-turn"},
-		promised:     {"dead-holds-up", "round-of-the-ban", "never-called-back", "acknowledged-once"},
+		badPlacement:     {"right-before-outs"},
+		badNeverAnswered: {"empty-store-withholds-nothing"},
+		badExclusionLost: {"ban-not-told"},
+		badExclusionGap:  {"ban-lost-in-turn"},
+		livenessProperty: {"dead-holds-up", "round-of-the-ban", "never-called-back", "acknowledged-once"},
 	}
-	for _, p := range Plants() {
+	for _, p := range InjectedBugs() {
 		w, err := Named(p.World)
 		require.NoError(t, err)
 		m, res := check(t, w, p.Name, model.Options{})
 		require.NotNil(t, res.Violation, "%s is not found", p.Name)
-		tr := res.Violation.Trace
-		t.Logf("%s: %s, %d steps of %d states, %.1f s", p.Name, res.Violation.Property, len(tr.Steps), res.States, res.Seconds)
+		trace := res.Violation.Trace
+		t.Logf("%s: %s, %d steps of %d states, %.1f s", p.Name, res.Violation.Property, len(trace.Steps), res.States, res.Seconds)
 		bad := slices.Index(m.Properties(), res.Violation.Property) // -1: a promise
 		assert.Contains(t, want[bad], p.Name, res.Violation.Property)
-		for i, step := range tr.Steps {
-			assert.NotEmpty(t, m.Describe(tr.States[i], step, tr.States[i+1]))
+		for i, step := range trace.Steps {
+			assert.NotEmpty(t, m.Describe(trace.States[i], step, trace.States[i+1]))
 		}
 		if *traces {
-			tell(t, m, res.Violation)
+			logTrace(t, m, res.Violation)
 		}
 	}
 }
 
-func TestAskingForAFaultyModelIsAnError(t *testing.T) {
+func TestInvalidModelIsAnError(t *testing.T) {
 	for want, f := range map[string]func() (*Model, error){
 		"nodes: 4 is not within 1 to 3":        func() (*Model, error) { return New(4, 1, Budget{}, "") },
 		"hosts: 0 is not within 1 to 3":        func() (*Model, error) { return New(1, 0, Budget{}, "") },
-		"changes of leaders: 2 is not 0 or 1":  func() (*Model, error) { return New(1, 1, Budget{Changes: 2}, "") },
+		"changes of leaders: 2 is not 0 or 1":  func() (*Model, error) { return New(1, 1, Budget{LeaderChanges: 2}, "") },
 		`no bug is named "x"; see rehearse mo`: func() (*Model, error) { return New(1, 1, Budget{}, "x") },
 	} {
 		_, err := f()
--- a/rehearsal/turnsmodel/state.go
+++ b/rehearsal/turnsmodel/state.go
@@ -56,7 +56,7 @@
 const (
 	MaxNodes = 3
 	MaxHosts = 3
-	calls    = 2 // questions and answers of one node on their way, at most
+	maxCalls = 2 // questions and answers of one node on their way, at most
 )
 
 const unit = time.Second
@@ -69,51 +69,51 @@
 
 // Budget is how often something may happen in one run.
 type Budget struct {
-	Asks        uint8 // for turns, besides the one at the start
-	Withdrawals uint8
-	Failures    uint8 // of a host, which calls turns back
-	Changes     uint8 // of leaders: 0 or 1
-	Restarts    uint8 // of nodes, with their stores
-	Losses      uint8 // of nodes' stores
-	Repeats     uint8 // of questions
-	Proposals   uint8 // acknowledgements that a seat proposes and that are lost
-	CallBacks   uint8 // by a leader that is free
-	Bans        uint8 // of hosts, by hand; lifting one costs nothing
-	Deaths      uint8 // declared of nodes; taking one in anew costs nothing
-	Cuts        uint8 // of nodes' links, told apart from lost calls for the promises alone; mending one costs nothing
+	TurnRequests      uint8 // for turns, besides the one at the start
+	Withdrawals       uint8
+	Failures          uint8 // of a host, which calls turns back
+	LeaderChanges     uint8 // of leaders: 0 or 1
+	Restarts          uint8 // of nodes, with their stores
+	StoreLosses       uint8 // of nodes' stores
+	DuplicateRequests uint8 // of questions
+	LostProposals     uint8 // acknowledgements that a seat proposes and that are lost
+	Revocations       uint8 // by a leader that is free
+	Bans              uint8 // of hosts, by hand; lifting one costs nothing
+	DeathDeclarations uint8 // declared of nodes; taking one in anew costs nothing
+	LinkCuts          uint8 // of nodes' links, told apart from lost calls for the promises alone; mending one costs nothing
 }
 
 // record is the council's log up to an index. Equal ones are one; what was asked of it once is kept.
-type record struct {
-	pool     *pool
-	book     *turns.Schedule
-	index    uint64
-	sum      sum              // of the book and the index
-	core     sum              // the same without what is known of single nodes
-	acked    [MaxNodes][]byte // what is known of each node
-	outs     []sendlease.ExcludedHost
-	horizons []sendlease.ExclusionSet
-	turns    [MaxHosts]turns.Turn // not over, by host; without a name: none
-	next     *turns.Command       // what follows from the book; nil: nothing
-
-	then sync.Map // by change: the record with that command more
+type logPrefix struct {
+	pool          *pool
+	schedule      *turns.Schedule
+	index         uint64
+	sum           sum              // of the book and the index
+	sharedSum     sum              // the same without what is known of single nodes
+	nodeAcks      [MaxNodes][]byte // what is known of each node
+	excludedHosts []sendlease.ExcludedHost
+	exclusionSets []sendlease.ExclusionSet
+	turns         [MaxHosts]turns.Turn // not over, by host; without a name: none
+	nextCommand   *turns.Command       // what follows from the book; nil: nothing
+
+	successors sync.Map // by change: the record with that command more
 }
 
 type sum [16]byte
 
 // change names a command among those that the model has.
-type change struct {
-	op   Op
-	of   sum // the book that it follows from
-	id   string
-	a, b uint64
+type commandKey struct {
+	op          Op
+	scheduleSum sum // the book that it follows from
+	id          string
+	a, b        uint64
 }
 
 // pool is the records of a model.
 type pool struct {
-	whole bool // see Model.Whole
-	mu    sync.Mutex
-	all   map[sum]*record
+	atomicCalls bool // see Model.Whole
+	mu          sync.Mutex
+	all         map[sum]*logPrefix
 }
 
 func sumOf(raw []byte, index uint64) sum {
@@ -132,24 +132,24 @@
 
 // apart takes what is known of single nodes out of a book's bytes, and what is over, of which nobody asks again; it returns
 // the horizons that are there.
-func apart(raw []byte) (rest []byte, horizons []sendlease.ExclusionSet) {
+func splitEncoding(raw []byte) (rest []byte, exclusionSets []sendlease.ExclusionSet) {
 	var parts map[string]json.RawMessage
 	err := json.Unmarshal(raw, &parts)
-	if list, any := parts["horizons"]; any && err == nil {
-		err = json.Unmarshal(list, &horizons)
+	if list, found := parts["horizons"]; found && err == nil {
+		err = json.Unmarshal(list, &exclusionSets)
 	}
 	for _, part := range [...]string{"acks", "dead", "over"} {
 		delete(parts, part)
 	}
-	rest, again := json.Marshal(parts) // sorted by name
-	if err := cmp.Or(err, again); err != nil {
+	rest, marshalErr := json.Marshal(parts) // sorted by name
+	if err := cmp.Or(err, marshalErr); err != nil {
 		panic(err)
 	}
-	return rest, horizons
+	return rest, exclusionSets
 }
 
 // record returns the record of a book, which is not changed any more.
-func (p *pool) record(b *turns.Schedule, index uint64) *record {
+func (p *pool) prefix(b *turns.Schedule, index uint64) *logPrefix {
 	raw := encoded(b)
 	s := sumOf(raw, index)
 	p.mu.Lock()
@@ -157,11 +157,11 @@
 	if r := p.all[s]; r != nil {
 		return r
 	}
-	rest, horizons := apart(raw)
-	r := &record{pool: p, book: b, index: index, sum: s, core: sumOf(rest, index), outs: b.ExcludedHosts(), horizons: horizons}
+	rest, exclusionSets := splitEncoding(raw)
+	r := &logPrefix{pool: p, schedule: b, index: index, sum: s, sharedSum: sumOf(rest, index), excludedHosts: b.ExcludedHosts(), exclusionSets: exclusionSets}
 	for i, node := range nodeNames {
 		a := b.Acked(node)
-		r.acked[i] = binary.AppendUvarint(binary.AppendUvarint([]byte{bits(b.Dead(node))}, a.Incarnation), a.Version)
+		r.nodeAcks[i] = binary.AppendUvarint(binary.AppendUvarint([]byte{bits(b.Dead(node))}, a.Incarnation), a.Version)
 	}
 	for _, t := range b.Turns() {
 		if h := slices.Index(hostNames[:], t.Host); t.Phase != turns.Over {
@@ -169,53 +169,53 @@
 		}
 	}
 	if c, ok := b.Next(0); ok {
-		r.next = &c
+		r.nextCommand = &c
 	}
 	p.all[s] = r
 	return r
 }
 
 // acknowledged returns the hosts of the horizon that is recorded for a node.
-func (r *record) acknowledged(node string) []string {
-	version := r.book.RecordedVersion(node)
-	at := slices.IndexFunc(r.horizons, func(z sendlease.ExclusionSet) bool { return z.Version == version })
+func (r *logPrefix) acknowledgedHosts(node string) []string {
+	version := r.schedule.RecordedVersion(node)
+	at := slices.IndexFunc(r.exclusionSets, func(z sendlease.ExclusionSet) bool { return z.Version == version })
 	if at < 0 {
 		return nil
 	}
-	return r.horizons[at].Hosts
+	return r.exclusionSets[at].Hosts
 }
 
 // turnOf returns a host's turn that is not over; one without a name if there is none.
-func (r *record) turnOf(host string) turns.Turn { return r.turns[slices.Index(hostNames[:], host)] }
+func (r *logPrefix) turnOf(host string) turns.Turn { return r.turns[slices.Index(hostNames[:], host)] }
 
 // with returns the log with a command more, itself where the book refuses it or it changes nothing.
-func (r *record) with(name change, c turns.Command) *record {
-	if next, known := r.then.Load(name); known {
-		return next.(*record)
+func (r *logPrefix) extended(key commandKey, c turns.Command) *logPrefix {
+	if next, known := r.successors.Load(key); known {
+		return next.(*logPrefix)
 	}
 	next := r
-	if r.book.Check(c) == nil {
-		b, index := r.book.Clone(), r.index
-		if r.pool.whole && (c.Ack != nil || c.Grant != nil || c.Begin != nil || c.Request != nil || c.Dead != nil || c.Alive != nil) {
+	if r.schedule.Check(c) == nil {
+		b, index := r.schedule.Clone(), r.index
+		if r.pool.atomicCalls && (c.Ack != nil || c.Grant != nil || c.Begin != nil || c.Request != nil || c.Dead != nil || c.Alive != nil) {
 			b.Apply(index, c) // no answer tells of it, and the book keeps no index of it
 		} else {
 			index++
 			b.Apply(index, c)
 		}
 		if sumOf(encoded(b), r.index) != r.sum {
-			next = r.pool.record(b, index)
+			next = r.pool.prefix(b, index)
 		}
 	}
-	r.then.Store(name, next)
+	r.successors.Store(key, next)
 	return next
 }
 
 // Seat is a seat of the council.
-type Seat struct {
-	Believes bool // that it leads
-	Table    *sendlease.Table
-	View     *record             // what it has applied; nil: all
-	Acking   [MaxNodes]turns.Ack // by a planted bug: the last that it proposed
+type Replica struct {
+	BelievesLeader bool // that it leads
+	Table          *sendlease.Table
+	View           *logPrefix          // what it has applied; nil: all
+	LastAcks       [MaxNodes]turns.Ack // by a planted bug: the last that it proposed
 }
 
 // Stage is how far a question has come.
@@ -223,68 +223,68 @@
 
 // The stages of a call.
 const (
-	NoCall   Stage = iota
-	Asked          // the question is on its way
-	Held           // a seat has it, and a quorum has confirmed that the seat leads
-	Answered       // the answer is on its way
+	NoCall            Stage = iota
+	RequestInTransit        // the question is on its way
+	AtReplica               // a seat has it, and a quorum has confirmed that the seat leads
+	ResponseInTransit       // the answer is on its way
 )
 
 // Call is a question and its answer.
 type Call struct {
-	Stage Stage
-	Seat  uint8         // where it is Held
-	Gone  bool          // the process that asked is no more
-	At    time.Duration // when it was asked, by the node's clock; not told apart by Encode, which has it from the holder
-	Q     sendlease.LeaseRequest
-	A     sendlease.LeaseResponse
+	Stage         Stage
+	Replica       uint8         // where it is Held
+	RequesterGone bool          // the process that asked is no more
+	SentAt        time.Duration // when it was asked, by the node's clock; not told apart by Encode, which has it from the holder
+	Request       sendlease.LeaseRequest
+	Response      sendlease.LeaseResponse
 }
 
 // Node is a node: its control, its store and its loop. What pointers lead to is never changed.
 type Node struct {
-	Slow     bool // its clock
-	Told     bool // it was answered since its store is there
-	Holder   *sendlease.Holder
-	Durable  *sendlease.Saved
-	Writing  *sendlease.Saved        // on its way into the store; nil: nothing
-	Older    *sendlease.Saved        // what stood in the store before, for the bug that puts it back
-	Loop     *sendlease.Restrictions // that the loop goes by
-	Queue    *sendlease.Restrictions // for the loop; nil: none
-	Word     *sendlease.Restrictions // that the loop has taken, not heard of by control; nil: none
-	Calls    [calls]Call             // by their numbers; the first free ones last
-	Cut      bool                    // it calls nobody
-	heard    uint64                  // up to where the last answer of a call that is one step told, which the holder knows too
-	recorded uint64                  // and what it said of the node's horizon
-	Excused  bool                    // it was declared dead, and was not answered since it was taken in: it may send anywhere
-	Late     time.Duration           // end of the right by a planted bug
+	SlowClock              bool // its clock
+	WasAnswered            bool // it was answered since its store is there
+	Holder                 *sendlease.Holder
+	Stored                 *sendlease.Saved
+	Writing                *sendlease.Saved        // on its way into the store; nil: nothing
+	OldCopy                *sendlease.Saved        // what stood in the store before, for the bug that puts it back
+	LoopRestrictions       *sendlease.Restrictions // that the loop goes by
+	QueuedRestrictions     *sendlease.Restrictions // for the loop; nil: none
+	UnreportedRestrictions *sendlease.Restrictions // that the loop has taken, not heard of by control; nil: none
+	Calls                  [maxCalls]Call          // by their numbers; the first free ones last
+	LinkCut                bool                    // it calls nobody
+	responseApplied        uint64                  // up to where the last answer of a call that is one step told, which the holder knows too
+	responseRecorded       uint64                  // and what it said of the node's horizon
+	Exempt                 bool                    // it was declared dead, and was not answered since it was taken in: it may send anywhere
+	BugLeaseEnd            time.Duration           // end of the right by a planted bug
 }
 
 // State is a state of the world. It is a value: a step copies what it changes.
 type State struct {
-	Tick  int16
-	Lead  uint8
-	Left  Budget
-	Log   *record
-	Seats [2]Seat
-	Nodes [MaxNodes]Node
-
-	Banned [MaxHosts]bool   // as an operator has said
-	Since  [MaxHosts]uint64 // the log's index since which the host is out without a break; 0: it is not out
+	Tick      int16
+	Leader    uint8
+	Remaining Budget
+	Log       *logPrefix
+	Replicas  [2]Replica
+	Nodes     [MaxNodes]Node
+
+	Banned        [MaxHosts]bool   // as an operator has said
+	ExcludedSince [MaxHosts]uint64 // the log's index since which the host is out without a break; 0: it is not out
 }
 
 // seatNow is the time by the seats' clocks.
-func (s *State) seatNow() time.Duration { return time.Duration(s.Tick) * 3 * unit }
+func (s *State) replicaNow() time.Duration { return time.Duration(s.Tick) * 3 * unit }
 
 // now is the time by a node's clock.
-func (s *State) now(n int) time.Duration {
-	if s.Nodes[n].Slow {
+func (s *State) nodeNow(n int) time.Duration {
+	if s.Nodes[n].SlowClock {
 		return time.Duration(s.Tick) * 2 * unit
 	}
 	return time.Duration(s.Tick) * 3 * unit
 }
 
 // view is what a seat has applied.
-func (s *State) view(seat int) *record {
-	if v := s.Seats[seat].View; v != nil {
+func (s *State) view(replica int) *logPrefix {
+	if v := s.Replicas[replica].View; v != nil {
 		return v
 	}
 	return s.Log
@@ -294,21 +294,21 @@
 // the order of their bytes where they are alike: no property tells one from another, and no part of the real code does, but
 // for the order in which lists name them.
 func (m *Model) Encode(to []byte, s State) []byte {
-	l := &s.Left
-	to = append(to, s.Lead, l.Asks, l.Withdrawals, l.Failures, l.Changes, l.Restarts, l.Losses, l.Repeats, l.Proposals, l.CallBacks, l.Bans,
-		l.Deaths, l.Cuts, bits(s.Banned[:]...))
-	to = append(to, s.Log.core[:]...)
-	for _, since := range s.Since[:m.Hosts] {
+	remaining := &s.Remaining
+	to = append(to, s.Leader, remaining.TurnRequests, remaining.Withdrawals, remaining.Failures, remaining.LeaderChanges, remaining.Restarts, remaining.StoreLosses, remaining.DuplicateRequests, remaining.LostProposals, remaining.Revocations, remaining.Bans,
+		remaining.DeathDeclarations, remaining.LinkCuts, bits(s.Banned[:]...))
+	to = append(to, s.Log.sharedSum[:]...)
+	for _, since := range s.ExcludedSince[:m.Hosts] {
 		to = binary.AppendUvarint(to, since)
 	}
-	for i := range s.Seats {
-		seat := &s.Seats[i]
-		to = append(to, bits(seat.Believes, seat.View != nil))
-		if seat.Believes && seat.View != nil {
-			to = append(to, seat.View.core[:]...)
+	for i := range s.Replicas {
+		replica := &s.Replicas[i]
+		to = append(to, bits(replica.BelievesLeader, replica.View != nil))
+		if replica.BelievesLeader && replica.View != nil {
+			to = append(to, replica.View.sharedSum[:]...)
 		}
 	}
-	if !m.Alike {
+	if !m.SymmetricNodes {
 		for i := range m.Nodes {
 			to = m.appendNode(to, &s, i)
 		}
@@ -331,53 +331,53 @@
 
 // appendNode appends a node, and what the log and the seats know of it.
 func (m *Model) appendNode(to []byte, s *State, i int) []byte {
-	to = append(to, s.Log.acked[i]...)
-	for k := range s.Seats {
-		seat := &s.Seats[k]
-		if !seat.Believes {
+	to = append(to, s.Log.nodeAcks[i]...)
+	for k := range s.Replicas {
+		replica := &s.Replicas[k]
+		if !replica.BelievesLeader {
 			continue
 		}
-		if seat.View != nil {
-			to = append(to, seat.View.acked[i]...)
+		if replica.View != nil {
+			to = append(to, replica.View.nodeAcks[i]...)
 		}
-		to = seat.Table.Append(to, s.seatNow(), nodeNames[i:i+1])
-		to = binary.AppendUvarint(binary.AppendUvarint(to, seat.Acking[i].Incarnation), seat.Acking[i].Version)
+		to = replica.Table.Append(to, s.replicaNow(), nodeNames[i:i+1])
+		to = binary.AppendUvarint(binary.AppendUvarint(to, replica.LastAcks[i].Incarnation), replica.LastAcks[i].Version)
 	}
 	return s.appendNode(to, i)
 }
 
 func (s *State) appendNode(to []byte, i int) []byte {
-	n, now := &s.Nodes[i], s.now(i)
-	to = append(to, bits(n.Slow, n.Told, n.Writing != nil, n.Queue != nil, n.Word != nil, n.Older != nil, n.Cut, n.Excused))
-	var flying [calls]uint64
+	n, now := &s.Nodes[i], s.nodeNow(i)
+	to = append(to, bits(n.SlowClock, n.WasAnswered, n.Writing != nil, n.QueuedRestrictions != nil, n.UnreportedRestrictions != nil, n.OldCopy != nil, n.LinkCut, n.Exempt))
+	var inTransit [maxCalls]uint64
 	count := 0
 	for _, c := range n.Calls {
 		to = append(to, byte(c.Stage))
 		if c.Stage == NoCall {
 			continue
 		}
-		to = append(to, c.Seat, bits(c.Gone))
+		to = append(to, c.Replica, bits(c.RequesterGone))
 		switch c.Stage {
-		case Asked:
-			to = c.Q.Append(to)
-		case Held: // only its number and whose it is matters from here
-		case Answered:
-			to = c.A.Append(to)
+		case RequestInTransit:
+			to = c.Request.Append(to)
+		case AtReplica: // only its number and whose it is matters from here
+		case ResponseInTransit:
+			to = c.Response.Append(to)
 		}
-		if !c.Gone {
-			flying[count] = c.Q.Seq
+		if !c.RequesterGone {
+			inTransit[count] = c.Request.Seq
 			count++
 		}
 	}
-	to = n.Holder.Append(to, now, flying[:count])
-	to = binary.AppendUvarint(to, uint64(max(0, n.Late-now)))
-	to = n.Loop.Append(to, now)
-	for _, v := range []*sendlease.Restrictions{n.Queue, n.Word} {
+	to = n.Holder.Append(to, now, inTransit[:count])
+	to = binary.AppendUvarint(to, uint64(max(0, n.BugLeaseEnd-now)))
+	to = n.LoopRestrictions.Append(to, now)
+	for _, v := range []*sendlease.Restrictions{n.QueuedRestrictions, n.UnreportedRestrictions} {
 		if v != nil {
 			to = v.Append(to, now)
 		}
 	}
-	for _, v := range []*sendlease.Saved{n.Older} {
+	for _, v := range []*sendlease.Saved{n.OldCopy} {
 		if v != nil {
 			h := sendlease.NewHolder(terms, "", *v)
 			to = h.Append(to, 0, nil)
--- a/rehearsal/turnsmodel/worlds.go
+++ b/rehearsal/turnsmodel/worlds.go
@@ -7,89 +7,89 @@
 
 // World is a model with bounds that make one hard case reachable.
 type World struct {
-	Name, About string
-	Nodes       int
-	Hosts       int
-	Calls       int // questions and answers of one node on their way
-	Asked       int // turns asked for at the start, one for each of the first hosts
-	Even        bool
-	LateWord    bool
-	Prompt      bool
-	Settled     bool
-	Whole       bool
-	Free        bool
-	Steady      int
-	Promised    bool
-	Budget      Budget
+	Name, About        string
+	Nodes              int
+	Hosts              int
+	MaxCalls           int // questions and answers of one node on their way
+	RequestedTurns     int // turns asked for at the start, one for each of the first hosts
+	EqualClocks        bool
+	DelayedReport      bool
+	ImmediateApply     bool
+	OperatorsWait      bool
+	AtomicCalls        bool
+	UnrestrictedLeader bool
+	CurrentNodes       int
+	CheckLiveness      bool
+	Budget             Budget
 }
 
 // Worlds lists the worlds that are small enough to be visited whole in a test. With one node: T2 and R1 are promises about
 // each node by itself, and other nodes do no more than hold a turn up.
 func Worlds() []World {
 	return []World{
-		{Name: "cut-off", About: "questions and answers are lost or late, the loop is late", Nodes: 1, Hosts: 1, Calls: 1, Asked: 1,
-			Even: true, LateWord: true},
-		{Name: "late-calls", About: "calls overtake each other", Nodes: 1, Hosts: 1, Calls: 2, Asked: 1},
-		{Name: "restart", About: "the process starts again", Nodes: 1, Hosts: 1, Calls: 1, Asked: 1, LateWord: true,
-			Budget: Budget{Restarts: 1, Proposals: 1}},
-		{Name: "lost-store", About: "the process starts again with an empty store", Nodes: 1, Hosts: 1, Calls: 1, Asked: 1,
-			Budget: Budget{Losses: 1, Proposals: 1}},
-		{Name: "new-leader", About: "a leader goes on believing that it leads", Nodes: 1, Hosts: 1, Calls: 1, Asked: 1,
-			Budget: Budget{Changes: 1}},
-		{Name: "withdrawn", About: "a turn is withdrawn and asked for once more", Nodes: 1, Hosts: 1, Prompt: true, Settled: true, Calls: 1, Asked: 1,
-			Budget: Budget{Withdrawals: 1, Asks: 1}},
-		{Name: "called-back", About: "a turn is called back", Nodes: 1, Hosts: 2, Settled: true, Calls: 1, Asked: 1, Budget: Budget{Failures: 1}},
-		{Name: "other-nodes", About: "a leader that does whatever other nodes may bring it to", Nodes: 1, Hosts: 1, Prompt: true,
-			Settled: true, Free: true, Calls: 1, Asked: 1, Budget: Budget{CallBacks: 1}},
-		{Name: "two-nodes", About: "two nodes that are cut off at will, each with its own horizon", Nodes: 2, Hosts: 2, Whole: true,
-			Asked: 2},
-		{Name: "three-nodes", About: "three nodes and hosts, one node cut off at will, a new leader", Nodes: 3, Hosts: 3, Whole: true,
-			Settled: true, Asked: 3, Steady: 2, Budget: Budget{Changes: 1}},
-		{Name: "bans", About: "hosts are banned by hand and have turns, in either order", Nodes: 1, Hosts: 2, Whole: true,
-			Settled: true, Asked: 1, Budget: Budget{Bans: 1, Asks: 1}},
-		{Name: "dead", About: "a node is declared dead, whatever it does, and taken in anew", Nodes: 2, Hosts: 2, Whole: true,
-			Settled: true, Asked: 2, Budget: Budget{Deaths: 1}},
+		{Name: "cut-off", About: "questions and answers are lost or late, the loop is late", Nodes: 1, Hosts: 1, MaxCalls: 1, RequestedTurns: 1,
+			EqualClocks: true, DelayedReport: true},
+		{Name: "late-calls", About: "calls overtake each other", Nodes: 1, Hosts: 1, MaxCalls: 2, RequestedTurns: 1},
+		{Name: "restart", About: "the process starts again", Nodes: 1, Hosts: 1, MaxCalls: 1, RequestedTurns: 1, DelayedReport: true,
+			Budget: Budget{Restarts: 1, LostProposals: 1}},
+		{Name: "lost-store", About: "the process starts again with an empty store", Nodes: 1, Hosts: 1, MaxCalls: 1, RequestedTurns: 1,
+			Budget: Budget{StoreLosses: 1, LostProposals: 1}},
+		{Name: "new-leader", About: "a leader goes on believing that it leads", Nodes: 1, Hosts: 1, MaxCalls: 1, RequestedTurns: 1,
+			Budget: Budget{LeaderChanges: 1}},
+		{Name: "withdrawn", About: "a turn is withdrawn and asked for once more", Nodes: 1, Hosts: 1, ImmediateApply: true, OperatorsWait: true, MaxCalls: 1, RequestedTurns: 1,
+			Budget: Budget{Withdrawals: 1, TurnRequests: 1}},
+		{Name: "called-back", About: "a turn is called back", Nodes: 1, Hosts: 2, OperatorsWait: true, MaxCalls: 1, RequestedTurns: 1, Budget: Budget{Failures: 1}},
+		{Name: "other-nodes", About: "a leader that does whatever other nodes may bring it to", Nodes: 1, Hosts: 1, ImmediateApply: true,
+			OperatorsWait: true, UnrestrictedLeader: true, MaxCalls: 1, RequestedTurns: 1, Budget: Budget{Revocations: 1}},
+		{Name: "two-nodes", About: "two nodes that are cut off at will, each with its own horizon", Nodes: 2, Hosts: 2, AtomicCalls: true,
+			RequestedTurns: 2},
+		{Name: "three-nodes", About: "three nodes and hosts, one node cut off at will, a new leader", Nodes: 3, Hosts: 3, AtomicCalls: true,
+			OperatorsWait: true, RequestedTurns: 3, CurrentNodes: 2, Budget: Budget{LeaderChanges: 1}},
+		{Name: "bans", About: "hosts are banned by hand and have turns, in either order", Nodes: 1, Hosts: 2, AtomicCalls: true,
+			OperatorsWait: true, RequestedTurns: 1, Budget: Budget{Bans: 1, TurnRequests: 1}},
+		{Name: "dead", About: "a node is declared dead, whatever it does, and taken in anew", Nodes: 2, Hosts: 2, AtomicCalls: true,
+			OperatorsWait: true, RequestedTurns: 2, Budget: Budget{DeathDeclarations: 1}},
 		{Name: "promises", About: "links go: what can be given is given, if need be by calling back what cannot", Nodes: 2, Hosts: 2,
-			Whole: true, Settled: true, Promised: true, Asked: 2, Steady: 1, Budget: Budget{Cuts: 1, Asks: 1}},
+			AtomicCalls: true, OperatorsWait: true, CheckLiveness: true, RequestedTurns: 2, CurrentNodes: 1, Budget: Budget{LinkCuts: 1, TurnRequests: 1}},
 		{Name: "promises-and-deaths", About: "a node is declared dead so that turns go on, and taken in anew", Nodes: 2, Hosts: 2,
-			Whole: true, Promised: true, Asked: 1, Steady: 1, Budget: Budget{Cuts: 1, Deaths: 1, Asks: 1}},
+			AtomicCalls: true, CheckLiveness: true, RequestedTurns: 1, CurrentNodes: 1, Budget: Budget{LinkCuts: 1, DeathDeclarations: 1, TurnRequests: 1}},
 		{Name: "promises-and-bans", About: "bans and lost proposals keep no turn back for ever", Nodes: 1, Hosts: 2,
-			Whole: true, Settled: true, Promised: true, Asked: 2, Budget: Budget{Bans: 1, Proposals: 1}},
-		{Name: "two-turns", About: "a second host waits for its turn", Nodes: 1, Hosts: 2, Prompt: true, Settled: true, Calls: 1, Asked: 2},
+			AtomicCalls: true, OperatorsWait: true, CheckLiveness: true, RequestedTurns: 2, Budget: Budget{Bans: 1, LostProposals: 1}},
+		{Name: "two-turns", About: "a second host waits for its turn", Nodes: 1, Hosts: 2, ImmediateApply: true, OperatorsWait: true, MaxCalls: 1, RequestedTurns: 2},
 	}
 }
 
 // Larger lists worlds that take minutes, or more memory than there is.
 func Larger() []World {
 	return []World{
-		{Name: "leader-and-restart", About: "new-leader, and the process starts again", Nodes: 1, Hosts: 1, Calls: 1, Asked: 1,
-			Budget: Budget{Changes: 1, Restarts: 1}},
-		{Name: "leader-and-loss", About: "new-leader, and the store is lost", Nodes: 1, Hosts: 1, Calls: 1, Asked: 1,
-			Budget: Budget{Changes: 1, Losses: 1}},
+		{Name: "leader-and-restart", About: "new-leader, and the process starts again", Nodes: 1, Hosts: 1, MaxCalls: 1, RequestedTurns: 1,
+			Budget: Budget{LeaderChanges: 1, Restarts: 1}},
+		{Name: "leader-and-loss", About: "new-leader, and the store is lost", Nodes: 1, Hosts: 1, MaxCalls: 1, RequestedTurns: 1,
+			Budget: Budget{LeaderChanges: 1, StoreLosses: 1}},
 		{Name: "lost-and-withdrawn", About: "the store is lost, and a turn is withdrawn and asked for once more", Nodes: 1, Hosts: 1,
-			Calls: 1, Asked: 1, Prompt: true, Settled: true, Budget: Budget{Losses: 1, Proposals: 1, Withdrawals: 1, Asks: 1}},
-		{Name: "other-nodes-and-hosts", About: "other-nodes, with a second host", Nodes: 1, Hosts: 2, Prompt: true,
-			Settled: true, Free: true, Calls: 1, Asked: 2},
+			MaxCalls: 1, RequestedTurns: 1, ImmediateApply: true, OperatorsWait: true, Budget: Budget{StoreLosses: 1, LostProposals: 1, Withdrawals: 1, TurnRequests: 1}},
+		{Name: "other-nodes-and-hosts", About: "other-nodes, with a second host", Nodes: 1, Hosts: 2, ImmediateApply: true,
+			OperatorsWait: true, UnrestrictedLeader: true, MaxCalls: 1, RequestedTurns: 2},
 		{Name: "leader-and-called-back", About: "a leader goes on believing that it leads, and a turn is called back", Nodes: 1, Hosts: 2,
-			Calls: 1, Asked: 1, Prompt: true, Settled: true, Budget: Budget{Changes: 1, Failures: 1}},
-		{Name: "two-nodes-in-detail", About: "two nodes that are cut off at will", Nodes: 2, Hosts: 1, Calls: 1, Asked: 1},
+			MaxCalls: 1, RequestedTurns: 1, ImmediateApply: true, OperatorsWait: true, Budget: Budget{LeaderChanges: 1, Failures: 1}},
+		{Name: "two-nodes-in-detail", About: "two nodes that are cut off at will", Nodes: 2, Hosts: 1, MaxCalls: 1, RequestedTurns: 1},
 		{Name: "all-at-once", About: "three nodes and hosts, a new leader, restarts, a lost store, turns called back", Nodes: 3, Hosts: 3,
-			Calls: 2, Asked: 2, Even: true, LateWord: true,
-			Budget: Budget{Asks: 1, Withdrawals: 1, Failures: 1, Changes: 1, Restarts: 1, Losses: 1, Repeats: 1, Proposals: 1}},
+			MaxCalls: 2, RequestedTurns: 2, EqualClocks: true, DelayedReport: true,
+			Budget: Budget{TurnRequests: 1, Withdrawals: 1, Failures: 1, LeaderChanges: 1, Restarts: 1, StoreLosses: 1, DuplicateRequests: 1, LostProposals: 1}},
 	}
 }
 
 // Model returns the model of a world, with a planted bug if one is named.
-func (w World) Model(plantName string) (*Model, error) {
-	m, err := New(w.Nodes, w.Hosts, w.Budget, plantName)
+func (w World) Model(bugName string) (*Model, error) {
+	m, err := New(w.Nodes, w.Hosts, w.Budget, bugName)
 	if err != nil {
 		return nil, err
 	}
-	m.Calls, m.Asked, m.Even, m.LateWord = w.Calls, w.Asked, w.Even, w.LateWord
-	m.Prompt, m.Settled = w.Prompt || w.Whole, w.Settled
-	m.Whole, m.Free, m.Steady, m.Promised = w.Whole, w.Free, w.Steady, w.Promised
-	m.pool.whole = w.Whole
-	m.Alike = w.Nodes > 1 && !w.Promised
+	m.MaxCalls, m.RequestedTurns, m.EqualClocks, m.DelayedReport = w.MaxCalls, w.RequestedTurns, w.EqualClocks, w.DelayedReport
+	m.ImmediateApply, m.OperatorsWait = w.ImmediateApply || w.AtomicCalls, w.OperatorsWait
+	m.AtomicCalls, m.UnrestrictedLeader, m.CurrentNodes, m.CheckLiveness = w.AtomicCalls, w.UnrestrictedLeader, w.CurrentNodes, w.CheckLiveness
+	m.pool.atomicCalls = w.AtomicCalls
+	m.SymmetricNodes = w.Nodes > 1 && !w.CheckLiveness
 	return m, nil
 }
 
--- a/rehearsal/upstreammodel/model.go
+++ b/rehearsal/upstreammodel/model.go
@@ -29,36 +29,36 @@
 	sites
 )
 
-var names = [sites]string{"building", "regency", "province"}
+var siteNames = [sites]string{"building", "regency", "province"}
 
 // limits are those of all sites of the model. Pieces of a state are of one write.
 var limits = sitesync.Limits{Bytes: 1 << 20, Number: 100, Batch: 1, Held: 2}
 
 // tags is a set of writes, by their numbers in the scenario.
-type tags uint16
+type writeSet uint16
 
-func (t tags) has(i int) bool { return t>>i&1 == 1 }
+func (t writeSet) has(i int) bool { return t>>i&1 == 1 }
 
 // truth is what is known of a write that was made: beside the sites, which do not see it.
-type truth struct {
-	id     sitesync.ID
-	past   tags // what its writer had seen
-	merged int  // the tag of the write that it was merged into, plus one
+type writeInfo struct {
+	id         sitesync.ID
+	observed   writeSet // what its writer had seen
+	mergedInto int      // the tag of the write that it was merged into, plus one
 }
 
 // node is a site with its bytes.
 type node struct {
-	site *sitesync.Site
-	enc  []byte
+	site    *sitesync.Site
+	encoded []byte
 }
 
-func nodeOf(s *sitesync.Site) node { return node{site: s} }
+func newNode(s *sitesync.Site) node { return node{site: s} }
 
 // sealed returns a state with the bytes of its sites made.
-func (s State) sealed() State {
+func (s State) withEncodings() State {
 	for i := range s.nodes {
-		if s.nodes[i].enc == nil {
-			s.nodes[i].enc = s.nodes[i].site.Encode()
+		if s.nodes[i].encoded == nil {
+			s.nodes[i].encoded = s.nodes[i].site.Encode()
 		}
 	}
 	return s
@@ -66,40 +66,40 @@
 
 // message is a call or an answer under way.
 type message struct {
-	from, to int
-	call     []byte // of a call: the batch
-	answer   []byte // of an answer
-	holds    tags   // of an answer: what its sender held
-	enc      []byte
+	from, to    int
+	batch       []byte   // of a call: the batch
+	answer      []byte   // of an answer
+	senderHolds writeSet // of an answer: what its sender held
+	encoded     []byte
 }
 
 // State is the whole world. What it points to is never changed.
 type State struct {
-	nodes  [sites]node
-	net    []message // sorted by bytes
-	known  [sites][sites][]byte
-	truths []truth
-	made   tags // writes that were made
-	gone   tags // writes that ended with the lost store, before they left it
-	out    tags // writes that have left their site
-	held   [sites]tags
-	judged [][]byte // by tag: the outcome of its receipt
-	sent   uint8
-	losses uint8
-	twice  uint8
-	lost   bool // the building's store
-	bad    uint32
+	nodes      [sites]node
+	inTransit  []message // sorted by bytes
+	known      [sites][sites][]byte
+	writes     []writeInfo
+	made       writeSet // writes that were made
+	lostWrites writeSet // writes that ended with the lost store, before they left it
+	sentWrites writeSet // writes that have left their site
+	held       [sites]writeSet
+	outcomes   [][]byte // by tag: the outcome of its receipt
+	calls      uint8
+	losses     uint8
+	duplicates uint8
+	storeLost  bool // the building's store
+	violations uint32
 }
 
 // The properties.
 const (
-	badTwice = iota
+	badAppliedTwice = iota
 	badOrder
 	badReceipt
-	badLives
-	badSame
+	badIncarnation
+	badDivergence
 	badNoReceipt
-	badOverruled
+	badOverwrite
 	badSum
 )
 
@@ -116,15 +116,15 @@
 
 // Model is a scenario with the bounds of the network.
 type Model struct {
-	Scenario Scenario
-	Sends    int // calls in all
-	Losses   int
-	Twice    int // messages that come twice
-	plant    plant
+	Scenario      Scenario
+	MaxCalls      int // calls in all
+	MaxLosses     int
+	MaxDuplicates int // messages that come twice
+	bug           injectedBug
 }
 
 // New returns the model of a scenario, with a planted bug unless its name is empty.
-func New(scenario, bug string) (*Model, error) {
+func New(scenario, bugName string) (*Model, error) {
 	m := &Model{}
 	found := false
 	for _, sc := range scenarios {
@@ -135,32 +135,32 @@
 	if !found {
 		return nil, fmt.Errorf("no scenario is named %q", scenario)
 	}
-	m.Sends, m.Losses, m.Twice = m.Scenario.Sends, m.Scenario.Losses, m.Scenario.Twice
-	if bug == "" {
+	m.MaxCalls, m.MaxLosses, m.MaxDuplicates = m.Scenario.MaxCalls, m.Scenario.MaxLosses, m.Scenario.MaxDuplicates
+	if bugName == "" {
 		return m, nil
 	}
-	for _, p := range plants {
-		if p.Name == bug {
-			m.plant = p
+	for _, p := range injectedBugs {
+		if p.Name == bugName {
+			m.bug = p
 			return m, nil
 		}
 	}
-	return nil, fmt.Errorf("no bug is named %q", bug)
+	return nil, fmt.Errorf("no bug is named %q", bugName)
 }
 
-func place(site int, life uint64) sitesync.Place {
-	p := sitesync.Place{Site: names[site], Level: sites - 1 - site, Incarnation: life, StoreCreated: 1}
-	p.Ancestors = append(p.Ancestors, names[site+1:]...)
-	if life > 1 {
+func place(site int, incarnation uint64) sitesync.Place {
+	p := sitesync.Place{Site: siteNames[site], Level: sites - 1 - site, Incarnation: incarnation, StoreCreated: 1}
+	p.Ancestors = append(p.Ancestors, siteNames[site+1:]...)
+	if incarnation > 1 {
 		p.StoreCreated = 2
 	}
 	return p
 }
 
-func fresh(p sitesync.Place) *sitesync.Site { return sitesync.New(p, limits).WithMerge(addUp) }
+func newSite(p sitesync.Place) *sitesync.Site { return sitesync.New(p, limits).WithMerge(addEvidence) }
 
 // addUp merges evidence that is one byte.
-func addUp(a, b []byte) ([]byte, error) {
+func addEvidence(a, b []byte) ([]byte, error) {
 	if len(a) != 1 || len(b) != 1 {
 		return nil, fmt.Errorf("evidence is one byte, not %d and %d", len(a), len(b))
 	}
@@ -169,11 +169,11 @@
 
 // Initial implements model.Model.
 func (m *Model) Initial() []State {
-	s := State{truths: make([]truth, len(m.Scenario.Writes)), judged: make([][]byte, len(m.Scenario.Writes))}
+	s := State{writes: make([]writeInfo, len(m.Scenario.Writes)), outcomes: make([][]byte, len(m.Scenario.Writes))}
 	for i := range s.nodes {
-		s.nodes[i] = nodeOf(fresh(place(i, 1)))
+		s.nodes[i] = newNode(newSite(place(i, 1)))
 	}
-	return []State{s.sealed()}
+	return []State{s.withEncodings()}
 }
 
 // The steps: an operation in the high bits, and what it is about.
@@ -181,127 +181,127 @@
 	opWrite model.Step = iota << 8
 	opSend
 	opArrive
-	opTwice
+	opDuplicate
 	opLose
-	opLostStore
+	opLoseStore
 )
 
 // Steps implements model.Model.
-func (m *Model) Steps(s State, put func(model.Step, State)) {
-	yield := func(by model.Step, n State) { put(by, n.sealed()) }
+func (m *Model) Steps(s State, emit func(model.Step, State)) {
+	yield := func(by model.Step, next State) { emit(by, next.withEncodings()) }
 	for i, w := range m.Scenario.Writes {
-		if s.made.has(i) || m.Scenario.Lost && w.afterLoss != s.lost && w.Site == building {
+		if s.made.has(i) || m.Scenario.StoreLoss && w.afterLoss != s.storeLost && w.Site == building {
 			continue
 		}
 		if w.after > 0 && !s.made.has(w.after-1) {
 			continue
 		}
-		if n, ok := m.write(s, i); ok {
-			yield(opWrite|model.Step(i), n)
+		if next, ok := m.makeWrite(s, i); ok {
+			yield(opWrite|model.Step(i), next)
 		}
 	}
-	if int(s.sent) < m.Sends {
+	if int(s.calls) < m.MaxCalls {
 		for from := range province {
 			for to := from + 1; to < sites; to++ {
 				if m.Scenario.NoRelay && from == building && to == regency {
 					continue
 				}
-				if n, ok := m.send(s, from, to); ok {
-					yield(opSend|model.Step(from*sites+to), n)
+				if next, ok := m.send(s, from, to); ok {
+					yield(opSend|model.Step(from*sites+to), next)
 				}
 			}
 		}
 	}
-	for i := range s.net {
-		if i > 0 && bytes.Equal(s.net[i].enc, s.net[i-1].enc) {
+	for i := range s.inTransit {
+		if i > 0 && bytes.Equal(s.inTransit[i].encoded, s.inTransit[i-1].encoded) {
 			continue
 		}
 		yield(opArrive|model.Step(i), m.arrive(s, i, true))
-		if int(s.twice) < m.Twice {
-			n := m.arrive(s, i, false)
-			n.twice++
-			yield(opTwice|model.Step(i), n)
+		if int(s.duplicates) < m.MaxDuplicates {
+			next := m.arrive(s, i, false)
+			next.duplicates++
+			yield(opDuplicate|model.Step(i), next)
 		}
-		if int(s.losses) < m.Losses {
-			n := s
-			n.net = slices.Delete(slices.Clone(s.net), i, i+1)
-			n.losses++
-			yield(opLose|model.Step(i), n)
+		if int(s.losses) < m.MaxLosses {
+			next := s
+			next.inTransit = slices.Delete(slices.Clone(s.inTransit), i, i+1)
+			next.losses++
+			yield(opLose|model.Step(i), next)
 		}
 	}
-	if m.Scenario.Lost && !s.lost && s.made != 0 {
-		yield(opLostStore, m.loseStore(s))
+	if m.Scenario.StoreLoss && !s.storeLost && s.made != 0 {
+		yield(opLoseStore, m.loseStore(s))
 	}
 }
 
 // loseStore begins a new life of the building.
 func (m *Model) loseStore(s State) State {
-	life := uint64(2)
-	if m.plant.sameLife {
-		life = 1
+	incarnation := uint64(2)
+	if m.bug.sameIncarnation {
+		incarnation = 1
 	}
-	p := place(building, life)
-	if m.plant.unborn {
+	p := place(building, incarnation)
+	if m.bug.noCreationTime {
 		p.StoreCreated = 0
 	}
-	s.nodes[building] = nodeOf(fresh(p))
+	s.nodes[building] = newNode(newSite(p))
 	s.known[building] = [sites][]byte{}
 	s.held[building] = 0
-	s.lost = true
+	s.storeLost = true
 	for i, w := range m.Scenario.Writes {
-		if w.Site == building && s.made.has(i) && !s.out.has(i) {
-			s.gone |= 1 << i
+		if w.Site == building && s.made.has(i) && !s.sentWrites.has(i) {
+			s.lostWrites |= 1 << i
 		}
 	}
 	return s
 }
 
 // write makes a write of the scenario at its site.
-func (m *Model) write(s State, i int) (State, bool) {
+func (m *Model) makeWrite(s State, i int) (State, bool) {
 	w := m.Scenario.Writes[i]
 	l := w.Local
 	l.By = fmt.Sprint(i)
-	past := s.held[w.Site] &^ m.evidence(func(Write) bool { return true })
+	observed := s.held[w.Site] &^ m.evidenceWrites(func(Write) bool { return true })
 	switch {
 	case l.Urgent:
-		past = 0
+		observed = 0
 	case l.Kind == sitesync.Evidence: // it waits for that of its own site alone
-		past = s.held[w.Site] & m.evidence(func(x Write) bool { return x.Site == w.Site })
+		observed = s.held[w.Site] & m.evidenceWrites(func(x Write) bool { return x.Site == w.Site })
 	}
 	for _, t := range w.needs {
 		if !s.held[w.Site].has(t) {
 			return s, false
 		}
-		l.Needs = append(l.Needs, s.truths[t].id)
-		past |= 1<<t | s.truths[t].past
+		l.Needs = append(l.Needs, s.writes[t].id)
+		observed |= 1<<t | s.writes[t].observed
 	}
-	if w.token > 0 {
-		l.Token = s.nodes[w.token-1].site.Token()
-		past |= s.held[w.token-1]
+	if w.tokenSite > 0 {
+		l.Token = s.nodes[w.tokenSite-1].site.Token()
+		observed |= s.held[w.tokenSite-1]
 	}
 	if l.Urgent {
 		for j, x := range m.Scenario.Writes {
 			if s.held[w.Site].has(j) && x.Local.Kind == l.Kind && x.Local.Subject == l.Subject {
-				past |= 1<<j | s.truths[j].past
+				observed |= 1<<j | s.writes[j].observed
 			}
 		}
 	}
-	if m.plant.local != nil {
-		m.plant.local(&l)
+	if m.bug.changeWrite != nil {
+		m.bug.changeWrite(&l)
 	}
-	s.truths = slices.Clone(s.truths)
-	s.truths[i] = truth{past: past}
+	s.writes = slices.Clone(s.writes)
+	s.writes[i] = writeInfo{observed: observed}
 	s.made |= 1 << i
-	f := m.apply(&s, w.Site, sitesync.Command{Write: &l}, 0)
-	for _, e := range f {
+	effects := m.apply(&s, w.Site, sitesync.Command{Write: &l}, 0)
+	for _, e := range effects {
 		switch e.Kind {
 		case sitesync.EffectMerged:
-			for j := range s.truths {
-				if s.made.has(j) && j != i && s.truths[j].id == e.ID {
-					s.truths[i].merged = j + 1
+			for j := range s.writes {
+				if s.made.has(j) && j != i && s.writes[j].id == e.ID {
+					s.writes[i].mergedInto = j + 1
 				}
 			}
-			s.truths[i].id = e.ID
+			s.writes[i].id = e.ID
 		case sitesync.EffectRefused:
 			return s, false
 		}
@@ -311,26 +311,26 @@
 }
 
 // apply applies a command at a site and holds what it brings against the truth. Holds is what the sender of a state held.
-func (m *Model) apply(s *State, at int, c sitesync.Command, holds tags) []sitesync.Effect {
+func (m *Model) apply(s *State, at int, c sitesync.Command, senderHolds writeSet) []sitesync.Effect {
 	site := s.nodes[at].site.Clone()
-	if c.Down != nil && m.plant.down != nil {
-		m.plant.down(at, c.Down)
+	if c.Down != nil && m.bug.changeState != nil {
+		m.bug.changeState(at, c.Down)
 	}
-	f := site.Apply(1, c)
-	s.nodes[at] = nodeOf(site)
+	effects := site.Apply(1, c)
+	s.nodes[at] = newNode(site)
 	// What a site held is told from what it had seen; what came through a state is covered at once.
 	if d := c.Down; d == nil || !d.Last || slices.ContainsFunc(d.Seen, func(k sitesync.VectorEntry) bool {
 		return !site.Seen().Has(sitesync.ID{Origin: k.Origin, Number: k.Number})
 	}) {
-		holds = 0 // it was not joined
+		senderHolds = 0 // it was not joined
 	}
-	had := s.held[at] | holds
-	for _, e := range f {
+	observed := s.held[at] | senderHolds
+	for _, e := range effects {
 		switch e.Kind {
 		case sitesync.EffectApplied:
-			i, ok := tagOf(e.Write)
-			for j := range s.truths { // evidence that is emptied names nobody
-				if !ok && s.made.has(j) && s.truths[j].id == e.ID {
+			i, ok := writeIndex(e.Write)
+			for j := range s.writes { // evidence that is emptied names nobody
+				if !ok && s.made.has(j) && s.writes[j].id == e.ID {
 					i, ok = j, true
 				}
 			}
@@ -338,93 +338,93 @@
 				continue
 			}
 			if e.Write.Kind == sitesync.Evidence && m.Scenario.Writes[i].Site > at {
-				s.bad |= 1 << badSame
+				s.violations |= 1 << badDivergence
 			}
 			if s.made.has(i) {
-				if s.truths[i].id.Number == 0 { // it is being made
-					s.truths[i].id = e.ID
+				if s.writes[i].id.Number == 0 { // it is being made
+					s.writes[i].id = e.ID
 				}
-				if s.truths[i].id.Origin.Incarnation != e.ID.Origin.Incarnation {
-					s.bad |= 1 << badLives
+				if s.writes[i].id.Origin.Incarnation != e.ID.Origin.Incarnation {
+					s.violations |= 1 << badIncarnation
 				}
 				if s.held[at].has(i) {
-					s.bad |= 1 << badTwice
+					s.violations |= 1 << badAppliedTwice
 				}
-				for j := range s.truths {
-					if _, refused := site.Refusal(s.truths[j].id); refused && s.made.has(j) {
-						had |= 1 << j
+				for j := range s.writes {
+					if _, refused := site.Refusal(s.writes[j].id); refused && s.made.has(j) {
+						observed |= 1 << j
 					}
 				}
-				if at == province && s.truths[i].past&^had&^s.gone != 0 {
-					s.bad |= 1 << badOrder
+				if at == province && s.writes[i].observed&^observed&^s.lostWrites != 0 {
+					s.violations |= 1 << badOrder
 				}
 			}
 			s.held[at] |= 1 << i
-			for j := range s.truths { // what was merged into it comes with it
-				if s.made.has(j) && s.truths[j].id == e.ID {
+			for j := range s.writes { // what was merged into it comes with it
+				if s.made.has(j) && s.writes[j].id == e.ID {
 					s.held[at] |= 1 << j
 				}
 			}
-			had |= s.held[at]
+			observed |= s.held[at]
 		case sitesync.EffectReceipt:
-			m.receipt(s, e.Receipt)
+			m.checkReceipt(s, e.Receipt)
 		}
 	}
-	s.held[at] |= holds
-	return f
+	s.held[at] |= senderHolds
+	return effects
 }
 
-func tagOf(w *sitesync.Write) (int, bool) {
+func writeIndex(w *sitesync.Write) (int, bool) {
 	var i int
 	_, err := fmt.Sscan(w.By, &i)
 	return i, err == nil
 }
 
 // receipt holds a receipt against what the province says.
-func (m *Model) receipt(s *State, r sitesync.Receipt) {
-	for i := range s.truths {
-		t := &s.truths[i]
-		if !s.made.has(i) || t.id != r.ID || t.merged > 0 {
+func (m *Model) checkReceipt(s *State, r sitesync.Receipt) {
+	for i := range s.writes {
+		info := &s.writes[i]
+		if !s.made.has(i) || info.id != r.ID || info.mergedInto > 0 {
 			continue
 		}
-		if s.judged[i] != nil {
-			s.bad |= 1 << badReceipt
+		if s.outcomes[i] != nil {
+			s.violations |= 1 << badReceipt
 		}
-		s.judged = slices.Clone(s.judged)
-		s.judged[i] = []byte{byte(r.Outcome)}
+		s.outcomes = slices.Clone(s.outcomes)
+		s.outcomes[i] = []byte{byte(r.Outcome)}
 		if !s.nodes[province].site.Judged().Has(r.ID) { // nobody above has it
-			s.bad |= 1 << badReceipt
+			s.violations |= 1 << badReceipt
 		}
 	}
 }
 
 // courier returns a site's courier for one call to a site above, with what the last answer said is known there.
-func (m *Model) courier(s *State, from, to int, credit int) *sitesync.Batch {
+func (m *Model) nextBatch(s *State, from, to int, credit int) *sitesync.Batch {
 	site := s.nodes[from].site
-	if u := site.Unoffered(); u != nil && !m.plant.noOffer {
-		m.apply(s, from, *u, 0)
+	if offer := site.Unoffered(); offer != nil && !m.bug.noOffer {
+		m.apply(s, from, *offer, 0)
 		site = s.nodes[from].site
-	} else if u != nil { // sent all the same, and not committed
+	} else if offer != nil { // sent all the same, and not committed
 		site = site.Clone()
-		site.Apply(1, *u)
+		site.Apply(1, *offer)
 	}
-	one := reach{site, names[to]}
-	b := one.call(s.known[from][to], credit)
-	if m.plant.batch != nil {
-		m.plant.batch(b)
+	caller := caller{site, siteNames[to]}
+	b := caller.batch(s.known[from][to], credit)
+	if m.bug.changeBatch != nil {
+		m.bug.changeBatch(b)
 	}
-	if m.plant.cutOnSend && len(b.Writes) > 0 {
-		d := &sitesync.StateUpdate{From: names[to], Incarnation: 1, To: site.Self().Incarnation}
+	if m.bug.discardOnSend && len(b.Writes) > 0 {
+		update := &sitesync.StateUpdate{From: siteNames[to], Incarnation: 1, To: site.Self().Incarnation}
 		for _, w := range b.Writes {
-			if w.ID.Origin.Site == names[from] {
-				d.Judged = sitesync.VersionVector{{Origin: w.ID.Origin, Number: w.ID.Number}}
+			if w.ID.Origin.Site == siteNames[from] {
+				update.Judged = sitesync.VersionVector{{Origin: w.ID.Origin, Number: w.ID.Number}}
 			}
 		}
-		m.apply(s, from, sitesync.Command{Down: d}, 0)
+		m.apply(s, from, sitesync.Command{Down: update}, 0)
 	}
-	for i, t := range s.truths {
+	for i, t := range s.writes {
 		if s.made.has(i) && m.Scenario.Writes[i].Site == from && b.Seen.Has(t.id) {
-			s.out |= 1 << i
+			s.sentWrites |= 1 << i
 		}
 	}
 	return b
@@ -432,73 +432,73 @@
 
 // send puts a call on its way.
 func (m *Model) send(s State, from, to int) (State, bool) {
-	b := m.courier(&s, from, to, 2)
-	s.sent++
-	s.put(message{from: from, to: to, call: b.Bytes()})
+	b := m.nextBatch(&s, from, to, 2)
+	s.calls++
+	s.enqueue(message{from: from, to: to, batch: b.Bytes()})
 	return s, true
 }
 
-func (s *State) put(msg message) {
-	msg.enc = append([]byte{byte(msg.from), byte(msg.to), byte(msg.holds), byte(msg.holds >> 8), 0}, msg.call...)
-	msg.enc = append(msg.enc, msg.answer...)
+func (s *State) enqueue(msg message) {
+	msg.encoded = append([]byte{byte(msg.from), byte(msg.to), byte(msg.senderHolds), byte(msg.senderHolds >> 8), 0}, msg.batch...)
+	msg.encoded = append(msg.encoded, msg.answer...)
 	if msg.answer != nil {
-		msg.enc[4] = 1
+		msg.encoded[4] = 1
 	}
-	net := append(slices.Clone(s.net), msg)
-	slices.SortFunc(net, func(a, b message) int { return bytes.Compare(a.enc, b.enc) })
-	s.net = net
+	inTransit := append(slices.Clone(s.inTransit), msg)
+	slices.SortFunc(inTransit, func(a, b message) int { return bytes.Compare(a.encoded, b.encoded) })
+	s.inTransit = inTransit
 }
 
 // arrive lets a message arrive; it stays under way if it is to come twice.
 func (m *Model) arrive(s State, i int, last bool) State {
-	msg := s.net[i]
+	msg := s.inTransit[i]
 	if last {
-		s.net = slices.Delete(slices.Clone(s.net), i, i+1)
+		s.inTransit = slices.Delete(slices.Clone(s.inTransit), i, i+1)
 	}
-	if msg.call != nil {
-		a, holds := m.called(&s, msg.to, msg.call)
-		s.put(message{from: msg.to, to: msg.from, answer: a.Bytes(), holds: holds})
+	if msg.batch != nil {
+		a, senderHolds := m.handleCall(&s, msg.to, msg.batch)
+		s.enqueue(message{from: msg.to, to: msg.from, answer: a.Bytes(), senderHolds: senderHolds})
 		return s
 	}
-	m.answered(&s, msg)
+	m.handleAnswer(&s, msg)
 	return s
 }
 
 // called takes a call in and answers it.
-func (m *Model) called(s *State, at int, call []byte) (*sitesync.Answer, tags) {
-	b, err := sitesync.ParseBatch(call)
+func (m *Model) handleCall(s *State, at int, data []byte) (*sitesync.Answer, writeSet) {
+	b, err := sitesync.ParseBatch(data)
 	if err != nil {
 		panic(err)
 	}
-	taken := *b
-	if m.plant.taken != nil {
-		m.plant.taken(at, &taken)
+	received := *b
+	if m.bug.changeReceived != nil {
+		m.bug.changeReceived(at, &received)
 	}
-	if u := s.nodes[at].site.Unoffered(); u != nil && !m.plant.noOffer {
-		m.apply(s, at, *u, 0)
+	if offer := s.nodes[at].site.Unoffered(); offer != nil && !m.bug.noOffer {
+		m.apply(s, at, *offer, 0)
 	}
-	m.apply(s, at, sitesync.Command{Batch: &taken}, 0)
+	m.apply(s, at, sitesync.Command{Batch: &received}, 0)
 	site := s.nodes[at].site
-	if m.plant.noOffer {
-		if u := site.Unoffered(); u != nil {
+	if m.bug.noOffer {
+		if offer := site.Unoffered(); offer != nil {
 			site = site.Clone()
-			site.Apply(1, *u)
+			site.Apply(1, *offer)
 		}
 	}
 	a := site.Answer(b, 2, 0)
-	for i, t := range s.truths {
+	for i, t := range s.writes {
 		if s.made.has(i) && m.Scenario.Writes[i].Site == at && a.Down.Seen.Has(t.id) {
-			s.out |= 1 << i
+			s.sentWrites |= 1 << i
 		}
 	}
-	if m.plant.answer != nil {
-		m.plant.answer(s, at, a)
+	if m.bug.changeAnswer != nil {
+		m.bug.changeAnswer(s, at, a)
 	}
-	return a, s.held[at] &^ m.evidence(func(Write) bool { return true })
+	return a, s.held[at] &^ m.evidenceWrites(func(Write) bool { return true })
 }
 
 // evidence returns the evidence of a scenario that has a property.
-func (m *Model) evidence(which func(Write) bool) (t tags) {
+func (m *Model) evidenceWrites(which func(Write) bool) (t writeSet) {
 	for i, w := range m.Scenario.Writes {
 		if w.Local.Kind == sitesync.Evidence && which(w) {
 			t |= 1 << i
@@ -508,12 +508,12 @@
 }
 
 // answered takes an answer in: what is known above, and its state, if it is whole.
-func (m *Model) answered(s *State, msg message) {
+func (m *Model) handleAnswer(s *State, msg message) {
 	a, err := sitesync.ParseAnswer(msg.answer)
 	if err != nil {
 		panic(err)
 	}
-	if m.plant.anyLife {
+	if m.bug.anyIncarnation {
 		a.Down.To = s.nodes[msg.to].site.Self().Incarnation
 	}
 	if a.Down.To != s.nodes[msg.to].site.Self().Incarnation {
@@ -523,14 +523,14 @@
 	if b := s.known[msg.to][msg.from]; b != nil {
 		known, _ = sitesync.ParseToken(string(b))
 	}
-	s.known[msg.to][msg.from] = []byte(joined(known, a.Seen).Encode())
+	s.known[msg.to][msg.from] = []byte(joinVectors(known, a.Seen).Encode())
 	if a.Down.Last || len(a.Down.Judged) > 0 {
-		m.apply(s, msg.to, sitesync.Command{Down: a.Down}, msg.holds)
+		m.apply(s, msg.to, sitesync.Command{Down: a.Down}, msg.senderHolds)
 	}
 }
 
 // joined returns a vector with all of two.
-func joined(a, b sitesync.VersionVector) sitesync.VersionVector {
+func joinVectors(a, b sitesync.VersionVector) sitesync.VersionVector {
 	list := slices.Concat(a, b)
 	slices.SortFunc(list, func(x, y sitesync.VectorEntry) int {
 		if c := x.Origin.Compare(y.Origin); c != 0 {
@@ -542,23 +542,23 @@
 }
 
 // reach is a site for one call.
-type reach struct {
+type caller struct {
 	site *sitesync.Site
 	to   string
 }
 
 // call makes the call that the site's courier would, given what it knows of the other site and has credit for.
-func (r reach) call(known []byte, credit int) *sitesync.Batch {
-	c := sitesync.NewForwarderTo(func() *sitesync.Site { return r.site }, sitesync.Timing{MaxFailures: 9}, r.to)
-	if _, hello, _ := c.Next(0); hello == nil {
+func (r caller) batch(known []byte, credit int) *sitesync.Batch {
+	forwarder := sitesync.NewForwarderTo(func() *sitesync.Site { return r.site }, sitesync.Timing{MaxFailures: 9}, r.to)
+	if _, probe, _ := forwarder.Next(0); probe == nil {
 		panic("upstreammodel: a courier makes no first call")
 	}
 	a := &sitesync.Answer{From: r.to, Incarnation: 1, Credit: credit}
 	if known != nil {
 		a.Seen, _ = sitesync.ParseToken(string(known))
 	}
-	c.Answered(0, a)
-	_, b, _ := c.Next(0)
+	forwarder.Answered(0, a)
+	_, b, _ := forwarder.Next(0)
 	return b
 }
 
@@ -568,10 +568,10 @@
 // Encode implements model.Model.
 func (m *Model) Encode(to []byte, s State) []byte {
 	for i := range s.nodes {
-		to = append(append(to, s.nodes[i].enc...), 0)
+		to = append(append(to, s.nodes[i].encoded...), 0)
 	}
-	for i := range s.net {
-		to = append(append(to, s.net[i].enc...), 0)
+	for i := range s.inTransit {
+		to = append(append(to, s.inTransit[i].encoded...), 0)
 	}
 	for i := range s.known {
 		for j := range s.known[i] {
@@ -579,77 +579,77 @@
 		}
 		to = binary.BigEndian.AppendUint16(to, uint16(s.held[i]))
 	}
-	for i := range s.truths {
-		t := &s.truths[i]
-		to = binary.BigEndian.AppendUint16(to, uint16(t.past))
-		to = append(to, byte(t.id.Number), byte(t.id.Origin.Incarnation), byte(t.merged), byte(len(s.judged[i])))
-		to = append(to, s.judged[i]...)
+	for i := range s.writes {
+		t := &s.writes[i]
+		to = binary.BigEndian.AppendUint16(to, uint16(t.observed))
+		to = append(to, byte(t.id.Number), byte(t.id.Origin.Incarnation), byte(t.mergedInto), byte(len(s.outcomes[i])))
+		to = append(to, s.outcomes[i]...)
 	}
-	for _, t := range [3]tags{s.made, s.gone, s.out} {
+	for _, t := range [3]writeSet{s.made, s.lostWrites, s.sentWrites} {
 		to = binary.BigEndian.AppendUint16(to, uint16(t))
 	}
 	lost := byte(0)
-	if s.lost {
+	if s.storeLost {
 		lost = 1
 	}
-	to = append(to, s.sent, s.losses, s.twice, lost)
-	return binary.BigEndian.AppendUint32(to, s.bad)
+	to = append(to, s.calls, s.losses, s.duplicates, lost)
+	return binary.BigEndian.AppendUint32(to, s.violations)
 }
 
 // Broken implements model.Model. A state in which nothing is under way is healed in a copy.
 func (m *Model) Broken(s State) uint32 {
-	if s.bad == 0 && len(s.net) == 0 {
-		return m.healed(s)
+	if s.violations == 0 && len(s.inTransit) == 0 {
+		return m.checkConvergence(s)
 	}
-	return s.bad
+	return s.violations
 }
 
 // healed lets a copy of the sites call, the links whole, until nothing changes any more, and says what does not hold then.
-func (m *Model) healed(s State) uint32 {
-	s.truths = slices.Clone(s.truths)
-	quiet := 0
+func (m *Model) checkConvergence(s State) uint32 {
+	s.writes = slices.Clone(s.writes)
+	unchanged := 0
 	for range 40 {
-		s = s.sealed()
-		was := s.nodes
+		s = s.withEncodings()
+		before := s.nodes
 		for from := range province {
 			for to := from + 1; to < sites; to++ {
-				m.whole(&s, from, to)
+				m.exchange(&s, from, to)
 			}
 		}
-		s = s.sealed()
+		s = s.withEncodings()
 		same := true
 		for i := range s.nodes {
-			same = same && bytes.Equal(was[i].enc, s.nodes[i].enc)
+			same = same && bytes.Equal(before[i].encoded, s.nodes[i].encoded)
 		}
-		if quiet++; !same {
-			quiet = 0
+		if unchanged++; !same {
+			unchanged = 0
 		}
-		if quiet == 2 {
+		if unchanged == 2 {
 			break
 		}
 	}
-	return s.bad | m.differ(&s)
+	return s.violations | m.differences(&s)
 }
 
 // whole makes calls from one site to another until the whole state has come down.
-func (m *Model) whole(s *State, from, to int) {
+func (m *Model) exchange(s *State, from, to int) {
 	for range 8 {
-		b := m.courier(s, from, to, 9)
-		call := b.Bytes()
-		a, holds := m.called(s, to, call)
+		b := m.nextBatch(s, from, to, 9)
+		data := b.Bytes()
+		a, senderHolds := m.handleCall(s, to, data)
 		known := sitesync.VersionVector{}
 		if k := s.known[from][to]; k != nil {
 			known, _ = sitesync.ParseToken(string(k))
 		}
-		s.known[from][to] = []byte(joined(known, a.Seen).Encode())
-		var down *sitesync.StateUpdate
+		s.known[from][to] = []byte(joinVectors(known, a.Seen).Encode())
+		var update *sitesync.StateUpdate
 		for !a.Down.Last { // the further pieces
-			down = m.pieces(down, a.Down)
-			more := *b
-			more.Writes, more.Cursor = nil, sitesync.Cursor{Incarnation: a.Incarnation, At: down.Until}
-			a, holds = m.called(s, to, more.Bytes())
+			update = m.joinChunks(update, a.Down)
+			next := *b
+			next.Writes, next.Cursor = nil, sitesync.Cursor{Incarnation: a.Incarnation, At: update.Until}
+			a, senderHolds = m.handleCall(s, to, next.Bytes())
 		}
-		m.apply(s, from, sitesync.Command{Down: m.pieces(down, a.Down)}, holds)
+		m.apply(s, from, sitesync.Command{Down: m.joinChunks(update, a.Down)}, senderHolds)
 		if len(b.Writes) == 0 {
 			return
 		}
@@ -657,64 +657,64 @@
 }
 
 // pieces puts a piece of a state behind those before it, as a courier does.
-func (m *Model) pieces(before, d *sitesync.StateUpdate) *sitesync.StateUpdate {
+func (m *Model) joinChunks(before, chunk *sitesync.StateUpdate) *sitesync.StateUpdate {
 	if before != nil {
-		d.After = before.After
-		d.Subjects = slices.Concat(before.Subjects, d.Subjects)
-		d.Writes = slices.Concat(before.Writes, d.Writes)
-		if !m.plant.pieces {
-			d.Refused = slices.Concat(before.Refused, d.Refused)
+		chunk.After = before.After
+		chunk.Subjects = slices.Concat(before.Subjects, chunk.Subjects)
+		chunk.Writes = slices.Concat(before.Writes, chunk.Writes)
+		if !m.bug.lastChunkRefusals {
+			chunk.Refused = slices.Concat(before.Refused, chunk.Refused)
 		}
 	}
-	return d
+	return chunk
 }
 
 // differ says what does not hold of sites that have called until nothing changed.
-func (m *Model) differ(s *State) (bad uint32) {
+func (m *Model) differences(s *State) (bad uint32) {
 	top := s.nodes[province].site
 	for i := range province {
-		x := s.nodes[i].site
-		own, others := x.Waiting()
-		if own+others+x.Held() > 0 || !slices.Equal(top.Seen(), x.Seen()) {
-			bad |= 1 << badSame
-		}
-		bad |= m.ownEvidence(s, i)
-		for t := range s.truths { // what was not taken is known everywhere
-			_, a := top.Refusal(s.truths[t].id)
-			if _, b := x.Refusal(s.truths[t].id); a != b {
-				bad |= 1 << badSame
+		below := s.nodes[i].site
+		own, others := below.Waiting()
+		if own+others+below.Held() > 0 || !slices.Equal(top.Seen(), below.Seen()) {
+			bad |= 1 << badDivergence
+		}
+		bad |= m.checkOwnEvidence(s, i)
+		for t := range s.writes { // what was not taken is known everywhere
+			_, a := top.Refusal(s.writes[t].id)
+			if _, b := below.Refusal(s.writes[t].id); a != b {
+				bad |= 1 << badDivergence
 			}
 		}
 		for k := sitesync.Note; int(k) < sitesync.Kinds; k++ {
-			if !slices.Equal(top.Subjects(k), x.Subjects(k)) {
-				bad |= 1 << badSame
+			if !slices.Equal(top.Subjects(k), below.Subjects(k)) {
+				bad |= 1 << badDivergence
 				continue
 			}
 			for _, name := range top.Subjects(k) {
 				a, _ := top.Value(k, name)
-				b, _ := x.Value(k, name)
+				b, _ := below.Value(k, name)
 				if a.Write.ID != b.Write.ID || !bytes.Equal(a.Value, b.Value) || len(a.Concurrent) != len(b.Concurrent) {
-					bad |= 1 << badSame
+					bad |= 1 << badDivergence
 				}
 			}
 		}
 	}
 	for i := range m.Scenario.Writes {
-		if !s.made.has(i) || s.truths[i].merged > 0 || m.Scenario.Writes[i].Site == building && s.lost && !m.Scenario.Writes[i].afterLoss {
+		if !s.made.has(i) || s.writes[i].mergedInto > 0 || m.Scenario.Writes[i].Site == building && s.storeLost && !m.Scenario.Writes[i].afterLoss {
 			continue
 		}
-		if s.judged[i] == nil {
+		if s.outcomes[i] == nil {
 			bad |= 1 << badNoReceipt
 		}
 	}
-	return bad | m.overruled(s, top) | m.sums(s, top)
+	return bad | m.checkOverwrites(s, top) | m.checkSums(s, top)
 }
 
 // ownEvidence checks that a site below the top holds what it wrote itself in this life, and nothing else.
-func (m *Model) ownEvidence(s *State, at int) (bad uint32) {
+func (m *Model) checkOwnEvidence(s *State, at int) (bad uint32) {
 	want := map[string]byte{}
 	for i, w := range m.Scenario.Writes {
-		if w.Local.Kind == sitesync.Evidence && s.made.has(i) && w.Site == at && (at != building || w.afterLoss == s.lost) {
+		if w.Local.Kind == sitesync.Evidence && s.made.has(i) && w.Site == at && (at != building || w.afterLoss == s.storeLost) {
 			want[w.Local.Subject] += w.Local.Value[0]
 		}
 	}
@@ -722,39 +722,39 @@
 	held := site.Subjects(sitesync.Evidence)
 	for _, name := range held {
 		if v, _ := site.Value(sitesync.Evidence, name); len(v.Value) != 1 || v.Value[0] != want[name] || len(v.Concurrent) > 0 {
-			bad |= 1 << badSame
+			bad |= 1 << badDivergence
 		}
 	}
 	if len(held) != len(want) {
-		bad |= 1 << badSame
+		bad |= 1 << badDivergence
 	}
 	return bad
 }
 
 // overruled checks the outcomes against the truth: a write that needs a refused one and falls with it is orphaned, and no
 // write stands beside one whose writer had seen it.
-func (m *Model) overruled(s *State, top *sitesync.Site) (bad uint32) {
+func (m *Model) checkOverwrites(s *State, top *sitesync.Site) (bad uint32) {
 	for i, w := range m.Scenario.Writes {
 		for _, n := range w.needs {
-			if s.judged[i] == nil || s.judged[n] == nil || w.Local.Kind != sitesync.Work {
+			if s.outcomes[i] == nil || s.outcomes[n] == nil || w.Local.Kind != sitesync.Work {
 				continue
 			}
-			fell := sitesync.Outcome(s.judged[n][0]) >= sitesync.Refused
-			if fell && sitesync.Outcome(s.judged[i][0]) < sitesync.Refused {
-				bad |= 1 << badOverruled
+			notApplied := sitesync.Outcome(s.outcomes[n][0]) >= sitesync.Refused
+			if notApplied && sitesync.Outcome(s.outcomes[i][0]) < sitesync.Refused {
+				bad |= 1 << badOverwrite
 			}
 		}
 	}
 	for k := range sitesync.Kind(sitesync.Kinds) {
 		for _, name := range top.Subjects(k) {
 			v, _ := top.Value(k, name)
-			stand := append([]sitesync.Write{v.Write}, v.Concurrent...)
-			for a := range stand {
-				for b := range stand {
-					i, ok := tagOf(&stand[a])
-					j, fine := tagOf(&stand[b])
-					if ok && fine && i != j && k != sitesync.Evidence && s.truths[i].past.has(j) {
-						bad |= 1 << badOverruled
+			current := append([]sitesync.Write{v.Write}, v.Concurrent...)
+			for a := range current {
+				for b := range current {
+					i, ok := writeIndex(&current[a])
+					j, alsoOK := writeIndex(&current[b])
+					if ok && alsoOK && i != j && k != sitesync.Evidence && s.writes[i].observed.has(j) {
+						bad |= 1 << badOverwrite
 					}
 				}
 			}
@@ -764,14 +764,14 @@
 }
 
 // sums checks that evidence that was not lost with a store counts once.
-func (m *Model) sums(s *State, top *sitesync.Site) (bad uint32) {
+func (m *Model) checkSums(s *State, top *sitesync.Site) (bad uint32) {
 	want, atLeast := map[string]byte{}, map[string]byte{}
 	for i, w := range m.Scenario.Writes {
 		if w.Local.Kind != sitesync.Evidence || !s.made.has(i) {
 			continue
 		}
 		want[w.Local.Subject] += w.Local.Value[0]
-		if !(s.lost && w.Site == building && !w.afterLoss) {
+		if !(s.storeLost && w.Site == building && !w.afterLoss) {
 			atLeast[w.Local.Subject] += w.Local.Value[0]
 		}
 	}
@@ -805,19 +805,19 @@
 	switch by &^ 255 {
 	case opWrite:
 		w := m.Scenario.Writes[i]
-		return fmt.Sprintf("the %s writes %s %s: %q", names[w.Site], w.Local.Kind, w.Local.Subject, w.Local.Value)
+		return fmt.Sprintf("the %s writes %s %s: %q", siteNames[w.Site], w.Local.Kind, w.Local.Subject, w.Local.Value)
 	case opSend:
-		return fmt.Sprintf("the %s calls the %s", names[i/sites], names[i%sites])
-	case opLostStore:
+		return fmt.Sprintf("the %s calls the %s", siteNames[i/sites], siteNames[i%sites])
+	case opLoseStore:
 		return "the building loses its store"
 	}
-	msg := s.net[i]
-	what := "call"
+	msg := s.inTransit[i]
+	kind := "call"
 	if msg.answer != nil {
-		what = "answer"
+		kind = "answer"
 	}
-	verb := map[model.Step]string{opArrive: "arrives", opTwice: "arrives, and will again", opLose: "is lost"}[by&^255]
-	return fmt.Sprintf("the %s of the %s to the %s %s", what, names[msg.from], names[msg.to], verb)
+	verb := map[model.Step]string{opArrive: "arrives", opDuplicate: "arrives, and will again", opLose: "is lost"}[by&^255]
+	return fmt.Sprintf("the %s of the %s to the %s %s", kind, siteNames[msg.from], siteNames[msg.to], verb)
 }
 
 // Expected says that no scenario by itself has to show anything: all of them do together.
@@ -825,9 +825,9 @@
 
 // Covered implements model.Coverer.
 func (m *Model) Covered(s State) (b uint64) {
-	for i := range s.judged {
-		if s.judged[i] != nil {
-			b |= 1 << (s.judged[i][0] - 1)
+	for i := range s.outcomes {
+		if s.outcomes[i] != nil {
+			b |= 1 << (s.outcomes[i][0] - 1)
 		}
 	}
 	for i := range s.nodes {
@@ -835,14 +835,14 @@
 			b |= 1 << 4
 		}
 	}
-	if s.gone != 0 {
+	if s.lostWrites != 0 {
 		b |= 1 << 5
 	}
-	if len(s.net) > 1 {
+	if len(s.inTransit) > 1 {
 		b |= 1 << 6
 	}
-	for i := range s.truths {
-		if s.truths[i].merged > 0 {
+	for i := range s.writes {
+		if s.writes[i].mergedInto > 0 {
 			b |= 1 << 7
 		}
 	}
@@ -855,7 +855,7 @@
 }
 
 // Tell returns a run as text.
-func Tell(m *Model, t model.Trace[State]) string {
+func FormatTrace(m *Model, t model.Trace[State]) string {
 	var b strings.Builder
 	for i, step := range t.Steps {
 		fmt.Fprintln(&b, m.Describe(t.States[i], step, t.States[i+1]))
--- a/rehearsal/upstreammodel/scenario.go
+++ b/rehearsal/upstreammodel/scenario.go
@@ -7,24 +7,24 @@
 	Site      int
 	Local     sitesync.LocalWrite
 	needs     []int // writes that it needs, by their places: it is made where they are known
-	token     int   // site whose token is presented, plus one
+	tokenSite int   // site whose token is presented, plus one
 	after     int   // the write that was made before it, plus one
 	afterLoss bool  // in the building's second life
 }
 
 // Scenario is a case by itself: writes that are made at any time, and the bounds of the network.
 type Scenario struct {
-	Name, About string
-	Writes      []Write
-	Sends       int
-	Losses      int
-	Twice       int
-	Lost        bool // the building loses its store once
-	NoRelay     bool // the building calls the province only
+	Name, About   string
+	Writes        []Write
+	MaxCalls      int
+	MaxLosses     int
+	MaxDuplicates int
+	StoreLoss     bool // the building loses its store once
+	NoRelay       bool // the building calls the province only
 }
 
-func local(k sitesync.Kind, thing, value string) sitesync.LocalWrite {
-	return sitesync.LocalWrite{Kind: k, Subject: thing, Value: []byte(value)}
+func local(k sitesync.Kind, subject, value string) sitesync.LocalWrite {
+	return sitesync.LocalWrite{Kind: k, Subject: subject, Value: []byte(value)}
 }
 
 func urgent(l sitesync.LocalWrite) sitesync.LocalWrite {
@@ -44,47 +44,47 @@
 			{Site: building, Local: local(sitesync.Safety, "host/1", "back"), after: 1},
 			{Site: building, Local: urgent(local(sitesync.Safety, "host/2", "out")), after: 2},
 			{Site: province, Local: local(sitesync.Safety, "host/1", "out smoke")},
-		}, Sends: 2, Losses: 1},
+		}, MaxCalls: 2, MaxLosses: 1},
 	{Name: "concurrent", About: "all three write on one thing",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Policy, "policy/1", "halt")},
 			{Site: regency, Local: local(sitesync.Policy, "policy/1", "begin")},
 			{Site: province, Local: local(sitesync.Policy, "policy/1", "resume")},
 			{Site: building, Local: urgent(local(sitesync.Policy, "policy/1", "force")), after: 1},
-		}, Sends: 2},
+		}, MaxCalls: 2},
 	{Name: "token", About: "an operator goes from the regency to the building, which goes on to the province",
 		Writes: []Write{
 			{Site: regency, Local: local(sitesync.Work, "host/1", "asked")},
-			{Site: building, Local: local(sitesync.Work, "host/1", "begun"), token: regency + 1, after: 1},
+			{Site: building, Local: local(sitesync.Work, "host/1", "begun"), tokenSite: regency + 1, after: 1},
 			{Site: building, Local: urgent(local(sitesync.Work, "host/1", "done")), after: 2},
-		}, Sends: 2, Losses: 1, Twice: 1},
+		}, MaxCalls: 2, MaxLosses: 1, MaxDuplicates: 1},
 	{Name: "closed", About: "the province closes what others write about",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Work, "host/1", "asked")},
 			{Site: building, Local: local(sitesync.Work, "host/2", "begun"), needs: []int{0}},
 			{Site: building, Local: local(sitesync.Note, "policy/1", "seen"), needs: []int{0}},
 			{Site: province, Local: closing(local(sitesync.Work, "host/1", "taken off"))},
-		}, Sends: 2, Losses: 1},
+		}, MaxCalls: 2, MaxLosses: 1},
 	{Name: "pieces", About: "a state comes down in pieces, with a refusal before the last one",
 		Writes: []Write{
-			{Site: building, Local: local(sitesync.Work, "host/1", "asked"), token: province + 1, after: 2},
+			{Site: building, Local: local(sitesync.Work, "host/1", "asked"), tokenSite: province + 1, after: 2},
 			{Site: province, Local: closing(local(sitesync.Work, "host/1", "taken off"))},
 			{Site: province, Local: local(sitesync.Note, "policy/1", "a"), after: 2},
 			{Site: province, Local: local(sitesync.Note, "policy/2", "b"), after: 3},
-		}, Sends: 2, Losses: 1, NoRelay: true},
+		}, MaxCalls: 2, MaxLosses: 1, NoRelay: true},
 	{Name: "lost-store", About: "the building loses its store; somebody depends on what it had not sent",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Work, "host/1", "asked")},
-			{Site: regency, Local: local(sitesync.Work, "host/1", "begun"), token: building + 1},
+			{Site: regency, Local: local(sitesync.Work, "host/1", "begun"), tokenSite: building + 1},
 			{Site: building, Local: local(sitesync.Safety, "host/1", "out"), afterLoss: true},
-		}, Sends: 2, Twice: 1, Lost: true},
+		}, MaxCalls: 2, MaxDuplicates: 1, StoreLoss: true},
 	{Name: "evidence", About: "evidence that is merged before it leaves, or not, with a lost store",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Evidence, "policy/1", "\x01")},
 			{Site: building, Local: local(sitesync.Evidence, "policy/1", "\x02"), after: 1},
 			{Site: building, Local: local(sitesync.Evidence, "policy/1", "\x04"), afterLoss: true},
 			{Site: regency, Local: local(sitesync.Evidence, "policy/1", "\x08")},
-		}, Sends: 2, Losses: 1, Lost: true},
+		}, MaxCalls: 2, MaxLosses: 1, StoreLoss: true},
 }
 
 // Scenarios lists the scenarios.
--- a/rehearsal/upstreammodel/storm.go
+++ b/rehearsal/upstreammodel/storm.go
@@ -13,148 +13,148 @@
 )
 
 // Storm is many sites that were cut off from one province and come back at once, in virtual time.
-type Storm struct {
+type ReconnectStorm struct {
 	Sites  int
 	Writes int // of each site, while it was cut off
 	Seed   uint64
 }
 
 // Figures is what a storm came to.
-type Figures struct {
-	Virtual   time.Duration // from the return of the links until the province has all writes
-	Quiet     time.Duration // until every site holds what the province holds, and has its receipts
-	Wall      time.Duration
-	Heap      uint64 // bytes in use at most, by the runtime's count
-	Calls     int
-	Usual     time.Duration // p99 of the province's own writes without the storm
-	Live      time.Duration // and in it
-	Applied   int           // writes of the sites that the province applied
-	Receipts  int           // that reached the sites
-	Written   int           // by the sites
-	Merged    int           // evidence that took no place of its own
-	Same      bool          // all sites held the same things in the end
-	Early     int           // writes applied before one that they depend on
-	Twice     int           // writes applied twice
-	Overruled int           // writes that an earlier one, which their writer had seen, was put over
-	Silent    int           // writes that were given up and nobody was told
+type Results struct {
+	AllApplied         time.Duration // from the return of the links until the province has all writes
+	AllCurrent         time.Duration // until every site holds what the province holds, and has its receipts
+	WallTime           time.Duration
+	MaxHeap            uint64 // bytes in use at most, by the runtime's count
+	Calls              int
+	UsualP99           time.Duration // p99 of the province's own writes without the storm
+	LoadedP99          time.Duration // and in it
+	Applied            int           // writes of the sites that the province applied
+	Receipts           int           // that reached the sites
+	Written            int           // by the sites
+	Merged             int           // evidence that took no place of its own
+	Converged          bool          // all sites held the same things in the end
+	OutOfOrder         int           // writes applied before one that they depend on
+	AppliedTwice       int           // writes applied twice
+	WronglyOverwritten int           // writes that an earlier one, which their writer had seen, was put over
+	DroppedSilently    int           // writes that were given up and nobody was told
 }
 
 // The figures of the province's council and of the network.
 const (
-	commit   = 2 * time.Millisecond   // an entry of the log
-	perWrite = 20 * time.Microsecond  // and each write in it
-	trip     = 5 * time.Millisecond   // one way
-	liveEach = 25 * time.Millisecond  // between two of the province's own writes, on average
-	timeout  = 500 * time.Millisecond // of a call
-	lossOf   = 20                     // one answer of so many is lost
-	chunk    = 32                     // writes in one call
-	plainOf  = 32                     // the same, in the plain way
+	commitTime         = 2 * time.Millisecond   // an entry of the log
+	commitTimePerWrite = 20 * time.Microsecond  // and each write in it
+	oneWayDelay        = 5 * time.Millisecond   // one way
+	localWriteInterval = 25 * time.Millisecond  // between two of the province's own writes, on average
+	callTimeout        = 500 * time.Millisecond // of a call
+	lossOneIn          = 20                     // one answer of so many is lost
+	batchSize          = 32                     // writes in one call
+	plainBatchSize     = 32                     // the same, in the plain way
 )
 
 // event is something that happens at a time.
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at     time.Duration
+	seq    int
+	action func()
 }
 
 // agenda is the events to come, the first one first.
-type agenda struct {
+type eventQueue struct {
 	list []event
 	seq  int
 	now  time.Duration
 }
 
-func (a *agenda) Len() int { return len(a.list) }
-func (a *agenda) Less(i, j int) bool {
+func (a *eventQueue) Len() int { return len(a.list) }
+func (a *eventQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(a.list[i].at, a.list[j].at), cmp.Compare(a.list[i].seq, a.list[j].seq)) < 0
 }
-func (a *agenda) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
-func (a *agenda) Push(x any)    { a.list = append(a.list, x.(event)) }
-func (a *agenda) Pop() any {
+func (a *eventQueue) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
+func (a *eventQueue) Push(x any)    { a.list = append(a.list, x.(event)) }
+func (a *eventQueue) Pop() any {
 	e := a.list[len(a.list)-1]
 	a.list = a.list[:len(a.list)-1]
 	return e
 }
 
-func (a *agenda) after(d time.Duration, do func()) {
+func (a *eventQueue) schedule(d time.Duration, action func()) {
 	a.seq++
-	heap.Push(a, event{a.now + max(0, d), a.seq, do})
+	heap.Push(a, event{a.now + max(0, d), a.seq, action})
 }
 
 // run lets everything happen until done says so or nothing is left.
-func (a *agenda) run(done func() bool) {
+func (a *eventQueue) run(done func() bool) {
 	for len(a.list) > 0 && !done() {
 		e := heap.Pop(a).(event)
 		a.now = e.at
-		e.do()
+		e.action()
 	}
 }
 
 // entry is something that the province's council is to commit.
 type entry struct {
 	cost time.Duration
-	then func()
+	done func()
 }
 
 // council commits one entry after the other, those of its own writes first if it is told so.
-type council struct {
-	a         *agenda
-	own, rest []entry
-	busy      bool
-	ownFirst  bool
+type raftLog struct {
+	events        *eventQueue
+	local, others []entry
+	busy          bool
+	localFirst    bool
 }
 
-func (c *council) propose(own bool, e entry) {
-	if own && c.ownFirst {
-		c.own = append(c.own, e)
+func (c *raftLog) propose(local bool, e entry) {
+	if local && c.localFirst {
+		c.local = append(c.local, e)
 	} else {
-		c.rest = append(c.rest, e)
+		c.others = append(c.others, e)
 	}
 	c.next()
 }
 
-func (c *council) next() {
-	if c.busy || len(c.own)+len(c.rest) == 0 {
+func (c *raftLog) next() {
+	if c.busy || len(c.local)+len(c.others) == 0 {
 		return
 	}
-	from := &c.rest
-	if len(c.own) > 0 {
-		from = &c.own
+	queue := &c.others
+	if len(c.local) > 0 {
+		queue = &c.local
 	}
-	e := (*from)[0]
-	*from = (*from)[1:]
+	e := (*queue)[0]
+	*queue = (*queue)[1:]
 	c.busy = true
-	c.a.after(e.cost, func() {
+	c.events.schedule(e.cost, func() {
 		c.busy = false
-		e.then()
+		e.done()
 		c.next()
 	})
 }
 
 // world is the sites with the province.
 type world struct {
-	Storm
-	a      agenda
-	rand   *rand.Rand
-	top    *sitesync.Site
-	edge   []*sitesync.Site
-	queues [][]*sitesync.Write // what each site wrote, in its order
-	fig    Figures
-	live   []time.Duration
-	rules  council
+	ReconnectStorm
+	events         eventQueue
+	rand           *rand.Rand
+	province       *sitesync.Site
+	sites          []*sitesync.Site
+	queues         [][]*sitesync.Write // what each site wrote, in its order
+	results        Results
+	localLatencies []time.Duration
+	log            raftLog
 }
 
-var stormLimits = sitesync.Limits{Bytes: 64 << 20, Number: 40000, Age: 1000 * time.Hour, Batch: chunk, Held: 256}
+var stormLimits = sitesync.Limits{Bytes: 64 << 20, Number: 40000, Age: 1000 * time.Hour, Batch: batchSize, Held: 256}
 
 // gather makes the province and the sites with their queues. Operators go from site to site with tokens.
-func gather(s Storm) (*world, error) {
-	w := &world{Storm: s, rand: rand.New(rand.NewPCG(s.Seed, 7))}
-	w.rules.a = &w.a
-	w.top = sitesync.New(sitesync.Place{Site: "province", Incarnation: 1, StoreCreated: 1}, stormLimits).WithMerge(addUp)
+func newWorld(s ReconnectStorm) (*world, error) {
+	w := &world{ReconnectStorm: s, rand: rand.New(rand.NewPCG(s.Seed, 7))}
+	w.log.events = &w.events
+	w.province = sitesync.New(sitesync.Place{Site: "province", Incarnation: 1, StoreCreated: 1}, stormLimits).WithMerge(addEvidence)
 	for i := range s.Sites {
 		p := sitesync.Place{Site: fmt.Sprintf("site-%02d", i), Level: 1, Incarnation: uint64(i) + 1, StoreCreated: 1, Ancestors: []string{"province"}}
-		w.edge = append(w.edge, sitesync.New(p, stormLimits).WithMerge(addUp))
+		w.sites = append(w.sites, sitesync.New(p, stormLimits).WithMerge(addEvidence))
 	}
 	w.queues = make([][]*sitesync.Write, s.Sites)
 	skew := make([]time.Duration, s.Sites)
@@ -162,8 +162,8 @@
 		skew[i] = time.Duration(w.rand.IntN(30000)) * time.Millisecond
 	}
 	for n := range s.Writes {
-		for i, site := range w.edge {
-			if err := w.write(i, site, n, skew[i]); err != nil {
+		for i, site := range w.sites {
+			if err := w.makeWrite(i, site, n, skew[i]); err != nil {
 				return nil, err
 			}
 		}
@@ -172,7 +172,7 @@
 }
 
 // write makes one write at a site: half on things of its own, some on what all write about, one in a hundred urgent.
-func (w *world) write(i int, site *sitesync.Site, n int, skew time.Duration) error {
+func (w *world) makeWrite(i int, site *sitesync.Site, n int, skew time.Duration) error {
 	l := &sitesync.LocalWrite{}
 	switch r := w.rand.IntN(100); {
 	case r < 30:
@@ -189,20 +189,20 @@
 		l.Urgent = r >= 99
 	}
 	if l.Kind != sitesync.Evidence && w.rand.IntN(100) == 0 {
-		l.Token = w.edge[w.rand.IntN(len(w.edge))].Token()
+		l.Token = w.sites[w.rand.IntN(len(w.sites))].Token()
 	}
 	for _, e := range site.Apply(time.Duration(n)*time.Second+skew, sitesync.Command{Write: l}) {
 		switch e.Kind {
 		case sitesync.EffectApplied:
 			w.queues[i] = append(w.queues[i], e.Write)
 		case sitesync.EffectMerged:
-			w.fig.Merged++
-			w.queues[i][len(w.queues[i])-1] = w.latest(i, e.Write)
+			w.results.Merged++
+			w.queues[i][len(w.queues[i])-1] = w.replaceMerged(i, e.Write)
 		case sitesync.EffectRefused:
 			return e.Err
 		}
 	}
-	w.fig.Written++
+	w.results.Written++
 	if n%50 == 49 { // so that not all evidence is one write
 		if u := site.Unoffered(); u != nil {
 			site.Apply(0, *u)
@@ -212,7 +212,7 @@
 }
 
 // latest puts a merged write in the place of what it was before, and returns the last one of the queue.
-func (w *world) latest(i int, m *sitesync.Write) *sitesync.Write {
+func (w *world) replaceMerged(i int, m *sitesync.Write) *sitesync.Write {
 	q := w.queues[i]
 	for j := len(q) - 1; j >= 0; j-- {
 		if q[j].ID == m.ID {
@@ -224,19 +224,19 @@
 }
 
 // ownWrites lets the province write: every so often, a host out or back.
-func (w *world) ownWrites(until func() bool, commitOne func(n int, cost time.Duration, then func())) {
+func (w *world) writeAtProvince(done func() bool, commitOne func(n int, cost time.Duration, committed func())) {
 	n := 0
 	var next func()
 	next = func() {
-		if until() {
+		if done() {
 			return
 		}
 		n++
-		begun := w.a.now
-		commitOne(n, commit+perWrite, func() { w.live = append(w.live, w.a.now-begun) })
-		w.a.after(time.Duration(w.rand.ExpFloat64()*float64(liveEach)), next)
+		started := w.events.now
+		commitOne(n, commitTime+commitTimePerWrite, func() { w.localLatencies = append(w.localLatencies, w.events.now-started) })
+		w.events.schedule(time.Duration(w.rand.ExpFloat64()*float64(localWriteInterval)), next)
 	}
-	w.a.after(0, next)
+	w.events.schedule(0, next)
 }
 
 func p99(list []time.Duration) time.Duration {
@@ -248,189 +248,189 @@
 }
 
 // usual returns the p99 of the province's own writes when nothing else goes on.
-func usual(seed uint64) time.Duration {
+func usualP99(seed uint64) time.Duration {
 	w := &world{rand: rand.New(rand.NewPCG(seed, 8))}
-	w.rules = council{a: &w.a, ownFirst: true}
-	w.ownWrites(func() bool { return len(w.live) >= 2000 }, func(_ int, cost time.Duration, then func()) {
-		w.rules.propose(true, entry{cost, then})
+	w.log = raftLog{events: &w.events, localFirst: true}
+	w.writeAtProvince(func() bool { return len(w.localLatencies) >= 2000 }, func(_ int, cost time.Duration, committed func()) {
+		w.log.propose(true, entry{cost, committed})
 	})
-	w.a.run(func() bool { return len(w.live) >= 2000 })
-	return p99(w.live)
+	w.events.run(func() bool { return len(w.localLatencies) >= 2000 })
+	return p99(w.localLatencies)
 }
 
 // Replay lets the sites come back with credits, jitter and the province's own writes first.
-func (s Storm) Replay() (*Figures, error) {
-	begun := time.Now()
-	w, err := gather(s)
+func (s ReconnectStorm) Replay() (*Results, error) {
+	started := time.Now()
+	w, err := newWorld(s)
 	if err != nil {
 		return nil, err
 	}
-	w.rules.ownFirst = true
-	budget := sitesync.Budget{Rate: 8000, Batch: chunk, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: chunk}
-	teller := sitesync.NewCreditScheduler(budget)
-	pace := sitesync.Timing{PollInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 5, ReturnInterval: time.Minute}
-	seen := map[sitesync.ID]bool{}
-	covers := map[sitesync.Origin]uint64{}
-	quiet := make([]bool, s.Sites)
-	left := s.Sites
+	w.log.localFirst = true
+	budget := sitesync.Budget{Rate: 8000, Batch: batchSize, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: batchSize}
+	scheduler := sitesync.NewCreditScheduler(budget)
+	timing := sitesync.Timing{PollInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 5, ReturnInterval: time.Minute}
+	applied := map[sitesync.ID]bool{}
+	appliedUpTo := map[sitesync.Origin]uint64{}
+	current := make([]bool, s.Sites)
+	remaining := s.Sites
 	total := 0
 	for i := range w.queues {
 		total += len(w.queues[i])
 	}
-	all := func() bool { return left == 0 }
-	w.ownWrites(all, func(n int, cost time.Duration, then func()) {
-		teller.CountLocalWrite(w.a.now)
-		w.rules.propose(true, entry{cost, func() {
+	allCurrent := func() bool { return remaining == 0 }
+	w.writeAtProvince(allCurrent, func(n int, cost time.Duration, committed func()) {
+		scheduler.CountLocalWrite(w.events.now)
+		w.log.propose(true, entry{cost, func() {
 			l := &sitesync.LocalWrite{Kind: sitesync.Safety, Subject: fmt.Sprint("host/p-", n%50), Value: []byte("out")}
-			w.top.Apply(w.a.now, sitesync.Command{Write: l})
-			then()
+			w.province.Apply(w.events.now, sitesync.Command{Write: l})
+			committed()
 		}})
 	})
-	for i := range w.edge {
-		c := sitesync.NewForwarder(func() *sitesync.Site { return w.edge[i] }, pace)
-		var turn func()
-		turn = func() {
-			if all() {
+	for i := range w.sites {
+		forwarder := sitesync.NewForwarder(func() *sitesync.Site { return w.sites[i] }, timing)
+		var callNext func()
+		callNext = func() {
+			if allCurrent() {
 				return
 			}
-			if o := c.Offer(); o != nil {
-				w.edge[i].Apply(w.a.now, *o)
+			if offer := forwarder.Offer(); offer != nil {
+				w.sites[i].Apply(w.events.now, *offer)
 			}
-			_, b, wait := c.Next(w.a.now)
+			_, b, wait := forwarder.Next(w.events.now)
 			if b == nil {
-				w.a.after(max(wait, time.Millisecond), turn)
+				w.events.schedule(max(wait, time.Millisecond), callNext)
 				return
 			}
-			w.fig.Calls++
+			w.results.Calls++
 			data := b.Bytes()
-			lost := w.rand.IntN(lossOf) == 0
-			w.a.after(trip, func() {
+			lost := w.rand.IntN(lossOneIn) == 0
+			w.events.schedule(oneWayDelay, func() {
 				b, err := sitesync.ParseBatch(data)
 				if err != nil {
 					panic(err)
 				}
-				admitted := teller.Admit(b) == nil
+				admitted := scheduler.Admit(b) == nil
 				if !admitted {
 					b.Writes = nil
 				}
 				answer := func() {
-					credit, wait := teller.Grant(w.a.now, b, w.top.Room())
-					data := w.top.Answer(b, credit, wait).Bytes()
+					credit, wait := scheduler.Grant(w.events.now, b, w.province.Room())
+					data := w.province.Answer(b, credit, wait).Bytes()
 					if lost {
-						w.a.after(timeout-trip, func() { c.Failed(w.a.now); turn() })
+						w.events.schedule(callTimeout-oneWayDelay, func() { forwarder.Failed(w.events.now); callNext() })
 						return
 					}
-					w.a.after(trip, func() {
+					w.events.schedule(oneWayDelay, func() {
 						a, err := sitesync.ParseAnswer(data)
 						if err != nil {
 							panic(err)
 						}
-						if cmd := c.Answered(w.a.now, a); cmd != nil {
-							for _, e := range w.edge[i].Apply(w.a.now, *cmd) {
+						if cmd := forwarder.Answered(w.events.now, a); cmd != nil {
+							for _, e := range w.sites[i].Apply(w.events.now, *cmd) {
 								if e.Kind == sitesync.EffectReceipt {
-									w.fig.Receipts++
+									w.results.Receipts++
 								}
 							}
 						}
-						if own, _ := w.edge[i].Waiting(); own == 0 && !quiet[i] && w.fig.Applied == total && a.Down != nil && a.Down.Last {
-							quiet[i] = true
-							left--
+						if own, _ := w.sites[i].Waiting(); own == 0 && !current[i] && w.results.Applied == total && a.Down != nil && a.Down.Last {
+							current[i] = true
+							remaining--
 						}
-						turn()
+						callNext()
 					})
 				}
 				if len(b.Writes) == 0 {
 					answer()
 					return
 				}
-				w.rules.propose(false, entry{commit + time.Duration(len(b.Writes))*perWrite, func() {
-					for _, e := range w.top.Apply(w.a.now, sitesync.Command{Batch: b}) {
+				w.log.propose(false, entry{commitTime + time.Duration(len(b.Writes))*commitTimePerWrite, func() {
+					for _, e := range w.province.Apply(w.events.now, sitesync.Command{Batch: b}) {
 						if e.Kind == sitesync.EffectApplied {
-							w.note(e.Write, seen, covers)
+							w.recordApplied(e.Write, applied, appliedUpTo)
 						}
 					}
-					if w.fig.Applied == total && w.fig.Virtual == 0 {
-						w.fig.Virtual = w.a.now
+					if w.results.Applied == total && w.results.AllApplied == 0 {
+						w.results.AllApplied = w.events.now
 					}
 					answer()
 				}})
 			})
 		}
-		w.a.after(time.Duration(w.rand.IntN(100))*time.Millisecond, turn)
+		w.events.schedule(time.Duration(w.rand.IntN(100))*time.Millisecond, callNext)
 		if i == 0 {
-			w.heap()
+			w.sampleHeap()
 		}
 	}
 	samples := 0
-	w.a.run(func() bool {
+	w.events.run(func() bool {
 		if samples++; samples%20000 == 0 {
-			w.heap()
+			w.sampleHeap()
 		}
-		return all() || w.a.now > time.Hour
+		return allCurrent() || w.events.now > time.Hour
 	})
-	w.heap()
-	w.fig.Quiet, w.fig.Usual, w.fig.Live = w.a.now, usual(s.Seed), p99(w.live)
-	w.fig.Same = w.same(all())
-	w.fig.Wall = time.Since(begun)
-	return &w.fig, nil
+	w.sampleHeap()
+	w.results.AllCurrent, w.results.UsualP99, w.results.LoadedP99 = w.events.now, usualP99(s.Seed), p99(w.localLatencies)
+	w.results.Converged = w.converged(allCurrent())
+	w.results.WallTime = time.Since(started)
+	return &w.results, nil
 }
 
 // note holds an application at the province against what the write depends on.
-func (w *world) note(x *sitesync.Write, seen map[sitesync.ID]bool, covers map[sitesync.Origin]uint64) {
-	if seen[x.ID] {
-		w.fig.Twice++
+func (w *world) recordApplied(write *sitesync.Write, applied map[sitesync.ID]bool, appliedUpTo map[sitesync.Origin]uint64) {
+	if applied[write.ID] {
+		w.results.AppliedTwice++
 	}
-	seen[x.ID] = true
-	if x.ID.Number != covers[x.ID.Origin]+1 || slices.ContainsFunc(x.Dependencies, func(m sitesync.VectorEntry) bool {
-		return m.Origin.Site != "province" && m.Number > covers[m.Origin]
+	applied[write.ID] = true
+	if write.ID.Number != appliedUpTo[write.ID.Origin]+1 || slices.ContainsFunc(write.Dependencies, func(m sitesync.VectorEntry) bool {
+		return m.Origin.Site != "province" && m.Number > appliedUpTo[m.Origin]
 	}) {
-		w.fig.Early++
+		w.results.OutOfOrder++
 	}
-	covers[x.ID.Origin] = max(covers[x.ID.Origin], x.ID.Number)
-	w.fig.Applied++
+	appliedUpTo[write.ID.Origin] = max(appliedUpTo[write.ID.Origin], write.ID.Number)
+	w.results.Applied++
 }
 
-func (w *world) heap() {
+func (w *world) sampleHeap() {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	w.fig.Heap = max(w.fig.Heap, m.HeapInuse)
+	w.results.MaxHeap = max(w.results.MaxHeap, m.HeapInuse)
 }
 
 // same says whether every site has seen what the others have, of things that the province wrote after the last call aside.
-func (w *world) same(ended bool) bool {
+func (w *world) converged(ended bool) bool {
 	if !ended {
 		return false
 	}
-	for _, site := range w.edge {
-		c := sitesync.NewForwarder(func() *sitesync.Site { return site }, sitesync.Timing{MaxFailures: 1})
-		for range 4 + len(w.top.Subjects(sitesync.Safety))*w.Sites/chunk {
-			_, b, _ := c.Next(w.a.now + 100*time.Hour)
+	for _, site := range w.sites {
+		forwarder := sitesync.NewForwarder(func() *sitesync.Site { return site }, sitesync.Timing{MaxFailures: 1})
+		for range 4 + len(w.province.Subjects(sitesync.Safety))*w.Sites/batchSize {
+			_, b, _ := forwarder.Next(w.events.now + 100*time.Hour)
 			if b == nil {
 				return false
 			}
-			a := w.top.Answer(b, 0, 0)
-			if cmd := c.Answered(0, a); cmd != nil {
-				site.Apply(w.a.now, *cmd)
+			a := w.province.Answer(b, 0, 0)
+			if cmd := forwarder.Answered(0, a); cmd != nil {
+				site.Apply(w.events.now, *cmd)
 			}
 			if a.Down.Last {
 				break
 			}
 		}
-		if !slices.Equal(site.Seen(), w.top.Seen()) {
+		if !slices.Equal(site.Seen(), w.province.Seen()) {
 			return false
 		}
-		for _, name := range w.top.Subjects(sitesync.Evidence) { // of each site, the top has what the site has
-			all, _ := w.top.Value(sitesync.Evidence, name)
-			own, any := site.Value(sitesync.Evidence, name)
-			if any && !slices.ContainsFunc(append(all.Concurrent, all.Write), func(x sitesync.Write) bool {
+		for _, name := range w.province.Subjects(sitesync.Evidence) { // of each site, the top has what the site has
+			all, _ := w.province.Value(sitesync.Evidence, name)
+			own, found := site.Value(sitesync.Evidence, name)
+			if found && !slices.ContainsFunc(append(all.Concurrent, all.Write), func(x sitesync.Write) bool {
 				return x.ID == own.Write.ID && string(x.Value) == string(own.Value)
 			}) {
 				return false
 			}
 		}
 		for k := sitesync.Note; int(k) < sitesync.Kinds; k++ {
-			for _, name := range w.top.Subjects(k) {
-				a, _ := w.top.Value(k, name)
+			for _, name := range w.province.Subjects(k) {
+				a, _ := w.province.Value(k, name)
 				b, _ := site.Value(k, name)
 				if a.Write.ID != b.Write.ID || string(a.Value) != string(b.Value) {
 					return false
@@ -443,103 +443,103 @@
 
 // Plain lets the same sites come back in the plain way: each sends its queue as fast as it is answered, again from the last
 // answer when an answer is late; of two writes on a thing the one with the later time is kept.
-func (s Storm) Plain() (*Figures, error) {
-	begun := time.Now()
-	w, err := gather(s)
+func (s ReconnectStorm) Plain() (*Results, error) {
+	started := time.Now()
+	w, err := newWorld(s)
 	if err != nil {
 		return nil, err
 	}
-	type at struct {
-		kind  sitesync.Kind
-		thing string
+	type subjectKey struct {
+		kind    sitesync.Kind
+		subject string
 	}
-	now := map[at]*sitesync.Write{}
-	seen := map[sitesync.ID]bool{}
-	covers := map[sitesync.Origin]uint64{}
-	left := s.Sites
-	w.ownWrites(func() bool { return left == 0 }, func(_ int, cost time.Duration, then func()) {
-		w.rules.propose(true, entry{cost, then})
+	current := map[subjectKey]*sitesync.Write{}
+	applied := map[sitesync.ID]bool{}
+	appliedUpTo := map[sitesync.Origin]uint64{}
+	remaining := s.Sites
+	w.writeAtProvince(func() bool { return remaining == 0 }, func(_ int, cost time.Duration, committed func()) {
+		w.log.propose(true, entry{cost, committed})
 	})
-	take := func(x *sitesync.Write) {
-		w.note(x, seen, covers)
-		k := at{x.Kind, x.Subject}
-		was := now[k]
-		if was == nil || x.Kind == sitesync.Evidence || was.ID == x.ID {
-			now[k] = x
+	receive := func(write *sitesync.Write) {
+		w.recordApplied(write, applied, appliedUpTo)
+		k := subjectKey{write.Kind, write.Subject}
+		previous := current[k]
+		if previous == nil || write.Kind == sitesync.Evidence || previous.ID == write.ID {
+			current[k] = write
 			return
 		}
-		kept, dropped := was, x
-		if x.At >= was.At {
-			kept, dropped = x, was
-			now[k] = x
+		kept, dropped := previous, write
+		if write.At >= previous.At {
+			kept, dropped = write, previous
+			current[k] = write
 		}
 		switch {
-		case over(dropped, kept): // the one that is dropped was written over the one that is kept
-			w.fig.Overruled++
-		case !over(kept, dropped):
-			w.fig.Silent++
+		case overwrites(dropped, kept): // the one that is dropped was written over the one that is kept
+			w.results.WronglyOverwritten++
+		case !overwrites(kept, dropped):
+			w.results.DroppedSilently++
 		}
 	}
-	for i := range w.edge {
+	for i := range w.sites {
 		sent := 0
 		var call func()
 		call = func() {
 			q := w.queues[i]
 			if sent >= len(q) {
-				left--
+				remaining--
 				return
 			}
-			part := q[sent:min(len(q), sent+plainOf)]
-			w.fig.Calls++
+			batch := q[sent:min(len(q), sent+plainBatchSize)]
+			w.results.Calls++
 			late := false
-			lost := w.rand.IntN(lossOf) == 0
+			lost := w.rand.IntN(lossOneIn) == 0
 			answered := false
-			w.a.after(timeout, func() {
+			w.events.schedule(callTimeout, func() {
 				if !answered {
 					late = true
 					call()
 				}
 			})
-			w.a.after(trip, func() {
-				w.rules.propose(false, entry{commit + time.Duration(len(part))*perWrite, func() {
-					for _, x := range part {
-						take(x)
+			w.events.schedule(oneWayDelay, func() {
+				w.log.propose(false, entry{commitTime + time.Duration(len(batch))*commitTimePerWrite, func() {
+					for _, write := range batch {
+						receive(write)
 					}
-					w.a.after(trip, func() {
+					w.events.schedule(oneWayDelay, func() {
 						if late || lost {
 							return
 						}
 						answered = true
-						sent += len(part)
+						sent += len(batch)
 						call()
 					})
 				}})
 			})
 		}
-		w.a.after(time.Duration(w.rand.IntN(100))*time.Millisecond, call)
+		w.events.schedule(time.Duration(w.rand.IntN(100))*time.Millisecond, call)
 	}
 	samples := 0
-	w.a.run(func() bool {
+	w.events.run(func() bool {
 		if samples++; samples%20000 == 0 {
-			w.heap()
+			w.sampleHeap()
 		}
-		return left == 0 || w.a.now > 10*time.Minute
+		return remaining == 0 || w.events.now > 10*time.Minute
 	})
-	w.heap()
-	w.fig.Virtual, w.fig.Quiet, w.fig.Usual, w.fig.Live = w.a.now, w.a.now, usual(s.Seed), p99(w.live)
-	w.fig.Wall = time.Since(begun)
-	return &w.fig, nil
+	w.sampleHeap()
+	w.results.AllApplied, w.results.AllCurrent, w.results.UsualP99, w.results.LoadedP99 = w.events.now, w.events.now, usualP99(s.Seed), p99(w.localLatencies)
+	w.results.WallTime = time.Since(started)
+	return &w.results, nil
 }
 
 // over says whether a write was written over another one.
-func over(by, x *sitesync.Write) bool {
+func overwrites(by, x *sitesync.Write) bool {
 	return by.ID.Origin == x.ID.Origin && by.ID.Number > x.ID.Number || by.Overwrites.Has(x.ID)
 }
 
-func (f *Figures) String() string {
+func (f *Results) String() string {
 	return fmt.Sprintf("%d writes (%d merged) at the top after %v, quiet after %v, %d calls, %.1f s of computing, %d MiB; "+
 		"p99 of the top's own writes %v (usual %v); %d applied, %d receipts; same %v, early %d, twice %d, overruled %d, silent %d",
-		f.Written, f.Merged, f.Virtual.Round(time.Millisecond), f.Quiet.Round(time.Millisecond), f.Calls, f.Wall.Seconds(), f.Heap>>20,
-		f.Live.Round(10*time.Microsecond), f.Usual.Round(10*time.Microsecond), f.Applied, f.Receipts, f.Same, f.Early, f.Twice,
-		f.Overruled, f.Silent)
+		f.Written, f.Merged, f.AllApplied.Round(time.Millisecond), f.AllCurrent.Round(time.Millisecond), f.Calls, f.WallTime.Seconds(), f.MaxHeap>>20,
+		f.LoadedP99.Round(10*time.Microsecond), f.UsualP99.Round(10*time.Microsecond), f.Applied, f.Receipts, f.Converged, f.OutOfOrder, f.AppliedTwice,
+		f.WronglyOverwritten, f.DroppedSilently)
 }
--- a/rehearsal/upstreammodel/storm_test.go
+++ b/rehearsal/upstreammodel/storm_test.go
@@ -12,8 +12,8 @@
 // TestAStormIsServedInTurns is 12 sites with 200 writes each. The full size, 35 sites with 10,000 writes:
 //
 //	UPSTREAM_STORM=35x10000 go test -run Storm -v -timeout 30m ./rehearsal/upstreammodel
-func TestAStormIsServedInTurns(t *testing.T) {
-	s := Storm{Sites: 12, Writes: 200, Seed: 1}
+func TestReconnectStormIsServedInTurns(t *testing.T) {
+	s := ReconnectStorm{Sites: 12, Writes: 200, Seed: 1}
 	if size := os.Getenv("UPSTREAM_STORM"); size != "" {
 		_, err := fmt.Sscanf(size, "%dx%d", &s.Sites, &s.Writes)
 		require.NoError(t, err)
@@ -24,13 +24,13 @@
 	plain, err := s.Plain()
 	require.NoError(t, err)
 	t.Logf("plain: %v", plain)
-	assert.True(t, got.Same)
-	assert.Less(t, got.Live, 2*got.Usual)
+	assert.True(t, got.Converged)
+	assert.Less(t, got.LoadedP99, 2*got.UsualP99)
 	assert.Equal(t, got.Written-got.Merged, got.Applied)
 	assert.Equal(t, got.Applied, got.Receipts)
-	assert.Zero(t, got.Early+got.Twice+got.Overruled+got.Silent)
-	assert.NotZero(t, plain.Early, "the plain way shows nothing to compare with")
-	assert.NotZero(t, plain.Twice)
-	assert.NotZero(t, plain.Silent)
-	assert.Greater(t, plain.Live, 2*plain.Usual)
+	assert.Zero(t, got.OutOfOrder+got.AppliedTwice+got.WronglyOverwritten+got.DroppedSilently)
+	assert.NotZero(t, plain.OutOfOrder, "the plain way shows nothing to compare with")
+	assert.NotZero(t, plain.AppliedTwice)
+	assert.NotZero(t, plain.DroppedSilently)
+	assert.Greater(t, plain.LoadedP99, 2*plain.UsualP99)
 }
