--- a/rehearsal/turnsmodel/plants_test.go
+++ b/rehearsal/turnsmodel/bugs_test.go
@@ -10,10 +10,10 @@
 	"lichenhitch/rehearsal/model"
 )
 
-// promised stands for one of the promises.
+// livenessProperty stands for any of the liveness properties.
 const livenessProperty = -1
 
-// TestEveryPlantIsFound plants each bug into a small world and expects the property that it breaks.
+// TestEveryInjectedBugIsFound injects each bug into a small world and expects a violation of the property that it affects.
 func TestEveryInjectedBugIsFound(t *testing.T) {
 	want := map[int][]string{
 		badExpiry: {"right-from-arrival", "right-without-end", "new-leader-goes-on", "counts-without-drift",
@@ -34,7 +34,7 @@
 		require.NotNil(t, res.Violation, "%s is not found", p.Name)
 		trace := res.Violation.Trace
 		t.Logf("%s: %s, %d steps of %d states, %.1f s", p.Name, res.Violation.Property, len(trace.Steps), res.States, res.Seconds)
-		bad := slices.Index(m.Properties(), res.Violation.Property) // -1: a promise
+		bad := slices.Index(m.Properties(), res.Violation.Property) // -1: a liveness property
 		assert.Contains(t, want[bad], p.Name, res.Violation.Property)
 		for i, step := range trace.Steps {
 			assert.NotEmpty(t, m.Describe(trace.States[i], step, trace.States[i+1]))
@@ -49,7 +49,7 @@
 	for want, f := range map[string]func() (*Model, error){
 		"nodes: 4 is not within 1 to 3":        func() (*Model, error) { return New(4, 1, Budget{}, "") },
 		"hosts: 0 is not within 1 to 3":        func() (*Model, error) { return New(1, 0, Budget{}, "") },
-		"changes of leaders: 2 is not 0 or 1":  func() (*Model, error) { return New(1, 1, Budget{LeaderChanges: 2}, "") },
+		"leader changes: 2 is not 0 or 1":      func() (*Model, error) { return New(1, 1, Budget{LeaderChanges: 2}, "") },
 		`no bug is named "x"; see rehearse mo`: func() (*Model, error) { return New(1, 1, Budget{}, "x") },
 	} {
 		_, err := f()
--- a/rehearsal/turnsmodel/describe.go
+++ b/rehearsal/turnsmodel/describe.go
@@ -8,10 +8,10 @@
 	"lichenhitch/rehearsal/model"
 )
 
-// Describe implements model.Model. It tells what happens and what comes of it.
+// Describe implements model.Model. It describes a step and its effects.
 func (m *Model) Describe(s State, st model.Step, next State) string {
 	op, n, arg := Decode(st)
-	node, replica := "", fmt.Sprint("seat ", n+1)
+	node, replica := "", fmt.Sprint("replica ", n+1)
 	if n < m.Nodes {
 		node = nodeNames[n]
 	}
@@ -22,71 +22,72 @@
 	case RequestLease:
 		for _, c := range next.Nodes[n].Calls {
 			if c.Stage == RequestInTransit && !c.RequesterGone {
-				text = fmt.Sprintf("%s asks, number %d: horizon %d acknowledged, holds%s", node, c.Request.Seq, c.Request.Acked, formatExcluded(c.Request.Confirmed))
+				text = fmt.Sprintf("%s sends request %d: exclusion set %d acknowledged, confirmed%s", node, c.Request.Seq,
+					c.Request.Acked, formatExcluded(c.Request.Confirmed))
 			}
 		}
 	case Receive, ReceiveDuplicated, ReceiveAckLost:
 		c := s.Nodes[n].Calls[arg>>1]
-		text = fmt.Sprintf("question %d of %s comes to seat %d", c.Request.Seq, node, arg&1+1)
+		text = fmt.Sprintf("request %d of %s arrives at replica %d", c.Request.Seq, node, arg&1+1)
 		if op == ReceiveDuplicated {
-			text += ", and will come again"
+			text += ", and will arrive again"
 		}
 		if op == ReceiveAckLost {
-			text += ", and what it acknowledges is lost"
+			text += ", and its acknowledgement is lost"
 		}
 		if c.RequesterGone {
-			text += "; the process that asked is no more"
+			text += "; the process that sent it has ended"
 		}
 	case Respond:
 		c := s.Nodes[n].Calls[arg]
-		text = fmt.Sprintf("seat %d answers question %d of %s", c.Replica+1, c.Request.Seq, node)
+		text = fmt.Sprintf("replica %d responds to request %d of %s", c.Replica+1, c.Request.Seq, node)
 		a := next.Nodes[n].Calls[arg].Response
-		text += fmt.Sprintf(": log %d, out%s, horizon %d%v, recorded %d", a.Applied, formatExcluded(a.ExcludedHosts), a.ExclusionSet.Version, a.ExclusionSet.Hosts,
-			a.Recorded)
+		text += fmt.Sprintf(": log %d, excluded%s, exclusion set %d%v, recorded %d", a.Applied,
+			formatExcluded(a.ExcludedHosts), a.ExclusionSet.Version, a.ExclusionSet.Hosts, a.Recorded)
 	case Deliver:
-		text = fmt.Sprintf("the answer to question %d comes to %s", s.Nodes[n].Calls[arg].Request.Seq, node)
+		text = fmt.Sprintf("the response to request %d arrives at %s", s.Nodes[n].Calls[arg].Request.Seq, node)
 	case Store:
-		text = "it stands in the store of " + node
+		text = "the response is stored by " + node
 	case ApplyRestrictions:
-		text = "the loop of " + node + " takes the newest verdict"
+		text = "the loop of " + node + " applies the newest restrictions"
 	case ReportInEffect:
-		text = "the control of " + node + " hears that its loop has taken it"
+		text = "the loop of " + node + " reports that the restrictions are in effect"
 	case Restart:
-		text = node + " starts again with " + [...]string{"its store", "its store, just written", "an empty store",
-			"an older store"}[arg]
+		text = node + " restarts with " + [...]string{"its store", "its store, just written", "an empty store",
+			"an old copy of its store"}[arg]
 	case Elect:
-		text = "seat 2 is elected; seat 1 goes on believing that it leads"
+		text = "replica 2 is elected; replica 1 still believes that it leads"
 	case StepDown:
-		text = "seat 1 learns that it leads no more"
+		text = "replica 1 learns that it no longer leads"
 	case Propose:
-		text = replica + " proposes what follows from its book"
+		text = replica + " proposes the command that its schedule calls for"
 	case Grant:
-		text = replica + " hands host " + hostNames[arg] + " over"
+		text = replica + " grants host " + hostNames[arg] + " for its turn"
 	case RequestTurn:
-		text = "a turn is asked for host " + hostNames[arg]
+		text = "a turn is requested for host " + hostNames[arg]
 	case Withdraw:
 		text = "the turn of host " + hostNames[arg] + " is withdrawn"
 	case Finish:
-		text = "the work at host " + hostNames[arg] + " is begun and done, and it is back"
+		text = "the work on host " + hostNames[arg] + " begins and ends, and the host is back"
 	case CompleteCall:
-		text = node + " asks and is answered" + [...]string{"", "; what it acknowledges is lost"}[arg]
+		text = node + " asks and is answered" + [...]string{"", "; its acknowledgement is lost"}[arg]
 	case Prepare:
-		text = replica + " has host " + hostNames[arg] + " emptied"
+		text = replica + " prepares host " + hostNames[arg] + " for its turn"
 	case RevokeTurn:
-		text = replica + " calls a turn back"
+		text = replica + " revokes a turn"
 	case SwitchBan:
-		text = "host " + hostNames[arg] + " is " + [...]string{"put back", "banned"}[bits(next.Banned[arg])] + " by hand"
+		text = "host " + hostNames[arg] + " is " + [...]string{"unbanned", "banned"}[bits(next.Banned[arg])] + " by an operator"
 	case DeclareNode:
-		text = node + " is " + [...]string{"declared dead", "taken in anew"}[arg]
+		text = node + " is " + [...]string{"declared dead", "readmitted"}[arg]
 	case SwitchLink:
-		text = "the link of " + node + " " + [...]string{"is mended", "goes"}[arg]
+		text = "the link of " + node + " " + [...]string{"is restored", "is cut"}[arg]
 	case SwitchFailure:
-		text = "host " + hostNames[arg] + " fails by itself, or is back"
+		text = "host " + hostNames[arg] + " fails, or recovers"
 	}
 	return text + m.describeChanges(&s, &next)
 }
 
-// changes tells what a step did to the book and to the loops.
+// describeChanges describes what a step changed in the schedule and at the loops.
 func (m *Model) describeChanges(s, next *State) string {
 	var b strings.Builder
 	for h := range m.Hosts {
@@ -96,13 +97,13 @@
 		}
 	}
 	if set := next.Log.schedule.ExclusionSet(); set.Version != s.Log.schedule.ExclusionSet().Version {
-		fmt.Fprintf(&b, "; horizon %d%v", set.Version, set.Hosts)
+		fmt.Fprintf(&b, "; exclusion set %d%v", set.Version, set.Hosts)
 	}
 	for i := range m.Nodes {
 		if v, w := s.Nodes[i].LoopRestrictions, next.Nodes[i].LoopRestrictions; v != w {
-			fmt.Fprintf(&b, "; %s withholds%s, %v more from %v on", nodeNames[i], formatExcluded(w.ExcludedHosts), w.ExcludedAfterExpiry, w.LeaseEnd)
+			fmt.Fprintf(&b, "; %s excludes%s, and %v from %v on", nodeNames[i], formatExcluded(w.ExcludedHosts), w.ExcludedAfterExpiry, w.LeaseEnd)
 			if w.AllAfterExpiry {
-				b.WriteString(", and all others")
+				b.WriteString(", then all others too")
 			}
 		}
 	}
@@ -112,7 +113,7 @@
 func formatExcluded(list []sendlease.ExcludedHost) string {
 	var b strings.Builder
 	for _, o := range list {
-		fmt.Fprintf(&b, " %s of round %d", o.Host, o.Round)
+		fmt.Fprintf(&b, " %s (round %d)", o.Host, o.Round)
 	}
 	if b.Len() == 0 {
 		return " none"
--- a/rehearsal/turnsmodel/model.go
+++ b/rehearsal/turnsmodel/model.go
@@ -10,28 +10,28 @@
 	"lichenhitch/rehearsal/model"
 )
 
-// Model is the model of rights and turns. It implements model.Model and model.Coverer.
+// Model is the model of send leases and turns. It implements model.Model and model.Coverer.
 type Model struct {
 	Nodes, Hosts       int
 	Budget             Budget
-	MaxCalls           int  // questions and answers of one node on their way, 1 or 2
-	RequestedTurns     int  // turns asked for at the start, one for each of the first hosts
-	Lookahead          int  // how many of the next hosts stand in the horizon
-	DelayedReport      bool // control hears of what the loop has taken later than it is taken
-	EqualClocks        bool // start also with nodes that are not slow
-	ImmediateApply     bool // loops take verdicts at once
-	OperatorsWait      bool // operators do something only when the leader has nothing to propose
-	AtomicCalls        bool // a call goes there and back at once, and what it brings is stored and taken at once; or it is lost
-	CurrentNodes       int  // how many nodes, the last ones, call whenever something is new
-	UnrestrictedLeader bool // the leader prepares and calls back whatever the book allows, in any order
-	SymmetricNodes     bool // nodes are told apart by what they are in, not by their names
-	CheckLiveness      bool // the promises are checked
+	MaxCalls           int  // requests and responses of one node in transit, 1 or 2
+	RequestedTurns     int  // at the start, one for each of the first hosts
+	Lookahead          int  // how many of the next hosts the exclusion set contains; see turns.Limits
+	DelayedReport      bool // the loop's report that restrictions are in effect reaches the control code in a later step
+	EqualClocks        bool // start also from states in which no clock is slow
+	ImmediateApply     bool // loops apply restrictions at once
+	OperatorsWait      bool // operators act only when the leader has nothing to propose
+	AtomicCalls        bool // a call is one step, up to the storing and applying of its response; or it is lost
+	CurrentNodes       int  // how many nodes, counted from the last, call whenever there is something new
+	UnrestrictedLeader bool // the leader prepares and revokes whatever the schedule allows, in any order
+	SymmetricNodes     bool // nodes are distinguished by their states, not by their names
+	CheckLiveness      bool // check the liveness properties
 	bug                injectedBug
-	countedTerms       sendlease.Terms // of the seats
+	countedTerms       sendlease.Terms // of the replicas
 	pool               *pool
 }
 
-// New returns the model of a world, with a planted bug if one is named.
+// New returns a model with the bug of that name injected, unless the name is empty.
 func New(nodes, hosts int, budget Budget, bugName string) (*Model, error) {
 	switch {
 	case nodes < 1 || nodes > MaxNodes:
@@ -39,9 +39,10 @@
 	case hosts < 1 || hosts > MaxHosts:
 		return nil, fmt.Errorf("hosts: %d is not within 1 to %d", hosts, MaxHosts)
 	case budget.LeaderChanges > 1:
-		return nil, fmt.Errorf("changes of leaders: %d is not 0 or 1", budget.LeaderChanges)
+		return nil, fmt.Errorf("leader changes: %d is not 0 or 1", budget.LeaderChanges)
 	}
-	m := &Model{Nodes: nodes, Hosts: hosts, Budget: budget, MaxCalls: 1, RequestedTurns: 1, Lookahead: 1, countedTerms: terms, pool: &pool{all: map[sum]*logPrefix{}}}
+	m := &Model{Nodes: nodes, Hosts: hosts, Budget: budget, MaxCalls: 1, RequestedTurns: 1, Lookahead: 1, countedTerms: terms,
+		pool: &pool{all: map[sum]*logPrefix{}}}
 	if bugName == "" {
 		return m, nil
 	}
@@ -56,8 +57,8 @@
 	return m, nil
 }
 
-// Initial implements model.Model: seat 1 leads, somebody has asked for a turn on the first host, and the nodes have empty
-// stores.
+// Initial implements model.Model: replica 1 leads, a turn has been requested for each of the first hosts, and the stores of the
+// nodes are empty.
 func (m *Model) Initial() []State {
 	schedule := turns.New()
 	for i, c := range []turns.Command{
@@ -89,30 +90,31 @@
 	return all
 }
 
-// Canonical implements model.Model. A verdict on its way that says what the loop goes by already, now that its right has run
-// out, is as good as none.
+// Canonical implements model.Model. It drops queued restrictions that have become equal to what the loop applies because their
+// lease has expired.
 func (m *Model) Canonical(s State) State {
 	for i := range m.Nodes {
-		if n := &s.Nodes[i]; n.QueuedRestrictions != nil && bytes.Equal(n.QueuedRestrictions.Append(nil, s.nodeNow(i)), n.LoopRestrictions.Append(nil, s.nodeNow(i))) {
+		if n := &s.Nodes[i]; n.QueuedRestrictions != nil &&
+			bytes.Equal(n.QueuedRestrictions.Append(nil, s.nodeNow(i)), n.LoopRestrictions.Append(nil, s.nodeNow(i))) {
 			n.QueuedRestrictions = nil
 		}
 	}
 	return s
 }
 
-// Done implements model.Model: time always passes.
+// Done implements model.Model: time can always pass.
 func (m *Model) Done(State) bool { return true }
 
-// The classes of steps that are weakly fair, for each node and in all.
+// The weakly fair classes of steps: calls of each node, and three for the whole world.
 const (
-	fairCall   model.Fairness = 1 // of the first node; the next ones follow
+	fairCall   model.Fairness = 1 // of the first node; the classes of the other nodes follow
 	fairLeader model.Fairness = 1 << MaxNodes
-	fairFinish                = fairLeader << 1 // work that was handed over ends
+	fairFinish                = fairLeader << 1 // work that was granted ends
 	fairTime                  = fairLeader << 2
 )
 
-// Fair implements model.Model. A call that comes through is fair, one that is lost is not; links that are cut need not be
-// mended, nor bans lifted, nor dead nodes taken in.
+// Fair implements model.Model. A call that succeeds is fair, one that is lost is not. Cut links need not be restored, bans need
+// not be lifted, and dead nodes need not be readmitted.
 func (m *Model) Fair(st model.Step) model.Fairness {
 	switch o, n, arg := Decode(st); {
 	case o == CompleteCall && arg == 0:
@@ -127,8 +129,8 @@
 	return 0
 }
 
-// Pending implements model.Model: a host's turn waits that can be given. It cannot while another host is out by hand or by
-// itself, or while a node is cut off that has to come back or be declared dead.
+// Pending implements model.Model: a host's turn waits and can be granted. It cannot be granted while another host is banned or
+// any host has failed, or while a node is cut off that must reconnect or be declared dead first.
 func (m *Model) Pending(s State) (b uint8) {
 	if !m.CheckLiveness {
 		return 0
@@ -156,7 +158,7 @@
 	return !m.lastHostFailed(schedule)
 }
 
-// Promises implements model.Model.
+// Promises implements model.Model. It returns the liveness properties.
 func (m *Model) Promises() []string {
 	if !m.CheckLiveness {
 		return nil
@@ -242,7 +244,8 @@
 	return b
 }
 
-// takesForClear says whether a seat takes a node for clear of a host in the round that the log has it out in.
+// considersClear reports whether a replica takes a node to be clear of a host, that is to send no new work there, in the round
+// that is committed for the host.
 func (m *Model) considersClear(s *State, replica, node, host int) bool {
 	known, committed := s.view(replica).turns[host], &s.Log.turns[host]
 	if known.ID != committed.ID || known.Round != committed.Round || known.Phase != turns.Preparing {
@@ -251,7 +254,7 @@
 	return !slices.ContainsFunc(m.blockers(s, replica, known), func(b turns.Blocker) bool { return b.Node == nodeNames[node] })
 }
 
-// What a complete run comes across; see Sights.
+// The situations that complete runs should cover; see Sights.
 const (
 	sawConfirmed = iota
 	sawGrantWhileCutOff
@@ -277,30 +280,30 @@
 // Sights implements model.Coverer.
 func (m *Model) Sights() []string {
 	return []string{
-		sawConfirmed:             "a host is handed over that a node with a right has confirmed",
-		sawGrantWhileCutOff:      "a host is handed over while a node is cut off that has it in its horizon",
-		sawStaleClear:            "a seat that leads no more takes a host for clear",
-		sawSecondRound:           "a turn that was called back or withdrawn is granted in a later round",
+		sawConfirmed:             "a host is granted that a node with a send lease has confirmed",
+		sawGrantWhileCutOff:      "a host is granted while a node is cut off that has it in its exclusion set",
+		sawStaleClear:            "a former leader finds no node that blocks a grant",
+		sawSecondRound:           "a turn that was revoked or withdrawn is granted in a later round",
 		sawOldRound:              "the leader has a node's confirmation of an earlier round only",
-		sawTwoExclusionSets:      "a node keeps an older horizon until a newer one is recorded",
-		sawExpiredResponse:       "an answer comes after its own right has run out",
-		sawRecordedAheadOfStore:  "a node that was told, with no right, withholds all: the council may go by what its store lacks",
-		sawLostStoreConfirmation: "a node with a new store has its old one's confirmation counted",
-		sawExpiryBehindControl:   "a right runs out at a loop that is behind its control",
-		sawGrantWhileWriting:     "a host is handed over while a node's store is behind",
-		sawExclusionAfterTurn:    "a node withholds a host whose turn is over",
-		sawSecondHost:            "a second host is handed over",
+		sawTwoExclusionSets:      "a node keeps an older exclusion set until a newer one is recorded",
+		sawExpiredResponse:       "a response arrives after its own lease has expired",
+		sawRecordedAheadOfStore:  "a node that was answered excludes all hosts after its lease expired: the recorded exclusion set may be missing from its store",
+		sawLostStoreConfirmation: "a confirmation from the lost store of a node still counts",
+		sawExpiryBehindControl:   "a lease expires in a loop that lags behind the control code",
+		sawGrantWhileWriting:     "a host is granted while a node's store is being written",
+		sawExclusionAfterTurn:    "a node excludes a host whose turn is over",
+		sawSecondHost:            "a second host is granted",
 
-		sawBannedGranted:          "a host that is banned is handed over",
-		sawBanAfterTurn:           "a host stays out by hand when its turn is over",
-		sawDeadNodeSends:          "a node that is declared dead sends to a host that is handed over: the one exception",
-		sawReadmittedExcludes:     "a node that is taken in anew keeps a host back that was handed over without it",
-		sawRevoked:                "a turn is called back for one that can go while a node is cut off",
-		sawDifferentExclusionSets: "a host is handed over while two nodes are cut off whose horizons differ",
+		sawBannedGranted:          "a banned host is granted",
+		sawBanAfterTurn:           "a host stays banned when its turn is over",
+		sawDeadNodeSends:          "a node that is declared dead sends to a granted host: the one exception",
+		sawReadmittedExcludes:     "a readmitted node excludes a host that was granted without waiting for it",
+		sawRevoked:                "a turn is revoked for one that can be granted while a node is cut off",
+		sawDifferentExclusionSets: "a host is granted while two nodes are cut off whose exclusion sets differ",
 	}
 }
 
-// Expected says that no world by itself has to show anything: the worlds of Worlds do together.
+// Expected implements model.Coverer: no world must cover anything by itself; the worlds of Worlds together cover all sights.
 func (m *Model) Expected() uint64 { return 0 }
 
 // Covered implements model.Coverer.
@@ -329,13 +332,14 @@
 			saw(granted && !expired && now < n.LoopRestrictions.LeaseEnd && excludes, sawConfirmed)
 			saw(granted && expired && !excludes, sawGrantWhileCutOff)
 			saw(granted && n.Exempt && !n.LoopRestrictions.Excludes(t.Host, now), sawDeadNodeSends)
-			saw(granted && m.Budget.DeathDeclarations > s.Remaining.DeathDeclarations && !n.Exempt && excludes && s.Log.schedule.RecordedVersion(nodeNames[i]) > 0 &&
-				!slices.Contains(s.Log.acknowledgedHosts(nodeNames[i]), t.Host), sawReadmittedExcludes)
+			saw(granted && m.Budget.DeathDeclarations > s.Remaining.DeathDeclarations && !n.Exempt && excludes &&
+				s.Log.schedule.RecordedVersion(nodeNames[i]) > 0 && !slices.Contains(s.Log.acknowledgedHosts(nodeNames[i]), t.Host), sawReadmittedExcludes)
 			if expired {
 				versions[s.Log.schedule.RecordedVersion(nodeNames[i])] = true
 			}
 			saw(granted && n.Writing != nil, sawGrantWhileWriting)
-			saw(granted && s.Log.schedule.RecordedVersion(nodeNames[i]) > 0 && n.Stored.Incarnation > 1 && !n.WasAnswered && round == t.Round, sawLostStoreConfirmation)
+			saw(granted && s.Log.schedule.RecordedVersion(nodeNames[i]) > 0 && n.Stored.Incarnation > 1 && !n.WasAnswered && round == t.Round,
+				sawLostStoreConfirmation)
 			saw(outOfService && round != 0 && round != t.Round, sawOldRound)
 			saw(!outOfService && n.LoopRestrictions.Excludes(hostNames[h], now) && now < n.LoopRestrictions.LeaseEnd, sawExclusionAfterTurn)
 		}
@@ -344,8 +348,10 @@
 	for i := range m.Nodes {
 		n, now := &s.Nodes[i], s.nodeNow(i)
 		saw(len(n.Stored.ExclusionSets) > 1, sawTwoExclusionSets)
-		saw(n.WasAnswered && n.LoopRestrictions.AllAfterExpiry && now >= n.LoopRestrictions.LeaseEnd && len(n.Stored.ExclusionSets) > 0, sawRecordedAheadOfStore)
-		saw(now >= n.LoopRestrictions.LeaseEnd && n.LoopRestrictions.LeaseEnd > 0 && n.QueuedRestrictions != nil && now < n.QueuedRestrictions.LeaseEnd, sawExpiryBehindControl)
+		saw(n.WasAnswered && n.LoopRestrictions.AllAfterExpiry && now >= n.LoopRestrictions.LeaseEnd && len(n.Stored.ExclusionSets) > 0,
+			sawRecordedAheadOfStore)
+		saw(now >= n.LoopRestrictions.LeaseEnd && n.LoopRestrictions.LeaseEnd > 0 && n.QueuedRestrictions != nil && now < n.QueuedRestrictions.LeaseEnd,
+			sawExpiryBehindControl)
 		for _, c := range n.Calls {
 			saw(c.Stage == ResponseInTransit && now >= c.SentAt+terms.Duration, sawExpiredResponse)
 		}
--- a/rehearsal/turnsmodel/model_test.go
+++ b/rehearsal/turnsmodel/model_test.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	larger = flag.Duration("larger", 0, "visit each of the larger worlds for so long")
-	traces = flag.Bool("traces", false, "print how each planted bug shows")
+	larger = flag.Duration("larger", 0, "time limit for each of the larger worlds; 0 skips them")
+	traces = flag.Bool("traces", false, "print the trace that exposes each injected bug")
 )
 
 func check(t *testing.T, w World, bugName string, opt model.Options) (*Model, *model.Result[State]) {
@@ -58,7 +58,7 @@
 			logTrace(t, m, res.Violation)
 		}
 		assert.Nil(t, res.Violation, w.Name)
-		t.Logf("%s: %d states, %d steps, %d deep, %.1f s, whole: %v %s", w.Name, res.States, res.Transitions, res.Depth, res.Seconds,
+		t.Logf("%s: %d states, %d steps, %d deep, %.1f s, complete: %v %s", w.Name, res.States, res.Transitions, res.Depth, res.Seconds,
 			res.Complete, res.Stopped)
 	}
 }
--- a/rehearsal/turnsmodel/state.go
+++ b/rehearsal/turnsmodel/state.go
@@ -1,41 +1,45 @@
-// Package turnsmodel is a model of the rights to send and of the turns for work: the real sendlease.Holder, sendlease.Table and
-// turns.Schedule in a world of nodes that are cut off, stopped and started again, of loops that are late, of messages that are
-// lost, late and repeated, and of a leader that goes on believing that it leads. rehearsal/model visits all of it.
+// Package turnsmodel is a model of send leases and of turns (a turn is the permission to do maintenance on one host). It runs the
+// real sendlease.Holder, sendlease.Table and turns.Schedule in a world of nodes that lose their links and restart, of traffic loops
+// that lag behind, of messages that are lost, delayed and duplicated, and of a former leader that still believes it leads.
+// rehearsal/model explores all reachable states.
 //
-// The council's log is taken for granted: what is committed is committed in one order, and a leader that a quorum has
-// confirmed has applied all that was committed before. What a seat proposes that leads no more is passed on, and committed.
+// The log of the consensus group is assumed to be correct: committed commands have one order, and a leader confirmed by a quorum
+// has applied all that was committed before. A proposal of a former leader is forwarded, and committed.
 //
-// Time goes in ticks, three units of a seat's clock and of a node's; two of a slow node's, which is the drift. A right
-// lasts five units: two ticks at a node, three at a slow one. A council counts it as running for three.
+// Time advances in ticks. A tick is three units on the clock of a replica and of a node, and two units on the clock of a slow node;
+// the difference is the drift. A send lease lasts five units: two ticks at a node, three at a slow one. The consensus group counts
+// it as valid for three.
 //
-// There are worlds of two kinds. In those of one node a call, the store, the loop and its word go step by step. In those of
-// several nodes (Whole) a call is one step. What is taken for one, and why no property is lost by it:
+// There are two kinds of worlds. In worlds with one node, a call, the write to the store, the traffic loop and its report to the
+// control code are separate steps. In worlds with several nodes (AtomicCalls), a call is one step. The reductions, and why none of
+// them hides a violation:
 //
-//   - One node stands for all. T2, R1 to R4 and the second T6 are promises about each node by itself, and nodes touch each
-//     other only through the log: they let the leader prepare, grant and call back earlier or later. In "other-nodes" the leader
-//     (Free) prepares and calls back whatever the book takes, in any order, and waits for no other node. That is more than any
-//     number of other nodes brings about. T1 is a promise about the log alone, and so is the first T6.
-//   - Alike. Nodes are sorted by their bytes: the real code tells names apart only by equality, and no property names a node.
-//     Where promises are checked nodes are kept apart, since fairness is to each of them.
-//   - Whole. A call that is one step leaves out what comes between its parts. At the node nobody else sees it: the council hears
-//     only of what stands in the store and is in effect at the loop, so that to all others an answer that is slow to be stored
-//     or taken is one that came later. What it may do to the node itself is in the worlds of one node; calls that are lost
-//     halfway, and those to a leader that believes on, are too. Links that are cut are runs in which a node does not call.
-//   - Steady nodes call whenever something is new, so that they never hold a turn up. This leaves runs out: a node that is
-//     late. Whether that breaks something at that node is answered by one node that stands for all, and at the other by
-//     "two-nodes", in which both are late at will.
-//   - Whole, once more: an acknowledgement, a grant and the like do not move the log's index, which only tells answers and
-//     rounds apart; of turns that are over the book keeps names alone, and nobody asks for one twice.
-//   - Settled leaves orders out: operators act only when the leader has nothing to propose.
-//   - Counts (Budget) are bounds and no reductions: what takes a second ban, or a third call back, is not seen.
-//   - Patience and age are left open or out: a seat may call back what is stuck at any time, nobody grows old. The order by age
-//     is for the tests of turns (T4).
+//   - One node represents all. T2, R1 to R4 and the second T6 are properties of each node by itself, and nodes affect each other
+//     only through the log: they make the leader prepare, grant and revoke earlier or later. In "other-nodes" the leader
+//     (UnrestrictedLeader) prepares and revokes whatever the schedule accepts, in any order, and waits for no other node. That
+//     covers more than any number of other nodes can cause. T1 is a property of the log alone, and so is the first T6.
+//   - SymmetricNodes. Nodes are sorted by their encoding: the real code only compares names for equality, and no property names
+//     a node. Worlds that check liveness keep the nodes distinct, since fairness applies to each of them.
+//   - AtomicCalls. A call in one step omits the states between its parts. Nobody but the node sees those: the consensus group only
+//     learns of what is stored and in effect in the loop, so that for everybody else a response that is stored or applied late is
+//     a response that arrived later. The effects on the node itself are covered by the worlds with one node, as are calls that are
+//     lost halfway and calls to a former leader that believes it leads. A cut link is a run in which a node makes no call.
+//   - CurrentNodes call whenever there is something new, so that they never block a turn. This omits runs in which such a node is
+//     late. Its own violations are found in the worlds with one node, and those of the other node in "two-nodes", in which both
+//     may be late.
+//   - AtomicCalls also leaves the index of the log unchanged for an acknowledgement, a grant and similar commands. The index only
+//     distinguishes responses and rounds. The schedule keeps only the IDs of finished turns, and no ID is requested twice.
+//   - OperatorsWait omits interleavings: operators act only when the leader has nothing to propose.
+//   - Budgets limit the search and are no sound reduction: faults that need a second ban or a third revocation are not found.
+//   - The time that a turn must wait before another is revoked for it is not modelled: a replica may revoke a blocked turn at any
+//     time. Turns do not age; the order by age is covered by the tests of package turns (T4).
 //
-// Promises hold under weak fairness: of each node's calls, if its link is there, of what the leader proposes, of work that
-// ends, and of time. A turn can be given where no other host is out by hand or by itself, and every node whose link is cut has
-// the host in its recorded horizon or is declared dead.
+// Liveness properties hold under weak fairness of each node's calls while its link is up, of the leader's proposals, of work that
+// ends, and of time. A turn can be granted if no other host is banned or failed, and if every node whose link is cut has the host
+// in its recorded exclusion set or is declared dead.
 //
-// Declared dead is the one exception to T2 and R1: such a node may send anywhere until its first answer after it is taken in.
+// A node that is declared dead is the one exception to T2 and R1: it may send anywhere until its first response after it is
+// readmitted.
 package turnsmodel
 
 import (
@@ -56,7 +60,7 @@
 const (
 	MaxNodes = 3
 	MaxHosts = 3
-	maxCalls = 2 // questions and answers of one node on their way, at most
+	maxCalls = 2 // requests and responses of one node in transit, at most
 )
 
 const unit = time.Second
@@ -67,51 +71,51 @@
 	hostNames = [MaxHosts]string{"a", "b", "c"}
 )
 
-// Budget is how often something may happen in one run.
+// Budget limits how often each kind of event may occur in one run.
 type Budget struct {
-	TurnRequests      uint8 // for turns, besides the one at the start
+	TurnRequests      uint8 // besides those at the start
 	Withdrawals       uint8
-	Failures          uint8 // of a host, which calls turns back
-	LeaderChanges     uint8 // of leaders: 0 or 1
+	Failures          uint8 // of a host, which cause turns to be revoked
+	LeaderChanges     uint8 // 0 or 1
 	Restarts          uint8 // of nodes, with their stores
-	StoreLosses       uint8 // of nodes' stores
-	DuplicateRequests uint8 // of questions
-	LostProposals     uint8 // acknowledgements that a seat proposes and that are lost
-	Revocations       uint8 // by a leader that is free
-	Bans              uint8 // of hosts, by hand; lifting one costs nothing
-	DeathDeclarations uint8 // declared of nodes; taking one in anew costs nothing
-	LinkCuts          uint8 // of nodes' links, told apart from lost calls for the promises alone; mending one costs nothing
+	StoreLosses       uint8 // of nodes
+	DuplicateRequests uint8
+	LostProposals     uint8 // acknowledgements that a replica proposes and that are lost
+	Revocations       uint8 // by an unrestricted leader
+	Bans              uint8 // of hosts, by an operator; lifting a ban costs nothing
+	DeathDeclarations uint8 // of nodes; readmitting a node costs nothing
+	LinkCuts          uint8 // of nodes, distinguished from lost calls for liveness only; restoring a link costs nothing
 }
 
-// record is the council's log up to an index. Equal ones are one; what was asked of it once is kept.
+// logPrefix is the log of the consensus group up to an index. Equal prefixes are shared, and derived values are cached.
 type logPrefix struct {
 	pool          *pool
 	schedule      *turns.Schedule
 	index         uint64
-	sum           sum              // of the book and the index
-	sharedSum     sum              // the same without what is known of single nodes
-	nodeAcks      [MaxNodes][]byte // what is known of each node
+	sum           sum              // of the schedule and the index
+	sharedSum     sum              // the same without the data about single nodes
+	nodeAcks      [MaxNodes][]byte // the data about each node
 	excludedHosts []sendlease.ExcludedHost
 	exclusionSets []sendlease.ExclusionSet
-	turns         [MaxHosts]turns.Turn // not over, by host; without a name: none
-	nextCommand   *turns.Command       // what follows from the book; nil: nothing
+	turns         [MaxHosts]turns.Turn // unfinished, by host; the ID is empty if there is none
+	nextCommand   *turns.Command       // that the schedule calls for; nil: none
 
-	successors sync.Map // by change: the record with that command more
+	successors sync.Map // by commandKey: the prefix extended by that command
 }
 
 type sum [16]byte
 
-// change names a command among those that the model has.
+// commandKey identifies a command among those of the model.
 type commandKey struct {
 	op          Op
-	scheduleSum sum // the book that it follows from
+	scheduleSum sum // of the schedule that the command follows from
 	id          string
 	a, b        uint64
 }
 
-// pool is the records of a model.
+// pool holds the log prefixes of a model.
 type pool struct {
-	atomicCalls bool // see Model.Whole
+	atomicCalls bool // see Model.AtomicCalls
 	mu          sync.Mutex
 	all         map[sum]*logPrefix
 }
@@ -121,7 +125,7 @@
 	return sum(all[:len(sum{})])
 }
 
-// encoded returns a book's bytes, which a book of the model always has.
+// encoded returns the encoding of a schedule. Schedules of the model can always be encoded.
 func encoded(b *turns.Schedule) []byte {
 	raw, err := b.Encode()
 	if err != nil {
@@ -130,8 +134,8 @@
 	return raw
 }
 
-// apart takes what is known of single nodes out of a book's bytes, and what is over, of which nobody asks again; it returns
-// the horizons that are there.
+// splitEncoding removes from an encoded schedule the data about single nodes and the finished turns, which are never requested
+// again. It also returns the exclusion sets in the encoding.
 func splitEncoding(raw []byte) (rest []byte, exclusionSets []sendlease.ExclusionSet) {
 	var parts map[string]json.RawMessage
 	err := json.Unmarshal(raw, &parts)
@@ -141,14 +145,14 @@
 	for _, part := range [...]string{"acks", "dead", "over"} {
 		delete(parts, part)
 	}
-	rest, marshalErr := json.Marshal(parts) // sorted by name
+	rest, marshalErr := json.Marshal(parts) // sorted by key
 	if err := cmp.Or(err, marshalErr); err != nil {
 		panic(err)
 	}
 	return rest, exclusionSets
 }
 
-// record returns the record of a book, which is not changed any more.
+// prefix returns the log prefix with a schedule. The schedule must not be changed afterwards.
 func (p *pool) prefix(b *turns.Schedule, index uint64) *logPrefix {
 	raw := encoded(b)
 	s := sumOf(raw, index)
@@ -158,7 +162,8 @@
 		return r
 	}
 	rest, exclusionSets := splitEncoding(raw)
-	r := &logPrefix{pool: p, schedule: b, index: index, sum: s, sharedSum: sumOf(rest, index), excludedHosts: b.ExcludedHosts(), exclusionSets: exclusionSets}
+	r := &logPrefix{pool: p, schedule: b, index: index, sum: s, sharedSum: sumOf(rest, index),
+		excludedHosts: b.ExcludedHosts(), exclusionSets: exclusionSets}
 	for i, node := range nodeNames {
 		a := b.Acked(node)
 		r.nodeAcks[i] = binary.AppendUvarint(binary.AppendUvarint([]byte{bits(b.Dead(node))}, a.Incarnation), a.Version)
@@ -175,7 +180,7 @@
 	return r
 }
 
-// acknowledged returns the hosts of the horizon that is recorded for a node.
+// acknowledgedHosts returns the hosts of the exclusion set that is recorded for a node.
 func (r *logPrefix) acknowledgedHosts(node string) []string {
 	version := r.schedule.RecordedVersion(node)
 	at := slices.IndexFunc(r.exclusionSets, func(z sendlease.ExclusionSet) bool { return z.Version == version })
@@ -185,10 +190,10 @@
 	return r.exclusionSets[at].Hosts
 }
 
-// turnOf returns a host's turn that is not over; one without a name if there is none.
+// turnOf returns the unfinished turn of a host; its ID is empty if there is none.
 func (r *logPrefix) turnOf(host string) turns.Turn { return r.turns[slices.Index(hostNames[:], host)] }
 
-// with returns the log with a command more, itself where the book refuses it or it changes nothing.
+// extended returns the log with one more command, or r if the schedule rejects the command or does not change.
 func (r *logPrefix) extended(key commandKey, c turns.Command) *logPrefix {
 	if next, known := r.successors.Load(key); known {
 		return next.(*logPrefix)
@@ -197,7 +202,7 @@
 	if r.schedule.Check(c) == nil {
 		b, index := r.schedule.Clone(), r.index
 		if r.pool.atomicCalls && (c.Ack != nil || c.Grant != nil || c.Begin != nil || c.Request != nil || c.Dead != nil || c.Alive != nil) {
-			b.Apply(index, c) // no answer tells of it, and the book keeps no index of it
+			b.Apply(index, c) // no response contains it, and the schedule does not keep its index
 		} else {
 			index++
 			b.Apply(index, c)
@@ -210,52 +215,52 @@
 	return next
 }
 
-// Seat is a seat of the council.
+// Replica is a voting member of the consensus group.
 type Replica struct {
-	BelievesLeader bool // that it leads
+	BelievesLeader bool
 	Table          *sendlease.Table
-	View           *logPrefix          // what it has applied; nil: all
-	LastAcks       [MaxNodes]turns.Ack // by a planted bug: the last that it proposed
+	View           *logPrefix          // what it has applied; nil: the whole log
+	LastAcks       [MaxNodes]turns.Ack // for the bug acksOnce: the last acknowledgement proposed for each node
 }
 
-// Stage is how far a question has come.
+// Stage is the progress of a call.
 type Stage uint8
 
 // The stages of a call.
 const (
 	NoCall            Stage = iota
-	RequestInTransit        // the question is on its way
-	AtReplica               // a seat has it, and a quorum has confirmed that the seat leads
-	ResponseInTransit       // the answer is on its way
+	RequestInTransit        // the request is in transit
+	AtReplica               // a replica has the request, and a quorum has confirmed that this replica leads
+	ResponseInTransit       // the response is in transit
 )
 
-// Call is a question and its answer.
+// Call is a lease request and its response.
 type Call struct {
 	Stage         Stage
-	Replica       uint8         // where it is Held
-	RequesterGone bool          // the process that asked is no more
-	SentAt        time.Duration // when it was asked, by the node's clock; not told apart by Encode, which has it from the holder
+	Replica       uint8         // that has the request, in stage AtReplica
+	RequesterGone bool          // the process that sent the request has ended
+	SentAt        time.Duration // by the node's clock; Encode leaves it out, since the holder's encoding contains it
 	Request       sendlease.LeaseRequest
 	Response      sendlease.LeaseResponse
 }
 
-// Node is a node: its control, its store and its loop. What pointers lead to is never changed.
+// Node is a node: its control code, its store and its traffic loop. Values behind pointers are never changed.
 type Node struct {
-	SlowClock              bool // its clock
-	WasAnswered            bool // it was answered since its store is there
+	SlowClock              bool
+	WasAnswered            bool // a response has been saved since its store was created
 	Holder                 *sendlease.Holder
 	Stored                 *sendlease.Saved
-	Writing                *sendlease.Saved        // on its way into the store; nil: nothing
-	OldCopy                *sendlease.Saved        // what stood in the store before, for the bug that puts it back
-	LoopRestrictions       *sendlease.Restrictions // that the loop goes by
-	QueuedRestrictions     *sendlease.Restrictions // for the loop; nil: none
-	UnreportedRestrictions *sendlease.Restrictions // that the loop has taken, not heard of by control; nil: none
-	Calls                  [maxCalls]Call          // by their numbers; the first free ones last
-	LinkCut                bool                    // it calls nobody
-	responseApplied        uint64                  // up to where the last answer of a call that is one step told, which the holder knows too
-	responseRecorded       uint64                  // and what it said of the node's horizon
-	Exempt                 bool                    // it was declared dead, and was not answered since it was taken in: it may send anywhere
-	BugLeaseEnd            time.Duration           // end of the right by a planted bug
+	Writing                *sendlease.Saved        // being written to the store; nil: nothing
+	OldCopy                *sendlease.Saved        // the previous content of the store, for the bug that restores it
+	LoopRestrictions       *sendlease.Restrictions // that the loop applies
+	QueuedRestrictions     *sendlease.Restrictions // on the way to the loop; nil: none
+	UnreportedRestrictions *sendlease.Restrictions // applied by the loop, but not yet reported to the control code; nil: none
+	Calls                  [maxCalls]Call          // in the order of addition; free slots come last
+	LinkCut                bool                    // the node makes no calls
+	responseApplied        uint64                  // log index in the last response to an atomic call; the holder has it too
+	responseRecorded       uint64                  // version of the exclusion set that this response gives as recorded for the node
+	Exempt                 bool                    // declared dead, and no response since it was readmitted: the node may send anywhere
+	BugLeaseEnd            time.Duration           // end of the lease under an injected bug
 }
 
 // State is a state of the world. It is a value: a step copies what it changes.
@@ -267,14 +272,14 @@
 	Replicas  [2]Replica
 	Nodes     [MaxNodes]Node
 
-	Banned        [MaxHosts]bool   // as an operator has said
-	ExcludedSince [MaxHosts]uint64 // the log's index since which the host is out without a break; 0: it is not out
+	Banned        [MaxHosts]bool   // by an operator
+	ExcludedSince [MaxHosts]uint64 // log index since which the host has been excluded without interruption; 0: it is not excluded
 }
 
-// seatNow is the time by the seats' clocks.
+// replicaNow returns the time on the clocks of the replicas.
 func (s *State) replicaNow() time.Duration { return time.Duration(s.Tick) * 3 * unit }
 
-// now is the time by a node's clock.
+// nodeNow returns the time on the clock of a node.
 func (s *State) nodeNow(n int) time.Duration {
 	if s.Nodes[n].SlowClock {
 		return time.Duration(s.Tick) * 2 * unit
@@ -282,7 +287,7 @@
 	return time.Duration(s.Tick) * 3 * unit
 }
 
-// view is what a seat has applied.
+// view returns the log that a replica has applied.
 func (s *State) view(replica int) *logPrefix {
 	if v := s.Replicas[replica].View; v != nil {
 		return v
@@ -290,12 +295,12 @@
 	return s.Log
 }
 
-// Encode implements model.Model. The moment itself is left out: only how far others are from it matters. Nodes are put in
-// the order of their bytes where they are alike: no property tells one from another, and no part of the real code does, but
-// for the order in which lists name them.
+// Encode implements model.Model. It leaves out the absolute time: only differences to it matter. Symmetric nodes are sorted by
+// their encodings: no property distinguishes them, and neither does the real code, except for their order in lists.
 func (m *Model) Encode(to []byte, s State) []byte {
 	remaining := &s.Remaining
-	to = append(to, s.Leader, remaining.TurnRequests, remaining.Withdrawals, remaining.Failures, remaining.LeaderChanges, remaining.Restarts, remaining.StoreLosses, remaining.DuplicateRequests, remaining.LostProposals, remaining.Revocations, remaining.Bans,
+	to = append(to, s.Leader, remaining.TurnRequests, remaining.Withdrawals, remaining.Failures, remaining.LeaderChanges,
+		remaining.Restarts, remaining.StoreLosses, remaining.DuplicateRequests, remaining.LostProposals, remaining.Revocations, remaining.Bans,
 		remaining.DeathDeclarations, remaining.LinkCuts, bits(s.Banned[:]...))
 	to = append(to, s.Log.sharedSum[:]...)
 	for _, since := range s.ExcludedSince[:m.Hosts] {
@@ -329,7 +334,7 @@
 	return to
 }
 
-// appendNode appends a node, and what the log and the seats know of it.
+// appendNode appends a node, and what the log and the replicas know of it.
 func (m *Model) appendNode(to []byte, s *State, i int) []byte {
 	to = append(to, s.Log.nodeAcks[i]...)
 	for k := range s.Replicas {
@@ -348,7 +353,8 @@
 
 func (s *State) appendNode(to []byte, i int) []byte {
 	n, now := &s.Nodes[i], s.nodeNow(i)
-	to = append(to, bits(n.SlowClock, n.WasAnswered, n.Writing != nil, n.QueuedRestrictions != nil, n.UnreportedRestrictions != nil, n.OldCopy != nil, n.LinkCut, n.Exempt))
+	to = append(to, bits(n.SlowClock, n.WasAnswered, n.Writing != nil, n.QueuedRestrictions != nil,
+		n.UnreportedRestrictions != nil, n.OldCopy != nil, n.LinkCut, n.Exempt))
 	var inTransit [maxCalls]uint64
 	count := 0
 	for _, c := range n.Calls {
@@ -360,7 +366,7 @@
 		switch c.Stage {
 		case RequestInTransit:
 			to = c.Request.Append(to)
-		case AtReplica: // only its number and whose it is matters from here
+		case AtReplica: // from here on, only the sequence number and the node matter
 		case ResponseInTransit:
 			to = c.Response.Append(to)
 		}
--- a/rehearsal/turnsmodel/steps.go
+++ b/rehearsal/turnsmodel/steps.go
@@ -15,45 +15,45 @@
 // The kinds of steps.
 const (
 	Tick              Op = iota // time passes
-	RequestLease                // a node asks for its right; where there is no room, another call of it is lost
-	Receive                     // a question comes to a seat
-	ReceiveDuplicated           // it comes, and will come once more
-	ReceiveAckLost              // it comes, and what it acknowledges is lost on its way into the log
-	Respond                     // the seat answers
-	Deliver                     // the answer comes
-	Store                       // what it says stands in the store
-	ApplyRestrictions           // the loop takes the newest verdict
-	ReportInEffect              // control hears of it
-	Restart                     // the node's process starts again
-	Elect                       // the other seat is elected
-	StepDown                    // the seat that believed on learns of it
-	Propose                     // a seat proposes what follows from its book
-	Grant                       // a seat hands a host over
-	RequestTurn                 // somebody asks for a turn
-	Withdraw                    // the turn is withdrawn
-	Finish                      // the work is begun and done, and the host is back and warm
-	SwitchFailure               // a host fails by itself, or is back
-	CompleteCall                // a call goes there and back at once
-	RevokeTurn                  // a seat calls a turn back that a node holds up which is cut off
-	Prepare                     // a seat has a host emptied that it may
-	SwitchBan                   // an operator takes a host out by hand, or puts it back
-	DeclareNode                 // a node is declared dead, or taken in anew
-	SwitchLink                  // a node's link goes, or is mended
+	RequestLease                // a node requests its send lease; if all slots for calls are in use, another call of it is lost
+	Receive                     // a request arrives at a replica
+	ReceiveDuplicated           // a request arrives, and will arrive once more
+	ReceiveAckLost              // a request arrives, and the acknowledgement in it is lost on its way into the log
+	Respond                     // a replica responds
+	Deliver                     // a response arrives
+	Store                       // the content of the response is stored
+	ApplyRestrictions           // the loop applies the newest restrictions
+	ReportInEffect              // the loop reports to the control code that they are in effect
+	Restart                     // the node's process restarts
+	Elect                       // the other replica is elected
+	StepDown                    // the former leader learns that it no longer leads
+	Propose                     // a replica proposes the command that its schedule calls for
+	Grant                       // a replica grants a turn
+	RequestTurn                 // a turn is requested
+	Withdraw                    // a turn is withdrawn
+	Finish                      // the work begins and ends, and the host is back and warm
+	SwitchFailure               // a host fails, or recovers
+	CompleteCall                // a call is sent and answered in one step
+	RevokeTurn                  // a replica revokes a turn that is blocked by a node whose link is cut
+	Prepare                     // a replica starts to prepare a turn that may be prepared
+	SwitchBan                   // an operator bans a host, or lifts the ban
+	DeclareNode                 // a node is declared dead, or readmitted
+	SwitchLink                  // a node's link is cut, or restored
 )
 
-// The ways in which a process starts again.
+// The stores with which a process restarts.
 const (
 	withStore   = iota
-	withWritten // what was on its way into the store got there
+	withWritten // with the write that was in progress
 	withNone    // the store is lost
-	withOlder   // by a planted bug: an older copy of it was put back
+	withOlder   // by an injected bug: an old copy of the store is restored
 )
 
 func step(op Op, node, arg int) model.Step {
 	return model.Step(op)<<16 | model.Step(node)<<8 | model.Step(arg)
 }
 
-// Decode takes a step apart.
+// Decode splits a step into its parts.
 func Decode(s model.Step) (op Op, node, arg int) {
 	return Op(s >> 16), int(s >> 8 & 0xff), int(s & 0xff)
 }
@@ -102,10 +102,11 @@
 	m.operatorSteps(&s, yield)
 }
 
-// keep has the nodes that are steady call until they know all there is to know, and it is known of them.
+// refreshCurrentNodes lets the nodes that are always current call until they know all that is new, and until the replicas know
+// that they do.
 func (m *Model) refreshCurrentNodes(s *State) {
 	for i := m.Nodes - m.CurrentNodes; i < m.Nodes; i++ {
-		for range 2 { // what is new, and that it is in effect
+		for range 2 { // the first call fetches what is new, the second reports that it is in effect
 			n := &s.Nodes[i]
 			if s.Log.schedule.Dead(nodeNames[i]) || n.LoopRestrictions.LeaseEnd == s.nodeNow(i)+terms.Duration && n.responseApplied == s.Log.index &&
 				n.responseRecorded == s.Log.schedule.ExclusionSet().Version {
@@ -116,7 +117,7 @@
 	}
 }
 
-// drop takes calls away.
+// dropCalls removes the calls that match.
 func (n *Node) dropCalls(which func(*Call) bool) {
 	kept := 0
 	for i := range n.Calls {
@@ -130,7 +131,7 @@
 	}
 }
 
-// add puts a call in, of which there is room.
+// addCall adds a call in a free slot, of which there must be one.
 func (n *Node) addCall(c Call) {
 	for i := range n.Calls {
 		if n.Calls[i].Stage == NoCall {
@@ -140,15 +141,15 @@
 	}
 }
 
-// full says whether a node has as many calls on their way as it may.
+// callsFull reports whether a node has the maximum number of calls in transit.
 func (m *Model) callsFull(n *Node) bool { return n.Calls[m.MaxCalls-1].Stage != NoCall }
 
-// over says whether there is no turn any more, and none to come: what follows shows nothing.
+// finished reports whether no turn exists and none can follow: later states show nothing new.
 func (m *Model) finished(s *State) bool {
 	return s.Remaining.TurnRequests == 0 && s.Remaining.Bans == 0 && s.Log.turns == [MaxHosts]turns.Turn{} && s.Banned == [MaxHosts]bool{}
 }
 
-// offer gives the loop the newest verdict, unless it goes by it already.
+// queueRestrictions sends the newest restrictions to the loop, unless the loop already applies them.
 func (m *Model) queueRestrictions(s *State, i int) {
 	n := &s.Nodes[i]
 	v := m.restrictions(s, i)
@@ -162,7 +163,7 @@
 	}
 }
 
-// verdict is what a node's control says to its loop.
+// restrictions returns what a node's control code tells its loop not to use.
 func (m *Model) restrictions(s *State, i int) sendlease.Restrictions {
 	n := &s.Nodes[i]
 	v := n.Holder.Restrictions()
@@ -172,13 +173,13 @@
 	return v
 }
 
-// inEffect tells a holder what its loop goes by.
+// markInEffect reports to a holder which restrictions its loop applies.
 func (n *Node) markInEffect(v sendlease.Restrictions) {
 	n.Holder = n.Holder.Clone()
 	n.Holder.MarkInEffect(v)
 }
 
-// start starts a node's process with a store.
+// startNode starts a node's process with a store.
 func (m *Model) startNode(s *State, i int, store sendlease.Saved) {
 	n := &s.Nodes[i]
 	n.dropCalls(func(c *Call) bool { return c.Stage != RequestInTransit })
@@ -188,7 +189,8 @@
 			n.Calls[c] = Call{}
 		}
 	}
-	n.Stored, n.Writing, n.QueuedRestrictions, n.UnreportedRestrictions, n.BugLeaseEnd, n.responseApplied, n.responseRecorded = &store, nil, nil, nil, 0, 0, 0
+	n.Stored, n.Writing, n.QueuedRestrictions, n.UnreportedRestrictions, n.BugLeaseEnd, n.responseApplied, n.responseRecorded =
+		&store, nil, nil, nil, 0, 0, 0
 	n.Holder = sendlease.NewHolder(terms, nodeNames[i], store)
 	v := m.restrictions(s, i)
 	n.LoopRestrictions = &v
@@ -203,7 +205,7 @@
 	} else if n.Writing == nil || m.bug.requestsWhileWriting {
 		for slot := range m.MaxCalls {
 			if n.Calls[slot].Stage == NoCall && slot > 0 && n.Calls[slot-1].Stage == NoCall || !m.callsFull(n) && n.Calls[slot].Stage != NoCall {
-				continue // one free place is as good as another
+				continue // all free slots are equivalent
 			}
 			next := *s
 			x := &next.Nodes[i]
@@ -289,7 +291,7 @@
 	}
 }
 
-// stepsOfCalls are the steps of a node whose calls are one step each.
+// atomicCallSteps yields the steps of a node whose calls are one step each.
 func (m *Model) atomicCallSteps(s *State, i int, yield func(model.Step, State)) {
 	if s.Nodes[i].LinkCut {
 		next := *s
@@ -309,7 +311,7 @@
 	}
 }
 
-// whole is a call that is one step.
+// atomicCall makes a call in one step.
 func (m *Model) atomicCall(s *State, i int, how Op) State {
 	next := *s
 	x := &next.Nodes[i]
@@ -334,7 +336,7 @@
 	return next
 }
 
-// stored says that what was on its way into a node's store is there.
+// completeWrite completes the write to a node's store that is in progress.
 func (m *Model) completeWrite(next *State, i int) {
 	x := &next.Nodes[i]
 	if m.bug.restoresOldStore && !bytes.Equal(encodeSaved(*x.Stored), encodeSaved(*x.Writing)) {
@@ -350,7 +352,7 @@
 	return sendlease.NewHolder(terms, "", s).Append(nil, 0, nil)
 }
 
-// commit puts a command into the log, whoever proposed it. It says whether that changed anything.
+// commit appends a command to the log, whoever proposed it, and reports whether that changed the schedule.
 func (s *State) commit(key commandKey, c turns.Command) bool {
 	before := s.Log
 	s.Log = before.extended(key, c)
@@ -367,12 +369,12 @@
 	return true
 }
 
-// receive is a question that comes to a seat that believes that it leads. A quorum confirms the one that does.
+// receive handles a request that arrives at a replica which believes it leads. A quorum confirms only the replica that does lead.
 func (m *Model) receive(s *State, i, slot, replica int, how Op) State {
 	next := *s
 	x := &next.Nodes[i]
 	c := x.Calls[slot]
-	if next.view(replica).schedule.Dead(c.Request.Node) { // what it says counts for nothing, and it is told so
+	if next.view(replica).schedule.Dead(c.Request.Node) { // its reports do not count, and it is told that it is declared dead
 		x.dropCalls(func(y *Call) bool {
 			return y.Stage == RequestInTransit && y.Request.Seq == c.Request.Seq && y.RequesterGone == c.RequesterGone
 		})
@@ -382,13 +384,13 @@
 	t.RecordConfirmed(s.replicaNow(), c.Request)
 	next.Replicas[replica].Table = t
 	ack := turns.Ack{Node: c.Request.Node, Incarnation: c.Request.Incarnation, Version: c.Request.Acked}
-	acked := m.bug.acksOnce && next.Replicas[replica].LastAcks[i] == ack
+	alreadyProposed := m.bug.acksOnce && next.Replicas[replica].LastAcks[i] == ack
 	if m.bug.acksOnce {
 		next.Replicas[replica].LastAcks[i] = ack
 	}
 	if how == ReceiveAckLost {
 		next.Remaining.LostProposals--
-	} else if next.view(replica).schedule.RecordedVersionIn(c.Request.Node, c.Request.Incarnation) != c.Request.Acked && !acked {
+	} else if next.view(replica).schedule.RecordedVersionIn(c.Request.Node, c.Request.Incarnation) != c.Request.Acked && !alreadyProposed {
 		next.commit(commandKey{op: Receive, id: c.Request.Node, a: c.Request.Incarnation, b: c.Request.Acked}, turns.Command{Ack: &ack})
 	}
 	answers := !c.RequesterGone && (replica == int(s.Leader) || m.bug.noQuorum)
@@ -405,7 +407,7 @@
 		})
 	}
 	if next.Remaining.LeaderChanges == 0 && replica == int(s.Leader) {
-		// Nobody else will lead, so that it does not matter whether the question is late or the answer.
+		// No other replica can become leader, so that a late request and a late response are equivalent.
 		for slot := range x.Calls {
 			if x.Calls[slot].Stage == AtReplica && int(x.Calls[slot].Replica) == replica {
 				next = m.respond(&next, i, slot)
@@ -415,7 +417,7 @@
 	return next
 }
 
-// answer is the answer of a seat that a quorum has confirmed, at whatever time that was.
+// respond sends the response of a replica that a quorum has confirmed as leader at some time before.
 func (m *Model) respond(s *State, i, slot int) State {
 	next := *s
 	c := &next.Nodes[i].Calls[slot]
@@ -425,15 +427,15 @@
 		replica.Table.RecordAnswered(s.replicaNow(), c.Request.Node)
 	}
 	c.Stage, c.Replica = ResponseInTransit, 0
-	c.Response = sendlease.LeaseResponse{Seq: c.Request.Seq, Applied: view.index, ExcludedHosts: view.excludedHosts, ExclusionSet: view.schedule.ExclusionSet(),
-		Recorded: view.schedule.RecordedVersionIn(c.Request.Node, c.Request.Incarnation)}
+	c.Response = sendlease.LeaseResponse{Seq: c.Request.Seq, Applied: view.index, ExcludedHosts: view.excludedHosts,
+		ExclusionSet: view.schedule.ExclusionSet(), Recorded: view.schedule.RecordedVersionIn(c.Request.Node, c.Request.Incarnation)}
 	if m.bug.excludedHosts != nil {
 		c.Response.ExcludedHosts = m.bug.excludedHosts(view)
 	}
 	return next
 }
 
-// deliver is an answer that comes. What is to be saved is on its way into the store before anything else follows.
+// deliver handles a response that arrives. What must be saved is being written to the store before anything else follows.
 func (m *Model) deliver(s *State, i, slot int) State {
 	next := *s
 	x := &next.Nodes[i]
@@ -454,7 +456,7 @@
 	if changed || m.bug.changeRestrictions != nil {
 		m.queueRestrictions(&next, i)
 	}
-	x.Exempt = x.Exempt && next.Log.schedule.Dead(nodeNames[i]) // a call is one step there: this was made after it was taken in
+	x.Exempt = x.Exempt && next.Log.schedule.Dead(nodeNames[i]) // calls are atomic here: made after the node was readmitted
 	return next
 }
 
@@ -478,7 +480,7 @@
 		}
 	}
 	if m.AtomicCalls && view.nextCommand == nil && !m.bug.noRevoke {
-		// Whoever waits may have lost patience: how long it has waited is left open.
+		// The turn that waits may have waited long enough: the waiting time is not modelled.
 		if c, found := view.schedule.RevokeBlocked(1, m.nodeViews(s, replica), 0); found {
 			c.At = 0
 			if next := *s; next.commit(commandKey{op: RevokeTurn, id: c.Revoke.ID + c.Revoke.Why, a: c.Revoke.Round}, c) {
@@ -488,7 +490,7 @@
 	}
 }
 
-// stepsOfFree are those of a seat that prepares and calls back whatever its book allows.
+// unrestrictedSteps yields the steps of a replica that prepares and revokes whatever its schedule accepts.
 func (m *Model) unrestrictedSteps(s *State, replica int, yield func(model.Step, State)) {
 	for h := range m.Hosts {
 		next, t := *s, s.view(replica).turns[h]
@@ -506,7 +508,7 @@
 	}
 }
 
-// views is what a seat knows of the nodes.
+// nodeViews returns what a replica knows of the nodes.
 func (m *Model) nodeViews(s *State, replica int) []turns.NodeView {
 	views := make([]turns.NodeView, m.Nodes)
 	t := s.Replicas[replica].Table
@@ -517,7 +519,7 @@
 	return views
 }
 
-// clear returns what keeps a seat from handing a host over.
+// blockers returns what prevents a replica from granting a turn.
 func (m *Model) blockers(s *State, replica int, t turns.Turn) []turns.Blocker {
 	views := m.nodeViews(s, replica)
 	if m.bug.blockers != nil {
@@ -598,16 +600,17 @@
 	}
 }
 
-// look is the leader's look at the hosts, all of them warm, the last of which may have failed.
+// updateFleet commits the leader's observation of the hosts: all are warm, except that the last one may have failed.
 func (m *Model) updateFleet(s *State, failed bool) bool {
 	f := turns.Fleet{AppliedIndex: s.Log.index, Hosts: m.fleet(failed, s.Banned)}
 	if m.bug.changeFleet != nil {
 		m.bug.changeFleet(s, &f)
 	}
-	return s.commit(commandKey{op: SwitchFailure, scheduleSum: s.Log.sum, a: uint64(bits(failed)), b: uint64(bits(s.Banned[:]...))}, turns.Command{Fleet: &f})
+	return s.commit(commandKey{op: SwitchFailure, scheduleSum: s.Log.sum, a: uint64(bits(failed)), b: uint64(bits(s.Banned[:]...))},
+		turns.Command{Fleet: &f})
 }
 
-// fleet is the hosts, the last of which may have failed.
+// fleet returns the hosts, the last of which may have failed.
 func (m *Model) fleet(failed bool, banned [MaxHosts]bool) []turns.Host {
 	hosts := make([]turns.Host, m.Hosts)
 	for h := range hosts {
--- a/rehearsal/upstreammodel/model.go
+++ b/rehearsal/upstreammodel/model.go
@@ -1,13 +1,13 @@
-// Package upstreammodel is writes that travel upstream (package choice/upstream) as a model for the checker: a building, a
-// regency and a province with the real state of each, a network that loses, repeats and reorders, two routes, and a store
-// that is lost. What is true of a write (what its writer had seen, what it says) is kept beside the sites, by tags, and what
-// the sites do is held against it.
+// Package upstreammodel is a model of the writes between sites (package choice/sitesync) for the model checker. It runs the real
+// code of a building, a regency and a province over a network that loses, duplicates and reorders messages, with two routes to the
+// province and with the loss of a store. The truth about each write (what its writer had observed, and its content) is kept outside
+// the sites, by the write's index in the scenario, and what the sites do is compared with it.
 //
-// A state in which nothing is under way is also asked whether the sites come to hold the same once links are whole: a copy
-// is let call until nothing changes any more. So convergence is checked from every such state, and not by fairness.
+// In a state without messages in transit, Broken also checks convergence: in a copy, the sites call each other over working links
+// until nothing changes. So convergence is checked from every such state, and needs no fairness.
 //
-// The same package has the storm: many sites that come back to one province at once, in virtual time, with the plain way
-// beside it for comparison.
+// The package also has the reconnect storm: many sites reconnect to one province at once, in virtual time. A plain protocol serves
+// for comparison.
 package upstreammodel
 
 import (
@@ -31,22 +31,22 @@
 
 var siteNames = [sites]string{"building", "regency", "province"}
 
-// limits are those of all sites of the model. Pieces of a state are of one write.
+// limits apply to all sites of the model. A chunk of a state holds one write.
 var limits = sitesync.Limits{Bytes: 1 << 20, Number: 100, Batch: 1, Held: 2}
 
-// tags is a set of writes, by their numbers in the scenario.
+// writeSet is a set of writes, by their indexes in the scenario.
 type writeSet uint16
 
 func (t writeSet) has(i int) bool { return t>>i&1 == 1 }
 
-// truth is what is known of a write that was made: beside the sites, which do not see it.
+// writeInfo is the truth about a write that was made. The sites do not see it.
 type writeInfo struct {
 	id         sitesync.ID
-	observed   writeSet // what its writer had seen
-	mergedInto int      // the tag of the write that it was merged into, plus one
+	observed   writeSet // by its writer
+	mergedInto int      // index of the write that it was merged into, plus one
 }
 
-// node is a site with its bytes.
+// node is a site with its encoding.
 type node struct {
 	site    *sitesync.Site
 	encoded []byte
@@ -54,7 +54,7 @@
 
 func newNode(s *sitesync.Site) node { return node{site: s} }
 
-// sealed returns a state with the bytes of its sites made.
+// withEncodings returns a state in which all sites have their encodings.
 func (s State) withEncodings() State {
 	for i := range s.nodes {
 		if s.nodes[i].encoded == nil {
@@ -64,30 +64,30 @@
 	return s
 }
 
-// message is a call or an answer under way.
+// message is a call or an answer in transit.
 type message struct {
 	from, to    int
-	batch       []byte   // of a call: the batch
+	batch       []byte   // of a call
 	answer      []byte   // of an answer
-	senderHolds writeSet // of an answer: what its sender held
+	senderHolds writeSet // of an answer: the writes that its sender held
 	encoded     []byte
 }
 
-// State is the whole world. What it points to is never changed.
+// State is the state of the world. Values behind pointers are never changed.
 type State struct {
 	nodes      [sites]node
-	inTransit  []message // sorted by bytes
+	inTransit  []message // sorted by encoding
 	known      [sites][sites][]byte
 	writes     []writeInfo
-	made       writeSet // writes that were made
-	lostWrites writeSet // writes that ended with the lost store, before they left it
-	sentWrites writeSet // writes that have left their site
+	made       writeSet // by their writers
+	lostWrites writeSet // lost with the store before they were sent
+	sentWrites writeSet // that have left their site
 	held       [sites]writeSet
-	outcomes   [][]byte // by tag: the outcome of its receipt
+	outcomes   [][]byte // by write: the outcome in its receipt
 	calls      uint8
 	losses     uint8
 	duplicates uint8
-	storeLost  bool // the building's store
+	storeLost  bool // of the building
 	violations uint32
 }
 
@@ -114,16 +114,16 @@
 	"U2 evidence is counted once",
 }
 
-// Model is a scenario with the bounds of the network.
+// Model is a scenario with the limits of the network.
 type Model struct {
 	Scenario      Scenario
-	MaxCalls      int // calls in all
+	MaxCalls      int // in total
 	MaxLosses     int
-	MaxDuplicates int // messages that come twice
+	MaxDuplicates int // messages that arrive twice
 	bug           injectedBug
 }
 
-// New returns the model of a scenario, with a planted bug unless its name is empty.
+// New returns the model of a scenario, with the bug of that name injected unless the name is empty.
 func New(scenario, bugName string) (*Model, error) {
 	m := &Model{}
 	found := false
@@ -159,7 +159,7 @@
 
 func newSite(p sitesync.Place) *sitesync.Site { return sitesync.New(p, limits).WithMerge(addEvidence) }
 
-// addUp merges evidence that is one byte.
+// addEvidence merges evidence, which is one byte in the model.
 func addEvidence(a, b []byte) ([]byte, error) {
 	if len(a) != 1 || len(b) != 1 {
 		return nil, fmt.Errorf("evidence is one byte, not %d and %d", len(a), len(b))
@@ -176,7 +176,7 @@
 	return []State{s.withEncodings()}
 }
 
-// The steps: an operation in the high bits, and what it is about.
+// The steps: the operation is in the high bits, its argument in the low ones.
 const (
 	opWrite model.Step = iota << 8
 	opSend
@@ -234,7 +234,7 @@
 	}
 }
 
-// loseStore begins a new life of the building.
+// loseStore replaces the store of the building by an empty one with a new incarnation.
 func (m *Model) loseStore(s State) State {
 	incarnation := uint64(2)
 	if m.bug.sameIncarnation {
@@ -256,7 +256,7 @@
 	return s
 }
 
-// write makes a write of the scenario at its site.
+// makeWrite makes a write of the scenario at its site.
 func (m *Model) makeWrite(s State, i int) (State, bool) {
 	w := m.Scenario.Writes[i]
 	l := w.Local
@@ -265,7 +265,7 @@
 	switch {
 	case l.Urgent:
 		observed = 0
-	case l.Kind == sitesync.Evidence: // it waits for that of its own site alone
+	case l.Kind == sitesync.Evidence: // evidence depends on that of its own site only
 		observed = s.held[w.Site] & m.evidenceWrites(func(x Write) bool { return x.Site == w.Site })
 	}
 	for _, t := range w.needs {
@@ -310,7 +310,7 @@
 	return s, true
 }
 
-// apply applies a command at a site and holds what it brings against the truth. Holds is what the sender of a state held.
+// apply applies a command at a site and compares the effects with the truth. senderHolds is what the sender of a state held.
 func (m *Model) apply(s *State, at int, c sitesync.Command, senderHolds writeSet) []sitesync.Effect {
 	site := s.nodes[at].site.Clone()
 	if c.Down != nil && m.bug.changeState != nil {
@@ -318,18 +318,18 @@
 	}
 	effects := site.Apply(1, c)
 	s.nodes[at] = newNode(site)
-	// What a site held is told from what it had seen; what came through a state is covered at once.
+	// The version vector of the site shows whether the state was joined. If it was, the site now holds all that the sender held.
 	if d := c.Down; d == nil || !d.Last || slices.ContainsFunc(d.Seen, func(k sitesync.VectorEntry) bool {
 		return !site.Seen().Has(sitesync.ID{Origin: k.Origin, Number: k.Number})
 	}) {
-		senderHolds = 0 // it was not joined
+		senderHolds = 0 // the state was not joined
 	}
-	observed := s.held[at] | senderHolds
+	available := s.held[at] | senderHolds
 	for _, e := range effects {
 		switch e.Kind {
 		case sitesync.EffectApplied:
 			i, ok := writeIndex(e.Write)
-			for j := range s.writes { // evidence that is emptied names nobody
+			for j := range s.writes { // emptied evidence has no By field
 				if !ok && s.made.has(j) && s.writes[j].id == e.ID {
 					i, ok = j, true
 				}
@@ -341,7 +341,7 @@
 				s.violations |= 1 << badDivergence
 			}
 			if s.made.has(i) {
-				if s.writes[i].id.Number == 0 { // it is being made
+				if s.writes[i].id.Number == 0 { // the write is being made
 					s.writes[i].id = e.ID
 				}
 				if s.writes[i].id.Origin.Incarnation != e.ID.Origin.Incarnation {
@@ -352,20 +352,20 @@
 				}
 				for j := range s.writes {
 					if _, refused := site.Refusal(s.writes[j].id); refused && s.made.has(j) {
-						observed |= 1 << j
+						available |= 1 << j
 					}
 				}
-				if at == province && s.writes[i].observed&^observed&^s.lostWrites != 0 {
+				if at == province && s.writes[i].observed&^available&^s.lostWrites != 0 {
 					s.violations |= 1 << badOrder
 				}
 			}
 			s.held[at] |= 1 << i
-			for j := range s.writes { // what was merged into it comes with it
+			for j := range s.writes { // merged writes arrive with it
 				if s.made.has(j) && s.writes[j].id == e.ID {
 					s.held[at] |= 1 << j
 				}
 			}
-			observed |= s.held[at]
+			available |= s.held[at]
 		case sitesync.EffectReceipt:
 			m.checkReceipt(s, e.Receipt)
 		}
@@ -380,7 +380,7 @@
 	return i, err == nil
 }
 
-// receipt holds a receipt against what the province says.
+// checkReceipt compares a receipt with the outcomes at the province.
 func (m *Model) checkReceipt(s *State, r sitesync.Receipt) {
 	for i := range s.writes {
 		info := &s.writes[i]
@@ -392,24 +392,24 @@
 		}
 		s.outcomes = slices.Clone(s.outcomes)
 		s.outcomes[i] = []byte{byte(r.Outcome)}
-		if !s.nodes[province].site.Judged().Has(r.ID) { // nobody above has it
+		if !s.nodes[province].site.Judged().Has(r.ID) { // the province has not judged it
 			s.violations |= 1 << badReceipt
 		}
 	}
 }
 
-// courier returns a site's courier for one call to a site above, with what the last answer said is known there.
+// nextBatch returns the batch of a site's next call to a site above, given what the last answer said is known there.
 func (m *Model) nextBatch(s *State, from, to int, credit int) *sitesync.Batch {
 	site := s.nodes[from].site
 	if offer := site.Unoffered(); offer != nil && !m.bug.noOffer {
 		m.apply(s, from, *offer, 0)
 		site = s.nodes[from].site
-	} else if offer != nil { // sent all the same, and not committed
+	} else if offer != nil { // by an injected bug: sent, but not committed
 		site = site.Clone()
 		site.Apply(1, *offer)
 	}
-	caller := caller{site, siteNames[to]}
-	b := caller.batch(s.known[from][to], credit)
+	call := forwarderCall{site, siteNames[to]}
+	b := call.batch(s.known[from][to], credit)
 	if m.bug.changeBatch != nil {
 		m.bug.changeBatch(b)
 	}
@@ -430,7 +430,7 @@
 	return b
 }
 
-// send puts a call on its way.
+// send starts a call.
 func (m *Model) send(s State, from, to int) (State, bool) {
 	b := m.nextBatch(&s, from, to, 2)
 	s.calls++
@@ -449,7 +449,7 @@
 	s.inTransit = inTransit
 }
 
-// arrive lets a message arrive; it stays under way if it is to come twice.
+// arrive delivers a message. Unless this is its last arrival, it stays in transit.
 func (m *Model) arrive(s State, i int, last bool) State {
 	msg := s.inTransit[i]
 	if last {
@@ -464,7 +464,7 @@
 	return s
 }
 
-// called takes a call in and answers it.
+// handleCall handles a call and returns the answer.
 func (m *Model) handleCall(s *State, at int, data []byte) (*sitesync.Answer, writeSet) {
 	b, err := sitesync.ParseBatch(data)
 	if err != nil {
@@ -497,7 +497,7 @@
 	return a, s.held[at] &^ m.evidenceWrites(func(Write) bool { return true })
 }
 
-// evidence returns the evidence of a scenario that has a property.
+// evidenceWrites returns the evidence writes of a scenario that match.
 func (m *Model) evidenceWrites(which func(Write) bool) (t writeSet) {
 	for i, w := range m.Scenario.Writes {
 		if w.Local.Kind == sitesync.Evidence && which(w) {
@@ -507,7 +507,7 @@
 	return t
 }
 
-// answered takes an answer in: what is known above, and its state, if it is whole.
+// handleAnswer handles an answer: what is known above, and the state that it carries if that is complete or has judged writes.
 func (m *Model) handleAnswer(s *State, msg message) {
 	a, err := sitesync.ParseAnswer(msg.answer)
 	if err != nil {
@@ -517,7 +517,7 @@
 		a.Down.To = s.nodes[msg.to].site.Self().Incarnation
 	}
 	if a.Down.To != s.nodes[msg.to].site.Self().Incarnation {
-		return // the courier that called is gone with the store
+		return // the forwarder that made the call was lost with the store
 	}
 	known := sitesync.VersionVector{}
 	if b := s.known[msg.to][msg.from]; b != nil {
@@ -529,7 +529,7 @@
 	}
 }
 
-// joined returns a vector with all of two.
+// joinVectors returns a vector that covers two others.
 func joinVectors(a, b sitesync.VersionVector) sitesync.VersionVector {
 	list := slices.Concat(a, b)
 	slices.SortFunc(list, func(x, y sitesync.VectorEntry) int {
@@ -541,17 +541,17 @@
 	return slices.CompactFunc(list, func(x, y sitesync.VectorEntry) bool { return x.Origin == y.Origin })
 }
 
-// reach is a site for one call.
-type caller struct {
+// forwarderCall is one call that a site makes.
+type forwarderCall struct {
 	site *sitesync.Site
 	to   string
 }
 
-// call makes the call that the site's courier would, given what it knows of the other site and has credit for.
-func (r caller) batch(known []byte, credit int) *sitesync.Batch {
+// batch returns the batch that the site's forwarder would send, given what it knows of the other site and its credit.
+func (r forwarderCall) batch(known []byte, credit int) *sitesync.Batch {
 	forwarder := sitesync.NewForwarderTo(func() *sitesync.Site { return r.site }, sitesync.Timing{MaxFailures: 9}, r.to)
 	if _, probe, _ := forwarder.Next(0); probe == nil {
-		panic("upstreammodel: a courier makes no first call")
+		panic("upstreammodel: the forwarder does not probe before its first call")
 	}
 	a := &sitesync.Answer{From: r.to, Incarnation: 1, Credit: credit}
 	if known != nil {
@@ -562,7 +562,7 @@
 	return b
 }
 
-// Canonical implements model.Model: the sites are not alike.
+// Canonical implements model.Model: the sites are not symmetric.
 func (m *Model) Canonical(s State) State { return s }
 
 // Encode implements model.Model.
@@ -596,7 +596,7 @@
 	return binary.BigEndian.AppendUint32(to, s.violations)
 }
 
-// Broken implements model.Model. A state in which nothing is under way is healed in a copy.
+// Broken implements model.Model. A state without messages in transit is also checked for convergence.
 func (m *Model) Broken(s State) uint32 {
 	if s.violations == 0 && len(s.inTransit) == 0 {
 		return m.checkConvergence(s)
@@ -604,7 +604,8 @@
 	return s.violations
 }
 
-// healed lets a copy of the sites call, the links whole, until nothing changes any more, and says what does not hold then.
+// checkConvergence lets the sites of a copy call each other over working links until nothing changes, and returns the properties
+// that do not hold then.
 func (m *Model) checkConvergence(s State) uint32 {
 	s.writes = slices.Clone(s.writes)
 	unchanged := 0
@@ -631,7 +632,7 @@
 	return s.violations | m.differences(&s)
 }
 
-// whole makes calls from one site to another until the whole state has come down.
+// exchange makes calls from one site to another until the complete state has been received.
 func (m *Model) exchange(s *State, from, to int) {
 	for range 8 {
 		b := m.nextBatch(s, from, to, 9)
@@ -643,7 +644,7 @@
 		}
 		s.known[from][to] = []byte(joinVectors(known, a.Seen).Encode())
 		var update *sitesync.StateUpdate
-		for !a.Down.Last { // the further pieces
+		for !a.Down.Last { // the remaining chunks
 			update = m.joinChunks(update, a.Down)
 			next := *b
 			next.Writes, next.Cursor = nil, sitesync.Cursor{Incarnation: a.Incarnation, At: update.Until}
@@ -656,7 +657,7 @@
 	}
 }
 
-// pieces puts a piece of a state behind those before it, as a courier does.
+// joinChunks appends a chunk of a state to the earlier ones, as a forwarder does.
 func (m *Model) joinChunks(before, chunk *sitesync.StateUpdate) *sitesync.StateUpdate {
 	if before != nil {
 		chunk.After = before.After
@@ -669,7 +670,7 @@
 	return chunk
 }
 
-// differ says what does not hold of sites that have called until nothing changed.
+// differences returns the properties that do not hold between sites which have called until nothing changed.
 func (m *Model) differences(s *State) (bad uint32) {
 	top := s.nodes[province].site
 	for i := range province {
@@ -679,7 +680,7 @@
 			bad |= 1 << badDivergence
 		}
 		bad |= m.checkOwnEvidence(s, i)
-		for t := range s.writes { // what was not taken is known everywhere
+		for t := range s.writes { // every site knows the refused writes
 			_, a := top.Refusal(s.writes[t].id)
 			if _, b := below.Refusal(s.writes[t].id); a != b {
 				bad |= 1 << badDivergence
@@ -710,7 +711,7 @@
 	return bad | m.checkOverwrites(s, top) | m.checkSums(s, top)
 }
 
-// ownEvidence checks that a site below the top holds what it wrote itself in this life, and nothing else.
+// checkOwnEvidence checks that a site below the province holds the evidence it wrote in this incarnation, and no other.
 func (m *Model) checkOwnEvidence(s *State, at int) (bad uint32) {
 	want := map[string]byte{}
 	for i, w := range m.Scenario.Writes {
@@ -731,16 +732,16 @@
 	return bad
 }
 
-// overruled checks the outcomes against the truth: a write that needs a refused one and falls with it is orphaned, and no
-// write stands beside one whose writer had seen it.
+// checkOverwrites compares the outcomes with the truth: work that needs a refused or orphaned write is itself refused or
+// orphaned, and no write is concurrent with one that its writer had observed.
 func (m *Model) checkOverwrites(s *State, top *sitesync.Site) (bad uint32) {
 	for i, w := range m.Scenario.Writes {
 		for _, n := range w.needs {
 			if s.outcomes[i] == nil || s.outcomes[n] == nil || w.Local.Kind != sitesync.Work {
 				continue
 			}
-			notApplied := sitesync.Outcome(s.outcomes[n][0]) >= sitesync.Refused
-			if notApplied && sitesync.Outcome(s.outcomes[i][0]) < sitesync.Refused {
+			rejected := sitesync.Outcome(s.outcomes[n][0]) >= sitesync.Refused
+			if rejected && sitesync.Outcome(s.outcomes[i][0]) < sitesync.Refused {
 				bad |= 1 << badOverwrite
 			}
 		}
@@ -752,8 +753,8 @@
 			for a := range current {
 				for b := range current {
 					i, ok := writeIndex(&current[a])
-					j, alsoOK := writeIndex(&current[b])
-					if ok && alsoOK && i != j && k != sitesync.Evidence && s.writes[i].observed.has(j) {
+					j, otherOK := writeIndex(&current[b])
+					if ok && otherOK && i != j && k != sitesync.Evidence && s.writes[i].observed.has(j) {
 						bad |= 1 << badOverwrite
 					}
 				}
@@ -763,7 +764,7 @@
 	return bad
 }
 
-// sums checks that evidence that was not lost with a store counts once.
+// checkSums checks that evidence that was not lost with a store counts exactly once.
 func (m *Model) checkSums(s *State, top *sitesync.Site) (bad uint32) {
 	want, atLeast := map[string]byte{}, map[string]byte{}
 	for i, w := range m.Scenario.Writes {
@@ -816,11 +817,11 @@
 	if msg.answer != nil {
 		kind = "answer"
 	}
-	verb := map[model.Step]string{opArrive: "arrives", opDuplicate: "arrives, and will again", opLose: "is lost"}[by&^255]
+	verb := map[model.Step]string{opArrive: "arrives", opDuplicate: "arrives, and will arrive again", opLose: "is lost"}[by&^255]
 	return fmt.Sprintf("the %s of the %s to the %s %s", kind, siteNames[msg.from], siteNames[msg.to], verb)
 }
 
-// Expected says that no scenario by itself has to show anything: all of them do together.
+// Expected implements model.Coverer: no scenario must cover anything by itself; all of them together cover all sights.
 func (m *Model) Expected() uint64 { return 0 }
 
 // Covered implements model.Coverer.
@@ -851,10 +852,10 @@
 
 // Sights implements model.Coverer.
 func (m *Model) Sights() []string {
-	return []string{"applied", "superseded", "refused", "orphaned", "held back", "lost with a store", "two messages under way", "evidence merged"}
+	return []string{"applied", "superseded", "refused", "orphaned", "held back", "lost with a store", "two messages in transit", "evidence merged"}
 }
 
-// Tell returns a run as text.
+// FormatTrace returns a run as text, one line per step.
 func FormatTrace(m *Model, t model.Trace[State]) string {
 	var b strings.Builder
 	for i, step := range t.Steps {
--- a/rehearsal/upstreammodel/scenario.go
+++ b/rehearsal/upstreammodel/scenario.go
@@ -6,13 +6,13 @@
 type Write struct {
 	Site      int
 	Local     sitesync.LocalWrite
-	needs     []int // writes that it needs, by their places: it is made where they are known
-	tokenSite int   // site whose token is presented, plus one
-	after     int   // the write that was made before it, plus one
-	afterLoss bool  // in the building's second life
+	needs     []int // indexes of the writes that it needs; it is made once its site holds them
+	tokenSite int   // the site whose token is presented, plus one
+	after     int   // index of the write that must be made before it, plus one
+	afterLoss bool  // made in the building's second incarnation
 }
 
-// Scenario is a case by itself: writes that are made at any time, and the bounds of the network.
+// Scenario is a set of writes that may be made at any time, with the limits of the network.
 type Scenario struct {
 	Name, About   string
 	Writes        []Write
@@ -38,47 +38,47 @@
 }
 
 var scenarios = []Scenario{
-	{Name: "two-routes", About: "a replay that is begun with the parent and ended with the grandparent, with losses and repeats",
+	{Name: "two-routes", About: "a replay that begins with the parent and ends with the grandparent, with losses and repetitions",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Safety, "host/1", "out")},
 			{Site: building, Local: local(sitesync.Safety, "host/1", "back"), after: 1},
 			{Site: building, Local: urgent(local(sitesync.Safety, "host/2", "out")), after: 2},
 			{Site: province, Local: local(sitesync.Safety, "host/1", "out smoke")},
 		}, MaxCalls: 2, MaxLosses: 1},
-	{Name: "concurrent", About: "all three write on one thing",
+	{Name: "concurrent", About: "all three sites write on one subject",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Policy, "policy/1", "halt")},
 			{Site: regency, Local: local(sitesync.Policy, "policy/1", "begin")},
 			{Site: province, Local: local(sitesync.Policy, "policy/1", "resume")},
 			{Site: building, Local: urgent(local(sitesync.Policy, "policy/1", "force")), after: 1},
 		}, MaxCalls: 2},
-	{Name: "token", About: "an operator goes from the regency to the building, which goes on to the province",
+	{Name: "token", About: "an operator moves from the regency to the building, whose writes go on to the province",
 		Writes: []Write{
 			{Site: regency, Local: local(sitesync.Work, "host/1", "asked")},
 			{Site: building, Local: local(sitesync.Work, "host/1", "begun"), tokenSite: regency + 1, after: 1},
 			{Site: building, Local: urgent(local(sitesync.Work, "host/1", "done")), after: 2},
 		}, MaxCalls: 2, MaxLosses: 1, MaxDuplicates: 1},
-	{Name: "closed", About: "the province closes what others write about",
+	{Name: "closed", About: "the province closes a subject that others write on",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Work, "host/1", "asked")},
 			{Site: building, Local: local(sitesync.Work, "host/2", "begun"), needs: []int{0}},
 			{Site: building, Local: local(sitesync.Note, "policy/1", "seen"), needs: []int{0}},
 			{Site: province, Local: closing(local(sitesync.Work, "host/1", "taken off"))},
 		}, MaxCalls: 2, MaxLosses: 1},
-	{Name: "pieces", About: "a state comes down in pieces, with a refusal before the last one",
+	{Name: "pieces", About: "a state is sent down in chunks, with a refusal before the last one",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Work, "host/1", "asked"), tokenSite: province + 1, after: 2},
 			{Site: province, Local: closing(local(sitesync.Work, "host/1", "taken off"))},
 			{Site: province, Local: local(sitesync.Note, "policy/1", "a"), after: 2},
 			{Site: province, Local: local(sitesync.Note, "policy/2", "b"), after: 3},
 		}, MaxCalls: 2, MaxLosses: 1, NoRelay: true},
-	{Name: "lost-store", About: "the building loses its store; somebody depends on what it had not sent",
+	{Name: "lost-store", About: "the building loses its store; another site depends on a write that it had not sent",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Work, "host/1", "asked")},
 			{Site: regency, Local: local(sitesync.Work, "host/1", "begun"), tokenSite: building + 1},
 			{Site: building, Local: local(sitesync.Safety, "host/1", "out"), afterLoss: true},
 		}, MaxCalls: 2, MaxDuplicates: 1, StoreLoss: true},
-	{Name: "evidence", About: "evidence that is merged before it leaves, or not, with a lost store",
+	{Name: "evidence", About: "evidence that may be merged before it is sent, with a lost store",
 		Writes: []Write{
 			{Site: building, Local: local(sitesync.Evidence, "policy/1", "\x01")},
 			{Site: building, Local: local(sitesync.Evidence, "policy/1", "\x02"), after: 1},
--- a/rehearsal/upstreammodel/storm.go
+++ b/rehearsal/upstreammodel/storm.go
@@ -12,53 +12,53 @@
 	"lichenhitch/internal/choice/sitesync"
 )
 
-// Storm is many sites that were cut off from one province and come back at once, in virtual time.
+// ReconnectStorm is a load test: many sites that were cut off from one province reconnect at once, in virtual time.
 type ReconnectStorm struct {
 	Sites  int
 	Writes int // of each site, while it was cut off
 	Seed   uint64
 }
 
-// Figures is what a storm came to.
+// Results holds the measurements of a reconnect storm.
 type Results struct {
 	AllApplied         time.Duration // from the return of the links until the province has all writes
-	AllCurrent         time.Duration // until every site holds what the province holds, and has its receipts
+	AllCurrent         time.Duration // until every site has the state of the province and its own receipts
 	WallTime           time.Duration
-	MaxHeap            uint64 // bytes in use at most, by the runtime's count
+	MaxHeap            uint64 // maximum of bytes in use, as counted by the runtime
 	Calls              int
-	UsualP99           time.Duration // p99 of the province's own writes without the storm
-	LoadedP99          time.Duration // and in it
+	UsualP99           time.Duration // p99 latency of the province's own writes without the storm
+	LoadedP99          time.Duration // p99 latency of the province's own writes during the storm
 	Applied            int           // writes of the sites that the province applied
 	Receipts           int           // that reached the sites
 	Written            int           // by the sites
-	Merged             int           // evidence that took no place of its own
-	Converged          bool          // all sites held the same things in the end
+	Merged             int           // evidence merged into earlier writes
+	Converged          bool          // all sites held the same content in the end
 	OutOfOrder         int           // writes applied before one that they depend on
-	AppliedTwice       int           // writes applied twice
-	WronglyOverwritten int           // writes that an earlier one, which their writer had seen, was put over
-	DroppedSilently    int           // writes that were given up and nobody was told
+	AppliedTwice       int           // writes applied more than once
+	WronglyOverwritten int           // writes replaced by an earlier one that their writer had observed
+	DroppedSilently    int           // writes dropped without notice to anybody
 }
 
-// The figures of the province's council and of the network.
+// The timing of the province's consensus group and of the network.
 const (
-	commitTime         = 2 * time.Millisecond   // an entry of the log
-	commitTimePerWrite = 20 * time.Microsecond  // and each write in it
-	oneWayDelay        = 5 * time.Millisecond   // one way
-	localWriteInterval = 25 * time.Millisecond  // between two of the province's own writes, on average
-	callTimeout        = 500 * time.Millisecond // of a call
-	lossOneIn          = 20                     // one answer of so many is lost
-	batchSize          = 32                     // writes in one call
-	plainBatchSize     = 32                     // the same, in the plain way
+	commitTime         = 2 * time.Millisecond  // for one log entry
+	commitTimePerWrite = 20 * time.Microsecond // in addition, for each write in the entry
+	oneWayDelay        = 5 * time.Millisecond
+	localWriteInterval = 25 * time.Millisecond // between two of the province's own writes, on average
+	callTimeout        = 500 * time.Millisecond
+	lossOneIn          = 20 // one answer of this many is lost
+	batchSize          = 32 // writes in one call
+	plainBatchSize     = 32 // writes in one call of the plain protocol
 )
 
-// event is something that happens at a time.
+// event is an action scheduled for a time.
 type event struct {
 	at     time.Duration
 	seq    int
 	action func()
 }
 
-// agenda is the events to come, the first one first.
+// eventQueue is a priority queue of events, earliest first.
 type eventQueue struct {
 	list []event
 	seq  int
@@ -82,7 +82,7 @@
 	heap.Push(a, event{a.now + max(0, d), a.seq, action})
 }
 
-// run lets everything happen until done says so or nothing is left.
+// run executes events until done returns true or no event is left.
 func (a *eventQueue) run(done func() bool) {
 	for len(a.list) > 0 && !done() {
 		e := heap.Pop(a).(event)
@@ -91,13 +91,13 @@
 	}
 }
 
-// entry is something that the province's council is to commit.
+// entry is a log entry that the province's consensus group is to commit.
 type entry struct {
 	cost time.Duration
 	done func()
 }
 
-// council commits one entry after the other, those of its own writes first if it is told so.
+// raftLog commits one entry after the other, optionally the province's own writes first.
 type raftLog struct {
 	events        *eventQueue
 	local, others []entry
@@ -132,14 +132,14 @@
 	})
 }
 
-// world is the sites with the province.
+// world is the sites and the province.
 type world struct {
 	ReconnectStorm
 	events         eventQueue
 	rand           *rand.Rand
 	province       *sitesync.Site
 	sites          []*sitesync.Site
-	queues         [][]*sitesync.Write // what each site wrote, in its order
+	queues         [][]*sitesync.Write // the writes of each site, in their order
 	results        Results
 	localLatencies []time.Duration
 	log            raftLog
@@ -147,7 +147,7 @@
 
 var stormLimits = sitesync.Limits{Bytes: 64 << 20, Number: 40000, Age: 1000 * time.Hour, Batch: batchSize, Held: 256}
 
-// gather makes the province and the sites with their queues. Operators go from site to site with tokens.
+// newWorld makes the province and the sites with their queues. Tokens that move between sites add dependencies.
 func newWorld(s ReconnectStorm) (*world, error) {
 	w := &world{ReconnectStorm: s, rand: rand.New(rand.NewPCG(s.Seed, 7))}
 	w.log.events = &w.events
@@ -171,7 +171,7 @@
 	return w, nil
 }
 
-// write makes one write at a site: half on things of its own, some on what all write about, one in a hundred urgent.
+// makeWrite makes one write at a site: half on subjects of its own, some on subjects shared by all, one in a hundred urgent.
 func (w *world) makeWrite(i int, site *sitesync.Site, n int, skew time.Duration) error {
 	l := &sitesync.LocalWrite{}
 	switch r := w.rand.IntN(100); {
@@ -203,7 +203,7 @@
 		}
 	}
 	w.results.Written++
-	if n%50 == 49 { // so that not all evidence is one write
+	if n%50 == 49 { // so that the evidence is not all merged into one write
 		if u := site.Unoffered(); u != nil {
 			site.Apply(0, *u)
 		}
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// latest puts a merged write in the place of what it was before, and returns the last one of the queue.
+// replaceMerged replaces the earlier version of a merged write, and returns the last write of the queue.
 func (w *world) replaceMerged(i int, m *sitesync.Write) *sitesync.Write {
 	q := w.queues[i]
 	for j := len(q) - 1; j >= 0; j-- {
@@ -223,7 +223,7 @@
 	return q[len(q)-1]
 }
 
-// ownWrites lets the province write: every so often, a host out or back.
+// writeAtProvince makes the province's own writes at random intervals.
 func (w *world) writeAtProvince(done func() bool, commitOne func(n int, cost time.Duration, committed func())) {
 	n := 0
 	var next func()
@@ -247,7 +247,7 @@
 	return list[len(list)*99/100]
 }
 
-// usual returns the p99 of the province's own writes when nothing else goes on.
+// usualP99 returns the p99 latency of the province's own writes without other load.
 func usualP99(seed uint64) time.Duration {
 	w := &world{rand: rand.New(rand.NewPCG(seed, 8))}
 	w.log = raftLog{events: &w.events, localFirst: true}
@@ -258,7 +258,7 @@
 	return p99(w.localLatencies)
 }
 
-// Replay lets the sites come back with credits, jitter and the province's own writes first.
+// Replay lets the sites reconnect with credits, jitter and priority for the province's own writes.
 func (s ReconnectStorm) Replay() (*Results, error) {
 	started := time.Now()
 	w, err := newWorld(s)
@@ -268,7 +268,8 @@
 	w.log.localFirst = true
 	budget := sitesync.Budget{Rate: 8000, Batch: batchSize, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: batchSize}
 	scheduler := sitesync.NewCreditScheduler(budget)
-	timing := sitesync.Timing{PollInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 5, ReturnInterval: time.Minute}
+	timing := sitesync.Timing{PollInterval: time.Second, RetryDelay: 100 * time.Millisecond, MaxRetryDelay: 5 * time.Second,
+		MaxFailures: 5, ReturnInterval: time.Minute}
 	applied := map[sitesync.ID]bool{}
 	appliedUpTo := map[sitesync.Origin]uint64{}
 	current := make([]bool, s.Sites)
@@ -375,7 +376,7 @@
 	return &w.results, nil
 }
 
-// note holds an application at the province against what the write depends on.
+// recordApplied compares a write applied at the province with its dependencies.
 func (w *world) recordApplied(write *sitesync.Write, applied map[sitesync.ID]bool, appliedUpTo map[sitesync.Origin]uint64) {
 	if applied[write.ID] {
 		w.results.AppliedTwice++
@@ -396,7 +397,8 @@
 	w.results.MaxHeap = max(w.results.MaxHeap, m.HeapInuse)
 }
 
-// same says whether every site has seen what the others have, of things that the province wrote after the last call aside.
+// converged reports whether every site has the content of the province, after fetching what the province wrote since the last
+// call.
 func (w *world) converged(ended bool) bool {
 	if !ended {
 		return false
@@ -419,7 +421,7 @@
 		if !slices.Equal(site.Seen(), w.province.Seen()) {
 			return false
 		}
-		for _, name := range w.province.Subjects(sitesync.Evidence) { // of each site, the top has what the site has
+		for _, name := range w.province.Subjects(sitesync.Evidence) { // the province has the evidence of each site
 			all, _ := w.province.Value(sitesync.Evidence, name)
 			own, found := site.Value(sitesync.Evidence, name)
 			if found && !slices.ContainsFunc(append(all.Concurrent, all.Write), func(x sitesync.Write) bool {
@@ -441,8 +443,8 @@
 	return true
 }
 
-// Plain lets the same sites come back in the plain way: each sends its queue as fast as it is answered, again from the last
-// answer when an answer is late; of two writes on a thing the one with the later time is kept.
+// Plain lets the same sites reconnect with a plain protocol: each sends its queue as fast as it is answered, and resends from the
+// last answer when an answer is late. Of two writes on a subject, the one with the later time is kept.
 func (s ReconnectStorm) Plain() (*Results, error) {
 	started := time.Now()
 	w, err := newWorld(s)
@@ -474,7 +476,7 @@
 			current[k] = write
 		}
 		switch {
-		case overwrites(dropped, kept): // the one that is dropped was written over the one that is kept
+		case overwrites(dropped, kept): // the dropped write had overwritten the kept one
 			w.results.WronglyOverwritten++
 		case !overwrites(kept, dropped):
 			w.results.DroppedSilently++
@@ -526,20 +528,22 @@
 		return remaining == 0 || w.events.now > 10*time.Minute
 	})
 	w.sampleHeap()
-	w.results.AllApplied, w.results.AllCurrent, w.results.UsualP99, w.results.LoadedP99 = w.events.now, w.events.now, usualP99(s.Seed), p99(w.localLatencies)
+	w.results.AllApplied, w.results.AllCurrent, w.results.UsualP99, w.results.LoadedP99 =
+		w.events.now, w.events.now, usualP99(s.Seed), p99(w.localLatencies)
 	w.results.WallTime = time.Since(started)
 	return &w.results, nil
 }
 
-// over says whether a write was written over another one.
+// overwrites reports whether a write overwrites another one.
 func overwrites(by, x *sitesync.Write) bool {
 	return by.ID.Origin == x.ID.Origin && by.ID.Number > x.ID.Number || by.Overwrites.Has(x.ID)
 }
 
 func (f *Results) String() string {
-	return fmt.Sprintf("%d writes (%d merged) at the top after %v, quiet after %v, %d calls, %.1f s of computing, %d MiB; "+
-		"p99 of the top's own writes %v (usual %v); %d applied, %d receipts; same %v, early %d, twice %d, overruled %d, silent %d",
-		f.Written, f.Merged, f.AllApplied.Round(time.Millisecond), f.AllCurrent.Round(time.Millisecond), f.Calls, f.WallTime.Seconds(), f.MaxHeap>>20,
-		f.LoadedP99.Round(10*time.Microsecond), f.UsualP99.Round(10*time.Microsecond), f.Applied, f.Receipts, f.Converged, f.OutOfOrder, f.AppliedTwice,
-		f.WronglyOverwritten, f.DroppedSilently)
+	return fmt.Sprintf("%d writes (%d merged) at the province after %v, all sites current after %v, %d calls, %.1f s of computing, %d MiB; "+
+		"p99 of the province's own writes %v (usual %v); %d applied, %d receipts; converged %v, out of order %d, "+
+		"applied twice %d, wrongly overwritten %d, dropped silently %d",
+		f.Written, f.Merged, f.AllApplied.Round(time.Millisecond), f.AllCurrent.Round(time.Millisecond), f.Calls, f.WallTime.Seconds(),
+		f.MaxHeap>>20, f.LoadedP99.Round(10*time.Microsecond), f.UsualP99.Round(10*time.Microsecond), f.Applied, f.Receipts, f.Converged, f.OutOfOrder,
+		f.AppliedTwice, f.WronglyOverwritten, f.DroppedSilently)
 }
--- a/rehearsal/upstreammodel/storm_test.go
+++ b/rehearsal/upstreammodel/storm_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAStormIsServedInTurns is 12 sites with 200 writes each. The full size, 35 sites with 10,000 writes:
+// TestReconnectStormIsServedInTurns runs 12 sites with 200 writes each. The full size, 35 sites with 10,000 writes:
 //
 //	UPSTREAM_STORM=35x10000 go test -run Storm -v -timeout 30m ./rehearsal/upstreammodel
 func TestReconnectStormIsServedInTurns(t *testing.T) {
@@ -29,7 +29,7 @@
 	assert.Equal(t, got.Written-got.Merged, got.Applied)
 	assert.Equal(t, got.Applied, got.Receipts)
 	assert.Zero(t, got.OutOfOrder+got.AppliedTwice+got.WronglyOverwritten+got.DroppedSilently)
-	assert.NotZero(t, plain.OutOfOrder, "the plain way shows nothing to compare with")
+	assert.NotZero(t, plain.OutOfOrder, "the plain protocol shows no fault to compare with")
 	assert.NotZero(t, plain.AppliedTwice)
 	assert.NotZero(t, plain.DroppedSilently)
 	assert.Greater(t, plain.LoadedP99, 2*plain.UsualP99)
