--- a/rehearsal/processes/affairs_test.go
+++ b/rehearsal/processes/affairs_test.go
@@ -11,9 +11,9 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// waits says what a turn waits for, "" where it does not prepare.
-func waits(w *World, node, id string) string {
-	r, err := w.Asker("operator").Turns(node)
+// waitsFor returns what a turn waits for, or "" if it is not in phase preparing.
+func waitsFor(w *World, node, id string) string {
+	r, err := w.Requester("operator").Turns(node)
 	if err != nil {
 		return ""
 	}
@@ -25,7 +25,8 @@
 	return ""
 }
 
-// A node burns down, and the turn beyond what it had acknowledged waits until an operator says so, with the risk.
+// A node is lost for good. A turn on a host beyond the exclusion set that the node has confirmed waits for the node until
+// an operator declares it dead and acknowledges the risk.
 func TestATurnWaitsForANodeUntilItIsDeclaredDead(t *testing.T) {
 	t.Parallel()
 	w, c := begun(t, building(nil))
@@ -35,29 +36,29 @@
 	rest := others(w, "n3")
 	work(w, c, "t1", "h1", rest...)
 	ask(w, "n0", "t5", "h5", 0)
-	w.Await("the turn waits for the node that is gone alone", func() bool {
-		return strings.HasPrefix(waits(w, "n0", "t5"), "n3: the node is cut off")
+	w.Await("the turn waits only for the lost node", func() bool {
+		return strings.HasPrefix(waitsFor(w, "n0", "t5"), "n3: the node is cut off")
 	})
-	err := w.Asker("operator").call(Op{Node: "n0", Kind: "DeclareDead"},
+	err := w.Requester("operator").call(Op{Node: "n0", Kind: "DeclareDead"},
 		map[string]any{"node": "n3", "by": "operator", "why": "burnt"}, &peerpb.DeclareReply{}, nil)
-	var no *Refusal
-	require.ErrorAs(t, err, &no)
-	assert.Equal(t, "failed_precondition", no.Code)
-	assert.Contains(t, no.Message, "n3 may be one")
-	assert.Contains(t, no.Message, "i_know_that_it_may_still_send true")
+	var apiErr *APIError
+	require.ErrorAs(t, err, &apiErr)
+	assert.Equal(t, "failed_precondition", apiErr.Code)
+	assert.Contains(t, apiErr.Message, "n3 may be one")
+	assert.Contains(t, apiErr.Message, "i_know_that_it_may_still_send true")
 	served(c, rest...)
-	assert.Contains(t, waits(w, "n0", "t5"), "n3: the node is cut off", "the call has changed nothing")
+	assert.Contains(t, waitsFor(w, "n0", "t5"), "n3: the node is cut off", "the refused call must change nothing")
 
-	require.NoError(t, w.Asker("operator").DeclareDead("n0", "n3", "burnt"))
+	require.NoError(t, w.Requester("operator").DeclareDead("n0", "n3", "burnt"))
 	work(w, c, "t5", "h5", rest...)
 
 	w.Heal()
 	w.Node("n3").Start()
-	line := w.Node("n3").Logged("no right to send is given")
+	line := w.Node("n3").AwaitLogged("no right to send is given")
 	assert.Contains(t, line, "was declared dead")
 	assert.Contains(t, line, "TakeIn")
-	require.NoError(t, w.Asker("operator").TakeIn("n0", "n3", "mended"))
-	coming(w, "n3", "t2", "h2") // it is asked again, and the council goes by what it says
-	require.NoError(t, w.Asker("staff").Work(context.Background(), "t2", "h2", 1, func() { served(c, w.Names()...) }))
+	require.NoError(t, w.Requester("operator").TakeIn("n0", "n3", "mended"))
+	coming(w, "n3", "t2", "h2") // its confirmations count again in the consensus group
+	require.NoError(t, w.Requester("staff").Work(context.Background(), "t2", "h2", 1, func() { served(c, w.Names()...) }))
 	w.RequireSound(two)
 }
--- a/rehearsal/processes/asker.go
+++ b/rehearsal/processes/asker.go
@@ -19,274 +19,279 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// Op is one call of an asker, as it saw it.
+// Op is one API call as its requester observed it.
 type Op struct {
-	Asker, Node  string
-	Kind         string        // Ask, Begin, Done, Withdraw, Turns
-	ID, Host     string        // of the turn; Host is "" where the asker did not say
-	Call, Return time.Duration // on the world's clock; Return is 0 where no answer came
-	Seen         []Seen        // what the answer says of turns
-	Refused      string        // the answer's error
+	Requester, Node string
+	Kind            string         // name of the API call: Ask, Begin, Done, Withdraw, Turns, ...
+	ID, Host        string         // of the turn; Host is "" if the call did not name one
+	Call, Return    time.Duration  // on the world's clock; Return is 0 if no reply was received
+	Observed        []ObservedTurn // the turns in the reply
+	Error           string         // the error of the call; "" if it succeeded
 }
 
-// Seen is a turn in an answer.
-type Seen struct {
+// ObservedTurn is a turn as contained in a reply.
+type ObservedTurn struct {
 	ID, Host, Phase string
 	Round           uint64
 }
 
-// History is all that askers have done.
+// History records the calls of all requesters.
 type History struct {
 	w   *World
 	mu  sync.Mutex
 	ops []Op
 }
 
-// Ops are the calls so far, in the order in which they were over.
+// Ops returns the finished calls so far, in the order in which they finished.
 func (h *History) Ops() []Op {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.ops)
 }
 
-func (h *History) add(op Op) {
+func (h *History) record(op Op) {
 	h.mu.Lock()
 	h.ops = append(h.ops, op)
 	h.mu.Unlock()
-	h.w.news.tell()
+	h.w.news.notify()
 }
 
-// Refusal is an error that a node answered.
-type Refusal struct {
+// APIError is an error reply of a node.
+type APIError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-func (r *Refusal) Error() string { return r.Code + ": " + r.Message }
+func (e *APIError) Error() string { return e.Code + ": " + e.Message }
 
-// Asker does work on hosts, or is an operator. It calls nodes in plain JSON over HTTP, as curl would.
-type Asker struct {
+// Requester requests turns, does the work on hosts, or acts as an operator. It calls nodes in plain JSON over HTTP, as curl
+// would.
+type Requester struct {
 	Name  string
-	Nodes []string // that Work calls; all where it is nil
+	Nodes []string // nodes that Work calls; all if nil
 	w     *World
-	desks deskClient
+	api   operatorClient
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// deskClient makes operators' calls in plain JSON over HTTP.
-type deskClient struct{ http http.Client }
+// operatorClient calls the operator API in plain JSON over HTTP.
+type operatorClient struct{ http http.Client }
 
-func newDeskClient() deskClient {
-	return deskClient{http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+func newOperatorClient() operatorClient {
+	return operatorClient{http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 const (
-	callTimeout = 8 * time.Second       // a node answers within peer.Limits.Within, 5 s, if only that it is late: its word has to come first
-	lookAgain   = 20 * time.Millisecond // between two looks at a turn
-	mostAnswer  = 8 << 20               // bytes of an answer
+	// A node replies within peer.Limits.Within (5 s), if only to report its own timeout; callTimeout leaves time for that reply.
+	callTimeout      = 8 * time.Second
+	pollInterval     = 20 * time.Millisecond // between two requests for the state of a turn
+	maxResponseBytes = 8 << 20
 )
 
-// Asker returns a new asker.
-func (w *World) Asker(name string) *Asker {
-	var number uint64
+// Requester returns a new requester. Its choice of nodes depends on the seed and its name.
+func (w *World) Requester(name string) *Requester {
+	var stream uint64
 	for _, b := range []byte(name) {
-		number = number*131 + uint64(b)
+		stream = stream*131 + uint64(b)
 	}
-	return &Asker{Name: name, w: w, rng: rand.New(rand.NewPCG(w.Plan.Seed, number)), desks: newDeskClient()}
+	return &Requester{Name: name, w: w, rng: rand.New(rand.NewPCG(w.Plan.Seed, stream)), api: newOperatorClient()}
 }
 
-// Ask asks for a turn at a node. more are further fields of the request, as in peer.proto; nil where there are none.
-func (a *Asker) Ask(node, id, host string, minutes int, more map[string]any) (*peerpb.Turn, error) {
-	in := map[string]any{"id": id, "host": host, "minutes": minutes, "by": a.Name}
-	for k, v := range more {
-		in[k] = v
+// Ask requests a turn from a node. extra holds further fields of the request, as in peer.proto; it may be nil.
+func (a *Requester) Ask(node, id, host string, minutes int, extra map[string]any) (*peerpb.Turn, error) {
+	params := map[string]any{"id": id, "host": host, "minutes": minutes, "by": a.Name}
+	for k, v := range extra {
+		params[k] = v
 	}
-	return a.turn(node, "Ask", id, host, in)
+	return a.turn(node, "Ask", id, host, params)
 }
 
-// Begin says that the work begins.
-func (a *Asker) Begin(node, id string) (*peerpb.Turn, error) { return a.ref(node, "Begin", id) }
+// Begin reports that the work begins.
+func (a *Requester) Begin(node, id string) (*peerpb.Turn, error) { return a.ref(node, "Begin", id) }
 
-// Done says that the work is done.
-func (a *Asker) Done(node, id string) (*peerpb.Turn, error) { return a.ref(node, "Done", id) }
+// Done reports that the work is done.
+func (a *Requester) Done(node, id string) (*peerpb.Turn, error) { return a.ref(node, "Done", id) }
 
-// Withdraw takes a turn back.
-func (a *Asker) Withdraw(node, id string) (*peerpb.Turn, error) { return a.ref(node, "Withdraw", id) }
+// Withdraw withdraws a turn.
+func (a *Requester) Withdraw(node, id string) (*peerpb.Turn, error) {
+	return a.ref(node, "Withdraw", id)
+}
 
-func (a *Asker) ref(node, kind, id string) (*peerpb.Turn, error) {
+func (a *Requester) ref(node, kind, id string) (*peerpb.Turn, error) {
 	return a.turn(node, kind, id, "", map[string]any{"id": id, "by": a.Name})
 }
 
-func (a *Asker) turn(node, kind, id, host string, in map[string]any) (*peerpb.Turn, error) {
+func (a *Requester) turn(node, kind, id, host string, params map[string]any) (*peerpb.Turn, error) {
 	var out peerpb.TurnReply
-	err := a.call(Op{Node: node, Kind: kind, ID: id, Host: host}, in, &out, func() []*peerpb.Turn {
+	err := a.call(Op{Node: node, Kind: kind, ID: id, Host: host}, params, &out, func() []*peerpb.Turn {
 		if out.Turn == nil {
 			return nil
 		}
 		return []*peerpb.Turn{out.Turn}
 	})
 	if err == nil && out.Turn == nil {
-		err = errors.New("an answer without a turn")
+		err = errors.New("the reply contains no turn")
 	}
 	return out.Turn, err
 }
 
-// Turns asks a node for all turns.
-func (a *Asker) Turns(node string) (*peerpb.TurnsReply, error) {
+// Turns lists all turns that a node knows.
+func (a *Requester) Turns(node string) (*peerpb.TurnsReply, error) {
 	var out peerpb.TurnsReply
 	err := a.call(Op{Node: node, Kind: "Turns"}, map[string]any{}, &out, out.GetTurns)
 	return &out, err
 }
 
-// DeclareDead declares a node dead, for good: nothing of it may run.
-func (a *Asker) DeclareDead(node, dead, why string) error {
+// DeclareDead declares a node permanently dead. No process of that node may still run.
+func (a *Requester) DeclareDead(node, dead, why string) error {
 	return a.call(Op{Node: node, Kind: "DeclareDead", ID: dead}, map[string]any{"node": dead, "by": a.Name, "why": why,
 		"i_know_that_it_may_still_send": true}, &peerpb.DeclareReply{}, nil)
 }
 
-// TakeIn takes a node in anew that was declared dead.
-func (a *Asker) TakeIn(node, dead, why string) error {
+// TakeIn readmits a node that was declared dead.
+func (a *Requester) TakeIn(node, dead, why string) error {
 	return a.call(Op{Node: node, Kind: "TakeIn", ID: dead}, map[string]any{"node": dead, "by": a.Name, "why": why},
 		&peerpb.DeclareReply{}, nil)
 }
 
-// call makes one call and records it.
-func (a *Asker) call(op Op, in map[string]any, out proto.Message, turns func() []*peerpb.Turn) (err error) {
-	op.Asker, op.Call = a.Name, a.w.Now()
+// call makes one API call and records it in the history.
+func (a *Requester) call(op Op, params map[string]any, out proto.Message, turns func() []*peerpb.Turn) (err error) {
+	op.Requester, op.Call = a.Name, a.w.Now()
 	defer func() {
 		if err != nil {
-			op.Refused = err.Error()
+			op.Error = err.Error()
 		}
-		a.w.History.add(op)
+		a.w.History.record(op)
 	}()
-	desk := a.w.nodes[op.Node].Desk()
-	if desk == "" {
-		return fmt.Errorf("%s is not open to operators", op.Node)
+	addr := a.w.nodes[op.Node].OperatorAddr()
+	if addr == "" {
+		return fmt.Errorf("the operator API of %s is not open", op.Node)
 	}
-	status, text, err := a.desks.exchange(a.w.ctx, desk, op.Kind, in)
+	status, reply, err := a.api.post(a.w.ctx, addr, op.Kind, params)
 	if err != nil {
 		return err
 	}
 	op.Return = a.w.Now()
-	if err := answered(status, text, out); err != nil {
+	if err := decodeReply(status, reply, out); err != nil {
 		return err
 	}
 	if turns != nil {
 		for _, t := range turns() {
-			op.Seen = append(op.Seen, Seen{ID: t.Id, Host: t.Host, Phase: t.Phase, Round: t.Round})
+			op.Observed = append(op.Observed, ObservedTurn{ID: t.Id, Host: t.Host, Phase: t.Phase, Round: t.Round})
 		}
 	}
 	return nil
 }
 
-// exchange makes one call at an address and returns what is answered, as it came.
-func (c *deskClient) exchange(ctx context.Context, desk, kind string, in map[string]any) (status int, text []byte, err error) {
-	body, err := json.Marshal(in)
+// post makes one API call at an address and returns the status and body of the reply.
+func (c *operatorClient) post(ctx context.Context, addr, kind string, params map[string]any) (status int, reply []byte, err error) {
+	body, err := json.Marshal(params)
 	if err != nil {
 		return 0, nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+desk+"/lichenhitch.peer.Desk/"+kind, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/lichenhitch.peer.Desk/"+kind, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	answer, err := c.http.Do(req)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer answer.Body.Close()
-	text, err = io.ReadAll(io.LimitReader(answer.Body, mostAnswer))
-	return answer.StatusCode, text, err
+	defer resp.Body.Close()
+	reply, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	return resp.StatusCode, reply, err
 }
 
-// answered reads an answer into out, or returns the *Refusal that it is.
-func answered(status int, text []byte, out proto.Message) error {
+// decodeReply decodes a reply into out, or returns the *APIError that it contains.
+func decodeReply(status int, reply []byte, out proto.Message) error {
 	if status == http.StatusOK {
-		return (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(text, out)
+		return (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(reply, out)
 	}
-	no := &Refusal{}
-	if json.Unmarshal(text, no) != nil || no.Code == "" {
-		no = &Refusal{Code: fmt.Sprintf("%d %s", status, http.StatusText(status)), Message: string(text)}
+	apiErr := &APIError{}
+	if json.Unmarshal(reply, apiErr) != nil || apiErr.Code == "" {
+		apiErr = &APIError{Code: fmt.Sprintf("%d %s", status, http.StatusText(status)), Message: string(reply)}
 	}
-	return no
+	return apiErr
 }
 
-// anyNode is a node that runs and is not paused, as the seed chooses; "" where there is none.
-func (a *Asker) anyNode() string {
-	var all []string
+// randomNode returns a running, unpaused node chosen by the seed, or "" if there is none.
+func (a *Requester) randomNode() string {
+	var running []string
 	for _, n := range a.w.order {
-		if node := a.w.nodes[n]; node.Desk() != "" && !node.Paused() && (a.Nodes == nil || slices.Contains(a.Nodes, n)) {
-			all = append(all, n)
+		if node := a.w.nodes[n]; node.OperatorAddr() != "" && !node.Paused() && (a.Nodes == nil || slices.Contains(a.Nodes, n)) {
+			running = append(running, n)
 		}
 	}
-	if len(all) == 0 {
+	if len(running) == 0 {
 		return ""
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return all[a.rng.IntN(len(all))]
+	return running[a.rng.IntN(len(running))]
 }
 
-// Work asks for a turn, has the work done once it is granted and begun, and says that it is done. It goes from node to node
-// while it gets no answer, and gives up when patience or ctx is over. The host knows that it is in work meanwhile.
-func (a *Asker) Work(ctx context.Context, id, host string, minutes int, do func()) error {
-	ctx, end := context.WithTimeout(ctx, patience(a.w.t, 2*Patience))
-	defer end()
-	var last error
-	// on looks whether to go on, after a while.
-	on := func() error {
-		timer := time.NewTimer(lookAgain)
+// Work requests a turn, runs the work once the turn is granted and begun, and reports that it is done. If a node does not
+// reply, it tries another one. It gives up when ctx or the test's patience ends. While the work runs, the host reports
+// every first line it receives as a violation.
+func (a *Requester) Work(ctx context.Context, id, host string, minutes int, do func()) error {
+	ctx, cancel := context.WithTimeout(ctx, patience(a.w.t, 2*EventTimeout))
+	defer cancel()
+	var lastErr error
+	// poll waits for the poll interval and returns an error if Work has to give up.
+	poll := func() error {
+		timer := time.NewTimer(pollInterval)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
 			return nil
 		case <-a.w.over:
-			return errors.Join(errors.New("the world has ended"), last)
+			return errors.Join(errors.New("the test has ended"), lastErr)
 		case <-ctx.Done():
-			return fmt.Errorf("turn %s of %s: %w; last: %w", id, host, ctx.Err(), last)
+			return fmt.Errorf("turn %s of host %s: %w; last error: %w", id, host, ctx.Err(), lastErr)
 		}
 	}
-	last = errors.New("no node is open to operators")
+	lastErr = errors.New("no running node has an open operator API")
 	var phase string
 	for phase != "working" {
-		node := a.anyNode()
+		node := a.randomNode()
 		if node != "" {
 			var t *peerpb.Turn
 			if phase == "granted" {
-				t, last = a.Begin(node, id)
+				t, lastErr = a.Begin(node, id)
 			} else {
-				t, last = a.Ask(node, id, host, minutes, nil) // the same once more is the same turn
+				t, lastErr = a.Ask(node, id, host, minutes, nil) // repeating the request refers to the same turn
 			}
-			if phase = ""; last == nil {
+			if phase = ""; lastErr == nil {
 				phase = t.Phase
-				last = fmt.Errorf("it is %s, waits for %q", t.Phase, t.WaitsFor)
+				lastErr = fmt.Errorf("its phase is %s, it waits for %q", t.Phase, t.WaitsFor)
 			}
 		}
 		switch phase {
 		case "working":
 		case "returning", "over":
-			return fmt.Errorf("turn %s of %s is %s before its work has begun", id, host, phase)
+			return fmt.Errorf("turn %s of host %s is in phase %s before its work has begun", id, host, phase)
 		case "granted":
 		default:
-			if err := on(); err != nil {
+			if err := poll(); err != nil {
 				return err
 			}
 		}
 	}
 	h := a.w.Host(host)
-	h.Begin()
+	h.BeginWork()
 	do()
-	h.Finish()
+	h.EndWork()
 	for {
-		if node := a.anyNode(); node != "" {
+		if node := a.randomNode(); node != "" {
 			var t *peerpb.Turn
-			if t, last = a.Done(node, id); last == nil && t.Phase != "working" {
+			if t, lastErr = a.Done(node, id); lastErr == nil && t.Phase != "working" {
 				return nil
 			}
 		}
-		if err := on(); err != nil {
+		if err := poll(); err != nil {
 			return err
 		}
 	}
--- a/rehearsal/processes/beside.go
+++ b/rehearsal/processes/beside.go
@@ -7,39 +7,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// This file is about a node of more than one process, and about site files that change under a process.
+// This file handles nodes with more than one process, and site files that change while a process runs.
 
-// Former is a process beside which a later one of its node was started.
-type Former struct {
-	n *Node
+// Predecessor is a process of a node that still ran when a newer process of the same node was started.
+type Predecessor struct {
+	node *Node
 	*process
 }
 
-// Upgrade starts another process of the node beside the one that runs, as for a new version: with the same name, files, store
-// and temporary folder, and at the same address. From now on it is the node's process, and the other is returned. Should the
-// new one end first, the other is the node's again. The log has the lines of both.
-func (n *Node) Upgrade() *Former {
+// Upgrade starts a second process of the node while the first one runs, as for a new version: with the same name, files,
+// store and temporary folder, and at the same address. The new process becomes the node's current process, and the previous
+// one is returned. If the new one ends first, the previous one becomes current again. The log contains the lines of both.
+func (n *Node) Upgrade() *Predecessor {
 	n.t.Helper()
 	n.mu.Lock()
-	f, serving := &Former{n, n.present}, n.told(servingOf)
-	require.NotEmpty(n.t, serving, "%s does not serve", n.Name)
-	n.formers = append(n.formers, n.present)
+	predecessor, serving := &Predecessor{n, n.current}, n.told(servingOf)
+	require.NotEmpty(n.t, serving, "%s does not serve clients", n.Name)
+	n.predecessors = append(n.predecessors, n.current)
 	n.mu.Unlock()
 	n.launch(serving)
-	return f
+	return predecessor
 }
 
 // Leave asks the process to stop, as Node.Leave does.
-func (f *Former) Leave() { require.NoError(f.n.t, f.cmd.Process.Signal(syscall.SIGTERM)) }
+func (f *Predecessor) Leave() { require.NoError(f.node.t, f.cmd.Process.Signal(syscall.SIGTERM)) }
 
-// Kill ends the process at once, and returns once it is gone.
-func (f *Former) Kill() {
-	_ = f.cmd.Process.Signal(syscall.SIGKILL) // it may have ended
+// Kill kills the process and returns once it has ended.
+func (f *Predecessor) Kill() {
+	_ = f.cmd.Process.Signal(syscall.SIGKILL) // it may have ended already
 	<-f.over
 }
 
-// Runs says whether the process runs, as far as was noticed.
-func (f *Former) Runs() bool {
+// IsRunning reports whether the process runs; its end may not have been noticed yet.
+func (f *Predecessor) IsRunning() bool {
 	select {
 	case <-f.over:
 		return false
@@ -48,10 +48,10 @@
 	}
 }
 
-// AwaitEnd waits until the process has ended, and returns its exit code.
-func (f *Former) AwaitEnd() int {
-	f.n.t.Helper()
-	f.n.w.Await(f.n.Name+"'s former process ends", func() bool {
+// AwaitEnd waits until the process has ended and returns its exit code.
+func (f *Predecessor) AwaitEnd() int {
+	f.node.t.Helper()
+	f.node.w.Await(f.node.Name+"'s previous process ends", func() bool {
 		select {
 		case <-f.over:
 			return true
@@ -62,23 +62,23 @@
 	return f.cmd.ProcessState.ExitCode()
 }
 
-// Double returns another node of the same name, which is not started yet: on another machine, with a copy of this one's store.
-// It calls the same peers by the same links; what is sent to the name reaches the first one alone.
-func (n *Node) Double() *Node {
+// Duplicate returns another node of the same name that is not started yet, as on another machine with a copy of this node's
+// store. It calls the same peers over the same links; what is sent to the name reaches only the original node.
+func (n *Node) Duplicate() *Node {
 	n.t.Helper()
-	d := newNode(n.w, n.Name, n.path)
-	d.apart = true
-	Older(n.CopyStore())(d)
-	return d
+	duplicate := newNode(n.w, n.Name, n.path)
+	duplicate.unlinked = true
+	StaleStore(n.CopyStore())(duplicate)
+	return duplicate
 }
 
-// Reload writes the node's files anew, as Plan.Tune has them now, and has its process read them.
+// Reload rewrites the node's files, as Plan.Tune now has them, and makes its process reload them.
 func (n *Node) Reload() {
-	n.write("")
+	n.writeFiles("")
 	n.signal(syscall.SIGHUP)
 }
 
-// ReloadText has the process read a site file of this text.
+// ReloadText makes the process reload a site file with this text.
 func (n *Node) ReloadText(text string) {
 	n.t.Helper()
 	require.NoError(n.t, os.WriteFile(n.sitePath(), []byte(text), 0o600))
--- a/rehearsal/processes/clients.go
+++ b/rehearsal/processes/clients.go
@@ -16,109 +16,111 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Load is how clients come. Where a figure is 0, the default stands.
+// Load describes how test clients arrive. A field that is 0 has the default named beside it.
 type Load struct {
-	PerSecond float64       // new clients, over all nodes; 20
-	Most      int           // clients at once; 50. Whoever would be one more does not come
-	Total     int           // clients in all; 0: they come until they are told to stop
-	Holds     time.Duration // how long a client wants its connection, about; 500 ms
-	Every     time.Duration // between two lines of a client; 100 ms
-	Deadline  time.Duration // for UP; 3 s
-	Again     int           // times that a client comes again after MOVE, BUSY or a broken connection; 5
-	Class     string        // "chat"
-	Worth     float64       // of one served in time; 1
-	Group     string        // that all belong to; some by turns
-	Nodes     []string      // that they come to, in turn; all
+	PerSecond     float64       // new clients per second, over all nodes; 20
+	MaxConcurrent int           // clients at the same time; 50. At the limit a new client is skipped
+	Total         int           // clients in total; 0: clients arrive until Stop
+	HoldTime      time.Duration // average time for which a client keeps its connection; 500 ms
+	LineInterval  time.Duration // interval between two lines of a client; 100 ms
+	Deadline      time.Duration // for the UP line; 3 s
+	MaxReconnects int           // how often a client connects again after MOVE, BUSY or a broken connection; 5
+	Class         string        // request class; "chat"
+	Value         float64       // value of a request served within its deadline; 1
+	Group         string        // group of all clients; by default they are spread over several groups
+	Nodes         []string      // nodes to which they connect, in turn; all
 }
 
-// Clients keep coming until they are told to stop.
+// Clients are test clients that keep connecting until Stop.
 type Clients struct {
-	w    *World
-	load Load
-	stop chan struct{}
-	once sync.Once
-	all  sync.WaitGroup
+	w       *World
+	load    Load
+	stop    chan struct{}
+	once    sync.Once
+	running sync.WaitGroup
 
-	mu sync.Mutex
-	r  Report
+	mu     sync.Mutex
+	report Report
 }
 
-// Report is what clients have seen. Each query asked counts under exactly one of Up, Busy, Failed and Lost, once it is over.
+// Report counts what clients observed. Each request is counted as exactly one of Served, Busy, Failed and Unanswered, once
+// its outcome is known.
 type Report struct {
-	Asked   int // OPEN lines sent whole
-	Up      int // served
-	Busy    int
-	Failed  int // any other line
-	Lost    int // the connection ended, or nothing had come a second after the deadline, without an answer
-	Unmet   int // connections that did not come up: no query
-	Moved   int // of those that were up
-	Broken  int // of those that were up: ended without MOVE or BYE
-	Ended   int // of those that were up: as the client wished
-	Stood   int // clients that did not come because there were as many as there may be
-	Worth   float64
-	Latency *ddsketch.DDSketch // from OPEN to UP, in seconds, within 1%
+	Requests      int // OPEN lines sent in full
+	Served        int // answered with UP
+	Busy          int
+	Failed        int // answered with any other line
+	Unanswered    int // no answer: the connection ended, or nothing had arrived one second after the deadline
+	ConnectFailed int // connections that could not be opened, or broke before the OPEN line was sent: no request
+	Moved         int // of those served: told to MOVE
+	Broken        int // of those served: the connection ended without MOVE or BYE
+	Completed     int // of those served: ended by the client and confirmed with BYE
+	Skipped       int // clients that were not started because MaxConcurrent was reached
+	Value         float64
+	Latency       *ddsketch.DDSketch // from OPEN to UP, in seconds; relative accuracy 1%
 
-	ByNode     map[string]int // of those that were up
-	Unserved   map[string]int // by node: of those that were busy, failed or lost
-	Violations []Violation
+	ServedByNode   map[string]int // requests served
+	UnservedByNode map[string]int // requests that were busy, failed or unanswered
+	Violations     []Violation
 }
 
-// serial numbers the queries of a test binary.
-var serial atomic.Uint64
+// lastRequestID is the number of the latest request in this test binary.
+var lastRequestID atomic.Uint64
 
-// Come has clients come to the nodes until Stop, or the test, ends.
-func (w *World) Come(l Load) *Clients {
+// StartClients lets clients connect to the nodes until Stop is called or the test ends.
+func (w *World) StartClients(load Load) *Clients {
 	w.t.Helper()
-	l.PerSecond, l.Most = or(l.PerSecond, 20), or(l.Most, 50)
-	l.Holds, l.Every = or(l.Holds, 500*time.Millisecond), or(l.Every, 100*time.Millisecond)
-	l.Deadline, l.Again, l.Class, l.Worth = or(l.Deadline, 3*time.Second), or(l.Again, 5), or(l.Class, "chat"), or(l.Worth, 1)
-	if l.Nodes == nil {
-		l.Nodes = w.order
+	load.PerSecond, load.MaxConcurrent = orDefault(load.PerSecond, 20), orDefault(load.MaxConcurrent, 50)
+	load.HoldTime, load.LineInterval = orDefault(load.HoldTime, 500*time.Millisecond), orDefault(load.LineInterval, 100*time.Millisecond)
+	load.Deadline, load.MaxReconnects, load.Class, load.Value = orDefault(load.Deadline, 3*time.Second), orDefault(load.MaxReconnects, 5), orDefault(load.Class, "chat"), orDefault(load.Value, 1)
+	if load.Nodes == nil {
+		load.Nodes = w.order
 	}
 	sketch, err := ddsketch.NewDefaultDDSketch(0.01)
 	require.NoError(w.t, err)
-	c := &Clients{w: w, load: l, stop: make(chan struct{}), r: Report{Latency: sketch, ByNode: make(map[string]int), Unserved: make(map[string]int)}}
+	c := &Clients{w: w, load: load, stop: make(chan struct{}), report: Report{Latency: sketch, ServedByNode: make(map[string]int), UnservedByNode: make(map[string]int)}}
 	w.mu.Lock()
 	w.clients = append(w.clients, c)
-	number := uint64(len(w.clients))
+	stream := uint64(len(w.clients))
 	w.mu.Unlock()
-	c.all.Go(func() { c.come(rand.New(rand.NewPCG(w.Plan.Seed, number))) })
+	c.running.Go(func() { c.generate(rand.New(rand.NewPCG(w.Plan.Seed, stream))) })
 	w.t.Cleanup(c.Stop)
 	return c
 }
 
-func or[T comparable](v, otherwise T) T {
-	var none T
-	if v == none {
-		return otherwise
+func orDefault[T comparable](v, fallback T) T {
+	var zero T
+	if v == zero {
+		return fallback
 	}
 	return v
 }
 
-// Stop ends all clients, those that hold connections too, and returns once they are gone.
+// Stop ends all clients, including those that hold connections, and returns once all have ended.
 func (c *Clients) Stop() {
 	c.once.Do(func() { close(c.stop) })
-	c.all.Wait()
+	c.running.Wait()
 }
 
-// Report is what was seen so far.
+// Report returns what was observed so far.
 func (c *Clients) Report() Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := c.r
-	r.Latency = c.r.Latency.Copy()
-	r.Violations = append([]Violation(nil), c.r.Violations...)
-	r.ByNode, r.Unserved = maps.Clone(c.r.ByNode), maps.Clone(c.r.Unserved)
+	r := c.report
+	r.Latency = c.report.Latency.Copy()
+	r.Violations = append([]Violation(nil), c.report.Violations...)
+	r.ServedByNode, r.UnservedByNode = maps.Clone(c.report.ServedByNode), maps.Clone(c.report.UnservedByNode)
 	return r
 }
 
-func (r *Report) unserved(node string) {
-	r.Asked++
-	r.Unserved[node]++
+func (r *Report) countUnserved(node string) {
+	r.Requests++
+	r.UnservedByNode[node]++
 }
 
-// Within is the latency in seconds that a part q of the served queries had at most; 0 where none was served.
-func (r Report) Within(q float64) float64 {
+// LatencyQuantile returns the latency in seconds that a share q of the served requests did not exceed; 0 if none was
+// served.
+func (r Report) LatencyQuantile(q float64) float64 {
 	v, err := r.Latency.GetValueAtQuantile(q)
 	if err != nil {
 		return 0
@@ -127,188 +129,190 @@
 }
 
 func (r Report) String() string {
-	return fmt.Sprintf("asked %d, up %d, busy %d, failed %d, lost %d, unmet %d; of the served moved %d, broken %d, ended %d; "+
-		"worth %g, p50 %.1f ms, p99 %.1f ms", r.Asked, r.Up, r.Busy, r.Failed, r.Lost, r.Unmet, r.Moved, r.Broken, r.Ended,
-		r.Worth, 1000*r.Within(0.5), 1000*r.Within(0.99))
+	return fmt.Sprintf("requests %d, served %d, busy %d, failed %d, unanswered %d, connect failed %d; of the served moved %d, broken %d, completed %d; "+
+		"value %g, p50 %.1f ms, p99 %.1f ms", r.Requests, r.Served, r.Busy, r.Failed, r.Unanswered, r.ConnectFailed, r.Moved, r.Broken, r.Completed,
+		r.Value, 1000*r.LatencyQuantile(0.5), 1000*r.LatencyQuantile(0.99))
 }
 
-// AwaitUp waits until so many more queries than now were served, at one node or, with "", at any.
-func (c *Clients) AwaitUp(more int, node string) {
+// AwaitServed waits until this many more requests are served than now, at one node or, with "", at any.
+func (c *Clients) AwaitServed(more int, node string) {
 	c.w.t.Helper()
-	up := func() int {
+	served := func() int {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if node == "" {
-			return c.r.Up
+			return c.report.Served
 		}
-		return c.r.ByNode[node]
+		return c.report.ServedByNode[node]
 	}
-	least := up() + more
-	c.w.news.await(c.w.t, fmt.Sprintf("%d more clients are served %s", more, node), func() bool { return up() >= least }, nil)
+	target := served() + more
+	c.w.news.await(c.w.t, fmt.Sprintf("%d more requests are served %s", more, node), func() bool { return served() >= target }, nil)
 }
 
-func (c *Clients) count(f func(*Report)) {
+func (c *Clients) update(f func(*Report)) {
 	c.mu.Lock()
-	f(&c.r)
+	f(&c.report)
 	c.mu.Unlock()
-	c.w.news.tell()
+	c.w.news.notify()
 }
 
-// come lets clients in, at times that the seed chooses.
-func (c *Clients) come(rng *rand.Rand) {
-	room := make(chan struct{}, c.load.Most)
+// generate starts clients at random intervals derived from the seed.
+func (c *Clients) generate(rng *rand.Rand) {
+	slots := make(chan struct{}, c.load.MaxConcurrent)
 	for i := 0; c.load.Total == 0 || i < c.load.Total; i++ {
-		gap := time.Duration(min(rng.ExpFloat64(), 4) / c.load.PerSecond * float64(time.Second))
-		holds := time.Duration((0.5 + rng.Float64()) * float64(c.load.Holds))
-		if !c.pause(gap) {
+		interval := time.Duration(min(rng.ExpFloat64(), 4) / c.load.PerSecond * float64(time.Second))
+		holdTime := time.Duration((0.5 + rng.Float64()) * float64(c.load.HoldTime))
+		if !c.sleep(interval) {
 			return
 		}
 		select {
-		case room <- struct{}{}:
-			c.all.Go(func() {
-				defer func() { <-room }()
-				c.client(i, holds)
+		case slots <- struct{}{}:
+			c.running.Go(func() {
+				defer func() { <-slots }()
+				c.runClient(i, holdTime)
 			})
 		default:
-			c.count(func(r *Report) { r.Stood++ })
+			c.update(func(r *Report) { r.Skipped++ })
 		}
 	}
 }
 
-// pause waits, and says whether the clients go on.
-func (c *Clients) pause(long time.Duration) bool {
-	return wait(c.w.over, c.stop, long) && c.w.ctx.Err() == nil
+// sleep waits for the duration and reports whether the clients go on.
+func (c *Clients) sleep(duration time.Duration) bool {
+	return waitChange(c.w.over, c.stop, duration) && c.w.ctx.Err() == nil
 }
 
-// client is one client: it comes, and comes again to the next node when it is sent away.
-func (c *Clients) client(number int, holds time.Duration) {
-	for try := range c.load.Again + 1 {
-		node := c.load.Nodes[(number+try)%len(c.load.Nodes)]
-		again, after := c.query(node, number, try, holds)
-		if !again || !c.pause(after) {
+// runClient runs one client: it connects, and connects again to the next node when it is turned away.
+func (c *Clients) runClient(number int, holdTime time.Duration) {
+	for attempt := range c.load.MaxReconnects + 1 {
+		node := c.load.Nodes[(number+attempt)%len(c.load.Nodes)]
+		retry, delay := c.request(node, number, attempt, holdTime)
+		if !retry || !c.sleep(delay) {
 			return
 		}
 	}
 }
 
-// after is how long a client waits before it comes again.
-const after = 50 * time.Millisecond
+// reconnectDelay is the minimum time before a client connects again.
+const reconnectDelay = 50 * time.Millisecond
 
-// query brings one query to a node and holds what comes of it. It says whether the client comes again and after how long.
-func (c *Clients) query(node string, number, try int, holds time.Duration) (again bool, pause time.Duration) {
+// request sends one request to a node and holds the connection that results. It reports whether the client connects again,
+// and after which delay.
+func (c *Clients) request(node string, number, attempt int, holdTime time.Duration) (retry bool, delay time.Duration) {
 	conn, err := net.Dial("tcp4", c.w.fronts[node].Addr())
 	if err != nil {
-		c.count(func(r *Report) { r.Unmet++ })
-		return true, after
+		c.update(func(r *Report) { r.ConnectFailed++ })
+		return true, reconnectDelay
 	}
 	defer conn.Close()
-	gone := make(chan struct{})
-	defer close(gone)
+	done := make(chan struct{})
+	defer close(done)
 	var stopped atomic.Bool
-	go func() { // a client that is told to stop hangs up
+	go func() { // closes the connection when the clients are stopped
 		select {
 		case <-c.stop:
 			stopped.Store(true)
 			conn.Close()
-		case <-gone:
+		case <-done:
 		}
 	}()
-	id := fmt.Sprintf("%016x", serial.Add(1)|c.w.Plan.Seed<<40)
+	id := fmt.Sprintf("%016x", lastRequestID.Add(1)|c.w.Plan.Seed<<40)
 	line := fmt.Sprintf("OPEN %s %x c=%s,t=acme,d=%d,g=%s", id, number%97+1, c.load.Class, c.load.Deadline.Milliseconds(),
-		or(c.load.Group, fmt.Sprintf("%x", number%31+1)))
-	if try > 0 {
+		orDefault(c.load.Group, fmt.Sprintf("%x", number%31+1)))
+	if attempt > 0 {
 		line += ",again=1"
 	}
-	begun := time.Now()
+	sentAt := time.Now()
 	c.w.asked.Store(id, c.w.Now())
 	if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
-		c.count(func(r *Report) { r.Unmet++ })
-		return true, after
+		c.update(func(r *Report) { r.ConnectFailed++ })
+		return true, reconnectDelay
 	}
-	_ = conn.SetReadDeadline(begun.Add(c.load.Deadline + time.Second))
+	_ = conn.SetReadDeadline(sentAt.Add(c.load.Deadline + time.Second))
 	r := bufio.NewReader(conn)
-	text, err := r.ReadString('\n')
-	took := time.Since(begun)
-	text = strings.TrimSuffix(text, "\r\n")
+	response, err := r.ReadString('\n')
+	latency := time.Since(sentAt)
+	response = strings.TrimSuffix(response, "\r\n")
 	switch {
 	case stopped.Load():
-		return false, 0 // it may have been answered just then: not counted
+		return false, 0 // an answer may have arrived just then: not counted
 	case err != nil:
-		c.count(func(rep *Report) { rep.Lost++; rep.unserved(node) })
-		return true, after
-	case strings.HasPrefix(text, "UP "):
-		if given, _ := c.w.receipts.Load(text); given != id {
-			c.violate("%s said %q to query %s, which no host has said to it", node, text, id)
+		c.update(func(rep *Report) { rep.Unanswered++; rep.countUnserved(node) })
+		return true, reconnectDelay
+	case strings.HasPrefix(response, "UP "):
+		if receiptID, _ := c.w.receipts.Load(response); receiptID != id {
+			c.reportViolation("%s sent %q to request %s, which no host has sent to it", node, response, id)
 		}
-		c.count(func(rep *Report) {
-			rep.Asked, rep.Up = rep.Asked+1, rep.Up+1
-			rep.ByNode[node]++
-			_ = rep.Latency.Add(took.Seconds())
-			if took <= c.load.Deadline {
-				rep.Worth += c.load.Worth
+		c.update(func(rep *Report) {
+			rep.Requests, rep.Served = rep.Requests+1, rep.Served+1
+			rep.ServedByNode[node]++
+			_ = rep.Latency.Add(latency.Seconds())
+			if latency <= c.load.Deadline {
+				rep.Value += c.load.Value
 			}
 		})
-		return c.hold(conn, r, node, id, holds, &stopped)
-	case text == "BUSY" || strings.HasPrefix(text, "BUSY "):
-		ms := 0
-		_, _ = fmt.Sscanf(text, "BUSY %d", &ms)
-		c.count(func(rep *Report) { rep.Busy++; rep.unserved(node) })
-		again, pause = true, max(after, time.Duration(min(ms, 2000))*time.Millisecond)
+		return c.holdConnection(conn, r, node, id, holdTime, &stopped)
+	case response == "BUSY" || strings.HasPrefix(response, "BUSY "):
+		retryMs := 0
+		_, _ = fmt.Sscanf(response, "BUSY %d", &retryMs)
+		c.update(func(rep *Report) { rep.Busy++; rep.countUnserved(node) })
+		retry, delay = true, max(reconnectDelay, time.Duration(min(retryMs, 2000))*time.Millisecond)
 	default:
-		c.count(func(rep *Report) { rep.Failed++; rep.unserved(node) })
+		c.update(func(rep *Report) { rep.Failed++; rep.countUnserved(node) })
 	}
-	c.nothingMore(r, node, id, text)
-	return again, pause
+	c.expectNoMoreLines(r, node, id, response)
+	return retry, delay
 }
 
-// nothingMore notes a line that came after the final one.
-func (c *Clients) nothingMore(r *bufio.Reader, node, id, last string) {
-	if more, _ := r.ReadString('\n'); more != "" {
-		c.violate("%s said %q to query %s after its final %q", node, more, id, last)
+// expectNoMoreLines records a violation if a line follows the final one.
+func (c *Clients) expectNoMoreLines(r *bufio.Reader, node, id, last string) {
+	if line, _ := r.ReadString('\n'); line != "" {
+		c.reportViolation("%s sent %q to request %s after its final %q", node, line, id, last)
 	}
 }
 
-func (c *Clients) violate(format string, args ...any) {
-	c.count(func(r *Report) {
+func (c *Clients) reportViolation(format string, args ...any) {
+	c.update(func(r *Report) {
 		r.Violations = append(r.Violations, Violation{At: c.w.Now(), What: fmt.Sprintf(format, args...)})
 	})
 }
 
-// hold speaks with the host now and then, until the client has had enough.
-func (c *Clients) hold(conn net.Conn, r *bufio.Reader, node, id string, holds time.Duration,
-	stopped *atomic.Bool) (again bool, pause time.Duration) {
-	enough := time.Now().Add(holds)
+// holdConnection exchanges lines with the host at intervals until the hold time is over.
+func (c *Clients) holdConnection(conn net.Conn, r *bufio.Reader, node, id string, holdTime time.Duration,
+	stopped *atomic.Bool) (retry bool, delay time.Duration) {
+	holdUntil := time.Now().Add(holdTime)
 	for n := 0; ; n++ {
-		said := fmt.Sprintf("M %d %s", n, id)
-		if !time.Now().Before(enough) {
-			said = "end"
+		sent := fmt.Sprintf("M %d %s", n, id)
+		if !time.Now().Before(holdUntil) {
+			sent = "end"
 		}
-		_ = conn.SetDeadline(time.Now().Add(10 * time.Second)) // 7 s, and more for a loaded machine
-		_, err := io.WriteString(conn, said+"\r\n")
-		var heard string
-		if err == nil || n > 0 { // what was said to the client before the end can be read still
-			heard, err = r.ReadString('\n')
+		// A node has 7 s until it delivers a line of the host or moves the client; 10 s leave room for a loaded machine.
+		_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
+		_, err := io.WriteString(conn, sent+"\r\n")
+		var received string
+		if err == nil || n > 0 { // lines sent to the client before the connection ended can still be read
+			received, err = r.ReadString('\n')
 		}
-		heard = strings.TrimSuffix(heard, "\r\n")
+		received = strings.TrimSuffix(received, "\r\n")
 		switch {
-		case heard == "MOVE" && err == nil:
-			c.count(func(rep *Report) { rep.Moved++ })
-			c.nothingMore(r, node, id, heard)
-			return true, after
-		case said == "end" && heard == "BYE" && err == nil:
-			c.count(func(rep *Report) { rep.Ended++ })
-			c.nothingMore(r, node, id, heard)
+		case received == "MOVE" && err == nil:
+			c.update(func(rep *Report) { rep.Moved++ })
+			c.expectNoMoreLines(r, node, id, received)
+			return true, reconnectDelay
+		case sent == "end" && received == "BYE" && err == nil:
+			c.update(func(rep *Report) { rep.Completed++ })
+			c.expectNoMoreLines(r, node, id, received)
 			return false, 0
 		case stopped.Load():
 			return false, 0
 		case err != nil:
-			c.count(func(rep *Report) { rep.Broken++ })
-			return true, after
-		case heard != said:
-			c.violate("%s passed %q to query %s, which had said %q", node, heard, id, said)
+			c.update(func(rep *Report) { rep.Broken++ })
+			return true, reconnectDelay
+		case received != sent:
+			c.reportViolation("%s passed %q to request %s, which had sent %q", node, received, id, sent)
 			return false, 0
 		}
-		if !c.pause(min(c.load.Every, max(time.Millisecond, time.Until(enough)))) {
+		if !c.sleep(min(c.load.LineInterval, max(time.Millisecond, time.Until(holdUntil)))) {
 			return false, 0
 		}
 	}
--- a/rehearsal/processes/clients_test.go
+++ b/rehearsal/processes/clients_test.go
@@ -11,20 +11,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a node must not say to a client is found, and each query counts under one answer.
-func TestClientsFindWhatANodeMustNotSay(t *testing.T) {
+// The clients report responses that a node must not send, and count each request under exactly one outcome.
+func TestClientsDetectInvalidResponses(t *testing.T) {
 	for name, tc := range map[string]struct {
-		says  string // to the first line
-		found string // "" where it is sound
+		says  string // response to the first line
+		found string // part of the violation; "" if the response is valid
 		count func(Report) int
 	}{
-		"a receipt of no host":    {"UP h0.1\r\n", "which no host has said", func(r Report) int { return r.Up }},
+		"a receipt of no host":    {"UP h0.1\r\n", "which no host has sent", func(r Report) int { return r.Served }},
 		"two final answers":       {"BUSY 1\r\nBUSY\r\n", "after its final", func(r Report) int { return r.Busy }},
 		"served after an error":   {"ERR\r\nUP h0.1\r\n", "after its final", func(r Report) int { return r.Failed }},
-		"a line that nobody said": {"UP h1.1\r\nM 7\r\n", "which had said", func(r Report) int { return r.Up }},
+		"a line that nobody sent": {"UP h1.1\r\nM 7\r\n", "which had sent", func(r Report) int { return r.Served }},
 		"busy":                    {"BUSY 1\r\n", "", func(r Report) int { return r.Busy }},
 		"an error":                {"ERR no\r\n", "", func(r Report) int { return r.Failed }},
-		"nothing":                 {"", "", func(r Report) int { return r.Lost }},
+		"nothing":                 {"", "", func(r Report) int { return r.Unanswered }},
 		"moved":                   {"UP h1.1\r\nMOVE\r\n", "", func(r Report) int { return r.Moved }},
 		"broken":                  {"UP h1.1\r\n", "", func(r Report) int { return r.Broken }},
 	} {
@@ -40,25 +40,25 @@
 						return
 					}
 					line, _ := bufio.NewReader(c).ReadString('\n')
-					if strings.Contains(tc.says, "h1.1") { // this receipt is sound
+					if strings.Contains(tc.says, "h1.1") { // this receipt is valid
 						w.receipts.Store("UP h1.1", strings.Fields(line + " - -")[1])
 					}
 					_, _ = c.Write([]byte(tc.says))
 					_ = c.(*net.TCPConn).CloseWrite()
 				}
 			}()
-			w.fronts["n0"].Aim(ln.Addr().String())
-			c := w.Come(Load{PerSecond: 1000, Total: 1, Again: 1, Every: time.Millisecond})
-			w.Await("it is found", func() bool {
+			w.fronts["n0"].SetTarget(ln.Addr().String())
+			c := w.StartClients(Load{PerSecond: 1000, Total: 1, MaxReconnects: 1, LineInterval: time.Millisecond})
+			w.Await("the outcome is counted and the violation, if any, is reported", func() bool {
 				r := c.Report()
 				return tc.count(r) > 0 && (tc.found == "" || len(r.Violations) > 0)
 			})
 			c.Stop()
 			for _, v := range w.Violations(Allowance{}) {
-				assert.Contains(t, v.What, or(tc.found, "none expected"))
+				assert.Contains(t, v.What, orDefault(tc.found, "none expected"))
 			}
 			r := c.Report()
-			assert.Equal(t, r.Asked, r.Up+r.Busy+r.Failed+r.Lost)
+			assert.Equal(t, r.Requests, r.Served+r.Busy+r.Failed+r.Unanswered)
 		})
 	}
 }
--- a/rehearsal/processes/discovery.go
+++ b/rehearsal/processes/discovery.go
@@ -13,49 +13,49 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Discovery is the scripted discovery: one state, told to each node with the addresses that it reaches the hosts at. Each
-// node calls it through a link of its own; see World.ToDiscovery.
+// Discovery is the fake discovery service: one list of hosts, served to each node with the addresses at which that node
+// reaches the hosts. Each node calls it over its own link; see World.ToDiscovery.
 type Discovery struct {
 	w *World
 
 	mu    sync.Mutex
 	rev   int64
 	hosts []*Host
-	revs  map[*Host]int64 // of the last change
-	does  Trouble
-	calls map[string]int // by node
-	told  []Told
+	revs  map[*Host]int64 // revision of the last change of a host
+	fault DiscoveryFault
+	calls map[string]int // number of calls by node
+	sent  []SentState
 }
 
-// Trouble is what discovery does to calls.
-type Trouble uint8
+// DiscoveryFault is what discovery does to calls.
+type DiscoveryFault uint8
 
-// The kinds of trouble. Whichever it is, it begins with calls under way too.
+// The kinds of fault. Each applies also to calls that are already pending.
 const (
-	NoTrouble Trouble = iota
-	Failing           // every call is answered 503
-	Silent            // calls are taken and never answered
-	Slow              // every answer comes slowAnswer later
-	Endless           // an answer begins and never ends
+	DiscoveryHealthy      DiscoveryFault = iota
+	DiscoveryFailing                     // every call is answered with 503
+	DiscoveryUnresponsive                // calls are accepted and never answered
+	DiscoverySlow                        // every answer is delayed by slowResponseDelay
+	DiscoveryEndless                     // an answer begins and never ends
 )
 
-func (t Trouble) String() string {
-	return [...]string{"no trouble", "failing", "silent", "slow", "endless"}[t]
+func (f DiscoveryFault) String() string {
+	return [...]string{"no trouble", "failing", "silent", "slow", "endless"}[f]
 }
 
 const (
-	slowAnswer  = time.Second           // between half and all of the time that nodes give a call
-	endlessPart = 50 * time.Millisecond // between two parts of an answer that never ends
+	slowResponseDelay   = time.Second           // between half and all of the time after which nodes give up a call
+	endlessPartInterval = 50 * time.Millisecond // between two parts of an endless answer
 )
 
-// Told is what discovery has told a node of a host's state.
-type Told struct {
+// SentState is the state of a host that discovery sent to a node.
+type SentState struct {
 	Node, Host, State string
-	At                time.Duration // when it was written
+	At                time.Duration // when it was sent
 }
 
-// target is an entry of a list.
-type target struct {
+// hostEntry is an entry of a hostList.
+type hostEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
@@ -66,80 +66,80 @@
 	Boot     int64   `json:"boot_ms"`
 }
 
-// list is what discovery answers.
-type list struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []target `json:"targets"`
+// hostList is the response of discovery.
+type hostList struct {
+	Rev     int64       `json:"rev"`
+	All     bool        `json:"all"`
+	Targets []hostEntry `json:"targets"`
 }
 
 func newDiscovery(w *World) *Discovery {
 	return &Discovery{w: w, rev: 1, revs: make(map[*Host]int64), calls: make(map[string]int)}
 }
 
-// serve opens discovery to one node and returns the address.
-func (d *Discovery) serve(node string) string {
+// serveNode starts a listener for one node and returns its address.
+func (d *Discovery) serveNode(node string) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(d.w.t, err)
-	s := &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) { d.answer(node, out, in) }),
+	s := &http.Server{Handler: http.HandlerFunc(func(resp http.ResponseWriter, req *http.Request) { d.handle(node, resp, req) }),
 		BaseContext: func(net.Listener) context.Context { return d.w.ctx }}
 	d.w.t.Cleanup(func() { s.Close() })
 	go func() { _ = s.Serve(ln) }()
 	return ln.Addr().String()
 }
 
-// Down has every call fail with 503 and ends all watches, or takes that back.
-func (d *Discovery) Down(down bool) {
+// SetDown makes every call fail with 503 and ends all long polls, or ends that fault.
+func (d *Discovery) SetDown(down bool) {
 	if down {
-		d.Does(Failing)
+		d.SetFault(DiscoveryFailing)
 	} else {
-		d.Does(NoTrouble)
+		d.SetFault(DiscoveryHealthy)
 	}
 }
 
-// Does has discovery make so much trouble from now on.
-func (d *Discovery) Does(t Trouble) {
+// SetFault sets the fault from now on.
+func (d *Discovery) SetFault(fault DiscoveryFault) {
 	d.mu.Lock()
-	d.does = t
+	d.fault = fault
 	d.mu.Unlock()
-	d.w.news.tell()
+	d.w.news.notify()
 }
 
-// Told is what nodes were told so far, in that order.
-func (d *Discovery) Told() []Told {
+// Sent returns all host states sent to nodes so far, in that order.
+func (d *Discovery) Sent() []SentState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.told)
+	return slices.Clone(d.sent)
 }
 
-// Calls is how many calls a node has made.
+// Calls returns the number of calls that a node has made.
 func (d *Discovery) Calls(node string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls[node]
 }
 
-// publish tells of a host as it is now.
+// publish announces the current state of a host.
 func (d *Discovery) publish(h *Host) {
 	d.mu.Lock()
 	d.rev++
 	d.revs[h] = d.rev
 	d.mu.Unlock()
-	d.w.news.tell()
+	d.w.news.notify()
 }
 
-// list returns what a node is told that knows a version, and whether there is anything new; from 0 for all.
-func (d *Discovery) list(node string, from int64) (list, bool) {
+// list returns the response for a node that knows revision from (0: none), and whether there is anything new in it.
+func (d *Discovery) list(node string, from int64) (hostList, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := list{Rev: d.rev, All: from <= 0 || from > d.rev, Targets: []target{}}
+	l := hostList{Rev: d.rev, All: from <= 0 || from > d.rev, Targets: []hostEntry{}}
 	for _, h := range d.hosts {
 		h.mu.Lock()
 		if h.seenBy(node) && (l.All && h.state != "terminated" || !l.All && d.revs[h] > from) {
-			t := target{UID: h.ID, Endpoint: h.endpoint(node), Zone: h.Zone, Model: h.Kind, Group: h.Group, State: h.state,
+			t := hostEntry{UID: h.ID, Endpoint: h.endpoint(node), Zone: h.Zone, Model: h.Kind, Group: h.Group, State: h.state,
 				Capacity: h.Capacity}
-			if !h.boot.IsZero() {
-				t.Boot = h.boot.UnixMilli()
+			if !h.startedAt.IsZero() {
+				t.Boot = h.startedAt.UnixMilli()
 			}
 			l.Targets = append(l.Targets, t)
 		}
@@ -148,83 +148,83 @@
 	return l, l.All || d.rev > from
 }
 
-func (d *Discovery) answer(node string, out http.ResponseWriter, in *http.Request) {
+func (d *Discovery) handle(node string, resp http.ResponseWriter, req *http.Request) {
 	d.mu.Lock()
 	d.calls[node]++
 	d.mu.Unlock()
-	d.w.news.tell()
-	if in.Method != http.MethodGet || in.URL.Path != "/v1/servers" {
-		d.w.violate("%s asked discovery for %s %s", node, in.Method, in.URL)
-		http.Error(out, "no such thing", http.StatusNotFound)
+	d.w.news.notify()
+	if req.Method != http.MethodGet || req.URL.Path != "/v1/servers" {
+		d.w.violate("%s sent discovery an unexpected request %s %s", node, req.Method, req.URL)
+		http.Error(resp, "unknown path", http.StatusNotFound)
 		return
 	}
-	q := in.URL.Query()
+	q := req.URL.Query()
 	from, _ := strconv.ParseInt(q.Get("from"), 10, 64)
 	hold, _ := strconv.ParseInt(q.Get("hold_ms"), 10, 64)
-	over := time.NewTimer(time.Duration(min(max(hold, 0), 60000)) * time.Millisecond)
-	defer over.Stop()
-	for waits := hold > 0; ; {
+	holdTimer := time.NewTimer(time.Duration(min(max(hold, 0), 60000)) * time.Millisecond)
+	defer holdTimer.Stop()
+	for holding := hold > 0; ; {
 		next := d.w.news.changed()
 		d.mu.Lock()
-		does := d.does
+		fault := d.fault
 		d.mu.Unlock()
-		switch does {
-		case Failing:
-			http.Error(out, "down", http.StatusServiceUnavailable)
+		switch fault {
+		case DiscoveryFailing:
+			http.Error(resp, "down", http.StatusServiceUnavailable)
 			return
-		case Endless:
-			d.endless(out, in)
+		case DiscoveryEndless:
+			d.writeEndless(resp, req)
 			return
 		}
-		if l, anew := d.list(node, from); does != Silent && (anew || !waits) {
-			if does == Slow && !wait(nil, in.Context().Done(), slowAnswer) {
+		if l, changed := d.list(node, from); fault != DiscoveryUnresponsive && (changed || !holding) {
+			if fault == DiscoverySlow && !waitChange(nil, req.Context().Done(), slowResponseDelay) {
 				return
 			}
-			d.write(node, l, out)
+			d.writeList(node, l, resp)
 			return
 		}
 		select {
 		case <-next:
-		case <-over.C:
-			waits = false
-		case <-in.Context().Done():
+		case <-holdTimer.C:
+			holding = false
+		case <-req.Context().Done():
 			return
 		}
 	}
 }
 
-// write answers a call with a list.
-func (d *Discovery) write(node string, l list, out http.ResponseWriter) {
+// writeList answers a call with a list.
+func (d *Discovery) writeList(node string, l hostList, resp http.ResponseWriter) {
 	body, err := json.Marshal(l)
 	if err != nil {
 		d.w.t.Errorf("discovery: %v", err)
 	}
-	out.Header().Set("Content-Type", "application/json")
-	out.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = out.Write(body)
+	resp.Header().Set("Content-Type", "application/json")
+	resp.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	_, _ = resp.Write(body)
 	at := d.w.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range l.Targets {
-		d.told = append(d.told, Told{Node: node, Host: t.UID, State: t.State, At: at})
+		d.sent = append(d.sent, SentState{Node: node, Host: t.UID, State: t.State, At: at})
 	}
 }
 
-// endless begins an answer and goes on with it until the caller gives up or the trouble is over.
-func (d *Discovery) endless(out http.ResponseWriter, in *http.Request) {
-	out.Header().Set("Content-Type", "application/json")
+// writeEndless begins an answer and continues it until the caller gives up or the fault ends.
+func (d *Discovery) writeEndless(resp http.ResponseWriter, req *http.Request) {
+	resp.Header().Set("Content-Type", "application/json")
 	for part := `{"rev":1,"all":true,"targets":[`; ; part = " " {
-		if _, err := out.Write([]byte(part)); err != nil || http.NewResponseController(out).Flush() != nil {
+		if _, err := resp.Write([]byte(part)); err != nil || http.NewResponseController(resp).Flush() != nil {
 			return
 		}
-		if !wait(nil, in.Context().Done(), endlessPart) {
+		if !waitChange(nil, req.Context().Done(), endlessPartInterval) {
 			return
 		}
 		d.mu.Lock()
-		goesOn := d.does == Endless
+		endless := d.fault == DiscoveryEndless
 		d.mu.Unlock()
-		if !goesOn {
-			panic(http.ErrAbortHandler) // the answer is cut: it was never whole
+		if !endless {
+			panic(http.ErrAbortHandler) // aborts the answer, which was never complete
 		}
 	}
 }
--- a/rehearsal/processes/faults.go
+++ b/rehearsal/processes/faults.go
@@ -13,27 +13,27 @@
 // FaultKind is a kind of fault.
 type FaultKind uint8
 
-// The kinds. Those of a process end with its next start, those of a link with its healing.
+// The kinds. Faults of a process end when it is started again or continued, faults of a link when the link is healed.
 const (
-	CutLink       FaultKind = iota // A to B, one way: Way
-	SilenceLink                    // A to B, both ways held back
-	RefuseLink                     // A to B: new connections refused, open ones reset
-	DelayLink                      // A to B, both ways, by N milliseconds
-	ThrottleLink                   // A to B, both ways, to N bytes a second
-	ResetLink                      // A to B, after N more bytes of a way
-	Isolate                        // A from all other nodes, bytes swallowed
-	CutDiscovery                   // A from discovery
-	DiscoveryDown                  // for all
-	Kill                           // A; it comes back with its store
-	KillOlder                      // A; it comes back with its store as it was when the plan began
-	KillEmpty                      // A; it comes back with an empty store
-	KillTorn                       // A; it comes back with a store whose files are cut at N bytes
-	Pause                          // A
-	Upgrade                        // A: a later process is started beside it, which takes over; then the former one is asked to stop
-	faultKinds
-	Other          FaultKind = iota // what Begin and End do; no plan of Faults has this or what follows
-	UpgradeGivenUp                  // A: a later process is started beside it, and killed before it is asked to end
-	Reseat                          // A's site file gives A's seat to B, at all nodes of the site; at the end A's seat is A's again
+	CutLink        FaultKind = iota // Node to Peer, in one Direction: bytes dropped
+	StallLink                       // Node to Peer, both directions: bytes held back
+	RefuseLink                      // Node to Peer: new connections refused, open ones reset
+	DelayLink                       // Node to Peer, both directions, by Amount milliseconds
+	ThrottleLink                    // Node to Peer, both directions, to Amount bytes per second
+	ResetLink                       // Node to Peer, after Amount more bytes in Direction
+	Isolate                         // Node from all other nodes: bytes dropped
+	CutDiscovery                    // Node from discovery
+	DiscoveryDown                   // for all nodes
+	Kill                            // Node; it restarts with its store
+	KillStaleStore                  // Node; it restarts with its store as it was when the fault sequence began
+	KillEmptyStore                  // Node; it restarts with an empty store
+	KillTornStore                   // Node; it restarts with a store whose files are truncated at Amount bytes
+	Pause                           // Node
+	Upgrade                         // Node: a newer process takes over from the running one, which is then asked to stop
+	numFaultKinds
+	CustomFault    FaultKind = iota // calls Begin and End; RandomFaults generates neither this nor the kinds below
+	AbortedUpgrade                  // Node: a newer process is started, and killed before the running one is asked to stop
+	MoveReplica                     // the site file moves Node's replica to Peer, at all nodes of the site; at the end it moves back
 )
 
 var faultNames = [...]string{"cut link", "silence link", "refuse link", "delay link", "throttle link", "reset link", "isolate",
@@ -42,110 +42,111 @@
 
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault is one fault of a plan.
+// Fault is one fault of a sequence.
 type Fault struct {
-	Kind      FaultKind
-	At, Lasts time.Duration // from the beginning of the plan
-	A, B      string
-	Way       Way
-	N         int
-	// Shut, of KillOlder: no client reaches A from then on, where the copy lacks something, until an Operator has put its store aside; where
-	// it lacks no promise of A's, until its leader has answered it.
-	Shut bool
+	Kind         FaultKind
+	At, Duration time.Duration // At is relative to the start of the sequence
+	Node, Peer   string
+	Direction    Direction
+	Amount       int
+	// BlockClients, for KillStaleStore: if the copy of the store lacks anything, clients cannot reach Node from its restart
+	// until an Operator has replaced the store by an empty one or, if no promise is missing, until the node has a send lease
+	// again.
+	BlockClients bool
 
-	Begin, End func() // of Other
+	Begin, End func() // for CustomFault
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s for %s: %s %s %s %s %d", f.At, f.Lasts, f.Kind, f.A, f.B, f.Way, f.N)
+	return fmt.Sprintf("%s for %s: %s %s %s %s %d", f.At, f.Duration, f.Kind, f.Node, f.Peer, f.Direction, f.Amount)
 }
 
-// Faults is a plan of faults for so long, the same for the same seed, in the order of their beginnings. At most one process is
-// killed or paused at once; faults of one link or process do not overlap; at most one store of all is lost, torn or older; and
-// all are over by the end.
-func Faults(seed uint64, nodes []string, duration time.Duration) []Fault {
+// RandomFaults returns a sequence of faults for a duration, the same for the same seed, in the order of their starts. At
+// most one process is killed or paused at a time; faults of one link or process do not overlap; at most one store is
+// emptied, torn or replaced by an older copy; and all faults end within the duration.
+func RandomFaults(seed uint64, nodes []string, duration time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0x6c696368656e))
-	busy := make(map[string]time.Duration) // until when, by what is at fault
+	busyUntil := make(map[string]time.Duration) // end of the current fault, by the part that it affects
 	var out []Fault
-	stores := 0
-	between := func(least, most time.Duration) time.Duration {
-		return (least + time.Duration(rng.Int64N(int64(most-least)))).Truncate(time.Millisecond)
+	storeFaults := 0
+	between := func(shortest, longest time.Duration) time.Duration {
+		return (shortest + time.Duration(rng.Int64N(int64(longest-shortest)))).Truncate(time.Millisecond)
 	}
-	for at := between(0, duration/20+2); ; at += between(duration/200+1, duration/20+2) {
-		f := Fault{Kind: FaultKind(rng.IntN(int(faultKinds))), At: at.Truncate(time.Millisecond),
-			Lasts: between(duration/40+1, duration/6+2)}
-		a := rng.IntN(len(nodes))
-		f.A = nodes[a]
-		b := nodes[(a+1+rng.IntN(max(1, len(nodes)-1)))%len(nodes)]
-		f.Way, f.N = Way(rng.IntN(2)), rng.IntN(4096)
-		if at >= duration {
+	for start := between(0, duration/20+2); ; start += between(duration/200+1, duration/20+2) {
+		f := Fault{Kind: FaultKind(rng.IntN(int(numFaultKinds))), At: start.Truncate(time.Millisecond),
+			Duration: between(duration/40+1, duration/6+2)}
+		nodeIndex := rng.IntN(len(nodes))
+		f.Node = nodes[nodeIndex]
+		peer := nodes[(nodeIndex+1+rng.IntN(max(1, len(nodes)-1)))%len(nodes)]
+		f.Direction, f.Amount = Direction(rng.IntN(2)), rng.IntN(4096)
+		if start >= duration {
 			return out
 		}
-		if f.At+f.Lasts > duration {
+		if f.At+f.Duration > duration {
 			continue
 		}
 		var keys []string
 		switch f.Kind {
-		case CutLink, SilenceLink, RefuseLink, DelayLink, ThrottleLink, ResetLink:
-			f.B = b
-			keys = []string{f.A + ">" + f.B}
+		case CutLink, StallLink, RefuseLink, DelayLink, ThrottleLink, ResetLink:
+			f.Peer = peer
+			keys = []string{f.Node + ">" + f.Peer}
 			if f.Kind == DelayLink {
-				f.N = 5 + f.N%400
+				f.Amount = 5 + f.Amount%400
 			} else if f.Kind == ThrottleLink {
-				f.N = 200 + f.N
+				f.Amount = 200 + f.Amount
 			}
 		case Isolate:
 			for _, n := range nodes {
-				if n != f.A {
-					keys = append(keys, f.A+">"+n, n+">"+f.A)
+				if n != f.Node {
+					keys = append(keys, f.Node+">"+n, n+">"+f.Node)
 				}
 			}
 		case CutDiscovery:
-			keys = []string{f.A + ">discovery", "discovery"}
+			keys = []string{f.Node + ">discovery", "discovery"}
 		case DiscoveryDown:
 			keys = []string{"discovery"}
-			f.A = ""
+			f.Node = ""
 		default:
 			keys = []string{"process"}
 		}
-		loses := losesStore(f.Kind)
-		linked := f.Kind < Isolate && len(nodes) < 2
-		if linked || loses && stores > 0 || slices.ContainsFunc(keys, func(k string) bool { return busy[k] > f.At }) {
+		lossOfStore := losesStore(f.Kind)
+		needsPeer := f.Kind < Isolate && len(nodes) < 2
+		if needsPeer || lossOfStore && storeFaults > 0 || slices.ContainsFunc(keys, func(k string) bool { return busyUntil[k] > f.At }) {
 			continue
 		}
-		if loses {
-			stores++
+		if lossOfStore {
+			storeFaults++
 		}
 		for _, k := range keys {
-			busy[k] = f.At + f.Lasts + time.Millisecond
+			busyUntil[k] = f.At + f.Duration + time.Millisecond
 		}
 		out = append(out, f)
 	}
 }
 
-// Play does the faults of a plan, each at its time, and heals the world. It returns once the last one is over.
-func (w *World) Play(faults []Fault) {
+// RunFaults begins and ends each fault at its time, then heals the world. It returns once the last fault has ended.
+func (w *World) RunFaults(faults []Fault) {
 	w.t.Helper()
 	type event struct {
 		at time.Duration
 		do func()
 	}
 	var events []event
-	older := make(map[string]string)
+	staleStores := make(map[string]string)
 	for _, f := range faults {
-		if f.Kind == KillOlder && older[f.A] == "" {
-			w.logStanding("is copied", f.A)
-			older[f.A] = w.Node(f.A).CopyStore()
+		if f.Kind == KillStaleStore && staleStores[f.Node] == "" {
+			w.logStates("is copied", f.Node)
+			staleStores[f.Node] = w.Node(f.Node).CopyStore()
 		}
 		events = append(events, event{f.At, func() {
 			w.t.Logf("%s: %s", w.Now().Round(time.Millisecond), f)
-			w.inflict(f)
-		}}, event{f.At + f.Lasts, func() { w.relieve(f, older[f.A]) }})
+			w.beginFault(f)
+		}}, event{f.At + f.Duration, func() { w.endFault(f, staleStores[f.Node]) }})
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
-	begun := time.Now()
+	startedAt := time.Now()
 	for _, e := range events {
-		if !w.pause(max(0, e.at-time.Since(begun))) {
+		if !w.pause(max(0, e.at-time.Since(startedAt))) {
 			return
 		}
 		e.do()
@@ -154,99 +155,100 @@
 	w.upgrades.Wait()
 }
 
-// inflict begins a fault.
-func (w *World) inflict(f Fault) {
+// beginFault begins a fault.
+func (w *World) beginFault(f Fault) {
 	switch f.Kind {
 	case CutLink:
-		w.Link(f.A, f.B).Cut(f.Way)
-	case SilenceLink:
-		w.Link(f.A, f.B).Silence()
+		w.Link(f.Node, f.Peer).Cut(f.Direction)
+	case StallLink:
+		w.Link(f.Node, f.Peer).Stall()
 	case RefuseLink:
-		w.Link(f.A, f.B).Refuse()
-		w.Link(f.A, f.B).Reset()
+		w.Link(f.Node, f.Peer).Refuse()
+		w.Link(f.Node, f.Peer).Reset()
 	case DelayLink:
-		for _, way := range []Way{Out, Back} {
-			w.Link(f.A, f.B).Delay(way, time.Duration(f.N)*time.Millisecond)
+		for _, direction := range []Direction{ToTarget, ToCaller} {
+			w.Link(f.Node, f.Peer).Delay(direction, time.Duration(f.Amount)*time.Millisecond)
 		}
 	case ThrottleLink:
-		for _, way := range []Way{Out, Back} {
-			w.Link(f.A, f.B).Throttle(way, f.N)
+		for _, direction := range []Direction{ToTarget, ToCaller} {
+			w.Link(f.Node, f.Peer).Throttle(direction, f.Amount)
 		}
 	case ResetLink:
-		w.Link(f.A, f.B).ResetAfter(f.Way, f.N)
+		w.Link(f.Node, f.Peer).ResetAfter(f.Direction, f.Amount)
 	case Isolate:
-		w.Part(false, f.A)
+		w.Part(false, f.Node)
 	case CutDiscovery:
-		w.ToDiscovery(f.A).Cut()
+		w.ToDiscovery(f.Node).Cut()
 	case DiscoveryDown:
-		w.Discovery.Down(true)
-	case Kill, KillOlder, KillEmpty, KillTorn:
-		if f.Kind == KillOlder {
-			w.logStanding("is killed, and comes back with the copy", f.A)
+		w.Discovery.SetDown(true)
+	case Kill, KillStaleStore, KillEmptyStore, KillTornStore:
+		if f.Kind == KillStaleStore {
+			w.logStates("is replaced by the copy after a kill", f.Node)
 		}
-		w.hand(f.A, true, w.Node(f.A).Kill)
+		w.withProcess(f.Node, true, w.Node(f.Node).Kill)
 	case Pause:
-		w.hand(f.A, true, w.Node(f.A).Pause)
-	case Other:
+		w.withProcess(f.Node, true, w.Node(f.Node).Pause)
+	case CustomFault:
 		f.Begin()
-	case Upgrade, UpgradeGivenUp:
-		w.hand(f.A, true, w.Node(f.A).tryUpgrade)
-	case Reseat:
-		w.reseat(f.A, f.B)
+	case Upgrade, AbortedUpgrade:
+		w.withProcess(f.Node, true, w.Node(f.Node).beginUpgrade)
+	case MoveReplica:
+		w.moveReplica(f.Node, f.Peer)
 	}
 }
 
-// logStanding logs how far a node is when something happens to its store, as it and the others of its site tell.
-func (w *World) logStanding(what, node string) {
+// logStates logs the state that each node of a site reports when something happens to the store of one of them.
+func (w *World) logStates(what, node string) {
 	for _, n := range w.siteOf[node].Nodes {
-		own, _, _ := strings.Cut(w.Node(n).standing(), "\n")
-		w.t.Logf("%s: the store of %s %s: %s", w.Now().Round(time.Millisecond), node, what, own)
+		state, _, _ := strings.Cut(w.Node(n).standing(), "\n")
+		w.t.Logf("%s: the store of %s %s: %s", w.Now().Round(time.Millisecond), node, what, state)
 	}
 }
 
-// reseat has two nodes of a site change their places in its files, and so a seat, and has all nodes of it read them that can. A node
-// that is down reads the file at its start.
-func (w *World) reseat(a, b string) {
+// moveReplica exchanges two nodes of a site in the site files, and with that moves the replica of one to the other, and
+// makes all running nodes of the site reload the files. A node that is down reads its file when it starts.
+func (w *World) moveReplica(from, to string) {
 	w.hands.Lock()
 	defer w.hands.Unlock()
-	s := w.siteOf[a]
-	changed := slices.Clone(s.Nodes) // others go through the former ones
-	i, j := slices.Index(changed, a), slices.Index(changed, b)
-	changed[i], changed[j] = b, a
+	s := w.siteOf[from]
+	changed := slices.Clone(s.Nodes) // other goroutines may iterate over the previous slice
+	i, j := slices.Index(changed, from), slices.Index(changed, to)
+	changed[i], changed[j] = to, from
 	s.Nodes = changed
-	delete(w.newSeat, a)
-	w.newSeat[b] = true
+	delete(w.newSeat, from)
+	w.newSeat[to] = true
 	for _, n := range changed {
 		w.nodes[n].Reload()
 	}
 }
 
-// hand does something to a node's process, one at a time. down says whether the process is at a fault's mercy from then on.
-func (w *World) hand(node string, down bool, do func()) {
+// withProcess does something to a node's process while holding the lock for processes. down tells whether the process is
+// stopped by a fault from then on.
+func (w *World) withProcess(node string, down bool, do func()) {
 	w.hands.Lock()
 	defer w.hands.Unlock()
 	do()
 	w.down[node] = down
 }
 
-// tryUpgrade starts a later process beside one that serves.
-func (n *Node) tryUpgrade() {
-	if n.Runs() && n.Listen() != "" {
-		n.later = n.Upgrade()
+// beginUpgrade starts a newer process of the node if one serves.
+func (n *Node) beginUpgrade() {
+	if n.Runs() && n.ClientAddr() != "" {
+		n.upgradedFrom = n.Upgrade()
 	}
 }
 
-// endUpgrade has the former process leave once the later one takes part, and is done when it has. Should the later one have ended,
-// the former serves on.
-func (n *Node) endUpgrade() {
-	f := n.later
-	if n.later = nil; f == nil {
+// completeUpgrade asks the previous process to stop once the newer one serves and is open to peers, and returns once the
+// previous one has ended. If the newer one has ended, the previous one continues to serve.
+func (n *Node) completeUpgrade() {
+	f := n.upgradedFrom
+	if n.upgradedFrom = nil; f == nil {
 		return
 	}
-	n.w.until(func() bool {
-		return n.is(f) || len(n.logged("msg=serving")) > 0 && (n.w.Plan.Alone || len(n.logged("open to peers")) > 0)
+	n.w.waitUntil(func() bool {
+		return n.isCurrent(f) || len(n.linesWith("msg=serving")) > 0 && (n.w.Plan.Alone || len(n.linesWith("open to peers")) > 0)
 	})
-	if n.is(f) {
+	if n.isCurrent(f) {
 		return
 	}
 	_ = f.cmd.Process.Signal(syscall.SIGTERM)
@@ -256,16 +258,16 @@
 	}
 }
 
-// giveUp kills the later process of an upgrade that is under way; the former serves on.
-func (n *Node) giveUp() {
-	if f := n.later; f != nil && !n.is(f) {
+// abortUpgrade kills the newer process of a pending upgrade; the previous one continues to serve.
+func (n *Node) abortUpgrade() {
+	if f := n.upgradedFrom; f != nil && !n.isCurrent(f) {
 		n.Kill()
 	}
-	n.later = nil
+	n.upgradedFrom = nil
 }
 
-// until waits until cond holds or the world ends; unlike Await on any goroutine.
-func (w *World) until(cond func() bool) {
+// waitUntil waits until cond holds or the world ends. Unlike Await it may be called on any goroutine.
+func (w *World) waitUntil(cond func() bool) {
 	for next := w.news.changed(); !cond(); next = w.news.changed() {
 		select {
 		case <-next:
@@ -275,76 +277,77 @@
 	}
 }
 
-// is says whether a former process is the node's again.
-func (n *Node) is(f *Former) bool {
+// isCurrent reports whether a previous process is the node's current process again.
+func (n *Node) isCurrent(f *Predecessor) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.present == f.process
+	return n.current == f.process
 }
 
-// logged are the lines of the present process's log that hold a text.
-func (n *Node) logged(text string) []string {
+// linesWith returns the lines of the current process's log that contain a text.
+func (n *Node) linesWith(text string) []string {
 	return slices.DeleteFunc(n.Log(), func(line string) bool { return !strings.Contains(line, text) })
 }
 
-// HasLogged says whether a line after a mark holds a text.
+// HasLogged reports whether a line after a mark contains a text.
 func (n *Node) HasLogged(mark int, text string) bool {
 	return slices.ContainsFunc(n.since(mark), func(line string) bool { return strings.Contains(line, text) })
 }
 
-// relieve ends a fault.
-func (w *World) relieve(f Fault, older string) {
+// endFault ends a fault.
+func (w *World) endFault(f Fault, staleStore string) {
 	switch f.Kind {
 	case Isolate:
 		for _, n := range w.order {
-			if n != f.A {
-				w.Link(n, f.A).Heal()
-				w.Link(f.A, n).Heal()
+			if n != f.Node {
+				w.Link(n, f.Node).Heal()
+				w.Link(f.Node, n).Heal()
 			}
 		}
 	case CutDiscovery:
-		w.ToDiscovery(f.A).Heal()
+		w.ToDiscovery(f.Node).Heal()
 	case DiscoveryDown:
-		w.Discovery.Down(false)
-	case Kill, KillOlder, KillEmpty, KillTorn:
-		store := map[FaultKind]Store{Kill: Kept, KillOlder: Older(older), KillEmpty: Empty, KillTorn: tornWhereLonger(int64(f.N))}[f.Kind]
-		w.hand(f.A, false, func() {
+		w.Discovery.SetDown(false)
+	case Kill, KillStaleStore, KillEmptyStore, KillTornStore:
+		store := map[FaultKind]StoreChange{Kill: KeepStore, KillStaleStore: StaleStore(staleStore), KillEmptyStore: EmptyStore, KillTornStore: truncateLongerFiles(int64(f.Amount))}[f.Kind]
+		w.withProcess(f.Node, false, func() {
 			if losesStore(f.Kind) {
-				delete(w.newSeat, f.A) // one that it had, with another store
+				delete(w.newSeat, f.Node) // a replica that it had, now with another store
 			}
-			lacks := lacksNothing
-			if f.Shut {
-				lacks = w.Node(f.A).lacks(older)
+			missing := missingNothing
+			if f.BlockClients {
+				missing = w.Node(f.Node).missingInCopy(staleStore)
 			}
-			if lacks != lacksNothing {
-				w.shut[f.A] = true
-				w.untilRight[f.A] = lacks == lacksWord
-				w.Front(f.A).Refuse()
-				w.Front(f.A).Reset()
+			if missing != missingNothing {
+				w.shut[f.Node] = true
+				w.untilRight[f.Node] = missing == missingConfirmation
+				w.Front(f.Node).Refuse()
+				w.Front(f.Node).Reset()
 			}
-			w.Node(f.A).Restart(store)
+			w.Node(f.Node).Restart(store)
 		})
 	case Pause:
-		w.hand(f.A, false, w.Node(f.A).Continue)
-	case Other:
+		w.withProcess(f.Node, false, w.Node(f.Node).Continue)
+	case CustomFault:
 		f.End()
-	case Reseat:
-		w.reseat(f.B, f.A)
-	case UpgradeGivenUp:
-		w.hand(f.A, false, w.Node(f.A).giveUp)
+	case MoveReplica:
+		w.moveReplica(f.Peer, f.Node)
+	case AbortedUpgrade:
+		w.withProcess(f.Node, false, w.Node(f.Node).abortUpgrade)
 	case Upgrade:
-		w.upgrades.Go(func() { w.hand(f.A, false, w.Node(f.A).endUpgrade) }) // it takes longer than a plan may wait
+		// Runs in the background: it takes longer than the sequence may wait.
+		w.upgrades.Go(func() { w.withProcess(f.Node, false, w.Node(f.Node).completeUpgrade) })
 	default:
-		w.Link(f.A, f.B).Heal()
+		w.Link(f.Node, f.Peer).Heal()
 	}
 }
 
-// tornWhereLonger cuts each file of a store that is longer, and does nothing where none is.
-func tornWhereLonger(at int64) Store {
+// truncateLongerFiles truncates each file of a store that is longer than this many bytes, and does nothing if none is.
+func truncateLongerFiles(at int64) StoreChange {
 	return func(n *Node) {
-		for _, f := range n.Files() {
+		for _, f := range n.StoreFiles() {
 			if info, err := os.Stat(n.StoreDir() + "/" + f); err == nil && info.Mode().IsRegular() && info.Size() > at {
-				Torn(f, at)(n)
+				TornStore(f, at)(n)
 			}
 		}
 	}
--- a/rehearsal/processes/figures_test.go
+++ b/rehearsal/processes/figures_test.go
@@ -13,12 +13,13 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-var figures = flag.Bool("figures", false, "measure what docs/design/affairs.md tells; takes a minute, and wants a quiet machine")
+var measure = flag.Bool("figures", false, "measure the figures given in docs/design/affairs.md; takes a minute and needs an idle machine")
 
-// TestWhatControlCostsAtSetUp measures how long connections take to stand through nodes without a site file and with one, by
-// turns: go test ./rehearsal/processes -run SetUp -figures -v
+// TestWhatControlCostsAtSetUp measures the set-up time of connections through nodes without and with a site file,
+// alternately:
+// go test ./rehearsal/processes -run SetUp -figures -v
 func TestWhatControlCostsAtSetUp(t *testing.T) {
-	if !*figures {
+	if !*measure {
 		t.Skip("-figures")
 	}
 	var sums [2][2]float64
@@ -30,13 +31,13 @@
 			t.Run(map[bool]string{true: "off", false: "on"}[alone], func(t *testing.T) {
 				w := New(t, p)
 				w.Start()
-				c := w.Come(Load{PerSecond: 300, Most: 200, Holds: 100 * time.Millisecond})
-				w.Await("two thousand are served", func() bool { return c.Report().Up >= 2000 })
+				c := w.StartClients(Load{PerSecond: 300, MaxConcurrent: 200, HoldTime: 100 * time.Millisecond})
+				w.Await("2000 requests are served", func() bool { return c.Report().Served >= 2000 })
 				c.Stop()
 				r := c.Report()
-				sums[on][0] += r.Within(0.5)
-				sums[on][1] += r.Within(0.99)
-				t.Logf("p50 %.2f ms, p99 %.2f ms", 1000*r.Within(0.5), 1000*r.Within(0.99))
+				sums[on][0] += r.LatencyQuantile(0.5)
+				sums[on][1] += r.LatencyQuantile(0.99)
+				t.Logf("p50 %.2f ms, p99 %.2f ms", 1000*r.LatencyQuantile(0.5), 1000*r.LatencyQuantile(0.99))
 			})
 		}
 	}
@@ -46,16 +47,17 @@
 	assert.NotZero(t, sums[0][0])
 }
 
-// TestFromARegressionToAllBack measures how long a policy with a regression stands and what it costs, with spells of two seconds: from
-// the moment when hosts see the first node go by it until it is halted, and until hosts see every node go by the good one; and how many
-// queries of that node's clients came to nothing beyond what clients of the other nodes had meanwhile:
+// TestFromARegressionToAllBack measures how long a policy with a regression is in force and what it costs, with observation
+// windows of two seconds: the time from the first request that shows a node applying it until it is halted, and until all
+// nodes apply the good policy again; and how many requests of that node's clients failed beyond the rate of the other nodes
+// in the same time:
 // go test ./rehearsal/processes -run FromARegression -figures -v
 func TestFromARegressionToAllBack(t *testing.T) {
-	if !*figures {
+	if !*measure {
 		t.Skip("-figures")
 	}
 	const rounds = 5
-	var halts, backs []time.Duration
+	var halts, reversions []time.Duration
 	var lost []float64
 	for i := range rounds {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -64,29 +66,29 @@
 				h.Refuse(0.3, "ERR")
 			}
 			first := r.start(`{"permissions":{"max_attempts":1}}`, OnlyAttempt)
-			begun, before := r.Under(OnlyAttempt, first, 0)[0].At, r.clients.Report()
+			appliedAt, reportBefore := r.Under(OnlyAttempt, first, 0)[0].At, r.clients.Report()
 			r.await("is halted", func(p *peerpb.Rollout) bool { return p.Phase != "running" })
-			halted := r.Now()
+			haltedAt := r.Now()
 			r.awaitHalted("regression")
-			back, after := r.Now(), r.clients.Report()
-			no, all, usual, of := 0, 0, 0, 0
+			revertedAt, reportAfter := r.Now(), r.clients.Report()
+			unservedTrial, requestsTrial, unservedOthers, requestsOthers := 0, 0, 0, 0
 			for _, n := range r.Names() {
-				unserved := after.Unserved[n] - before.Unserved[n]
-				asked := unserved + after.ByNode[n] - before.ByNode[n]
+				unserved := reportAfter.UnservedByNode[n] - reportBefore.UnservedByNode[n]
+				asked := unserved + reportAfter.ServedByNode[n] - reportBefore.ServedByNode[n]
 				if n == first {
-					no, all = unserved, asked
+					unservedTrial, requestsTrial = unserved, asked
 				} else {
-					usual, of = usual+unserved, of+asked
+					unservedOthers, requestsOthers = unservedOthers+unserved, requestsOthers+asked
 				}
 			}
-			halts, backs = append(halts, halted-begun), append(backs, back-begun)
-			lost = append(lost, float64(no)-float64(all*usual)/float64(max(of, 1)))
-			t.Logf("halted after %v, all back after %v; %.1f of %d queries lost", halted-begun, back-begun, lost[len(lost)-1], all)
+			halts, reversions = append(halts, haltedAt-appliedAt), append(reversions, revertedAt-appliedAt)
+			lost = append(lost, float64(unservedTrial)-float64(requestsTrial*unservedOthers)/float64(max(requestsOthers, 1)))
+			t.Logf("halted after %v, all reverted after %v; %.1f of %d requests lost", haltedAt-appliedAt, revertedAt-appliedAt, lost[len(lost)-1], requestsTrial)
 		})
 	}
 	slices.Sort(halts)
-	slices.Sort(backs)
+	slices.Sort(reversions)
 	slices.Sort(lost)
 	assert.Len(t, lost, rounds)
-	t.Logf("medians of %d: halted after %v, all back after %v, %.1f queries lost", rounds, halts[len(halts)/2], backs[len(backs)/2], lost[len(lost)/2])
+	t.Logf("medians of %d: halted after %v, all reverted after %v, %.1f requests lost", rounds, halts[len(halts)/2], reversions[len(reversions)/2], lost[len(lost)/2])
 }
--- a/rehearsal/processes/host.go
+++ b/rehearsal/processes/host.go
@@ -14,45 +14,45 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FirstLine is a query that reached a host.
+// FirstLine is the first line of a request as it reached a host.
 type FirstLine struct {
-	Host, Node string        // Node is whose connection it came on: each node has a port of its own at each host
-	ID         string        // of the query
-	Line       string        // without its end
-	At         time.Duration // when its last byte came, by the kernel, on the world's clock
-	Answer     string        // the host's first word to it; "" while there is none
-	Copy       bool          // an earlier attempt of the query was still out when this one was read
+	Host, Node string        // Node is the node that opened the connection: each node has a port of its own at each host
+	ID         string        // id of the request
+	Line       string        // without the line end
+	At         time.Duration // arrival of its last byte according to the kernel, on the world's clock
+	Response   string        // the host's first response line; "" while there is none
+	Concurrent bool          // an earlier attempt of the request was still pending when this one was read
 }
 
-// Host is a scripted host. It answers UP, or refuses a part of the queries, sends each line back, says BYE at "end" and answers STATS and PING. It listens on
-// a port for each node.
+// Host is a fake backend host. It answers UP or refuses a share of the requests, echoes each further line, answers "end"
+// with BYE, and answers STATS and PING. It listens on one port per node.
 type Host struct {
 	HostPlan
 	w     *World
 	ports map[string]*port // by node
 
-	serving sync.WaitGroup // of connections
+	handlers sync.WaitGroup // connection handlers
 
-	mu      sync.Mutex
-	conns   map[*net.TCPConn]bool
-	lines   []FirstLine
-	works   []span // that it was told of
-	state   string // as discovery calls it
-	running bool
-	drains  bool
-	silent  map[string]bool // by node
-	refuses float64         // the part of the queries that it says answer to
-	answer  string
-	boot    time.Time // of the last start; zero: long ago
-	receipt int
+	mu           sync.Mutex
+	conns        map[*net.TCPConn]bool
+	lines        []FirstLine
+	workSpans    []span // periods during which it was in work
+	state        string // state as discovery lists it
+	running      bool
+	draining     bool
+	unresponsive map[string]bool // by node: sends nothing and reads nothing
+	refusedShare float64         // share of the requests that it answers with refusalText
+	refusalText  string
+	startedAt    time.Time // time of the last start; zero: long ago
+	lastReceipt  int
 }
 
-// span is a time from which to which something held; to is 0 while it does.
+// span is a period; to is 0 while it lasts.
 type span struct{ from, to time.Duration }
 
 func newHost(w *World, p HostPlan) *Host {
 	h := &Host{HostPlan: p, w: w, ports: make(map[string]*port), conns: make(map[*net.TCPConn]bool), state: "in_service",
-		silent: make(map[string]bool)}
+		unresponsive: make(map[string]bool)}
 	for _, n := range w.order {
 		h.ports[n] = newPort(w.t)
 	}
@@ -63,7 +63,7 @@
 
 func (h *Host) up() {
 	h.mu.Lock()
-	h.running, h.drains, h.state = true, false, "in_service"
+	h.running, h.draining, h.state = true, false, "in_service"
 	h.mu.Unlock()
 	for node, p := range h.ports {
 		require.NoError(h.w.t, p.open(func(c *net.TCPConn) { go h.serve(node, c) }))
@@ -84,41 +84,41 @@
 	for _, c := range all {
 		reset(c)
 	}
-	h.w.news.tell()
-	h.serving.Wait()
+	h.w.news.notify()
+	h.handlers.Wait()
 }
 
-// Kill ends the host at once: its connections are reset and new ones refused. Discovery is told nothing of it.
+// Kill stops the host at once: its connections are reset and new ones refused. Discovery still lists it as before.
 func (h *Host) Kill() {
 	h.down()
 }
 
-// Start has a killed host run again, started just now, and discovery tell of it.
+// Start starts a killed host again and announces the new start time in discovery.
 func (h *Host) Start() {
 	h.mu.Lock()
-	h.boot = time.Now()
+	h.startedAt = time.Now()
 	h.mu.Unlock()
 	h.up()
 	h.w.Discovery.publish(h)
 }
 
-// Drain has the host refuse new queries, and discovery tell of it. What stands stays.
+// Drain makes the host refuse new requests and announces that in discovery. Established connections stay open.
 func (h *Host) Drain() {
 	h.mu.Lock()
-	h.drains, h.state = true, "terminating"
+	h.draining, h.state = true, "terminating"
 	h.mu.Unlock()
 	h.w.Discovery.publish(h)
 }
 
-// Undrain takes a drain back.
+// Undrain ends a drain.
 func (h *Host) Undrain() {
 	h.mu.Lock()
-	h.drains, h.state = false, "in_service"
+	h.draining, h.state = false, "in_service"
 	h.mu.Unlock()
 	h.w.Discovery.publish(h)
 }
 
-// Remove has discovery say that the host is gone, and ends it.
+// Remove stops the host and announces in discovery that it is gone.
 func (h *Host) Remove() {
 	h.down()
 	h.mu.Lock()
@@ -127,63 +127,64 @@
 	h.w.Discovery.publish(h)
 }
 
-// Silence has the host say nothing more to one node, and read nothing of it, or as before.
-func (h *Host) Silence(node string, on bool) {
+// SetUnresponsive makes the host send nothing to one node and read nothing from it, or ends that.
+func (h *Host) SetUnresponsive(node string, unresponsive bool) {
 	h.mu.Lock()
-	h.silent[node] = on
+	h.unresponsive[node] = unresponsive
 	h.mu.Unlock()
-	h.w.news.tell()
+	h.w.news.notify()
 }
 
-// Breaks, as an answer of Refuse, has the host reset the connection of a query that it has read.
-const Breaks = "-"
+// ResetConnection, as the text of Refuse, makes the host reset the connection of a request that it has read.
+const ResetConnection = "-"
 
-// Refuse has the host say answer ("BUSY", "ERR" or Breaks) to a part of the queries from now on; 0: to none.
-func (h *Host) Refuse(part float64, answer string) {
+// Refuse makes the host answer a share of the requests with text ("BUSY", "ERR" or ResetConnection) from now on; a share of
+// 0 ends that.
+func (h *Host) Refuse(share float64, text string) {
 	h.mu.Lock()
-	h.refuses, h.answer = part, answer
+	h.refusedShare, h.refusalText = share, text
 	h.mu.Unlock()
 }
 
-// refusal is what the host says to a query that it does not serve, "" to others; mu is held.
-func (h *Host) refusal(id string) string {
-	lot := fnv.New32a()
-	_, _ = io.WriteString(lot, h.ID+" "+id)
+// refusalFor returns the text with which the host refuses a request, or "" if it serves the request; mu is held.
+func (h *Host) refusalFor(id string) string {
+	hash := fnv.New32a()
+	_, _ = io.WriteString(hash, h.ID+" "+id)
 	switch {
-	case h.drains:
+	case h.draining:
 		return "BUSY"
-	case float64(lot.Sum32()) < h.refuses*(1<<32):
-		return h.answer
+	case float64(hash.Sum32()) < h.refusedShare*(1<<32):
+		return h.refusalText
 	}
 	return ""
 }
 
-// Begin tells the host that it is in work from now on: each first line that comes from here to Finish is a violation.
-func (h *Host) Begin() {
+// BeginWork marks the start of work on the host: each first line that arrives from now until EndWork is a violation.
+func (h *Host) BeginWork() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.works = append(h.works, span{from: h.w.Now()})
+	h.workSpans = append(h.workSpans, span{from: h.w.Now()})
 }
 
-// Finish tells the host that the work is over.
-func (h *Host) Finish() {
+// EndWork marks the end of the work.
+func (h *Host) EndWork() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n := len(h.works); n > 0 && h.works[n-1].to == 0 {
-		h.works[n-1].to = h.w.Now()
+	if n := len(h.workSpans); n > 0 && h.workSpans[n-1].to == 0 {
+		h.workSpans[n-1].to = h.w.Now()
 	}
 }
 
-// InWork says whether it is in work.
+// InWork reports whether the host is in work.
 func (h *Host) InWork() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := len(h.works)
-	return n > 0 && h.works[n-1].to == 0
+	n := len(h.workSpans)
+	return n > 0 && h.workSpans[n-1].to == 0
 }
 
-// Lines are the first lines that came so far, from one node or, with "", from all; in the order in which they were read.
-func (h *Host) Lines(node string) []FirstLine {
+// FirstLines returns the first lines so far, from one node or, with "", from all, in the order in which they were read.
+func (h *Host) FirstLines(node string) []FirstLine {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []FirstLine
@@ -195,25 +196,25 @@
 	return out
 }
 
-// Standing is how many connections are open at the host, probes among them.
-func (h *Host) Standing() int {
+// OpenConns returns the number of open connections at the host, including probes.
+func (h *Host) OpenConns() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.conns)
 }
 
-// Violations are the first lines that came while it was in work.
+// Violations returns a violation for each first line that arrived while the host was in work.
 func (h *Host) Violations() []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return inWork(h.lines, h.works)
+	return linesDuringWork(h.lines, h.workSpans)
 }
 
-func inWork(lines []FirstLine, works []span) (out []Violation) {
+func linesDuringWork(lines []FirstLine, spans []span) (out []Violation) {
 	for _, l := range lines {
-		for _, s := range works {
+		for _, s := range spans {
 			if l.At > s.from && (s.to == 0 || l.At < s.to) {
-				out = append(out, Violation{At: l.At, What: fmt.Sprintf("a first line of %s reached %s in work since %s: %s",
+				out = append(out, Violation{At: l.At, What: fmt.Sprintf("a first line of %s reached %s, in work since %s: %s",
 					l.Node, l.Host, s.from, l.Line)})
 			}
 		}
@@ -221,17 +222,17 @@
 	return out
 }
 
-// endpoint is where a node reaches the host.
+// endpoint returns the address at which a node reaches the host.
 func (h *Host) endpoint(node string) string { return h.ports[node].addr }
 
-// hushed waits while the host says nothing to a node, and says whether it goes on.
-func (h *Host) hushed(node string) bool {
+// awaitResponsive waits while the host is unresponsive to a node, and reports whether the host still runs.
+func (h *Host) awaitResponsive(node string) bool {
 	for {
 		next := h.w.news.changed()
 		h.mu.Lock()
-		silent, running := h.silent[node], h.running
+		unresponsive, running := h.unresponsive[node], h.running
 		h.mu.Unlock()
-		if !silent || !running {
+		if !unresponsive || !running {
 			return running
 		}
 		select {
@@ -250,94 +251,94 @@
 		return
 	}
 	h.conns[c] = true
-	h.serving.Add(1)
+	h.handlers.Add(1)
 	h.mu.Unlock()
-	defer h.serving.Done()
+	defer h.handlers.Done()
 	defer func() {
 		c.Close()
 		h.mu.Lock()
 		delete(h.conns, c)
 		h.mu.Unlock()
-		h.w.news.tell()
+		h.w.news.notify()
 	}()
-	from, err := newStamped(c, h.w)
+	stampedConn, err := newStamped(c, h.w)
 	if err != nil {
-		return // it was reset just now
+		return // the connection was reset just now
 	}
-	r := bufio.NewReader(from)
-	say := func(text string) bool {
-		if !h.hushed(node) {
+	r := bufio.NewReader(stampedConn)
+	send := func(text string) bool {
+		if !h.awaitResponsive(node) {
 			return false
 		}
 		_, err := io.WriteString(c, text+"\r\n")
 		return err == nil
 	}
-	for begun := false; ; {
+	for established := false; ; {
 		line, err := r.ReadString('\n')
 		if err != nil {
 			if errors.Is(err, errNoStamp) {
-				h.w.violate("%v: the checkers cannot judge", err)
+				h.w.violate("%v: the checkers need the arrival times of first lines", err)
 			}
 			return
 		}
 		line = strings.TrimSuffix(line, "\r\n")
 		switch {
-		case begun && line == "end":
-			say("BYE")
+		case established && line == "end":
+			send("BYE")
 			return
-		case begun:
-			if !say(line) {
+		case established:
+			if !send(line) {
 				return
 			}
 			continue
 		case line == "STATS" || line == "PING":
 			h.mu.Lock()
-			standing := len(h.conns)
+			open := len(h.conns)
 			h.mu.Unlock()
-			if !say(fmt.Sprintf("PONG qps=1.5,latency_ms=5,queue=0,x0=%.3f", min(1, float64(standing)/100))) {
+			if !send(fmt.Sprintf("PONG qps=1.5,latency_ms=5,queue=0,x0=%.3f", min(1, float64(open)/100))) {
 				return
 			}
 			continue
 		}
-		words := strings.Fields(line)
-		if len(words) != 4 || words[0] != "OPEN" {
-			h.w.violate("%s sent %s what is no first line: %.80q", node, h.ID, line)
-			say("SYNTAX")
+		fields := strings.Fields(line)
+		if len(fields) != 4 || fields[0] != "OPEN" {
+			h.w.violate("%s sent %s an invalid first line: %.80q", node, h.ID, line)
+			send("SYNTAX")
 			return
 		}
-		first := FirstLine{Host: h.ID, Node: node, ID: words[1], Line: line, At: from.at, Copy: h.w.attempts.begin(words[1], c)}
+		first := FirstLine{Host: h.ID, Node: node, ID: fields[1], Line: line, At: stampedConn.at, Concurrent: h.w.attempts.begin(fields[1], c)}
 		h.mu.Lock()
 		number := len(h.lines)
 		h.lines = append(h.lines, first)
-		h.receipt++
-		up, no := fmt.Sprintf("UP %s.%d", h.ID, h.receipt), h.refusal(words[1])
+		h.lastReceipt++
+		up, refusal := fmt.Sprintf("UP %s.%d", h.ID, h.lastReceipt), h.refusalFor(fields[1])
 		h.mu.Unlock()
-		if no == "" {
-			h.w.receipts.Store(up, words[1])
+		if refusal == "" {
+			h.w.receipts.Store(up, fields[1])
 		}
-		asked, _ := h.w.asked.Load(words[1])
-		at, _ := asked.(time.Duration)
+		sentAt, _ := h.w.asked.Load(fields[1])
+		at, _ := sentAt.(time.Duration)
 		h.w.sights.take(first, at)
-		h.w.news.tell()
-		if !h.hushed(node) {
+		h.w.news.notify()
+		if !h.awaitResponsive(node) {
 			return
 		}
-		h.answered(number, or(no, up)) // before it can be heard
-		if no == Breaks {
+		h.recordResponse(number, orDefault(refusal, up)) // before the node can receive the response
+		if refusal == ResetConnection {
 			reset(c)
 			return
 		}
-		if _, err := io.WriteString(c, or(no, up)+"\r\n"); err != nil || no != "" {
+		if _, err := io.WriteString(c, orDefault(refusal, up)+"\r\n"); err != nil || refusal != "" {
 			return
 		}
-		begun = true
+		established = true
 	}
 }
 
-// answered notes the host's first word to a first line.
-func (h *Host) answered(number int, word string) {
+// recordResponse records the host's response to a first line.
+func (h *Host) recordResponse(number int, response string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lines[number].Answer = word
+	h.lines[number].Response = response
 	h.w.attempts.end(h.lines[number].ID)
 }
--- a/rehearsal/processes/hosts_test.go
+++ b/rehearsal/processes/hosts_test.go
@@ -13,9 +13,9 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// stands returns where a turn stands, "" while nobody knows.
-func stands(w *World, node, id string) string {
-	r, err := w.Asker("operator").Turns(node)
+// phaseOf returns the phase of a turn, or "" if it is unknown.
+func phaseOf(w *World, node, id string) string {
+	r, err := w.Requester("operator").Turns(node)
 	if err != nil {
 		return ""
 	}
@@ -27,55 +27,58 @@
 	return ""
 }
 
-// warmSoon are the settings with hosts that are warm soon after their start.
-func warmSoon() string {
+// shortWarmUpSettings returns settings with a slow start of 0.5 s for hosts.
+func shortWarmUpSettings() string {
 	return strings.Replace(DefaultSettings, `"cold_us":8000000`, `"cold_us":500000`, 1)
 }
 
-// TestTheLeadersDiscoveryIsSilentWhileATurnGoesThrough: all that the leader's own list tells is that the host has gone for its
-// work. That it is back the other nodes tell.
-func TestTheLeadersDiscoveryIsSilentWhileATurnGoesThrough(t *testing.T) {
-	p := building(func(_ string, f *sitepb.File) { f.Council.TickMs = 200 }) // no new leader for a moment's delay
-	p.Settings = warmSoon()
+// The leader's own host list shows only that the host was removed for its work; then the leader's discovery stops
+// responding. That the host is back, the leader learns only from the other nodes. The turn must complete nevertheless.
+func TestATurnCompletesWhileTheLeadersDiscoveryIsUnresponsive(t *testing.T) {
+	p := building(func(_ string, f *sitepb.File) { f.Council.TickMs = 200 }) // no new election after a short delay
+	p.Settings = shortWarmUpSettings()
 	w := New(t, p)
 	w.Start()
-	c := w.Come(Load{PerSecond: 60, Holds: 300 * time.Millisecond})
+	c := w.StartClients(Load{PerSecond: 60, HoldTime: 300 * time.Millisecond})
 	served(c, w.Names()...)
-	lead := awaitLeader(w, "n3")
-	require.NoError(t, w.Asker("staff").Work(context.Background(), "t1", "h1", 1, func() {
-		calls := w.Discovery.Calls(lead)
+	leaderNode := awaitLeader(w, "n3")
+	require.NoError(t, w.Requester("staff").Work(context.Background(), "t1", "h1", 1, func() {
+		calls := w.Discovery.Calls(leaderNode)
 		w.Host("h1").Remove()
-		w.Await("the leader's list has it gone", func() bool { return w.Discovery.Calls(lead) > calls })
-		c.AwaitUp(120, "") // a look a second
-		w.ToDiscovery(lead).Silence()
-		w.Await("the leader sees that it is told nothing", func() bool { return said(w, "discovery did not answer", lead) })
+		w.Await("the leader's list shows the host as removed", func() bool { return w.Discovery.Calls(leaderNode) > calls })
+		c.AwaitServed(120, "") // about 2 s: nodes observe the hosts once a second
+		w.ToDiscovery(leaderNode).Stall()
+		w.Await("the leader notices that discovery does not answer", func() bool { return said(w, "discovery did not answer", leaderNode) })
 		w.Host("h1").Start()
 	}))
-	w.Await("the turn is over", func() bool { return stands(w, "n3", "t1") == "over" })
-	t.Logf("%s led when its discovery fell silent, %s leads now", lead, leader(w, "n3"))
-	work(w, c, "t2", "h2", w.Names()...) // the lists are what they were
-	w.Await("and the next one", func() bool { return stands(w, "n3", "t2") == "over" })
+	w.Await("the turn is over", func() bool { return phaseOf(w, "n3", "t1") == "over" })
+	t.Logf("%s led when its discovery became unresponsive, %s leads now", leaderNode, leader(w, "n3"))
+	work(w, c, "t2", "h2", w.Names()...) // the host lists have not changed since
+	w.Await("the next turn is over too", func() bool { return phaseOf(w, "n3", "t2") == "over" })
 	w.RequireSound(two)
 }
 
-// TestTwoHomesOfAGroupAreNeverOutAtOnce, though the allowance has room for both: with three hosts each is a home.
-func TestTwoHomesOfAGroupAreNeverOutAtOnce(t *testing.T) {
+// Two preferred hosts of a group are never in work at the same time, though the allowance permits it: with three hosts each
+// one is a preferred host.
+func TestTwoPreferredHostsOfAGroupAreNeverInWorkAtOnce(t *testing.T) {
 	p := building(nil)
 	p.Hosts = Fleet(3)
 	w := New(t, p)
 	w.Start()
-	c := w.Come(Load{PerSecond: 60, Holds: 300 * time.Millisecond, Group: "room"})
-	c.AwaitUp(200, "") // a look a second, and a question after it
+	c := w.StartClients(Load{PerSecond: 60, HoldTime: 300 * time.Millisecond, Group: "room"})
+	// About 3 s, for the leader to learn the preferred hosts: nodes observe the hosts once a second
+	// and report them with the next lease request.
+	c.AwaitServed(200, "")
 	errs := make(chan error)
 	for _, h := range []string{"h0", "h1"} {
 		go func() {
-			errs <- w.Asker("staff-"+h).Work(context.Background(), "t-"+h, h, 1, func() { c.AwaitUp(60, "") })
+			errs <- w.Requester("staff-"+h).Work(context.Background(), "t-"+h, h, 1, func() { c.AwaitServed(60, "") })
 		}()
 	}
 	for range 2 {
 		require.NoError(t, <-errs)
 	}
-	w.Await("both turns are over", func() bool { return stands(w, "n3", "t-h0") == "over" && stands(w, "n3", "t-h1") == "over" })
+	w.Await("both turns are over", func() bool { return phaseOf(w, "n3", "t-h0") == "over" && phaseOf(w, "n3", "t-h1") == "over" })
 	w.RequireSound(Allowance{Site: 1})
-	assert.Positive(t, slices.IndexFunc(w.History.Ops(), func(o Op) bool { return o.Kind == "Begin" && o.Refused == "" }))
+	assert.Positive(t, slices.IndexFunc(w.History.Ops(), func(o Op) bool { return o.Kind == "Begin" && o.Error == "" }))
 }
--- a/rehearsal/processes/link.go
+++ b/rehearsal/processes/link.go
@@ -9,352 +9,364 @@
 	"time"
 )
 
-// Way is a direction on a link.
-type Way uint8
+// Direction is a direction on a link.
+type Direction uint8
 
-// The ways: Out from who calls to who is called, Back the other one.
+// The directions: ToTarget from the caller to the called peer, ToCaller back.
 const (
-	Out Way = iota
-	Back
+	ToTarget Direction = iota
+	ToCaller
 )
 
-func (w Way) String() string { return [...]string{"out", "back"}[w] }
+func (d Direction) String() string { return [...]string{"out", "back"}[d] }
 
 const (
-	pieceBytes   = 4096 // read at once
-	piecesQueued = 64   // of one way of a connection, while they are delayed or throttled
+	chunkBytes      = 4096 // maximum bytes of one read
+	maxQueuedChunks = 64   // queued per direction of a connection while it is delayed or throttled
 )
 
-// Link is a proxy that one peer calls another through. It owns a port for the whole of the test, and learns where the other
-// one listens when that is known. A connection needs both ways to come up: while one is cut or silent, new ones are taken
-// and stay silent (a process on loopback cannot lose the first packet of a connection).
+// Link is a proxy through which one peer calls another. It owns a port for the whole test, and learns the address of the
+// target once that is known. A connection can only be set up while both directions work: while one is cut or stalled, new
+// connections are accepted and get no response (a process on loopback cannot lose the first packet of a connection).
 type Link struct {
 	From, To string
 	t        testing.TB
 	port     *port
-	news     news
+	changes  notifier
 
-	settling sync.Mutex // before mu
+	listenMu sync.Mutex // locked before mu
 
-	mu      sync.Mutex
-	target  string // "" while the other side does not run
-	refuses bool
-	ways    [2]way
-	pairs   map[*pair]bool
-	closed  bool
+	mu         sync.Mutex
+	target     string // "" while the target does not run
+	refuses    bool
+	directions [2]directionState
+	conns      map[*proxiedConn]bool
+	closed     bool
 }
 
-// way is what one direction does to what passes.
-type way struct {
-	cut, silent bool
-	delay       time.Duration
-	rate        int // bytes a second; 0: no bound
-	resetAfter  int // bytes more, and the connection on which they end is reset; -1: never
-	passed      int64
-	swallowed   int64
+// directionState is the state of one direction.
+type directionState struct {
+	cut, stalled bool
+	delay        time.Duration
+	rate         int // bytes per second and connection; 0: unlimited
+	resetAfter   int // reset the connection after this many more bytes; -1: never
+	passed       int64
+	dropped      int64
 }
 
-// pair is one connection: what came in, and what was made for it.
-type pair struct {
-	in, out *net.TCPConn // out is nil while it waits for a link that carries
-	lost    bool         // something was swallowed: it cannot go on
-	once    sync.Once
-	over    chan struct{}
+// proxiedConn is a connection from a caller and the one made for it to the target.
+type proxiedConn struct {
+	in, out   *net.TCPConn // out is nil until the target is connected
+	lostBytes bool         // bytes were dropped: the connection cannot continue
+	once      sync.Once
+	done      chan struct{}
 }
 
-// reset ends a connection on both sides.
-func (l *Link) reset(p *pair) {
+// resetConn resets a connection on both sides.
+func (l *Link) resetConn(p *proxiedConn) {
 	l.mu.Lock()
 	out := p.out
 	l.mu.Unlock()
 	p.once.Do(func() {
-		close(p.over)
+		close(p.done)
 		reset(p.in)
 		reset(out)
 	})
 }
 
-// NewLink returns a sound link that leads to target; "" where that is not known yet.
+// NewLink returns a healthy link to target, which is "" if it is not known yet.
 func NewLink(t testing.TB, from, to, target string) *Link {
 	t.Helper()
-	l := &Link{From: from, To: to, t: t, port: newPort(t), target: target, pairs: make(map[*pair]bool)}
-	for w := range l.ways {
-		l.ways[w].resetAfter = -1
+	l := &Link{From: from, To: to, t: t, port: newPort(t), target: target, conns: make(map[*proxiedConn]bool)}
+	for d := range l.directions {
+		l.directions[d].resetAfter = -1
 	}
 	t.Cleanup(l.close)
-	l.settle()
+	l.updateListener()
 	return l
 }
 
-// Addr is where to call.
+// Addr returns the address to call.
 func (l *Link) Addr() string { return l.port.addr }
 
-// Aim tells where the other side listens from now on; "" while it does not. Open connections stay as they are.
-func (l *Link) Aim(target string) {
-	l.change(func() { l.target = target })
-	l.settle()
+// SetTarget sets the address of the target from now on; "" while it does not listen. Open connections stay as they are.
+func (l *Link) SetTarget(target string) {
+	l.update(func() { l.target = target })
+	l.updateListener()
 }
 
-// Cut swallows what goes these ways, all where none is named; open connections stay open and hear nothing. Heal resets those
-// that have lost something.
-func (l *Link) Cut(ways ...Way) { l.each(ways, func(w *way) { w.cut = true }) }
+// Cut drops all bytes in these directions, or in both if none is given; open connections stay open and receive nothing.
+// Heal resets those that have lost bytes.
+func (l *Link) Cut(directions ...Direction) {
+	l.updateDirections(directions, func(w *directionState) { w.cut = true })
+}
 
-// Silence holds back what goes these ways, all where none is named, without an end to any connection; Heal lets it go on.
-func (l *Link) Silence(ways ...Way) { l.each(ways, func(w *way) { w.silent = true }) }
+// Stall holds back all bytes in these directions, or in both if none is given, without closing any connection; Heal
+// delivers them, and resets connections that were opened during the stall.
+func (l *Link) Stall(directions ...Direction) {
+	l.updateDirections(directions, func(w *directionState) { w.stalled = true })
+}
 
-// Delay has each byte of a way come so much later.
-func (l *Link) Delay(w Way, by time.Duration) { l.each([]Way{w}, func(s *way) { s.delay = by }) }
+// Delay delays each byte of a direction.
+func (l *Link) Delay(direction Direction, delay time.Duration) {
+	l.updateDirections([]Direction{direction}, func(state *directionState) { state.delay = delay })
+}
 
-// Throttle bounds a way of each connection to so many bytes a second.
-func (l *Link) Throttle(w Way, bytes int) { l.each([]Way{w}, func(s *way) { s.rate = bytes }) }
+// Throttle limits a direction of each connection to this many bytes per second.
+func (l *Link) Throttle(direction Direction, bytesPerSecond int) {
+	l.updateDirections([]Direction{direction}, func(state *directionState) { state.rate = bytesPerSecond })
+}
 
-// ResetAfter resets the connection on which the next n bytes of a way end, once they have passed: inside a message, where
-// that is longer. It happens once.
-func (l *Link) ResetAfter(w Way, n int) { l.each([]Way{w}, func(s *way) { s.resetAfter = n }) }
+// ResetAfter resets, once, the connection on which the next n bytes of a direction end, after they have passed. That is in
+// the middle of a message if the message is longer.
+func (l *Link) ResetAfter(direction Direction, n int) {
+	l.updateDirections([]Direction{direction}, func(state *directionState) { state.resetAfter = n })
+}
 
-// Refuse refuses new connections; open ones stay.
+// Refuse refuses new connections; open ones stay open.
 func (l *Link) Refuse() {
-	l.change(func() { l.refuses = true })
-	l.settle()
+	l.update(func() { l.refuses = true })
+	l.updateListener()
 }
 
 // Reset resets all open connections.
 func (l *Link) Reset() {
-	for _, p := range l.open() {
-		l.reset(p)
+	for _, p := range l.openConns() {
+		l.resetConn(p)
 	}
 }
 
-// Heal makes the link sound.
+// Heal ends all faults of the link.
 func (l *Link) Heal() {
-	var lost []*pair
-	l.change(func() {
-		for w := range l.ways {
-			s := &l.ways[w]
-			*s = way{resetAfter: -1, passed: s.passed, swallowed: s.swallowed}
+	var unusable []*proxiedConn
+	l.update(func() {
+		for direction := range l.directions {
+			state := &l.directions[direction]
+			*state = directionState{resetAfter: -1, passed: state.passed, dropped: state.dropped}
 		}
 		l.refuses = false
-		for p := range l.pairs {
-			if p.lost || p.out == nil {
-				lost = append(lost, p)
+		for p := range l.conns {
+			if p.lostBytes || p.out == nil {
+				unusable = append(unusable, p)
 			}
 		}
 	})
-	for _, p := range lost {
-		l.reset(p)
+	for _, p := range unusable {
+		l.resetConn(p)
 	}
-	l.settle()
+	l.updateListener()
 }
 
-// Passed is how many bytes have passed a way so far, on all connections.
-func (l *Link) Passed(w Way) int64 {
+// BytesPassed returns the number of bytes delivered in a direction so far, over all connections.
+func (l *Link) BytesPassed(direction Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ways[w].passed
+	return l.directions[direction].passed
 }
 
-// Swallowed is how many bytes of a way were lost so far, on all connections.
-func (l *Link) Swallowed(w Way) int64 {
+// BytesDropped returns the number of bytes dropped in a direction so far, over all connections.
+func (l *Link) BytesDropped(direction Direction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ways[w].swallowed
+	return l.directions[direction].dropped
 }
 
-// Await waits until cond holds, which is looked at whenever something has passed, was lost or has changed.
+// Await waits until cond holds. It is checked whenever bytes were delivered or dropped, or the link has changed.
 func (l *Link) Await(what string, cond func() bool) {
 	l.t.Helper()
-	l.news.await(l.t, what, cond, nil)
+	l.changes.await(l.t, what, cond, nil)
 }
 
-// Open is how many connections are open.
-func (l *Link) Open() int { return len(l.open()) }
+// OpenConns returns the number of open connections.
+func (l *Link) OpenConns() int { return len(l.openConns()) }
 
-func (l *Link) open() []*pair {
+func (l *Link) openConns() []*proxiedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []*pair
-	for p := range l.pairs {
+	var all []*proxiedConn
+	for p := range l.conns {
 		all = append(all, p)
 	}
 	return all
 }
 
-func (l *Link) each(ways []Way, set func(*way)) {
-	if len(ways) == 0 {
-		ways = []Way{Out, Back}
+func (l *Link) updateDirections(directions []Direction, set func(*directionState)) {
+	if len(directions) == 0 {
+		directions = []Direction{ToTarget, ToCaller}
 	}
-	l.change(func() {
-		for _, w := range ways {
-			set(&l.ways[w])
+	l.update(func() {
+		for _, direction := range directions {
+			set(&l.directions[direction])
 		}
 	})
-	l.settle()
+	l.updateListener()
 }
 
-func (l *Link) change(set func()) {
+func (l *Link) update(set func()) {
 	l.mu.Lock()
 	set()
 	l.mu.Unlock()
-	l.news.tell()
+	l.changes.notify()
 }
 
 func (l *Link) close() {
-	l.change(func() { l.closed = true })
-	l.settle()
+	l.update(func() { l.closed = true })
+	l.updateListener()
 	l.Reset()
 }
 
-// settle listens or refuses, as things stand: where nobody runs behind a link that carries, it refuses.
-func (l *Link) settle() {
-	l.settling.Lock()
-	defer l.settling.Unlock()
+// updateListener starts or stops listening to match the state of the link: without a target it refuses connections, unless
+// a direction is blocked.
+func (l *Link) updateListener() {
+	l.listenMu.Lock()
+	defer l.listenMu.Unlock()
 	l.mu.Lock()
-	open := !l.closed && !l.refuses && (l.target != "" || l.dead())
+	open := !l.closed && !l.refuses && (l.target != "" || l.blocked())
 	l.mu.Unlock()
 	if !open {
 		l.port.close()
-	} else if err := l.port.open(l.take); err != nil {
-		l.t.Errorf("the port of %s to %s: %v", l.From, l.To, err)
+	} else if err := l.port.open(l.accept); err != nil {
+		l.t.Errorf("listen for the link from %s to %s: %v", l.From, l.To, err)
 	}
 }
 
-// dead says whether no connection can come up; mu is held.
-func (l *Link) dead() bool {
-	return l.ways[Out].cut || l.ways[Back].cut || l.ways[Out].silent || l.ways[Back].silent
+// blocked reports whether no connection can be set up; mu is held.
+func (l *Link) blocked() bool {
+	return l.directions[ToTarget].cut || l.directions[ToCaller].cut || l.directions[ToTarget].stalled || l.directions[ToCaller].stalled
 }
 
-// take takes a connection and makes its other half.
-func (l *Link) take(in *net.TCPConn) {
-	p := &pair{in: in, over: make(chan struct{})}
+// accept handles a new connection and connects it to the target.
+func (l *Link) accept(in *net.TCPConn) {
+	p := &proxiedConn{in: in, done: make(chan struct{})}
 	l.mu.Lock()
-	target, dead := l.target, l.dead()
-	if l.closed || l.refuses || target == "" && !dead {
+	target, blocked := l.target, l.blocked()
+	if l.closed || l.refuses || target == "" && !blocked {
 		l.mu.Unlock()
 		reset(in)
 		return
 	}
-	l.pairs[p] = true
+	l.conns[p] = true
 	l.mu.Unlock()
-	l.news.tell()
+	l.changes.notify()
 	go func() {
-		defer l.change(func() { delete(l.pairs, p) })
-		if dead {
-			l.stranded(p)
+		defer l.update(func() { delete(l.conns, p) })
+		if blocked {
+			l.drainBlocked(p)
 			return
 		}
-		c, err := net.DialTimeout("tcp4", target, Patience)
+		c, err := net.DialTimeout("tcp4", target, EventTimeout)
 		if err == nil && c.LocalAddr().String() == c.RemoteAddr().String() {
-			c.Close() // nobody listened, and the system joined the socket to itself
-			err = errors.New("nobody listens")
+			c.Close() // no process listened, and the system connected the socket to itself
+			err = errors.New("no process listens at the target")
 		}
 		if err != nil {
-			l.reset(p)
+			l.resetConn(p)
 			return
 		}
-		l.change(func() { p.out = c.(*net.TCPConn) })
+		l.update(func() { p.out = c.(*net.TCPConn) })
 		select {
-		case <-p.over: // reset meanwhile, without the second half
-			reset(p.out) // once more does no harm
+		case <-p.done: // reset meanwhile, before out was set
+			reset(p.out) // a second reset does no harm
 			return
 		default:
 		}
 		var both sync.WaitGroup
-		for w, ends := range [2][2]*net.TCPConn{{p.in, p.out}, {p.out, p.in}} {
-			both.Go(func() { l.carry(p, Way(w), ends[0], ends[1]) })
+		for direction, ends := range [2][2]*net.TCPConn{{p.in, p.out}, {p.out, p.in}} {
+			both.Go(func() { l.copyDirection(p, Direction(direction), ends[0], ends[1]) })
 		}
 		both.Wait()
-		l.reset(p)
+		l.resetConn(p)
 	}()
 }
 
-// stranded keeps a connection that cannot come up until its caller gives up or the link is healed.
-func (l *Link) stranded(p *pair) {
-	buf := make([]byte, pieceBytes)
+// drainBlocked holds a connection that cannot be set up until its caller gives up or the link is healed.
+func (l *Link) drainBlocked(p *proxiedConn) {
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := p.in.Read(buf)
-		l.change(func() { l.ways[Out].swallowed += int64(n) })
+		l.update(func() { l.directions[ToTarget].dropped += int64(n) })
 		if err != nil {
-			l.reset(p)
+			l.resetConn(p)
 			return
 		}
 	}
 }
 
-// piece is what was read at once; nil bytes: the end.
-type piece struct {
+// chunk is the result of one read; nil bytes mean the end of the stream.
+type chunk struct {
 	bytes []byte
 	at    time.Time
 }
 
-// carry takes one way of a connection from one socket to the other, until it has ended or the pair is reset.
-func (l *Link) carry(p *pair, w Way, from, to *net.TCPConn) {
-	queue := make(chan piece, piecesQueued)
+// copyDirection copies one direction of a connection from one socket to the other until it ends or the connection is reset.
+func (l *Link) copyDirection(p *proxiedConn, direction Direction, from, to *net.TCPConn) {
+	queue := make(chan chunk, maxQueuedChunks)
 	go func() {
 		defer close(queue)
 		for {
-			buf := make([]byte, pieceBytes)
+			buf := make([]byte, chunkBytes)
 			n, err := from.Read(buf)
-			pc := piece{bytes: buf[:n], at: time.Now()}
+			c := chunk{bytes: buf[:n], at: time.Now()}
 			if err != nil && n == 0 {
 				if !errors.Is(err, io.EOF) {
-					l.broken(p, w)
+					l.handleReset(p, direction)
 					return
 				}
-				pc.bytes = nil
+				c.bytes = nil
 			}
 			select {
-			case queue <- pc:
-			case <-p.over:
+			case queue <- c:
+			case <-p.done:
 				return
 			}
-			if pc.bytes == nil {
+			if c.bytes == nil {
 				return
 			}
 		}
 	}()
-	for pc := range queue {
-		if !l.pass(p, w, pc, to) {
+	for c := range queue {
+		if !l.forward(p, direction, c, to) {
 			return
 		}
 	}
 }
 
-// broken hands a reset on, unless it cannot get there.
-func (l *Link) broken(p *pair, w Way) {
+// handleReset forwards a reset, unless the direction is cut or stalled.
+func (l *Link) handleReset(p *proxiedConn, direction Direction) {
 	l.mu.Lock()
-	cut := l.ways[w].cut || l.ways[w].silent
-	p.lost = p.lost || cut
+	blocked := l.directions[direction].cut || l.directions[direction].stalled
+	p.lostBytes = p.lostBytes || blocked
 	l.mu.Unlock()
-	if !cut {
-		l.reset(p)
+	if !blocked {
+		l.resetConn(p)
 	}
-	l.news.tell()
+	l.changes.notify()
 }
 
-// pass hands one piece on, and says whether the connection goes on.
-func (l *Link) pass(p *pair, w Way, pc piece, to *net.TCPConn) bool {
-	rest, ended := pc.bytes, pc.bytes == nil
+// forward delivers one chunk, and reports whether the connection continues.
+func (l *Link) forward(p *proxiedConn, direction Direction, c chunk, to *net.TCPConn) bool {
+	rest, ended := c.bytes, c.bytes == nil
 	for ended || len(rest) > 0 {
-		next := l.news.changed()
+		next := l.changes.changed()
 		l.mu.Lock()
-		s := &l.ways[w]
+		state := &l.directions[direction]
 		switch {
-		case s.cut:
-			s.swallowed += int64(len(rest))
-			p.lost = true
+		case state.cut:
+			state.dropped += int64(len(rest))
+			p.lostBytes = true
 			l.mu.Unlock()
-			l.news.tell()
-			return !ended // the other side is not told of the end either
-		case s.silent:
+			l.changes.notify()
+			return !ended // the end of the stream is not forwarded either
+		case state.stalled:
 			l.mu.Unlock()
-			if !wait(next, p.over, 0) {
+			if !waitChange(next, p.done, 0) {
 				return false
 			}
 			continue
 		}
-		if due := time.Until(pc.at.Add(s.delay)); due > 0 {
+		if due := time.Until(c.at.Add(state.delay)); due > 0 {
 			l.mu.Unlock()
-			if !wait(next, p.over, due) {
+			if !waitChange(next, p.done, due) {
 				return false
 			}
 			continue
@@ -364,50 +376,50 @@
 			return to.CloseWrite() == nil
 		}
 		n := len(rest)
-		if s.rate > 0 {
-			n = min(n, max(1, s.rate/20))
+		if state.rate > 0 {
+			n = min(n, max(1, state.rate/20))
 		}
-		ends := s.resetAfter >= 0 && s.resetAfter <= n
-		if ends {
-			n = s.resetAfter
-			s.resetAfter = -1
-		} else if s.resetAfter > 0 {
-			s.resetAfter -= n
+		resets := state.resetAfter >= 0 && state.resetAfter <= n
+		if resets {
+			n = state.resetAfter
+			state.resetAfter = -1
+		} else if state.resetAfter > 0 {
+			state.resetAfter -= n
 		}
-		rate := s.rate
+		rate := state.rate
 		l.mu.Unlock()
 		if _, err := to.Write(rest[:n]); err != nil {
-			l.reset(p)
+			l.resetConn(p)
 			return false
 		}
-		l.change(func() { l.ways[w].passed += int64(n) })
-		if ends {
-			l.reset(p)
+		l.update(func() { l.directions[direction].passed += int64(n) })
+		if resets {
+			l.resetConn(p)
 			return false
 		}
-		if rest = rest[n:]; rate > 0 && !pace(p.over, time.Duration(n)*time.Second/time.Duration(rate)) {
+		if rest = rest[n:]; rate > 0 && !sleep(p.done, time.Duration(n)*time.Second/time.Duration(rate)) {
 			return false
 		}
 	}
 	return true
 }
 
-// wait waits for a change, or for so long where that is above 0, and says whether the connection is still there.
-func wait(change, over <-chan struct{}, long time.Duration) bool {
-	var due <-chan time.Time
-	if long > 0 {
-		timer := time.NewTimer(long)
+// waitChange waits for a change, or for the timeout if it is above 0. It returns false if done is closed first.
+func waitChange(change, done <-chan struct{}, timeout time.Duration) bool {
+	var expired <-chan time.Time
+	if timeout > 0 {
+		timer := time.NewTimer(timeout)
 		defer timer.Stop()
-		due = timer.C
+		expired = timer.C
 	}
 	select {
 	case <-change:
-	case <-due:
-	case <-over:
+	case <-expired:
+	case <-done:
 		return false
 	}
 	return true
 }
 
-// pace waits for so long, whatever changes, and says whether the connection is still there.
-func pace(over <-chan struct{}, long time.Duration) bool { return wait(nil, over, long) }
+// sleep waits for the duration regardless of changes. It returns false if done is closed first.
+func sleep(done <-chan struct{}, duration time.Duration) bool { return waitChange(nil, done, duration) }
--- a/rehearsal/processes/link_test.go
+++ b/rehearsal/processes/link_test.go
@@ -20,13 +20,13 @@
 	os.Exit(code)
 }
 
-// echo is a peer that sends back all that comes, and says how much that was.
-func echo(t *testing.T) (addr string, came chan int) {
+// startEcho starts a peer that echoes everything and reports the size of each read.
+func startEcho(t *testing.T) (addr string, received chan int) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	came = make(chan int, 10000)
+	received = make(chan int, 10000)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -41,7 +41,7 @@
 					if err != nil {
 						return
 					}
-					came <- n
+					received <- n
 					if _, err = c.Write(buf[:n]); err != nil {
 						return
 					}
@@ -49,31 +49,31 @@
 			}()
 		}
 	}()
-	return ln.Addr().String(), came
+	return ln.Addr().String(), received
 }
 
-// caller is a connection through a link.
-type caller struct {
+// testConn is a connection through a link.
+type testConn struct {
 	t *testing.T
 	net.Conn
 }
 
-func call(t *testing.T, l *Link) caller {
+func dial(t *testing.T, l *Link) testConn {
 	t.Helper()
 	c, err := net.Dial("tcp4", l.Addr())
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
-	require.NoError(t, c.SetDeadline(time.Now().Add(Patience)))
-	return caller{t, c}
+	require.NoError(t, c.SetDeadline(time.Now().Add(EventTimeout)))
+	return testConn{t, c}
 }
 
-func (c caller) say(text string) {
+func (c testConn) send(text string) {
 	c.t.Helper()
 	_, err := io.WriteString(c, text)
 	require.NoError(c.t, err)
 }
 
-func (c caller) hear(text string) {
+func (c testConn) expect(text string) {
 	c.t.Helper()
 	buf := make([]byte, len(text))
 	_, err := io.ReadFull(c, buf)
@@ -81,135 +81,135 @@
 	require.Equal(c.t, text, string(buf))
 }
 
-func sound(t *testing.T) (*Link, chan int, caller) {
+func healthyLink(t *testing.T) (*Link, chan int, testConn) {
 	t.Helper()
-	addr, came := echo(t)
+	addr, received := startEcho(t)
 	l := NewLink(t, "a", "b", addr)
-	c := call(t, l)
-	c.say("hello")
-	c.hear("hello")
-	require.Equal(t, 5, <-came)
-	l.Await("both ways are counted", func() bool { return l.Passed(Out) == 5 && l.Passed(Back) == 5 })
-	return l, came, c
+	c := dial(t, l)
+	c.send("hello")
+	c.expect("hello")
+	require.Equal(t, 5, <-received)
+	l.Await("bytes are counted in both directions", func() bool { return l.BytesPassed(ToTarget) == 5 && l.BytesPassed(ToCaller) == 5 })
+	return l, received, c
 }
 
-func TestACutSwallowsOneWayOnly(t *testing.T) {
-	for _, w := range []Way{Out, Back} {
-		t.Run(w.String(), func(t *testing.T) {
-			l, came, c := sound(t)
-			l.Cut(w)
-			c.say("lost")
-			l.Await("the bytes are swallowed", func() bool { return l.Swallowed(w) == 4 })
-			if w == Back {
-				assert.Equal(t, 4, <-came, "the other way carries")
+func TestACutDropsOneDirectionOnly(t *testing.T) {
+	for _, direction := range []Direction{ToTarget, ToCaller} {
+		t.Run(direction.String(), func(t *testing.T) {
+			l, received, c := healthyLink(t)
+			l.Cut(direction)
+			c.send("lost")
+			l.Await("the bytes are dropped", func() bool { return l.BytesDropped(direction) == 4 })
+			if direction == ToCaller {
+				assert.Equal(t, 4, <-received, "the other direction still works")
 			}
-			assert.Empty(t, came)
-			assert.EqualValues(t, 5, l.Passed(Back))
-			late := call(t, l)
-			late.say("too late")
-			l.Await("a new connection stays silent", func() bool { return l.Swallowed(Out) >= 8 })
-			assert.Equal(t, 2, l.Open())
+			assert.Empty(t, received)
+			assert.EqualValues(t, 5, l.BytesPassed(ToCaller))
+			late := dial(t, l)
+			late.send("too late")
+			l.Await("the bytes of a new connection are dropped", func() bool { return l.BytesDropped(ToTarget) >= 8 })
+			assert.Equal(t, 2, l.OpenConns())
 			l.Heal()
-			for _, c := range []caller{c, late} {
+			for _, c := range []testConn{c, late} {
 				_, err := c.Read(make([]byte, 1))
-				assert.ErrorIs(t, err, syscall.ECONNRESET, "what has lost bytes cannot go on")
+				assert.ErrorIs(t, err, syscall.ECONNRESET, "a connection that has lost bytes is reset")
 			}
-			again := call(t, l)
-			again.say("again")
-			again.hear("again")
+			again := dial(t, l)
+			again.send("again")
+			again.expect("again")
 		})
 	}
 }
 
-// A side that closes while the link is cut is not heard of, either.
-func TestACutHidesAnEnd(t *testing.T) {
-	l, _, c := sound(t)
-	broken := call(t, l)
-	broken.say("x")
-	broken.hear("x")
+// While the link is cut, the end of a connection is not forwarded either.
+func TestACutHidesTheEndOfAConnection(t *testing.T) {
+	l, _, c := healthyLink(t)
+	broken := dial(t, l)
+	broken.send("x")
+	broken.expect("x")
 	l.Cut()
 	require.NoError(t, c.Close())
 	reset(broken.Conn.(*net.TCPConn))
-	pairs := l.open()
+	conns := l.openConns()
 	lost := func() (n int) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, p := range pairs {
-			if p.lost {
+		for _, p := range conns {
+			if p.lostBytes {
 				n++
 			}
 		}
 		return n
 	}
-	l.Await("the link has seen both ends", func() bool { return lost() == 2 })
-	for _, p := range pairs {
+	l.Await("the link has noticed both ends", func() bool { return lost() == 2 })
+	for _, p := range conns {
 		select {
-		case <-p.over:
-			require.Fail(t, "the other side has heard of an end")
+		case <-p.done:
+			require.Fail(t, "an end was forwarded over a cut link")
 		default:
 		}
 	}
-	require.Equal(t, 2, l.Open())
+	require.Equal(t, 2, l.OpenConns())
 	l.Heal()
-	l.Await("it ends with the healing", func() bool { return l.Open() == 0 })
+	l.Await("healing ends the connections", func() bool { return l.OpenConns() == 0 })
 }
 
-func TestSilenceHoldsBackWhatThenGoesOn(t *testing.T) {
-	l, came, c := sound(t)
-	l.Silence()
-	c.say("later")
-	held := call(t, l)
-	l.Await("it is taken", func() bool { return l.Open() == 2 })
-	assert.EqualValues(t, 5, l.Passed(Out))
-	assert.Empty(t, came)
+func TestAStallHoldsBackBytesUntilHealed(t *testing.T) {
+	l, received, c := healthyLink(t)
+	l.Stall()
+	c.send("later")
+	stalled := dial(t, l)
+	l.Await("the connection is accepted", func() bool { return l.OpenConns() == 2 })
+	assert.EqualValues(t, 5, l.BytesPassed(ToTarget))
+	assert.Empty(t, received)
 	l.Heal()
-	c.hear("later")
-	assert.Zero(t, l.Swallowed(Out))
-	_, err := held.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, syscall.ECONNRESET, "it never came up")
+	c.expect("later")
+	assert.Zero(t, l.BytesDropped(ToTarget))
+	_, err := stalled.Read(make([]byte, 1))
+	assert.ErrorIs(t, err, syscall.ECONNRESET, "the connection was never set up")
 }
 
-func TestDelayIsOfEachWay(t *testing.T) {
-	l, came, c := sound(t)
-	const by = 200 * time.Millisecond
-	l.Delay(Out, by)
-	l.Delay(Back, by)
-	begun := time.Now()
-	c.say("slow")
-	<-came
-	assert.GreaterOrEqual(t, time.Since(begun), by)
-	c.hear("slow")
-	assert.GreaterOrEqual(t, time.Since(begun), 2*by)
+func TestADelayAppliesToEachDirection(t *testing.T) {
+	l, received, c := healthyLink(t)
+	const delay = 200 * time.Millisecond
+	l.Delay(ToTarget, delay)
+	l.Delay(ToCaller, delay)
+	start := time.Now()
+	c.send("slow")
+	<-received
+	assert.GreaterOrEqual(t, time.Since(start), delay)
+	c.expect("slow")
+	assert.GreaterOrEqual(t, time.Since(start), 2*delay)
 }
 
-func TestAThrottleBoundsBytes(t *testing.T) {
-	l, _, c := sound(t)
-	l.Throttle(Out, 10000)
+func TestAThrottleLimitsBytesPerSecond(t *testing.T) {
+	l, _, c := healthyLink(t)
+	l.Throttle(ToTarget, 10000)
 	text := string(bytes.Repeat([]byte("x"), 5000))
-	begun := time.Now()
-	c.say(text)
-	c.hear(text)
-	assert.GreaterOrEqual(t, time.Since(begun), 400*time.Millisecond)
+	start := time.Now()
+	c.send(text)
+	c.expect(text)
+	assert.GreaterOrEqual(t, time.Since(start), 400*time.Millisecond)
 }
 
 func TestAResetComesInsideAMessage(t *testing.T) {
-	l, came, c := sound(t)
-	l.ResetAfter(Out, 7)
-	c.say("0123456789")
+	l, received, c := healthyLink(t)
+	l.ResetAfter(ToTarget, 7)
+	c.send("0123456789")
 	_, err := c.Read(make([]byte, 1))
-	for err == nil { // what the peer had sent back before
+	for err == nil { // bytes that the peer had echoed before
 		_, err = c.Read(make([]byte, 1))
 	}
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
-	assert.EqualValues(t, 5+7, l.Passed(Out))
-	assert.LessOrEqual(t, len(came), 1)
-	again := call(t, l)
-	again.say("0123456789")
-	again.hear("0123456789")
+	assert.EqualValues(t, 5+7, l.BytesPassed(ToTarget))
+	assert.LessOrEqual(t, len(received), 1)
+	again := dial(t, l)
+	again.send("0123456789")
+	again.expect("0123456789")
 }
 
-func TestARefusalAndWhereNobodyRuns(t *testing.T) {
-	l, _, c := sound(t)
+func TestALinkRefusesAndHasNoTarget(t *testing.T) {
+	l, _, c := healthyLink(t)
 	addr := l.target
 	refused := func() {
 		t.Helper()
@@ -218,26 +218,26 @@
 	}
 	l.Refuse()
 	refused()
-	c.say("stays")
-	c.hear("stays")
+	c.send("stays")
+	c.expect("stays")
 	l.Heal()
-	call(t, l).say("x")
-	l.Aim("")
+	dial(t, l).send("x")
+	l.SetTarget("")
 	refused()
-	l.Aim(addr)
-	again := call(t, l)
-	again.say("y")
-	again.hear("y")
+	l.SetTarget(addr)
+	again := dial(t, l)
+	again.send("y")
+	again.expect("y")
 	l.Reset()
 	_, err := again.Read(make([]byte, 1))
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), "%v", err)
 }
 
-// The end of one side reaches the other, which may still speak.
-func TestAnEndIsHandedOn(t *testing.T) {
-	l, _, c := sound(t)
+// A half-close of one side reaches the other, which may still send.
+func TestAHalfCloseIsForwarded(t *testing.T) {
+	l, _, c := healthyLink(t)
 	require.NoError(t, c.Conn.(*net.TCPConn).CloseWrite())
 	_, err := c.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
-	l.Await("both have ended", func() bool { return l.Open() == 0 })
+	l.Await("both directions have ended", func() bool { return l.OpenConns() == 0 })
 }
--- a/rehearsal/processes/news.go
+++ b/rehearsal/processes/news.go
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Patience is how long a story waits for an event: far beyond what is expected on a loaded machine. See patience.
-const Patience = 5 * time.Minute
+// EventTimeout is how long a test waits for an event: far longer than expected even on a loaded machine. See patience.
+const EventTimeout = 5 * time.Minute
 
-// news wakes all who wait for a change.
-type news struct {
+// notifier wakes all goroutines that wait for a change.
+type notifier struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
 // changed returns a channel that is closed at the next change.
-func (n *news) changed() <-chan struct{} {
+func (n *notifier) changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ch == nil {
@@ -27,7 +27,7 @@
 	return n.ch
 }
 
-func (n *news) tell() {
+func (n *notifier) notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ch != nil {
@@ -36,27 +36,27 @@
 	}
 }
 
-// await waits until cond holds, which is looked at after each change. It fails the test when patience is over, or with
-// what hopeless says when that is not "".
-func (n *news) await(t testing.TB, what string, cond func() bool, hopeless func() string) {
+// await waits until cond holds, checked after each change. It fails the test after the time limit, or as soon as failure
+// returns a reason.
+func (n *notifier) await(t testing.TB, what string, cond func() bool, failure func() string) {
 	t.Helper()
-	most := patience(t, Patience)
-	limit := time.NewTimer(most)
-	defer limit.Stop()
+	limit := patience(t, EventTimeout)
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
 	for {
 		next := n.changed()
 		if cond() {
 			return
 		}
-		if hopeless != nil {
-			if why := hopeless(); why != "" {
-				require.FailNow(t, what, why)
+		if failure != nil {
+			if reason := failure(); reason != "" {
+				require.FailNow(t, what, reason)
 			}
 		}
 		select {
 		case <-next:
-		case <-limit.C:
-			require.FailNow(t, what, "not in %s", most)
+		case <-timer.C:
+			require.FailNow(t, what, "not in %s", limit)
 		}
 	}
 }
--- a/rehearsal/processes/node.go
+++ b/rehearsal/processes/node.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	tailLines = 60                      // of each node's log that a failed test prints
-	folderEnv = "LICHENHITCH_TEST_LOGS" // folder in which failed stories keep their logs; else the one for temporary files
+	tailLines     = 60                      // lines of each node's log printed by a failed test
+	logsFolderEnv = "LICHENHITCH_TEST_LOGS" // folder in which failed tests keep their logs; default: the folder for temporary files
 )
 
 var build struct {
@@ -29,8 +29,8 @@
 	err  error
 }
 
-// Build builds the program, once for a test binary, and returns its path. The folder stays until the test binary's caller
-// empties its temporary folder or Unbuild is called.
+// Build builds the program once per test binary and returns its path. The folder remains until the caller of the test
+// binary empties its temporary folder, or until Unbuild is called.
 func Build(t testing.TB) string {
 	t.Helper()
 	build.Do(func() {
@@ -47,34 +47,34 @@
 	return build.path
 }
 
-// Unbuild removes what Build has made; for a TestMain, after the tests.
+// Unbuild removes the program that Build has built; for a TestMain, after the tests.
 func Unbuild() {
 	if build.path != "" {
 		os.RemoveAll(filepath.Dir(build.path))
 	}
 }
 
-// Node is one node, with the processes that it has been so far: one at a time, but for an Upgrade.
+// Node is one node with its processes: one at a time, except during an Upgrade.
 type Node struct {
-	Name  string
-	w     *World
-	t     testing.TB
-	dir   string // of its own: configuration, site file, store, temporary folder, log
-	path  string // of the program
-	apart bool   // no link leads to it
-
-	mu       sync.Mutex
-	present  *process   // the latest; nil before the first
-	formers  []*process // processes that ran when a later one was started beside them, and still do, the latest last
-	ended    bool       // no process runs
-	paused   bool
-	lines    []string // of all its logs
-	begin    int      // where the log of the present process begins
-	fileMost uint64   // bytes of a file that it may write; 0: no bound
-	copies   int
-	later    *Former // the former process, while an upgrade of a plan of faults is under way
-
-	aiming sync.Mutex // held while the links are pointed at a process, so that the latest word counts
+	Name     string
+	w        *World
+	t        testing.TB
+	dir      string // the node's own folder: configuration, site file, store, temporary folder
+	path     string // path of the program
+	unlinked bool   // no link leads to it
+
+	mu           sync.Mutex
+	current      *process   // the current process, or the last one; nil before the first start
+	predecessors []*process // processes that still run and were replaced by a newer one, in order of their start
+	ended        bool       // no process runs
+	paused       bool
+	lines        []string // log lines of all its processes
+	logStart     int      // index in lines at which the log of the current process begins
+	maxFileBytes uint64   // maximum size in bytes of each file that it writes; 0: unlimited
+	copies       int
+	upgradedFrom *Predecessor // the previous process while an upgrade of a fault sequence is pending
+
+	linksMu sync.Mutex // held while the links are set to the addresses of a process, so that the latest addresses win
 }
 
 func newNode(w *World, name, path string) *Node {
@@ -83,7 +83,7 @@
 		require.NoError(w.t, os.MkdirAll(filepath.Join(n.dir, sub), 0o700))
 	}
 	w.t.Cleanup(func() {
-		for n.Runs() { // also those that take over from one that ends
+		for n.Runs() { // also previous processes that become current when the newer one ends
 			n.Kill()
 		}
 		if w.t.Failed() {
@@ -94,11 +94,11 @@
 	return n
 }
 
-// StoreDir is the folder of what outlives the process.
+// StoreDir returns the folder of the node's store.
 func (n *Node) StoreDir() string { return filepath.Join(n.dir, "store") }
 
-// site is the node's site file.
-func (n *Node) site() *sitepb.File {
+// siteFile returns the content of the node's site file.
+func (n *Node) siteFile() *sitepb.File {
 	f := &sitepb.File{Listen: "127.0.0.1:0", Store: n.StoreDir()}
 	for _, s := range n.w.Plan.Sites {
 		out := &sitepb.Site{Name: s.Name, Level: s.Level, Parent: s.Parent}
@@ -118,8 +118,8 @@
 	return f
 }
 
-// siteWritten is the site file as it stands on the disk.
-func (n *Node) siteWritten() *sitepb.File {
+// readSiteFile reads the site file from the disk.
+func (n *Node) readSiteFile() *sitepb.File {
 	text, err := os.ReadFile(n.sitePath())
 	require.NoError(n.t, err)
 	f := &sitepb.File{}
@@ -129,11 +129,12 @@
 
 func (n *Node) sitePath() string { return filepath.Join(n.dir, "site.txtpb") }
 
-// write writes the configuration and the site file, and returns the environment of a process that listens there.
-func (n *Node) write(listen string) []string {
-	known, _ := n.w.Discovery.list(n.Name, 0)
-	settings := or(n.w.Plan.Own[n.Name], n.w.Plan.Settings)
-	fields := map[string]any{"name": n.Name, "seed": fmt.Sprintf("%x", n.w.Plan.Seed), "known": known,
+// writeFiles writes the configuration and the site file, and returns the environment of a process that listens at this
+// address.
+func (n *Node) writeFiles(listen string) []string {
+	knownHosts, _ := n.w.Discovery.list(n.Name, 0)
+	settings := orDefault(n.w.Plan.Own[n.Name], n.w.Plan.Settings)
+	fields := map[string]any{"name": n.Name, "seed": fmt.Sprintf("%x", n.w.Plan.Seed), "known": knownHosts,
 		"settings": json.RawMessage(settings)}
 	if n.w.Plan.Sockets > 0 {
 		fields["limits"] = map[string]any{"sockets": n.w.Plan.Sockets}
@@ -145,7 +146,7 @@
 	env := append(os.Environ(), "GW_NAME="+n.Name, "GW_LISTEN="+listen, "GW_CONFIG="+cfgPath,
 		"GW_DISCOVERY="+n.w.discovery[n.Name].Addr(), "TMPDIR="+filepath.Join(n.dir, "tmp"))
 	if !n.w.Plan.Alone {
-		text, err := prototext.MarshalOptions{Multiline: true}.Marshal(n.site())
+		text, err := prototext.MarshalOptions{Multiline: true}.Marshal(n.siteFile())
 		require.NoError(n.t, err)
 		require.NoError(n.t, os.WriteFile(n.sitePath(), text, 0o600))
 		env = append(env, "GW_SITE="+n.sitePath())
@@ -153,33 +154,34 @@
 	return append(env, n.w.Plan.Env...)
 }
 
-// Desk is where operators call the node, "" while it is not open to them.
-func (n *Node) Desk() string {
+// OperatorAddr returns the address of the operator API, or "" while it is not open.
+func (n *Node) OperatorAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.told(deskOf)
 }
 
-// Listen is where clients connect, "" while it does not serve. Clients come by World.Front.
-func (n *Node) Listen() string {
+// ClientAddr returns the address at which the node serves clients, or "" while it does not serve. Test clients connect
+// through World.Front instead.
+func (n *Node) ClientAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.told(servingOf)
 }
 
-// AwaitServing waits until the node takes clients.
+// AwaitServing waits until the node serves clients.
 func (n *Node) AwaitServing() {
 	n.t.Helper()
 	n.await("serves", func() bool { return n.told(servingOf) != "" })
 }
 
-// AwaitDesk waits until the node is open to peers and operators.
-func (n *Node) AwaitDesk() {
+// AwaitOperatorAPI waits until the node is open to peers and operators.
+func (n *Node) AwaitOperatorAPI() {
 	n.t.Helper()
 	n.await("is open to peers", func() bool { return n.told(deskOf) != "" })
 }
 
-// await waits for a condition, looked at under mu. A process that ends by itself meanwhile fails the test.
+// await waits for a condition, which is checked with mu held. It fails the test if no process of the node runs any more.
 func (n *Node) await(what string, cond func() bool) {
 	n.t.Helper()
 	n.w.news.await(n.t, n.Name+" "+what, func() bool {
@@ -190,30 +192,30 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if n.ended {
-			return "the process has ended"
+			return "the node's process has ended"
 		}
 		return ""
 	})
 }
 
-// Mark is a place in the log, for Logged: what comes after it.
+// Mark returns the current end of the log, for AwaitLoggedSince and HasLogged.
 func (n *Node) Mark() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.lines)
 }
 
-// Logged waits for a line of the present process's log that holds all these texts, and returns it.
-func (n *Node) Logged(texts ...string) string {
+// AwaitLogged waits for a line of the current process's log that contains all these texts, and returns it.
+func (n *Node) AwaitLogged(texts ...string) string {
 	n.t.Helper()
 	n.mu.Lock()
-	begin := n.begin
+	begin := n.logStart
 	n.mu.Unlock()
-	return n.LoggedSince(begin, texts...)
+	return n.AwaitLoggedSince(begin, texts...)
 }
 
-// LoggedSince waits for a line after a mark that holds all these texts, and returns it.
-func (n *Node) LoggedSince(mark int, texts ...string) (found string) {
+// AwaitLoggedSince waits for a line after a mark that contains all these texts, and returns it.
+func (n *Node) AwaitLoggedSince(mark int, texts ...string) (found string) {
 	n.t.Helper()
 	n.await(fmt.Sprintf("logs %q", texts), func() bool {
 		found, mark = lineWith(n.lines, mark, texts)
@@ -222,7 +224,7 @@
 	return found
 }
 
-// lineSince is the first line after a mark that holds all these texts, "" where there is none yet.
+// lineSince returns the first line after a mark that contains all these texts, or "" if there is none yet.
 func (n *Node) lineSince(mark int, texts ...string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -230,7 +232,8 @@
 	return found
 }
 
-// lineWith returns the first line from a place on that holds all these texts, and from where on to look the next time.
+// lineWith returns the first line from an index on that contains all these texts, and the index at which to continue the
+// search.
 func lineWith(lines []string, from int, texts []string) (found string, next int) {
 	for ; from < len(lines); from++ {
 		if !slices.ContainsFunc(texts, func(s string) bool { return !strings.Contains(lines[from], s) }) {
@@ -240,29 +243,29 @@
 	return "", from
 }
 
-// Log is the log of the present process, or of the last one, so far.
+// Log returns the log of the current process, or of the last one, so far.
 func (n *Node) Log() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.Clone(n.lines[n.begin:])
+	return slices.Clone(n.lines[n.logStart:])
 }
 
-// LimitFiles bounds each file that the process writes to so many bytes from now on, at later starts too; 0 takes that back.
-// A write beyond it is cut short and fails with EFBIG, as on a disk that is full (Go ignores SIGXFSZ).
+// LimitFiles limits the size of each file that the process writes, at later starts too; 0 removes the limit. A write beyond
+// it is cut short and fails with EFBIG, much as on a full disk (Go ignores SIGXFSZ).
 func (n *Node) LimitFiles(bytes uint64) {
 	n.mu.Lock()
-	n.fileMost = bytes
-	present, ended := n.present, n.ended
+	n.maxFileBytes = bytes
+	current, ended := n.current, n.ended
 	n.mu.Unlock()
 	if ended {
 		return
 	}
-	limit := unix.Rlimit{Cur: or(bytes, unix.RLIM_INFINITY), Max: unix.RLIM_INFINITY}
-	require.NoError(n.t, unix.Prlimit(present.pid(), unix.RLIMIT_FSIZE, &limit, nil), n.Name)
+	limit := unix.Rlimit{Cur: orDefault(bytes, unix.RLIM_INFINITY), Max: unix.RLIM_INFINITY}
+	require.NoError(n.t, unix.Prlimit(current.pid(), unix.RLIMIT_FSIZE, &limit, nil), n.Name)
 }
 
-// CopyStore copies the store as it is on the disk now and returns the copy's folder. A running process is paused meanwhile: the
-// copy is what a crash at this moment would leave.
+// CopyStore copies the store as it is on the disk now and returns the copy's folder. A running process is paused meanwhile:
+// the copy is what a crash at this moment would leave.
 func (n *Node) CopyStore() string {
 	n.t.Helper()
 	if n.Runs() && !n.Paused() {
@@ -277,8 +280,8 @@
 	return to
 }
 
-// Files are the files of the store, sorted, without their folder.
-func (n *Node) Files() []string {
+// StoreFiles returns the names of the files in the store, sorted.
+func (n *Node) StoreFiles() []string {
 	all, err := filepath.Glob(filepath.Join(n.StoreDir(), "*"))
 	require.NoError(n.t, err)
 	for i := range all {
@@ -287,32 +290,32 @@
 	return all
 }
 
-// Store is what a node finds in its store when it is started again.
-type Store func(n *Node)
+// StoreChange changes a node's store before the node is started again.
+type StoreChange func(n *Node)
 
-// Kept leaves the store as it is.
-func Kept(*Node) {}
+// KeepStore leaves the store as it is.
+func KeepStore(*Node) {}
 
-// Empty removes all that the store has.
-func Empty(n *Node) {
+// EmptyStore removes the content of the store.
+func EmptyStore(n *Node) {
 	require.NoError(n.t, os.RemoveAll(n.StoreDir()))
 	require.NoError(n.t, os.MkdirAll(n.StoreDir(), 0o700))
 }
 
-// Older puts an earlier copy in the store's place; see CopyStore.
-func Older(copied string) Store {
+// StaleStore replaces the store by an earlier copy; see CopyStore.
+func StaleStore(copied string) StoreChange {
 	return func(n *Node) {
 		require.NoError(n.t, os.RemoveAll(n.StoreDir()))
 		require.NoError(n.t, os.CopyFS(n.StoreDir(), os.DirFS(copied)))
 	}
 }
 
-// Torn cuts a file of the store at an offset in bytes, as a disk does that lost the rest; file "" means each file that is
-// longer.
-func Torn(file string, at int64) Store {
+// TornStore truncates a file of the store at an offset in bytes, like a disk that lost the rest; file "" means each file
+// that is longer.
+func TornStore(file string, at int64) StoreChange {
 	return func(n *Node) {
 		cut := 0
-		for _, f := range n.Files() {
+		for _, f := range n.StoreFiles() {
 			path := filepath.Join(n.StoreDir(), f)
 			info, err := os.Stat(path)
 			require.NoError(n.t, err)
@@ -321,12 +324,12 @@
 				cut++
 			}
 		}
-		require.Positive(n.t, cut, "%s: no file %q to cut at %d", n.Name, file, at)
+		require.Positive(n.t, cut, "%s: no file %q that can be truncated at %d", n.Name, file, at)
 	}
 }
 
-// Restart kills the process, if it runs, and starts one that finds the store so. It does not wait until that serves.
-func (n *Node) Restart(s Store) {
+// Restart kills the process, if it runs, changes the store and starts a new process. It does not wait until that serves.
+func (n *Node) Restart(s StoreChange) {
 	n.t.Helper()
 	n.Kill()
 	s(n)
--- a/rehearsal/processes/older.go
+++ b/rehearsal/processes/older.go
@@ -15,70 +15,75 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// kept is what a node's store has that others may have heard of: its seat's state, and its right as it was told last.
-type kept struct {
-	hard  *raftpb.HardState
-	last  uint64 // the index of the log's last entry
-	right []byte
+// storedState is the part of a node's store that other nodes may know of: its replica's Raft state, and its send lease as
+// last received.
+type storedState struct {
+	hardState *raftpb.HardState
+	lastIndex uint64 // index of the last entry of the log
+	sendLease []byte
 }
 
-// voted is the vote with its term.
-func (k kept) voted() [2]uint64 { return [2]uint64{k.hard.GetTerm(), k.hard.GetVote()} }
+// termAndVote returns the term and the vote in it.
+func (k storedState) termAndVote() [2]uint64 {
+	return [2]uint64{k.hardState.GetTerm(), k.hardState.GetVote()}
+}
 
-func (k kept) String() string {
-	return fmt.Sprintf("term %d, vote %x, agreed on %d, log to %d", k.hard.GetTerm(), k.hard.GetVote(), k.hard.GetCommit(), k.last)
+func (k storedState) String() string {
+	return fmt.Sprintf("term %d, vote %x, committed %d, last index %d", k.hardState.GetTerm(), k.hardState.GetVote(), k.hardState.GetCommit(), k.lastIndex)
 }
 
-// read reads a store of this node without a change to it: from a copy.
-func (n *Node) read(folder string) kept {
+// readStore reads a store of this node from a copy, so that the store itself does not change.
+func (n *Node) readStore(folder string) storedState {
 	n.t.Helper()
 	const file = "council.db"
 	copied := n.t.TempDir()
 	require.NoError(n.t, os.CopyFS(copied, os.DirFS(folder)))
-	s, d, err := store.Open(filepath.Join(copied, file), store.Identity{Site: n.w.siteOf[n.Name].Name, Node: n.Name})
+	s, stored, err := store.Open(filepath.Join(copied, file), store.Identity{Site: n.w.siteOf[n.Name].Name, Node: n.Name})
 	require.NoError(n.t, err)
 	defer s.Close()
-	right, err := s.Get("right", "saved")
+	sendLease, err := s.Get("right", "saved")
 	require.NoError(n.t, err)
-	last := d.Applied
-	if n := len(d.Entries); n > 0 {
-		last = d.Entries[n-1].GetIndex()
+	lastIndex := stored.Applied
+	if n := len(stored.Entries); n > 0 {
+		lastIndex = stored.Entries[n-1].GetIndex()
 	}
-	return kept{d.HardState, last, right}
+	return storedState{stored.HardState, lastIndex, sendLease}
 }
 
-// gap is what a copy of a store lacks.
-type gap uint8
+// storeGap is what a copy of a store lacks.
+type storeGap uint8
 
 const (
-	lacksNothing gap = iota // it is the store
-	// lacksWord: a word on the node's right, that an entry it has is agreed on, or a term in which it voted for nobody. It may have told
-	// nobody, so that a refusal is not owed; its leader makes it good with its first answer.
-	lacksWord
-	lacksPromise // a vote, or a part of the log: the other seats refuse it
+	missingNothing storeGap = iota // the copy equals the store
+	// missingConfirmation: the copy lacks a newer state of the node's send lease, a newer commit index, or a term in which
+	// it did not vote. The node may not have reported any of these to others, so that they need not refuse the copy; the
+	// leader's first response makes the node current again.
+	missingConfirmation
+	missingPromise // a vote or a part of the log: the other replicas refuse the copy
 )
 
-func (g gap) String() string {
-	return [...]string{"nothing", "a word that was given to it", "a promise"}[g]
+func (g storeGap) String() string {
+	return [...]string{"nothing", "a confirmation that it received", "a promise"}[g]
 }
 
-// lacks returns what a copy of the store lacks that the store has.
-func (n *Node) lacks(copied string) (g gap) {
-	older, newer := n.read(copied), n.read(n.StoreDir())
+// missingInCopy returns what a copy of the store lacks.
+func (n *Node) missingInCopy(copied string) (missing storeGap) {
+	older, newer := n.readStore(copied), n.readStore(n.StoreDir())
 	switch {
-	case older.last != newer.last || newer.hard.GetVote() != 0 && older.voted() != newer.voted():
-		g = lacksPromise
-	case !proto.Equal(older.hard, newer.hard) || !bytes.Equal(older.right, newer.right):
-		g = lacksWord
+	case older.lastIndex != newer.lastIndex || newer.hardState.GetVote() != 0 && older.termAndVote() != newer.termAndVote():
+		missing = missingPromise
+	case !proto.Equal(older.hardState, newer.hardState) || !bytes.Equal(older.sendLease, newer.sendLease):
+		missing = missingConfirmation
 	}
-	n.w.t.Logf("the copy of the store of %s had %v; the store has %v; the copy lacks %v", n.Name, older, newer, g)
-	return g
+	n.w.t.Logf("the copy of the store of %s had %v; the store has %v; the copy lacks %v", n.Name, older, newer, missing)
+	return missing
 }
 
-// hasRight says whether the present process has a right to send: its leader has answered it, and told what is out.
-func (n *Node) hasRight() bool {
+// hasSendLease reports whether the current process has a send lease: its leader has answered it and sent it the excluded
+// hosts.
+func (n *Node) hasSendLease() bool {
 	ctx, cancel := context.WithTimeout(n.w.ctx, standingWithin)
 	defer cancel()
 	var turns peerpb.TurnsReply
-	return n.Desk() != "" && n.ownWord(ctx, "Turns", &turns) == nil && turns.GetSeat().GetRightMs() > 0
+	return n.OperatorAddr() != "" && n.ownWord(ctx, "Turns", &turns) == nil && turns.GetSeat().GetRightMs() > 0
 }
--- a/rehearsal/processes/policies.go
+++ b/rehearsal/processes/policies.go
@@ -167,7 +167,7 @@
 			}
 		}
 		for _, g := range Grants(w.History.Ops()) {
-			if of := w.Host(g.Host).Site; (of == "" || of == w.siteOf[last.node].Name) && g.Seen < last.least && last.most < g.Over {
+			if of := w.Host(g.Host).Site; (of == "" || of == w.siteOf[last.node].Name) && g.Observed < last.least && last.most < g.EndCalled {
 				at = append(at, g.Host)
 			}
 		}
@@ -194,14 +194,14 @@
 }
 
 // Policy makes one of the calls StartPolicy, HaltPolicy, ResumePolicy and ForcePolicy at a node.
-func (a *Asker) Policy(node, kind string, in map[string]any) (*peerpb.PolicyReply, error) {
+func (a *Requester) Policy(node, kind string, in map[string]any) (*peerpb.PolicyReply, error) {
 	out := &peerpb.PolicyReply{}
 	in["by"] = a.Name
 	return out, a.call(Op{Node: node, Kind: kind}, in, out, nil)
 }
 
 // Policies asks a node for its site's policies.
-func (a *Asker) Policies(node string) (*peerpb.PoliciesReply, error) {
+func (a *Requester) Policies(node string) (*peerpb.PoliciesReply, error) {
 	out := &peerpb.PoliciesReply{}
 	return out, a.call(Op{Node: node, Kind: "Policies"}, map[string]any{}, out, nil)
 }
@@ -230,15 +230,15 @@
 	var all sync.WaitGroup
 	stop := make(chan struct{})
 	for _, n := range nodes {
-		a := w.Asker("lookout at " + n)
+		a := w.Requester("lookout at " + n)
 		all.Go(func() {
-			for pace(stop, lookPause) {
+			for sleep(stop, lookPause) {
 				call := w.Now()
 				if r, err := a.Policies(n); err == nil {
 					l.mu.Lock()
 					l.looks = append(l.looks, Look{Node: n, Call: call, Return: w.Now(), PoliciesReply: r})
 					l.mu.Unlock()
-					w.news.tell()
+					w.news.notify()
 				}
 			}
 		})
--- a/rehearsal/processes/policies_test.go
+++ b/rehearsal/processes/policies_test.go
@@ -21,14 +21,14 @@
 	for _, h := range w.Hosts() {
 		h.Refuse(0.3, "ERR")
 	}
-	c := w.Come(Load{PerSecond: 120, Most: 200, Holds: 100 * time.Millisecond, Deadline: TrialWait})
+	c := w.StartClients(Load{PerSecond: 120, MaxConcurrent: 200, HoldTime: 100 * time.Millisecond, Deadline: TrialWait})
 	for n, aim := range map[string]int{"n0": GoodAim, "n1": TrialAim, "n2": OnlyAttempt} {
-		c.AwaitUp(60, n)
+		c.AwaitServed(60, n)
 		w.AwaitAim(aim, n)
 		assert.Len(t, w.Sightings(n, 0), len(w.Under(aim, n, 0)), n)
 	}
 	r := c.Report()
-	assert.Greater(t, 10*r.Unserved["n2"], 2*r.ByNode["n2"], "%v", r.Unserved)
-	assert.Less(t, r.Unserved["n0"]*r.ByNode["n2"], r.Unserved["n2"]*r.ByNode["n0"], "%v", r.Unserved)
+	assert.Greater(t, 10*r.UnservedByNode["n2"], 2*r.ServedByNode["n2"], "%v", r.UnservedByNode)
+	assert.Less(t, r.UnservedByNode["n0"]*r.ServedByNode["n2"], r.UnservedByNode["n2"]*r.ServedByNode["n0"], "%v", r.UnservedByNode)
 	w.RequireSound(Allowance{})
 }
--- a/rehearsal/processes/process.go
+++ b/rehearsal/processes/process.go
@@ -66,10 +66,10 @@
 	if n.ended {
 		return ""
 	}
-	if at := address(n.present); at != "" {
+	if at := address(n.current); at != "" {
 		return at
 	}
-	for _, p := range slices.Backward(n.formers) {
+	for _, p := range slices.Backward(n.predecessors) {
 		if at := address(p); at != "" {
 			return at
 		}
@@ -79,16 +79,16 @@
 
 // gone notes the end of one of the node's processes; mu is held.
 func (n *Node) gone(p *process) {
-	if p != n.present {
-		n.formers = slices.DeleteFunc(n.formers, func(f *process) bool { return f == p })
+	if p != n.current {
+		n.predecessors = slices.DeleteFunc(n.predecessors, func(f *process) bool { return f == p })
 		return
 	}
-	last := len(n.formers) - 1
+	last := len(n.predecessors) - 1
 	if last < 0 {
 		n.ended = true
 		return
 	}
-	n.present, n.formers = n.formers[last], n.formers[:last]
+	n.current, n.predecessors = n.predecessors[last], n.predecessors[:last]
 }
 
 // Start starts the node's process. It has to be down.
@@ -109,7 +109,7 @@
 func (n *Node) launch(listen string) {
 	n.t.Helper()
 	cmd := exec.Command(n.path)
-	cmd.Env = n.write(listen)
+	cmd.Env = n.writeFiles(listen)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StderrPipe()
 	require.NoError(n.t, err)
@@ -118,8 +118,8 @@
 	require.NoError(n.t, <-started)
 	p := &process{cmd: cmd, over: make(chan struct{})}
 	n.mu.Lock()
-	n.present, n.ended, n.paused, n.begin = p, false, false, len(n.lines)
-	most := n.fileMost
+	n.current, n.ended, n.paused, n.logStart = p, false, false, len(n.lines)
+	most := n.maxFileBytes
 	n.mu.Unlock()
 	if most > 0 {
 		n.LimitFiles(most)
@@ -133,7 +133,7 @@
 		n.mu.Unlock()
 		n.aim()
 		close(p.over)
-		n.w.news.tell()
+		n.w.news.notify()
 	}()
 }
 
@@ -150,7 +150,7 @@
 			if news {
 				n.aim()
 			}
-			n.w.news.tell()
+			n.w.news.notify()
 		}
 		if err != nil {
 			return
@@ -167,18 +167,18 @@
 
 // aim points the links at what the processes have told last.
 func (n *Node) aim() {
-	if n.apart {
+	if n.unlinked {
 		return
 	}
-	n.aiming.Lock()
-	defer n.aiming.Unlock()
+	n.linksMu.Lock()
+	defer n.linksMu.Unlock()
 	n.mu.Lock()
 	serving, desk := n.told(servingOf), n.told(deskOf)
 	n.mu.Unlock()
-	n.w.fronts[n.Name].Aim(serving)
+	n.w.fronts[n.Name].SetTarget(serving)
 	for pair, l := range n.w.peers {
 		if pair[1] == n.Name {
-			l.Aim(desk)
+			l.SetTarget(desk)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 // signal sends a signal to the process, if it runs.
 func (n *Node) signal(s syscall.Signal) {
 	n.mu.Lock()
-	present, ended := n.present, n.ended
+	present, ended := n.current, n.ended
 	n.mu.Unlock()
 	if ended {
 		return
@@ -206,7 +206,7 @@
 // Kill ends the process at once, and returns once it is gone.
 func (n *Node) Kill() {
 	n.mu.Lock()
-	present := n.present
+	present := n.current
 	n.mu.Unlock()
 	n.signal(syscall.SIGKILL)
 	if present != nil {
@@ -218,7 +218,7 @@
 func (n *Node) PID() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.present.pid()
+	return n.current.pid()
 }
 
 // Leave asks the process to stop. It goes on until what it has taken is answered and what stands has ended.
@@ -230,7 +230,7 @@
 	n.w.news.await(n.t, n.Name+" ends", func() bool { return !n.Runs() }, nil)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.present.cmd.ProcessState.ExitCode()
+	return n.current.cmd.ProcessState.ExitCode()
 }
 
 // Stop asks the process to stop and waits for its end, which must be in good order. Clients have to have gone.
@@ -245,7 +245,7 @@
 func (n *Node) Pause() {
 	n.signal(syscall.SIGSTOP)
 	n.mu.Lock()
-	present, ended := n.present, n.ended
+	present, ended := n.current, n.ended
 	n.paused = !ended
 	n.mu.Unlock()
 	if ended {
--- a/rehearsal/processes/process_test.go
+++ b/rehearsal/processes/process_test.go
@@ -15,12 +15,12 @@
 	opens := func(at string) string { return `level=INFO msg="open to peers" node=n2 listen=` + at + ` site=b` }
 	serves := func(at string) string { return `level=INFO msg=serving node=n2 listen=` + at + ` discovery=d` }
 	former, later := &process{}, &process{}
-	n := &Node{Name: "n2", present: former}
+	n := &Node{Name: "n2", current: former}
 	assert.True(t, former.read(opens("a:1")))
 	assert.True(t, former.read(serves("a:2")))
 	assert.False(t, former.read(`level=INFO msg="another process has the address" node=n2`))
 
-	n.present, n.formers = later, []*process{former}
+	n.current, n.predecessors = later, []*process{former}
 	assert.Equal(t, "a:1", n.told(deskOf), "the later one has told nothing yet")
 	assert.True(t, later.read(opens("a:3")))
 	assert.Equal(t, "a:3", n.told(deskOf))
--- a/rehearsal/processes/reload_test.go
+++ b/rehearsal/processes/reload_test.go
@@ -13,7 +13,7 @@
 
 // phase is a turn's, as a node knows.
 func phase(w *World, node, id string) string {
-	r, err := w.Asker("operator").Turns(node)
+	r, err := w.Requester("operator").Turns(node)
 	if err != nil {
 		return ""
 	}
@@ -39,7 +39,7 @@
 		}
 	}))
 	seats := []string{"n0", "n1", "n2"}
-	staff := w.Asker("staff")
+	staff := w.Requester("staff")
 	granted := func(ids ...string) {
 		t.Helper()
 		for _, id := range ids {
@@ -58,7 +58,7 @@
 		for _, s := range seats {
 			mark := w.Node(s).Mark()
 			reload(w.Node(s))
-			w.Node(s).LoggedSince(mark, append(texts, "the site file is not taken over; the old one stays")...)
+			w.Node(s).AwaitLoggedSince(mark, append(texts, "the site file is not taken over; the old one stays")...)
 		}
 		served(c, w.Names()...)
 		var is string
@@ -72,7 +72,7 @@
 
 	lasts = 1000
 	leads = awaitLeader(w, "n3")
-	other := NewLink(t, "n3", leads, w.Node(leads).Desk())
+	other := NewLink(t, "n3", leads, w.Node(leads).OperatorAddr())
 	moved = other.Addr()
 	for _, n := range w.Names() {
 		w.Node(n).Reload()
@@ -80,7 +80,7 @@
 	granted("t2") // with the third host out
 	w.Link("n3", leads).Refuse()
 	w.Link("n3", leads).Reset()
-	other.Await("n3 reaches the leader at its new address", func() bool { return other.Passed(Back) > 0 })
+	other.Await("n3 reaches the leader at its new address", func() bool { return other.BytesPassed(ToCaller) > 0 })
 	for i := range 3 {
 		id := fmt.Sprint("t", i)
 		_, err := staff.Withdraw("n1", id)
--- a/rehearsal/processes/rollouts_test.go
+++ b/rehearsal/processes/rollouts_test.go
@@ -47,7 +47,7 @@
 	clients *Clients
 	look    *Lookout
 	top     []string // the nodes of the site where policies are started
-	chief   *Asker
+	chief   *Requester
 }
 
 // worlds is how many stories of policies are told at once: some twenty nodes. With more, a busy machine has no evidence in time.
@@ -74,7 +74,7 @@
 		}
 	}
 	r := &trial{World: New(t, p), t: t, top: p.Sites[0].Nodes}
-	r.chief = r.Asker("chief")
+	r.chief = r.Requester("chief")
 	r.Start()
 	for _, s := range p.Sites {
 		awaitLeader(r.World, s.Nodes[0])
@@ -83,7 +83,7 @@
 	r.look = r.Lookout(r.top...)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("%v; served %v, not served %v\n%v", r.clients.Report(), r.clients.Report().ByNode, r.clients.Report().Unserved,
+			t.Logf("%v; served %v, not served %v\n%v", r.clients.Report(), r.clients.Report().ServedByNode, r.clients.Report().UnservedByNode,
 				r.look.Rollout("p1"))
 		}
 	})
@@ -92,7 +92,7 @@
 
 // come has 8 clients a second come to each node: three times what a class needs to be compared.
 func (r *trial) come() *Clients {
-	return r.Come(Load{PerSecond: float64(8 * len(r.Names())), Most: 500, Total: 100000, Holds: 100 * time.Millisecond,
+	return r.StartClients(Load{PerSecond: float64(8 * len(r.Names())), MaxConcurrent: 500, Total: 100000, HoldTime: 100 * time.Millisecond,
 		Deadline: TrialWait})
 }
 
@@ -209,7 +209,7 @@
 
 	r.Node("b1").Kill()
 	r.Part(false, "b1")
-	r.Node("b1").Restart(Kept)
+	r.Node("b1").Restart(KeepStore)
 	again := r.Now()
 	r.AwaitAim(TrialAim, "b1")
 	assert.Empty(t, r.Under(GoodAim, "b1", again), "it goes by the good policy of its store")
@@ -228,7 +228,7 @@
 	r.awaitHalted("regression")
 	back := r.clients.Report()
 	part := func(before, now Report, node string) float64 {
-		no, up := now.Unserved[node]-before.Unserved[node], now.ByNode[node]-before.ByNode[node]
+		no, up := now.UnservedByNode[node]-before.UnservedByNode[node], now.ServedByNode[node]-before.ServedByNode[node]
 		return float64(no) / float64(max(1, no+up))
 	}
 	for _, n := range others(r.World, first) {
@@ -236,7 +236,7 @@
 		assert.Less(t, part(before, during, n), 0.3, n)
 	}
 	assert.Greater(t, part(before, during, first), 0.35, "its clients saw it")
-	r.clients.AwaitUp(60, first)
+	r.clients.AwaitServed(60, first)
 	assert.Less(t, part(back, r.clients.Report(), first), 0.3, "and see it no more")
 	r.RequireSound(Allowance{})
 }
@@ -244,12 +244,12 @@
 func TestANodeThatCrashesUnderATrialFallsBackByItselfAndHaltsIt(t *testing.T) {
 	r := onTrial(t, Plan{Sites: single("n0", "n1", "n2", "n3")}, func(f *sitepb.File) { f.Rollout.Crashes = 2 })
 	first := r.start(harmless, TrialAim)
-	r.Node(first).Restart(Kept)
+	r.Node(first).Restart(KeepStore)
 	r.AwaitAim(TrialAim, first)
 	r.Node(first).Kill()
 	r.Part(false, first)
 	crashed := r.Now()
-	r.Node(first).Restart(Kept)
+	r.Node(first).Restart(KeepStore)
 	r.AwaitAim(GoodAim, first)
 	assert.Empty(t, r.Under(TrialAim, first, crashed), "from its start on, and nobody has told it")
 	assert.Equal(t, "running", r.look.Rollout("p1").Phase)
@@ -299,7 +299,7 @@
 	r.Part(false, buildingNodes...)
 	cut := span{from: r.Now()}
 	r.awaitPast(cut.from+lease/2, first)
-	r.Node(first).Restart(Kept)
+	r.Node(first).Restart(KeepStore)
 	r.AwaitAim(GoodAim, first)
 	cut.to = r.Now()
 	assert.Empty(t, r.outlived(cut, lease, []int{TrialAim}, buildingNodes))
@@ -320,7 +320,7 @@
 	r.Part(false, buildingNodes...)
 	cut := span{from: r.Now()}
 	r.awaitPast(cut.from+lease, "p0")
-	r.Node(first).Restart(Kept)
+	r.Node(first).Restart(KeepStore)
 	r.AwaitAim(GoodAim, first)
 	assert.Empty(t, r.Under(TrialAim, first, cut.from+lease))
 	r.Heal()
@@ -345,7 +345,7 @@
 	killed := kill()
 	r.force("one-node")
 	r.await("treats two nodes", func(p *peerpb.Rollout) bool { return p.Stage == "building" && len(p.Treated) == 2 })
-	r.Node(killed).Restart(Kept)
+	r.Node(killed).Restart(KeepStore)
 	r.Node(killed).AwaitServing()
 	r.force("building")
 	r.await("treats four nodes", func(p *peerpb.Rollout) bool { return p.Stage == "regency" && len(p.Treated) == 4 })
@@ -361,7 +361,7 @@
 	r.do("HaltPolicy", "p1", nil)
 	killed = kill()
 	r.await("is halted", func(p *peerpb.Rollout) bool { return p.Phase == "halted" })
-	r.Node(killed).Restart(Kept)
+	r.Node(killed).Restart(KeepStore)
 	r.awaitHalted("operator")
 	var steps []string
 	for _, e := range r.look.Rollout("p1").Log {
@@ -451,7 +451,7 @@
 	begun := r.Now()
 	r.Await("all nodes refuse for twelve spells", func() bool { return r.Now() > begun+24*time.Second })
 	now := r.clients.Report()
-	assert.Less(t, now.Up-trouble.Up, (now.Asked-trouble.Asked)/4, "clients saw the trouble")
+	assert.Less(t, now.Served-trouble.Served, (now.Requests-trouble.Requests)/4, "clients saw the trouble")
 	p := r.look.Rollout("p1")
 	assert.Equal(t, "running one-node", p.Phase+" "+p.Stage, "%s; %v", p.Missing, p.Log)
 	assert.Contains(t, p.Missing, "nothing to compare")
@@ -476,7 +476,7 @@
 	r.await("compares them", func(p *peerpb.Rollout) bool { return p.Missing == "" })
 	r.awaitPast(r.Now()+10*time.Second, first) // by then all others were watched too
 	// While a host of its zone is in work, what a node counts is no evidence.
-	require.NoError(t, r.Asker("staff").Work(context.Background(), "t1", "h1", 1, func() {
+	require.NoError(t, r.Requester("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		nothing := func(p *peerpb.Rollout) bool { return strings.Contains(p.Missing, "nothing to compare") }
 		r.await("compares nothing any more", nothing) // the spells before the work are judged
 		since := r.Now()
@@ -493,7 +493,7 @@
 	errs := make(chan error)
 	for _, h := range []string{"h2", "h3"} {
 		go func() {
-			errs <- r.Asker("staff of "+h).Work(context.Background(), "t-"+h, h, 1, func() { r.pause(200 * time.Millisecond) })
+			errs <- r.Requester("staff of "+h).Work(context.Background(), "t-"+h, h, 1, func() { r.pause(200 * time.Millisecond) })
 		}()
 	}
 	require.NoError(t, <-errs)
--- a/rehearsal/processes/seats_test.go
+++ b/rehearsal/processes/seats_test.go
@@ -39,19 +39,19 @@
 	w.Node(gone[2]).Kill()
 	rest := others(w, gone...)
 	w.Await("calls are refused, and say what to do", func() bool {
-		_, err := w.Asker("staff").Ask(rest[0], "t3", "h3", 1, nil)
+		_, err := w.Requester("staff").Ask(rest[0], "t3", "h3", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "what to do")
 	})
 	served(c, rest...)
 
-	w.Node(gone[2]).Restart(Kept)
-	w.Node(gone[2]).Logged("the seat waits", "wanted=3", "start them")
-	c.AwaitUp(20, gone[2])
-	_, err := w.Asker("staff").Ask(gone[2], "t3", "h3", 1, nil)
+	w.Node(gone[2]).Restart(KeepStore)
+	w.Node(gone[2]).AwaitLogged("the seat waits", "wanted=3", "start them")
+	c.AwaitServed(20, gone[2])
+	_, err := w.Requester("staff").Ask(gone[2], "t3", "h3", 1, nil)
 	require.ErrorContains(t, err, "what to do")
-	w.Node(gone[1]).Restart(Kept)
+	w.Node(gone[1]).Restart(KeepStore)
 	work(w, c, "t2", "h2", others(w, gone[0])...)
-	w.Node(gone[0]).Restart(Kept)
+	w.Node(gone[0]).Restart(KeepStore)
 	work(w, c, "t4", "h4", w.Names()...)
 	w.RequireSound(two)
 }
@@ -73,7 +73,7 @@
 func awaitSeats(w *World, at string, seats ...string) {
 	w.t.Helper()
 	w.Await("the council's seats are "+strings.Join(seats, " "), func() bool {
-		r, err := w.Asker("operator").Turns(at)
+		r, err := w.Requester("operator").Turns(at)
 		return err == nil && slices.Equal(r.Seats, seats)
 	})
 }
@@ -93,19 +93,19 @@
 	// A file that a minority has does nothing.
 	w.Plan.Sites[0].Nodes = append(slices.Clone(seats), goes, "n4")
 	w.Node(first).Reload()
-	w.Node(first).Logged("the seats are not as the site file has them yet", "differ", goes, "have them reload")
+	w.Node(first).AwaitLogged("the seats are not as the site file has them yet", "differ", goes, "have them reload")
 	work(w, c, "t0", "h0", w.Names()...)
 	before := []string{"n0", "n1", "n2"}
 	awaitSeats(w, "n4", before...)
 
 	coming(w, first, "t1", "h1")
 	reseated(w, seats...)
-	w.Node(first).Logged("a seat learns what was agreed on", "seat=n3")
+	w.Node(first).AwaitLogged("a seat learns what was agreed on", "seat=n3")
 	w.Node(first).Kill()
 	work(w, c, "t1", "h1", others(w, first)...)
-	w.Node(first).Restart(Kept)
+	w.Node(first).Restart(KeepStore)
 	awaitSeats(w, "n4", seats...)
-	w.Node(goes).Logged("has taken this node's seat out")
+	w.Node(goes).AwaitLogged("has taken this node's seat out")
 	served(c, w.Names()...)
 
 	// The new seats are a council without the one that went, and without the one that was killed.
@@ -118,8 +118,8 @@
 	rest := others(w, first, goes)
 	work(w, c, "t2", "h2", rest...)
 	assert.Contains(t, []string{"n3", stays}, awaitLeader(w, "n4", first, goes))
-	w.Node(first).Restart(Kept)
-	w.Node(goes).Restart(Kept)
+	w.Node(first).Restart(KeepStore)
+	w.Node(goes).Restart(KeepStore)
 	work(w, c, "t3", "h3", w.Names()...)
 	w.RequireSound(two)
 }
@@ -143,7 +143,7 @@
 	coming(w, "n0", "t2", "h2")
 	w.Node("n0").Kill()
 	work(w, c, "t2", "h2", "n1", "n2", "n3")
-	w.Node("n0").Restart(Kept)
+	w.Node("n0").Restart(KeepStore)
 	work(w, c, "t3", "h3", w.Names()...)
 	w.RequireSound(two)
 }
@@ -151,7 +151,7 @@
 // awaitLine waits until a node has said why the seats are not as they should be.
 func awaitLine(w *World, node, why string) {
 	w.t.Helper()
-	w.Node(node).Logged("the seats are not as the site file has them yet", why)
+	w.Node(node).AwaitLogged("the seats are not as the site file has them yet", why)
 }
 
 // The seat of the leader goes: it hands over first, is told, and runs on without a seat, also where its file is an older one.
@@ -169,8 +169,8 @@
 	for _, n := range others(w, also) { // this one's file stays as it is
 		w.Node(n).Reload()
 	}
-	w.Node(leads).Logged("this seat goes, and hands over before")
-	assert.Contains(t, w.Node(leads).Logged("has taken this node's seat out"), "its site file does not name it either")
+	w.Node(leads).AwaitLogged("this seat goes, and hands over before")
+	assert.Contains(t, w.Node(leads).AwaitLogged("has taken this node's seat out"), "its site file does not name it either")
 	awaitSeats(w, "n5", stay...)
 	resigned, out := -1, -1
 	for i, line := range w.Node(leads).Log() {
@@ -182,12 +182,12 @@
 	}
 	assert.True(t, resigned >= 0 && (out < 0 || resigned < out), "it leads no more when its seat goes")
 	w.Heal()
-	assert.Contains(t, w.Node(also).Logged("has taken this node's seat out"), "compare the site files")
+	assert.Contains(t, w.Node(also).AwaitLogged("has taken this node's seat out"), "compare the site files")
 	was := awaitLeader(w, "n5", leads, also)
 	work(w, c, "t1", "h1", w.Names()...)
 	assert.Equal(t, was, leader(w, "n5"), "those that went disturb nobody")
 
-	w.Node(also).Restart(Kept) // with the new file
+	w.Node(also).Restart(KeepStore) // with the new file
 	served(c, also)
 	ask(w, "n5", "t2", "h2", 4*time.Second)
 	for _, n := range []string{leads, stay[0]} {
@@ -209,12 +209,12 @@
 	goes := "n0"
 	reseated(w, "n1", "n2", "n3")
 	awaitSeats(w, "n1", "n1", "n2", "n3")
-	w.Node(goes).Logged("has taken this node's seat out")
+	w.Node(goes).AwaitLogged("has taken this node's seat out")
 	id := write(w, goes, "safety", "host/h1", "out", "").Id
 	w.Await("the node that was asked to write has the receipt", func() bool { return read(w, goes, "", "", id).Receipt == "applied" })
 	awaitValue(w, "host/h1", "out", w.Names()...)
 	w.Await("it tells of policies as the others do", func() bool {
-		r, err := w.Asker("operator").Policies(goes)
+		r, err := w.Requester("operator").Policies(goes)
 		return err == nil && r.Leader != "" && r.Leader != goes
 	})
 	served(c, w.Names()...)
@@ -231,24 +231,24 @@
 	coming(w, "n3", "t1", "h1")
 	w.Part(true, "n3")
 	reseated(w, "n1", "n2", "n3")
-	w.Node(awaitLeader(w, "n2")).Logged("the seats are not as the site file has them yet", "n3")
-	w.Node("n0").Restart(Kept)
-	w.Node("n0").Logged("the seat waits no more")
+	w.Node(awaitLeader(w, "n2")).AwaitLogged("the seats are not as the site file has them yet", "n3")
+	w.Node("n0").Restart(KeepStore)
+	w.Node("n0").AwaitLogged("the seat waits no more")
 	w.Node("n1").Kill()
 	work(w, c, "t1", "h1", "n0", "n2")
 
 	w.Heal()
-	w.Node("n1").Restart(Kept)
+	w.Node("n1").Restart(KeepStore)
 	awaitSeats(w, "n2", "n1", "n2", "n3")
-	w.Node("n0").Logged("has taken this node's seat out")
-	w.Node("n0").Restart(Kept) // with a store that has a seat which the council has taken out
-	w.Node("n0").Logged("has taken this node's seat out", "its site file does not name it either")
+	w.Node("n0").AwaitLogged("has taken this node's seat out")
+	w.Node("n0").Restart(KeepStore) // with a store that has a seat which the council has taken out
+	w.Node("n0").AwaitLogged("has taken this node's seat out", "its site file does not name it either")
 	work(w, c, "t2", "h2", w.Names()...)
 
 	// Named again, it asks for what it needs: its store is of a seat that is no more.
 	reseated(w, "n0", "n1", "n2")
-	w.Node("n0").Logged("has taken this node's seat out while it was away", "put its store aside and start it with an empty one")
-	w.Node("n0").Restart(Empty)
+	w.Node("n0").AwaitLogged("has taken this node's seat out while it was away", "put its store aside and start it with an empty one")
+	w.Node("n0").Restart(EmptyStore)
 	awaitSeats(w, "n3", "n0", "n1", "n2")
 	w.RequireSound(two)
 }
@@ -256,7 +256,7 @@
 // vouch calls Vouch for a node with some of the fields.
 func vouch(w *World, node string, fields map[string]any) error {
 	fields["node"] = node
-	return w.Asker("operator").call(Op{Node: "n3", Kind: "Vouch"}, fields, &peerpb.SeatReply{}, nil)
+	return w.Requester("operator").call(Op{Node: "n3", Kind: "Vouch"}, fields, &peerpb.SeatReply{}, nil)
 }
 
 // Of three seats one has lost its store, and another one starts again: it waits, until an operator vouches for its store.
@@ -272,10 +272,10 @@
 	})
 	w.Node(lost).Kill()
 	w.Node(again).Kill()
-	w.Node(lost).Restart(Empty)
-	w.Node(again).Restart(Kept)
-	w.Node(again).Logged("the seat waits", "wanted=2")
-	w.Node(lost).Logged("has to take it in")
+	w.Node(lost).Restart(EmptyStore)
+	w.Node(again).Restart(KeepStore)
+	w.Node(again).AwaitLogged("the seat waits", "wanted=2")
+	w.Node(lost).AwaitLogged("has to take it in")
 	served(c, "n3")
 
 	word := map[string]any{"by": "operator", "why": "n0's disk is gone, this one's is as it was"}
@@ -283,7 +283,7 @@
 	word[risk] = true
 	require.ErrorContains(t, vouch(w, again, map[string]any{risk: true}), "give by and why")
 	w.Await("the seat is vouched for", func() bool { return vouch(w, again, word) == nil })
-	assert.Contains(t, w.Node(again).Logged("an operator vouches"), "this one's is as it was")
+	assert.Contains(t, w.Node(again).AwaitLogged("an operator vouches"), "this one's is as it was")
 	takeIn(w, lost)
 	work(w, c, "t1", "h1", w.Names()...)
 	coming(w, stays, "t2", "h2")
@@ -294,7 +294,7 @@
 
 // foundAnew calls FoundAnew for a node.
 func foundAnew(w *World, at, node string, lost ...string) error {
-	return w.Asker("operator").call(Op{Node: at, Kind: "FoundAnew"}, map[string]any{"node": node, "lost": lost, "by": "operator",
+	return w.Requester("operator").call(Op{Node: at, Kind: "FoundAnew"}, map[string]any{"node": node, "lost": lost, "by": "operator",
 		"why": "fire", "i_know_that_the_lost_stores_must_never_run_again": true}, &peerpb.SeatReply{}, nil)
 }
 
@@ -330,19 +330,19 @@
 		return founder != ""
 	})
 	other := others(w, append(lost, founder, "n5")...)[0]
-	w.Node(founder).Logged("has founded the council anew", "n0 n1 n2", "by=operator", "why=fire")
-	assert.Contains(t, w.Node(other).Logged("control has stopped, and nothing is sent"), "before it was founded anew")
+	w.Node(founder).AwaitLogged("has founded the council anew", "n0 n1 n2", "by=operator", "why=fire")
+	assert.Contains(t, w.Node(other).AwaitLogged("control has stopped, and nothing is sent"), "before it was founded anew")
 
 	// The disk of one was not lost: it is refused, and hears of no host that is out.
-	w.Node("n0").Restart(Older(old[0]))
-	assert.Contains(t, w.Node("n0").Logged("control has stopped, and nothing is sent"), "put its store aside")
+	w.Node("n0").Restart(StaleStore(old[0]))
+	assert.Contains(t, w.Node("n0").AwaitLogged("control has stopped, and nothing is sent"), "put its store aside")
 	before := len(linesOf(w, "n0"))
 	work(w, c, "t1", "h1", founder, "n5")
 	assert.Len(t, linesOf(w, "n0"), before)
 	awaitSeats(w, "n5", founder)
 
 	for _, n := range append(lost, other) {
-		w.Node(n).Restart(Empty)
+		w.Node(n).Restart(EmptyStore)
 	}
 	awaitSeats(w, "n5", "n0", "n1", "n2", "n3", "n4")
 	work(w, c, "t2", "h2", w.Names()...)
@@ -367,26 +367,26 @@
 	w.Node("n0").Kill()
 	w.Node("n1").Kill()
 	w.Part(true, "n2", "n3")
-	w.Node("n2").Restart(Kept)
-	w.Node("n2").Logged("the seat waits")
+	w.Node("n2").Restart(KeepStore)
+	w.Node("n2").AwaitLogged("the seat waits")
 	w.Await("the last seat has founded the council anew", func() bool {
 		err := foundAnew(w, "n2", "n2", "n0", "n1")
 		return err == nil
 	})
 	for _, n := range []string{"n0", "n1"} {
-		w.Node(n).Restart(Kept)
-		w.Node(n).Logged("the seat waits")
+		w.Node(n).Restart(KeepStore)
+		w.Node(n).AwaitLogged("the seat waits")
 	}
 	work(w, c, "t1", "h1", "n2", "n3")
-	c.AwaitUp(100, "n0") // several seconds: far longer than an election takes
+	c.AwaitServed(100, "n0") // several seconds: far longer than an election takes
 	for _, n := range []string{"n0", "n1"} {
 		assert.False(t, said(w, "leads the council", n), n)
 		assert.False(t, said(w, "control has stopped", n), n)
 	}
 	w.Heal()
 	for _, n := range []string{"n0", "n1"} {
-		w.Node(n).Logged("control has stopped, and nothing is sent")
-		w.Node(n).Restart(Empty)
+		w.Node(n).AwaitLogged("control has stopped, and nothing is sent")
+		w.Node(n).Restart(EmptyStore)
 	}
 	awaitSeats(w, "n3", "n0", "n1", "n2")
 	work(w, c, "t2", "h2", w.Names()...)
@@ -402,7 +402,7 @@
 	w, c := begun(t, building(func(name string, f *sitepb.File) { f.Witness = filepath.Join(dir, name) }))
 	coming(w, "n0", "t1", "h1")
 	w.Node("n0").Kill()
-	w.Node("n1").Restart(Kept)
+	w.Node("n1").Restart(KeepStore)
 	work(w, c, "t1", "h1", "n1", "n2", "n3")
 	assert.False(t, said(w, "the seat waits", "n1"))
 	w.RequireSound(two)
--- a/rehearsal/processes/stall.go
+++ b/rehearsal/processes/stall.go
@@ -54,7 +54,7 @@
 	w.mu.Unlock()
 	for _, c := range clients {
 		r := c.Report()
-		w.t.Logf("clients: %s; by node %v, not served %v", r, r.ByNode, r.Unserved)
+		w.t.Logf("clients: %s; by node %v, not served %v", r, r.ServedByNode, r.UnservedByNode)
 	}
 	folder, err := w.keepLogs()
 	if err != nil {
@@ -87,7 +87,7 @@
 	case n.Paused():
 		b.WriteString("the process is paused")
 		return b.String()
-	case n.Desk() == "":
+	case n.OperatorAddr() == "":
 		b.WriteString("the process runs and is not open to operators")
 		return b.String()
 	}
@@ -118,18 +118,18 @@
 
 // ownWord makes an operator's call that the node answers itself: it takes it for one that another node has passed on.
 func (n *Node) ownWord(ctx context.Context, kind string, out proto.Message) error {
-	desks := newDeskClient()
-	status, text, err := desks.exchange(ctx, n.Desk(), kind, map[string]any{"forwarded": true})
+	desks := newOperatorClient()
+	status, text, err := desks.post(ctx, n.OperatorAddr(), kind, map[string]any{"forwarded": true})
 	if err != nil {
 		return err
 	}
-	return answered(status, text, out)
+	return decodeReply(status, text, out)
 }
 
 // stacks has a process write the stacks of all its goroutines into its log, which ends it.
 func (n *Node) stacks() string {
 	n.mu.Lock()
-	present, mark := n.present, len(n.lines)
+	present, mark := n.current, len(n.lines)
 	n.mu.Unlock()
 	_ = present.cmd.Process.Signal(syscall.SIGQUIT)
 	_ = present.cmd.Process.Signal(syscall.SIGCONT) // one that was stopped from outside takes no other signal
@@ -144,7 +144,7 @@
 // keepLogs writes the whole log of each node into a folder that outlives the test, and returns the folder.
 func (w *World) keepLogs() (folder string, err error) {
 	name := strings.NewReplacer("/", "_", " ", "_").Replace(w.t.Name())
-	if folder, err = os.MkdirTemp(os.Getenv(folderEnv), "lichenhitch-"+name+"-"); err != nil {
+	if folder, err = os.MkdirTemp(os.Getenv(logsFolderEnv), "lichenhitch-"+name+"-"); err != nil {
 		return "", err
 	}
 	for _, node := range w.order {
--- a/rehearsal/processes/stall_test.go
+++ b/rehearsal/processes/stall_test.go
@@ -30,7 +30,7 @@
 	self, err := os.Executable()
 	require.NoError(t, err)
 	cmd := exec.Command(self, "-test.run", "^TestAStallIsReported$", "-test.timeout", "40s")
-	cmd.Env = append(os.Environ(), plantedEnv+"=1", folderEnv+"="+t.TempDir())
+	cmd.Env = append(os.Environ(), plantedEnv+"=1", logsFolderEnv+"="+t.TempDir())
 	said, err := cmd.CombinedOutput()
 	require.Error(t, err)
 	text := string(said)
@@ -50,7 +50,7 @@
 	for _, word := range strings.Fields(pids[1]) {
 		pid, err := strconv.Atoi(word)
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return syscall.Kill(pid, 0) == syscall.ESRCH }, Patience, time.Millisecond, "process %d runs on", pid)
+		require.Eventually(t, func() bool { return syscall.Kill(pid, 0) == syscall.ESRCH }, EventTimeout, time.Millisecond, "process %d runs on", pid)
 	}
 }
 
@@ -59,12 +59,12 @@
 	w, _ := begun(t, building(nil))
 	var pids []string
 	for _, n := range w.Names() {
-		pids = append(pids, strconv.Itoa(w.Node(n).present.pid()))
+		pids = append(pids, strconv.Itoa(w.Node(n).current.pid()))
 	}
 	t.Logf("processes: %s", strings.Join(pids, " "))
 	ask(w, "n0", "t1", "h1", time.Hour)
 	w.Await("a policy is started", func() bool {
-		_, err := w.Asker("chief").Policy("n0", "StartPolicy", map[string]any{"id": "p1", "why": "a story", "policy": harmless})
+		_, err := w.Requester("chief").Policy("n0", "StartPolicy", map[string]any{"id": "p1", "why": "a story", "policy": harmless})
 		return err == nil
 	})
 	w.Await("n0 knows of both", func() bool {
@@ -72,7 +72,7 @@
 		return strings.Contains(standing, "turn t1 of h1") && strings.Contains(standing, "policy p1 is running")
 	})
 	w.Node("n2").Kill()
-	require.NoError(t, syscall.Kill(w.Node("n1").present.pid(), syscall.SIGSTOP))
+	require.NoError(t, syscall.Kill(w.Node("n1").current.pid(), syscall.SIGSTOP))
 	w.Await("the seat that goes on knows of no leader", func() bool {
 		standing := w.Node("n0").standing()
 		return strings.Contains(standing, "role=follower") && strings.Contains(standing, "right=0ms")
--- a/rehearsal/processes/stamps.go
+++ b/rehearsal/processes/stamps.go
@@ -55,7 +55,7 @@
 			return
 		}
 		require.ErrorIs(w.t, err, errNoStamp)
-		require.Less(w.t, time.Since(begun), Patience, err)
+		require.Less(w.t, time.Since(begun), EventTimeout, err)
 	}
 }
 
--- a/rehearsal/processes/stores_test.go
+++ b/rehearsal/processes/stores_test.go
@@ -12,7 +12,7 @@
 func begun(t *testing.T, p Plan) (*World, *Clients) {
 	w := New(t, p)
 	w.Start()
-	c := w.Come(Load{PerSecond: 60, Holds: 300 * time.Millisecond})
+	c := w.StartClients(Load{PerSecond: 60, HoldTime: 300 * time.Millisecond})
 	served(c, w.Names()...)
 	awaitLeader(w, w.Names()[len(w.Names())-1])
 	return w, c
@@ -44,9 +44,9 @@
 	for _, n := range rest {
 		marks[n] = w.Node(n).Mark()
 	}
-	w.Node(node).Logged("has to take it in")
+	w.Node(node).AwaitLogged("has to take it in")
 	w.Await(node+" is taken in", func() bool {
-		w.Asker("operator").TakeIn(awaitLeader(w, "n3"), node, "its store was put aside")
+		w.Requester("operator").TakeIn(awaitLeader(w, "n3"), node, "its store was put aside")
 		for _, n := range rest {
 			for _, line := range w.Node(n).Log() {
 				if strings.Contains(line, "a seat is taken in") && strings.Contains(line, "seat="+node) {
@@ -61,7 +61,7 @@
 // madeGood does what an operator is told to where a store is lost, and sees that the seat takes part again.
 func madeGood(w *World, c *Clients, seat string) {
 	w.t.Helper()
-	w.Node(seat).Restart(Empty)
+	w.Node(seat).Restart(EmptyStore)
 	takeIn(w, seat)
 	served(c, seat)
 	work(w, c, "t2", "h2", w.Names()...)
@@ -76,15 +76,15 @@
 	seat := follower(w)
 	older := w.Node(seat).CopyStore()
 	for range 2 { // the others know of later openings of the store than the copy does
-		w.Node(seat).Restart(Kept)
+		w.Node(seat).Restart(KeepStore)
 		served(c, seat)
 	}
 	coming(w, seat, "t1", "h1")
 	w.Link(seat, awaitLeader(w, "n3")).Cut()
-	w.Node(seat).Restart(Older(older))
+	w.Node(seat).Restart(StaleStore(older))
 	refused := func() {
 		t.Helper()
-		line := w.Node(seat).Logged("control has stopped")
+		line := w.Node(seat).AwaitLogged("control has stopped")
 		assert.Contains(t, line, "older one")
 		assert.Contains(t, line, "put its store aside")
 	}
@@ -94,7 +94,7 @@
 
 	w.Heal()
 	before := len(linesOf(w, seat))
-	w.Node(seat).Restart(Kept) // it stays refused
+	w.Node(seat).Restart(KeepStore) // it stays refused
 	refused()
 	served(c, others(w, seat)...)
 	assert.Len(t, linesOf(w, seat), before)
@@ -107,14 +107,14 @@
 	w, c := begun(t, building(nil))
 	seat := follower(w)
 	coming(w, seat, "t1", "h1")
-	double := w.Node(seat).Double()
+	double := w.Node(seat).Duplicate()
 	double.Start()
 	// As an older store, or as one of two processes: the other is refused too then.
-	assert.Contains(t, double.Logged("control has stopped, and nothing is sent"), "put its store aside")
-	w.Front(seat).Aim(double.Listen())
+	assert.Contains(t, double.AwaitLogged("control has stopped, and nothing is sent"), "put its store aside")
+	w.Front(seat).SetTarget(double.ClientAddr())
 	work(w, c, "t1", "h1", others(w, seat)...)
 	before := len(linesOf(w, seat))
-	c.AwaitUp(20, "")
+	c.AwaitServed(20, "")
 	assert.Len(t, linesOf(w, seat), before, "it does not send")
 
 	double.Stop()
@@ -127,7 +127,7 @@
 	w, c := begun(t, building(nil))
 	seat := awaitLeader(w, "n3")
 	coming(w, seat, "t1", "h1")
-	w.Node(seat).Restart(Torn("council.db", 20000))
+	w.Node(seat).Restart(TornStore("council.db", 20000))
 	assert.Equal(t, 1, w.Node(seat).AwaitEnd())
 	assert.True(t, said(w, "council.db is damaged", seat))
 	assert.True(t, said(w, "do not put an older copy in its place", seat))
@@ -143,17 +143,17 @@
 	coming(w, seat, "t1", "h1")
 	w.Node(seat).LimitFiles(1)
 	work(w, c, "t1", "h1", w.Names()...)
-	line := w.Node(seat).Logged("control has stopped; the traffic goes on")
+	line := w.Node(seat).AwaitLogged("control has stopped; the traffic goes on")
 	assert.Contains(t, line, "file too large")
 	assert.Contains(t, line, "see that the disk has room")
 	assert.NotEqual(t, seat, awaitLeader(w, "n3", seat))
 	assert.Empty(t, leader(w, seat), "it does not say that it leads")
-	err := w.Asker("operator").TakeIn(seat, "n1", "why")
+	err := w.Requester("operator").TakeIn(seat, "n1", "why")
 	assert.ErrorContains(t, err, "control of this node has stopped")
 	assert.ErrorContains(t, err, "see that the disk has room")
 
 	w.Node(seat).LimitFiles(0)
-	w.Node(seat).Restart(Kept)
+	w.Node(seat).Restart(KeepStore)
 	served(c, w.Names()...)
 	rest := others(w, seat, "n3")
 	coming(w, rest[0], "t2", "h2")
@@ -172,8 +172,8 @@
 	seat := awaitLeader(w, "n3")
 	older := w.Node(seat).CopyStore()
 	coming(w, seat, "t1", "h1")
-	w.Node(seat).Restart(Older(older))
-	line := w.Node(seat).Logged("control has stopped, and nothing is sent")
+	w.Node(seat).Restart(StaleStore(older))
+	line := w.Node(seat).AwaitLogged("control has stopped, and nothing is sent")
 	assert.Contains(t, line, "older one")
 	assert.Contains(t, line, "put its store aside")
 	work(w, c, "t1", "h1", others(w, seat)...)
@@ -192,11 +192,11 @@
 	older := n.CopyStore()
 	served(c, others(w, seat)...)
 	n.Kill()
-	assert.Equal(t, lacksNothing, n.lacks(older))
-	n.Restart(Older(older))
+	assert.Equal(t, missingNothing, n.missingInCopy(older))
+	n.Restart(StaleStore(older))
 	w.Heal()
 	served(c, seat)
 	work(w, c, "t1", "h1", w.Names()...)
-	assert.Empty(t, n.logged("nothing is sent"))
+	assert.Empty(t, n.linesWith("nothing is sent"))
 	w.RequireSound(two)
 }
