--- a/rehearsal/processes/storm.go
+++ b/rehearsal/processes/storm.go
@@ -17,7 +17,7 @@
 // store is lost, and nothing else.
 type Operator struct {
 	w    *World
-	by   map[string]*Asker // of each site
+	by   map[string]*Requester // of each site
 	mark map[string]int    // of a process that is to be taken in: where the others' logs were then
 	mu   sync.Mutex        // of a round
 	Did  []string
@@ -25,9 +25,9 @@
 
 // Operator returns one that has done nothing yet.
 func (w *World) Operator() *Operator {
-	o := &Operator{w: w, by: map[string]*Asker{}, mark: map[string]int{}}
+	o := &Operator{w: w, by: map[string]*Requester{}, mark: map[string]int{}}
 	for _, s := range w.Plan.Sites {
-		o.by[s.Name] = w.Asker("operator of " + s.Name)
+		o.by[s.Name] = w.Requester("operator of " + s.Name)
 		o.by[s.Name].Nodes = s.Nodes
 	}
 	return o
@@ -54,15 +54,15 @@
 // see looks at a node that no fault has stopped, and says whether the council has to take it in.
 func (o *Operator) see(n *Node) bool {
 	for _, text := range aside {
-		if lines := n.logged(text); len(lines) > 0 {
+		if lines := n.linesWith(text); len(lines) > 0 {
 			o.Did = append(o.Did, fmt.Sprintf("%s has an empty store now: %s", n.Name, text))
-			n.Restart(Empty)
+			n.Restart(EmptyStore)
 			delete(o.w.newSeat, n.Name)
 			o.open(n)
 			return false
 		}
 	}
-	if o.w.untilRight[n.Name] && n.hasRight() {
+	if o.w.untilRight[n.Name] && n.hasSendLease() {
 		o.open(n)
 	}
 	if !n.Runs() {
@@ -70,7 +70,7 @@
 		n.Start()
 		return false
 	}
-	return len(n.logged("has to take it in")) > 0 && !o.w.newSeat[n.Name] // which comes by the site file: the line says so
+	return len(n.linesWith("has to take it in")) > 0 && !o.w.newSeat[n.Name] // which comes by the site file: the line says so
 }
 
 // open lets clients reach a node again.
@@ -103,7 +103,7 @@
 		}
 	}
 	a := o.by[site.Name]
-	at := a.anyNode()
+	at := a.randomNode()
 	if at == "" {
 		return
 	}
@@ -197,7 +197,7 @@
 type Chain struct {
 	w      *World
 	Name   string
-	a      *Asker
+	a      *Requester
 	number int
 
 	mu    sync.Mutex
@@ -207,7 +207,7 @@
 
 // Chain returns one that writes at the nodes of a site.
 func (w *World) Chain(site Site) *Chain {
-	a := w.Asker("writer of " + site.Name)
+	a := w.Requester("writer of " + site.Name)
 	a.Nodes = site.Nodes
 	return &Chain{w: w, Name: site.Name, a: a}
 }
@@ -223,7 +223,7 @@
 func (c *Chain) Write() {
 	c.number++
 	for _, thing := range []string{"step/", "stands/"} {
-		node, r := c.a.anyNode(), &peerpb.WriteReply{}
+		node, r := c.a.randomNode(), &peerpb.WriteReply{}
 		if node == "" || c.a.call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": "work", "thing": thing + c.Name,
 			"value": chained(c.number), "by": c.a.Name}, r, nil) != nil {
 			return
@@ -249,7 +249,7 @@
 type Reader struct {
 	w            *World
 	c            *Chain
-	a            *Asker
+	a            *Requester
 	node         string
 	begin        int // of the process's log
 	step, stands int
@@ -258,7 +258,7 @@
 
 // Reader returns one.
 func (w *World) Reader(c *Chain, node string) *Reader {
-	return &Reader{w: w, c: c, a: w.Asker("reader at " + node), node: node}
+	return &Reader{w: w, c: c, a: w.Requester("reader at " + node), node: node}
 }
 
 // Read reads once.
@@ -297,7 +297,7 @@
 func (n *Node) beginning() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.begin
+	return n.logStart
 }
 
 // losses are faults of stores in the place of a plan's own: of one seat of one site or, with each third seed, of one of both, in another
@@ -313,7 +313,7 @@
 		}
 		out = append(out, f)
 	}
-	kinds := []FaultKind{KillOlder, KillTorn, KillEmpty}
+	kinds := []FaultKind{KillStaleStore, KillTornStore, KillEmptyStore}
 	part := duration / time.Duration(len(sites))
 	for i := range sites {
 		s := sites[(i+int(seed))%len(sites)]
@@ -321,14 +321,14 @@
 			continue
 		}
 		seats := s.Nodes[:s.Seats]
-		f := Fault{Kind: kinds[(int(seed)+i)%len(kinds)], A: seats[(int(seed)/len(kinds)+i)%len(seats)], N: 3000,
-			At: part*time.Duration(i) + part/10, Lasts: part / 8}
-		f.Shut = f.Kind == KillOlder
+		f := Fault{Kind: kinds[(int(seed)+i)%len(kinds)], Node: seats[(int(seed)/len(kinds)+i)%len(seats)], Amount: 3000,
+			At: part*time.Duration(i) + part/10, Duration: part / 8}
+		f.BlockClients = f.Kind == KillStaleStore
 		out = slices.DeleteFunc(out, func(o Fault) bool {
-			return o.Kind >= Kill && o.At < f.At+f.Lasts && f.At < o.At+o.Lasts
+			return o.Kind >= Kill && o.At < f.At+f.Duration && f.At < o.At+o.Duration
 		})
 		for j, o := range out {
-			if (o.Kind == Kill || o.Kind == Upgrade) && o.A != f.A && slices.Contains(seats, o.A) {
+			if (o.Kind == Kill || o.Kind == Upgrade) && o.Node != f.Node && slices.Contains(seats, o.Node) {
 				out[j].Kind = Pause
 			}
 		}
@@ -347,7 +347,7 @@
 	for _, f := range plan {
 		if f.Kind == Upgrade {
 			if upgrades++; upgrades%2 == 0 {
-				f.Kind = UpgradeGivenUp
+				f.Kind = AbortedUpgrade
 			}
 		}
 		out = append(out, f)
@@ -355,27 +355,27 @@
 	for i, s := range sites {
 		at, lost := duration/20, ""
 		for _, f := range out {
-			if losesStore(f.Kind) && slices.Contains(s.Nodes, f.A) {
-				lost = f.A
+			if losesStore(f.Kind) && slices.Contains(s.Nodes, f.Node) {
+				lost = f.Node
 				if f.At < duration/2 {
 					at = duration / 2
 				}
 			}
 		}
 		keep := slices.DeleteFunc(slices.Clone(s.Nodes[:s.Seats]), func(n string) bool { return n == lost })
-		out = append(out, Fault{Kind: Reseat, A: keep[(int(seed)+i)%len(keep)], B: s.Nodes[len(s.Nodes)-1], At: at, Lasts: duration * 3 / 10})
+		out = append(out, Fault{Kind: MoveReplica, Node: keep[(int(seed)+i)%len(keep)], Peer: s.Nodes[len(s.Nodes)-1], At: at, Duration: duration * 3 / 10})
 	}
 	slices.SortStableFunc(out, func(a, b Fault) int { return int(a.At - b.At) })
 	return out
 }
 
 // losesStore says whether a node comes back with less than its store had.
-func losesStore(k FaultKind) bool { return k == KillOlder || k == KillEmpty || k == KillTorn }
+func losesStore(k FaultKind) bool { return k == KillStaleStore || k == KillEmptyStore || k == KillTornStore }
 
 // within leaves those faults out that would heal a cut between sites while it lasts.
 func within(plan []Fault, cut span, siteOf map[string]*Site) []Fault {
 	return slices.DeleteFunc(plan, func(f Fault) bool {
-		crosses := f.Kind == Isolate || f.Kind < Isolate && siteOf[f.A] != siteOf[f.B]
-		return crosses && f.At < cut.to && cut.from < f.At+f.Lasts
+		crosses := f.Kind == Isolate || f.Kind < Isolate && siteOf[f.Node] != siteOf[f.Peer]
+		return crosses && f.At < cut.to && cut.from < f.At+f.Duration
 	})
 }
--- a/rehearsal/processes/storm_test.go
+++ b/rehearsal/processes/storm_test.go
@@ -91,7 +91,7 @@
 	over         chan struct{} // closed once the faults are over
 	errs         []chan error  // of all who take part, once they are done
 	look         *Lookout
-	chief        *Asker
+	chief        *Requester
 	operator     *Operator
 	breaker      *Breaker
 	rng          *rand.Rand // of the chief
@@ -127,22 +127,22 @@
 	if i >= 3 {
 		nodes, hosts = g.below, []string{"h6", "h7", "h8", "h9", "h10"}
 	}
-	here, gone := g.Asker(fmt.Sprint("staff", i)), g.Asker(fmt.Sprint("gone", i))
+	here, gone := g.Requester(fmt.Sprint("staff", i)), g.Requester(fmt.Sprint("gone", i))
 	here.Nodes, gone.Nodes = nodes, nodes
 	g.begin(func() error {
-		for n := 0; g.goesOn(lookAgain); n++ {
+		for n := 0; g.goesOn(pollInterval); n++ {
 			id, host := fmt.Sprint("t", i, "-", n), hosts[min(i%3*2+n%2, 4)]
 			if n%3 == 1 {
-				for taken := false; !taken && g.goesOn(lookAgain); {
-					if at := gone.anyNode(); at != "" {
+				for taken := false; !taken && g.goesOn(pollInterval); {
+					if at := gone.randomNode(); at != "" {
 						_, err := gone.Ask(at, id, host, 1, nil)
 						taken = err == nil
 					}
 				}
 			}
 			if n%6 == 1 {
-				for back := false; !back && g.pause(lookAgain); { // also once the storm is over: a turn that is forgotten keeps a place
-					if at := here.anyNode(); at != "" {
+				for back := false; !back && g.pause(pollInterval); { // also once the storm is over: a turn that is forgotten keeps a place
+					if at := here.randomNode(); at != "" {
 						_, _ = gone.Ask(at, id, host, 1, nil) // whether it was taken may not be known
 						_, err := here.Withdraw(at, id)
 						back = err == nil
@@ -174,7 +174,7 @@
 func (g *stormRun) rollouts() {
 	forced := map[string]int{} // how many each treated when a stage was forced last
 	for step := 0; g.goesOn(200 * time.Millisecond); step++ {
-		at := g.chief.anyNode()
+		at := g.chief.randomNode()
 		if at == "" {
 			continue
 		}
@@ -207,18 +207,18 @@
 
 // write has things written at both sites, in a chain and without one: a host is out or back, and what is done at it.
 func (g *stormRun) write(i int, site Site) {
-	writer, chain := g.Asker(fmt.Sprint("staff of h", 5+6*i)), g.Chain(site)
+	writer, chain := g.Requester(fmt.Sprint("staff of h", 5+6*i)), g.Chain(site)
 	writer.Nodes = site.Nodes
 	g.chains = append(g.chains, chain)
 	g.begin(func() error {
-		for g.goesOn(lookAgain) {
+		for g.goesOn(pollInterval) {
 			chain.Write()
 		}
 		return nil
 	})
 	g.begin(func() error {
 		for n := 0; g.goesOn(200 * time.Millisecond); n++ {
-			if node := writer.anyNode(); node != "" {
+			if node := writer.randomNode(); node != "" {
 				_ = writer.call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": "safety", "thing": fmt.Sprint("host/h", 5+6*i),
 					"value": []string{"out", "back"}[n%2], "by": writer.Name}, &peerpb.WriteReply{}, nil)
 			}
@@ -245,20 +245,20 @@
 	t.Cleanup(func() { <-worlds })
 	w := New(t, stormy(seed))
 	g := &stormRun{World: w, t: t, seed: seed, above: w.Plan.Sites[0].Nodes, below: w.Plan.Sites[1].Nodes, over: make(chan struct{}),
-		chief: w.Asker("chief"), operator: w.Operator(), breaker: w.Breaker([]int{0, OnlyAttempt}[seed%2]),
+		chief: w.Requester("chief"), operator: w.Operator(), breaker: w.Breaker([]int{0, OnlyAttempt}[seed%2]),
 		rng: rand.New(rand.NewPCG(seed, 7)), works: make([]int, 6)}
 	g.chief.Nodes = g.above
 	w.Start()
 	for _, h := range w.Hosts() {
 		h.Refuse(0.3, "ERR")
 	}
-	c := w.Come(Load{PerSecond: 160, Most: 800, Total: 1 << 20, Holds: 100 * time.Millisecond, Deadline: TrialWait,
+	c := w.StartClients(Load{PerSecond: 160, MaxConcurrent: 800, Total: 1 << 20, HoldTime: 100 * time.Millisecond, Deadline: TrialWait,
 		Nodes: slices.Concat(g.above, g.below, g.below)}) // a rollout begins where most clients come: at the site that will be cut off
 	served(c, w.Names()...)
 	awaitLeader(w, "p3")
 	awaitLeader(w, "b3")
 	for _, n := range g.below {
-		c.AwaitUp(60, n) // by then the top has heard of them too
+		c.AwaitServed(60, n) // by then the top has heard of them too
 	}
 	g.look = w.Lookout(g.above...)
 	g.begin(func() error {
@@ -285,12 +285,12 @@
 	// The building is cut off for half of the time, beside all other faults.
 	plan := span{from: storm * 3 / 10, to: storm * 8 / 10}
 	var cut span
-	faults := within(losses(Faults(seed, w.Names(), storm), seed, w.Plan.Sites, storm), plan, w.siteOf)
+	faults := within(losses(RandomFaults(seed, w.Names(), storm), seed, w.Plan.Sites, storm), plan, w.siteOf)
 	if reseated {
 		faults = seatChanges(faults, seed, w.Plan.Sites, storm)
 	}
 	t.Logf("%s: the faults begin", w.Now().Round(time.Millisecond))
-	w.Play(append(faults, Fault{Kind: Other, At: plan.from, Lasts: plan.to - plan.from, A: "the building", Begin: func() {
+	w.RunFaults(append(faults, Fault{Kind: CustomFault, At: plan.from, Duration: plan.to - plan.from, Node: "the building", Begin: func() {
 		g.breaker.Part(g.below...)
 		cut.from = w.Now()
 	}, End: func() {
@@ -336,7 +336,7 @@
 // settle plays rounds until all is settled, and returns how many it took.
 func (g *stormRun) settle(c *Clients) int {
 	g.t.Helper()
-	begun, before := g.Now(), c.Report().ByNode
+	begun, before := g.Now(), c.Report().ServedByNode
 	waiting := slices.Clone(g.errs)
 	pending := map[string]string{} // writes without a receipt at both sites, to where they were taken
 	for i, chain := range g.chains {
@@ -362,7 +362,7 @@
 		if len(waiting) > 0 {
 			missing = append(missing, fmt.Sprintf("%d who take part are not done", len(waiting)))
 		}
-		up := c.Report().ByNode
+		up := c.Report().ServedByNode
 		for _, n := range g.Names() {
 			if up[n] < before[n]+10 {
 				missing = append(missing, n+" serves few")
@@ -375,7 +375,7 @@
 		if round%20 == 0 {
 			g.t.Logf("%s: round %d: %v", g.Now().Round(time.Millisecond), round, missing)
 		}
-		c.AwaitUp(10, "")
+		c.AwaitServed(10, "")
 	}
 	assert.Empty(g.t, missing, "seed %d: not settled in %d rounds", g.seed, settled)
 	return settled
@@ -392,7 +392,7 @@
 			good = aims[id]
 		case p.Phase != "halted":
 			missing = append(missing, id+" is "+p.Phase)
-			if at := g.chief.anyNode(); at != "" && p.Phase != "halting" {
+			if at := g.chief.randomNode(); at != "" && p.Phase != "halting" {
 				_ = g.policy(at, "HaltPolicy", id, nil)
 			}
 		}
--- a/rehearsal/processes/turns_test.go
+++ b/rehearsal/processes/turns_test.go
@@ -35,13 +35,13 @@
 func served(c *Clients, nodes ...string) {
 	c.w.t.Helper()
 	for _, n := range nodes {
-		c.AwaitUp(5, n)
+		c.AwaitServed(5, n)
 	}
 }
 
 // leader returns who leads, as the node that is asked knows.
 func leader(w *World, at string) string {
-	r, err := w.Asker("operator").Turns(at)
+	r, err := w.Requester("operator").Turns(at)
 	if err != nil {
 		return ""
 	}
@@ -77,7 +77,7 @@
 // work has a host worked at while clients of some nodes are served.
 func work(w *World, c *Clients, id, host string, nodes ...string) {
 	w.t.Helper()
-	require.NoError(w.t, w.Asker("staff").Work(context.Background(), id, host, 1, func() { served(c, nodes...) }))
+	require.NoError(w.t, w.Requester("staff").Work(context.Background(), id, host, 1, func() { served(c, nodes...) }))
 }
 
 func TestAHostIsHandedOverOnceNobodySendsItAnything(t *testing.T) {
@@ -87,7 +87,7 @@
 	work(w, c, "t1", "h1", w.Names()...)
 	t.Logf("asked to done in %v", w.Now()-begun)
 	w.Await("the host is in use again", func() bool {
-		lines := w.Host("h1").Lines("n3")
+		lines := w.Host("h1").FirstLines("n3")
 		return len(lines) > 0 && lines[len(lines)-1].At > w.Now()-time.Second
 	})
 	w.RequireSound(two)
@@ -102,7 +102,7 @@
 func ask(w *World, node, id, host string, in time.Duration) {
 	w.t.Helper()
 	w.Await("the council takes "+id, func() bool {
-		_, err := w.Asker("staff").Ask(node, id, host, 1, soon(in))
+		_, err := w.Requester("staff").Ask(node, id, host, 1, soon(in))
 		return err == nil
 	})
 }
@@ -133,7 +133,7 @@
 	work(w, c, "t1", "h1", rest...)
 	t.Logf("from the leader's end to the work's in %v", w.Now()-killed)
 	assert.NotEqual(t, first, awaitLeader(w, rest[0], first))
-	w.Node(first).Restart(Kept)
+	w.Node(first).Restart(KeepStore)
 	served(c, w.Names()...)
 	work(w, c, "t2", "h2", w.Names()...)
 	w.RequireSound(two)
@@ -142,7 +142,7 @@
 func TestALeaderThatLeavesHandsOver(t *testing.T) {
 	w := New(t, building(nil))
 	w.Start()
-	c := w.Come(Load{PerSecond: 60, Holds: 300 * time.Millisecond})
+	c := w.StartClients(Load{PerSecond: 60, HoldTime: 300 * time.Millisecond})
 	served(c, w.Names()...)
 	first := awaitLeader(w, "n3")
 	ask(w, first, "t1", "h1", 3*time.Second)
@@ -161,7 +161,7 @@
 func TestANodeThatIsCutOffDoesWithoutTheHorizonAndTheOrderWaitsBeyondIt(t *testing.T) {
 	t.Parallel()
 	w, c := begun(t, building(nil))
-	staff := w.Asker("staff")
+	staff := w.Requester("staff")
 	for _, turn := range [][2]string{{"t1", "h1"}, {"t2", "h2"}} {
 		ask(w, "n0", turn[0], turn[1], 4*time.Second)
 	}
@@ -192,9 +192,9 @@
 	t.Parallel()
 	w := New(t, building(nil))
 	w.Start()
-	c := w.Come(Load{PerSecond: 80, Holds: 300 * time.Millisecond})
+	c := w.StartClients(Load{PerSecond: 80, HoldTime: 300 * time.Millisecond})
 	served(c, w.Names()...)
-	staff := w.Asker("staff")
+	staff := w.Requester("staff")
 	ask(w, "n0", "t1", "h1", 3*time.Second)
 	awaitHorizon(w, "n3", "h1")
 	w.Node("n3").Pause()
@@ -211,7 +211,7 @@
 	w.Node("n3").Kill()
 	w.Part(true, "n3")
 	before := len(linesOf(w, "n3"))
-	w.Node("n3").Restart(Empty)
+	w.Node("n3").Restart(EmptyStore)
 	served(c, "n0", "n1", "n2")
 	assert.Len(t, linesOf(w, "n3"), before, "nothing was sent")
 	w.Heal()
@@ -224,11 +224,11 @@
 	w, c := begun(t, building(nil))
 	awaitLeader(w, "n3")
 	w.Node("n2").Kill()
-	w.Node("n2").Restart(Empty)
+	w.Node("n2").Restart(EmptyStore)
 	w.Await("the seat is a stranger", func() bool { return said(w, "has to take it in", "n2") })
 	work(w, c, "t1", "h1", w.Names()...) // the other two agree by themselves, and n2 has its right
 	w.Await("it is taken in", func() bool {
-		w.Asker("operator").TakeIn(awaitLeader(w, "n3"), "n2", "its disk was replaced")
+		w.Requester("operator").TakeIn(awaitLeader(w, "n3"), "n2", "its disk was replaced")
 		return said(w, "a seat is taken in", "n0", "n1")
 	})
 	ask(w, "n3", "t2", "h2", 3*time.Second)
@@ -241,7 +241,7 @@
 
 func linesOf(w *World, node string) (all []FirstLine) {
 	for _, h := range w.Hosts() {
-		all = append(all, h.Lines(node)...)
+		all = append(all, h.FirstLines(node)...)
 	}
 	return all
 }
@@ -253,7 +253,7 @@
 	w.Part(false, "n1")
 	w.Part(false, "n2")
 	w.Await("calls are refused, and say what to do", func() bool {
-		_, err := w.Asker("staff").Ask("n3", "t1", "h1", 1, nil)
+		_, err := w.Requester("staff").Ask("n3", "t1", "h1", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "what to do")
 	})
 	served(c, w.Names()...)
@@ -268,7 +268,7 @@
 	errs := make(chan error)
 	for _, h := range []string{"h0", "h1", "h2", "h3"} {
 		go func() {
-			errs <- w.Asker("staff-"+h).Work(context.Background(), "t-"+h, h, 1, func() { w.pause(200 * time.Millisecond) })
+			errs <- w.Requester("staff-"+h).Work(context.Background(), "t-"+h, h, 1, func() { w.pause(200 * time.Millisecond) })
 		}()
 	}
 	for range 4 {
@@ -283,10 +283,10 @@
 	w.Start()
 	var err error
 	w.Await("the council knows the hosts", func() bool {
-		_, err = w.Asker("staff").Ask("n3", "t1", "nowhere", 1, nil)
+		_, err = w.Requester("staff").Ask("n3", "t1", "nowhere", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "nowhere")
 	})
 	assert.ErrorContains(t, err, "what to do")
-	assert.ErrorContains(t, w.Asker("operator").call(Op{Node: "n0", Kind: "DeclareDead"},
+	assert.ErrorContains(t, w.Requester("operator").call(Op{Node: "n0", Kind: "DeclareDead"},
 		map[string]any{"node": "n3", "by": "x", "why": "y"}, nil, nil), "may be one")
 }
--- a/rehearsal/processes/upgrade_test.go
+++ b/rehearsal/processes/upgrade_test.go
@@ -13,9 +13,9 @@
 // lasting starts a building whose nodes keep the address for their peers over an upgrade, as a site's nodes do.
 func lasting(t *testing.T) (*World, *Clients) {
 	addresses := map[string]string{}
-	w, c := begun(t, building(func(name string, f *sitepb.File) { f.Listen = or(addresses[name], f.Listen) }))
+	w, c := begun(t, building(func(name string, f *sitepb.File) { f.Listen = orDefault(addresses[name], f.Listen) }))
 	for _, n := range w.Names() {
-		addresses[n] = w.Node(n).Desk()
+		addresses[n] = w.Node(n).OperatorAddr()
 	}
 	return w, c
 }
@@ -23,8 +23,8 @@
 // upgraded waits until a new process of a node takes part in the affairs of its site and serves clients.
 func upgraded(w *World, c *Clients, node string, mark int) {
 	w.t.Helper()
-	w.Node(node).LoggedSince(mark, "msg=serving")
-	w.Node(node).LoggedSince(mark, "open to peers")
+	w.Node(node).AwaitLoggedSince(mark, "msg=serving")
+	w.Node(node).AwaitLoggedSince(mark, "open to peers")
 	served(c, node)
 }
 
@@ -34,8 +34,8 @@
 	w, c := lasting(t)
 	seat := awaitLeader(w, "n3")
 	n := w.Node(seat)
-	desk, serving := n.Desk(), n.Listen()
-	require.NoError(t, w.Asker("staff").Work(context.Background(), "t1", "h1", 1, func() {
+	desk, serving := n.OperatorAddr(), n.ClientAddr()
+	require.NoError(t, w.Requester("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		mark := n.Mark()
 		former := n.Upgrade()
 		upgraded(w, c, seat, mark)
@@ -43,7 +43,7 @@
 		assert.Zero(t, former.AwaitEnd())
 		served(c, w.Names()...)
 	}))
-	assert.Equal(t, []string{desk, serving}, []string{n.Desk(), n.Listen()})
+	assert.Equal(t, []string{desk, serving}, []string{n.OperatorAddr(), n.ClientAddr()})
 	work(w, c, "t2", "h2", w.Names()...)
 	// The upgraded seat counts: without one of the others it is needed.
 	gone := follower(w)
@@ -64,11 +64,11 @@
 	n := w.Node(seat)
 	mark := n.Mark()
 	n.Upgrade()
-	n.LoggedSince(mark, "open to peers") // it has the store by now, and waits until the former one's right is over
+	n.AwaitLoggedSince(mark, "open to peers") // it has the store by now, and waits until the former one's right is over
 	mark = n.Mark()
 	n.Kill()
 	require.True(t, n.Runs(), "the former one does")
-	n.LoggedSince(mark, "open to peers")
+	n.AwaitLoggedSince(mark, "open to peers")
 	served(c, w.Names()...)
 	work(w, c, "t1", "h1", w.Names()...)
 	gone := awaitLeader(w, "n3")
@@ -89,13 +89,13 @@
 	mark := n.Mark()
 	n.Upgrade()
 	upgraded(w, c, "n0", mark)
-	n.LoggedSince(mark, "leads the council")
+	n.AwaitLoggedSince(mark, "leads the council")
 	most = 2
 	mark = n.Mark()
 	n.Reload()
-	n.LoggedSince(mark, "configuration read again")
+	n.AwaitLoggedSince(mark, "configuration read again")
 	n.Kill()
-	n.LoggedSince(mark, "open to peers")
+	n.AwaitLoggedSince(mark, "open to peers")
 	for _, i := range []string{"0", "1"} {
 		ask(w, "n0", "t"+i, "h"+i, 0)
 	}
--- a/rehearsal/processes/world.go
+++ b/rehearsal/processes/world.go
@@ -69,7 +69,7 @@
 	t         testing.TB
 	ctx       context.Context
 	over      <-chan struct{}
-	news      news // of all parts
+	news      notifier // of all parts
 	order     []string
 	nodes     map[string]*Node
 	siteOf    map[string]*Site
@@ -134,7 +134,7 @@
 	program := Build(t)
 	for _, n := range w.order {
 		w.fronts[n] = NewLink(t, "clients", n, "")
-		w.discovery[n] = NewLink(t, n, "discovery", w.Discovery.serve(n))
+		w.discovery[n] = NewLink(t, n, "discovery", w.Discovery.serveNode(n))
 		for _, m := range w.order {
 			if m != n {
 				w.peers[[2]string{n, m}] = NewLink(t, n, m, "")
@@ -204,7 +204,7 @@
 		for _, m := range w.order {
 			if n != m && slices.Contains(side, n) != slices.Contains(side, m) {
 				if hold {
-					w.Link(n, m).Silence()
+					w.Link(n, m).Stall()
 				} else {
 					w.Link(n, m).Cut()
 				}
@@ -229,10 +229,10 @@
 			}
 		}
 		for _, h := range w.hosts {
-			h.Silence(n, false)
+			h.SetUnresponsive(n, false)
 		}
 	}
-	w.Discovery.Down(false)
+	w.Discovery.SetDown(false)
 }
 
 // Await waits until cond holds, which is looked at whenever a part of the world has changed: a query reached a host, a node
@@ -256,7 +256,7 @@
 
 // Until waits until cond holds or the world ends, and says which. Unlike Await it may be called on any goroutine and fails nothing.
 func (w *World) Until(cond func() bool) bool {
-	w.until(cond)
+	w.waitUntil(cond)
 	return w.ctx.Err() == nil
 }
 
@@ -284,7 +284,7 @@
 func (w *World) Lines() []FirstLine {
 	var all []FirstLine
 	for _, h := range w.hosts {
-		all = append(all, h.Lines("")...)
+		all = append(all, h.FirstLines("")...)
 	}
 	slices.SortStableFunc(all, func(a, b FirstLine) int { return int(a.At - b.At) })
 	return all
--- a/rehearsal/processes/world_test.go
+++ b/rehearsal/processes/world_test.go
@@ -24,7 +24,7 @@
 func each(w *World, c *Clients, more int) {
 	w.t.Helper()
 	for _, n := range w.Names() {
-		c.AwaitUp(more, n)
+		c.AwaitServed(more, n)
 	}
 }
 
@@ -34,12 +34,12 @@
 	t.Parallel()
 	w := New(t, three())
 	w.Start()
-	c := w.Come(Load{PerSecond: 80, Holds: 200 * time.Millisecond})
+	c := w.StartClients(Load{PerSecond: 80, HoldTime: 200 * time.Millisecond})
 	each(w, c, 5)
 	for _, n := range w.Names() {
 		assert.NotEmpty(t, func() (all []FirstLine) {
 			for _, h := range w.Hosts() {
-				all = append(all, h.Lines(n)...)
+				all = append(all, h.FirstLines(n)...)
 			}
 			return all
 		}(), n)
@@ -48,31 +48,31 @@
 	n0 := w.Node("n0")
 	n0.Kill()
 	require.False(t, n0.Runs())
-	unmet := c.Report().Unmet
-	c.AwaitUp(10, "n1")
-	w.Await("the dead node's clients are refused", func() bool { return c.Report().Unmet > unmet })
-	n0.Restart(Kept)
-	c.AwaitUp(5, "n0")
+	unmet := c.Report().ConnectFailed
+	c.AwaitServed(10, "n1")
+	w.Await("the dead node's clients are refused", func() bool { return c.Report().ConnectFailed > unmet })
+	n0.Restart(KeepStore)
+	c.AwaitServed(5, "n0")
 
 	n1 := w.Node("n1")
 	n1.Pause()
 	require.True(t, n1.Paused())
 	paused := w.Now()
-	c.AwaitUp(10, "n2")
-	w.Await("clients of the node that stands still get nothing", func() bool { return c.Report().Lost > 0 })
-	c.AwaitUp(10, "n0")
+	c.AwaitServed(10, "n2")
+	w.Await("clients of the node that stands still get nothing", func() bool { return c.Report().Unanswered > 0 })
+	c.AwaitServed(10, "n0")
 	for _, l := range linesOf(w, "n1") { // by the kernel's times: an answer may be read late
 		require.LessOrEqual(t, l.At, paused)
 	}
 	n1.Continue()
-	c.AwaitUp(5, "n1")
+	c.AwaitServed(5, "n1")
 
 	w.ToDiscovery("n2").Cut()
 	h := w.Host("h0")
 	h.Drain()
 	drained := w.Now()
 	w.Await("the node that is cut off still sends to it", func() bool {
-		for _, l := range h.Lines("n2") {
+		for _, l := range h.FirstLines("n2") {
 			if l.At > drained {
 				return true
 			}
@@ -87,9 +87,9 @@
 	c.Stop()
 	r := c.Report()
 	t.Log(r)
-	assert.Equal(t, r.Asked, r.Up+r.Busy+r.Failed+r.Lost)
-	assert.Positive(t, r.Within(0.5))
-	assert.EqualValues(t, r.Up, r.Latency.GetCount())
+	assert.Equal(t, r.Requests, r.Served+r.Busy+r.Failed+r.Unanswered)
+	assert.Positive(t, r.LatencyQuantile(0.5))
+	assert.EqualValues(t, r.Served, r.Latency.GetCount())
 	w.RequireSound(Allowance{Site: 1})
 	for _, n := range w.Names() {
 		w.Node(n).Stop()
@@ -101,29 +101,29 @@
 	t.Parallel()
 	w := New(t, three())
 	w.Start()
-	c := w.Come(Load{PerSecond: 80, Holds: 100 * time.Millisecond})
+	c := w.StartClients(Load{PerSecond: 80, HoldTime: 100 * time.Millisecond})
 	each(w, c, 2)
 	h, other := w.Host("h1"), w.Host("h2")
-	h.Begin()
+	h.BeginWork()
 	require.True(t, h.InWork())
-	n := len(h.Lines(""))
-	w.Await("lines come all the same", func() bool { return len(h.Lines("")) > n+1 })
-	h.Finish()
+	n := len(h.FirstLines(""))
+	w.Await("lines come all the same", func() bool { return len(h.FirstLines("")) > n+1 })
+	h.EndWork()
 	got := h.Violations()
 	require.NotEmpty(t, got)
 	require.Equal(t, len(got), len(w.Violations(Allowance{})), "no others are found")
-	w.Await("more come", func() bool { return len(h.Lines("")) > n+5 })
+	w.Await("more come", func() bool { return len(h.FirstLines("")) > n+5 })
 	assert.Len(t, h.Violations(), len(got), "those after its work are none")
 
 	other.Kill()
-	require.Zero(t, other.Standing())
-	n = len(other.Lines(""))
-	c.AwaitUp(20, "")
-	require.Len(t, other.Lines(""), n)
+	require.Zero(t, other.OpenConns())
+	n = len(other.FirstLines(""))
+	c.AwaitServed(20, "")
+	require.Len(t, other.FirstLines(""), n)
 	other.Start()
-	w.Await("it is in use again", func() bool { return len(other.Lines("")) > n })
+	w.Await("it is in use again", func() bool { return len(other.FirstLines("")) > n })
 
-	w.Discovery.Down(true)
+	w.Discovery.SetDown(true)
 	calls := w.Discovery.Calls("n1")
 	w.Await("discovery fails", func() bool { return w.Discovery.Calls("n1") > calls+1 })
 	w.Heal()
@@ -151,12 +151,12 @@
 	require.False(t, n.Paused())
 	require.NoError(t, os.WriteFile(path, []byte("newer"), 0o600))
 	for _, tc := range []struct {
-		store Store
+		store StoreChange
 		want  string
-	}{{Kept, "newer"}, {Torn("", 3), "new"}, {Older(copied), "older"}, {Torn("a", 1), "o"}, {Empty, syscall.ENOENT.Error()}} {
+	}{{KeepStore, "newer"}, {TornStore("", 3), "new"}, {StaleStore(copied), "older"}, {TornStore("a", 1), "o"}, {EmptyStore, syscall.ENOENT.Error()}} {
 		n.Restart(tc.store)
 		assert.Equal(t, tc.want, read())
-		n.Logged("msg=serving", "discovery=")
+		n.AwaitLogged("msg=serving", "discovery=")
 	}
 	shared := func() string {
 		all, err := filepath.Glob(filepath.Join(n.dir, "tmp", "*.state"))
@@ -166,7 +166,7 @@
 		require.NoError(t, err)
 		return string(b)
 	}
-	entry := fmt.Sprintf(`"PID":%d`, n.present.pid())
+	entry := fmt.Sprintf(`"PID":%d`, n.current.pid())
 	require.Contains(t, shared(), entry)
 	n.LimitFiles(1)
 	n.Stop()
@@ -189,32 +189,32 @@
 		before := w.Now()
 		_, err = fmt.Fprintf(c, "OPEN %d 1 c=chat\r\n", i)
 		require.NoError(t, err)
-		w.Await("it is read", func() bool { return len(h.Lines("n1")) == i+1 })
+		w.Await("it is read", func() bool { return len(h.FirstLines("n1")) == i+1 })
 		const apart = 2 * time.Millisecond // of the two clocks at most
-		assert.Greater(t, h.Lines("n1")[i].At, before-apart)
-		assert.Less(t, h.Lines("n1")[i].At, w.Now()+apart)
+		assert.Greater(t, h.FirstLines("n1")[i].At, before-apart)
+		assert.Less(t, h.FirstLines("n1")[i].At, w.Now()+apart)
 		c.Close()
 	}
-	assert.Empty(t, h.Lines("n0"))
+	assert.Empty(t, h.FirstLines("n0"))
 	past, now := w.when(time.Now().Add(-time.Hour).UnixNano()), w.Now()
 	assert.InDelta(t, now-time.Hour, past, float64(time.Second), "a line that was read late came when it came")
 
-	h.Silence("n1", true)
+	h.SetUnresponsive("n1", true)
 	answer := func(node string) string {
 		c, err := net.Dial("tcp4", h.endpoint(node))
 		require.NoError(t, err)
 		defer c.Close()
-		before := len(h.Lines(node))
+		before := len(h.FirstLines(node))
 		_, err = fmt.Fprint(c, "OPEN 1 1 c=chat\r\n")
 		require.NoError(t, err)
-		w.Await("it is read", func() bool { return len(h.Lines(node)) > before })
+		w.Await("it is read", func() bool { return len(h.FirstLines(node)) > before })
 		if node == "n1" {
 			require.NoError(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 			_, err = c.Read(make([]byte, 1))
 			require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 			w.Heal()
 		}
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(Patience)))
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(EventTimeout)))
 		line, err := bufio.NewReader(c).ReadString('\n')
 		require.NoError(t, err)
 		return line
@@ -228,8 +228,8 @@
 	t.Parallel()
 	w := New(t, three())
 	w.Start()
-	c := w.Come(Load{PerSecond: 60, Holds: 200 * time.Millisecond, Deadline: time.Second})
-	w.Play(Faults(3, w.Names(), 3*time.Second))
+	c := w.StartClients(Load{PerSecond: 60, HoldTime: 200 * time.Millisecond, Deadline: time.Second})
+	w.RunFaults(RandomFaults(3, w.Names(), 3*time.Second))
 	each(w, c, 5)
 	c.Stop()
 	t.Log(c.Report())
--- a/rehearsal/processes/writes_test.go
+++ b/rehearsal/processes/writes_test.go
@@ -33,7 +33,7 @@
 	r := &peerpb.WriteReply{}
 	w.Await(node+" takes "+value+" for "+thing, func() bool {
 		r.Reset()
-		return w.Asker("staff").call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": kind, "thing": thing, "value": value,
+		return w.Requester("staff").call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": kind, "thing": thing, "value": value,
 			"by": "staff", "token": token}, r, nil) == nil && r.Id != ""
 	})
 	return r
@@ -42,7 +42,7 @@
 // read returns what holds of a thing at a node, and what became of a write.
 func read(w *World, node, kind, thing, id string) *peerpb.ReadReply {
 	r := &peerpb.ReadReply{}
-	if w.Asker("staff").call(Op{Node: node, Kind: "Read"}, map[string]any{"kind": kind, "thing": thing, "id": id}, r, nil) != nil {
+	if w.Requester("staff").call(Op{Node: node, Kind: "Read"}, map[string]any{"kind": kind, "thing": thing, "id": id}, r, nil) != nil {
 		return &peerpb.ReadReply{}
 	}
 	return r
@@ -65,7 +65,7 @@
 		w.Await(n+" sends nothing more to "+host, func() bool {
 			before := w.Now()
 			served(c, n)
-			lines := w.Host(host).Lines(n)
+			lines := w.Host(host).FirstLines(n)
 			return len(lines) == 0 || lines[len(lines)-1].At < before
 		})
 	}
@@ -75,8 +75,8 @@
 func awaitSome(w *World, host string, nodes ...string) {
 	w.t.Helper()
 	for _, n := range nodes {
-		before := len(w.Host(host).Lines(n))
-		w.Await(n+" sends to "+host+" again", func() bool { return len(w.Host(host).Lines(n)) > before })
+		before := len(w.Host(host).FirstLines(n))
+		w.Await(n+" sends to "+host+" again", func() bool { return len(w.Host(host).FirstLines(n)) > before })
 	}
 }
 
@@ -85,7 +85,7 @@
 	t.Parallel()
 	w := New(t, line())
 	w.Start()
-	c := w.Come(Load{PerSecond: 100, Holds: 200 * time.Millisecond})
+	c := w.StartClients(Load{PerSecond: 100, HoldTime: 200 * time.Millisecond})
 	served(c, w.Names()...)
 	for _, n := range []string{"p0", "r0", "b0"} {
 		awaitLeader(w, n)
@@ -122,7 +122,7 @@
 	second := write(w, "b0", "work", "host/h2", "begun patch", "")
 	w.Await("it has come to the top by itself", func() bool { return read(w, "b0", "", "", second.Id).Receipt == "applied" })
 	assert.Equal(t, "begun patch", read(w, "p0", "work", "host/h2", "").Value)
-	w.Node("r0").Restart(Kept)
+	w.Node("r0").Restart(KeepStore)
 	third := write(w, "b0", "work", "host/h2", "done patch", "")
 	w.Await("the parent knows all of it", func() bool { return read(w, "r0", "work", "host/h2", "").Value == "done patch" })
 	w.Await("nothing waits any more", func() bool {
@@ -176,7 +176,7 @@
 		"thing": {"kind": "safety", "thing": "", "value": "out"},
 		"token": {"kind": "safety", "thing": "host/h1", "value": "out", "token": "torn"},
 	} {
-		err := w.Asker("staff").call(Op{Node: "b1", Kind: "Write"}, in, &peerpb.WriteReply{}, nil)
+		err := w.Requester("staff").call(Op{Node: "b1", Kind: "Write"}, in, &peerpb.WriteReply{}, nil)
 		require.ErrorContains(t, err, want)
 		assert.ErrorContains(t, err, "what to do")
 	}
@@ -197,8 +197,8 @@
 		write(w, rest[0], "note", fmt.Sprint("thing/", i), strings.Repeat(string(rune('a'+i%26)), 60<<10), "")
 	}
 	back := w.Now()
-	w.Node(away).Restart(Kept)
-	line := w.Node(away).Logged("was far behind")
+	w.Node(away).Restart(KeepStore)
+	line := w.Node(away).AwaitLogged("was far behind")
 	t.Logf("%v after the start: %s", w.Now()-back, line)
 	w.Node(rest[1]).Kill()
 	last := write(w, away, "note", "thing/last", "x", "")
--- a/rehearsal/soak/good.go
+++ b/rehearsal/soak/good.go
@@ -123,7 +123,7 @@
 func (r *Record) linesOf() map[string][]line {
 	of := map[string][]line{}
 	for _, l := range r.Lines {
-		of[l.ID] = append(of[l.ID], line{l.At, l.Answer})
+		of[l.ID] = append(of[l.ID], line{l.At, l.Response})
 	}
 	for _, lines := range of {
 		slices.SortFunc(lines, func(a, b line) int { return cmp.Compare(a.at, b.at) })
--- a/rehearsal/soak/judge.go
+++ b/rehearsal/soak/judge.go
@@ -150,8 +150,8 @@
 			continue
 		}
 		before, again := first[l.ID]
-		c.take(again, "%s at %s at %s, answered %q, and at %s at %s", l.ID, before.Host, before.At, before.Answer, l.Host, l.At)
-		if !strings.HasPrefix(l.Answer, "BUSY") { // which promises that it has not run
+		c.take(again, "%s at %s at %s, answered %q, and at %s at %s", l.ID, before.Host, before.At, before.Response, l.Host, l.At)
+		if !strings.HasPrefix(l.Response, "BUSY") { // which promises that it has not run
 			first[l.ID] = l
 		}
 	}
@@ -162,7 +162,7 @@
 func (r *Record) copies() Ruling {
 	c := counting("second copies")
 	for _, l := range r.Lines {
-		c.take(l.Copy, "%s at %s at %s", l.ID, l.Host, l.At)
+		c.take(l.Concurrent, "%s at %s at %s", l.ID, l.Host, l.At)
 	}
 	return c
 }
--- a/rehearsal/soak/plan.go
+++ b/rehearsal/soak/plan.go
@@ -59,7 +59,7 @@
 	Host      string
 	Signals   Signals
 	FrontOn   time.Duration // for how long after SIGTERM new connections go on coming
-	Trouble   processes.Trouble
+	Trouble   processes.DiscoveryFault
 	Answer    string // of HostFails
 }
 
@@ -110,7 +110,7 @@
 )
 
 // answers are those of hosts that fail.
-var answers = [...]string{"ERR", "BUSY", processes.Breaks}
+var answers = [...]string{"ERR", "BUSY", processes.ResetConnection}
 
 // failingPart is the part of the requests that a host which fails answers so.
 const failingPart = 0.5
@@ -157,7 +157,7 @@
 	}
 	for at := between(0, time.Second); at < p.Lasts; at += between(100*time.Millisecond, 900*time.Millisecond) {
 		e := Event{At: at, Kind: Kind(rng.IntN(int(kinds))), Signals: Signals(rng.IntN(int(signals))), FrontOn: between(frontLeast, frontMost),
-			Trouble: processes.Trouble(1 + rng.IntN(int(processes.Endless))), Lasts: between(time.Second, 4*time.Second),
+			Trouble: processes.DiscoveryFault(1 + rng.IntN(int(processes.DiscoveryEndless))), Lasts: between(time.Second, 4*time.Second),
 			Answer: answers[rng.IntN(len(answers))]}
 		node, host := p.Nodes[rng.IntN(len(p.Nodes))], fmt.Sprint("h", rng.IntN(p.Hosts))
 		key := node
--- a/rehearsal/soak/play.go
+++ b/rehearsal/soak/play.go
@@ -79,7 +79,7 @@
 	g.awaitRest()
 	g.stopAll()
 	rec.note(func(r *Record) {
-		r.Lines, r.Told, r.Violations = w.Lines(), w.Discovery.Told(), append(r.Violations, w.Violations(processes.Allowance{})...)
+		r.Lines, r.Told, r.Violations = w.Lines(), w.Discovery.Sent(), append(r.Violations, w.Violations(processes.Allowance{})...)
 	})
 	return rec.record()
 }
@@ -235,8 +235,8 @@
 		g.Node(e.Node).Reload()
 		g.Node(e.Node).Reload()
 	case Discovery:
-		g.span(e, func() { g.Discovery.Does(e.Trouble) }, func(r *Record, s Span) { r.Unreachable = append(r.Unreachable, s) })
-		g.Discovery.Does(processes.NoTrouble)
+		g.span(e, func() { g.Discovery.SetFault(e.Trouble) }, func(r *Record, s Span) { r.Unreachable = append(r.Unreachable, s) })
+		g.Discovery.SetFault(processes.DiscoveryHealthy)
 	case HostDrains:
 		h := g.Host(e.Host)
 		g.span(e, h.Drain, func(r *Record, s Span) { r.Drains[e.Host] = append(r.Drains[e.Host], s) })
@@ -262,7 +262,7 @@
 
 func (g *player) hang(host string, on bool) {
 	for _, n := range g.plan.Nodes {
-		g.Host(host).Silence(n, on)
+		g.Host(host).SetUnresponsive(n, on)
 	}
 }
 
@@ -323,11 +323,11 @@
 	term := g.Now()
 	g.life(life, func(l *Life) { l.Term = term })
 	former.Leave()
-	g.endBy(life, term+g.plan.Kill(), former.Runs, former.Kill, former.AwaitEnd)
+	g.endBy(life, term+g.plan.Kill(), former.IsRunning, former.Kill, former.AwaitEnd)
 }
 
 // succeed starts a later process of a node and waits until it serves. It returns the former one and the number of its life.
-func (g *player) succeed(node string) (former *processes.Former, life int, serves bool) {
+func (g *player) succeed(node string) (former *processes.Predecessor, life int, serves bool) {
 	n, life := g.Node(node), g.present(node)
 	later, mark := g.begins(node), n.Mark()
 	former = n.Upgrade()
--- a/rehearsal/soak/record.go
+++ b/rehearsal/soak/record.go
@@ -96,7 +96,7 @@
 	Connections []Connection
 	Lives       []Life
 	Lines       []processes.FirstLine
-	Told        []processes.Told
+	Told        []processes.SentState
 	Drains      map[string][]Span // of hosts, from when discovery has it
 	Hangs       map[string][]Span
 	Downs       map[string][]Span // hosts that did not run
