--- a/rehearsal/processes/affairs_test.go
+++ b/rehearsal/processes/affairs_test.go
@@ -28,13 +28,13 @@
 // A node burns down, and the turn beyond what it had acknowledged waits until an operator says so, with the risk.
 func TestATurnWaitsForANodeUntilItIsDeclaredDead(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	coming(w, "n3", "t1", "h1")
-	w.Part(true, "n3")
+	w, c := startBuilding(t, buildingPlan(nil))
+	requestUpcomingTurn(w, "n3", "t1", "h1")
+	w.Partition(true, "n3")
 	w.Node("n3").Kill()
-	rest := others(w, "n3")
-	work(w, c, "t1", "h1", rest...)
-	ask(w, "n0", "t5", "h5", 0)
+	rest := otherNodes(w, "n3")
+	workOn(w, c, "t1", "h1", rest...)
+	requestTurn(w, "n0", "t5", "h5", 0)
 	w.Await("the turn waits for the node that is gone alone", func() bool {
 		return strings.HasPrefix(waits(w, "n0", "t5"), "n3: the node is cut off")
 	})
@@ -45,11 +45,11 @@
 	assert.Equal(t, "failed_precondition", no.Code)
 	assert.Contains(t, no.Message, "n3 may be one")
 	assert.Contains(t, no.Message, "i_know_that_it_may_still_send true")
-	served(c, rest...)
+	awaitServed(c, rest...)
 	assert.Contains(t, waits(w, "n0", "t5"), "n3: the node is cut off", "the call has changed nothing")
 
 	require.NoError(t, w.Asker("operator").DeclareDead("n0", "n3", "burnt"))
-	work(w, c, "t5", "h5", rest...)
+	workOn(w, c, "t5", "h5", rest...)
 
 	w.Heal()
 	w.Node("n3").Start()
@@ -57,7 +57,7 @@
 	assert.Contains(t, line, "was declared dead")
 	assert.Contains(t, line, "TakeIn")
 	require.NoError(t, w.Asker("operator").TakeIn("n0", "n3", "mended"))
-	coming(w, "n3", "t2", "h2") // it is asked again, and the council goes by what it says
-	require.NoError(t, w.Asker("staff").Work(context.Background(), "t2", "h2", 1, func() { served(c, w.Names()...) }))
-	w.RequireSound(two)
+	requestUpcomingTurn(w, "n3", "t2", "h2") // it is asked again, and the council goes by what it says
+	require.NoError(t, w.Asker("staff").Work(context.Background(), "t2", "h2", 1, func() { awaitServed(c, w.Names()...) }))
+	w.RequireNoViolations(twoPerSite)
 }
--- a/rehearsal/processes/asker.go
+++ b/rehearsal/processes/asker.go
@@ -53,7 +53,7 @@
 	h.mu.Lock()
 	h.ops = append(h.ops, op)
 	h.mu.Unlock()
-	h.w.news.tell()
+	h.w.changes.tell()
 }
 
 // Refusal is an error that a node answered.
@@ -216,7 +216,7 @@
 // anyNode is a node that runs and is not paused, as the seed chooses; "" where there is none.
 func (a *Asker) anyNode() string {
 	var all []string
-	for _, n := range a.w.order {
+	for _, n := range a.w.nodeNames {
 		if node := a.w.nodes[n]; node.Desk() != "" && !node.Paused() && (a.Nodes == nil || slices.Contains(a.Nodes, n)) {
 			all = append(all, n)
 		}
@@ -232,7 +232,7 @@
 // Work asks for a turn, has the work done once it is granted and begun, and says that it is done. It goes from node to node
 // while it gets no answer, and gives up when patience or ctx is over. The host knows that it is in work meanwhile.
 func (a *Asker) Work(ctx context.Context, id, host string, minutes int, do func()) error {
-	ctx, end := context.WithTimeout(ctx, patience(a.w.t, 2*Patience))
+	ctx, end := context.WithTimeout(ctx, waitLimit(a.w.t, 2*Patience))
 	defer end()
 	var last error
 	// on looks whether to go on, after a while.
@@ -242,7 +242,7 @@
 		select {
 		case <-timer.C:
 			return nil
-		case <-a.w.over:
+		case <-a.w.done:
 			return errors.Join(errors.New("the world has ended"), last)
 		case <-ctx.Done():
 			return fmt.Errorf("turn %s of %s: %w; last: %w", id, host, ctx.Err(), last)
--- a/rehearsal/processes/asker_test.go
+++ b/rehearsal/processes/asker_test.go
@@ -61,7 +61,7 @@
 // An asker works its way through a turn in plain JSON, over refusals, and its history has the grant.
 func TestAnAskerWorksItsWayThroughATurn(t *testing.T) {
 	t.Parallel()
-	w := New(t, three())
+	w := New(t, threeNodePlan())
 	_, handler := peerpbconnect.NewDeskHandler(&desk{})
 	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
@@ -70,7 +70,7 @@
 	require.ErrorContains(t, err, "not open", "without a site file there is no desk")
 	n1 := w.Node("n1")
 	n1.mu.Lock()
-	n1.present, n1.ended = &process{desk: strings.TrimPrefix(s.URL, "http://")}, false
+	n1.present, n1.ended = &process{apiAddr: strings.TrimPrefix(s.URL, "http://")}, false
 	n1.mu.Unlock()
 	t.Cleanup(func() { n1.ended = true }) // there is no process to kill
 	h, worked := w.Host("h0"), false
@@ -86,7 +86,7 @@
 	_, err = a.Turns("n1")
 	require.ErrorAs(t, err, &no)
 	assert.Equal(t, "unimplemented", no.Code)
-	w.RequireSound(Allowance{Site: 1})
+	w.RequireNoViolations(Allowance{Site: 1})
 }
 
 // The site file names all sites, the seats, and the peers at the addresses of this node's own links. A node knows the hosts
--- a/rehearsal/processes/beside.go
+++ b/rehearsal/processes/beside.go
@@ -21,7 +21,7 @@
 func (n *Node) Upgrade() *Former {
 	n.t.Helper()
 	n.mu.Lock()
-	f, serving := &Former{n, n.present}, n.told(servingOf)
+	f, serving := &Former{n, n.present}, n.currentAddress(clientAddrOf)
 	require.NotEmpty(n.t, serving, "%s does not serve", n.Name)
 	n.formers = append(n.formers, n.present)
 	n.mu.Unlock()
@@ -35,13 +35,13 @@
 // Kill ends the process at once, and returns once it is gone.
 func (f *Former) Kill() {
 	_ = f.cmd.Process.Signal(syscall.SIGKILL) // it may have ended
-	<-f.over
+	<-f.exited
 }
 
 // Runs says whether the process runs, as far as was noticed.
 func (f *Former) Runs() bool {
 	select {
-	case <-f.over:
+	case <-f.exited:
 		return false
 	default:
 		return true
@@ -53,7 +53,7 @@
 	f.n.t.Helper()
 	f.n.w.Await(f.n.Name+"'s former process ends", func() bool {
 		select {
-		case <-f.over:
+		case <-f.exited:
 			return true
 		default:
 			return false
--- a/rehearsal/processes/clients.go
+++ b/rehearsal/processes/clients.go
@@ -73,7 +73,7 @@
 	l.Holds, l.Every = or(l.Holds, 500*time.Millisecond), or(l.Every, 100*time.Millisecond)
 	l.Deadline, l.Again, l.Class, l.Worth = or(l.Deadline, 3*time.Second), or(l.Again, 5), or(l.Class, "chat"), or(l.Worth, 1)
 	if l.Nodes == nil {
-		l.Nodes = w.order
+		l.Nodes = w.nodeNames
 	}
 	sketch, err := ddsketch.NewDefaultDDSketch(0.01)
 	require.NoError(w.t, err)
@@ -144,14 +144,14 @@
 		return c.r.ByNode[node]
 	}
 	least := up() + more
-	c.w.news.await(c.w.t, fmt.Sprintf("%d more clients are served %s", more, node), func() bool { return up() >= least }, nil)
+	c.w.changes.await(c.w.t, fmt.Sprintf("%d more clients are served %s", more, node), func() bool { return up() >= least }, nil)
 }
 
 func (c *Clients) count(f func(*Report)) {
 	c.mu.Lock()
 	f(&c.r)
 	c.mu.Unlock()
-	c.w.news.tell()
+	c.w.changes.tell()
 }
 
 // come lets clients in, at times that the seed chooses.
@@ -177,7 +177,7 @@
 
 // pause waits, and says whether the clients go on.
 func (c *Clients) pause(long time.Duration) bool {
-	return wait(c.w.over, c.stop, long) && c.w.ctx.Err() == nil
+	return wait(c.w.done, c.stop, long) && c.w.ctx.Err() == nil
 }
 
 // client is one client: it comes, and comes again to the next node when it is sent away.
@@ -196,7 +196,7 @@
 
 // query brings one query to a node and holds what comes of it. It says whether the client comes again and after how long.
 func (c *Clients) query(node string, number, try int, holds time.Duration) (again bool, pause time.Duration) {
-	conn, err := net.Dial("tcp4", c.w.fronts[node].Addr())
+	conn, err := net.Dial("tcp4", c.w.clientLinks[node].Addr())
 	if err != nil {
 		c.count(func(r *Report) { r.Unmet++ })
 		return true, after
@@ -220,7 +220,7 @@
 		line += ",again=1"
 	}
 	begun := time.Now()
-	c.w.asked.Store(id, c.w.Now())
+	c.w.sentAt.Store(id, c.w.Now())
 	if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
 		c.count(func(r *Report) { r.Unmet++ })
 		return true, after
@@ -237,7 +237,7 @@
 		c.count(func(rep *Report) { rep.Lost++; rep.unserved(node) })
 		return true, after
 	case strings.HasPrefix(text, "UP "):
-		if given, _ := c.w.receipts.Load(text); given != id {
+		if given, _ := c.w.upLines.Load(text); given != id {
 			c.violate("%s said %q to query %s, which no host has said to it", node, text, id)
 		}
 		c.count(func(rep *Report) {
--- a/rehearsal/processes/clients_test.go
+++ b/rehearsal/processes/clients_test.go
@@ -29,7 +29,7 @@
 		"broken":                  {"UP h1.1\r\n", "", func(r Report) int { return r.Broken }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := New(t, Plan{Seed: 1, Alone: true, Sites: []Site{{Name: "b", Nodes: []string{"n0"}}}})
+			w := New(t, Plan{Seed: 1, NoSiteFile: true, Sites: []Site{{Name: "b", Nodes: []string{"n0"}}}})
 			ln, err := net.Listen("tcp4", "127.0.0.1:0")
 			require.NoError(t, err)
 			t.Cleanup(func() { ln.Close() })
@@ -41,13 +41,13 @@
 					}
 					line, _ := bufio.NewReader(c).ReadString('\n')
 					if strings.Contains(tc.says, "h1.1") { // this receipt is sound
-						w.receipts.Store("UP h1.1", strings.Fields(line + " - -")[1])
+						w.upLines.Store("UP h1.1", strings.Fields(line + " - -")[1])
 					}
 					_, _ = c.Write([]byte(tc.says))
 					_ = c.(*net.TCPConn).CloseWrite()
 				}
 			}()
-			w.fronts["n0"].Aim(ln.Addr().String())
+			w.clientLinks["n0"].Aim(ln.Addr().String())
 			c := w.Come(Load{PerSecond: 1000, Total: 1, Again: 1, Every: time.Millisecond})
 			w.Await("it is found", func() bool {
 				r := c.Report()
--- a/rehearsal/processes/discovery.go
+++ b/rehearsal/processes/discovery.go
@@ -102,7 +102,7 @@
 	d.mu.Lock()
 	d.does = t
 	d.mu.Unlock()
-	d.w.news.tell()
+	d.w.changes.tell()
 }
 
 // Told is what nodes were told so far, in that order.
@@ -125,7 +125,7 @@
 	d.rev++
 	d.revs[h] = d.rev
 	d.mu.Unlock()
-	d.w.news.tell()
+	d.w.changes.tell()
 }
 
 // list returns what a node is told that knows a version, and whether there is anything new; from 0 for all.
@@ -135,7 +135,7 @@
 	l := list{Rev: d.rev, All: from <= 0 || from > d.rev, Targets: []target{}}
 	for _, h := range d.hosts {
 		h.mu.Lock()
-		if h.seenBy(node) && (l.All && h.state != "terminated" || !l.All && d.revs[h] > from) {
+		if h.visibleTo(node) && (l.All && h.state != "terminated" || !l.All && d.revs[h] > from) {
 			t := target{UID: h.ID, Endpoint: h.endpoint(node), Zone: h.Zone, Model: h.Kind, Group: h.Group, State: h.state,
 				Capacity: h.Capacity}
 			if !h.boot.IsZero() {
@@ -152,9 +152,9 @@
 	d.mu.Lock()
 	d.calls[node]++
 	d.mu.Unlock()
-	d.w.news.tell()
+	d.w.changes.tell()
 	if in.Method != http.MethodGet || in.URL.Path != "/v1/servers" {
-		d.w.violate("%s asked discovery for %s %s", node, in.Method, in.URL)
+		d.w.addViolation("%s asked discovery for %s %s", node, in.Method, in.URL)
 		http.Error(out, "no such thing", http.StatusNotFound)
 		return
 	}
@@ -164,7 +164,7 @@
 	over := time.NewTimer(time.Duration(min(max(hold, 0), 60000)) * time.Millisecond)
 	defer over.Stop()
 	for waits := hold > 0; ; {
-		next := d.w.news.changed()
+		next := d.w.changes.changed()
 		d.mu.Lock()
 		does := d.does
 		d.mu.Unlock()
--- a/rehearsal/processes/faults.go
+++ b/rehearsal/processes/faults.go
@@ -145,7 +145,7 @@
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	begun := time.Now()
 	for _, e := range events {
-		if !w.pause(max(0, e.at-time.Since(begun))) {
+		if !w.sleep(max(0, e.at-time.Since(begun))) {
 			return
 		}
 		e.do()
@@ -175,9 +175,9 @@
 	case ResetLink:
 		w.Link(f.A, f.B).ResetAfter(f.Way, f.N)
 	case Isolate:
-		w.Part(false, f.A)
+		w.Partition(false, f.A)
 	case CutDiscovery:
-		w.ToDiscovery(f.A).Cut()
+		w.DiscoveryLink(f.A).Cut()
 	case DiscoveryDown:
 		w.Discovery.Down(true)
 	case Kill, KillOlder, KillEmpty, KillTorn:
@@ -199,7 +199,7 @@
 // logStanding logs how far a node is when something happens to its store, as it and the others of its site tell.
 func (w *World) logStanding(what, node string) {
 	for _, n := range w.siteOf[node].Nodes {
-		own, _, _ := strings.Cut(w.Node(n).standing(), "\n")
+		own, _, _ := strings.Cut(w.Node(n).status(), "\n")
 		w.t.Logf("%s: the store of %s %s: %s", w.Now().Round(time.Millisecond), node, what, own)
 	}
 }
@@ -207,15 +207,15 @@
 // reseat has two nodes of a site change their places in its files, and so a seat, and has all nodes of it read them that can. A node
 // that is down reads the file at its start.
 func (w *World) reseat(a, b string) {
-	w.hands.Lock()
-	defer w.hands.Unlock()
+	w.processMu.Lock()
+	defer w.processMu.Unlock()
 	s := w.siteOf[a]
 	changed := slices.Clone(s.Nodes) // others go through the former ones
 	i, j := slices.Index(changed, a), slices.Index(changed, b)
 	changed[i], changed[j] = b, a
 	s.Nodes = changed
-	delete(w.newSeat, a)
-	w.newSeat[b] = true
+	delete(w.newReplica, a)
+	w.newReplica[b] = true
 	for _, n := range changed {
 		w.nodes[n].Reload()
 	}
@@ -223,10 +223,10 @@
 
 // hand does something to a node's process, one at a time. down says whether the process is at a fault's mercy from then on.
 func (w *World) hand(node string, down bool, do func()) {
-	w.hands.Lock()
-	defer w.hands.Unlock()
+	w.processMu.Lock()
+	defer w.processMu.Unlock()
 	do()
-	w.down[node] = down
+	w.faulted[node] = down
 }
 
 // tryUpgrade starts a later process beside one that serves.
@@ -244,15 +244,15 @@
 		return
 	}
 	n.w.until(func() bool {
-		return n.is(f) || len(n.logged("msg=serving")) > 0 && (n.w.Plan.Alone || len(n.logged("open to peers")) > 0)
+		return n.is(f) || len(n.logged("msg=serving")) > 0 && (n.w.Plan.NoSiteFile || len(n.logged("open to peers")) > 0)
 	})
 	if n.is(f) {
 		return
 	}
 	_ = f.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-f.over:
-	case <-n.w.over:
+	case <-f.exited:
+	case <-n.w.done:
 	}
 }
 
@@ -266,10 +266,10 @@
 
 // until waits until cond holds or the world ends; unlike Await on any goroutine.
 func (w *World) until(cond func() bool) {
-	for next := w.news.changed(); !cond(); next = w.news.changed() {
+	for next := w.changes.changed(); !cond(); next = w.changes.changed() {
 		select {
 		case <-next:
-		case <-w.over:
+		case <-w.done:
 			return
 		}
 	}
@@ -289,38 +289,38 @@
 
 // HasLogged says whether a line after a mark holds a text.
 func (n *Node) HasLogged(mark int, text string) bool {
-	return slices.ContainsFunc(n.since(mark), func(line string) bool { return strings.Contains(line, text) })
+	return slices.ContainsFunc(n.linesSince(mark), func(line string) bool { return strings.Contains(line, text) })
 }
 
 // relieve ends a fault.
 func (w *World) relieve(f Fault, older string) {
 	switch f.Kind {
 	case Isolate:
-		for _, n := range w.order {
+		for _, n := range w.nodeNames {
 			if n != f.A {
 				w.Link(n, f.A).Heal()
 				w.Link(f.A, n).Heal()
 			}
 		}
 	case CutDiscovery:
-		w.ToDiscovery(f.A).Heal()
+		w.DiscoveryLink(f.A).Heal()
 	case DiscoveryDown:
 		w.Discovery.Down(false)
 	case Kill, KillOlder, KillEmpty, KillTorn:
 		store := map[FaultKind]Store{Kill: Kept, KillOlder: Older(older), KillEmpty: Empty, KillTorn: tornWhereLonger(int64(f.N))}[f.Kind]
 		w.hand(f.A, false, func() {
 			if losesStore(f.Kind) {
-				delete(w.newSeat, f.A) // one that it had, with another store
+				delete(w.newReplica, f.A) // one that it had, with another store
 			}
 			lacks := lacksNothing
 			if f.Shut {
 				lacks = w.Node(f.A).lacks(older)
 			}
 			if lacks != lacksNothing {
-				w.shut[f.A] = true
-				w.untilRight[f.A] = lacks == lacksWord
-				w.Front(f.A).Refuse()
-				w.Front(f.A).Reset()
+				w.closedToClients[f.A] = true
+				w.closedUntilLease[f.A] = lacks == lacksWord
+				w.ClientLink(f.A).Refuse()
+				w.ClientLink(f.A).Reset()
 			}
 			w.Node(f.A).Restart(store)
 		})
--- a/rehearsal/processes/figures_test.go
+++ b/rehearsal/processes/figures_test.go
@@ -25,8 +25,8 @@
 	const rounds = 5
 	for range rounds {
 		for on, alone := range []bool{true, false} {
-			p := building(nil)
-			p.Alone = alone
+			p := buildingPlan(nil)
+			p.NoSiteFile = alone
 			t.Run(map[bool]string{true: "off", false: "on"}[alone], func(t *testing.T) {
 				w := New(t, p)
 				w.Start()
@@ -59,13 +59,13 @@
 	var lost []float64
 	for i := range rounds {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			r := newTrial(t, Plan{Sites: single("n0", "n1", "n2", "n3")}, func(f *sitepb.File) { f.Rollout.Alpha, f.Rollout.Beta = 0.01, 0.05 })
+			r := newRolloutTest(t, Plan{Sites: singleSite("n0", "n1", "n2", "n3")}, func(f *sitepb.File) { f.Rollout.Alpha, f.Rollout.Beta = 0.01, 0.05 })
 			for _, h := range r.Hosts() {
 				h.Refuse(0.3, "ERR")
 			}
-			first := r.start(`{"permissions":{"max_attempts":1}}`, OnlyAttempt)
-			begun, before := r.Under(OnlyAttempt, first, 0)[0].At, r.clients.Report()
-			r.await("is halted", func(p *peerpb.Rollout) bool { return p.Phase != "running" })
+			first := r.startPolicy(`{"permissions":{"max_attempts":1}}`, SingleAttempt)
+			begun, before := r.ObservationsOf(SingleAttempt, first, 0)[0].At, r.clients.Report()
+			r.awaitRollout("is halted", func(p *peerpb.Rollout) bool { return p.Phase != "running" })
 			halted := r.Now()
 			r.awaitHalted("regression")
 			back, after := r.Now(), r.clients.Report()
--- a/rehearsal/processes/host.go
+++ b/rehearsal/processes/host.go
@@ -53,7 +53,7 @@
 func newHost(w *World, p HostPlan) *Host {
 	h := &Host{HostPlan: p, w: w, ports: make(map[string]*port), conns: make(map[*net.TCPConn]bool), state: "in_service",
 		silent: make(map[string]bool)}
-	for _, n := range w.order {
+	for _, n := range w.nodeNames {
 		h.ports[n] = newPort(w.t)
 	}
 	w.t.Cleanup(h.down)
@@ -66,7 +66,7 @@
 	h.running, h.drains, h.state = true, false, "in_service"
 	h.mu.Unlock()
 	for node, p := range h.ports {
-		require.NoError(h.w.t, p.open(func(c *net.TCPConn) { go h.serve(node, c) }))
+		require.NoError(h.w.t, p.listen(func(c *net.TCPConn) { go h.serve(node, c) }))
 	}
 }
 
@@ -84,7 +84,7 @@
 	for _, c := range all {
 		reset(c)
 	}
-	h.w.news.tell()
+	h.w.changes.tell()
 	h.serving.Wait()
 }
 
@@ -132,7 +132,7 @@
 	h.mu.Lock()
 	h.silent[node] = on
 	h.mu.Unlock()
-	h.w.news.tell()
+	h.w.changes.tell()
 }
 
 // Breaks, as an answer of Refuse, has the host reset the connection of a query that it has read.
@@ -227,7 +227,7 @@
 // hushed waits while the host says nothing to a node, and says whether it goes on.
 func (h *Host) hushed(node string) bool {
 	for {
-		next := h.w.news.changed()
+		next := h.w.changes.changed()
 		h.mu.Lock()
 		silent, running := h.silent[node], h.running
 		h.mu.Unlock()
@@ -236,7 +236,7 @@
 		}
 		select {
 		case <-next:
-		case <-h.w.over:
+		case <-h.w.done:
 			return false
 		}
 	}
@@ -258,9 +258,9 @@
 		h.mu.Lock()
 		delete(h.conns, c)
 		h.mu.Unlock()
-		h.w.news.tell()
+		h.w.changes.tell()
 	}()
-	from, err := newStamped(c, h.w)
+	from, err := newTimestampedReader(c, h.w)
 	if err != nil {
 		return // it was reset just now
 	}
@@ -275,8 +275,8 @@
 	for begun := false; ; {
 		line, err := r.ReadString('\n')
 		if err != nil {
-			if errors.Is(err, errNoStamp) {
-				h.w.violate("%v: the checkers cannot judge", err)
+			if errors.Is(err, errNoTimestamp) {
+				h.w.addViolation("%v: the checkers cannot judge", err)
 			}
 			return
 		}
@@ -301,11 +301,11 @@
 		}
 		words := strings.Fields(line)
 		if len(words) != 4 || words[0] != "OPEN" {
-			h.w.violate("%s sent %s what is no first line: %.80q", node, h.ID, line)
+			h.w.addViolation("%s sent %s what is no first line: %.80q", node, h.ID, line)
 			say("SYNTAX")
 			return
 		}
-		first := FirstLine{Host: h.ID, Node: node, ID: words[1], Line: line, At: from.at, Copy: h.w.attempts.begin(words[1], c)}
+		first := FirstLine{Host: h.ID, Node: node, ID: words[1], Line: line, At: from.lastByteAt, Copy: h.w.attempts.begin(words[1], c)}
 		h.mu.Lock()
 		number := len(h.lines)
 		h.lines = append(h.lines, first)
@@ -313,12 +313,12 @@
 		up, no := fmt.Sprintf("UP %s.%d", h.ID, h.receipt), h.refusal(words[1])
 		h.mu.Unlock()
 		if no == "" {
-			h.w.receipts.Store(up, words[1])
+			h.w.upLines.Store(up, words[1])
 		}
-		asked, _ := h.w.asked.Load(words[1])
+		asked, _ := h.w.sentAt.Load(words[1])
 		at, _ := asked.(time.Duration)
-		h.w.sights.take(first, at)
-		h.w.news.tell()
+		h.w.observations.record(first, at)
+		h.w.changes.tell()
 		if !h.hushed(node) {
 			return
 		}
--- a/rehearsal/processes/hosts_test.go
+++ b/rehearsal/processes/hosts_test.go
@@ -35,32 +35,32 @@
 // TestTheLeadersDiscoveryIsSilentWhileATurnGoesThrough: all that the leader's own list tells is that the host has gone for its
 // work. That it is back the other nodes tell.
 func TestTheLeadersDiscoveryIsSilentWhileATurnGoesThrough(t *testing.T) {
-	p := building(func(_ string, f *sitepb.File) { f.Council.TickMs = 200 }) // no new leader for a moment's delay
+	p := buildingPlan(func(_ string, f *sitepb.File) { f.Council.TickMs = 200 }) // no new leader for a moment's delay
 	p.Settings = warmSoon()
 	w := New(t, p)
 	w.Start()
 	c := w.Come(Load{PerSecond: 60, Holds: 300 * time.Millisecond})
-	served(c, w.Names()...)
+	awaitServed(c, w.Names()...)
 	lead := awaitLeader(w, "n3")
 	require.NoError(t, w.Asker("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		calls := w.Discovery.Calls(lead)
 		w.Host("h1").Remove()
 		w.Await("the leader's list has it gone", func() bool { return w.Discovery.Calls(lead) > calls })
 		c.AwaitUp(120, "") // a look a second
-		w.ToDiscovery(lead).Silence()
-		w.Await("the leader sees that it is told nothing", func() bool { return said(w, "discovery did not answer", lead) })
+		w.DiscoveryLink(lead).Silence()
+		w.Await("the leader sees that it is told nothing", func() bool { return anyLogged(w, "discovery did not answer", lead) })
 		w.Host("h1").Start()
 	}))
 	w.Await("the turn is over", func() bool { return stands(w, "n3", "t1") == "over" })
-	t.Logf("%s led when its discovery fell silent, %s leads now", lead, leader(w, "n3"))
-	work(w, c, "t2", "h2", w.Names()...) // the lists are what they were
+	t.Logf("%s led when its discovery fell silent, %s leads now", lead, leaderOf(w, "n3"))
+	workOn(w, c, "t2", "h2", w.Names()...) // the lists are what they were
 	w.Await("and the next one", func() bool { return stands(w, "n3", "t2") == "over" })
-	w.RequireSound(two)
+	w.RequireNoViolations(twoPerSite)
 }
 
 // TestTwoHomesOfAGroupAreNeverOutAtOnce, though the allowance has room for both: with three hosts each is a home.
 func TestTwoHomesOfAGroupAreNeverOutAtOnce(t *testing.T) {
-	p := building(nil)
+	p := buildingPlan(nil)
 	p.Hosts = Fleet(3)
 	w := New(t, p)
 	w.Start()
@@ -76,6 +76,6 @@
 		require.NoError(t, <-errs)
 	}
 	w.Await("both turns are over", func() bool { return stands(w, "n3", "t-h0") == "over" && stands(w, "n3", "t-h1") == "over" })
-	w.RequireSound(Allowance{Site: 1})
+	w.RequireNoViolations(Allowance{Site: 1})
 	assert.Positive(t, slices.IndexFunc(w.History.Ops(), func(o Op) bool { return o.Kind == "Begin" && o.Refused == "" }))
 }
--- a/rehearsal/processes/link.go
+++ b/rehearsal/processes/link.go
@@ -213,7 +213,7 @@
 	l.mu.Unlock()
 	if !open {
 		l.port.close()
-	} else if err := l.port.open(l.take); err != nil {
+	} else if err := l.port.listen(l.take); err != nil {
 		l.t.Errorf("the port of %s to %s: %v", l.From, l.To, err)
 	}
 }
--- a/rehearsal/processes/news.go
+++ b/rehearsal/processes/news.go
@@ -40,7 +40,7 @@
 // what hopeless says when that is not "".
 func (n *news) await(t testing.TB, what string, cond func() bool, hopeless func() string) {
 	t.Helper()
-	most := patience(t, Patience)
+	most := waitLimit(t, Patience)
 	limit := time.NewTimer(most)
 	defer limit.Stop()
 	for {
--- a/rehearsal/processes/node.go
+++ b/rehearsal/processes/node.go
@@ -87,7 +87,7 @@
 			n.Kill()
 		}
 		if w.t.Failed() {
-			lines := n.since(0)
+			lines := n.linesSince(0)
 			w.t.Logf("the last lines of %s:\n%s", name, strings.Join(lines[max(0, len(lines)-tailLines):], "\n"))
 		}
 	})
@@ -103,11 +103,11 @@
 	for _, s := range n.w.Plan.Sites {
 		out := &sitepb.Site{Name: s.Name, Level: s.Level, Parent: s.Parent}
 		for i, name := range s.Nodes {
-			out.Nodes = append(out.Nodes, &sitepb.Node{Name: name, Seat: i < s.Seats})
+			out.Nodes = append(out.Nodes, &sitepb.Node{Name: name, Seat: i < s.Replicas})
 		}
 		f.Sites = append(f.Sites, out)
 	}
-	for _, m := range n.w.order {
+	for _, m := range n.w.nodeNames {
 		if m != n.Name {
 			f.Peers = append(f.Peers, &sitepb.Peer{Node: m, Address: n.w.Link(n.Name, m).Addr()})
 		}
@@ -132,7 +132,7 @@
 // write writes the configuration and the site file, and returns the environment of a process that listens there.
 func (n *Node) write(listen string) []string {
 	known, _ := n.w.Discovery.list(n.Name, 0)
-	settings := or(n.w.Plan.Own[n.Name], n.w.Plan.Settings)
+	settings := or(n.w.Plan.NodeSettings[n.Name], n.w.Plan.Settings)
 	fields := map[string]any{"name": n.Name, "seed": fmt.Sprintf("%x", n.w.Plan.Seed), "known": known,
 		"settings": json.RawMessage(settings)}
 	if n.w.Plan.Sockets > 0 {
@@ -143,8 +143,8 @@
 	cfgPath := filepath.Join(n.dir, "config.json")
 	require.NoError(n.t, os.WriteFile(cfgPath, cfg, 0o600))
 	env := append(os.Environ(), "GW_NAME="+n.Name, "GW_LISTEN="+listen, "GW_CONFIG="+cfgPath,
-		"GW_DISCOVERY="+n.w.discovery[n.Name].Addr(), "TMPDIR="+filepath.Join(n.dir, "tmp"))
-	if !n.w.Plan.Alone {
+		"GW_DISCOVERY="+n.w.discoveryLinks[n.Name].Addr(), "TMPDIR="+filepath.Join(n.dir, "tmp"))
+	if !n.w.Plan.NoSiteFile {
 		text, err := prototext.MarshalOptions{Multiline: true}.Marshal(n.site())
 		require.NoError(n.t, err)
 		require.NoError(n.t, os.WriteFile(n.sitePath(), text, 0o600))
@@ -157,32 +157,32 @@
 func (n *Node) Desk() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.told(deskOf)
+	return n.currentAddress(apiAddrOf)
 }
 
 // Listen is where clients connect, "" while it does not serve. Clients come by World.Front.
 func (n *Node) Listen() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.told(servingOf)
+	return n.currentAddress(clientAddrOf)
 }
 
 // AwaitServing waits until the node takes clients.
 func (n *Node) AwaitServing() {
 	n.t.Helper()
-	n.await("serves", func() bool { return n.told(servingOf) != "" })
+	n.await("serves", func() bool { return n.currentAddress(clientAddrOf) != "" })
 }
 
 // AwaitDesk waits until the node is open to peers and operators.
 func (n *Node) AwaitDesk() {
 	n.t.Helper()
-	n.await("is open to peers", func() bool { return n.told(deskOf) != "" })
+	n.await("is open to peers", func() bool { return n.currentAddress(apiAddrOf) != "" })
 }
 
 // await waits for a condition, looked at under mu. A process that ends by itself meanwhile fails the test.
 func (n *Node) await(what string, cond func() bool) {
 	n.t.Helper()
-	n.w.news.await(n.t, n.Name+" "+what, func() bool {
+	n.w.changes.await(n.t, n.Name+" "+what, func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return cond()
--- a/rehearsal/processes/older.go
+++ b/rehearsal/processes/older.go
@@ -77,8 +77,8 @@
 
 // hasRight says whether the present process has a right to send: its leader has answered it, and told what is out.
 func (n *Node) hasRight() bool {
-	ctx, cancel := context.WithTimeout(n.w.ctx, standingWithin)
+	ctx, cancel := context.WithTimeout(n.w.ctx, statusTimeout)
 	defer cancel()
 	var turns peerpb.TurnsReply
-	return n.Desk() != "" && n.ownWord(ctx, "Turns", &turns) == nil && turns.GetSeat().GetRightMs() > 0
+	return n.Desk() != "" && n.callLocal(ctx, "Turns", &turns) == nil && turns.GetSeat().GetRightMs() > 0
 }
--- a/rehearsal/processes/policies_test.go
+++ b/rehearsal/processes/policies_test.go
@@ -9,26 +9,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestHostsTellWhatANodeGoesBy(t *testing.T) {
+func TestHostsObserveWhichPolicyANodeApplies(t *testing.T) {
 	t.Parallel()
 	other := func(was, is string) string {
 		require.Contains(t, DefaultSettings, was)
 		return strings.Replace(DefaultSettings, was, is, 1)
 	}
-	w := New(t, Plan{Seed: 2, Alone: true, Hosts: Fleet(3), Sites: single("n0", "n1", "n2"), Own: map[string]string{
+	w := New(t, Plan{Seed: 2, NoSiteFile: true, Hosts: Fleet(3), Sites: singleSite("n0", "n1", "n2"), NodeSettings: map[string]string{
 		"n1": other(`"aim_us":300000`, `"aim_us":5000000`), "n2": other(`"max_attempts":4`, `"max_attempts":1`)}})
 	w.Start()
 	for _, h := range w.Hosts() {
 		h.Refuse(0.3, "ERR")
 	}
-	c := w.Come(Load{PerSecond: 120, Most: 200, Holds: 100 * time.Millisecond, Deadline: TrialWait})
-	for n, aim := range map[string]int{"n0": GoodAim, "n1": TrialAim, "n2": OnlyAttempt} {
+	c := w.Come(Load{PerSecond: 120, Most: 200, Holds: 100 * time.Millisecond, Deadline: TrialDeadline})
+	for n, aim := range map[string]int{"n0": GoodTarget, "n1": TrialTarget, "n2": SingleAttempt} {
 		c.AwaitUp(60, n)
-		w.AwaitAim(aim, n)
-		assert.Len(t, w.Sightings(n, 0), len(w.Under(aim, n, 0)), n)
+		w.AwaitTarget(aim, n)
+		assert.Len(t, w.Observations(n, 0), len(w.ObservationsOf(aim, n, 0)), n)
 	}
 	r := c.Report()
 	assert.Greater(t, 10*r.Unserved["n2"], 2*r.ByNode["n2"], "%v", r.Unserved)
 	assert.Less(t, r.Unserved["n0"]*r.ByNode["n2"], r.Unserved["n2"]*r.ByNode["n0"], "%v", r.Unserved)
-	w.RequireSound(Allowance{})
+	w.RequireNoViolations(Allowance{})
 }
--- a/rehearsal/processes/port.go
+++ b/rehearsal/processes/port.go
@@ -15,8 +15,8 @@
 // port is a port of loopback that stays this process's own from New to the end of the test, whether or not anybody listens:
 // a closed one refuses, and nobody else gets it meanwhile.
 type port struct {
-	addr string
-	hold int // bound, never listens
+	addr       string
+	reservedFD int // bound, never listens
 
 	mu sync.Mutex
 	ln *net.TCPListener
@@ -26,33 +26,33 @@
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
-	p := &port{hold: fd}
+	p := &port{reservedFD: fd}
 	t.Cleanup(func() {
 		p.close()
 		unix.Close(fd)
 	})
 	require.NoError(t, unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1))
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	at, err := unix.Getsockname(fd)
+	bound, err := unix.Getsockname(fd)
 	require.NoError(t, err)
-	p.addr = (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: at.(*unix.SockaddrInet4).Port}).String()
+	p.addr = (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*unix.SockaddrInet4).Port}).String()
 	return p
 }
 
 // open listens and gives each connection to take. Nothing changes where it listens already.
-func (p *port) open(take func(*net.TCPConn)) error {
+func (p *port) listen(handle func(*net.TCPConn)) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ln != nil {
 		return nil
 	}
 	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		if e := c.Control(func(fd uintptr) {
+		if controlErr := c.Control(func(fd uintptr) {
 			// What comes is stamped from the very first packet of a connection: connections have this of their listener.
 			err = errors.Join(unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1),
 				unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1))
-		}); e != nil {
-			return e
+		}); controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
@@ -67,7 +67,7 @@
 			if err != nil {
 				return
 			}
-			take(c)
+			handle(c)
 		}
 	}(p.ln)
 	return nil
--- a/rehearsal/processes/process.go
+++ b/rehearsal/processes/process.go
@@ -20,7 +20,7 @@
 // This file is about the processes of a node: how they start, what they tell and how they end.
 
 // starter starts processes from one thread that never ends: the kernel kills a child when the thread that started it ends.
-var starter = sync.OnceValue(func() chan<- func() {
+var startThread = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -34,51 +34,51 @@
 // process is one process of a node. What it told belongs to it, not to the node: while a later one is beside it, the lines and the
 // ends of the two are read by different goroutines, in any order.
 type process struct {
-	cmd     *exec.Cmd
-	over    chan struct{} // closed once its end was noticed
-	serving string        // where clients connect, as it told last
-	desk    string        // where peers and operators call, as it told last
+	cmd        *exec.Cmd
+	exited     chan struct{} // closed once its end was noticed
+	clientAddr string        // where clients connect, as it told last
+	apiAddr    string        // where peers and operators call, as it told last
 }
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
 // read takes a line of the process's log in, and says whether it tells of an address.
-func (p *process) read(line string) bool {
-	at := field(line, "listen")
+func (p *process) readLine(line string) bool {
+	addr := field(line, "listen")
 	switch {
-	case at == "":
+	case addr == "":
 		return false
 	case strings.Contains(line, "msg=serving "):
-		p.serving = at
+		p.clientAddr = addr
 	case strings.Contains(line, `msg="open to peers"`):
-		p.desk = at
+		p.apiAddr = addr
 	default:
 		return false
 	}
 	return true
 }
 
-func servingOf(p *process) string { return p.serving }
-func deskOf(p *process) string    { return p.desk }
+func clientAddrOf(p *process) string { return p.clientAddr }
+func apiAddrOf(p *process) string    { return p.apiAddr }
 
 // told is an address as the latest process that told one has it, of those that run; "" where none has. mu is held.
-func (n *Node) told(address func(*process) string) string {
+func (n *Node) currentAddress(address func(*process) string) string {
 	if n.ended {
 		return ""
 	}
-	if at := address(n.present); at != "" {
-		return at
+	if addr := address(n.present); addr != "" {
+		return addr
 	}
 	for _, p := range slices.Backward(n.formers) {
-		if at := address(p); at != "" {
-			return at
+		if addr := address(p); addr != "" {
+			return addr
 		}
 	}
 	return ""
 }
 
 // gone notes the end of one of the node's processes; mu is held.
-func (n *Node) gone(p *process) {
+func (n *Node) processExited(p *process) {
 	if p != n.present {
 		n.formers = slices.DeleteFunc(n.formers, func(f *process) bool { return f == p })
 		return
@@ -114,43 +114,43 @@
 	out, err := cmd.StderrPipe()
 	require.NoError(n.t, err)
 	started := make(chan error)
-	starter() <- func() { started <- cmd.Start() }
+	startThread() <- func() { started <- cmd.Start() }
 	require.NoError(n.t, <-started)
-	p := &process{cmd: cmd, over: make(chan struct{})}
+	p := &process{cmd: cmd, exited: make(chan struct{})}
 	n.mu.Lock()
 	n.present, n.ended, n.paused, n.begin = p, false, false, len(n.lines)
-	most := n.fileMost
+	fileLimit := n.fileMost
 	n.mu.Unlock()
-	if most > 0 {
-		n.LimitFiles(most)
+	if fileLimit > 0 {
+		n.LimitFiles(fileLimit)
 	}
 	go func() {
-		n.follow(p, out)
+		n.readLog(p, out)
 		err := cmd.Wait()
 		n.mu.Lock()
 		n.lines = append(n.lines, fmt.Sprintf("-- the process has ended: %v", err))
-		n.gone(p)
+		n.processExited(p)
 		n.mu.Unlock()
-		n.aim()
-		close(p.over)
-		n.w.news.tell()
+		n.updateLinks()
+		close(p.exited)
+		n.w.changes.tell()
 	}()
 }
 
 // follow reads the log of a process and learns from it where the process listens.
-func (n *Node) follow(p *process, log io.Reader) {
+func (n *Node) readLog(p *process, log io.Reader) {
 	r := bufio.NewReader(log)
 	for {
 		line, err := r.ReadString('\n')
 		if line = strings.TrimSuffix(line, "\n"); line != "" {
 			n.mu.Lock()
 			n.lines = append(n.lines, line)
-			news := p.read(line)
+			newAddress := p.readLine(line)
 			n.mu.Unlock()
-			if news {
-				n.aim()
+			if newAddress {
+				n.updateLinks()
 			}
-			n.w.news.tell()
+			n.w.changes.tell()
 		}
 		if err != nil {
 			return
@@ -166,19 +166,19 @@
 }
 
 // aim points the links at what the processes have told last.
-func (n *Node) aim() {
+func (n *Node) updateLinks() {
 	if n.apart {
 		return
 	}
 	n.aiming.Lock()
 	defer n.aiming.Unlock()
 	n.mu.Lock()
-	serving, desk := n.told(servingOf), n.told(deskOf)
+	clientAddr, apiAddr := n.currentAddress(clientAddrOf), n.currentAddress(apiAddrOf)
 	n.mu.Unlock()
-	n.w.fronts[n.Name].Aim(serving)
-	for pair, l := range n.w.peers {
+	n.w.clientLinks[n.Name].Aim(clientAddr)
+	for pair, l := range n.w.peerLinks {
 		if pair[1] == n.Name {
-			l.Aim(desk)
+			l.Aim(apiAddr)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	n.mu.Unlock()
 	n.signal(syscall.SIGKILL)
 	if present != nil {
-		<-present.over
+		<-present.exited
 	}
 }
 
@@ -222,12 +222,12 @@
 }
 
 // Leave asks the process to stop. It goes on until what it has taken is answered and what stands has ended.
-func (n *Node) Leave() { n.signal(syscall.SIGTERM) }
+func (n *Node) Terminate() { n.signal(syscall.SIGTERM) }
 
 // AwaitEnd waits until the process has ended, and returns its exit code: -1 after a signal.
 func (n *Node) AwaitEnd() int {
 	n.t.Helper()
-	n.w.news.await(n.t, n.Name+" ends", func() bool { return !n.Runs() }, nil)
+	n.w.changes.await(n.t, n.Name+" ends", func() bool { return !n.Runs() }, nil)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.present.cmd.ProcessState.ExitCode()
@@ -236,7 +236,7 @@
 // Stop asks the process to stop and waits for its end, which must be in good order. Clients have to have gone.
 func (n *Node) Stop() {
 	n.t.Helper()
-	n.Leave()
+	n.Terminate()
 	require.Zero(n.t, n.AwaitEnd(), n.Name)
 }
 
--- a/rehearsal/processes/stall.go
+++ b/rehearsal/processes/stall.go
@@ -24,23 +24,23 @@
 	// answer tell their stacks, and to end them.
 	reportReserve = 30 * time.Second
 	// standingWithin is how long a node has to tell where it stands. It answers calls within milliseconds, also where it leads nobody.
-	standingWithin = 3 * time.Second
+	statusTimeout = 3 * time.Second
 	// stacksWithin is how long a process has to write its stacks after SIGQUIT.
-	stacksWithin = 5 * time.Second
+	stackDumpTimeout = 5 * time.Second
 )
 
 // patience is how long a story waits for an event: so long at most, and less where the test binary's alarm comes before.
-func patience(t testing.TB, most time.Duration) time.Duration {
+func waitLimit(t testing.TB, longest time.Duration) time.Duration {
 	timed, ok := t.(interface{ Deadline() (time.Time, bool) })
 	if !ok {
-		return most
+		return longest
 	}
 	deadline, ok := timed.Deadline()
 	if !ok {
-		return most
+		return longest
 	}
 	left := time.Until(deadline)
-	return max(0, min(most, left-min(reportReserve, left/4)))
+	return max(0, min(longest, left-min(reportReserve, left/4)))
 }
 
 // reportFailure logs where every node stands, where the test has failed, and keeps all logs. It runs before the nodes are ended.
@@ -48,7 +48,7 @@
 	if !w.t.Failed() {
 		return
 	}
-	w.t.Logf("%s: where the nodes stand\n%s", w.Now().Round(time.Millisecond), w.standing())
+	w.t.Logf("%s: where the nodes stand\n%s", w.Now().Round(time.Millisecond), w.status())
 	w.mu.Lock()
 	clients := slices.Clone(w.clients)
 	w.mu.Unlock()
@@ -56,7 +56,7 @@
 		r := c.Report()
 		w.t.Logf("clients: %s; by node %v, not served %v", r, r.ByNode, r.Unserved)
 	}
-	folder, err := w.keepLogs()
+	folder, err := w.saveLogs()
 	if err != nil {
 		w.t.Logf("the logs are not kept: %v", err)
 		return
@@ -65,19 +65,19 @@
 }
 
 // standing asks every node where it stands, all at once, and returns a paragraph for each.
-func (w *World) standing() string {
-	told := make([]string, len(w.order))
+func (w *World) status() string {
+	statuses := make([]string, len(w.nodeNames))
 	var all sync.WaitGroup
-	for i, name := range w.order {
-		all.Go(func() { told[i] = w.nodes[name].standing() })
+	for i, name := range w.nodeNames {
+		all.Go(func() { statuses[i] = w.nodes[name].status() })
 	}
 	all.Wait()
-	return strings.Join(told, "\n")
+	return strings.Join(statuses, "\n")
 }
 
 // standing is what is known of a node: its process, and its own word on its seat, its right, the open turns and the policies. A
 // process that does not answer is made to write its stacks into its log, and ends by that.
-func (n *Node) standing() string {
+func (n *Node) status() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: ", n.Name)
 	switch {
@@ -91,23 +91,23 @@
 		b.WriteString("the process runs and is not open to operators")
 		return b.String()
 	}
-	ctx, cancel := context.WithTimeout(n.w.ctx, standingWithin)
+	ctx, cancel := context.WithTimeout(n.w.ctx, statusTimeout)
 	defer cancel()
 	var turns peerpb.TurnsReply
-	if err := n.ownWord(ctx, "Turns", &turns); err != nil {
-		fmt.Fprintf(&b, "it does not answer: %v\n  %s", err, n.stacks())
+	if err := n.callLocal(ctx, "Turns", &turns); err != nil {
+		fmt.Fprintf(&b, "it does not answer: %v\n  %s", err, n.dumpStacks())
 		return b.String()
 	}
-	s := turns.GetSeat()
+	replica := turns.GetSeat()
 	fmt.Fprintf(&b, "role=%s term=%d committed=%d applied=%d leader=%q seats=%q right=%dms unreached=%q stopped=%q",
-		s.GetRole(), s.GetTerm(), s.GetCommitted(), s.GetApplied(), turns.Leader, turns.Seats, s.GetRightMs(), s.GetUnreached(), s.GetStopped())
+		replica.GetRole(), replica.GetTerm(), replica.GetCommitted(), replica.GetApplied(), turns.Leader, turns.Seats, replica.GetRightMs(), replica.GetUnreached(), replica.GetStopped())
 	for _, t := range turns.Turns {
 		if t.Phase != "over" {
 			fmt.Fprintf(&b, "\n  turn %s of %s is %s, waits for %q", t.Id, t.Host, t.Phase, t.WaitsFor)
 		}
 	}
 	var policies peerpb.PoliciesReply
-	if err := n.ownWord(ctx, "Policies", &policies); err != nil {
+	if err := n.callLocal(ctx, "Policies", &policies); err != nil {
 		return b.String() // it goes by none, or is no node of the top
 	}
 	for _, r := range policies.Rollouts {
@@ -117,9 +117,9 @@
 }
 
 // ownWord makes an operator's call that the node answers itself: it takes it for one that another node has passed on.
-func (n *Node) ownWord(ctx context.Context, kind string, out proto.Message) error {
-	desks := newDeskClient()
-	status, text, err := desks.exchange(ctx, n.Desk(), kind, map[string]any{"forwarded": true})
+func (n *Node) callLocal(ctx context.Context, kind string, out proto.Message) error {
+	client := newDeskClient()
+	status, text, err := client.exchange(ctx, n.Desk(), kind, map[string]any{"forwarded": true})
 	if err != nil {
 		return err
 	}
@@ -127,28 +127,28 @@
 }
 
 // stacks has a process write the stacks of all its goroutines into its log, which ends it.
-func (n *Node) stacks() string {
+func (n *Node) dumpStacks() string {
 	n.mu.Lock()
 	present, mark := n.present, len(n.lines)
 	n.mu.Unlock()
 	_ = present.cmd.Process.Signal(syscall.SIGQUIT)
 	_ = present.cmd.Process.Signal(syscall.SIGCONT) // one that was stopped from outside takes no other signal
 	select {
-	case <-present.over:
-	case <-time.After(stacksWithin):
-		return fmt.Sprintf("no end within %s of SIGQUIT", stacksWithin)
+	case <-present.exited:
+	case <-time.After(stackDumpTimeout):
+		return fmt.Sprintf("no end within %s of SIGQUIT", stackDumpTimeout)
 	}
-	return "its stacks:\n    " + strings.Join(n.since(mark), "\n    ")
+	return "its stacks:\n    " + strings.Join(n.linesSince(mark), "\n    ")
 }
 
 // keepLogs writes the whole log of each node into a folder that outlives the test, and returns the folder.
-func (w *World) keepLogs() (folder string, err error) {
+func (w *World) saveLogs() (folder string, err error) {
 	name := strings.NewReplacer("/", "_", " ", "_").Replace(w.t.Name())
 	if folder, err = os.MkdirTemp(os.Getenv(folderEnv), "lichenhitch-"+name+"-"); err != nil {
 		return "", err
 	}
-	for _, node := range w.order {
-		text := strings.Join(w.nodes[node].since(0), "\n")
+	for _, node := range w.nodeNames {
+		text := strings.Join(w.nodes[node].linesSince(0), "\n")
 		if err := os.WriteFile(filepath.Join(folder, node+".log"), []byte(text), 0o600); err != nil {
 			return "", err
 		}
--- a/rehearsal/processes/stall_test.go
+++ b/rehearsal/processes/stall_test.go
@@ -16,21 +16,21 @@
 )
 
 // plantedEnv has the test play the story that stalls, in a test binary of its own.
-const plantedEnv = "LICHENHITCH_TEST_PLANTED_STALL"
+const stalledScenarioEnv = "LICHENHITCH_TEST_PLANTED_STALL"
 
 // A story waits for what never comes, while one node does not run, one was stopped by somebody else and one goes on. The story gives up
 // before the alarm of its test binary, whose panic would tell nothing of any node, and says what it waited for and where all nodes
 // stand; the node that does not answer writes its stacks. The logs stay, and no process does.
 func TestAStallIsReported(t *testing.T) {
-	if os.Getenv(plantedEnv) != "" {
-		stall(t)
+	if os.Getenv(stalledScenarioEnv) != "" {
+		stalledScenario(t)
 		return
 	}
 	t.Parallel()
 	self, err := os.Executable()
 	require.NoError(t, err)
 	cmd := exec.Command(self, "-test.run", "^TestAStallIsReported$", "-test.timeout", "40s")
-	cmd.Env = append(os.Environ(), plantedEnv+"=1", folderEnv+"="+t.TempDir())
+	cmd.Env = append(os.Environ(), stalledScenarioEnv+"=1", folderEnv+"="+t.TempDir())
 	said, err := cmd.CombinedOutput()
 	require.Error(t, err)
 	text := string(said)
@@ -55,26 +55,26 @@
 }
 
 // stall is the story that stalls.
-func stall(t *testing.T) {
-	w, _ := begun(t, building(nil))
+func stalledScenario(t *testing.T) {
+	w, _ := startBuilding(t, buildingPlan(nil))
 	var pids []string
 	for _, n := range w.Names() {
 		pids = append(pids, strconv.Itoa(w.Node(n).present.pid()))
 	}
 	t.Logf("processes: %s", strings.Join(pids, " "))
-	ask(w, "n0", "t1", "h1", time.Hour)
+	requestTurn(w, "n0", "t1", "h1", time.Hour)
 	w.Await("a policy is started", func() bool {
-		_, err := w.Asker("chief").Policy("n0", "StartPolicy", map[string]any{"id": "p1", "why": "a story", "policy": harmless})
+		_, err := w.Asker("chief").CallPolicy("n0", "StartPolicy", map[string]any{"id": "p1", "why": "a story", "policy": harmlessPolicy})
 		return err == nil
 	})
 	w.Await("n0 knows of both", func() bool {
-		standing := w.Node("n0").standing()
+		standing := w.Node("n0").status()
 		return strings.Contains(standing, "turn t1 of h1") && strings.Contains(standing, "policy p1 is running")
 	})
 	w.Node("n2").Kill()
 	require.NoError(t, syscall.Kill(w.Node("n1").present.pid(), syscall.SIGSTOP))
 	w.Await("the seat that goes on knows of no leader", func() bool {
-		standing := w.Node("n0").standing()
+		standing := w.Node("n0").status()
 		return strings.Contains(standing, "role=follower") && strings.Contains(standing, "right=0ms")
 	})
 	w.Await("a turn that nobody asked for is granted", func() bool { return false })
--- a/rehearsal/processes/stores_test.go
+++ b/rehearsal/processes/stores_test.go
@@ -9,20 +9,20 @@
 )
 
 // begun starts a building and clients, and waits until its council is led.
-func begun(t *testing.T, p Plan) (*World, *Clients) {
+func startBuilding(t *testing.T, p Plan) (*World, *Clients) {
 	w := New(t, p)
 	w.Start()
 	c := w.Come(Load{PerSecond: 60, Holds: 300 * time.Millisecond})
-	served(c, w.Names()...)
+	awaitServed(c, w.Names()...)
 	awaitLeader(w, w.Names()[len(w.Names())-1])
 	return w, c
 }
 
 // follower is a seat that does not lead.
 func follower(w *World) string {
-	leads := awaitLeader(w, "n3")
+	leading := awaitLeader(w, "n3")
 	for _, n := range []string{"n2", "n1"} {
-		if n != leads {
+		if n != leading {
 			return n
 		}
 	}
@@ -30,16 +30,16 @@
 }
 
 // coming has a turn asked for that may begin in a while, and waits until a node will do without its host by itself.
-func coming(w *World, node, id, host string) {
+func requestUpcomingTurn(w *World, node, id, host string) {
 	w.t.Helper()
-	ask(w, "n3", id, host, 3*time.Second)
-	awaitHorizon(w, node, host)
+	requestTurn(w, "n3", id, host, 3*time.Second)
+	awaitExclusionSet(w, node, host)
 }
 
 // takeIn has a seat taken in that has an empty store by now.
-func takeIn(w *World, node string) {
+func addReplica(w *World, node string) {
 	w.t.Helper()
-	rest := others(w, node)
+	rest := otherNodes(w, node)
 	marks := map[string]int{}
 	for _, n := range rest {
 		marks[n] = w.Node(n).Mark()
@@ -59,144 +59,144 @@
 }
 
 // madeGood does what an operator is told to where a store is lost, and sees that the seat takes part again.
-func madeGood(w *World, c *Clients, seat string) {
+func replaceStore(w *World, c *Clients, node string) {
 	w.t.Helper()
-	w.Node(seat).Restart(Empty)
-	takeIn(w, seat)
-	served(c, seat)
-	work(w, c, "t2", "h2", w.Names()...)
-	w.RequireSound(two)
+	w.Node(node).Restart(Empty)
+	addReplica(w, node)
+	awaitServed(c, node)
+	workOn(w, c, "t2", "h2", w.Names()...)
+	w.RequireNoViolations(twoPerSite)
 }
 
 // An older store: the seat has voted and agreed to things since, and does not know of a host that is to be out. The leader
 // does not hear it and another seat refuses it, so that nobody tells it of the host either.
-func TestASeatWithAnOlderStoreIsRefusedAndSendsNowhere(t *testing.T) {
+func TestReplicaWithAStaleStoreIsRefusedAndSendsNothing(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	seat := follower(w)
-	older := w.Node(seat).CopyStore()
+	w, c := startBuilding(t, buildingPlan(nil))
+	node := follower(w)
+	stale := w.Node(node).CopyStore()
 	for range 2 { // the others know of later openings of the store than the copy does
-		w.Node(seat).Restart(Kept)
-		served(c, seat)
+		w.Node(node).Restart(Kept)
+		awaitServed(c, node)
 	}
-	coming(w, seat, "t1", "h1")
-	w.Link(seat, awaitLeader(w, "n3")).Cut()
-	w.Node(seat).Restart(Older(older))
+	requestUpcomingTurn(w, node, "t1", "h1")
+	w.Link(node, awaitLeader(w, "n3")).Cut()
+	w.Node(node).Restart(Older(stale))
 	refused := func() {
 		t.Helper()
-		line := w.Node(seat).Logged("control has stopped")
+		line := w.Node(node).Logged("control has stopped")
 		assert.Contains(t, line, "older one")
 		assert.Contains(t, line, "put its store aside")
 	}
 	refused()
-	work(w, c, "t1", "h1", others(w, seat)...)
-	w.RequireSound(two)
+	workOn(w, c, "t1", "h1", otherNodes(w, node)...)
+	w.RequireNoViolations(twoPerSite)
 
 	w.Heal()
-	before := len(linesOf(w, seat))
-	w.Node(seat).Restart(Kept) // it stays refused
+	before := len(firstLinesFrom(w, node))
+	w.Node(node).Restart(Kept) // it stays refused
 	refused()
-	served(c, others(w, seat)...)
-	assert.Len(t, linesOf(w, seat), before)
-	madeGood(w, c, seat)
+	awaitServed(c, otherNodes(w, node)...)
+	assert.Len(t, firstLinesFrom(w, node), before)
+	replaceStore(w, c, node)
 }
 
 // Two processes with one store: the copy is refused, and neither counts nor sends.
-func TestACopyOfAStoreIsRefusedBesideIt(t *testing.T) {
+func TestCopyOfAStoreIsRefusedWhileTheOriginalRuns(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	seat := follower(w)
-	coming(w, seat, "t1", "h1")
-	double := w.Node(seat).Double()
+	w, c := startBuilding(t, buildingPlan(nil))
+	node := follower(w)
+	requestUpcomingTurn(w, node, "t1", "h1")
+	double := w.Node(node).Double()
 	double.Start()
 	// As an older store, or as one of two processes: the other is refused too then.
 	assert.Contains(t, double.Logged("control has stopped, and nothing is sent"), "put its store aside")
-	w.Front(seat).Aim(double.Listen())
-	work(w, c, "t1", "h1", others(w, seat)...)
-	before := len(linesOf(w, seat))
+	w.ClientLink(node).Aim(double.Listen())
+	workOn(w, c, "t1", "h1", otherNodes(w, node)...)
+	before := len(firstLinesFrom(w, node))
 	c.AwaitUp(20, "")
-	assert.Len(t, linesOf(w, seat), before, "it does not send")
+	assert.Len(t, firstLinesFrom(w, node), before, "it does not send")
 
 	double.Stop()
-	madeGood(w, c, seat)
+	replaceStore(w, c, node)
 }
 
 // A torn store is not read: the process ends and says so, and the others go on.
-func TestASeatWithATornStoreDoesNotStart(t *testing.T) {
+func TestReplicaWithATruncatedStoreDoesNotStart(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	seat := awaitLeader(w, "n3")
-	coming(w, seat, "t1", "h1")
-	w.Node(seat).Restart(Torn("council.db", 20000))
-	assert.Equal(t, 1, w.Node(seat).AwaitEnd())
-	assert.True(t, said(w, "council.db is damaged", seat))
-	assert.True(t, said(w, "do not put an older copy in its place", seat))
-	work(w, c, "t1", "h1", others(w, seat)...)
-	madeGood(w, c, seat)
+	w, c := startBuilding(t, buildingPlan(nil))
+	node := awaitLeader(w, "n3")
+	requestUpcomingTurn(w, node, "t1", "h1")
+	w.Node(node).Restart(Torn("council.db", 20000))
+	assert.Equal(t, 1, w.Node(node).AwaitEnd())
+	assert.True(t, anyLogged(w, "council.db is damaged", node))
+	assert.True(t, anyLogged(w, "do not put an older copy in its place", node))
+	workOn(w, c, "t1", "h1", otherNodes(w, node)...)
+	replaceStore(w, c, node)
 }
 
 // The leader's disk is full: another one leads, the node serves on, and it comes back by itself once there is room.
-func TestALeaderWhoseDiskIsFullStopsItsControlAlone(t *testing.T) {
+func TestLeaderWhoseDiskIsFullStopsOnlyItsControl(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	seat := awaitLeader(w, "n3")
-	coming(w, seat, "t1", "h1")
-	w.Node(seat).LimitFiles(1)
-	work(w, c, "t1", "h1", w.Names()...)
-	line := w.Node(seat).Logged("control has stopped; the traffic goes on")
+	w, c := startBuilding(t, buildingPlan(nil))
+	node := awaitLeader(w, "n3")
+	requestUpcomingTurn(w, node, "t1", "h1")
+	w.Node(node).LimitFiles(1)
+	workOn(w, c, "t1", "h1", w.Names()...)
+	line := w.Node(node).Logged("control has stopped; the traffic goes on")
 	assert.Contains(t, line, "file too large")
 	assert.Contains(t, line, "see that the disk has room")
-	assert.NotEqual(t, seat, awaitLeader(w, "n3", seat))
-	assert.Empty(t, leader(w, seat), "it does not say that it leads")
-	err := w.Asker("operator").TakeIn(seat, "n1", "why")
+	assert.NotEqual(t, node, awaitLeader(w, "n3", node))
+	assert.Empty(t, leaderOf(w, node), "it does not say that it leads")
+	err := w.Asker("operator").TakeIn(node, "n1", "why")
 	assert.ErrorContains(t, err, "control of this node has stopped")
 	assert.ErrorContains(t, err, "see that the disk has room")
 
-	w.Node(seat).LimitFiles(0)
-	w.Node(seat).Restart(Kept)
-	served(c, w.Names()...)
-	rest := others(w, seat, "n3")
-	coming(w, rest[0], "t2", "h2")
+	w.Node(node).LimitFiles(0)
+	w.Node(node).Restart(Kept)
+	awaitServed(c, w.Names()...)
+	rest := otherNodes(w, node, "n3")
+	requestUpcomingTurn(w, rest[0], "t2", "h2")
 	w.Node(rest[0]).Kill() // so that it counts again
-	work(w, c, "t2", "h2", others(w, rest[0])...)
-	w.RequireSound(two)
+	workOn(w, c, "t2", "h2", otherNodes(w, rest[0])...)
+	w.RequireNoViolations(twoPerSite)
 }
 
 // The store of a seat that led is put back from an older copy, taken after its election: the copy has the term and the vote, and a
 // leader acknowledges nothing to anybody, so that nobody remembered more of it. It was not refused and went on as a seat, with the
 // horizon of a right that the council had long gone beyond: "open to peers ... boot=2" and no refusal in three of seventeen storms of
 // seed 2, those in which b1 led when the copy was taken. The others remember now what a seat says of its log with every exchange.
-func TestALeaderWithAnOlderStoreIsRefused(t *testing.T) {
+func TestLeaderWithAStaleStoreIsRefused(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	seat := awaitLeader(w, "n3")
-	older := w.Node(seat).CopyStore()
-	coming(w, seat, "t1", "h1")
-	w.Node(seat).Restart(Older(older))
-	line := w.Node(seat).Logged("control has stopped, and nothing is sent")
+	w, c := startBuilding(t, buildingPlan(nil))
+	node := awaitLeader(w, "n3")
+	stale := w.Node(node).CopyStore()
+	requestUpcomingTurn(w, node, "t1", "h1")
+	w.Node(node).Restart(Older(stale))
+	line := w.Node(node).Logged("control has stopped, and nothing is sent")
 	assert.Contains(t, line, "older one")
 	assert.Contains(t, line, "put its store aside")
-	work(w, c, "t1", "h1", others(w, seat)...)
-	madeGood(w, c, seat)
+	workOn(w, c, "t1", "h1", otherNodes(w, node)...)
+	replaceStore(w, c, node)
 }
 
 // TestACopyThatLacksNothingIsTheStore: of a seat that was cut off since before the copy nobody heard any more, and nobody refuses it. It is let
 // in, and goes by the council's word.
-func TestACopyThatLacksNothingIsTheStore(t *testing.T) {
+func TestCopyThatLacksNothingIsAccepted(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	seat := follower(w)
-	n := w.Node(seat)
-	w.Part(false, seat)
-	w.Await("its right has run out", func() bool { return strings.Contains(n.standing(), "right=0ms") })
-	older := n.CopyStore()
-	served(c, others(w, seat)...)
+	w, c := startBuilding(t, buildingPlan(nil))
+	name := follower(w)
+	n := w.Node(name)
+	w.Partition(false, name)
+	w.Await("its right has run out", func() bool { return strings.Contains(n.status(), "right=0ms") })
+	stale := n.CopyStore()
+	awaitServed(c, otherNodes(w, name)...)
 	n.Kill()
-	assert.Equal(t, lacksNothing, n.lacks(older))
-	n.Restart(Older(older))
+	assert.Equal(t, lacksNothing, n.lacks(stale))
+	n.Restart(Older(stale))
 	w.Heal()
-	served(c, seat)
-	work(w, c, "t1", "h1", w.Names()...)
+	awaitServed(c, name)
+	workOn(w, c, "t1", "h1", w.Names()...)
 	assert.Empty(t, n.logged("nothing is sent"))
-	w.RequireSound(two)
+	w.RequireNoViolations(twoPerSite)
 }
--- a/rehearsal/processes/storm.go
+++ b/rehearsal/processes/storm.go
@@ -16,108 +16,108 @@
 // Operator is the staff that looks after the nodes' logs. It does what docs/operate and the lines themselves say is to be done where a
 // store is lost, and nothing else.
 type Operator struct {
-	w    *World
-	by   map[string]*Asker // of each site
-	mark map[string]int    // of a process that is to be taken in: where the others' logs were then
-	mu   sync.Mutex        // of a round
-	Did  []string
+	w          *World
+	requesters map[string]*Asker // of each site
+	marks      map[string]int    // of a process that is to be taken in: where the others' logs were then
+	mu         sync.Mutex        // of a round
+	Actions    []string
 }
 
 // Operator returns one that has done nothing yet.
-func (w *World) Operator() *Operator {
-	o := &Operator{w: w, by: map[string]*Asker{}, mark: map[string]int{}}
+func (w *World) NewOperator() *Operator {
+	o := &Operator{w: w, requesters: map[string]*Asker{}, marks: map[string]int{}}
 	for _, s := range w.Plan.Sites {
-		o.by[s.Name] = w.Asker("operator of " + s.Name)
-		o.by[s.Name].Nodes = s.Nodes
+		o.requesters[s.Name] = w.Asker("operator of " + s.Name)
+		o.requesters[s.Name].Nodes = s.Nodes
 	}
 	return o
 }
 
 // aside are the lines after which a node is to be stopped, its store put aside, and the node started with an empty one.
-var aside = []string{"is damaged", "control has stopped, and nothing is sent", "this site's writes are older than what it told before",
+var replaceStoreTexts = []string{"is damaged", "control has stopped, and nothing is sent", "this site's writes are older than what it told before",
 	"stop it, put its store aside and start it with an empty one"}
 
 // Round looks at each node once, but for those that a fault has stopped.
 func (o *Operator) Round() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, n := range o.w.order {
-		o.w.hands.Lock()
-		stranger := !o.w.down[n] && o.see(o.w.nodes[n])
-		o.w.hands.Unlock()
-		if stranger {
-			o.takeIn(n)
+	for _, n := range o.w.nodeNames {
+		o.w.processMu.Lock()
+		mustAdd := !o.w.faulted[n] && o.check(o.w.nodes[n])
+		o.w.processMu.Unlock()
+		if mustAdd {
+			o.addReplica(n)
 		}
 	}
 }
 
 // see looks at a node that no fault has stopped, and says whether the council has to take it in.
-func (o *Operator) see(n *Node) bool {
-	for _, text := range aside {
+func (o *Operator) check(n *Node) bool {
+	for _, text := range replaceStoreTexts {
 		if lines := n.logged(text); len(lines) > 0 {
-			o.Did = append(o.Did, fmt.Sprintf("%s has an empty store now: %s", n.Name, text))
+			o.Actions = append(o.Actions, fmt.Sprintf("%s has an empty store now: %s", n.Name, text))
 			n.Restart(Empty)
-			delete(o.w.newSeat, n.Name)
-			o.open(n)
+			delete(o.w.newReplica, n.Name)
+			o.reopen(n)
 			return false
 		}
 	}
-	if o.w.untilRight[n.Name] && n.hasRight() {
-		o.open(n)
+	if o.w.closedUntilLease[n.Name] && n.hasRight() {
+		o.reopen(n)
 	}
 	if !n.Runs() {
-		o.w.violate("%s has ended by itself", n.Name)
+		o.w.addViolation("%s has ended by itself", n.Name)
 		n.Start()
 		return false
 	}
-	return len(n.logged("has to take it in")) > 0 && !o.w.newSeat[n.Name] // which comes by the site file: the line says so
+	return len(n.logged("has to take it in")) > 0 && !o.w.newReplica[n.Name] // which comes by the site file: the line says so
 }
 
 // open lets clients reach a node again.
-func (o *Operator) open(n *Node) {
-	if o.w.shut[n.Name] {
-		delete(o.w.shut, n.Name)
-		delete(o.w.untilRight, n.Name)
-		o.w.Front(n.Name).Heal()
+func (o *Operator) reopen(n *Node) {
+	if o.w.closedToClients[n.Name] {
+		delete(o.w.closedToClients, n.Name)
+		delete(o.w.closedUntilLease, n.Name)
+		o.w.ClientLink(n.Name).Heal()
 	}
 }
 
 // takeIn has the council take a node's new seat in, unless it has since its process began.
-func (o *Operator) takeIn(name string) {
-	o.w.hands.Lock()
+func (o *Operator) addReplica(name string) {
+	o.w.processMu.Lock()
 	site := *o.w.siteOf[name]
-	o.w.hands.Unlock()
+	o.w.processMu.Unlock()
 	for _, m := range site.Nodes {
 		if m == name {
 			continue
 		}
 		n := o.w.nodes[m]
-		key := fmt.Sprint(name, " ", o.w.nodes[name].beginning(), " ", m) // for each process of it
-		if _, seen := o.mark[key]; !seen {
-			o.mark[key] = n.Mark()
+		key := fmt.Sprint(name, " ", o.w.nodes[name].logStart(), " ", m) // for each process of it
+		if _, seen := o.marks[key]; !seen {
+			o.marks[key] = n.Mark()
 		}
-		for _, line := range n.since(o.mark[key]) {
+		for _, line := range n.linesSince(o.marks[key]) {
 			if strings.Contains(line, "a seat is taken in") && field(line, "seat") == name {
 				return
 			}
 		}
 	}
-	a := o.by[site.Name]
-	at := a.anyNode()
-	if at == "" {
+	requester := o.requesters[site.Name]
+	contact := requester.anyNode()
+	if contact == "" {
 		return
 	}
-	if r, err := a.Turns(at); err == nil && r.Leader != "" && r.Leader != name {
-		if a.TakeIn(r.Leader, name, "its store was put aside") == nil {
-			if did := fmt.Sprint(name, " is taken in, by ", r.Leader); !slices.Contains(o.Did, did) {
-				o.Did = append(o.Did, did)
+	if r, err := requester.Turns(contact); err == nil && r.Leader != "" && r.Leader != name {
+		if requester.TakeIn(r.Leader, name, "its store was put aside") == nil {
+			if action := fmt.Sprint(name, " is taken in, by ", r.Leader); !slices.Contains(o.Actions, action) {
+				o.Actions = append(o.Actions, action)
 			}
 		}
 	}
 }
 
 // since are the lines of all a node's logs from a place on; see Mark.
-func (n *Node) since(mark int) []string {
+func (n *Node) linesSince(mark int) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.lines[min(mark, len(n.lines)):])
@@ -125,43 +125,43 @@
 
 // Breaker is what a policy that breaks the link does: who is seen to go by it has no link to any other node, until it is seen to go
 // by another one.
-type Breaker struct {
-	w   *World
-	Aim int
-
-	mu     sync.Mutex
-	parted []string        // a side that is cut off by a fault meanwhile
-	broken map[string]bool // nodes
-	cut    map[[2]string]bool
-	Broke  int
+type LinkBreaker struct {
+	w             *World
+	LatencyTarget int
+
+	mu          sync.Mutex
+	partitioned []string        // a side that is cut off by a fault meanwhile
+	broken      map[string]bool // nodes
+	cut         map[[2]string]bool
+	BreakCount  int
 }
 
 // Breaker returns one for an aim; 0 for none.
-func (w *World) Breaker(aim int) *Breaker {
-	return &Breaker{w: w, Aim: aim, broken: map[string]bool{}, cut: map[[2]string]bool{}}
+func (w *World) NewLinkBreaker(target int) *LinkBreaker {
+	return &LinkBreaker{w: w, LatencyTarget: target, broken: map[string]bool{}, cut: map[[2]string]bool{}}
 }
 
 // Look looks at what hosts see lately.
-func (b *Breaker) Look() {
-	if b.Aim == 0 {
+func (b *LinkBreaker) Update() {
+	if b.LatencyTarget == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, n := range b.w.order {
-		seen := b.w.Sightings(n, 0)
-		if len(seen) < certain {
+	for _, n := range b.w.nodeNames {
+		observed := b.w.Observations(n, 0)
+		if len(observed) < minConsecutive {
 			continue
 		}
-		by := func(s Sighting) bool { return s.Aim == b.Aim }
-		last := seen[len(seen)-certain:]
+		applies := func(s PolicyObservation) bool { return s.LatencyTarget == b.LatencyTarget }
+		latest := observed[len(observed)-minConsecutive:]
 		switch {
-		case !slices.ContainsFunc(last, func(s Sighting) bool { return !by(s) }):
+		case !slices.ContainsFunc(latest, func(s PolicyObservation) bool { return !applies(s) }):
 			if !b.broken[n] {
-				b.Broke++
+				b.BreakCount++
 			}
 			b.broken[n] = true
-		case !slices.ContainsFunc(last, by):
+		case !slices.ContainsFunc(latest, applies):
 			delete(b.broken, n)
 		}
 	}
@@ -169,132 +169,132 @@
 }
 
 // Part cuts a side off, with no nodes it takes that back.
-func (b *Breaker) Part(side ...string) {
+func (b *LinkBreaker) Partition(side ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.parted = side
+	b.partitioned = side
 	b.apply()
 }
 
 // apply cuts and heals what has changed; mu is held.
-func (b *Breaker) apply() {
-	for _, n := range b.w.order {
-		for _, m := range b.w.order {
+func (b *LinkBreaker) apply() {
+	for _, n := range b.w.nodeNames {
+		for _, m := range b.w.nodeNames {
 			pair := [2]string{n, m}
-			is := n != m && (b.broken[n] || b.broken[m] || slices.Contains(b.parted, n) != slices.Contains(b.parted, m))
+			shouldCut := n != m && (b.broken[n] || b.broken[m] || slices.Contains(b.partitioned, n) != slices.Contains(b.partitioned, m))
 			switch {
-			case is && !b.cut[pair]:
+			case shouldCut && !b.cut[pair]:
 				b.w.Link(n, m).Cut()
-			case !is && b.cut[pair]:
+			case !shouldCut && b.cut[pair]:
 				b.w.Link(n, m).Heal()
 			}
-			b.cut[pair] = is
+			b.cut[pair] = shouldCut
 		}
 	}
 }
 
 // Chain is somebody who writes, one after the other: a step, and once it is taken, that it stands.
-type Chain struct {
-	w      *World
-	Name   string
-	a      *Asker
-	number int
-
-	mu    sync.Mutex
-	taken []string // writes
-	last  int      // the number of the last step that was taken
+type ChainWriter struct {
+	w         *World
+	Name      string
+	requester *Asker
+	step      int
+
+	mu       sync.Mutex
+	accepted []string // writes
+	lastStep int      // the number of the last step that was taken
 }
 
 // Chain returns one that writes at the nodes of a site.
-func (w *World) Chain(site Site) *Chain {
-	a := w.Asker("writer of " + site.Name)
-	a.Nodes = site.Nodes
-	return &Chain{w: w, Name: site.Name, a: a}
+func (w *World) NewChainWriter(site Site) *ChainWriter {
+	requester := w.Asker("writer of " + site.Name)
+	requester.Nodes = site.Nodes
+	return &ChainWriter{w: w, Name: site.Name, requester: requester}
 }
 
-func chained(number int) string { return fmt.Sprintf("done %08d", number) }
+func stepValue(step int) string { return fmt.Sprintf("done %08d", step) }
 
-func numberOf(value string) int {
+func stepOf(value string) int {
 	n, _ := strconv.Atoi(strings.TrimLeft(strings.TrimPrefix(value, "done "), "0"))
 	return n
 }
 
 // Write writes the next step. What gets no answer is not written once more: it may have been taken.
-func (c *Chain) Write() {
-	c.number++
-	for _, thing := range []string{"step/", "stands/"} {
-		node, r := c.a.anyNode(), &peerpb.WriteReply{}
-		if node == "" || c.a.call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": "work", "thing": thing + c.Name,
-			"value": chained(c.number), "by": c.a.Name}, r, nil) != nil {
+func (c *ChainWriter) Write() {
+	c.step++
+	for _, prefix := range []string{"step/", "stands/"} {
+		node, r := c.requester.anyNode(), &peerpb.WriteReply{}
+		if node == "" || c.requester.call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": "work", "thing": prefix + c.Name,
+			"value": stepValue(c.step), "by": c.requester.Name}, r, nil) != nil {
 			return
 		}
 		c.mu.Lock()
-		c.taken = append(c.taken, r.Id)
-		if thing == "step/" {
-			c.last = c.number
+		c.accepted = append(c.accepted, r.Id)
+		if prefix == "step/" {
+			c.lastStep = c.step
 		}
 		c.mu.Unlock()
 	}
 }
 
 // Taken are the writes that were taken so far, and the number of the last step among them.
-func (c *Chain) Taken() (writes []string, last int) {
+func (c *ChainWriter) Accepted() (writes []string, last int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.taken), c.last
+	return slices.Clone(c.accepted), c.lastStep
 }
 
 // Reader reads what a chain has written, at one seat, as far as it is applied there: it sees no number go back, and no step that does
 // not stand behind what was written after it, for as long as one process runs.
-type Reader struct {
-	w            *World
-	c            *Chain
-	a            *Asker
-	node         string
-	begin        int // of the process's log
-	step, stands int
-	Reads        int
+type ChainReader struct {
+	w               *World
+	chain           *ChainWriter
+	requester       *Asker
+	node            string
+	logStart        int // of the process's log
+	step, confirmed int
+	Reads           int
 }
 
 // Reader returns one.
-func (w *World) Reader(c *Chain, node string) *Reader {
-	return &Reader{w: w, c: c, a: w.Asker("reader at " + node), node: node}
+func (w *World) NewChainReader(c *ChainWriter, node string) *ChainReader {
+	return &ChainReader{w: w, chain: c, requester: w.Asker("reader at " + node), node: node}
 }
 
 // Read reads once.
-func (r *Reader) Read() {
+func (r *ChainReader) Read() {
 	n := r.w.nodes[r.node]
-	begin := n.beginning()
-	stands, step := r.one("stands/"), r.one("step/")
-	if stands < 0 || step < 0 || n.beginning() != begin {
+	logStart := n.logStart()
+	confirmed, step := r.readStep("stands/"), r.readStep("step/")
+	if confirmed < 0 || step < 0 || n.logStart() != logStart {
 		return
 	}
 	r.Reads++
-	if begin != r.begin {
-		r.begin, r.step, r.stands = begin, 0, 0
+	if logStart != r.logStart {
+		r.logStart, r.step, r.confirmed = logStart, 0, 0
 	}
-	if step < r.step || stands < r.stands || step < stands {
-		r.w.violate("%s tells step %d and that %d stands of %s, after %d and %d", r.node, step, stands, r.c.Name, r.step, r.stands)
+	if step < r.step || confirmed < r.confirmed || step < confirmed {
+		r.w.addViolation("%s tells step %d and that %d stands of %s, after %d and %d", r.node, step, confirmed, r.chain.Name, r.step, r.confirmed)
 	}
-	r.step, r.stands = max(step, r.step), max(stands, r.stands)
+	r.step, r.confirmed = max(step, r.step), max(confirmed, r.confirmed)
 }
 
 // one reads a number, -1 where there is no answer. The node is told that another has sent the question on: a seat that has nothing of
 // its own to answer with would ask the leader, and may be behind it later.
-func (r *Reader) one(thing string) int {
+func (r *ChainReader) readStep(prefix string) int {
 	out := &peerpb.ReadReply{}
-	if r.a.call(Op{Node: r.node, Kind: "Read"}, map[string]any{"kind": "work", "thing": thing + r.c.Name,
+	if r.requester.call(Op{Node: r.node, Kind: "Read"}, map[string]any{"kind": "work", "thing": prefix + r.chain.Name,
 		"forwarded": true}, out, nil) != nil {
 		return -1
 	}
 	if !out.Found {
 		return 0
 	}
-	return numberOf(out.Value)
+	return stepOf(out.Value)
 }
 
 // beginning is where the log of the present process begins.
-func (n *Node) beginning() int {
+func (n *Node) logStart() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.begin
@@ -306,7 +306,7 @@
 // not taken in yet. Starts of the other seats of that site are pauses here, earlier ones too: nobody knows how long a seat waits. A store must not be put back from an older copy (docs/design/affairs.md): at a node
 // without a seat nobody makes that good, and a seat sends by its old horizon until another one refuses it. So clients reach none that
 // has one.
-func losses(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
+func storeFaults(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
 	for _, f := range plan {
 		if losesStore(f.Kind) {
 			f.Kind = Kill
@@ -314,21 +314,21 @@
 		out = append(out, f)
 	}
 	kinds := []FaultKind{KillOlder, KillTorn, KillEmpty}
-	part := duration / time.Duration(len(sites))
+	share := duration / time.Duration(len(sites))
 	for i := range sites {
 		s := sites[(i+int(seed))%len(sites)]
 		if i == 0 && seed%3 != 0 {
 			continue
 		}
-		seats := s.Nodes[:s.Seats]
-		f := Fault{Kind: kinds[(int(seed)+i)%len(kinds)], A: seats[(int(seed)/len(kinds)+i)%len(seats)], N: 3000,
-			At: part*time.Duration(i) + part/10, Lasts: part / 8}
+		voters := s.Nodes[:s.Replicas]
+		f := Fault{Kind: kinds[(int(seed)+i)%len(kinds)], A: voters[(int(seed)/len(kinds)+i)%len(voters)], N: 3000,
+			At: share*time.Duration(i) + share/10, Lasts: share / 8}
 		f.Shut = f.Kind == KillOlder
 		out = slices.DeleteFunc(out, func(o Fault) bool {
 			return o.Kind >= Kill && o.At < f.At+f.Lasts && f.At < o.At+o.Lasts
 		})
 		for j, o := range out {
-			if (o.Kind == Kill || o.Kind == Upgrade) && o.A != f.A && slices.Contains(seats, o.A) {
+			if (o.Kind == Kill || o.Kind == Upgrade) && o.A != f.A && slices.Contains(voters, o.A) {
 				out[j].Kind = Pause
 			}
 		}
@@ -342,7 +342,7 @@
 // a seat goes to the node without one for a while. It is not that of a node which loses its store: of a node without a seat nobody
 // remembers how far its store was, so that an older one is not refused (docs/design/affairs.md). Where a store is lost at a site, its seats
 // change before or after that.
-func seatChanges(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
+func replicaChanges(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
 	upgrades := 0
 	for _, f := range plan {
 		if f.Kind == Upgrade {
@@ -353,17 +353,17 @@
 		out = append(out, f)
 	}
 	for i, s := range sites {
-		at, lost := duration/20, ""
+		at, storeLost := duration/20, ""
 		for _, f := range out {
 			if losesStore(f.Kind) && slices.Contains(s.Nodes, f.A) {
-				lost = f.A
+				storeLost = f.A
 				if f.At < duration/2 {
 					at = duration / 2
 				}
 			}
 		}
-		keep := slices.DeleteFunc(slices.Clone(s.Nodes[:s.Seats]), func(n string) bool { return n == lost })
-		out = append(out, Fault{Kind: Reseat, A: keep[(int(seed)+i)%len(keep)], B: s.Nodes[len(s.Nodes)-1], At: at, Lasts: duration * 3 / 10})
+		candidates := slices.DeleteFunc(slices.Clone(s.Nodes[:s.Replicas]), func(n string) bool { return n == storeLost })
+		out = append(out, Fault{Kind: Reseat, A: candidates[(int(seed)+i)%len(candidates)], B: s.Nodes[len(s.Nodes)-1], At: at, Lasts: duration * 3 / 10})
 	}
 	slices.SortStableFunc(out, func(a, b Fault) int { return int(a.At - b.At) })
 	return out
@@ -373,7 +373,7 @@
 func losesStore(k FaultKind) bool { return k == KillOlder || k == KillEmpty || k == KillTorn }
 
 // within leaves those faults out that would heal a cut between sites while it lasts.
-func within(plan []Fault, cut span, siteOf map[string]*Site) []Fault {
+func withoutLinkFaultsDuring(plan []Fault, cut span, siteOf map[string]*Site) []Fault {
 	return slices.DeleteFunc(plan, func(f Fault) bool {
 		crosses := f.Kind == Isolate || f.Kind < Isolate && siteOf[f.A] != siteOf[f.B]
 		return crosses && f.At < cut.to && cut.from < f.At+f.Lasts
--- a/rehearsal/processes/upgrade_test.go
+++ b/rehearsal/processes/upgrade_test.go
@@ -11,9 +11,9 @@
 )
 
 // lasting starts a building whose nodes keep the address for their peers over an upgrade, as a site's nodes do.
-func lasting(t *testing.T) (*World, *Clients) {
+func startWithFixedAddresses(t *testing.T) (*World, *Clients) {
 	addresses := map[string]string{}
-	w, c := begun(t, building(func(name string, f *sitepb.File) { f.Listen = or(addresses[name], f.Listen) }))
+	w, c := startBuilding(t, buildingPlan(func(name string, f *sitepb.File) { f.Listen = or(addresses[name], f.Listen) }))
 	for _, n := range w.Names() {
 		addresses[n] = w.Node(n).Desk()
 	}
@@ -21,47 +21,47 @@
 }
 
 // upgraded waits until a new process of a node takes part in the affairs of its site and serves clients.
-func upgraded(w *World, c *Clients, node string, mark int) {
+func awaitUpgraded(w *World, c *Clients, node string, mark int) {
 	w.t.Helper()
 	w.Node(node).LoggedSince(mark, "msg=serving")
 	w.Node(node).LoggedSince(mark, "open to peers")
-	served(c, node)
+	awaitServed(c, node)
 }
 
 // An upgrade of the leader while a host is in work: the store goes over, nothing reaches the host, and turns go on.
-func TestAnUpgradeTakesTheStoreOver(t *testing.T) {
+func TestUpgradeTakesOverTheStore(t *testing.T) {
 	t.Parallel()
-	w, c := lasting(t)
-	seat := awaitLeader(w, "n3")
-	n := w.Node(seat)
-	desk, serving := n.Desk(), n.Listen()
+	w, c := startWithFixedAddresses(t)
+	node := awaitLeader(w, "n3")
+	n := w.Node(node)
+	apiAddr, clientAddr := n.Desk(), n.Listen()
 	require.NoError(t, w.Asker("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		mark := n.Mark()
 		former := n.Upgrade()
-		upgraded(w, c, seat, mark)
+		awaitUpgraded(w, c, node, mark)
 		former.Leave()
 		assert.Zero(t, former.AwaitEnd())
-		served(c, w.Names()...)
+		awaitServed(c, w.Names()...)
 	}))
-	assert.Equal(t, []string{desk, serving}, []string{n.Desk(), n.Listen()})
-	work(w, c, "t2", "h2", w.Names()...)
+	assert.Equal(t, []string{apiAddr, clientAddr}, []string{n.Desk(), n.Listen()})
+	workOn(w, c, "t2", "h2", w.Names()...)
 	// The upgraded seat counts: without one of the others it is needed.
-	gone := follower(w)
-	if gone == seat {
-		gone = awaitLeader(w, "n3")
+	killed := follower(w)
+	if killed == node {
+		killed = awaitLeader(w, "n3")
 	}
-	coming(w, gone, "t3", "h3")
-	w.Node(gone).Kill()
-	work(w, c, "t3", "h3", others(w, gone)...)
-	w.RequireSound(two)
+	requestUpcomingTurn(w, killed, "t3", "h3")
+	w.Node(killed).Kill()
+	workOn(w, c, "t3", "h3", otherNodes(w, killed)...)
+	w.RequireNoViolations(twoPerSite)
 }
 
 // A new version that does not come up is ended: the former process takes its seat again.
-func TestAnUpgradeIsGivenUp(t *testing.T) {
+func TestUpgradeIsAborted(t *testing.T) {
 	t.Parallel()
-	w, c := lasting(t)
-	seat := follower(w)
-	n := w.Node(seat)
+	w, c := startWithFixedAddresses(t)
+	node := follower(w)
+	n := w.Node(node)
 	mark := n.Mark()
 	n.Upgrade()
 	n.LoggedSince(mark, "open to peers") // it has the store by now, and waits until the former one's right is over
@@ -69,36 +69,36 @@
 	n.Kill()
 	require.True(t, n.Runs(), "the former one does")
 	n.LoggedSince(mark, "open to peers")
-	served(c, w.Names()...)
-	work(w, c, "t1", "h1", w.Names()...)
-	gone := awaitLeader(w, "n3")
-	coming(w, gone, "t2", "h2")
-	w.Node(gone).Kill()
-	work(w, c, "t2", "h2", others(w, gone)...)
-	w.RequireSound(two)
+	awaitServed(c, w.Names()...)
+	workOn(w, c, "t1", "h1", w.Names()...)
+	killed := awaitLeader(w, "n3")
+	requestUpcomingTurn(w, killed, "t2", "h2")
+	w.Node(killed).Kill()
+	workOn(w, c, "t2", "h2", otherNodes(w, killed)...)
+	w.RequireNoViolations(twoPerSite)
 }
 
 // TestAProcessThatTakesControlBackGoesByTheSiteFileAsItIsNow, not as it was before the upgrade: the later process read it, and is gone.
-func TestAProcessThatTakesControlBackGoesByTheSiteFileAsItIsNow(t *testing.T) {
+func TestProcessThatTakesControlBackReadsTheCurrentSiteFile(t *testing.T) {
 	t.Parallel()
-	var most uint32 = 1
-	plan := building(func(_ string, f *sitepb.File) { f.Turns.Site = most })
-	plan.Sites[0].Nodes, plan.Sites[0].Seats = []string{"n0"}, 1
-	w, c := begun(t, plan)
+	var siteLimit uint32 = 1
+	plan := buildingPlan(func(_ string, f *sitepb.File) { f.Turns.Site = siteLimit })
+	plan.Sites[0].Nodes, plan.Sites[0].Replicas = []string{"n0"}, 1
+	w, c := startBuilding(t, plan)
 	n := w.Node("n0")
 	mark := n.Mark()
 	n.Upgrade()
-	upgraded(w, c, "n0", mark)
+	awaitUpgraded(w, c, "n0", mark)
 	n.LoggedSince(mark, "leads the council")
-	most = 2
+	siteLimit = 2
 	mark = n.Mark()
 	n.Reload()
 	n.LoggedSince(mark, "configuration read again")
 	n.Kill()
 	n.LoggedSince(mark, "open to peers")
 	for _, i := range []string{"0", "1"} {
-		ask(w, "n0", "t"+i, "h"+i, 0)
+		requestTurn(w, "n0", "t"+i, "h"+i, 0)
 	}
-	w.Await("both are granted", func() bool { return phase(w, "n0", "t0") == "granted" && phase(w, "n0", "t1") == "granted" })
-	w.RequireSound(two)
+	w.Await("both are granted", func() bool { return turnPhase(w, "n0", "t0") == "granted" && turnPhase(w, "n0", "t1") == "granted" })
+	w.RequireNoViolations(twoPerSite)
 }
--- a/rehearsal/processes/world.go
+++ b/rehearsal/processes/world.go
@@ -15,15 +15,15 @@
 
 // Plan is what a world consists of.
 type Plan struct {
-	Seed     uint64 // of all that is chosen
-	Sites    []Site
-	Hosts    []HostPlan
-	Settings string                     // the settings of every node, in JSON; DefaultSettings where empty
-	Own      map[string]string          // settings of a node, in the place of Settings
-	Alone    bool                       // no node is given a site file
-	Tune     func(string, *sitepb.File) // may change a node's site file before each start; nil: nothing
-	Env      []string                   // more of each node's environment
-	Sockets  int                        // descriptors that a node may hold; 0: as the program has it
+	Seed         uint64 // of all that is chosen
+	Sites        []Site
+	Hosts        []HostPlan
+	Settings     string                     // the settings of every node, in JSON; DefaultSettings where empty
+	NodeSettings map[string]string          // settings of a node, in the place of Settings
+	NoSiteFile   bool                       // no node is given a site file
+	Tune         func(string, *sitepb.File) // may change a node's site file before each start; nil: nothing
+	Env          []string                   // more of each node's environment
+	Sockets      int                        // descriptors that a node may hold; 0: as the program has it
 }
 
 // Site is one site of the line.
@@ -31,7 +31,7 @@
 	Name, Parent string
 	Level        sitepb.Level
 	Nodes        []string
-	Seats        int // the first so many nodes have a seat; all of up to three where 0
+	Replicas     int // the first so many nodes have a seat; all of up to three where 0
 }
 
 // HostPlan is a host as the plan has it.
@@ -66,29 +66,29 @@
 	Discovery *Discovery
 	History   *History // of all askers
 
-	t         testing.TB
-	ctx       context.Context
-	over      <-chan struct{}
-	news      news // of all parts
-	order     []string
-	nodes     map[string]*Node
-	siteOf    map[string]*Site
-	hosts     []*Host
-	peers     map[[2]string]*Link
-	fronts    map[string]*Link
-	discovery map[string]*Link
-	attempts  attempts
-	receipts  sync.Map // UP lines that hosts have said, to the ids of their queries
-	sights    sights   // of policies
-
-	asked sync.Map // queries of clients by id, to when they were sent
-
-	hands sync.Mutex      // of who starts and ends processes while a plan of faults is played
-	down  map[string]bool // nodes that a fault has stopped
-	shut  map[string]bool // nodes that no client reaches: see Fault.Shut
+	t              testing.TB
+	ctx            context.Context
+	done           <-chan struct{}
+	changes        news // of all parts
+	nodeNames      []string
+	nodes          map[string]*Node
+	siteOf         map[string]*Site
+	hosts          []*Host
+	peerLinks      map[[2]string]*Link
+	clientLinks    map[string]*Link
+	discoveryLinks map[string]*Link
+	attempts       attempts
+	upLines        sync.Map           // UP lines that hosts have said, to the ids of their queries
+	observations   policyObservations // of policies
+
+	sentAt sync.Map // queries of clients by id, to when they were sent
+
+	processMu       sync.Mutex      // of who starts and ends processes while a plan of faults is played
+	faulted         map[string]bool // nodes that a fault has stopped
+	closedToClients map[string]bool // nodes that no client reaches: see Fault.Shut
 	// untilRight are those of them that are not refused: they are reached once their leader has answered.
-	untilRight map[string]bool
-	newSeat    map[string]bool // nodes whose seat is new by the site file: see Reseat
+	closedUntilLease map[string]bool
+	newReplica       map[string]bool // nodes whose seat is new by the site file: see Reseat
 
 	upgrades sync.WaitGroup // that come to their end
 
@@ -104,44 +104,44 @@
 		p.Settings = DefaultSettings
 	}
 	// Not the test's own context: that ends before what Cleanup does, and the hosts and links are to outlive the nodes.
-	ctx, end := context.WithCancel(context.Background())
-	t.Cleanup(end)
-	w := &World{clock: newClock(), Plan: p, t: t, ctx: ctx, over: ctx.Done(), nodes: make(map[string]*Node),
-		siteOf: make(map[string]*Site), peers: make(map[[2]string]*Link), fronts: make(map[string]*Link),
-		discovery: make(map[string]*Link), down: make(map[string]bool), shut: make(map[string]bool),
-		untilRight: make(map[string]bool),
-		newSeat:    make(map[string]bool)}
-	awaitStamps(w)
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	w := &World{clock: newClock(), Plan: p, t: t, ctx: ctx, done: ctx.Done(), nodes: make(map[string]*Node),
+		siteOf: make(map[string]*Site), peerLinks: make(map[[2]string]*Link), clientLinks: make(map[string]*Link),
+		discoveryLinks: make(map[string]*Link), faulted: make(map[string]bool), closedToClients: make(map[string]bool),
+		closedUntilLease: make(map[string]bool),
+		newReplica:       make(map[string]bool)}
+	awaitTimestamps(w)
 	w.History = &History{w: w}
 	w.Discovery = newDiscovery(w)
 	for i := range p.Sites {
 		s := &p.Sites[i]
-		if s.Seats == 0 {
-			s.Seats = min(len(s.Nodes), 3)
+		if s.Replicas == 0 {
+			s.Replicas = min(len(s.Nodes), 3)
 		}
 		for _, n := range s.Nodes {
 			require.NotContains(t, w.siteOf, n, "one name names one node")
 			w.siteOf[n] = s
-			w.order = append(w.order, n)
+			w.nodeNames = append(w.nodeNames, n)
 		}
 	}
-	for _, hp := range p.Hosts {
-		h := newHost(w, hp)
+	for _, hostPlan := range p.Hosts {
+		h := newHost(w, hostPlan)
 		w.hosts = append(w.hosts, h)
 		w.Discovery.hosts = append(w.Discovery.hosts, h)
 		w.Discovery.revs[h] = 1
 	}
 	program := Build(t)
-	for _, n := range w.order {
-		w.fronts[n] = NewLink(t, "clients", n, "")
-		w.discovery[n] = NewLink(t, n, "discovery", w.Discovery.serve(n))
-		for _, m := range w.order {
+	for _, n := range w.nodeNames {
+		w.clientLinks[n] = NewLink(t, "clients", n, "")
+		w.discoveryLinks[n] = NewLink(t, n, "discovery", w.Discovery.serve(n))
+		for _, m := range w.nodeNames {
 			if m != n {
-				w.peers[[2]string{n, m}] = NewLink(t, n, m, "")
+				w.peerLinks[[2]string{n, m}] = NewLink(t, n, m, "")
 			}
 		}
 	}
-	for _, n := range w.order {
+	for _, n := range w.nodeNames {
 		w.nodes[n] = newNode(w, n, program)
 	}
 	t.Cleanup(w.reportFailure) // before the nodes are ended
@@ -149,21 +149,21 @@
 }
 
 // seenBy says whether a node's site knows the host.
-func (h *Host) seenBy(node string) bool { return h.Site == "" || h.Site == h.w.siteOf[node].Name }
+func (h *Host) visibleTo(node string) bool { return h.Site == "" || h.Site == h.w.siteOf[node].Name }
 
 // Start starts all nodes and waits until each serves.
 func (w *World) Start() {
 	w.t.Helper()
-	for _, n := range w.order {
+	for _, n := range w.nodeNames {
 		w.nodes[n].Start()
 	}
-	for _, n := range w.order {
+	for _, n := range w.nodeNames {
 		w.nodes[n].AwaitServing()
 	}
 }
 
 // Names are the names of all nodes, in the plan's order.
-func (w *World) Names() []string { return slices.Clone(w.order) }
+func (w *World) Names() []string { return slices.Clone(w.nodeNames) }
 
 // Node returns a node.
 func (w *World) Node(name string) *Node {
@@ -187,23 +187,23 @@
 
 // Link is what one node calls another through.
 func (w *World) Link(from, to string) *Link {
-	l := w.peers[[2]string{from, to}]
+	l := w.peerLinks[[2]string{from, to}]
 	require.NotNil(w.t, l, "%s to %s", from, to)
 	return l
 }
 
 // Front is what clients reach a node through.
-func (w *World) Front(node string) *Link { return w.fronts[node] }
+func (w *World) ClientLink(node string) *Link { return w.clientLinks[node] }
 
 // ToDiscovery is what a node calls discovery through.
-func (w *World) ToDiscovery(node string) *Link { return w.discovery[node] }
+func (w *World) DiscoveryLink(node string) *Link { return w.discoveryLinks[node] }
 
 // Part cuts all links between the nodes of one side and all others, both ways; with hold it silences them instead.
-func (w *World) Part(hold bool, side ...string) {
-	for _, n := range w.order {
-		for _, m := range w.order {
+func (w *World) Partition(silence bool, side ...string) {
+	for _, n := range w.nodeNames {
+		for _, m := range w.nodeNames {
 			if n != m && slices.Contains(side, n) != slices.Contains(side, m) {
-				if hold {
+				if silence {
 					w.Link(n, m).Silence()
 				} else {
 					w.Link(n, m).Cut()
@@ -215,15 +215,15 @@
 
 // Heal makes all links sound, has all hosts speak, discovery answer and stopped nodes go on.
 func (w *World) Heal() {
-	for _, n := range w.order {
+	for _, n := range w.nodeNames {
 		w.nodes[n].Continue()
-		w.hands.Lock()
-		if !w.shut[n] {
-			w.fronts[n].Heal()
+		w.processMu.Lock()
+		if !w.closedToClients[n] {
+			w.clientLinks[n].Heal()
 		}
-		w.hands.Unlock()
-		w.discovery[n].Heal()
-		for _, m := range w.order {
+		w.processMu.Unlock()
+		w.discoveryLinks[n].Heal()
+		for _, m := range w.nodeNames {
 			if m != n {
 				w.Link(n, m).Heal()
 			}
@@ -239,17 +239,17 @@
 // has logged a line, an answer came to a client or an asker.
 func (w *World) Await(what string, cond func() bool) {
 	w.t.Helper()
-	w.news.await(w.t, what, cond, nil)
+	w.changes.await(w.t, what, cond, nil)
 }
 
 // pause waits for so long, or less if the world ends; it says whether the world goes on.
-func (w *World) pause(long time.Duration) bool {
-	timer := time.NewTimer(long)
+func (w *World) sleep(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-w.over:
+	case <-w.done:
 		return false
 	}
 }
@@ -261,7 +261,7 @@
 }
 
 // Over is closed once the world has ended.
-func (w *World) Over() <-chan struct{} { return w.over }
+func (w *World) Done() <-chan struct{} { return w.done }
 
 // Violation is something that must not be.
 type Violation struct {
@@ -274,7 +274,7 @@
 	return fmt.Sprintf("%s: %s", v.At.Round(time.Microsecond), v.What)
 }
 
-func (w *World) violate(format string, args ...any) {
+func (w *World) addViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.violations = append(w.violations, Violation{At: w.Now(), What: fmt.Sprintf(format, args...)})
@@ -306,7 +306,7 @@
 }
 
 // RequireSound fails the test with all that must not be.
-func (w *World) RequireSound(allowed Allowance) {
+func (w *World) RequireNoViolations(allowed Allowance) {
 	w.t.Helper()
 	require.Empty(w.t, w.Violations(allowed))
 }
--- a/rehearsal/processes/world_test.go
+++ b/rehearsal/processes/world_test.go
@@ -16,15 +16,15 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-func three() Plan {
-	return Plan{Seed: 1, Hosts: Fleet(3), Alone: true,
+func threeNodePlan() Plan {
+	return Plan{Seed: 1, Hosts: Fleet(3), NoSiteFile: true,
 		Sites: []Site{{Name: "b", Level: sitepb.Level_BUILDING, Nodes: []string{"n0", "n1", "n2"}}}}
 }
 
-func each(w *World, c *Clients, more int) {
+func awaitEachServed(w *World, c *Clients, count int) {
 	w.t.Helper()
 	for _, n := range w.Names() {
-		c.AwaitUp(more, n)
+		c.AwaitUp(count, n)
 	}
 }
 
@@ -32,10 +32,10 @@
 // serves again afterwards, and hosts know which node sent them what.
 func TestNodesAreKilledPausedAndCutOff(t *testing.T) {
 	t.Parallel()
-	w := New(t, three())
+	w := New(t, threeNodePlan())
 	w.Start()
 	c := w.Come(Load{PerSecond: 80, Holds: 200 * time.Millisecond})
-	each(w, c, 5)
+	awaitEachServed(w, c, 5)
 	for _, n := range w.Names() {
 		assert.NotEmpty(t, func() (all []FirstLine) {
 			for _, h := range w.Hosts() {
@@ -61,13 +61,13 @@
 	c.AwaitUp(10, "n2")
 	w.Await("clients of the node that stands still get nothing", func() bool { return c.Report().Lost > 0 })
 	c.AwaitUp(10, "n0")
-	for _, l := range linesOf(w, "n1") { // by the kernel's times: an answer may be read late
+	for _, l := range firstLinesFrom(w, "n1") { // by the kernel's times: an answer may be read late
 		require.LessOrEqual(t, l.At, paused)
 	}
 	n1.Continue()
 	c.AwaitUp(5, "n1")
 
-	w.ToDiscovery("n2").Cut()
+	w.DiscoveryLink("n2").Cut()
 	h := w.Host("h0")
 	h.Drain()
 	drained := w.Now()
@@ -83,26 +83,26 @@
 	w.Heal()
 	w.Await("it asks discovery again", func() bool { return w.Discovery.Calls("n2") > calls })
 	h.Undrain()
-	each(w, c, 5)
+	awaitEachServed(w, c, 5)
 	c.Stop()
 	r := c.Report()
 	t.Log(r)
 	assert.Equal(t, r.Asked, r.Up+r.Busy+r.Failed+r.Lost)
 	assert.Positive(t, r.Within(0.5))
 	assert.EqualValues(t, r.Up, r.Latency.GetCount())
-	w.RequireSound(Allowance{Site: 1})
+	w.RequireNoViolations(Allowance{Site: 1})
 	for _, n := range w.Names() {
 		w.Node(n).Stop()
 	}
 }
 
 // A first line at a host in work is found by the host's own count; a host that is killed gets none until it has started.
-func TestHostsInWorkAndDead(t *testing.T) {
+func TestHostsUnderMaintenanceAndCrashed(t *testing.T) {
 	t.Parallel()
-	w := New(t, three())
+	w := New(t, threeNodePlan())
 	w.Start()
 	c := w.Come(Load{PerSecond: 80, Holds: 100 * time.Millisecond})
-	each(w, c, 2)
+	awaitEachServed(w, c, 2)
 	h, other := w.Host("h1"), w.Host("h2")
 	h.Begin()
 	require.True(t, h.InWork())
@@ -127,13 +127,13 @@
 	calls := w.Discovery.Calls("n1")
 	w.Await("discovery fails", func() bool { return w.Discovery.Calls("n1") > calls+1 })
 	w.Heal()
-	each(w, c, 5)
+	awaitEachServed(w, c, 5)
 }
 
 // The store of a node that is started again is as the story says, and its files may not grow beyond a limit.
-func TestStoresAreKeptLostOlderAndTorn(t *testing.T) {
+func TestStoresAreKeptLostStaleAndTruncated(t *testing.T) {
 	t.Parallel()
-	p := three()
+	p := threeNodePlan()
 	p.Sites[0].Nodes = []string{"n0"}
 	w := New(t, p)
 	n := w.Node("n0")
@@ -180,8 +180,8 @@
 }
 
 // What the kernel says of a first line lies between its writing and its reading, though clocks of two kinds tell.
-func TestTheKernelsTimesAreTheWorlds(t *testing.T) {
-	w := New(t, three())
+func TestKernelTimestampsAgreeWithTheTestClock(t *testing.T) {
+	w := New(t, threeNodePlan())
 	h := w.Host("h0")
 	for i := range 20 {
 		c, err := net.Dial("tcp4", h.endpoint("n1"))
@@ -190,13 +190,13 @@
 		_, err = fmt.Fprintf(c, "OPEN %d 1 c=chat\r\n", i)
 		require.NoError(t, err)
 		w.Await("it is read", func() bool { return len(h.Lines("n1")) == i+1 })
-		const apart = 2 * time.Millisecond // of the two clocks at most
-		assert.Greater(t, h.Lines("n1")[i].At, before-apart)
-		assert.Less(t, h.Lines("n1")[i].At, w.Now()+apart)
+		const clockSkew = 2 * time.Millisecond // of the two clocks at most
+		assert.Greater(t, h.Lines("n1")[i].At, before-clockSkew)
+		assert.Less(t, h.Lines("n1")[i].At, w.Now()+clockSkew)
 		c.Close()
 	}
 	assert.Empty(t, h.Lines("n0"))
-	past, now := w.when(time.Now().Add(-time.Hour).UnixNano()), w.Now()
+	past, now := w.fromUnixNano(time.Now().Add(-time.Hour).UnixNano()), w.Now()
 	assert.InDelta(t, now-time.Hour, past, float64(time.Second), "a line that was read late came when it came")
 
 	h.Silence("n1", true)
@@ -224,14 +224,14 @@
 }
 
 // A plan of faults is played while clients come: nothing is seen that must not be, and all nodes serve in the end.
-func TestAPlanOfFaultsIsPlayed(t *testing.T) {
+func TestPlanOfFaultsRuns(t *testing.T) {
 	t.Parallel()
-	w := New(t, three())
+	w := New(t, threeNodePlan())
 	w.Start()
 	c := w.Come(Load{PerSecond: 60, Holds: 200 * time.Millisecond, Deadline: time.Second})
 	w.Play(Faults(3, w.Names(), 3*time.Second))
-	each(w, c, 5)
+	awaitEachServed(w, c, 5)
 	c.Stop()
 	t.Log(c.Report())
-	w.RequireSound(Allowance{})
+	w.RequireNoViolations(Allowance{})
 }
--- a/rehearsal/soak/client.go
+++ b/rehearsal/soak/client.go
@@ -117,7 +117,7 @@
 		return true
 	case <-c.stop:
 		return false
-	case <-c.w.Over():
+	case <-c.w.Done():
 		return false
 	}
 }
--- a/rehearsal/soak/play.go
+++ b/rehearsal/soak/play.go
@@ -61,7 +61,7 @@
 // Play plays a plan and returns what was seen.
 func Play(t testing.TB, p Plan) Record {
 	t.Helper()
-	w := processes.New(t, processes.Plan{Seed: p.Seed, Hosts: processes.Fleet(p.Hosts), Alone: true, Sockets: p.Sockets,
+	w := processes.New(t, processes.Plan{Seed: p.Seed, Hosts: processes.Fleet(p.Hosts), NoSiteFile: true, Sockets: p.Sockets,
 		Settings: settingsOf(p), Sites: []processes.Site{{Name: "b", Level: sitepb.Level_BUILDING, Nodes: p.Nodes}}})
 	rec := &recorder{r: Record{Plan: p, Drains: map[string][]Span{}, Hangs: map[string][]Span{}, Downs: map[string][]Span{}}}
 	g := &player{World: w, t: t, plan: p, rec: rec, front: &front{nodes: p.Nodes, shut: map[string]bool{}, addr: map[string]string{}}}
@@ -180,7 +180,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-g.Over():
+	case <-g.Done():
 		return false
 	}
 }
@@ -277,10 +277,10 @@
 	}
 	term := g.Now()
 	g.life(life, func(l *Life) { l.Term = term })
-	n.Leave()
+	n.Terminate()
 	if e.Signals == TermTwice {
 		g.pause(e.FrontOn / 2)
-		n.Leave()
+		n.Terminate()
 	}
 	if e.Signals == TermHangup {
 		g.pause(e.FrontOn / 2)
@@ -381,7 +381,7 @@
 	g.pause(e.FrontOn - frontLeast) // up to 0.2 s: before or after it serves
 	term := g.Now()
 	g.life(life, func(l *Life) { l.Term = term })
-	n.Leave()
+	n.Terminate()
 	g.endBy(life, term+g.plan.Kill(), n.Runs, n.Kill, n.AwaitEnd)
 	g.start(e.Node)
 }
@@ -410,7 +410,7 @@
 		all.Go(func() {
 			n, life, term := g.Node(name), g.present(name), g.Now()
 			g.life(life, func(l *Life) { l.Term = term })
-			n.Leave()
+			n.Terminate()
 			g.endBy(life, term+g.plan.Kill(), n.Runs, n.Kill, n.AwaitEnd)
 		})
 	}
