--- a/rehearsal/processes/policies.go
+++ b/rehearsal/processes/policies.go
@@ -11,29 +11,32 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// Sighting is what a host saw of the policy that a node goes by. The first attempt of a query is told as its time (d) twice the
-// aim of its class, or all that is left where it is the only attempt. So policies with these aims are told apart without a word
-// of the node, by clients that wait for TrialWait. They lie so far apart that a machine that stalls makes none of another: what
-// an attempt is told shrinks by as much as its connection takes, and where connections take long it is given twice that.
+// PolicyObservation is what a host observed of the policy that a node applies. The first attempt of a request
+// carries as its allowed time (d=) twice the latency target of the request's class, or all of the remaining
+// time if it is the only attempt. So, with clients whose deadline is TrialDeadline, the policies with the
+// targets below are told apart without asking the node. The targets lie so far apart that a stalled machine
+// does not make one look like another: the allowed time shrinks by the set-up time of the connection, and
+// where connections are slow to set up it is twice that time.
 type PolicyObservation struct {
 	At            time.Duration
-	LatencyTarget int           // GoodAim, TrialAim or OnlyAttempt
-	SentAt        time.Duration // when the client sent the query, 0 where it is no client's: the node has decided on it later
+	LatencyTarget int           // GoodTarget, TrialTarget or SingleAttempt
+	SentAt        time.Duration // when the client sent the request (the node decides later); 0 if it was not sent by a test client
 }
 
 const (
-	GoodTarget    = 300  // ms: that of DefaultSettings
+	GoodTarget    = 300  // ms, as in DefaultSettings
 	TrialTarget   = 5000 // ms
-	SingleAttempt = -1   // a query has one attempt
+	SingleAttempt = -1   // requests have one attempt
 
-	// TrialWait is how long clients wait: an attempt that is not the last is given half of it at most.
+	// TrialDeadline is the deadline of the clients. An attempt other than the last gets at most half of it.
 	TrialDeadline = 30 * time.Second
 )
 
-// connectTimeout is that of DefaultSettings: an attempt that comes to nothing without a word takes as long.
+// connectTimeout is the one of DefaultSettings: an attempt whose connection gets no answer takes this long.
 const connectTimeout = 250 * time.Millisecond
 
-// aimOf is what the time of a first attempt tells, in ms: what lies in the middle between two is either's.
+// targetOf returns the latency target in ms that the allowed time of a first attempt indicates. Values in
+// between count for the nearer target.
 func targetOf(allowed int) int {
 	const longest = int(TrialDeadline / time.Millisecond)
 	switch {
@@ -45,14 +48,14 @@
 	return SingleAttempt
 }
 
-// sights are the sightings of all hosts, by node, in the order in which they were read.
+// policyObservations holds the observations of all hosts, by node, in the order in which they were read.
 type policyObservations struct {
 	mu       sync.Mutex
-	recorded map[string]bool // queries
+	recorded map[string]bool // requests whose first attempt was handled
 	byNode   map[string][]PolicyObservation
 }
 
-// take notes a first line, unless it is a later attempt or tells no time.
+// record records a first line, unless it belongs to a later attempt or carries no allowed time.
 func (s *policyObservations) record(line FirstLine, sentAt time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,12 +70,12 @@
 	}
 	s.recorded[line.ID] = true
 	if targetOf(ms) != GoodTarget && sentAt > 0 && line.At-sentAt >= connectTimeout {
-		return // attempts before it may have come to nothing on a machine that stalls: the last of them is given all that is left
+		return // earlier attempts may have failed on a stalled machine, and the last attempt gets all of the remaining time
 	}
 	s.byNode[line.Node] = append(s.byNode[line.Node], PolicyObservation{At: line.At, LatencyTarget: targetOf(ms), SentAt: sentAt})
 }
 
-// Sightings are what hosts saw of a node since a moment.
+// Observations returns what hosts observed of a node since a point in time.
 func (w *World) Observations(node string, since time.Duration) []PolicyObservation {
 	w.observations.mu.Lock()
 	defer w.observations.mu.Unlock()
@@ -84,11 +87,12 @@
 	return slices.Clone(observations[i:])
 }
 
-// certain is how many sightings in a row make one of an aim: a single one may be an attempt after others that came to nothing on a
-// machine that stalls.
+// minConsecutive is how many observations in a row establish a target. A single one may be an attempt that
+// followed failed ones on a stalled machine.
 const minConsecutive = 3
 
-// Under are the sightings of an aim at a node since a moment, where so many came in a row.
+// ObservationsOf returns the observations of a target at a node since a point in time that came in runs of at
+// least minConsecutive.
 func (w *World) ObservationsOf(target int, node string, since time.Duration) (found []PolicyObservation) {
 	run := 0
 	for _, s := range w.Observations(node, since) {
@@ -108,7 +112,8 @@
 	return found
 }
 
-// AwaitAim waits until hosts have seen each of some nodes go by an aim, lately and after this call.
+// AwaitTarget waits until hosts have observed, after this call, that the latest requests of each of the nodes
+// have this target.
 func (w *World) AwaitTarget(target int, nodes ...string) {
 	w.t.Helper()
 	start := w.Now()
@@ -120,7 +125,8 @@
 	})
 }
 
-// everUnder are the nodes that hosts ever saw go by an aim, in the order of their first sightings.
+// everObserved returns the nodes at which hosts ever observed a target, in the order of their first
+// observations.
 func (w *World) everObserved(target int) (nodes []string) {
 	first := map[string]time.Duration{}
 	for _, n := range w.nodeNames {
@@ -132,15 +138,16 @@
 	return nodes
 }
 
-// change is a node that went over to a trial, at some moment from least to most.
+// change is the switch of a node to a trial policy, at a time between earliest and latest.
 type change struct {
 	node             string
 	earliest, latest time.Duration
 }
 
-// crowds are the moments at which more nodes of one site had certainly changed within a time, and hosts were handed over, than may
-// be. rollouts are their aims. A node changed after the last look that did not have it among the treated, and before hosts saw it go
-// by the trial.
+// budgetExceeded returns the times at which more nodes of one site had certainly switched to a trial within
+// the period, and hosts were granted, than the budget allows. targets maps each rollout to its latency
+// target. A node switched after the last snapshot that did not list it in the treatment group, and before
+// hosts observed the trial at it.
 func (w *World) budgetExceeded(poller *PolicyPoller, targets map[string]int, nodes []string, budget int, within time.Duration) (found []string) {
 	var changes []change
 	snapshots := poller.Snapshots()
@@ -178,7 +185,8 @@
 	return found
 }
 
-// outlived are what hosts saw of a trial at nodes that were cut off from the top, of queries that clients sent once its lease was over.
+// usedAfterLease returns the observations of a trial at nodes that were cut off from the top site, for
+// requests that clients sent after the trial lease had expired.
 func (w *World) usedAfterLease(cut span, lease time.Duration, targets []int, nodes []string) (out []Violation) {
 	for _, n := range nodes {
 		for _, target := range targets {
@@ -193,38 +201,38 @@
 	return out
 }
 
-// Policy makes one of the calls StartPolicy, HaltPolicy, ResumePolicy and ForcePolicy at a node.
+// CallPolicy makes one of the calls StartPolicy, HaltPolicy, ResumePolicy and ForcePolicy at a node.
 func (a *Asker) CallPolicy(node, kind string, in map[string]any) (*peerpb.PolicyReply, error) {
 	out := &peerpb.PolicyReply{}
 	in["by"] = a.Name
 	return out, a.call(Op{Node: node, Kind: kind}, in, out, nil)
 }
 
-// Policies asks a node for its site's policies.
+// Policies asks a node for the policies of its site.
 func (a *Asker) Policies(node string) (*peerpb.PoliciesReply, error) {
 	out := &peerpb.PoliciesReply{}
 	return out, a.call(Op{Node: node, Kind: "Policies"}, map[string]any{}, out, nil)
 }
 
-// Look is an answer to Policies: what it tells was so at some moment from Call to Return, or, of a council that a call does not
-// reach any more, before.
+// PolicySnapshot is a reply to Policies. Its content was true at some time between Call and Return or, if the
+// call did not reach the consensus group, earlier.
 type PolicySnapshot struct {
 	Node         string
 	Call, Return time.Duration
 	*peerpb.PoliciesReply
 }
 
-// Lookout asks nodes for their policies, again and again.
+// PolicyPoller polls nodes for their policies.
 type PolicyPoller struct {
 	w         *World
 	mu        sync.Mutex
 	snapshots []PolicySnapshot
 }
 
-// lookPause lies between two looks at one node.
+// pollInterval is the pause between two polls of one node.
 const pollInterval = 100 * time.Millisecond
 
-// Lookout begins to look at some nodes, to the end of the test.
+// PollPolicies starts to poll the nodes and stops at the end of the test.
 func (w *World) PollPolicies(nodes ...string) *PolicyPoller {
 	poller := &PolicyPoller{w: w}
 	var pollers sync.WaitGroup
@@ -247,14 +255,14 @@
 	return poller
 }
 
-// Looks are all looks so far, in the order of their answers.
+// Snapshots returns all snapshots so far, in the order in which the replies came.
 func (l *PolicyPoller) Snapshots() []PolicySnapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.snapshots)
 }
 
-// Last is the latest look at a node, or at any with "".
+// Latest returns the latest snapshot of a node, or of any node with "".
 func (l *PolicyPoller) Latest(node string) (PolicySnapshot, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -266,7 +274,7 @@
 	return PolicySnapshot{PoliciesReply: &peerpb.PoliciesReply{}}, false
 }
 
-// Rollout is a rollout as the latest look has it; nil where there is none.
+// Rollout returns a rollout as the latest snapshot has it, or nil.
 func (l *PolicyPoller) Rollout(id string) *peerpb.Rollout {
 	latest, _ := l.Latest("")
 	return latest.rollout(id)
--- a/rehearsal/processes/port.go
+++ b/rehearsal/processes/port.go
@@ -12,11 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// port is a port of loopback that stays this process's own from New to the end of the test, whether or not anybody listens:
-// a closed one refuses, and nobody else gets it meanwhile.
+// port is a loopback port that stays reserved for this process from newPort to the end of the test, listening
+// or not: while closed it refuses connections, and no other process can get it.
 type port struct {
 	addr       string
-	reservedFD int // bound, never listens
+	reservedFD int // bound and never listening
 
 	mu sync.Mutex
 	ln *net.TCPListener
@@ -39,7 +39,7 @@
 	return p
 }
 
-// open listens and gives each connection to take. Nothing changes where it listens already.
+// listen listens and passes each accepted connection to handle. It does nothing if the port listens already.
 func (p *port) listen(handle func(*net.TCPConn)) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +48,8 @@
 	}
 	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		if controlErr := c.Control(func(fd uintptr) {
-			// What comes is stamped from the very first packet of a connection: connections have this of their listener.
+			// Accepted connections inherit SO_TIMESTAMPNS from the listener, so that the kernel timestamps
+			// data from the first packet on.
 			err = errors.Join(unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1),
 				unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1))
 		}); controlErr != nil {
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// close refuses from now on. What has come and was not taken is reset.
+// close stops listening: new connections are refused, and connections that were not accepted yet are reset.
 func (p *port) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// reset ends a connection at once, with a reset.
+// reset closes a connection immediately with a TCP reset.
 func reset(c *net.TCPConn) {
 	if c != nil {
 		_ = c.SetLinger(0)
--- a/rehearsal/processes/process.go
+++ b/rehearsal/processes/process.go
@@ -17,9 +17,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is about the processes of a node: how they start, what they tell and how they end.
+// This file handles the processes of a node: starting them, reading their logs and ending them.
 
-// starter starts processes from one thread that never ends: the kernel kills a child when the thread that started it ends.
+// startThread starts processes from one thread that never ends, because the kernel kills a child (Pdeathsig)
+// when the thread that started it ends.
 var startThread = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
@@ -31,18 +32,19 @@
 	return work
 })
 
-// process is one process of a node. What it told belongs to it, not to the node: while a later one is beside it, the lines and the
-// ends of the two are read by different goroutines, in any order.
+// process is one process of a node. The addresses that it logged belong to the process and not to the node:
+// while two processes of a node run, their log lines and their ends are handled by different goroutines, in
+// any order.
 type process struct {
 	cmd        *exec.Cmd
-	exited     chan struct{} // closed once its end was noticed
-	clientAddr string        // where clients connect, as it told last
-	apiAddr    string        // where peers and operators call, as it told last
+	exited     chan struct{} // closed once the end of the process has been handled
+	clientAddr string        // address for clients, as logged last
+	apiAddr    string        // address for peers and operators, as logged last
 }
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// read takes a line of the process's log in, and says whether it tells of an address.
+// readLine reads a line of the process's log and reports whether it announces an address.
 func (p *process) readLine(line string) bool {
 	addr := field(line, "listen")
 	switch {
@@ -61,7 +63,8 @@
 func clientAddrOf(p *process) string { return p.clientAddr }
 func apiAddrOf(p *process) string    { return p.apiAddr }
 
-// told is an address as the latest process that told one has it, of those that run; "" where none has. mu is held.
+// currentAddress returns an address as the latest running process that logged one has it, or "". n.mu must be
+// held.
 func (n *Node) currentAddress(address func(*process) string) string {
 	if n.ended {
 		return ""
@@ -77,7 +80,7 @@
 	return ""
 }
 
-// gone notes the end of one of the node's processes; mu is held.
+// processExited handles the end of one of the node's processes. n.mu must be held.
 func (n *Node) processExited(p *process) {
 	if p != n.present {
 		n.formers = slices.DeleteFunc(n.formers, func(f *process) bool { return f == p })
@@ -91,21 +94,22 @@
 	n.present, n.formers = n.formers[last], n.formers[:last]
 }
 
-// Start starts the node's process. It has to be down.
+// Start starts the node's process. No process may be running.
 func (n *Node) Start() {
 	n.t.Helper()
 	require.False(n.t, n.Runs(), "%s runs already", n.Name)
 	n.launch("127.0.0.1:0")
 }
 
-// StartAt starts the node's process at an address for clients, as a machine does that starts it again. It has to be down.
+// StartAt starts the node's process with a given address for clients, as after a restart of a machine. No
+// process may be running.
 func (n *Node) StartAt(listen string) {
 	n.t.Helper()
 	require.False(n.t, n.Runs(), "%s runs already", n.Name)
 	n.launch(listen)
 }
 
-// launch starts a process that is the node's from now on.
+// launch starts a process that becomes the node's present one.
 func (n *Node) launch(listen string) {
 	n.t.Helper()
 	cmd := exec.Command(n.path)
@@ -137,7 +141,7 @@
 	}()
 }
 
-// follow reads the log of a process and learns from it where the process listens.
+// readLog reads the log of a process and learns from it where the process listens.
 func (n *Node) readLog(p *process, log io.Reader) {
 	r := bufio.NewReader(log)
 	for {
@@ -158,14 +162,14 @@
 	}
 }
 
-// field is the value of a key in a line of a log, "" where it has none.
+// field returns the value of a key in a log line, or "".
 func field(line, key string) string {
 	_, rest, _ := strings.Cut(line, " "+key+"=")
 	value, _, _ := strings.Cut(rest, " ")
 	return strings.Trim(value, `"`)
 }
 
-// aim points the links at what the processes have told last.
+// updateLinks points the links at the addresses that the node's processes logged last.
 func (n *Node) updateLinks() {
 	if n.apart {
 		return
@@ -183,14 +187,14 @@
 	}
 }
 
-// Runs says whether the process runs, be it paused.
+// Runs reports whether a process runs, paused or not.
 func (n *Node) Runs() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.ended
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the present process, if one runs.
 func (n *Node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	present, ended := n.present, n.ended
@@ -203,7 +207,7 @@
 	}
 }
 
-// Kill ends the process at once, and returns once it is gone.
+// Kill kills the present process with SIGKILL and returns once its end has been handled.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	present := n.present
@@ -214,17 +218,18 @@
 	}
 }
 
-// PID is the number of the present process, or of the last one.
+// PID returns the process ID of the present process, or of the last one.
 func (n *Node) PID() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.present.pid()
 }
 
-// Leave asks the process to stop. It goes on until what it has taken is answered and what stands has ended.
+// Terminate sends SIGTERM. The process continues until it has answered the requests it accepted and its
+// connections have ended.
 func (n *Node) Terminate() { n.signal(syscall.SIGTERM) }
 
-// AwaitEnd waits until the process has ended, and returns its exit code: -1 after a signal.
+// AwaitEnd waits until the process has ended and returns its exit code, -1 after a signal.
 func (n *Node) AwaitEnd() int {
 	n.t.Helper()
 	n.w.changes.await(n.t, n.Name+" ends", func() bool { return !n.Runs() }, nil)
@@ -233,15 +238,16 @@
 	return n.present.cmd.ProcessState.ExitCode()
 }
 
-// Stop asks the process to stop and waits for its end, which must be in good order. Clients have to have gone.
+// Stop terminates the process and requires that it exits with code 0. The clients must have been stopped
+// before.
 func (n *Node) Stop() {
 	n.t.Helper()
 	n.Terminate()
 	require.Zero(n.t, n.AwaitEnd(), n.Name)
 }
 
-// Pause stops the process without its knowledge, as a machine that stalls does; its connections stay open. It returns once
-// every thread of the process stands.
+// Pause stops the process with SIGSTOP, as on a stalled machine: its connections stay open. It returns once
+// all threads of the process have stopped.
 func (n *Node) Pause() {
 	n.signal(syscall.SIGSTOP)
 	n.mu.Lock()
@@ -252,7 +258,7 @@
 		return
 	}
 	var info unix.Siginfo
-	for { // WNOWAIT leaves the process's end to whoever waits for it
+	for { // WNOWAIT leaves the exit status to cmd.Wait
 		err := unix.Waitid(unix.P_PID, present.pid(), &info, unix.WSTOPPED|unix.WEXITED|unix.WNOWAIT, nil)
 		if !errors.Is(err, unix.EINTR) {
 			return
@@ -260,7 +266,7 @@
 	}
 }
 
-// Continue has a paused process go on.
+// Continue resumes a paused process.
 func (n *Node) Continue() {
 	n.mu.Lock()
 	paused := n.paused
@@ -271,7 +277,7 @@
 	}
 }
 
-// Paused says whether the process is stopped.
+// Paused reports whether the process is paused.
 func (n *Node) Paused() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/rehearsal/processes/process_test.go
+++ b/rehearsal/processes/process_test.go
@@ -6,11 +6,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A later process of a node is killed. The former one takes its place again and opens to peers, and only then does the goroutine that
-// waits for the killed one run, as it does on a busy machine. What the former has told by then stands. Where the address belonged to the
-// node and the noticed end cleared it, all links to the node refused for the rest of the story, while its own calls went out: its
-// seat stayed at index 16, and the council stood still once the leader was killed too (TestAnUpgradeIsGivenUp, with 500 ms between a
-// process's end and the notice of it: "turn t2 of h2: context deadline exceeded; nobody leads the council").
+// The later one of a node's two processes is killed. The former process takes over again and logs its
+// addresses, and only then does the goroutine that waits for the killed process run, as happens on a busy
+// machine. The addresses that the former process logged must stay valid. When the address belonged to the
+// node and was cleared by the end of the later process, all links to the node refused connections for the
+// rest of the scenario while its own calls still went out: its replica stayed at index 16, and the group made
+// no progress once the leader was killed as well (TestUpgradeIsAborted, with 500 ms between the end of a
+// process and its handling: "turn t2 of h2: context deadline exceeded; nobody leads the council").
 func TestAddressesOfTheFormerProcessSurviveTheEndOfTheLaterOne(t *testing.T) {
 	opens := func(at string) string { return `level=INFO msg="open to peers" node=n2 listen=` + at + ` site=b` }
 	serves := func(at string) string { return `level=INFO msg=serving node=n2 listen=` + at + ` discovery=d` }
@@ -26,7 +28,7 @@
 	assert.Equal(t, "a:3", n.currentAddress(apiAddrOf))
 	assert.Equal(t, "a:2", n.currentAddress(clientAddrOf))
 
-	assert.True(t, former.readLine(opens("a:4"))) // it has seen the later one's end before this test has
+	assert.True(t, former.readLine(opens("a:4"))) // it noticed the end of the later process before this test did
 	assert.Equal(t, "a:3", n.currentAddress(apiAddrOf))
 	n.processExited(later)
 	assert.Equal(t, "a:4", n.currentAddress(apiAddrOf))
--- a/rehearsal/processes/reach_test.go
+++ b/rehearsal/processes/reach_test.go
@@ -6,12 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A follower's calls reach its leader and the leader's do not reach the follower: the seat stays behind, and without a word in the
-// leader's log that looked as if the seat itself waited. The leader says which seat does not answer it, and that it answers again.
+// The calls of a follower reach its leader, but those of the leader do not reach the follower. The replica
+// falls behind, and unless the leader logs this, it looks as if the replica itself were waiting. The leader
+// logs which replica does not answer, and when it answers again.
 func TestLeaderLogsWhichReplicasItDoesNotReach(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
-	// On a machine that stalls for ten ticks another seat leads: its log tells nothing of a link that was another's.
+	// On a machine that stalls for ten ticks another replica becomes leader, and its log says nothing about a
+	// link that was the former leader's.
 	for reported := false; !reported; {
 		leading, unreached := awaitLeader(w, "n3"), follower(w)
 		if leading == unreached {
--- a/rehearsal/processes/reload_test.go
+++ b/rehearsal/processes/reload_test.go
@@ -11,7 +11,7 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// phase is a turn's, as a node knows.
+// turnPhase returns the phase of a turn as a node reports it, or "".
 func turnPhase(w *World, node, id string) string {
 	r, err := w.Asker("operator").Turns(node)
 	if err != nil {
@@ -25,11 +25,12 @@
 	return ""
 }
 
-// A changed site file is taken whole or not at all: three turns are asked for where two hosts may be out.
+// A changed site file is applied completely or not at all. Three turns are requested where two hosts may be
+// out of service.
 func TestReloadOfASiteFileIsAtomic(t *testing.T) {
 	t.Parallel()
 	var siteLimit, leaseMs uint32 = 2, 1000
-	var leading, newAddr string // n3 reaches the leader at another address
+	var leading, newAddr string // newAddr: address at which n3 reaches the leader
 	w, c := startBuilding(t, buildingPlan(func(name string, f *sitepb.File) {
 		f.Turns.Site, f.Rights.LastsMs = siteLimit, leaseMs
 		for _, p := range f.Peers {
@@ -50,9 +51,9 @@
 		requestTurn(w, "n3", "t"+n, "h"+n, 0)
 	}
 	granted("t0", "t1")
-	requestTurn(w, "n3", "t2", "h2", 0) // after them: else the order goes by what stands at the hosts
+	requestTurn(w, "n3", "t2", "h2", 0) // after them: otherwise the order would depend on the load of the hosts
 
-	// refused reloads a file at all seats, which refuse it, and nothing has changed then.
+	// refused reloads a file at all replicas, which must refuse it, and checks that nothing has changed.
 	refused := func(reload func(*Node), texts ...string) {
 		t.Helper()
 		for _, s := range voters {
@@ -77,7 +78,7 @@
 	for _, n := range w.Names() {
 		w.Node(n).Reload()
 	}
-	granted("t2") // with the third host out
+	granted("t2") // with a third host out of service
 	w.Link("n3", leading).Refuse()
 	w.Link("n3", leading).Reset()
 	other.Await("n3 reaches the leader at its new address", func() bool { return other.Passed(Back) > 0 })
--- a/rehearsal/processes/rollouts_test.go
+++ b/rehearsal/processes/rollouts_test.go
@@ -15,45 +15,50 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// harmless is a policy that hosts can tell and that does no harm: TrialAim.
+// harmlessPolicy is a policy that hosts can recognize (TrialTarget) and that does no harm.
 const harmlessPolicy = `{"request_classes":{"chat":{"aim_us":5000000}}}`
 
-// The odds at which a stage ends on evidence: as soon as may be, or never, where operators end the stages of a story.
+// Values of beta, the probability that a stage ends although a class got worse by the margin: with
+// betaLoosest a stage ends on evidence as early as possible; with betaNever it never does, for scenarios in
+// which operators end the stages.
 const (
 	betaLoosest = 0.49
 	betaNever   = 1e-90
 )
 
-// quick has stages end on evidence.
+// endOnEvidence lets stages end on evidence.
 func endOnEvidence(f *sitepb.File) { f.Rollout.Beta = betaLoosest }
 
-// single is a site of its own whose council is the top.
+// singleSite is a single site whose group is also the top one, where policies are started.
 func singleSite(nodes ...string) []Site {
 	return []Site{{Name: "b", Level: sitepb.Level_PROVINCE, Nodes: nodes, Replicas: 3}}
 }
 
-// twoBuildings are a province with two buildings.
+// twoBuildings is a province with two buildings.
 func twoBuildings() []Site {
 	return []Site{{Name: "p", Level: sitepb.Level_PROVINCE, Nodes: []string{"p0"}},
 		{Name: "b", Parent: "p", Level: sitepb.Level_BUILDING, Nodes: []string{"b0", "b1", "b2"}},
 		{Name: "c", Parent: "p", Level: sitepb.Level_BUILDING, Nodes: []string{"c0", "c1"}, Replicas: 1}}
 }
 
-// trial is a world with a rollout in it. Its evidence is short: observations of two seconds, and odds as loose as they may be, with
-// which a stage has its evidence once two observations of each class are well within the margin.
+// rolloutTest is a world with a rollout. Little evidence is enough: an observation window is two seconds, and
+// with the loosest error probabilities a stage is decided once two windows of each class are well within the
+// margin.
 type rolloutTest struct {
 	*World
 	t        *testing.T
 	clients  *Clients
 	poller   *PolicyPoller
-	topNodes []string // the nodes of the site where policies are started
+	topNodes []string // nodes of the site where policies are started
 	chief    *Asker
 }
 
-// worlds is how many stories of policies are told at once: some twenty nodes. With more, a busy machine has no evidence in time.
+// worldSlots limits how many scenarios with policies run at once, to about twenty nodes. With more, a busy
+// machine does not gather evidence in time.
 var worldSlots = make(chan struct{}, 4)
 
-// onTrial starts the nodes and has clients come, beside other stories. tune may change the limits of rollouts, and more of the file.
+// newParallelRolloutTest starts nodes and clients, in parallel with other scenarios. tune may change the
+// rollout limits and other parts of the site file.
 func newParallelRolloutTest(t *testing.T, p Plan, tune func(*sitepb.File)) *rolloutTest {
 	t.Helper()
 	t.Parallel()
@@ -66,7 +71,7 @@
 	t.Helper()
 	p.Seed, p.Hosts = 7, Fleet(4)
 	p.Tune = func(_ string, f *sitepb.File) {
-		f.Council = &sitepb.Council{TickMs: 200} // evidence of a site whose leader changes all the time comes too late
+		f.Council = &sitepb.Council{TickMs: 200} // with frequent leader changes the evidence of a site would come too late
 		f.Rollout = &sitepb.Rollout{Alpha: 0.49, Beta: betaNever, Margin: 0.2, Slow: 0.49, Cover: 0.5, Least: 5, HoldS: 600, LeaseS: 30,
 			SliceS: 2, Spell: 1, Watch: 3, SettleS: 1}
 		if tune != nil {
@@ -90,13 +95,13 @@
 	return r
 }
 
-// come has 8 clients a second come to each node: three times what a class needs to be compared.
+// startClients starts 8 clients a second at each node: three times what a class needs to be compared.
 func (r *rolloutTest) startClients() *Clients {
 	return r.Come(Load{PerSecond: float64(8 * len(r.Names())), Most: 500, Total: 100000, Holds: 100 * time.Millisecond,
 		Deadline: TrialDeadline})
 }
 
-// do has an operator make a call, at nodes of the top in turn until one takes it.
+// callPolicy makes an operator's call, trying the nodes of the top site in turn until one accepts it.
 func (r *rolloutTest) callPolicy(kind, id string, fields map[string]any) {
 	r.t.Helper()
 	in := map[string]any{"id": id, "why": "a story"}
@@ -116,7 +121,8 @@
 	})
 }
 
-// start starts a policy and waits until hosts see a node go by it; the node is returned. No other node does.
+// startPolicy starts a policy, waits until hosts observe it at a node and returns that node. No other node
+// may apply it.
 func (r *rolloutTest) startPolicy(policy string, target int) (first string) {
 	r.t.Helper()
 	r.callPolicy("StartPolicy", "p1", map[string]any{"policy": policy})
@@ -128,7 +134,8 @@
 	return first
 }
 
-// treated waits until a stage treats all that it is to, and returns all nodes that are to go by the trial.
+// awaitTreated waits until a stage has assigned its treatment group, and returns all nodes that are to apply
+// the trial policy.
 func (r *rolloutTest) awaitTreated(stage string) []string {
 	r.t.Helper()
 	var treated []string
@@ -139,7 +146,7 @@
 	return treated
 }
 
-// await waits until the rollout is so, as the top tells it.
+// awaitRollout waits until the rollout, as the top site reports it, satisfies cond.
 func (r *rolloutTest) awaitRollout(what string, cond func(*peerpb.Rollout) bool) {
 	r.t.Helper()
 	r.Await("the rollout "+what, func() bool {
@@ -148,14 +155,15 @@
 	})
 }
 
-// force ends a stage by force and waits for the next one.
+// forceStage ends a stage by force and waits for the next one.
 func (r *rolloutTest) forceStage(stage string) {
 	r.t.Helper()
 	r.callPolicy("ForcePolicy", "p1", map[string]any{"stage": stage})
 	r.awaitRollout("has left "+stage, func(p *peerpb.Rollout) bool { return p.Stage != stage || p.Phase != "running" })
 }
 
-// awaitHalted waits until the rollout is halted for a cause and hosts see every node go by the good policy.
+// awaitHalted waits until the rollout is halted, checks the cause, and waits until hosts observe the good
+// policy at every node.
 func (r *rolloutTest) awaitHalted(cause string) {
 	r.t.Helper()
 	r.awaitRollout("is halted: "+cause, func(p *peerpb.Rollout) bool { return p.Phase == "halted" })
@@ -164,7 +172,8 @@
 	r.AwaitTarget(GoodTarget, r.Names()...)
 }
 
-// logged is when the rollout's log has a text first; false where it has none.
+// loggedAt returns the time of the first entry of the rollout's log that contains a text, and whether there
+// is one.
 func (r *rolloutTest) loggedAt(text string) (time.Duration, bool) {
 	for _, e := range r.poller.Rollout("p1").GetLog() {
 		if strings.Contains(e.What, text) {
@@ -174,7 +183,7 @@
 	return 0, false
 }
 
-// awaitPast waits until so long has passed since a moment, looked at when hosts see something of a node.
+// awaitServingAfter waits until a host has observed a request of the node at or after a point in time.
 func (r *rolloutTest) awaitServingAfter(at time.Duration, node string) {
 	r.t.Helper()
 	r.Await(fmt.Sprintf("%s serves on until %v", node, at), func() bool { return len(r.Observations(node, at)) > 0 })
@@ -269,7 +278,7 @@
 	r.awaitRollout("treats two nodes", func(p *peerpb.Rollout) bool { return len(p.Treated) == 2 })
 	treated := r.poller.Rollout("p1").Treated
 	r.AwaitTarget(TrialTarget, treated...)
-	lastGood := r.Now() // since when none has gone by the good policy: a machine that stalls may have one lapse
+	lastGood := r.Now() // last time at which a node applied the good policy: on a stalled machine a trial may expire
 	r.Await("the nodes go by the trial for longer than a lease: they are told again and again", func() bool {
 		for _, n := range treated {
 			if good := r.ObservationsOf(GoodTarget, n, lastGood); len(good) > 0 {
@@ -290,7 +299,7 @@
 	r.RequireNoViolations(Allowance{})
 }
 
-// TestATrialLapsesInTimeThoughItsNodeStartsAgain: a lease counts from when the top was heard, not from the start of a process.
+// A trial lease counts from the last contact with the top site, not from the start of a process.
 func TestTrialExpiresOnTimeAfterANodeRestart(t *testing.T) {
 	const lease = 8 * time.Second
 	r := newParallelRolloutTest(t, Plan{Sites: twoBuildings()}, func(f *sitepb.File) { f.Rollout.LeaseS = uint32(lease / time.Second) })
@@ -309,8 +318,8 @@
 	r.RequireNoViolations(Allowance{})
 }
 
-// TestAStartPastTheLeaseHaltsNothing: the node goes by the good policy from its first moment, takes the trial again once the top is heard, and
-// the stage waits.
+// A node that starts after its trial lease has expired applies the good policy from the beginning and the
+// trial policy again once it has contact with the top site. The stage waits.
 func TestRestartAfterTheTrialLeaseDoesNotHaltTheRollout(t *testing.T) {
 	const lease = 8 * time.Second
 	r := newParallelRolloutTest(t, Plan{Sites: twoBuildings()}, func(f *sitepb.File) { f.Rollout.LeaseS = uint32(lease / time.Second) })
@@ -370,20 +379,20 @@
 	assert.Equal(t, []string{"one-node: started", "one-node: ended by force", "building: ended by force", "regency: halt: operator",
 		"regency: taken back", "building: taken back", "one-node: taken back", "regency: every node is on the good policy"}, steps)
 	for _, n := range treated[2:] {
-		if n != killed { // which was not waited for, and hears of the halt after its start
+		if n != killed { // the killed leader was not waited for, and learns of the halt after its restart
 			assert.Less(t, r.lastTrialObservation(n), r.firstGoodAfterTrial(first), "%s of the latest stage goes back first", n)
 		}
 	}
 	r.RequireNoViolations(Allowance{})
 }
 
-// lastUnder is when hosts saw a node go by the trial last.
+// lastTrialObservation returns when hosts last observed the trial policy at a node.
 func (r *rolloutTest) lastTrialObservation(node string) time.Duration {
 	all := r.ObservationsOf(TrialTarget, node, 0)
 	return all[len(all)-1].At
 }
 
-// firstGood is when hosts saw a node go by the good policy first, after the trial.
+// firstGoodAfterTrial returns when hosts first observed the good policy at a node after the trial.
 func (r *rolloutTest) firstGoodAfterTrial(node string) time.Duration {
 	for _, s := range r.Observations(node, r.lastTrialObservation(node)) {
 		if s.LatencyTarget == GoodTarget {
@@ -394,7 +403,7 @@
 }
 
 func TestHaltAtACutOffBuildingAppliesThereAtOnceAndElsewhereAfterHealing(t *testing.T) {
-	r := newParallelRolloutTest(t, Plan{Sites: twoBuildings()}, func(f *sitepb.File) { f.Rollout.LeaseS = 600 }) // nothing lapses here
+	r := newParallelRolloutTest(t, Plan{Sites: twoBuildings()}, func(f *sitepb.File) { f.Rollout.LeaseS = 600 }) // no trial expires here
 	r.startPolicy(harmlessPolicy, TrialTarget)
 	r.forceStage("one-node")
 	r.forceStage("building")
@@ -447,7 +456,8 @@
 		h.Refuse(1, "BUSY")
 	}
 	before := r.clients.Report()
-	// Against its own past a node would be worse for certain within nine spells, and the stage had its evidence within three.
+	// Compared with its own past, a node would certainly be worse within nine observation windows, and the
+	// stage would have its evidence within three.
 	start := r.Now()
 	r.Await("all nodes refuse for twelve spells", func() bool { return r.Now() > start+24*time.Second })
 	now := r.clients.Report()
@@ -474,11 +484,11 @@
 	})
 	first := r.startPolicy(harmlessPolicy, TrialTarget)
 	r.awaitRollout("compares them", func(p *peerpb.Rollout) bool { return p.Missing == "" })
-	r.awaitServingAfter(r.Now()+10*time.Second, first) // by then all others were watched too
-	// While a host of its zone is in work, what a node counts is no evidence.
+	r.awaitServingAfter(r.Now()+10*time.Second, first) // by then all other nodes were watched too
+	// While a host of its zone is under maintenance, what a node counts is no evidence.
 	require.NoError(t, r.Asker("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		nothing := func(p *peerpb.Rollout) bool { return strings.Contains(p.Missing, "nothing to compare") }
-		r.awaitRollout("compares nothing any more", nothing) // the spells before the work are judged
+		r.awaitRollout("compares nothing any more", nothing) // the observation windows before the work are decided by then
 		since := r.Now()
 		r.awaitServingAfter(since+8*time.Second, first)
 		for _, l := range r.poller.Snapshots() {
@@ -486,7 +496,7 @@
 				require.Contains(t, l.rollout("p1").GetMissing(), "nothing to compare")
 			}
 		}
-		// With a host out there is room for one node at a time.
+		// With one host out of service, the budget leaves room for one node at a time.
 		r.callPolicy("ForcePolicy", "p1", map[string]any{"stage": "one-node"})
 		r.awaitRollout("treats all of the building", func(p *peerpb.Rollout) bool { return len(p.Treated) == 5 })
 	}))
@@ -498,7 +508,7 @@
 	}
 	require.NoError(t, <-errs)
 	require.NoError(t, <-errs)
-	assert.Empty(t, r.budgetExceeded(r.poller, map[string]int{"p1": TrialTarget}, r.Names(), 2, settle-3*time.Second)) // a change counts from when the leader proposed it, and is told once it is agreed
+	assert.Empty(t, r.budgetExceeded(r.poller, map[string]int{"p1": TrialTarget}, r.Names(), 2, settle-3*time.Second)) // a change counts from the leader's proposal, and is reported once it is committed
 	r.RequireNoViolations(Allowance{Site: 2})
 }
 
@@ -510,9 +520,9 @@
 	r := newParallelRolloutTest(t, p, nil)
 	r.callPolicy("StartPolicy", "p1", map[string]any{
 		"policy": `{"request_classes":{"chat":{"aim_us":5000000},"file":{"aim_us":500000}}}`})
-	for _, stage := range []string{"one-node", "building", "regency", "part", "all"} { // one has n3, or it is held back to the end
+	for _, stage := range []string{"one-node", "building", "regency", "part", "all"} { // one of the stages has n2, or n2 is held back until the last one
 		r.awaitRollout("treats "+stage, func(p *peerpb.Rollout) bool { return p.Stage == stage && len(p.Treated) > 0 || p.Phase != "running" })
-		_, _ = r.chief.CallPolicy("n0", "ForcePolicy", map[string]any{"id": "p1", "stage": stage, "why": "a story"}) // unless it halts
+		_, _ = r.chief.CallPolicy("n0", "ForcePolicy", map[string]any{"id": "p1", "stage": stage, "why": "a story"}) // refused if the rollout has halted
 	}
 	r.awaitHalted("guard")
 	assert.NotContains(t, r.everObserved(TrialTarget), "n2")
--- a/rehearsal/processes/seats_test.go
+++ b/rehearsal/processes/seats_test.go
@@ -15,14 +15,15 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// A council of five outlives two. With three gone there are no turns, and the traffic goes on. One that comes back waits
-// for the word of three others, since its store may be an older one; the second gives it.
+// A group of five replicas survives the loss of two. Without three it grants no turns, and traffic continues.
+// A replica that comes back needs the confirmation of three others, since its store may be stale; the second
+// replica to return completes it.
 func TestGroupOfFiveSurvivesTwoLostReplicas(t *testing.T) {
 	t.Parallel()
 	p := buildingPlan(nil)
 	p.Sites[0].Nodes, p.Sites[0].Replicas = []string{"n0", "n1", "n2", "n3", "n4", "n5"}, 5
 	w, c := startBuilding(t, p)
-	last := "n5" // without a seat
+	last := "n5" // without a replica
 	gone := []string{awaitLeader(w, last)}
 	gone = append(gone, otherNodes(w, gone[0], last)[:2]...)
 	for id, host := range map[string]string{"t1": "h1", "t2": "h2"} {
@@ -56,7 +57,8 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// reseated has the site files of all nodes name these seats, and those nodes reload that run.
+// changeReplicas makes these nodes the replicas in the site files of all nodes, and running nodes reload
+// their files.
 func changeReplicas(w *World, voters ...string) {
 	w.t.Helper()
 	s := &w.Plan.Sites[0]
@@ -69,7 +71,7 @@
 	}
 }
 
-// awaitSeats waits until the council has these seats, as a node tells.
+// awaitVoters waits until a node reports these voters of its group.
 func awaitVoters(w *World, at string, voters ...string) {
 	w.t.Helper()
 	w.Await("the council's seats are "+strings.Join(voters, " "), func() bool {
@@ -78,7 +80,8 @@
 	})
 }
 
-// A seat is replaced by SIGHUP while turns are worked and clients come; the leader is killed as soon as it has begun with it.
+// A replica is replaced by a changed site file and SIGHUP, while hosts are under maintenance and clients
+// connect. The leader is killed as soon as it has begun with the change.
 func TestReplicaIsReplacedBySIGHUPThoughTheLeaderIsKilled(t *testing.T) {
 	t.Parallel()
 	p := buildingPlan(nil)
@@ -90,7 +93,7 @@
 	voters := []string{first, kept, "n3"}
 	slices.Sort(voters)
 
-	// A file that a minority has does nothing.
+	// A changed file at a minority of the replicas has no effect.
 	w.Plan.Sites[0].Nodes = append(slices.Clone(voters), removed, "n4")
 	w.Node(first).Reload()
 	w.Node(first).Logged("the seats are not as the site file has them yet", "differ", removed, "have them reload")
@@ -108,7 +111,7 @@
 	w.Node(removed).Logged("has taken this node's seat out")
 	awaitServed(c, w.Names()...)
 
-	// The new seats are a council without the one that went, and without the one that was killed.
+	// The new replicas have a quorum without the removed one and the killed one.
 	requestTurn(w, "n4", "t2", "h2", 4*time.Second)
 	for _, n := range []string{removed, first} {
 		awaitExclusionSet(w, n, "h2")
@@ -124,7 +127,8 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// A council of one becomes one of three while the link to a new seat is cut, and outlives its first seat then.
+// A group of one replica grows to three while the link to a new replica is cut, and then survives the loss of
+// its first replica.
 func TestGroupOfOneGrowsToThreeAcrossACutLink(t *testing.T) {
 	t.Parallel()
 	p := buildingPlan(nil)
@@ -136,7 +140,7 @@
 	w.Link("n1", "n0").Cut()
 	changeReplicas(w, "n0", "n1", "n2")
 	awaitReplicasDiffer(w, "n0", "n1 is to get a seat")
-	workOn(w, c, "t1", "h1", w.Names()...) // whoever does not answer holds nobody up
+	workOn(w, c, "t1", "h1", w.Names()...) // a node that does not answer delays nothing
 	w.Link("n0", "n1").Heal()
 	w.Link("n1", "n0").Heal()
 	awaitVoters(w, "n3", "n0", "n1", "n2")
@@ -148,13 +152,14 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// awaitLine waits until a node has said why the seats are not as they should be.
+// awaitReplicasDiffer waits until a node has logged why the replicas differ from the site file.
 func awaitReplicasDiffer(w *World, node, why string) {
 	w.t.Helper()
 	w.Node(node).Logged("the seats are not as the site file has them yet", why)
 }
 
-// The seat of the leader goes: it hands over first, is told, and runs on without a seat, also where its file is an older one.
+// The replica of the leader is removed: the leader transfers leadership first, learns of its removal, and
+// runs on without a replica. A second removed node still has the old site file.
 func TestReplicaOfTheLeaderIsRemoved(t *testing.T) {
 	t.Parallel()
 	p := buildingPlan(nil)
@@ -165,8 +170,8 @@
 	remaining := otherNodes(w, leading, removed, "n5")
 	s := &w.Plan.Sites[0]
 	s.Nodes, s.Replicas = append(slices.Clone(remaining), leading, removed, "n5"), 3
-	w.Partition(false, removed)                // nobody tells it of its end; it hears so from the others' words later
-	for _, n := range otherNodes(w, removed) { // this one's file stays as it is
+	w.Partition(false, removed)                // it cannot be notified of its removal, and learns of it later from the other replicas
+	for _, n := range otherNodes(w, removed) { // its own file stays as it is
 		w.Node(n).Reload()
 	}
 	w.Node(leading).Logged("this seat goes, and hands over before")
@@ -199,10 +204,11 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// A node's seat goes to another one by the site file, and the node runs on. What is written from then on it does not hear of: its own
-// state stays as it was when its seat went. It answered from that for as long as its process ran, and whoever had written there waited
-// for a receipt for ever ("b.661b282726c251d/10 has no receipt" for 400 rounds, in storms 3 and 5 with seats that change). It asks
-// the leader, as a node without a seat does.
+// The site file moves the replica of a node to another node, and the node runs on. It does not receive what
+// is written afterwards: its state stays as it was when its replica was removed. It used to answer from that
+// state for as long as its process ran, and clients that had written there waited for a receipt forever
+// ("b.661b282726c251d/10 has no receipt" for 400 rounds, in seeds 3 and 5 of the fault sequences with replica
+// changes). It must ask the leader, as a node without a replica does.
 func TestNodeWhoseReplicaWasRemovedReportsLaterWrites(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -221,10 +227,12 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// The site file gives the seat of n0 to n3, which is cut off, so that the council goes on with n0. A process of n0 that starts then reads
-// a file without a seat for n0, and took none: a council that counted it was one seat short, and with another seat away nobody led any
-// more, for good ("b has the seats [], not [b0 b1 b2]", storm 2 with seats that change: four seats, of which b1 had lost its store and b3,
-// whose seat was to go, was upgraded). It takes the seat that its store has until the council has taken that out.
+// The site file moves the replica of n0 to n3, which is cut off, so that the group continues with n0. A
+// process of n0 that starts then reads a file without a replica for n0. It used to run none: the group that
+// counted it was one replica short and, with another one away, had no leader any more, for good ("b has the
+// seats [], not [b0 b1 b2]", seed 2 of the fault sequences with replica changes: four replicas, of which b1
+// had lost its store and b3, which was to be removed, was being upgraded). It must run the replica of its
+// store until the group has removed it.
 func TestReplicaToBeRemovedRunsAgainAfterARestart(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -241,11 +249,11 @@
 	w.Node("n1").Restart(Kept)
 	awaitVoters(w, "n2", "n1", "n2", "n3")
 	w.Node("n0").Logged("has taken this node's seat out")
-	w.Node("n0").Restart(Kept) // with a store that has a seat which the council has taken out
+	w.Node("n0").Restart(Kept) // its store holds a replica that the group has removed
 	w.Node("n0").Logged("has taken this node's seat out", "its site file does not name it either")
 	workOn(w, c, "t2", "h2", w.Names()...)
 
-	// Named again, it asks for what it needs: its store is of a seat that is no more.
+	// When the site file names it again, it logs what is needed, because its store holds a removed replica.
 	changeReplicas(w, "n0", "n1", "n2")
 	w.Node("n0").Logged("has taken this node's seat out while it was away", "put its store aside and start it with an empty one")
 	w.Node("n0").Restart(Empty)
@@ -253,13 +261,15 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// vouch calls Vouch for a node with some of the fields.
+// confirmStore calls Vouch for a node with some of the fields: an operator confirms that the node's store is
+// current.
 func confirmStore(w *World, node string, fields map[string]any) error {
 	fields["node"] = node
 	return w.Asker("operator").call(Op{Node: "n3", Kind: "Vouch"}, fields, &peerpb.SeatReply{}, nil)
 }
 
-// Of three seats one has lost its store, and another one starts again: it waits, until an operator vouches for its store.
+// One of three replicas has lost its store and another one restarts: it waits until an operator confirms that
+// its store is current.
 func TestOperatorConfirmsTheStoreOfAWaitingReplica(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -292,14 +302,15 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// foundAnew calls FoundAnew for a node.
+// rebootstrap calls FoundAnew at one node for another.
 func rebootstrap(w *World, at, node string, lost ...string) error {
 	return w.Asker("operator").call(Op{Node: at, Kind: "FoundAnew"}, map[string]any{"node": node, "lost": lost, "by": "operator",
 		"why": "fire", "i_know_that_the_lost_stores_must_never_run_again": true}, &peerpb.SeatReply{}, nil)
 }
 
-// Of five seats three are lost. The two that are left are no council; one founds it anew, with its book, and the other and new ones
-// come. A lost one that comes back with its store after all is refused for good, and sends nowhere.
+// Three of five replicas are lost. The two that remain have no quorum. One of them bootstraps the group
+// again, with its schedule of turns, and the other one and new ones join. A lost replica that comes back with
+// its store is refused for good and sends nothing.
 func TestGroupThatLostMostOfItsStoresIsRebootstrapped(t *testing.T) {
 	t.Parallel()
 	p := buildingPlan(nil)
@@ -333,7 +344,7 @@
 	w.Node(founder).Logged("has founded the council anew", "n0 n1 n2", "by=operator", "why=fire")
 	assert.Contains(t, w.Node(other).Logged("control has stopped, and nothing is sent"), "before it was founded anew")
 
-	// The disk of one was not lost: it is refused, and hears of no host that is out.
+	// The disk of one replica was not lost: that replica is refused and is not told which hosts are excluded.
 	w.Node("n0").Restart(Older(copies[0]))
 	assert.Contains(t, w.Node("n0").Logged("control has stopped, and nothing is sent"), "put its store aside")
 	before := len(firstLinesFrom(w, "n0"))
@@ -356,8 +367,8 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// Two of three are lost, and come back with their stores where the third does not hear them: they wait, and there are no two
-// councils. Once they are heard they are refused.
+// Two of three replicas are lost and come back with their stores while the third cannot reach them. They must
+// wait, so that there are no two groups, and are refused once they are reachable.
 func TestLostReplicasThatComeBackFormNoGroup(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -393,7 +404,8 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// A seat whose site file names a witness waits for nobody when it is started again, though another one is down.
+// A replica whose site file names a witness file, which verifies the store, does not wait for others after a
+// restart, even with another replica down.
 func TestReplicaWithAWitnessFileDoesNotWait(t *testing.T) {
 	t.Parallel()
 	dir, err := os.MkdirTemp("/dev/shm", "lichenhitch-witness-")
--- a/rehearsal/processes/stall.go
+++ b/rehearsal/processes/stall.go
@@ -17,19 +17,22 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// This file is what a story tells when it fails, or has waited too long: where every node stands, while the nodes still run.
+// This file reports the state of every node, while the nodes still run, when a scenario fails or has waited
+// too long.
 
 const (
-	// reportReserve is how long before the alarm of the test binary a story gives up: time to ask every node, to have those that do not
-	// answer tell their stacks, and to end them.
+	// reportReserve is how long before the time-out of the test binary a scenario gives up: time to ask every
+	// node for its status, to let those that do not answer dump their stacks, and to end them.
 	reportReserve = 30 * time.Second
-	// standingWithin is how long a node has to tell where it stands. It answers calls within milliseconds, also where it leads nobody.
+	// statusTimeout is how long a node has to report its status. It answers within milliseconds, also without
+	// a leader.
 	statusTimeout = 3 * time.Second
-	// stacksWithin is how long a process has to write its stacks after SIGQUIT.
+	// stackDumpTimeout is how long a process has to write its stacks after SIGQUIT.
 	stackDumpTimeout = 5 * time.Second
 )
 
-// patience is how long a story waits for an event: so long at most, and less where the test binary's alarm comes before.
+// waitLimit returns how long a scenario waits for an event: longest, or less if the test binary times out
+// earlier.
 func waitLimit(t testing.TB, longest time.Duration) time.Duration {
 	timed, ok := t.(interface{ Deadline() (time.Time, bool) })
 	if !ok {
@@ -43,7 +46,8 @@
 	return max(0, min(longest, left-min(reportReserve, left/4)))
 }
 
-// reportFailure logs where every node stands, where the test has failed, and keeps all logs. It runs before the nodes are ended.
+// reportFailure logs the status of every node if the test has failed, and keeps all logs. It runs before the
+// nodes are ended.
 func (w *World) reportFailure() {
 	if !w.t.Failed() {
 		return
@@ -64,7 +68,7 @@
 	w.t.Logf("all logs of this story are in %s", folder)
 }
 
-// standing asks every node where it stands, all at once, and returns a paragraph for each.
+// status asks all nodes for their status at the same time and returns a paragraph for each.
 func (w *World) status() string {
 	statuses := make([]string, len(w.nodeNames))
 	var all sync.WaitGroup
@@ -75,8 +79,9 @@
 	return strings.Join(statuses, "\n")
 }
 
-// standing is what is known of a node: its process, and its own word on its seat, its right, the open turns and the policies. A
-// process that does not answer is made to write its stacks into its log, and ends by that.
+// status describes a node: its process and, as the node itself reports them, its replica, its send lease, the
+// open turns and the policies. A process that does not answer is made to write its stacks to its log, which
+// ends it.
 func (n *Node) status() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: ", n.Name)
@@ -108,7 +113,7 @@
 	}
 	var policies peerpb.PoliciesReply
 	if err := n.callLocal(ctx, "Policies", &policies); err != nil {
-		return b.String() // it goes by none, or is no node of the top
+		return b.String() // it applies no policy of a rollout, or is not a node of the top site
 	}
 	for _, r := range policies.Rollouts {
 		fmt.Fprintf(&b, "\n  policy %s is %s, stage %s, cause %q", r.Id, r.Phase, r.Stage, r.Cause)
@@ -116,7 +121,8 @@
 	return b.String()
 }
 
-// ownWord makes an operator's call that the node answers itself: it takes it for one that another node has passed on.
+// callLocal makes an operator's call that the node answers itself, because the call is marked as forwarded by
+// another node.
 func (n *Node) callLocal(ctx context.Context, kind string, out proto.Message) error {
 	client := newDeskClient()
 	status, text, err := client.exchange(ctx, n.Desk(), kind, map[string]any{"forwarded": true})
@@ -126,13 +132,13 @@
 	return answered(status, text, out)
 }
 
-// stacks has a process write the stacks of all its goroutines into its log, which ends it.
+// dumpStacks makes a process write the stacks of all its goroutines to its log, which ends it.
 func (n *Node) dumpStacks() string {
 	n.mu.Lock()
 	present, mark := n.present, len(n.lines)
 	n.mu.Unlock()
 	_ = present.cmd.Process.Signal(syscall.SIGQUIT)
-	_ = present.cmd.Process.Signal(syscall.SIGCONT) // one that was stopped from outside takes no other signal
+	_ = present.cmd.Process.Signal(syscall.SIGCONT) // a process that was stopped from outside handles no other signal
 	select {
 	case <-present.exited:
 	case <-time.After(stackDumpTimeout):
@@ -141,7 +147,7 @@
 	return "its stacks:\n    " + strings.Join(n.linesSince(mark), "\n    ")
 }
 
-// keepLogs writes the whole log of each node into a folder that outlives the test, and returns the folder.
+// saveLogs writes the complete log of each node to a folder that outlives the test, and returns the folder.
 func (w *World) saveLogs() (folder string, err error) {
 	name := strings.NewReplacer("/", "_", " ", "_").Replace(w.t.Name())
 	if folder, err = os.MkdirTemp(os.Getenv(folderEnv), "lichenhitch-"+name+"-"); err != nil {
--- a/rehearsal/processes/stall_test.go
+++ b/rehearsal/processes/stall_test.go
@@ -15,12 +15,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// plantedEnv has the test play the story that stalls, in a test binary of its own.
+// stalledScenarioEnv makes the test run the scenario that stalls, in a test binary of its own.
 const stalledScenarioEnv = "LICHENHITCH_TEST_PLANTED_STALL"
 
-// A story waits for what never comes, while one node does not run, one was stopped by somebody else and one goes on. The story gives up
-// before the alarm of its test binary, whose panic would tell nothing of any node, and says what it waited for and where all nodes
-// stand; the node that does not answer writes its stacks. The logs stay, and no process does.
+// A scenario waits for an event that never comes, while one node does not run, one was stopped from outside
+// and one works. The scenario must give up before the test binary times out, whose panic would say nothing
+// about the nodes, and report what it waited for and the status of all nodes. The node that does not answer
+// writes its stacks. The logs are kept, and no process survives.
 func TestAStallIsReported(t *testing.T) {
 	if os.Getenv(stalledScenarioEnv) != "" {
 		stalledScenario(t)
@@ -54,7 +55,7 @@
 	}
 }
 
-// stall is the story that stalls.
+// stalledScenario is the scenario that stalls.
 func stalledScenario(t *testing.T) {
 	w, _ := startBuilding(t, buildingPlan(nil))
 	var pids []string
--- a/rehearsal/processes/stamps.go
+++ b/rehearsal/processes/stamps.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is about the times that the kernel stamps on what comes, and the clock of a story.
+// This file handles the kernel's receive timestamps and the clock of a scenario.
 
-// stamped reads from a connection and knows when the last byte of what it read had come.
+// timestampedReader reads from a connection and knows when the last byte that it read was received.
 type timestampedReader struct {
 	raw interface {
 		Read(func(uintptr) bool) error
@@ -32,8 +32,9 @@
 
 var errNoTimestamp = errors.New("the kernel tells no time with what came")
 
-// awaitStamps returns once the kernel stamps what comes, which it begins to do a while after a first socket has asked for it,
-// and goes on with for as long as there is one: a port of the world's own, to its end.
+// awaitTimestamps returns once the kernel timestamps received data. The kernel begins to do so some time
+// after a socket first requests it, and continues while such a socket exists: a port of the world, until its
+// end.
 func awaitTimestamps(w *World) {
 	p, results := newPort(w.t), make(chan error)
 	require.NoError(w.t, p.listen(func(c *net.TCPConn) {
@@ -94,17 +95,18 @@
 	return 0, errNoTimestamp
 }
 
-// clock is the time that a story is told in: monotonic, from its beginning.
+// clock measures the time of a scenario: monotonic, from its start.
 type clock struct{ start time.Time }
 
-// newClock begins now.
+// newClock returns a clock that starts now.
 func newClock() clock { return clock{start: time.Now()} }
 
-// Now is the time since the beginning.
+// Now returns the time since the start.
 func (c clock) Now() time.Duration { return time.Since(c.start) }
 
-// when is a time that the kernel has just told, in nanoseconds of Unix time. The two clocks are compared each time, as the
-// system's can be set; the closest of a few comparisons counts, as this thread may be put aside between two looks.
+// fromUnixNano converts a recent kernel timestamp, in nanoseconds of Unix time. The two clocks are compared
+// at each call, because the system clock can be set. Of a few comparisons the closest counts, because this
+// thread may be descheduled between two readings.
 func (c clock) fromUnixNano(unixNano int64) (at time.Duration) {
 	for i, closest := 0, time.Duration(1<<62); i < 5; i++ {
 		var wall unix.Timespec
--- a/rehearsal/processes/stores_test.go
+++ b/rehearsal/processes/stores_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// begun starts a building and clients, and waits until its council is led.
+// startBuilding starts a building and clients, and waits until its group has a leader.
 func startBuilding(t *testing.T, p Plan) (*World, *Clients) {
 	w := New(t, p)
 	w.Start()
@@ -18,7 +18,7 @@
 	return w, c
 }
 
-// follower is a seat that does not lead.
+// follower returns a replica that is not the leader.
 func follower(w *World) string {
 	leading := awaitLeader(w, "n3")
 	for _, n := range []string{"n2", "n1"} {
@@ -29,14 +29,15 @@
 	return ""
 }
 
-// coming has a turn asked for that may begin in a while, and waits until a node will do without its host by itself.
+// requestUpcomingTurn requests a turn that may begin in 3 s, and waits until the node would exclude the host
+// on its own once its send lease expires.
 func requestUpcomingTurn(w *World, node, id, host string) {
 	w.t.Helper()
 	requestTurn(w, "n3", id, host, 3*time.Second)
 	awaitExclusionSet(w, node, host)
 }
 
-// takeIn has a seat taken in that has an empty store by now.
+// addReplica waits until the group has added the replica of a node whose store is now empty.
 func addReplica(w *World, node string) {
 	w.t.Helper()
 	rest := otherNodes(w, node)
@@ -58,7 +59,8 @@
 	})
 }
 
-// madeGood does what an operator is told to where a store is lost, and sees that the seat takes part again.
+// replaceStore does what an operator is advised to do after the loss of a store, and checks that the replica
+// takes part again.
 func replaceStore(w *World, c *Clients, node string) {
 	w.t.Helper()
 	w.Node(node).Restart(Empty)
@@ -68,14 +70,15 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// An older store: the seat has voted and agreed to things since, and does not know of a host that is to be out. The leader
-// does not hear it and another seat refuses it, so that nobody tells it of the host either.
+// A stale store: since the copy was made, the replica has voted and acknowledged entries, and the copy does
+// not know of a host that is to be out of service. The leader cannot hear the replica and another replica
+// refuses it, so that it does not learn about the host from them either.
 func TestReplicaWithAStaleStoreIsRefusedAndSendsNothing(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
 	node := follower(w)
 	stale := w.Node(node).CopyStore()
-	for range 2 { // the others know of later openings of the store than the copy does
+	for range 2 { // the other replicas know of later openings of the store than the copy does
 		w.Node(node).Restart(Kept)
 		awaitServed(c, node)
 	}
@@ -101,7 +104,7 @@
 	replaceStore(w, c, node)
 }
 
-// Two processes with one store: the copy is refused, and neither counts nor sends.
+// Two processes run with the same store: the copy is refused, and neither counts nor sends.
 func TestCopyOfAStoreIsRefusedWhileTheOriginalRuns(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -109,7 +112,8 @@
 	requestUpcomingTurn(w, node, "t1", "h1")
 	double := w.Node(node).Double()
 	double.Start()
-	// As an older store, or as one of two processes: the other is refused too then.
+	// As a stale store, or as one of two processes with the same store; in that case the other one is refused
+	// too.
 	assert.Contains(t, double.Logged("control has stopped, and nothing is sent"), "put its store aside")
 	w.ClientLink(node).Aim(double.Listen())
 	workOn(w, c, "t1", "h1", otherNodes(w, node)...)
@@ -121,7 +125,7 @@
 	replaceStore(w, c, node)
 }
 
-// A torn store is not read: the process ends and says so, and the others go on.
+// A truncated store is not read: the process logs the reason and exits, and the other replicas continue.
 func TestReplicaWithATruncatedStoreDoesNotStart(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -135,7 +139,8 @@
 	replaceStore(w, c, node)
 }
 
-// The leader's disk is full: another one leads, the node serves on, and it comes back by itself once there is room.
+// The disk of the leader is full: another replica becomes leader, the node continues to serve, and its
+// control works again after a restart, once there is room.
 func TestLeaderWhoseDiskIsFullStopsOnlyItsControl(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -157,15 +162,17 @@
 	awaitServed(c, w.Names()...)
 	rest := otherNodes(w, node, "n3")
 	requestUpcomingTurn(w, rest[0], "t2", "h2")
-	w.Node(rest[0]).Kill() // so that it counts again
+	w.Node(rest[0]).Kill() // so that the restarted replica is needed for a quorum
 	workOn(w, c, "t2", "h2", otherNodes(w, rest[0])...)
 	w.RequireNoViolations(twoPerSite)
 }
 
-// The store of a seat that led is put back from an older copy, taken after its election: the copy has the term and the vote, and a
-// leader acknowledges nothing to anybody, so that nobody remembered more of it. It was not refused and went on as a seat, with the
-// horizon of a right that the council had long gone beyond: "open to peers ... boot=2" and no refusal in three of seventeen storms of
-// seed 2, those in which b1 led when the copy was taken. The others remember now what a seat says of its log with every exchange.
+// The store of the leader is replaced by a copy that was made after its election. The copy has the term and
+// the vote, and a leader acknowledges nothing to other replicas, so that none of them remembered more of it.
+// It was not refused and continued as a replica with the exclusion set of a send lease that the group had
+// long superseded: "open to peers ... boot=2" and no refusal in three of seventeen runs of fault sequence 2,
+// those in which b1 was leader when the copy was made. Now the others remember with every exchange what a
+// replica reports about its log.
 func TestLeaderWithAStaleStoreIsRefused(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -180,8 +187,8 @@
 	replaceStore(w, c, node)
 }
 
-// TestACopyThatLacksNothingIsTheStore: of a seat that was cut off since before the copy nobody heard any more, and nobody refuses it. It is let
-// in, and goes by the council's word.
+// A replica that was cut off since before the copy was made has told the others nothing since then, and none
+// of them refuses the copy. It is accepted, and follows the group.
 func TestCopyThatLacksNothingIsAccepted(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
--- a/rehearsal/processes/storm.go
+++ b/rehearsal/processes/storm.go
@@ -11,19 +11,20 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// This file is about what takes part in a storm beside faults: an operator, a policy that breaks the link, and who looks at writes.
+// This file holds what takes part in a fault sequence besides the faults: an operator, a policy that breaks
+// the links of a node, writers, and readers that check what was written.
 
-// Operator is the staff that looks after the nodes' logs. It does what docs/operate and the lines themselves say is to be done where a
-// store is lost, and nothing else.
+// Operator follows the nodes' logs. It does what docs/operate and the log lines themselves advise after the
+// loss of a store, and nothing else.
 type Operator struct {
 	w          *World
-	requesters map[string]*Asker // of each site
-	marks      map[string]int    // of a process that is to be taken in: where the others' logs were then
-	mu         sync.Mutex        // of a round
+	requesters map[string]*Asker // by site
+	marks      map[string]int    // for each process whose replica is to be added: the length of the other nodes' logs at that time
+	mu         sync.Mutex        // held during a round
 	Actions    []string
 }
 
-// Operator returns one that has done nothing yet.
+// NewOperator returns an operator that has done nothing yet.
 func (w *World) NewOperator() *Operator {
 	o := &Operator{w: w, requesters: map[string]*Asker{}, marks: map[string]int{}}
 	for _, s := range w.Plan.Sites {
@@ -33,11 +34,12 @@
 	return o
 }
 
-// aside are the lines after which a node is to be stopped, its store put aside, and the node started with an empty one.
+// replaceStoreTexts are the log texts after which a node is to be stopped, its store moved away, and the node
+// started with an empty one.
 var replaceStoreTexts = []string{"is damaged", "control has stopped, and nothing is sent", "this site's writes are older than what it told before",
 	"stop it, put its store aside and start it with an empty one"}
 
-// Round looks at each node once, but for those that a fault has stopped.
+// Round checks each node once, except those that a fault has stopped.
 func (o *Operator) Round() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -51,7 +53,7 @@
 	}
 }
 
-// see looks at a node that no fault has stopped, and says whether the council has to take it in.
+// check checks a node that no fault has stopped, and reports whether the group must add its replica.
 func (o *Operator) check(n *Node) bool {
 	for _, text := range replaceStoreTexts {
 		if lines := n.logged(text); len(lines) > 0 {
@@ -70,10 +72,10 @@
 		n.Start()
 		return false
 	}
-	return len(n.logged("has to take it in")) > 0 && !o.w.newReplica[n.Name] // which comes by the site file: the line says so
+	return len(n.logged("has to take it in")) > 0 && !o.w.newReplica[n.Name] // the log line says that a replica which is new by the site file needs no operator
 }
 
-// open lets clients reach a node again.
+// reopen lets clients connect to a node again.
 func (o *Operator) reopen(n *Node) {
 	if o.w.closedToClients[n.Name] {
 		delete(o.w.closedToClients, n.Name)
@@ -82,7 +84,8 @@
 	}
 }
 
-// takeIn has the council take a node's new seat in, unless it has since its process began.
+// addReplica makes the group add the new replica of a node, unless the group has added it since the node's
+// present process started.
 func (o *Operator) addReplica(name string) {
 	o.w.processMu.Lock()
 	site := *o.w.siteOf[name]
@@ -92,7 +95,7 @@
 			continue
 		}
 		n := o.w.nodes[m]
-		key := fmt.Sprint(name, " ", o.w.nodes[name].logStart(), " ", m) // for each process of it
+		key := fmt.Sprint(name, " ", o.w.nodes[name].logStart(), " ", m) // one mark for each of its processes
 		if _, seen := o.marks[key]; !seen {
 			o.marks[key] = n.Mark()
 		}
@@ -116,32 +119,32 @@
 	}
 }
 
-// since are the lines of all a node's logs from a place on; see Mark.
+// linesSince returns the lines of all of a node's logs from a mark on; see Mark.
 func (n *Node) linesSince(mark int) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.lines[min(mark, len(n.lines)):])
 }
 
-// Breaker is what a policy that breaks the link does: who is seen to go by it has no link to any other node, until it is seen to go
-// by another one.
+// LinkBreaker has the effect of a policy that breaks the links of a node: a node at which the policy is
+// observed has no link to any other node until another policy is observed at it.
 type LinkBreaker struct {
 	w             *World
 	LatencyTarget int
 
 	mu          sync.Mutex
-	partitioned []string        // a side that is cut off by a fault meanwhile
-	broken      map[string]bool // nodes
+	partitioned []string        // nodes that a fault cuts off from the others meanwhile
+	broken      map[string]bool // nodes at which the policy is observed
 	cut         map[[2]string]bool
 	BreakCount  int
 }
 
-// Breaker returns one for an aim; 0 for none.
+// NewLinkBreaker returns a LinkBreaker for the policy with a latency target; 0 for none.
 func (w *World) NewLinkBreaker(target int) *LinkBreaker {
 	return &LinkBreaker{w: w, LatencyTarget: target, broken: map[string]bool{}, cut: map[[2]string]bool{}}
 }
 
-// Look looks at what hosts see lately.
+// Update applies the latest observations of the hosts.
 func (b *LinkBreaker) Update() {
 	if b.LatencyTarget == 0 {
 		return
@@ -168,7 +171,7 @@
 	b.apply()
 }
 
-// Part cuts a side off, with no nodes it takes that back.
+// Partition cuts a group of nodes off from the others; without nodes it undoes that.
 func (b *LinkBreaker) Partition(side ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -176,7 +179,7 @@
 	b.apply()
 }
 
-// apply cuts and heals what has changed; mu is held.
+// apply cuts and heals the links whose state has changed. b.mu must be held.
 func (b *LinkBreaker) apply() {
 	for _, n := range b.w.nodeNames {
 		for _, m := range b.w.nodeNames {
@@ -193,7 +196,8 @@
 	}
 }
 
-// Chain is somebody who writes, one after the other: a step, and once it is taken, that it stands.
+// ChainWriter writes a causal chain, one write after the other: a step and, once the step is accepted, its
+// confirmation.
 type ChainWriter struct {
 	w         *World
 	Name      string
@@ -201,11 +205,11 @@
 	step      int
 
 	mu       sync.Mutex
-	accepted []string // writes
-	lastStep int      // the number of the last step that was taken
+	accepted []string // IDs of the accepted writes
+	lastStep int      // the number of the last step that was accepted
 }
 
-// Chain returns one that writes at the nodes of a site.
+// NewChainWriter returns a ChainWriter that writes at the nodes of a site.
 func (w *World) NewChainWriter(site Site) *ChainWriter {
 	requester := w.Asker("writer of " + site.Name)
 	requester.Nodes = site.Nodes
@@ -219,7 +223,8 @@
 	return n
 }
 
-// Write writes the next step. What gets no answer is not written once more: it may have been taken.
+// Write writes the next step and its confirmation. A write without a reply is not repeated, because it may
+// have been accepted.
 func (c *ChainWriter) Write() {
 	c.step++
 	for _, prefix := range []string{"step/", "stands/"} {
@@ -237,31 +242,31 @@
 	}
 }
 
-// Taken are the writes that were taken so far, and the number of the last step among them.
+// Accepted returns the writes that were accepted so far, and the number of the last step among them.
 func (c *ChainWriter) Accepted() (writes []string, last int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.accepted), c.lastStep
 }
 
-// Reader reads what a chain has written, at one seat, as far as it is applied there: it sees no number go back, and no step that does
-// not stand behind what was written after it, for as long as one process runs.
+// ChainReader reads what a ChainWriter has written from the applied state of one replica. As long as one
+// process runs, no number may decrease, and no step may be missing whose confirmation is there.
 type ChainReader struct {
 	w               *World
 	chain           *ChainWriter
 	requester       *Asker
 	node            string
-	logStart        int // of the process's log
+	logStart        int // where the log of the process begins
 	step, confirmed int
 	Reads           int
 }
 
-// Reader returns one.
+// NewChainReader returns a ChainReader for a node.
 func (w *World) NewChainReader(c *ChainWriter, node string) *ChainReader {
 	return &ChainReader{w: w, chain: c, requester: w.Asker("reader at " + node), node: node}
 }
 
-// Read reads once.
+// Read reads and checks the two values once.
 func (r *ChainReader) Read() {
 	n := r.w.nodes[r.node]
 	logStart := n.logStart()
@@ -279,8 +284,9 @@
 	r.step, r.confirmed = max(step, r.step), max(confirmed, r.confirmed)
 }
 
-// one reads a number, -1 where there is no answer. The node is told that another has sent the question on: a seat that has nothing of
-// its own to answer with would ask the leader, and may be behind it later.
+// readStep reads a number, or returns -1 without a reply. The request is marked as forwarded, because a
+// replica that cannot answer from its own state would otherwise ask the leader, and its own state may be
+// behind that later.
 func (r *ChainReader) readStep(prefix string) int {
 	out := &peerpb.ReadReply{}
 	if r.requester.call(Op{Node: r.node, Kind: "Read"}, map[string]any{"kind": "work", "thing": prefix + r.chain.Name,
@@ -293,19 +299,22 @@
 	return stepOf(out.Value)
 }
 
-// beginning is where the log of the present process begins.
+// logStart returns where the log of the present process begins.
 func (n *Node) logStart() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.begin
 }
 
-// losses are faults of stores in the place of a plan's own: of one seat of one site or, with each third seed, of one of both, in another
-// part of the plan. Left out is what a council cannot come through without an operator's word on a store, for which there is no call: a
-// seat that starts anew waits for the word of the others, so that of three none may start anew while the store of another is lost and
-// not taken in yet. Starts of the other seats of that site are pauses here, earlier ones too: nobody knows how long a seat waits. A store must not be put back from an older copy (docs/design/affairs.md): at a node
-// without a seat nobody makes that good, and a seat sends by its old horizon until another one refuses it. So clients reach none that
-// has one.
+// storeFaults replaces the store faults of a plan by its own: one of one replica of one site or, with each
+// third seed, one at each of both sites, in different parts of the plan. It leaves out what a group cannot
+// recover from unless an operator confirms a store, which the Operator of these tests does not do: a
+// restarted replica waits for the confirmation of the others, so that of three replicas none may restart
+// while the store of another one is lost and that replica has not been added yet. Restarts of the other
+// replicas of that site therefore become pauses, earlier ones too, because it is not known how long a replica
+// waits. A store must not be replaced by a stale copy (docs/design/affairs.md): at a node without a replica
+// nothing corrects that, and a replica sends by its old exclusion set until another one refuses it. So
+// clients do not reach a node that has one.
 func storeFaults(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
 	for _, f := range plan {
 		if losesStore(f.Kind) {
@@ -338,10 +347,11 @@
 	return out
 }
 
-// seatChanges are faults of councils beside those of a plan: of every two upgrades of a plan the second is given up, and at each site
-// a seat goes to the node without one for a while. It is not that of a node which loses its store: of a node without a seat nobody
-// remembers how far its store was, so that an older one is not refused (docs/design/affairs.md). Where a store is lost at a site, its seats
-// change before or after that.
+// replicaChanges adds faults that change the replicas to those of a plan: every second upgrade is aborted,
+// and at each site a replica moves for a while to the node without one. It is not the replica of a node that
+// loses its store: no other node remembers the state of the store of a node without a replica, so that a
+// stale one is not refused (docs/design/affairs.md). Where a store is lost at a site, the replicas of that
+// site change before or after that.
 func replicaChanges(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
 	upgrades := 0
 	for _, f := range plan {
@@ -369,10 +379,11 @@
 	return out
 }
 
-// losesStore says whether a node comes back with less than its store had.
+// losesStore reports whether a node comes back with less than its store had.
 func losesStore(k FaultKind) bool { return k == KillOlder || k == KillEmpty || k == KillTorn }
 
-// within leaves those faults out that would heal a cut between sites while it lasts.
+// withoutLinkFaultsDuring leaves out the faults whose end would heal the cut between the sites while it
+// lasts.
 func withoutLinkFaultsDuring(plan []Fault, cut span, siteOf map[string]*Site) []Fault {
 	return slices.DeleteFunc(plan, func(f Fault) bool {
 		crosses := f.Kind == Isolate || f.Kind < Isolate && siteOf[f.A] != siteOf[f.B]
--- a/rehearsal/processes/storm_test.go
+++ b/rehearsal/processes/storm_test.go
@@ -25,20 +25,23 @@
 )
 
 const (
-	faultDuration    = 12 * time.Second // how long faults last in each
-	trialLease       = 2 * time.Second  // of a trial
-	settleTime       = 3 * time.Second  // of a change of policy
-	disruptionBudget = 4                // nodes and hosts disturbed at once
+	faultDuration    = 12 * time.Second // how long each fault sequence lasts
+	trialLease       = 2 * time.Second  // trial lease of a node
+	settleTime       = 3 * time.Second  // how long a change of policy counts as a disruption
+	disruptionBudget = 4                // nodes and hosts that may be disrupted at once
 
-	// settled is how many rounds it may take after the last fault until all is settled. In a round an operator looks at every node, and
-	// ten more of 160 clients a second are served: at least 25 s. The longest chain of waits that the settings allow is 23 s: a call that
-	// an asker had out to a process that was stopped (callTimeout, 8 s), one more that a leader without a majority answers late
-	// (peer.Limits.Within, 5 s), an election of twice ten ticks (1 s), the rights of before, which a new leader counts as running (1 s),
-	// and a host that counts as out until it is warm (cold_us, 8 s). Some 30 rounds are usual.
+	// maxSettleRounds is how many rounds the system may take to settle after the last fault. In a round an
+	// operator checks every node, and ten more of 160 clients a second are served: 400 rounds are at least 25
+	// s. The longest chain of waits that the settings allow is 23 s: a call of a requester to a process that
+	// was stopped (callTimeout, 8 s), one more that a leader without a quorum answers late
+	// (peer.Limits.Within, 5 s), an election of twice ten ticks (1 s), the former send leases, which a new
+	// leader must assume to be valid (1 s), and a host that counts as out of service until it is warm
+	// (cold_us, 8 s). Some 30 rounds are usual.
 	maxSettleRounds = 400
 )
 
-// stormy is a province and a building of it, of three seats and a node without one each, and with hosts of their own.
+// faultPlan is a province and one of its buildings, each with three replicas, one node without a replica, and
+// its own hosts.
 func faultPlan(seed uint64) Plan {
 	p := Plan{Seed: seed, Sites: []Site{
 		{Name: "p", Level: sitepb.Level_PROVINCE, Nodes: []string{"p0", "p1", "p2", "p3"}},
@@ -57,22 +60,23 @@
 	return p
 }
 
-// All three wishes at once under faults: turns whose askers come and go, writes at sites that are cut off, and two policies in
-// stages, one of which is harmless and the other loses clients or, with an odd seed, the link. Nothing is seen that must not be, and
-// once the faults are over all is settled within so many rounds.
+// Turns, writes and policies at the same time under faults: turns whose requesters come and go, writes at
+// sites that are cut off, and two staged policies, one of which is harmless while the other loses clients or,
+// with an odd seed, the links. No violation may be observed, and once the faults are over everything must
+// settle within maxSettleRounds.
 func TestTurnsWritesAndPoliciesUnderFaultsFromASeed(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, *firstFaultSeed, *faultSeeds, false)
 }
 
-// The same, and seats change by the site files while an upgrade is given up, a store is lost or a leader is killed: once the faults are
-// over, the seats are those of the files too.
+// The same, while replicas change by the site files, upgrades are aborted, stores are lost or leaders are
+// killed. Once the faults are over, the replicas must also be those of the files.
 func TestSeatsChangeUnderFaultsFromASeed(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, *firstReplicaSeed, *replicaSeeds, true)
 }
 
-// playSeeds plays the storms of so many seeds, each as a test of its own.
+// runSeeds runs the fault sequences of the seeds, each as a subtest.
 func runSeeds(t *testing.T, first uint64, seeds int, changeReplicas bool) {
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -82,35 +86,35 @@
 	}
 }
 
-// stormRun is a storm while it is played.
+// faultRun is a fault sequence while it runs.
 type faultRun struct {
 	*World
 	t                            *testing.T
 	seed                         uint64
 	provinceNodes, buildingNodes []string
 	faultsDone                   chan struct{} // closed once the faults are over
-	results                      []chan error  // of all who take part, once they are done
+	results                      []chan error  // one for each participant, which sends its result when it ends
 	poller                       *PolicyPoller
 	chief                        *Asker
 	operator                     *Operator
 	breaker                      *LinkBreaker
-	rng                          *rand.Rand // of the chief
+	rng                          *rand.Rand // used by chief only
 	workDone                     []int
 	writers                      []*ChainWriter
 	readers                      []*ChainReader
 }
 
-// aims are what hosts see of the two policies.
+// trialTargets are the latency targets by which hosts recognize the two policies.
 var trialTargets = map[string]int{"p1": TrialTarget, "p2": SingleAttempt}
 
-// begin has somebody take part.
+// spawn starts a participant.
 func (g *faultRun) spawn(do func() error) {
 	ended := make(chan error, 1)
 	g.results = append(g.results, ended)
 	go func() { ended <- do() }()
 }
 
-// goesOn says after a while whether the storm does.
+// running waits and then reports whether the fault sequence still runs.
 func (g *faultRun) running(wait time.Duration) bool {
 	select {
 	case <-g.faultsDone:
@@ -120,8 +124,8 @@
 	}
 }
 
-// staff does one work after the other. Of every three turns one is asked for by somebody who then goes away: a second does the work,
-// or takes the turn back.
+// runStaff does one maintenance job after the other. Every third turn is requested by a requester that then
+// goes away: a second one does the work or withdraws the turn.
 func (g *faultRun) runStaff(i int) {
 	nodes, hosts := g.provinceNodes, []string{"h0", "h1", "h2", "h3", "h4"}
 	if i >= 3 {
@@ -141,9 +145,9 @@
 				}
 			}
 			if n%6 == 1 {
-				for withdrawn := false; !withdrawn && g.sleep(lookAgain); { // also once the storm is over: a turn that is forgotten keeps a place
+				for withdrawn := false; !withdrawn && g.sleep(lookAgain); { // also once the fault sequence is over, because a forgotten turn keeps its place in the schedule
 					if at := present.anyNode(); at != "" {
-						_, _ = leaving.Ask(at, id, host, 1, nil) // whether it was taken may not be known
+						_, _ = leaving.Ask(at, id, host, 1, nil) // it may be unknown whether the request was accepted
 						_, err := present.Withdraw(at, id)
 						withdrawn = err == nil
 					}
@@ -159,7 +163,7 @@
 	})
 }
 
-// policy makes a call about a policy at some node of the top. What it answers is for nobody: it is made again.
+// callPolicy makes a call about a policy at a node. The callers ignore the reply and repeat the call.
 func (g *faultRun) callPolicy(at, kind, id string, more map[string]any) error {
 	in := map[string]any{"id": id, "why": "a storm"}
 	for k, v := range more {
@@ -169,17 +173,19 @@
 	return err
 }
 
-// rollouts starts the two policies and has them go on, by force where evidence takes too long; the bad one stops before it is everywhere.
-// Each third seed halts the harmless one below, where a link may be cut.
+// driveRollouts starts the two policies and moves them on, by force where evidence takes too long. The bad
+// one is halted before it is everywhere. With each third seed the harmless one is halted at the building,
+// whose link may be cut.
 func (g *faultRun) driveRollouts() {
-	forced := map[string]int{} // how many each treated when a stage was forced last
+	forced := map[string]int{} // size of the treatment group when a stage was last ended by force
 	for step := 0; g.running(200 * time.Millisecond); step++ {
 		at := g.chief.anyNode()
 		if at == "" {
 			continue
 		}
 		p1, p2 := g.poller.Rollout("p1"), g.poller.Rollout("p2")
-		// The second one first, and the harmless one once hosts have seen a node go by that: it would be overtaken otherwise.
+		// p2 starts first, and the harmless p1 only once hosts have observed p2 at a node: otherwise p1 might
+		// end first and p2 be halted as overtaken.
 		if p2 == nil {
 			_ = g.callPolicy(at, "StartPolicy", "p2", map[string]any{"policy": `{"permissions":{"max_attempts":1}}`})
 			continue
@@ -205,7 +211,8 @@
 	}
 }
 
-// write has things written at both sites, in a chain and without one: a host is out or back, and what is done at it.
+// runWriters starts the writers of a site, with and without a chain (what is done at a host, and that the
+// host is out or back), and the readers.
 func (g *faultRun) runWriters(i int, site Site) {
 	writer, chain := g.Asker(fmt.Sprint("staff of h", 5+6*i)), g.NewChainWriter(site)
 	writer.Nodes = site.Nodes
@@ -239,7 +246,7 @@
 	}
 }
 
-// play plays the storm of a seed, with seats that change or without.
+// runFaultSequence runs the fault sequence of a seed, with or without replica changes.
 func runFaultSequence(t *testing.T, seed uint64, changeReplicas bool) {
 	worldSlots <- struct{}{}
 	t.Cleanup(func() { <-worldSlots })
@@ -258,7 +265,7 @@
 	awaitLeader(w, "p3")
 	awaitLeader(w, "b3")
 	for _, n := range run.buildingNodes {
-		clients.AwaitUp(60, n) // by then the top has heard of them too
+		clients.AwaitUp(60, n) // by then the top site has received data of them too
 	}
 	run.poller = w.PollPolicies(run.provinceNodes...)
 	run.spawn(func() error {
@@ -282,7 +289,7 @@
 		return nil
 	})
 
-	// The building is cut off for half of the time, beside all other faults.
+	// The building is cut off for half of the time, in addition to all other faults.
 	cutPlan := span{from: faultDuration * 3 / 10, to: faultDuration * 8 / 10}
 	var cut span
 	faults := withoutLinkFaultsDuring(storeFaults(Faults(seed, w.Names(), faultDuration), seed, w.Plan.Sites, faultDuration), cutPlan, w.siteOf)
@@ -333,12 +340,12 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// settle plays rounds until all is settled, and returns how many it took.
+// awaitSettled runs rounds until everything has settled, and returns how many it took.
 func (g *faultRun) awaitSettled(c *Clients) int {
 	g.t.Helper()
 	start, servedBefore := g.Now(), c.Report().ByNode
 	waiting := slices.Clone(g.results)
-	pending := map[string]string{} // writes without a receipt at both sites, to where they were taken
+	pending := map[string]string{} // accepted writes of both sites without a receipt, to the node where the receipt is read
 	for i, chain := range g.writers {
 		taken, _ := chain.Accepted()
 		for _, id := range taken {
@@ -381,7 +388,8 @@
 	return maxSettleRounds
 }
 
-// unsettledPolicies has the operators halt what is under way, and says what is not over, or which node does not go by the good policy.
+// unsettledPolicies halts running rollouts, and returns what is not over or which nodes do not apply the good
+// policy.
 func (g *faultRun) unsettledPolicies(since time.Duration) (missing []string) {
 	good := GoodTarget
 	for _, id := range []string{"p1", "p2"} {
@@ -409,7 +417,7 @@
 	return missing
 }
 
-// unsettledSeats says which sites have other seats than their files, as their leaders tell.
+// unsettledReplicas returns the sites whose replicas, as their leaders report them, differ from their files.
 func (g *faultRun) unsettledReplicas() (missing []string) {
 	for _, s := range g.Plan.Sites {
 		want := slices.Sorted(slices.Values(s.Nodes[:s.Replicas]))
@@ -421,8 +429,8 @@
 	return missing
 }
 
-// unsettledWrites says which writes that were taken have no receipt where they were written, and which nodes do not know of the last
-// step. A receipt that tells of another end than that the write was applied fails the test.
+// unsettledWrites returns the accepted writes that have no receipt at their site, and the nodes that do not
+// have the last step. A receipt other than "applied" fails the test.
 func (g *faultRun) unsettledWrites(pending map[string]string) (missing []string) {
 	for id, node := range pending {
 		r := readFrom(g.World, node, "", "", id)
--- a/rehearsal/processes/turns_test.go
+++ b/rehearsal/processes/turns_test.go
@@ -13,8 +13,8 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// building is one site of four nodes, three with a seat, and six hosts, two of which may be out at once. Rights are short,
-// so that stories of nodes that are cut off take seconds.
+// buildingPlan is one site of four nodes, three with a replica, and six hosts, two of which may be out of
+// service at once. Send leases are short, so that scenarios with nodes that are cut off take seconds.
 func buildingPlan(tune func(string, *sitepb.File)) Plan {
 	return Plan{Seed: 3, Hosts: Fleet(6), Sites: []Site{{Name: "b", Level: sitepb.Level_BUILDING,
 		Nodes: []string{"n0", "n1", "n2", "n3"}, Replicas: 3}},
@@ -31,7 +31,7 @@
 
 var twoPerSite = Allowance{Site: 2}
 
-// served waits until every node that is named has served some more clients.
+// awaitServed waits until each of the nodes has served 5 more clients.
 func awaitServed(c *Clients, nodes ...string) {
 	c.w.t.Helper()
 	for _, n := range nodes {
@@ -39,7 +39,7 @@
 	}
 }
 
-// leader returns who leads, as the node that is asked knows.
+// leaderOf returns the leader that a node reports, or "".
 func leaderOf(w *World, at string) string {
 	r, err := w.Asker("operator").Turns(at)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return name
 }
 
-// others are the names of all nodes but some.
+// otherNodes returns the names of all nodes except some.
 func otherNodes(w *World, except ...string) (names []string) {
 	for _, n := range w.Names() {
 		if !slices.Contains(except, n) {
@@ -67,14 +67,15 @@
 	return names
 }
 
-// said says whether one of some nodes has a text in its log by now.
+// anyLogged reports whether the log of one of the nodes contains a text.
 func anyLogged(w *World, text string, nodes ...string) bool {
 	return slices.ContainsFunc(nodes, func(n string) bool {
 		return slices.ContainsFunc(w.Node(n).Log(), func(line string) bool { return strings.Contains(line, text) })
 	})
 }
 
-// work has a host worked at while clients of some nodes are served.
+// workOn requests a turn for a host (permission to do maintenance on it) and does the work, while clients of
+// the nodes are served.
 func workOn(w *World, c *Clients, id, host string, nodes ...string) {
 	w.t.Helper()
 	require.NoError(w.t, w.Asker("staff").Work(context.Background(), id, host, 1, func() { awaitServed(c, nodes...) }))
@@ -93,12 +94,14 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// soon is for turns that are asked for and may not begin before some time has passed: all nodes know of them by then.
+// notBefore is the field of a request for a turn that may not begin before the delay has passed: by then all
+// nodes know of it.
 func notBefore(delay time.Duration) map[string]any {
 	return map[string]any{"not_before_s": time.Now().Add(delay).Unix()}
 }
 
-// ask asks for a turn that may not begin before some time has passed, until the council takes it: it may not know the hosts yet.
+// requestTurn requests a turn that may not begin before the delay has passed, until the group accepts it: the
+// group may not know the hosts yet.
 func requestTurn(w *World, node, id, host string, delay time.Duration) {
 	w.t.Helper()
 	w.Await("the council takes "+id, func() bool {
@@ -107,7 +110,7 @@
 	})
 }
 
-// awaitHorizon waits until a node withholds some hosts, and no others, once it has no right.
+// awaitExclusionSet waits until a node would exclude exactly these hosts once its send lease expires.
 func awaitExclusionSet(w *World, node, hosts string) {
 	w.t.Helper()
 	w.Await(node+" does without "+hosts+" once it has no right", func() bool {
@@ -117,7 +120,7 @@
 				line = more
 			}
 		}
-		return line != "" && field(line, "horizon") == field(line, "recorded") // the council goes by it
+		return line != "" && field(line, "horizon") == field(line, "recorded") // the group has recorded that the node has this exclusion set
 	})
 }
 
@@ -167,8 +170,8 @@
 	}
 	awaitExclusionSet(w, "n3", `"h1 h2"`)
 	w.Partition(true, "n3")
-	workOn(w, c, "t1", "h1", w.Names()...) // also n3 goes on serving
-	// h5 is in no horizon that n3 knows of: it sends there, and the order waits.
+	workOn(w, c, "t1", "h1", w.Names()...) // n3 continues to serve too
+	// h5 is in no exclusion set that n3 has: n3 sends to it, and the turn waits.
 	requestTurn(w, "n0", "t5", "h5", 0)
 	var why string
 	w.Await("the turn waits for the node that is cut off", func() bool {
@@ -181,7 +184,7 @@
 				why = strings.Join(turn.WaitsFor, "; ")
 			}
 		}
-		return strings.HasPrefix(why, "n3: the node is cut off") // and for no other
+		return strings.HasPrefix(why, "n3: the node is cut off") // and for no other node
 	})
 	w.Heal()
 	workOn(w, c, "t5", "h5", w.Names()...)
@@ -226,7 +229,7 @@
 	w.Node("n2").Kill()
 	w.Node("n2").Restart(Empty)
 	w.Await("the seat is a stranger", func() bool { return anyLogged(w, "has to take it in", "n2") })
-	workOn(w, c, "t1", "h1", w.Names()...) // the other two agree by themselves, and n2 has its right
+	workOn(w, c, "t1", "h1", w.Names()...) // the other two have a quorum, and n2 has its send lease
 	w.Await("it is taken in", func() bool {
 		w.Asker("operator").TakeIn(awaitLeader(w, "n3"), "n2", "its disk was replaced")
 		return anyLogged(w, "a seat is taken in", "n0", "n1")
--- a/rehearsal/processes/upgrade_test.go
+++ b/rehearsal/processes/upgrade_test.go
@@ -10,7 +10,8 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// lasting starts a building whose nodes keep the address for their peers over an upgrade, as a site's nodes do.
+// startWithFixedAddresses starts a building whose nodes keep the address for their peers during an upgrade,
+// as the nodes of a real site do.
 func startWithFixedAddresses(t *testing.T) (*World, *Clients) {
 	addresses := map[string]string{}
 	w, c := startBuilding(t, buildingPlan(func(name string, f *sitepb.File) { f.Listen = or(addresses[name], f.Listen) }))
@@ -20,7 +21,7 @@
 	return w, c
 }
 
-// upgraded waits until a new process of a node takes part in the affairs of its site and serves clients.
+// awaitUpgraded waits until a new process of a node takes part in its site's control and serves clients.
 func awaitUpgraded(w *World, c *Clients, node string, mark int) {
 	w.t.Helper()
 	w.Node(node).LoggedSince(mark, "msg=serving")
@@ -28,7 +29,8 @@
 	awaitServed(c, node)
 }
 
-// An upgrade of the leader while a host is in work: the store goes over, nothing reaches the host, and turns go on.
+// The leader is upgraded while a host is under maintenance: the new process takes over the store, nothing is
+// sent to the host, and turns continue.
 func TestUpgradeTakesOverTheStore(t *testing.T) {
 	t.Parallel()
 	w, c := startWithFixedAddresses(t)
@@ -45,7 +47,7 @@
 	}))
 	assert.Equal(t, []string{apiAddr, clientAddr}, []string{n.Desk(), n.Listen()})
 	workOn(w, c, "t2", "h2", w.Names()...)
-	// The upgraded seat counts: without one of the others it is needed.
+	// The upgraded replica counts: without one of the others it is needed for a quorum.
 	killed := follower(w)
 	if killed == node {
 		killed = awaitLeader(w, "n3")
@@ -56,7 +58,7 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// A new version that does not come up is ended: the former process takes its seat again.
+// A new version that does not start properly is killed: the former process runs its replica again.
 func TestUpgradeIsAborted(t *testing.T) {
 	t.Parallel()
 	w, c := startWithFixedAddresses(t)
@@ -64,7 +66,7 @@
 	n := w.Node(node)
 	mark := n.Mark()
 	n.Upgrade()
-	n.LoggedSince(mark, "open to peers") // it has the store by now, and waits until the former one's right is over
+	n.LoggedSince(mark, "open to peers") // it has the store by now, and waits until the send lease of the former process has expired
 	mark = n.Mark()
 	n.Kill()
 	require.True(t, n.Runs(), "the former one does")
@@ -78,7 +80,8 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// TestAProcessThatTakesControlBackGoesByTheSiteFileAsItIsNow, not as it was before the upgrade: the later process read it, and is gone.
+// After the end of the later process, the former process must read the site file again: the later process had
+// read a newer version than the one from before the upgrade.
 func TestProcessThatTakesControlBackReadsTheCurrentSiteFile(t *testing.T) {
 	t.Parallel()
 	var siteLimit uint32 = 1
--- a/rehearsal/processes/world.go
+++ b/rehearsal/processes/world.go
@@ -13,36 +13,36 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// Plan is what a world consists of.
+// Plan describes a world.
 type Plan struct {
-	Seed         uint64 // of all that is chosen
+	Seed         uint64 // of all random choices
 	Sites        []Site
 	Hosts        []HostPlan
-	Settings     string                     // the settings of every node, in JSON; DefaultSettings where empty
-	NodeSettings map[string]string          // settings of a node, in the place of Settings
-	NoSiteFile   bool                       // no node is given a site file
-	Tune         func(string, *sitepb.File) // may change a node's site file before each start; nil: nothing
-	Env          []string                   // more of each node's environment
-	Sockets      int                        // descriptors that a node may hold; 0: as the program has it
+	Settings     string                     // the settings of every node, in JSON; DefaultSettings if empty
+	NodeSettings map[string]string          // by node name: settings that replace Settings
+	NoSiteFile   bool                       // the nodes get no site file
+	Tune         func(string, *sitepb.File) // may change a node's site file before each start; may be nil
+	Env          []string                   // additional environment of each node
+	Sockets      int                        // file descriptors that a node may use; 0: the program's default
 }
 
-// Site is one site of the line.
+// Site is one site of a world.
 type Site struct {
 	Name, Parent string
 	Level        sitepb.Level
 	Nodes        []string
-	Replicas     int // the first so many nodes have a seat; all of up to three where 0
+	Replicas     int // the first Replicas nodes have a replica; 0: all of up to three nodes
 }
 
-// HostPlan is a host as the plan has it.
+// HostPlan describes a fake backend host.
 type HostPlan struct {
 	ID, Zone, Kind string
 	Group          int
 	Capacity       float64
-	Site           string // whose nodes know it; "": all sites'
+	Site           string // site whose nodes know the host; "": all sites
 }
 
-// Fleet returns so many hosts h0, h1, ... of one zone and kind.
+// Fleet returns n hosts h0, h1, ... of one zone and kind.
 func Fleet(n int) []HostPlan {
 	var out []HostPlan
 	for i := range n {
@@ -51,7 +51,7 @@
 	return out
 }
 
-// DefaultSettings are the settings of nodes where a plan has none.
+// DefaultSettings are the nodes' settings if a plan has none.
 const DefaultSettings = `{"balancers":1,"my_zone":"z","registry_mode":"ask","round_us":5000,"weight_source":"nominal",
 "permissions":{"probes":true,"max_attempts":4,"retry_after":true,"max_retry_after_us":1500000,
 "connect_timeout_us":250000},"extra":{"mode":"pass","message_aim_us":[250000]},
@@ -59,17 +59,18 @@
 "drain_grace_us":2000000},"tariffs":{"probe":0},
 "request_classes":[{"name":"chat","aim_us":300000,"deadline_us":3000000,"semantics":"read_like","streamed":true,"points":1}]}`
 
-// World is a run of all the parts. Everything in it ends with the test.
+// World holds the nodes, hosts, links, clients and requesters of one test. Everything in it ends with the
+// test.
 type World struct {
 	clock
 	Plan      Plan
 	Discovery *Discovery
-	History   *History // of all askers
+	History   *History // the calls of all requesters
 
 	t              testing.TB
 	ctx            context.Context
 	done           <-chan struct{}
-	changes        news // of all parts
+	changes        news // notifies waiters of changes in any part of the world
 	nodeNames      []string
 	nodes          map[string]*Node
 	siteOf         map[string]*Site
@@ -78,32 +79,35 @@
 	clientLinks    map[string]*Link
 	discoveryLinks map[string]*Link
 	attempts       attempts
-	upLines        sync.Map           // UP lines that hosts have said, to the ids of their queries
-	observations   policyObservations // of policies
+	upLines        sync.Map           // UP lines that hosts have sent, to the ids of their requests
+	observations   policyObservations // which policies hosts observed
 
-	sentAt sync.Map // queries of clients by id, to when they were sent
+	sentAt sync.Map // time at which clients sent each request, by id
 
-	processMu       sync.Mutex      // of who starts and ends processes while a plan of faults is played
+	processMu       sync.Mutex      // held to start and end processes while a plan of faults runs
 	faulted         map[string]bool // nodes that a fault has stopped
-	closedToClients map[string]bool // nodes that no client reaches: see Fault.Shut
-	// untilRight are those of them that are not refused: they are reached once their leader has answered.
+	closedToClients map[string]bool // nodes that clients cannot reach: see Fault.Shut
+	// closedUntilLease holds those of closedToClients whose store is not refused: they are reopened once
+	// their leader has answered them.
 	closedUntilLease map[string]bool
-	newReplica       map[string]bool // nodes whose seat is new by the site file: see Reseat
+	newReplica       map[string]bool // nodes whose replica is new by the site file: see Reseat
 
-	upgrades sync.WaitGroup // that come to their end
+	upgrades sync.WaitGroup // upgrades that are being completed
 
 	mu         sync.Mutex
 	violations []Violation
 	clients    []*Clients
 }
 
-// New builds the program, once for a test binary, and opens all that is not a node: hosts, discovery, links.
+// New builds the program, once for a test binary, and creates the nodes, which do not run yet, and everything
+// around them: hosts, discovery and links.
 func New(t testing.TB, p Plan) *World {
 	t.Helper()
 	if p.Settings == "" {
 		p.Settings = DefaultSettings
 	}
-	// Not the test's own context: that ends before what Cleanup does, and the hosts and links are to outlive the nodes.
+	// Not the context of the test, which ends before Cleanup functions run: hosts and links must outlive the
+	// nodes.
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	w := &World{clock: newClock(), Plan: p, t: t, ctx: ctx, done: ctx.Done(), nodes: make(map[string]*Node),
@@ -144,11 +148,11 @@
 	for _, n := range w.nodeNames {
 		w.nodes[n] = newNode(w, n, program)
 	}
-	t.Cleanup(w.reportFailure) // before the nodes are ended
+	t.Cleanup(w.reportFailure) // runs before the nodes are ended
 	return w
 }
 
-// seenBy says whether a node's site knows the host.
+// visibleTo reports whether the host is known at the site of a node.
 func (h *Host) visibleTo(node string) bool { return h.Site == "" || h.Site == h.w.siteOf[node].Name }
 
 // Start starts all nodes and waits until each serves.
@@ -162,16 +166,16 @@
 	}
 }
 
-// Names are the names of all nodes, in the plan's order.
+// Names returns the names of all nodes, in the plan's order.
 func (w *World) Names() []string { return slices.Clone(w.nodeNames) }
 
-// Node returns a node.
+// Node returns a node by its name.
 func (w *World) Node(name string) *Node {
 	require.Contains(w.t, w.nodes, name)
 	return w.nodes[name]
 }
 
-// Host returns a host.
+// Host returns a host by its ID.
 func (w *World) Host(id string) *Host {
 	for _, h := range w.hosts {
 		if h.ID == id {
@@ -182,23 +186,24 @@
 	return nil
 }
 
-// Hosts are all hosts, in the plan's order.
+// Hosts returns all hosts, in the plan's order.
 func (w *World) Hosts() []*Host { return slices.Clone(w.hosts) }
 
-// Link is what one node calls another through.
+// Link returns the link through which one node calls another.
 func (w *World) Link(from, to string) *Link {
 	l := w.peerLinks[[2]string{from, to}]
 	require.NotNil(w.t, l, "%s to %s", from, to)
 	return l
 }
 
-// Front is what clients reach a node through.
+// ClientLink returns the link through which clients reach a node.
 func (w *World) ClientLink(node string) *Link { return w.clientLinks[node] }
 
-// ToDiscovery is what a node calls discovery through.
+// DiscoveryLink returns the link through which a node calls discovery.
 func (w *World) DiscoveryLink(node string) *Link { return w.discoveryLinks[node] }
 
-// Part cuts all links between the nodes of one side and all others, both ways; with hold it silences them instead.
+// Partition cuts all links, in both directions, between the nodes of one side and all others. With silence it
+// holds the traffic back instead.
 func (w *World) Partition(silence bool, side ...string) {
 	for _, n := range w.nodeNames {
 		for _, m := range w.nodeNames {
@@ -213,7 +218,8 @@
 	}
 }
 
-// Heal makes all links sound, has all hosts speak, discovery answer and stopped nodes go on.
+// Heal restores all links except to nodes closed to clients, lets all hosts and discovery answer again, and
+// continues paused nodes.
 func (w *World) Heal() {
 	for _, n := range w.nodeNames {
 		w.nodes[n].Continue()
@@ -235,14 +241,14 @@
 	w.Discovery.Down(false)
 }
 
-// Await waits until cond holds, which is looked at whenever a part of the world has changed: a query reached a host, a node
-// has logged a line, an answer came to a client or an asker.
+// Await waits until cond holds. It checks cond whenever a part of the world has changed: a request reached a
+// host, a node logged a line, a client or a requester got a reply.
 func (w *World) Await(what string, cond func() bool) {
 	w.t.Helper()
 	w.changes.await(w.t, what, cond, nil)
 }
 
-// pause waits for so long, or less if the world ends; it says whether the world goes on.
+// sleep waits for the duration or until the world ends, and reports whether the world continues.
 func (w *World) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -254,18 +260,19 @@
 	}
 }
 
-// Until waits until cond holds or the world ends, and says which. Unlike Await it may be called on any goroutine and fails nothing.
+// Until waits until cond holds or the world ends, and returns false if the world has ended. Unlike Await it
+// may be called on any goroutine and does not fail the test.
 func (w *World) Until(cond func() bool) bool {
 	w.until(cond)
 	return w.ctx.Err() == nil
 }
 
-// Over is closed once the world has ended.
+// Done returns a channel that is closed once the world has ended.
 func (w *World) Done() <-chan struct{} { return w.done }
 
-// Violation is something that must not be.
+// Violation is an observation that must not occur.
 type Violation struct {
-	Host string // that it is about; "" for none
+	Host string // the host concerned; "" for none
 	At   time.Duration
 	What string
 }
@@ -280,7 +287,7 @@
 	w.violations = append(w.violations, Violation{At: w.Now(), What: fmt.Sprintf(format, args...)})
 }
 
-// Lines are the first lines that reached hosts, in the order in which their last bytes came.
+// Lines returns the first lines that reached hosts, in the order in which their last bytes arrived.
 func (w *World) Lines() []FirstLine {
 	var all []FirstLine
 	for _, h := range w.hosts {
@@ -290,7 +297,7 @@
 	return all
 }
 
-// Violations are all that hosts, clients and askers have seen so far that must not be.
+// Violations returns all violations that hosts, clients and requesters have observed so far.
 func (w *World) Violations(allowed Allowance) []Violation {
 	w.mu.Lock()
 	out := slices.Clone(w.violations)
@@ -305,7 +312,7 @@
 	return append(out, CheckTurns(w.History.Ops(), w.Lines(), w.Plan.Hosts, allowed)...)
 }
 
-// RequireSound fails the test with all that must not be.
+// RequireNoViolations fails the test if there are violations.
 func (w *World) RequireNoViolations(allowed Allowance) {
 	w.t.Helper()
 	require.Empty(w.t, w.Violations(allowed))
--- a/rehearsal/processes/world_test.go
+++ b/rehearsal/processes/world_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Clients are served at the other nodes while one is killed, one stands still or one hears nothing of discovery; each node
-// serves again afterwards, and hosts know which node sent them what.
+// Clients are served at the other nodes while one node is killed, one is paused or one is cut off from
+// discovery. Each node serves again afterwards, and hosts know which node sent them each line.
 func TestNodesAreKilledPausedAndCutOff(t *testing.T) {
 	t.Parallel()
 	w := New(t, threeNodePlan())
@@ -61,7 +61,7 @@
 	c.AwaitUp(10, "n2")
 	w.Await("clients of the node that stands still get nothing", func() bool { return c.Report().Lost > 0 })
 	c.AwaitUp(10, "n0")
-	for _, l := range firstLinesFrom(w, "n1") { // by the kernel's times: an answer may be read late
+	for _, l := range firstLinesFrom(w, "n1") { // by the kernel's timestamps, because an answer may be read late
 		require.LessOrEqual(t, l.At, paused)
 	}
 	n1.Continue()
@@ -96,7 +96,8 @@
 	}
 }
 
-// A first line at a host in work is found by the host's own count; a host that is killed gets none until it has started.
+// A host under maintenance detects a first line by itself. A killed host gets no line until it has started
+// again.
 func TestHostsUnderMaintenanceAndCrashed(t *testing.T) {
 	t.Parallel()
 	w := New(t, threeNodePlan())
@@ -130,7 +131,8 @@
 	awaitEachServed(w, c, 5)
 }
 
-// The store of a node that is started again is as the story says, and its files may not grow beyond a limit.
+// A restarted node finds the store that the scenario has prepared, and a limit on the size of its files is
+// enforced.
 func TestStoresAreKeptLostStaleAndTruncated(t *testing.T) {
 	t.Parallel()
 	p := threeNodePlan()
@@ -179,7 +181,8 @@
 	assert.NotContains(t, shared(), `"PID"`)
 }
 
-// What the kernel says of a first line lies between its writing and its reading, though clocks of two kinds tell.
+// The kernel timestamp of a first line lies between its writing and its reading, although two different
+// clocks are involved.
 func TestKernelTimestampsAgreeWithTheTestClock(t *testing.T) {
 	w := New(t, threeNodePlan())
 	h := w.Host("h0")
@@ -190,7 +193,7 @@
 		_, err = fmt.Fprintf(c, "OPEN %d 1 c=chat\r\n", i)
 		require.NoError(t, err)
 		w.Await("it is read", func() bool { return len(h.Lines("n1")) == i+1 })
-		const clockSkew = 2 * time.Millisecond // of the two clocks at most
+		const clockSkew = 2 * time.Millisecond // greatest difference between the two clocks
 		assert.Greater(t, h.Lines("n1")[i].At, before-clockSkew)
 		assert.Less(t, h.Lines("n1")[i].At, w.Now()+clockSkew)
 		c.Close()
@@ -223,7 +226,7 @@
 	assert.Equal(t, "UP h0.22\r\n", answer("n1"), "and to this one when all is healed")
 }
 
-// A plan of faults is played while clients come: nothing is seen that must not be, and all nodes serve in the end.
+// A plan of faults runs while clients connect: there are no violations, and all nodes serve in the end.
 func TestPlanOfFaultsRuns(t *testing.T) {
 	t.Parallel()
 	w := New(t, threeNodePlan())
--- a/rehearsal/processes/writes_test.go
+++ b/rehearsal/processes/writes_test.go
@@ -13,7 +13,8 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// line is a province, a regency and a building of three nodes, and hosts that all of them know.
+// siteLinePlan is a province, a regency and a building of three nodes, each site below the one before, and
+// hosts that all nodes know.
 func siteLinePlan() Plan {
 	return Plan{Seed: 5, Hosts: Fleet(4), Sites: []Site{
 		{Name: "p", Level: sitepb.Level_PROVINCE, Nodes: []string{"p0"}},
@@ -27,7 +28,8 @@
 
 var buildingNodes = []string{"b0", "b1", "b2"}
 
-// write has something written at a node, and returns the write's name. It tries until the node's site agrees.
+// writeTo makes a write at a node and returns the reply with the ID of the write. It retries until the node's
+// site accepts the write.
 func writeTo(w *World, node, kind, key, value, token string) *peerpb.WriteReply {
 	w.t.Helper()
 	r := &peerpb.WriteReply{}
@@ -39,7 +41,7 @@
 	return r
 }
 
-// read returns what holds of a thing at a node, and what became of a write.
+// readFrom returns the value of a key at a node, and what became of a write.
 func readFrom(w *World, node, kind, key, id string) *peerpb.ReadReply {
 	r := &peerpb.ReadReply{}
 	if w.Asker("staff").call(Op{Node: node, Kind: "Read"}, map[string]any{"kind": kind, "thing": key, "id": id}, r, nil) != nil {
@@ -58,7 +60,8 @@
 	}
 }
 
-// awaitNone waits until nothing new has come to a host from some nodes for a while in which they served others.
+// awaitNoTraffic waits until a host has received nothing more from each of the nodes while that node served
+// other clients.
 func awaitNoTraffic(w *World, c *Clients, host string, nodes ...string) {
 	w.t.Helper()
 	for _, n := range nodes {
@@ -71,7 +74,7 @@
 	}
 }
 
-// awaitSome waits until a host gets something new from some nodes.
+// awaitTraffic waits until a host receives something new from each of the nodes.
 func awaitTraffic(w *World, host string, nodes ...string) {
 	w.t.Helper()
 	for _, n := range nodes {
@@ -80,7 +83,8 @@
 	}
 }
 
-// started starts a line and clients, and waits until each council is led. The story is told beside others.
+// startSiteLine starts the sites of siteLinePlan and clients, in parallel with other scenarios, and waits
+// until each group has a leader.
 func startSiteLine(t *testing.T) (*World, *Clients) {
 	t.Parallel()
 	w := New(t, siteLinePlan())
@@ -99,7 +103,7 @@
 	out := writeTo(w, "b1", "safety", "host/h1", "out", "")
 	awaitValue(w, "host/h1", "out", buildingNodes...)
 	awaitNoTraffic(w, c, "h1", buildingNodes...)
-	awaitTraffic(w, "h1", "p0", "r0") // nobody above knows of it
+	awaitTraffic(w, "h1", "p0", "r0") // the sites above do not know of it
 	assert.Empty(t, readFrom(w, "b0", "", "", out.Id).Receipt)
 	w.Heal()
 	healed := w.Now()
@@ -108,7 +112,7 @@
 	awaitNoTraffic(w, c, "h1", "p0", "r0")
 	w.Await("the receipt has come", func() bool { return readFrom(w, "b2", "", "", out.Id).Receipt == "applied" })
 
-	writeTo(w, "p0", "safety", "host/h1", "back", "") // a decision comes down
+	writeTo(w, "p0", "safety", "host/h1", "back", "") // a decision travels down
 	awaitValue(w, "host/h1", "back", buildingNodes...)
 	awaitTraffic(w, "h1", w.Names()...)
 	w.RequireNoViolations(Allowance{})
@@ -161,11 +165,12 @@
 	w, _ := startSiteLine(t)
 	w.Partition(false, buildingNodes...)
 	out := writeTo(w, "b0", "safety", "host/h1", "out", "")
-	// Somebody goes from the building to the province, which has not heard of it, and takes the host back there.
+	// Somebody goes from the building to the province, which does not know of the write yet, and puts the
+	// host back into service there.
 	back := writeTo(w, "p0", "safety", "host/h1", "back", out.Token)
 	w.Heal()
 	w.Await("both are known below", func() bool { return readFrom(w, "b0", "", "", back.Id).Receipt != "" })
-	awaitValue(w, "host/h1", "back", "p0", "r0", "b0") // written after the other, and not beside it
+	awaitValue(w, "host/h1", "back", "p0", "r0", "b0") // it depends on the other write, and is not concurrent with it
 }
 
 func TestRefusedWritesSayWhy(t *testing.T) {
@@ -182,7 +187,8 @@
 	}
 }
 
-// TestASeatThatWasAwayGetsALargeState: one that no call takes as a whole. Then the council goes on with that seat.
+// A replica that was away receives a state that is too large for one call. Then the group continues with that
+// replica.
 func TestReplicaThatWasAwayReceivesALargeState(t *testing.T) {
 	const keys = 60
 	t.Parallel()
