--- a/rehearsal/processes/policies.go
+++ b/rehearsal/processes/policies.go
@@ -117,7 +117,7 @@
 func (w *World) AwaitTarget(target int, nodes ...string) {
 	w.t.Helper()
 	start := w.Now()
-	w.Await(strings.Join(nodes, ", ")+" go by an aim of "+strconv.Itoa(target), func() bool {
+	w.Await(strings.Join(nodes, ", ")+" apply a latency target in ms of "+strconv.Itoa(target), func() bool {
 		return !slices.ContainsFunc(nodes, func(n string) bool {
 			observed := w.Observations(n, start)
 			return len(observed) < minConsecutive || slices.ContainsFunc(observed[len(observed)-minConsecutive:], func(s PolicyObservation) bool { return s.LatencyTarget != target })
@@ -192,7 +192,7 @@
 		for _, target := range targets {
 			for _, s := range w.ObservationsOf(target, n, cut.from) {
 				if s.SentAt > cut.from+lease && s.At < cut.to {
-					out = append(out, Violation{At: s.At, What: fmt.Sprintf("%s, cut off since %v, goes by a trial with a lease of %v: an aim of %d",
+					out = append(out, Violation{At: s.At, What: fmt.Sprintf("%s, cut off since %v, applies a trial policy with a lease of %v: latency target %d ms",
 						n, cut.from, lease, target)})
 				}
 			}
--- a/rehearsal/processes/process.go
+++ b/rehearsal/processes/process.go
@@ -97,7 +97,7 @@
 // Start starts the node's process. No process may be running.
 func (n *Node) Start() {
 	n.t.Helper()
-	require.False(n.t, n.Runs(), "%s runs already", n.Name)
+	require.False(n.t, n.Runs(), "%s already runs", n.Name)
 	n.launch("127.0.0.1:0")
 }
 
@@ -105,7 +105,7 @@
 // process may be running.
 func (n *Node) StartAt(listen string) {
 	n.t.Helper()
-	require.False(n.t, n.Runs(), "%s runs already", n.Name)
+	require.False(n.t, n.Runs(), "%s already runs", n.Name)
 	n.launch(listen)
 }
 
@@ -203,7 +203,7 @@
 		return
 	}
 	if err := present.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		n.t.Errorf("%v to %s: %v", s, n.Name, err)
+		n.t.Errorf("sending %v to %s: %v", s, n.Name, err)
 	}
 }
 
--- a/rehearsal/processes/process_test.go
+++ b/rehearsal/processes/process_test.go
@@ -23,7 +23,7 @@
 	assert.False(t, former.readLine(`level=INFO msg="another process has the address" node=n2`))
 
 	n.present, n.formers = later, []*process{former}
-	assert.Equal(t, "a:1", n.currentAddress(apiAddrOf), "the later one has told nothing yet")
+	assert.Equal(t, "a:1", n.currentAddress(apiAddrOf), "the later process has logged no address yet")
 	assert.True(t, later.readLine(opens("a:3")))
 	assert.Equal(t, "a:3", n.currentAddress(apiAddrOf))
 	assert.Equal(t, "a:2", n.currentAddress(clientAddrOf))
--- a/rehearsal/processes/reach_test.go
+++ b/rehearsal/processes/reach_test.go
@@ -21,7 +21,7 @@
 		}
 		mark := w.Node(leading).Mark()
 		loggedWhileLeading := func(texts ...string) (line string) {
-			w.Await(leading+" tells of its link, or leads no more", func() bool {
+			w.Await(leading+" logs its link, or is no longer the leader", func() bool {
 				line = w.Node(leading).lineSince(mark, texts...)
 				return line != "" || w.Node(leading).HasLogged(mark, "leads the council no more")
 			})
--- a/rehearsal/processes/reload_test.go
+++ b/rehearsal/processes/reload_test.go
@@ -63,7 +63,7 @@
 		}
 		awaitServed(c, w.Names()...)
 		var turn2Phase string
-		w.Await("the council answers", func() bool { turn2Phase = turnPhase(w, "n0", "t2"); return turn2Phase != "" })
+		w.Await("the group answers", func() bool { turn2Phase = turnPhase(w, "n0", "t2"); return turn2Phase != "" })
 		assert.Equal(t, "asked", turn2Phase)
 	}
 	refused(func(n *Node) { n.ReloadText("listen: \"127.0.0.1:0\"\nturns {\n  site: 3\n  zone: many\n}\n") },
@@ -87,7 +87,7 @@
 		_, err := staff.Withdraw("n1", id)
 		require.NoError(t, err)
 	}
-	w.Await("all are over", func() bool {
+	w.Await("no turn is granted any more", func() bool {
 		return !strings.Contains(turnPhase(w, "n1", "t0")+turnPhase(w, "n1", "t1")+turnPhase(w, "n1", "t2"), "granted")
 	})
 	workOn(w, c, "t3", "h3", w.Names()...)
--- a/rehearsal/processes/rollouts_test.go
+++ b/rehearsal/processes/rollouts_test.go
@@ -88,7 +88,7 @@
 	r.poller = r.PollPolicies(r.topNodes...)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("%v; served %v, not served %v\n%v", r.clients.Report(), r.clients.Report().ByNode, r.clients.Report().Unserved,
+			t.Logf("clients: %v; served by node %v, not served %v\nrollout: %v", r.clients.Report(), r.clients.Report().ByNode, r.clients.Report().Unserved,
 				r.poller.Rollout("p1"))
 		}
 	})
@@ -104,17 +104,17 @@
 // callPolicy makes an operator's call, trying the nodes of the top site in turn until one accepts it.
 func (r *rolloutTest) callPolicy(kind, id string, fields map[string]any) {
 	r.t.Helper()
-	in := map[string]any{"id": id, "why": "a story"}
+	in := map[string]any{"id": id, "why": "a test scenario"}
 	for k, v := range fields {
 		in[k] = v
 	}
 	attempt, lastErr := 0, error(nil)
 	defer func() {
 		if r.t.Failed() {
-			r.t.Logf("%s %s: %v", kind, id, lastErr)
+			r.t.Logf("%s %s: last error: %v", kind, id, lastErr)
 		}
 	}()
-	r.Await(kind+" "+id+" is taken", func() bool {
+	r.Await(kind+" "+id+" is accepted", func() bool {
 		attempt++
 		_, lastErr = r.chief.CallPolicy(r.topNodes[attempt%len(r.topNodes)], kind, in)
 		return lastErr == nil
@@ -139,7 +139,7 @@
 func (r *rolloutTest) awaitTreated(stage string) []string {
 	r.t.Helper()
 	var treated []string
-	r.awaitRollout("has treated the nodes of "+stage, func(p *peerpb.Rollout) bool {
+	r.awaitRollout("has a treatment group in stage "+stage, func(p *peerpb.Rollout) bool {
 		treated = p.Treated
 		return p.Stage == stage && p.Phase == "running" && len(treated) > 0
 	})
@@ -159,7 +159,7 @@
 func (r *rolloutTest) forceStage(stage string) {
 	r.t.Helper()
 	r.callPolicy("ForcePolicy", "p1", map[string]any{"stage": stage})
-	r.awaitRollout("has left "+stage, func(p *peerpb.Rollout) bool { return p.Stage != stage || p.Phase != "running" })
+	r.awaitRollout("has ended stage "+stage, func(p *peerpb.Rollout) bool { return p.Stage != stage || p.Phase != "running" })
 }
 
 // awaitHalted waits until the rollout is halted, checks the cause, and waits until hosts observe the good
@@ -186,7 +186,7 @@
 // awaitServingAfter waits until a host has observed a request of the node at or after a point in time.
 func (r *rolloutTest) awaitServingAfter(at time.Duration, node string) {
 	r.t.Helper()
-	r.Await(fmt.Sprintf("%s serves on until %v", node, at), func() bool { return len(r.Observations(node, at)) > 0 })
+	r.Await(fmt.Sprintf("%s still serves at %v", node, at), func() bool { return len(r.Observations(node, at)) > 0 })
 }
 
 func TestPolicyRollsOutInStagesOnEvidenceAndPersists(t *testing.T) {
@@ -195,12 +195,12 @@
 		{Name: "b", Parent: "r", Level: sitepb.Level_BUILDING, Nodes: []string{"b0", "b1", "b2"}},
 		{Name: "c", Parent: "r", Level: sitepb.Level_BUILDING, Nodes: []string{"c0", "c1"}, Replicas: 1}}}, endOnEvidence)
 	first := r.startPolicy(harmlessPolicy, TrialTarget)
-	r.awaitRollout("has its second stage", func(p *peerpb.Rollout) bool { return p.Stage == "building" && len(p.Treated) == 2 })
+	r.awaitRollout("is in its second stage", func(p *peerpb.Rollout) bool { return p.Stage == "building" && len(p.Treated) == 2 })
 	r.AwaitTarget(TrialTarget, r.poller.Rollout("p1").Treated...)
 	observed := r.everObserved(TrialTarget)
 	assert.Equal(t, first, observed[0])
-	assert.Equal(t, first[:1], observed[1][:1], "the second is of the same building")
-	r.awaitRollout("has its third stage", func(p *peerpb.Rollout) bool { return p.Stage == "regency" })
+	assert.Equal(t, first[:1], observed[1][:1], "the second node is in the same building")
+	r.awaitRollout("is in its third stage", func(p *peerpb.Rollout) bool { return p.Stage == "regency" })
 	var ended []string
 	for _, e := range r.poller.Rollout("p1").Log {
 		if strings.HasPrefix(e.What, "ended") {
@@ -211,7 +211,7 @@
 	r.forceStage("regency")
 	r.forceStage("part")
 	r.awaitTreated("all")
-	assert.Less(t, len(r.everObserved(TrialTarget)), len(r.Names()), "some are held back to the end")
+	assert.Less(t, len(r.everObserved(TrialTarget)), len(r.Names()), "some nodes are held back until the last stage")
 	r.forceStage("all")
 	r.awaitRollout("is done", func(p *peerpb.Rollout) bool { return p.Phase == "done" })
 	r.AwaitTarget(TrialTarget, r.Names()...)
@@ -221,7 +221,7 @@
 	r.Node("b1").Restart(Kept)
 	restarted := r.Now()
 	r.AwaitTarget(TrialTarget, "b1")
-	assert.Empty(t, r.ObservationsOf(GoodTarget, "b1", restarted), "it goes by the good policy of its store")
+	assert.Empty(t, r.ObservationsOf(GoodTarget, "b1", restarted), "it must apply the good policy that is in its store")
 	r.RequireNoViolations(Allowance{})
 }
 
@@ -241,12 +241,12 @@
 		return float64(unserved) / float64(max(1, unserved+served))
 	}
 	for _, n := range otherNodes(r.World, first) {
-		assert.Empty(t, r.ObservationsOf(SingleAttempt, n, 0), "%s was never treated", n)
+		assert.Empty(t, r.ObservationsOf(SingleAttempt, n, 0), "%s was never in the treatment group", n)
 		assert.Less(t, unservedShare(before, during, n), 0.3, n)
 	}
-	assert.Greater(t, unservedShare(before, during, first), 0.35, "its clients saw it")
+	assert.Greater(t, unservedShare(before, during, first), 0.35, "its clients noticed the regression")
 	r.clients.AwaitUp(60, first)
-	assert.Less(t, unservedShare(after, r.clients.Report(), first), 0.3, "and see it no more")
+	assert.Less(t, unservedShare(after, r.clients.Report(), first), 0.3, "and no longer do")
 	r.RequireNoViolations(Allowance{})
 }
 
@@ -260,13 +260,13 @@
 	crashed := r.Now()
 	r.Node(first).Restart(Kept)
 	r.AwaitTarget(GoodTarget, first)
-	assert.Empty(t, r.ObservationsOf(TrialTarget, first, crashed), "from its start on, and nobody has told it")
+	assert.Empty(t, r.ObservationsOf(TrialTarget, first, crashed), "it applies the good policy from its start on, without a message from another node")
 	assert.Equal(t, "running", r.poller.Rollout("p1").Phase)
 	r.Heal()
 	r.awaitHalted("guard")
 	assert.Equal(t, []string{first}, r.everObserved(TrialTarget))
-	_, err := r.chief.CallPolicy(r.topNodes[0], "ResumePolicy", map[string]any{"id": "p1", "why": "perhaps it was nothing"})
-	assert.ErrorContains(t, err, "what to do", "a guard's halt stands")
+	_, err := r.chief.CallPolicy(r.topNodes[0], "ResumePolicy", map[string]any{"id": "p1", "why": "probably a false alarm"})
+	assert.ErrorContains(t, err, "what to do", "a halt by a guard cannot be resumed")
 	r.RequireNoViolations(Allowance{})
 }
 
@@ -279,7 +279,7 @@
 	treated := r.poller.Rollout("p1").Treated
 	r.AwaitTarget(TrialTarget, treated...)
 	lastGood := r.Now() // last time at which a node applied the good policy: on a stalled machine a trial may expire
-	r.Await("the nodes go by the trial for longer than a lease: they are told again and again", func() bool {
+	r.Await("the nodes apply the trial policy for longer than a lease, because it is renewed", func() bool {
 		for _, n := range treated {
 			if good := r.ObservationsOf(GoodTarget, n, lastGood); len(good) > 0 {
 				lastGood = good[len(good)-1].At + 1
@@ -289,7 +289,7 @@
 	})
 	r.Partition(false, buildingNodes...)
 	r.AwaitTarget(GoodTarget, treated...)
-	assert.NotEmpty(t, leaderOf(r.World, treated[0]), "its own council answers")
+	assert.NotEmpty(t, leaderOf(r.World, treated[0]), "its own group answers")
 	awaitServed(r.clients, buildingNodes...)
 	r.AwaitTarget(GoodTarget, treated...)
 	r.Heal()
@@ -304,7 +304,7 @@
 	const lease = 8 * time.Second
 	r := newParallelRolloutTest(t, Plan{Sites: twoBuildings()}, func(f *sitepb.File) { f.Rollout.LeaseS = uint32(lease / time.Second) })
 	first := r.startPolicy(harmlessPolicy, TrialTarget)
-	require.Contains(t, buildingNodes, first, "where most clients come")
+	require.Contains(t, buildingNodes, first, "the rollout begins where most clients connect")
 	r.Partition(false, buildingNodes...)
 	cut := span{from: r.Now()}
 	r.awaitServingAfter(cut.from+lease/2, first)
@@ -324,7 +324,7 @@
 	const lease = 8 * time.Second
 	r := newParallelRolloutTest(t, Plan{Sites: twoBuildings()}, func(f *sitepb.File) { f.Rollout.LeaseS = uint32(lease / time.Second) })
 	first := r.startPolicy(harmlessPolicy, TrialTarget)
-	require.Contains(t, buildingNodes, first, "where most clients come")
+	require.Contains(t, buildingNodes, first, "the rollout begins where most clients connect")
 	r.Node(first).Kill()
 	r.Partition(false, buildingNodes...)
 	cut := span{from: r.Now()}
@@ -336,7 +336,7 @@
 	r.AwaitTarget(TrialTarget, first)
 	p := r.poller.Rollout("p1")
 	assert.Equal(t, []string{"running", "one-node", ""}, []string{p.Phase, p.Stage, p.Cause})
-	assert.Len(t, p.Log, 1, "it was started, and nothing else")
+	assert.Len(t, p.Log, 1, "the log has only the start")
 	r.callPolicy("HaltPolicy", "p1", nil)
 	r.awaitHalted("operator")
 	r.RequireNoViolations(Allowance{})
@@ -364,7 +364,7 @@
 	assert.ElementsMatch(t, treated, r.everObserved(TrialTarget))
 	second, _ := r.loggedAt("ended")
 	for _, n := range treated[1:] {
-		assert.Greater(t, r.ObservationsOf(TrialTarget, n, 0)[0].At, second-time.Millisecond, "%s goes over once the first stage is ended", n)
+		assert.Greater(t, r.ObservationsOf(TrialTarget, n, 0)[0].At, second-time.Millisecond, "%s applies the trial only after the end of the first stage", n)
 	}
 
 	r.callPolicy("HaltPolicy", "p1", nil)
@@ -380,7 +380,7 @@
 		"regency: taken back", "building: taken back", "one-node: taken back", "regency: every node is on the good policy"}, steps)
 	for _, n := range treated[2:] {
 		if n != killed { // the killed leader was not waited for, and learns of the halt after its restart
-			assert.Less(t, r.lastTrialObservation(n), r.firstGoodAfterTrial(first), "%s of the latest stage goes back first", n)
+			assert.Less(t, r.lastTrialObservation(n), r.firstGoodAfterTrial(first), "%s, of the latest stage, must be rolled back first", n)
 		}
 	}
 	r.RequireNoViolations(Allowance{})
@@ -411,7 +411,7 @@
 	treated := r.poller.Rollout("p1").Treated
 	r.AwaitTarget(TrialTarget, treated...)
 	r.Partition(false, buildingNodes...)
-	r.Await("the building takes the halt", func() bool {
+	r.Await("the building accepts the halt", func() bool {
 		out, err := r.chief.CallPolicy("b1", "HaltPolicy", map[string]any{"id": "p1", "why": "clients complain"})
 		return err == nil && out.Write != ""
 	})
@@ -423,7 +423,7 @@
 	r.Heal()
 	r.awaitHalted("operator")
 	for _, n := range buildingNodes {
-		assert.Empty(t, r.ObservationsOf(TrialTarget, n, halted), "%s does not go over again", n)
+		assert.Empty(t, r.ObservationsOf(TrialTarget, n, halted), "%s must not apply the trial again", n)
 	}
 	resumed := r.Now()
 	r.callPolicy("ResumePolicy", "p1", nil)
@@ -459,9 +459,9 @@
 	// Compared with its own past, a node would certainly be worse within nine observation windows, and the
 	// stage would have its evidence within three.
 	start := r.Now()
-	r.Await("all nodes refuse for twelve spells", func() bool { return r.Now() > start+24*time.Second })
+	r.Await("all nodes refuse for twelve observation windows", func() bool { return r.Now() > start+24*time.Second })
 	now := r.clients.Report()
-	assert.Less(t, now.Up-before.Up, (now.Asked-before.Asked)/4, "clients saw the trouble")
+	assert.Less(t, now.Up-before.Up, (now.Asked-before.Asked)/4, "clients noticed the failure")
 	p := r.poller.Rollout("p1")
 	assert.Equal(t, "running one-node", p.Phase+" "+p.Stage, "%s; %v", p.Missing, p.Log)
 	assert.Contains(t, p.Missing, "nothing to compare")
@@ -469,7 +469,7 @@
 	for _, h := range r.Hosts() {
 		h.Refuse(0, "")
 	}
-	r.awaitRollout("goes on", func(p *peerpb.Rollout) bool { return p.Stage == "building" })
+	r.awaitRollout("continues", func(p *peerpb.Rollout) bool { return p.Stage == "building" })
 	r.RequireNoViolations(Allowance{})
 }
 
@@ -483,12 +483,12 @@
 		}
 	})
 	first := r.startPolicy(harmlessPolicy, TrialTarget)
-	r.awaitRollout("compares them", func(p *peerpb.Rollout) bool { return p.Missing == "" })
+	r.awaitRollout("compares the nodes", func(p *peerpb.Rollout) bool { return p.Missing == "" })
 	r.awaitServingAfter(r.Now()+10*time.Second, first) // by then all other nodes were watched too
 	// While a host of its zone is under maintenance, what a node counts is no evidence.
 	require.NoError(t, r.Asker("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		nothing := func(p *peerpb.Rollout) bool { return strings.Contains(p.Missing, "nothing to compare") }
-		r.awaitRollout("compares nothing any more", nothing) // the observation windows before the work are decided by then
+		r.awaitRollout("compares nothing any longer", nothing) // the observation windows before the work are decided by then
 		since := r.Now()
 		r.awaitServingAfter(since+8*time.Second, first)
 		for _, l := range r.poller.Snapshots() {
@@ -522,7 +522,7 @@
 		"policy": `{"request_classes":{"chat":{"aim_us":5000000},"file":{"aim_us":500000}}}`})
 	for _, stage := range []string{"one-node", "building", "regency", "part", "all"} { // one of the stages has n2, or n2 is held back until the last one
 		r.awaitRollout("treats "+stage, func(p *peerpb.Rollout) bool { return p.Stage == stage && len(p.Treated) > 0 || p.Phase != "running" })
-		_, _ = r.chief.CallPolicy("n0", "ForcePolicy", map[string]any{"id": "p1", "stage": stage, "why": "a story"}) // refused if the rollout has halted
+		_, _ = r.chief.CallPolicy("n0", "ForcePolicy", map[string]any{"id": "p1", "stage": stage, "why": "a test scenario"}) // refused if the rollout has halted
 	}
 	r.awaitHalted("guard")
 	assert.NotContains(t, r.everObserved(TrialTarget), "n2")
--- a/rehearsal/processes/seats_test.go
+++ b/rehearsal/processes/seats_test.go
@@ -39,7 +39,7 @@
 
 	w.Node(gone[2]).Kill()
 	rest := otherNodes(w, gone...)
-	w.Await("calls are refused, and say what to do", func() bool {
+	w.Await("calls are refused with advice", func() bool {
 		_, err := w.Asker("staff").Ask(rest[0], "t3", "h3", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "what to do")
 	})
@@ -74,7 +74,7 @@
 // awaitVoters waits until a node reports these voters of its group.
 func awaitVoters(w *World, at string, voters ...string) {
 	w.t.Helper()
-	w.Await("the council's seats are "+strings.Join(voters, " "), func() bool {
+	w.Await("the voters are "+strings.Join(voters, " "), func() bool {
 		r, err := w.Asker("operator").Turns(at)
 		return err == nil && slices.Equal(r.Seats, voters)
 	})
@@ -185,12 +185,12 @@
 			removedAt = i
 		}
 	}
-	assert.True(t, resignedAt >= 0 && (removedAt < 0 || resignedAt < removedAt), "it leads no more when its seat goes")
+	assert.True(t, resignedAt >= 0 && (removedAt < 0 || resignedAt < removedAt), "it must have resigned before its replica is removed")
 	w.Heal()
 	assert.Contains(t, w.Node(removed).Logged("has taken this node's seat out"), "compare the site files")
 	before := awaitLeader(w, "n5", leading, removed)
 	workOn(w, c, "t1", "h1", w.Names()...)
-	assert.Equal(t, before, leaderOf(w, "n5"), "those that went disturb nobody")
+	assert.Equal(t, before, leaderOf(w, "n5"), "the removed replicas must not cause an election")
 
 	w.Node(removed).Restart(Kept) // with the new file
 	awaitServed(c, removed)
@@ -217,9 +217,9 @@
 	awaitVoters(w, "n1", "n1", "n2", "n3")
 	w.Node(removed).Logged("has taken this node's seat out")
 	id := writeTo(w, removed, "safety", "host/h1", "out", "").Id
-	w.Await("the node that was asked to write has the receipt", func() bool { return readFrom(w, removed, "", "", id).Receipt == "applied" })
+	w.Await("the node that accepted the write has the receipt", func() bool { return readFrom(w, removed, "", "", id).Receipt == "applied" })
 	awaitValue(w, "host/h1", "out", w.Names()...)
-	w.Await("it tells of policies as the others do", func() bool {
+	w.Await("it reports the policies as the others do", func() bool {
 		r, err := w.Asker("operator").Policies(removed)
 		return err == nil && r.Leader != "" && r.Leader != removed
 	})
@@ -276,7 +276,7 @@
 	lost, restarted, running := "n0", "n1", "n2"
 	requestUpcomingTurn(w, running, "t1", "h1")
 	const risk = "i_know_that_an_older_store_undoes_what_was_agreed_on"
-	w.Await("it is not needed", func() bool {
+	w.Await("the confirmation is refused as unnecessary", func() bool {
 		err := confirmStore(w, restarted, map[string]any{"by": "operator", "why": "w", risk: true})
 		return err != nil && strings.Contains(err.Error(), "it is not needed: its seat does not wait")
 	})
@@ -292,7 +292,7 @@
 	require.ErrorContains(t, confirmStore(w, restarted, fields), "votes as if it had not voted")
 	fields[risk] = true
 	require.ErrorContains(t, confirmStore(w, restarted, map[string]any{risk: true}), "give by and why")
-	w.Await("the seat is vouched for", func() bool { return confirmStore(w, restarted, fields) == nil })
+	w.Await("the store is confirmed", func() bool { return confirmStore(w, restarted, fields) == nil })
 	assert.Contains(t, w.Node(restarted).Logged("an operator vouches"), "this one's is as it was")
 	addReplica(w, lost)
 	workOn(w, c, "t1", "h1", w.Names()...)
@@ -332,7 +332,7 @@
 		w.Node(n).Kill()
 	}
 	var founder string
-	w.Await("one of the two has founded the council anew", func() bool {
+	w.Await("one of the two has bootstrapped the group again", func() bool {
 		for _, n := range []string{"n3", "n4"} {
 			if founder == "" && rebootstrap(w, "n5", n, lost...) == nil {
 				founder = n
@@ -380,7 +380,7 @@
 	w.Partition(true, "n2", "n3")
 	w.Node("n2").Restart(Kept)
 	w.Node("n2").Logged("the seat waits")
-	w.Await("the last seat has founded the council anew", func() bool {
+	w.Await("the last replica has bootstrapped the group again", func() bool {
 		err := rebootstrap(w, "n2", "n2", "n0", "n1")
 		return err == nil
 	})
--- a/rehearsal/processes/stall.go
+++ b/rehearsal/processes/stall.go
@@ -52,7 +52,7 @@
 	if !w.t.Failed() {
 		return
 	}
-	w.t.Logf("%s: where the nodes stand\n%s", w.Now().Round(time.Millisecond), w.status())
+	w.t.Logf("%s: status of the nodes\n%s", w.Now().Round(time.Millisecond), w.status())
 	w.mu.Lock()
 	clients := slices.Clone(w.clients)
 	w.mu.Unlock()
@@ -62,10 +62,10 @@
 	}
 	folder, err := w.saveLogs()
 	if err != nil {
-		w.t.Logf("the logs are not kept: %v", err)
+		w.t.Logf("could not keep the logs: %v", err)
 		return
 	}
-	w.t.Logf("all logs of this story are in %s", folder)
+	w.t.Logf("all logs of this scenario are in %s", folder)
 }
 
 // status asks all nodes for their status at the same time and returns a paragraph for each.
@@ -93,7 +93,7 @@
 		b.WriteString("the process is paused")
 		return b.String()
 	case n.Desk() == "":
-		b.WriteString("the process runs and is not open to operators")
+		b.WriteString("the process runs and does not accept operators' calls")
 		return b.String()
 	}
 	ctx, cancel := context.WithTimeout(n.w.ctx, statusTimeout)
@@ -104,7 +104,7 @@
 		return b.String()
 	}
 	replica := turns.GetSeat()
-	fmt.Fprintf(&b, "role=%s term=%d committed=%d applied=%d leader=%q seats=%q right=%dms unreached=%q stopped=%q",
+	fmt.Fprintf(&b, "role=%s term=%d committed=%d applied=%d leader=%q replicas=%q lease=%dms unreached=%q stopped=%q",
 		replica.GetRole(), replica.GetTerm(), replica.GetCommitted(), replica.GetApplied(), turns.Leader, turns.Seats, replica.GetRightMs(), replica.GetUnreached(), replica.GetStopped())
 	for _, t := range turns.Turns {
 		if t.Phase != "over" {
@@ -142,7 +142,7 @@
 	select {
 	case <-present.exited:
 	case <-time.After(stackDumpTimeout):
-		return fmt.Sprintf("no end within %s of SIGQUIT", stackDumpTimeout)
+		return fmt.Sprintf("the process has not ended within %s of SIGQUIT", stackDumpTimeout)
 	}
 	return "its stacks:\n    " + strings.Join(n.linesSince(mark), "\n    ")
 }
--- a/rehearsal/processes/stall_test.go
+++ b/rehearsal/processes/stall_test.go
@@ -35,13 +35,13 @@
 	said, err := cmd.CombinedOutput()
 	require.Error(t, err)
 	text := string(said)
-	for _, want := range []string{"a turn that nobody asked for is granted", "not in ",
-		"n0: role=follower term=", "right=0ms", "turn t1 of h1 is asked", "policy p1 is running, stage one-node",
+	for _, want := range []string{"a turn that nobody requested is granted", "not in ",
+		"n0: role=follower term=", "lease=0ms", "turn t1 of h1 is asked", "policy p1 is running, stage one-node",
 		"n1: it does not answer", "SIGQUIT: quit", "goroutine ", "n2: no process runs", "the last lines of n0"} {
 		assert.Contains(t, text, want)
 	}
 	assert.NotContains(t, text, "panic: test timed out")
-	folder := regexp.MustCompile(`all logs of this story are in (\S+)`).FindStringSubmatch(text)
+	folder := regexp.MustCompile(`all logs of this scenario are in (\S+)`).FindStringSubmatch(text)
 	require.NotNil(t, folder, text)
 	log, err := os.ReadFile(filepath.Join(folder[1], "n1.log"))
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	for _, word := range strings.Fields(pids[1]) {
 		pid, err := strconv.Atoi(word)
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return syscall.Kill(pid, 0) == syscall.ESRCH }, Patience, time.Millisecond, "process %d runs on", pid)
+		require.Eventually(t, func() bool { return syscall.Kill(pid, 0) == syscall.ESRCH }, Patience, time.Millisecond, "process %d still runs", pid)
 	}
 }
 
@@ -65,18 +65,18 @@
 	t.Logf("processes: %s", strings.Join(pids, " "))
 	requestTurn(w, "n0", "t1", "h1", time.Hour)
 	w.Await("a policy is started", func() bool {
-		_, err := w.Asker("chief").CallPolicy("n0", "StartPolicy", map[string]any{"id": "p1", "why": "a story", "policy": harmlessPolicy})
+		_, err := w.Asker("chief").CallPolicy("n0", "StartPolicy", map[string]any{"id": "p1", "why": "a test scenario", "policy": harmlessPolicy})
 		return err == nil
 	})
-	w.Await("n0 knows of both", func() bool {
+	w.Await("n0 reports both", func() bool {
 		standing := w.Node("n0").status()
 		return strings.Contains(standing, "turn t1 of h1") && strings.Contains(standing, "policy p1 is running")
 	})
 	w.Node("n2").Kill()
 	require.NoError(t, syscall.Kill(w.Node("n1").present.pid(), syscall.SIGSTOP))
-	w.Await("the seat that goes on knows of no leader", func() bool {
+	w.Await("the running replica has no leader", func() bool {
 		standing := w.Node("n0").status()
-		return strings.Contains(standing, "role=follower") && strings.Contains(standing, "right=0ms")
+		return strings.Contains(standing, "role=follower") && strings.Contains(standing, "lease=0ms")
 	})
-	w.Await("a turn that nobody asked for is granted", func() bool { return false })
+	w.Await("a turn that nobody requested is granted", func() bool { return false })
 }
--- a/rehearsal/processes/stamps.go
+++ b/rehearsal/processes/stamps.go
@@ -30,7 +30,7 @@
 	return &timestampedReader{raw: raw, w: w}, nil
 }
 
-var errNoTimestamp = errors.New("the kernel tells no time with what came")
+var errNoTimestamp = errors.New("received data without a kernel timestamp")
 
 // awaitTimestamps returns once the kernel timestamps received data. The kernel begins to do so some time
 // after a socket first requests it, and continues while such a socket exists: a port of the world, until its
--- a/rehearsal/processes/stores_test.go
+++ b/rehearsal/processes/stores_test.go
@@ -46,7 +46,7 @@
 		marks[n] = w.Node(n).Mark()
 	}
 	w.Node(node).Logged("has to take it in")
-	w.Await(node+" is taken in", func() bool {
+	w.Await(node+" is added", func() bool {
 		w.Asker("operator").TakeIn(awaitLeader(w, "n3"), node, "its store was put aside")
 		for _, n := range rest {
 			for _, line := range w.Node(n).Log() {
@@ -119,7 +119,7 @@
 	workOn(w, c, "t1", "h1", otherNodes(w, node)...)
 	before := len(firstLinesFrom(w, node))
 	c.AwaitUp(20, "")
-	assert.Len(t, firstLinesFrom(w, node), before, "it does not send")
+	assert.Len(t, firstLinesFrom(w, node), before, "the copy must not send")
 
 	double.Stop()
 	replaceStore(w, c, node)
@@ -152,7 +152,7 @@
 	assert.Contains(t, line, "file too large")
 	assert.Contains(t, line, "see that the disk has room")
 	assert.NotEqual(t, node, awaitLeader(w, "n3", node))
-	assert.Empty(t, leaderOf(w, node), "it does not say that it leads")
+	assert.Empty(t, leaderOf(w, node), "it must not report itself as leader")
 	err := w.Asker("operator").TakeIn(node, "n1", "why")
 	assert.ErrorContains(t, err, "control of this node has stopped")
 	assert.ErrorContains(t, err, "see that the disk has room")
@@ -195,7 +195,7 @@
 	name := follower(w)
 	n := w.Node(name)
 	w.Partition(false, name)
-	w.Await("its right has run out", func() bool { return strings.Contains(n.status(), "right=0ms") })
+	w.Await("its send lease has expired", func() bool { return strings.Contains(n.status(), "lease=0ms") })
 	stale := n.CopyStore()
 	awaitServed(c, otherNodes(w, name)...)
 	n.Kill()
--- a/rehearsal/processes/storm.go
+++ b/rehearsal/processes/storm.go
@@ -57,7 +57,7 @@
 func (o *Operator) check(n *Node) bool {
 	for _, text := range replaceStoreTexts {
 		if lines := n.logged(text); len(lines) > 0 {
-			o.Actions = append(o.Actions, fmt.Sprintf("%s has an empty store now: %s", n.Name, text))
+			o.Actions = append(o.Actions, fmt.Sprintf("%s got an empty store because of: %s", n.Name, text))
 			n.Restart(Empty)
 			delete(o.w.newReplica, n.Name)
 			o.reopen(n)
@@ -68,7 +68,7 @@
 		o.reopen(n)
 	}
 	if !n.Runs() {
-		o.w.addViolation("%s has ended by itself", n.Name)
+		o.w.addViolation("the process of %s has ended unexpectedly", n.Name)
 		n.Start()
 		return false
 	}
@@ -112,7 +112,7 @@
 	}
 	if r, err := requester.Turns(contact); err == nil && r.Leader != "" && r.Leader != name {
 		if requester.TakeIn(r.Leader, name, "its store was put aside") == nil {
-			if action := fmt.Sprint(name, " is taken in, by ", r.Leader); !slices.Contains(o.Actions, action) {
+			if action := fmt.Sprint(name, " was added, through ", r.Leader); !slices.Contains(o.Actions, action) {
 				o.Actions = append(o.Actions, action)
 			}
 		}
@@ -279,7 +279,7 @@
 		r.logStart, r.step, r.confirmed = logStart, 0, 0
 	}
 	if step < r.step || confirmed < r.confirmed || step < confirmed {
-		r.w.addViolation("%s tells step %d and that %d stands of %s, after %d and %d", r.node, step, confirmed, r.chain.Name, r.step, r.confirmed)
+		r.w.addViolation("%s reports step %d with step %d confirmed of %s, after steps %d and %d", r.node, step, confirmed, r.chain.Name, r.step, r.confirmed)
 	}
 	r.step, r.confirmed = max(step, r.step), max(confirmed, r.confirmed)
 }
--- a/rehearsal/processes/storm_test.go
+++ b/rehearsal/processes/storm_test.go
@@ -17,11 +17,11 @@
 )
 
 var (
-	faultSeeds     = flag.Int("storms", 2, "how many seeds of faults, turns, writes and policies are played")
-	firstFaultSeed = flag.Uint64("storm", 1, "the first of these seeds")
+	faultSeeds     = flag.Int("storms", 2, "number of fault sequences with turns, writes and policies to run")
+	firstFaultSeed = flag.Uint64("storm", 1, "first of these seeds")
 
-	replicaSeeds     = flag.Int("councils", 1, "how many seeds are played with seats that change and upgrades that are given up besides")
-	firstReplicaSeed = flag.Uint64("council", 1, "the first of these seeds")
+	replicaSeeds     = flag.Int("councils", 1, "number of fault sequences to run with replica changes and aborted upgrades")
+	firstReplicaSeed = flag.Uint64("council", 1, "first of these seeds")
 )
 
 const (
@@ -165,7 +165,7 @@
 
 // callPolicy makes a call about a policy at a node. The callers ignore the reply and repeat the call.
 func (g *faultRun) callPolicy(at, kind, id string, more map[string]any) error {
-	in := map[string]any{"id": id, "why": "a storm"}
+	in := map[string]any{"id": id, "why": "a fault sequence"}
 	for k, v := range more {
 		in[k] = v
 	}
@@ -275,7 +275,7 @@
 		return nil
 	})
 	run.spawn(func() error { run.driveRollouts(); return nil })
-	w.Await("nodes go by both trials", func() bool { return len(w.everObserved(TrialTarget)) > 0 && len(w.everObserved(SingleAttempt)) > 0 })
+	w.Await("both trial policies are observed", func() bool { return len(w.everObserved(TrialTarget)) > 0 && len(w.everObserved(SingleAttempt)) > 0 })
 	for i := range run.workDone {
 		run.runStaff(i)
 	}
@@ -318,7 +318,7 @@
 		outcomes += fmt.Sprintf("%s %s %s %s; ", id, p.GetPhase(), p.GetStage(), p.GetCause())
 		if p.GetPhase() != "done" {
 			for _, n := range w.Names() {
-				assert.Empty(t, w.ObservationsOf(trialTargets[id], n, settledAt), "%s goes by %s after its halt", n, id)
+				assert.Empty(t, w.ObservationsOf(trialTargets[id], n, settledAt), "%s applies %s after its halt", n, id)
 			}
 		}
 	}
@@ -328,15 +328,15 @@
 	for _, r := range run.readers {
 		reads += r.Reads
 	}
-	t.Logf("seed %d: works %v, steps %d and %d, %d reads; %s saw %v and %v, %d links broken; operator %q; settled in %d rounds; clients %s",
+	t.Logf("seed %d: maintenance jobs %v, steps %d and %d, %d reads; %s observed at %v and %v, links broken %d times; operator %q; settled in %d rounds; clients %s",
 		seed, run.workDone, provinceStep, buildingStep, reads, outcomes, w.everObserved(TrialTarget), w.everObserved(SingleAttempt), run.breaker.BreakCount,
 		run.operator.Actions, rounds, clients.Report())
-	fmt.Printf("storm of seed %d, seats that change %t: settled in %d rounds of %d\n", seed, changeReplicas, rounds, maxSettleRounds)
+	fmt.Printf("fault sequence of seed %d, replica changes %t: settled in %d rounds of %d\n", seed, changeReplicas, rounds, maxSettleRounds)
 	for i, n := range run.workDone {
-		assert.Positive(t, n, "staff%d has done some work", i)
+		assert.Positive(t, n, "staff%d must have finished a job", i)
 	}
 	assert.Empty(t, w.usedAfterLease(cut, trialLease, targets, run.buildingNodes))
-	assert.Empty(t, w.budgetExceeded(run.poller, trialTargets, run.provinceNodes, disruptionBudget, settleTime-2*time.Second), "two budgets of the top's own site")
+	assert.Empty(t, w.budgetExceeded(run.poller, trialTargets, run.provinceNodes, disruptionBudget, settleTime-2*time.Second), "disruption budget of the top site exceeded")
 	w.RequireNoViolations(twoPerSite)
 }
 
@@ -367,12 +367,12 @@
 			}
 		})
 		if len(waiting) > 0 {
-			missing = append(missing, fmt.Sprintf("%d who take part are not done", len(waiting)))
+			missing = append(missing, fmt.Sprintf("%d participants are not done", len(waiting)))
 		}
 		served := c.Report().ByNode
 		for _, n := range g.Names() {
 			if served[n] < servedBefore[n]+10 {
-				missing = append(missing, n+" serves few")
+				missing = append(missing, n+" serves too few clients")
 			}
 		}
 		missing = append(append(append(missing, g.unsettledPolicies(start)...), g.unsettledWrites(pending)...), g.unsettledReplicas()...)
@@ -411,7 +411,7 @@
 	for _, n := range g.Names() {
 		observed := g.Observations(n, since)
 		if len(observed) < minConsecutive || slices.ContainsFunc(observed[len(observed)-minConsecutive:], func(s PolicyObservation) bool { return s.LatencyTarget != good }) {
-			missing = append(missing, n+" does not go by the good policy")
+			missing = append(missing, n+" does not apply the good policy")
 		}
 	}
 	return missing
@@ -423,7 +423,7 @@
 		want := slices.Sorted(slices.Values(s.Nodes[:s.Replicas]))
 		r, err := g.operator.requesters[s.Name].Turns(s.Nodes[s.Replicas])
 		if err != nil || !slices.Equal(r.Seats, want) {
-			missing = append(missing, fmt.Sprintf("%s has the seats %v, not %v", s.Name, r.GetSeats(), want))
+			missing = append(missing, fmt.Sprintf("%s has the replicas %v instead of %v", s.Name, r.GetSeats(), want))
 		}
 	}
 	return missing
@@ -450,7 +450,7 @@
 			r := readFrom(g.World, n, "work", "step/"+chain.Name, "")
 			last := stepOf(r.Value)
 			if newest = max(newest, last); last < newest {
-				missing = append(missing, fmt.Sprintf("%s knows step %d of %s, not %d", n, last, chain.Name, newest))
+				missing = append(missing, fmt.Sprintf("%s has step %d of %s instead of %d", n, last, chain.Name, newest))
 			}
 		}
 	}
--- a/rehearsal/processes/turns_test.go
+++ b/rehearsal/processes/turns_test.go
@@ -50,7 +50,7 @@
 
 func awaitLeader(w *World, at string, except ...string) (name string) {
 	w.t.Helper()
-	w.Await("somebody leads the council", func() bool {
+	w.Await("the group has a leader", func() bool {
 		name = leaderOf(w, at)
 		return name != "" && !slices.Contains(except, name)
 	})
@@ -86,8 +86,8 @@
 	w, c := startBuilding(t, buildingPlan(nil))
 	start := w.Now()
 	workOn(w, c, "t1", "h1", w.Names()...)
-	t.Logf("asked to done in %v", w.Now()-start)
-	w.Await("the host is in use again", func() bool {
+	t.Logf("request to end of the work: %v", w.Now()-start)
+	w.Await("the host is used again", func() bool {
 		lines := w.Host("h1").Lines("n3")
 		return len(lines) > 0 && lines[len(lines)-1].At > w.Now()-time.Second
 	})
@@ -104,7 +104,7 @@
 // group may not know the hosts yet.
 func requestTurn(w *World, node, id, host string, delay time.Duration) {
 	w.t.Helper()
-	w.Await("the council takes "+id, func() bool {
+	w.Await("the group accepts "+id, func() bool {
 		_, err := w.Asker("staff").Ask(node, id, host, 1, notBefore(delay))
 		return err == nil
 	})
@@ -113,7 +113,7 @@
 // awaitExclusionSet waits until a node would exclude exactly these hosts once its send lease expires.
 func awaitExclusionSet(w *World, node, hosts string) {
 	w.t.Helper()
-	w.Await(node+" does without "+hosts+" once it has no right", func() bool {
+	w.Await(node+" excludes "+hosts+" without a send lease", func() bool {
 		line := ""
 		for _, more := range w.Node(node).Log() {
 			if strings.Contains(more, "hosts="+hosts+" horizon=") {
@@ -134,7 +134,7 @@
 	killed := w.Now()
 	rest := otherNodes(w, first)
 	workOn(w, c, "t1", "h1", rest...)
-	t.Logf("from the leader's end to the work's in %v", w.Now()-killed)
+	t.Logf("end of the leader to end of the work: %v", w.Now()-killed)
 	assert.NotEqual(t, first, awaitLeader(w, rest[0], first))
 	w.Node(first).Restart(Kept)
 	awaitServed(c, w.Names()...)
@@ -154,10 +154,10 @@
 	left := w.Now()
 	assert.Zero(t, w.Node(first).AwaitEnd())
 	ended := w.Now()
-	assert.True(t, anyLogged(w, "leads the council no more", first), "another one had taken over when it ended")
+	assert.True(t, anyLogged(w, "leads the council no more", first), "another replica must have taken over before it ended")
 	rest := otherNodes(w, first)
 	workOn(w, c, "t1", "h1", rest...)
-	t.Logf("the leader's process ended after %v; from SIGTERM to the work's end in %v, from the process's end in %v", ended-left, w.Now()-left, w.Now()-ended)
+	t.Logf("the leader's process ended after %v; SIGTERM to end of the work: %v; end of the process to end of the work: %v", ended-left, w.Now()-left, w.Now()-ended)
 	w.RequireNoViolations(twoPerSite)
 }
 
@@ -216,7 +216,7 @@
 	before := len(firstLinesFrom(w, "n3"))
 	w.Node("n3").Restart(Empty)
 	awaitServed(c, "n0", "n1", "n2")
-	assert.Len(t, firstLinesFrom(w, "n3"), before, "nothing was sent")
+	assert.Len(t, firstLinesFrom(w, "n3"), before, "it must not send anything")
 	w.Heal()
 	awaitServed(c, "n3")
 	w.RequireNoViolations(twoPerSite)
@@ -228,9 +228,9 @@
 	awaitLeader(w, "n3")
 	w.Node("n2").Kill()
 	w.Node("n2").Restart(Empty)
-	w.Await("the seat is a stranger", func() bool { return anyLogged(w, "has to take it in", "n2") })
+	w.Await("the replica is not a member", func() bool { return anyLogged(w, "has to take it in", "n2") })
 	workOn(w, c, "t1", "h1", w.Names()...) // the other two have a quorum, and n2 has its send lease
-	w.Await("it is taken in", func() bool {
+	w.Await("the replica is added", func() bool {
 		w.Asker("operator").TakeIn(awaitLeader(w, "n3"), "n2", "its disk was replaced")
 		return anyLogged(w, "a seat is taken in", "n0", "n1")
 	})
@@ -255,7 +255,7 @@
 	w.Partition(false, "n0")
 	w.Partition(false, "n1")
 	w.Partition(false, "n2")
-	w.Await("calls are refused, and say what to do", func() bool {
+	w.Await("calls are refused with advice", func() bool {
 		_, err := w.Asker("staff").Ask("n3", "t1", "h1", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "what to do")
 	})
@@ -285,7 +285,7 @@
 	w := New(t, buildingPlan(nil))
 	w.Start()
 	var err error
-	w.Await("the council knows the hosts", func() bool {
+	w.Await("the group knows the hosts", func() bool {
 		_, err = w.Asker("staff").Ask("n3", "t1", "nowhere", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "nowhere")
 	})
--- a/rehearsal/processes/upgrade_test.go
+++ b/rehearsal/processes/upgrade_test.go
@@ -69,7 +69,7 @@
 	n.LoggedSince(mark, "open to peers") // it has the store by now, and waits until the send lease of the former process has expired
 	mark = n.Mark()
 	n.Kill()
-	require.True(t, n.Runs(), "the former one does")
+	require.True(t, n.Runs(), "the former process must still run")
 	n.LoggedSince(mark, "open to peers")
 	awaitServed(c, w.Names()...)
 	workOn(w, c, "t1", "h1", w.Names()...)
--- a/rehearsal/processes/world.go
+++ b/rehearsal/processes/world.go
@@ -124,7 +124,7 @@
 			s.Replicas = min(len(s.Nodes), 3)
 		}
 		for _, n := range s.Nodes {
-			require.NotContains(t, w.siteOf, n, "one name names one node")
+			require.NotContains(t, w.siteOf, n, "node names must be unique")
 			w.siteOf[n] = s
 			w.nodeNames = append(w.nodeNames, n)
 		}
@@ -192,7 +192,7 @@
 // Link returns the link through which one node calls another.
 func (w *World) Link(from, to string) *Link {
 	l := w.peerLinks[[2]string{from, to}]
-	require.NotNil(w.t, l, "%s to %s", from, to)
+	require.NotNil(w.t, l, "no link from %s to %s", from, to)
 	return l
 }
 
--- a/rehearsal/processes/world_test.go
+++ b/rehearsal/processes/world_test.go
@@ -50,7 +50,7 @@
 	require.False(t, n0.Runs())
 	unmet := c.Report().Unmet
 	c.AwaitUp(10, "n1")
-	w.Await("the dead node's clients are refused", func() bool { return c.Report().Unmet > unmet })
+	w.Await("clients of the killed node are refused", func() bool { return c.Report().Unmet > unmet })
 	n0.Restart(Kept)
 	c.AwaitUp(5, "n0")
 
@@ -59,7 +59,7 @@
 	require.True(t, n1.Paused())
 	paused := w.Now()
 	c.AwaitUp(10, "n2")
-	w.Await("clients of the node that stands still get nothing", func() bool { return c.Report().Lost > 0 })
+	w.Await("clients of the paused node get no answer", func() bool { return c.Report().Lost > 0 })
 	c.AwaitUp(10, "n0")
 	for _, l := range firstLinesFrom(w, "n1") { // by the kernel's timestamps, because an answer may be read late
 		require.LessOrEqual(t, l.At, paused)
@@ -71,7 +71,7 @@
 	h := w.Host("h0")
 	h.Drain()
 	drained := w.Now()
-	w.Await("the node that is cut off still sends to it", func() bool {
+	w.Await("the node that is cut off still sends to the drained host", func() bool {
 		for _, l := range h.Lines("n2") {
 			if l.At > drained {
 				return true
@@ -108,13 +108,13 @@
 	h.Begin()
 	require.True(t, h.InWork())
 	n := len(h.Lines(""))
-	w.Await("lines come all the same", func() bool { return len(h.Lines("")) > n+1 })
+	w.Await("first lines still arrive", func() bool { return len(h.Lines("")) > n+1 })
 	h.Finish()
 	got := h.Violations()
 	require.NotEmpty(t, got)
-	require.Equal(t, len(got), len(w.Violations(Allowance{})), "no others are found")
-	w.Await("more come", func() bool { return len(h.Lines("")) > n+5 })
-	assert.Len(t, h.Violations(), len(got), "those after its work are none")
+	require.Equal(t, len(got), len(w.Violations(Allowance{})), "there must be no other violations")
+	w.Await("more first lines arrive", func() bool { return len(h.Lines("")) > n+5 })
+	assert.Len(t, h.Violations(), len(got), "lines after the work are no violations")
 
 	other.Kill()
 	require.Zero(t, other.Standing())
@@ -122,7 +122,7 @@
 	c.AwaitUp(20, "")
 	require.Len(t, other.Lines(""), n)
 	other.Start()
-	w.Await("it is in use again", func() bool { return len(other.Lines("")) > n })
+	w.Await("the host is used again", func() bool { return len(other.Lines("")) > n })
 
 	w.Discovery.Down(true)
 	calls := w.Discovery.Calls("n1")
@@ -172,7 +172,7 @@
 	require.Contains(t, shared(), entry)
 	n.LimitFiles(1)
 	n.Stop()
-	assert.Contains(t, shared(), entry, "the process could not take itself off the file that all processes of a node share")
+	assert.Contains(t, shared(), entry, "the process could not remove itself from the file that all processes of a node share")
 	assert.Contains(t, n.Log()[len(n.Log())-1], "the process has ended")
 	n.LimitFiles(0)
 	n.Start()
@@ -192,7 +192,7 @@
 		before := w.Now()
 		_, err = fmt.Fprintf(c, "OPEN %d 1 c=chat\r\n", i)
 		require.NoError(t, err)
-		w.Await("it is read", func() bool { return len(h.Lines("n1")) == i+1 })
+		w.Await("the line is read", func() bool { return len(h.Lines("n1")) == i+1 })
 		const clockSkew = 2 * time.Millisecond // greatest difference between the two clocks
 		assert.Greater(t, h.Lines("n1")[i].At, before-clockSkew)
 		assert.Less(t, h.Lines("n1")[i].At, w.Now()+clockSkew)
@@ -200,7 +200,7 @@
 	}
 	assert.Empty(t, h.Lines("n0"))
 	past, now := w.fromUnixNano(time.Now().Add(-time.Hour).UnixNano()), w.Now()
-	assert.InDelta(t, now-time.Hour, past, float64(time.Second), "a line that was read late came when it came")
+	assert.InDelta(t, now-time.Hour, past, float64(time.Second), "a line that is read late keeps its time of arrival")
 
 	h.Silence("n1", true)
 	answer := func(node string) string {
@@ -210,7 +210,7 @@
 		before := len(h.Lines(node))
 		_, err = fmt.Fprint(c, "OPEN 1 1 c=chat\r\n")
 		require.NoError(t, err)
-		w.Await("it is read", func() bool { return len(h.Lines(node)) > before })
+		w.Await("the line is read", func() bool { return len(h.Lines(node)) > before })
 		if node == "n1" {
 			require.NoError(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 			_, err = c.Read(make([]byte, 1))
@@ -222,8 +222,8 @@
 		require.NoError(t, err)
 		return line
 	}
-	assert.Equal(t, "UP h0.21\r\n", answer("n0"), "it speaks to others")
-	assert.Equal(t, "UP h0.22\r\n", answer("n1"), "and to this one when all is healed")
+	assert.Equal(t, "UP h0.21\r\n", answer("n0"), "the host answers other nodes")
+	assert.Equal(t, "UP h0.22\r\n", answer("n1"), "and this node after healing")
 }
 
 // A plan of faults runs while clients connect: there are no violations, and all nodes serve in the end.
--- a/rehearsal/processes/writes_test.go
+++ b/rehearsal/processes/writes_test.go
@@ -33,7 +33,7 @@
 func writeTo(w *World, node, kind, key, value, token string) *peerpb.WriteReply {
 	w.t.Helper()
 	r := &peerpb.WriteReply{}
-	w.Await(node+" takes "+value+" for "+key, func() bool {
+	w.Await(node+" accepts "+value+" for "+key, func() bool {
 		r.Reset()
 		return w.Asker("staff").call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": kind, "thing": key, "value": value,
 			"by": "staff", "token": token}, r, nil) == nil && r.Id != ""
@@ -108,7 +108,7 @@
 	w.Heal()
 	healed := w.Now()
 	awaitValue(w, "host/h1", "out", "r0", "p0")
-	t.Logf("known above %v after the link was back", w.Now()-healed)
+	t.Logf("known above %v after the link was healed", w.Now()-healed)
 	awaitNoTraffic(w, c, "h1", "p0", "r0")
 	w.Await("the receipt has come", func() bool { return readFrom(w, "b2", "", "", out.Id).Receipt == "applied" })
 
@@ -124,12 +124,12 @@
 	w.Await("the first has its receipt", func() bool { return readFrom(w, "b0", "", "", first.Id).Receipt == "applied" })
 	w.Node("r0").Kill()
 	second := writeTo(w, "b0", "work", "host/h2", "begun patch", "")
-	w.Await("it has come to the top by itself", func() bool { return readFrom(w, "b0", "", "", second.Id).Receipt == "applied" })
+	w.Await("the second bypasses the parent and has its receipt", func() bool { return readFrom(w, "b0", "", "", second.Id).Receipt == "applied" })
 	assert.Equal(t, "begun patch", readFrom(w, "p0", "work", "host/h2", "").Value)
 	w.Node("r0").Restart(Kept)
 	third := writeTo(w, "b0", "work", "host/h2", "done patch", "")
-	w.Await("the parent knows all of it", func() bool { return readFrom(w, "r0", "work", "host/h2", "").Value == "done patch" })
-	w.Await("nothing waits any more", func() bool {
+	w.Await("the parent has all of them", func() bool { return readFrom(w, "r0", "work", "host/h2", "").Value == "done patch" })
+	w.Await("no write is waiting", func() bool {
 		return readFrom(w, "b0", "", "", third.Id).Receipt == "applied" && readFrom(w, "b0", "", "", "").Waiting == 0 &&
 			readFrom(w, "r0", "", "", "").Waiting == 0
 	})
@@ -169,7 +169,7 @@
 	// host back into service there.
 	back := writeTo(w, "p0", "safety", "host/h1", "back", out.Token)
 	w.Heal()
-	w.Await("both are known below", func() bool { return readFrom(w, "b0", "", "", back.Id).Receipt != "" })
+	w.Await("the building has the receipt of the second write", func() bool { return readFrom(w, "b0", "", "", back.Id).Receipt != "" })
 	awaitValue(w, "host/h1", "back", "p0", "r0", "b0") // it depends on the other write, and is not concurrent with it
 }
 
@@ -205,7 +205,7 @@
 	back := w.Now()
 	w.Node(away).Restart(Kept)
 	line := w.Node(away).Logged("was far behind")
-	t.Logf("%v after the start: %s", w.Now()-back, line)
+	t.Logf("caught up %v after the start: %s", w.Now()-back, line)
 	w.Node(rest[1]).Kill()
 	last := writeTo(w, away, "note", "thing/last", "x", "")
 	assert.NotEmpty(t, last.Id)
