--- a/rehearsal/processes/policies.go
+++ b/rehearsal/processes/policies.go
@@ -16,7 +16,7 @@
 // time if it is the only attempt. So, with clients whose deadline is TrialDeadline, the policies with the
 // targets below are told apart without asking the node. The targets lie so far apart that a stalled machine
 // does not make one look like another: the allowed time shrinks by the set-up time of the connection, and
-// where connections are slow to set up it is twice that time.
+// where connections are slow to set up it is at least twice the expected set-up time.
 type PolicyObservation struct {
 	At            time.Duration
 	LatencyTarget int           // GoodTarget, TrialTarget or SingleAttempt
@@ -139,7 +139,7 @@
 }
 
 // change is the switch of a node to a trial policy, at a time between earliest and latest.
-type change struct {
+type policySwitch struct {
 	node             string
 	earliest, latest time.Duration
 }
@@ -149,23 +149,23 @@
 // target. A node switched after the last snapshot that did not list it in the treatment group, and before
 // hosts observed the trial at it.
 func (w *World) budgetExceeded(poller *PolicyPoller, targets map[string]int, nodes []string, budget int, within time.Duration) (found []string) {
-	var changes []change
+	var changes []policySwitch
 	snapshots := poller.Snapshots()
 	for id, target := range targets {
 		for _, n := range w.everObserved(target) {
 			if !slices.Contains(nodes, n) {
 				continue
 			}
-			c := change{node: n, latest: w.ObservationsOf(target, n, 0)[0].At}
+			c := policySwitch{node: n, latest: w.ObservationsOf(target, n, 0)[0].At}
 			for _, l := range snapshots {
-				if p := l.rollout(id); l.Return < c.latest && l.AgeMs != nil && (p == nil || !slices.Contains(p.Treated, n)) {
+				if p := l.rolloutByID(id); l.Return < c.latest && l.AgeMs != nil && (p == nil || !slices.Contains(p.Treated, n)) {
 					c.earliest = max(c.earliest, l.Call-time.Duration(*l.AgeMs+1)*time.Millisecond)
 				}
 			}
 			changes = append(changes, c)
 		}
 	}
-	slices.SortFunc(changes, func(a, b change) int { return int(a.latest - b.latest) })
+	slices.SortFunc(changes, func(a, b policySwitch) int { return int(a.latest - b.latest) })
 	for i, last := range changes {
 		var disrupted []string
 		for _, c := range changes[:i+1] {
@@ -277,10 +277,10 @@
 // Rollout returns a rollout as the latest snapshot has it, or nil.
 func (l *PolicyPoller) Rollout(id string) *peerpb.Rollout {
 	latest, _ := l.Latest("")
-	return latest.rollout(id)
+	return latest.rolloutByID(id)
 }
 
-func (k PolicySnapshot) rollout(id string) *peerpb.Rollout {
+func (k PolicySnapshot) rolloutByID(id string) *peerpb.Rollout {
 	for _, r := range k.Rollouts {
 		if r.Id == id {
 			return r
--- a/rehearsal/processes/policies_test.go
+++ b/rehearsal/processes/policies_test.go
@@ -22,10 +22,10 @@
 		h.Refuse(0.3, "ERR")
 	}
 	c := w.Come(Load{PerSecond: 120, Most: 200, Holds: 100 * time.Millisecond, Deadline: TrialDeadline})
-	for n, aim := range map[string]int{"n0": GoodTarget, "n1": TrialTarget, "n2": SingleAttempt} {
+	for n, target := range map[string]int{"n0": GoodTarget, "n1": TrialTarget, "n2": SingleAttempt} {
 		c.AwaitUp(60, n)
-		w.AwaitTarget(aim, n)
-		assert.Len(t, w.Observations(n, 0), len(w.ObservationsOf(aim, n, 0)), n)
+		w.AwaitTarget(target, n)
+		assert.Len(t, w.Observations(n, 0), len(w.ObservationsOf(target, n, 0)), n)
 	}
 	r := c.Report()
 	assert.Greater(t, 10*r.Unserved["n2"], 2*r.ByNode["n2"], "%v", r.Unserved)
--- a/rehearsal/processes/reload_test.go
+++ b/rehearsal/processes/reload_test.go
@@ -51,7 +51,7 @@
 		requestTurn(w, "n3", "t"+n, "h"+n, 0)
 	}
 	granted("t0", "t1")
-	requestTurn(w, "n3", "t2", "h2", 0) // after them: otherwise the order would depend on the load of the hosts
+	requestTurn(w, "n3", "t2", "h2", 0) // after them: otherwise the order would depend on the connections at the hosts
 
 	// refused reloads a file at all replicas, which must refuse it, and checks that nothing has changed.
 	refused := func(reload func(*Node), texts ...string) {
--- a/rehearsal/processes/rollouts_test.go
+++ b/rehearsal/processes/rollouts_test.go
@@ -46,11 +46,11 @@
 // margin.
 type rolloutTest struct {
 	*World
-	t        *testing.T
-	clients  *Clients
-	poller   *PolicyPoller
-	topNodes []string // nodes of the site where policies are started
-	chief    *Asker
+	t              *testing.T
+	clients        *Clients
+	poller         *PolicyPoller
+	topNodes       []string // nodes of the site where policies are started
+	policyOperator *Asker
 }
 
 // worldSlots limits how many scenarios with policies run at once, to about twenty nodes. With more, a busy
@@ -79,7 +79,7 @@
 		}
 	}
 	r := &rolloutTest{World: New(t, p), t: t, topNodes: p.Sites[0].Nodes}
-	r.chief = r.Asker("chief")
+	r.policyOperator = r.Asker("chief")
 	r.Start()
 	for _, s := range p.Sites {
 		awaitLeader(r.World, s.Nodes[0])
@@ -116,7 +116,7 @@
 	}()
 	r.Await(kind+" "+id+" is accepted", func() bool {
 		attempt++
-		_, lastErr = r.chief.CallPolicy(r.topNodes[attempt%len(r.topNodes)], kind, in)
+		_, lastErr = r.policyOperator.CallPolicy(r.topNodes[attempt%len(r.topNodes)], kind, in)
 		return lastErr == nil
 	})
 }
@@ -265,7 +265,7 @@
 	r.Heal()
 	r.awaitHalted("guard")
 	assert.Equal(t, []string{first}, r.everObserved(TrialTarget))
-	_, err := r.chief.CallPolicy(r.topNodes[0], "ResumePolicy", map[string]any{"id": "p1", "why": "probably a false alarm"})
+	_, err := r.policyOperator.CallPolicy(r.topNodes[0], "ResumePolicy", map[string]any{"id": "p1", "why": "probably a false alarm"})
 	assert.ErrorContains(t, err, "what to do", "a halt by a guard cannot be resumed")
 	r.RequireNoViolations(Allowance{})
 }
@@ -412,7 +412,7 @@
 	r.AwaitTarget(TrialTarget, treated...)
 	r.Partition(false, buildingNodes...)
 	r.Await("the building accepts the halt", func() bool {
-		out, err := r.chief.CallPolicy("b1", "HaltPolicy", map[string]any{"id": "p1", "why": "clients complain"})
+		out, err := r.policyOperator.CallPolicy("b1", "HaltPolicy", map[string]any{"id": "p1", "why": "clients complain"})
 		return err == nil && out.Write != ""
 	})
 	r.AwaitTarget(GoodTarget, buildingNodes...)
@@ -493,7 +493,7 @@
 		r.awaitServingAfter(since+8*time.Second, first)
 		for _, l := range r.poller.Snapshots() {
 			if l.Call > since {
-				require.Contains(t, l.rollout("p1").GetMissing(), "nothing to compare")
+				require.Contains(t, l.rolloutByID("p1").GetMissing(), "nothing to compare")
 			}
 		}
 		// With one host out of service, the budget leaves room for one node at a time.
@@ -508,7 +508,8 @@
 	}
 	require.NoError(t, <-errs)
 	require.NoError(t, <-errs)
-	assert.Empty(t, r.budgetExceeded(r.poller, map[string]int{"p1": TrialTarget}, r.Names(), 2, settle-3*time.Second)) // a change counts from the leader's proposal, and is reported once it is committed
+	// 3 s less: a change counts from the leader's proposal, and is reported once it is committed.
+	assert.Empty(t, r.budgetExceeded(r.poller, map[string]int{"p1": TrialTarget}, r.Names(), 2, settle-3*time.Second))
 	r.RequireNoViolations(Allowance{Site: 2})
 }
 
@@ -522,7 +523,7 @@
 		"policy": `{"request_classes":{"chat":{"aim_us":5000000},"file":{"aim_us":500000}}}`})
 	for _, stage := range []string{"one-node", "building", "regency", "part", "all"} { // one of the stages has n2, or n2 is held back until the last one
 		r.awaitRollout("treats "+stage, func(p *peerpb.Rollout) bool { return p.Stage == stage && len(p.Treated) > 0 || p.Phase != "running" })
-		_, _ = r.chief.CallPolicy("n0", "ForcePolicy", map[string]any{"id": "p1", "stage": stage, "why": "a test scenario"}) // refused if the rollout has halted
+		_, _ = r.policyOperator.CallPolicy("n0", "ForcePolicy", map[string]any{"id": "p1", "stage": stage, "why": "a test scenario"}) // refused if the rollout has halted
 	}
 	r.awaitHalted("guard")
 	assert.NotContains(t, r.everObserved(TrialTarget), "n2")
--- a/rehearsal/processes/seats_test.go
+++ b/rehearsal/processes/seats_test.go
@@ -23,36 +23,36 @@
 	p := buildingPlan(nil)
 	p.Sites[0].Nodes, p.Sites[0].Replicas = []string{"n0", "n1", "n2", "n3", "n4", "n5"}, 5
 	w, c := startBuilding(t, p)
-	last := "n5" // without a replica
-	gone := []string{awaitLeader(w, last)}
-	gone = append(gone, otherNodes(w, gone[0], last)[:2]...)
+	noReplica := "n5" // without a replica
+	killed := []string{awaitLeader(w, noReplica)}
+	killed = append(killed, otherNodes(w, killed[0], noReplica)[:2]...)
 	for id, host := range map[string]string{"t1": "h1", "t2": "h2"} {
-		requestTurn(w, gone[0], id, host, 4*time.Second)
+		requestTurn(w, killed[0], id, host, 4*time.Second)
 	}
-	for _, n := range gone {
+	for _, n := range killed {
 		awaitExclusionSet(w, n, `"h1 h2"`)
 	}
-	for _, n := range gone[:2] {
+	for _, n := range killed[:2] {
 		w.Node(n).Kill()
 	}
-	workOn(w, c, "t1", "h1", otherNodes(w, gone[:2]...)...)
+	workOn(w, c, "t1", "h1", otherNodes(w, killed[:2]...)...)
 
-	w.Node(gone[2]).Kill()
-	rest := otherNodes(w, gone...)
+	w.Node(killed[2]).Kill()
+	rest := otherNodes(w, killed...)
 	w.Await("calls are refused with advice", func() bool {
 		_, err := w.Asker("staff").Ask(rest[0], "t3", "h3", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "what to do")
 	})
 	awaitServed(c, rest...)
 
-	w.Node(gone[2]).Restart(Kept)
-	w.Node(gone[2]).Logged("the seat waits", "wanted=3", "start them")
-	c.AwaitUp(20, gone[2])
-	_, err := w.Asker("staff").Ask(gone[2], "t3", "h3", 1, nil)
+	w.Node(killed[2]).Restart(Kept)
+	w.Node(killed[2]).Logged("the seat waits", "wanted=3", "start them")
+	c.AwaitUp(20, killed[2])
+	_, err := w.Asker("staff").Ask(killed[2], "t3", "h3", 1, nil)
 	require.ErrorContains(t, err, "what to do")
-	w.Node(gone[1]).Restart(Kept)
-	workOn(w, c, "t2", "h2", otherNodes(w, gone[0])...)
-	w.Node(gone[0]).Restart(Kept)
+	w.Node(killed[1]).Restart(Kept)
+	workOn(w, c, "t2", "h2", otherNodes(w, killed[0])...)
+	w.Node(killed[0]).Restart(Kept)
 	workOn(w, c, "t4", "h4", w.Names()...)
 	w.RequireNoViolations(twoPerSite)
 }
@@ -72,10 +72,10 @@
 }
 
 // awaitVoters waits until a node reports these voters of its group.
-func awaitVoters(w *World, at string, voters ...string) {
+func awaitVoters(w *World, node string, voters ...string) {
 	w.t.Helper()
 	w.Await("the voters are "+strings.Join(voters, " "), func() bool {
-		r, err := w.Asker("operator").Turns(at)
+		r, err := w.Asker("operator").Turns(node)
 		return err == nil && slices.Equal(r.Seats, voters)
 	})
 }
@@ -98,8 +98,8 @@
 	w.Node(first).Reload()
 	w.Node(first).Logged("the seats are not as the site file has them yet", "differ", removed, "have them reload")
 	workOn(w, c, "t0", "h0", w.Names()...)
-	before := []string{"n0", "n1", "n2"}
-	awaitVoters(w, "n4", before...)
+	oldVoters := []string{"n0", "n1", "n2"}
+	awaitVoters(w, "n4", oldVoters...)
 
 	requestUpcomingTurn(w, first, "t1", "h1")
 	changeReplicas(w, voters...)
@@ -275,9 +275,9 @@
 	w, c := startBuilding(t, buildingPlan(nil))
 	lost, restarted, running := "n0", "n1", "n2"
 	requestUpcomingTurn(w, running, "t1", "h1")
-	const risk = "i_know_that_an_older_store_undoes_what_was_agreed_on"
+	const riskField = "i_know_that_an_older_store_undoes_what_was_agreed_on"
 	w.Await("the confirmation is refused as unnecessary", func() bool {
-		err := confirmStore(w, restarted, map[string]any{"by": "operator", "why": "w", risk: true})
+		err := confirmStore(w, restarted, map[string]any{"by": "operator", "why": "w", riskField: true})
 		return err != nil && strings.Contains(err.Error(), "it is not needed: its seat does not wait")
 	})
 	w.Node(lost).Kill()
@@ -290,8 +290,8 @@
 
 	fields := map[string]any{"by": "operator", "why": "n0's disk is gone, this one's is as it was"}
 	require.ErrorContains(t, confirmStore(w, restarted, fields), "votes as if it had not voted")
-	fields[risk] = true
-	require.ErrorContains(t, confirmStore(w, restarted, map[string]any{risk: true}), "give by and why")
+	fields[riskField] = true
+	require.ErrorContains(t, confirmStore(w, restarted, map[string]any{riskField: true}), "give by and why")
 	w.Await("the store is confirmed", func() bool { return confirmStore(w, restarted, fields) == nil })
 	assert.Contains(t, w.Node(restarted).Logged("an operator vouches"), "this one's is as it was")
 	addReplica(w, lost)
@@ -303,8 +303,8 @@
 }
 
 // rebootstrap calls FoundAnew at one node for another.
-func rebootstrap(w *World, at, node string, lost ...string) error {
-	return w.Asker("operator").call(Op{Node: at, Kind: "FoundAnew"}, map[string]any{"node": node, "lost": lost, "by": "operator",
+func rebootstrap(w *World, contact, node string, lost ...string) error {
+	return w.Asker("operator").call(Op{Node: contact, Kind: "FoundAnew"}, map[string]any{"node": node, "lost": lost, "by": "operator",
 		"why": "fire", "i_know_that_the_lost_stores_must_never_run_again": true}, &peerpb.SeatReply{}, nil)
 }
 
@@ -331,26 +331,26 @@
 	for _, n := range lost {
 		w.Node(n).Kill()
 	}
-	var founder string
+	var survivor string
 	w.Await("one of the two has bootstrapped the group again", func() bool {
 		for _, n := range []string{"n3", "n4"} {
-			if founder == "" && rebootstrap(w, "n5", n, lost...) == nil {
-				founder = n
+			if survivor == "" && rebootstrap(w, "n5", n, lost...) == nil {
+				survivor = n
 			}
 		}
-		return founder != ""
+		return survivor != ""
 	})
-	other := otherNodes(w, append(lost, founder, "n5")...)[0]
-	w.Node(founder).Logged("has founded the council anew", "n0 n1 n2", "by=operator", "why=fire")
+	other := otherNodes(w, append(lost, survivor, "n5")...)[0]
+	w.Node(survivor).Logged("has founded the council anew", "n0 n1 n2", "by=operator", "why=fire")
 	assert.Contains(t, w.Node(other).Logged("control has stopped, and nothing is sent"), "before it was founded anew")
 
 	// The disk of one replica was not lost: that replica is refused and is not told which hosts are excluded.
 	w.Node("n0").Restart(Older(copies[0]))
 	assert.Contains(t, w.Node("n0").Logged("control has stopped, and nothing is sent"), "put its store aside")
 	before := len(firstLinesFrom(w, "n0"))
-	workOn(w, c, "t1", "h1", founder, "n5")
+	workOn(w, c, "t1", "h1", survivor, "n5")
 	assert.Len(t, firstLinesFrom(w, "n0"), before)
-	awaitVoters(w, "n5", founder)
+	awaitVoters(w, "n5", survivor)
 
 	for _, n := range append(lost, other) {
 		w.Node(n).Restart(Empty)
@@ -358,12 +358,12 @@
 	awaitVoters(w, "n5", "n0", "n1", "n2", "n3", "n4")
 	workOn(w, c, "t2", "h2", w.Names()...)
 	requestTurn(w, "n5", "t4", "h4", 4*time.Second)
-	for _, n := range []string{founder, "n0"} {
+	for _, n := range []string{survivor, "n0"} {
 		awaitExclusionSet(w, n, "h4")
 	}
-	w.Node(founder).Kill()
+	w.Node(survivor).Kill()
 	w.Node("n0").Kill()
-	workOn(w, c, "t4", "h4", otherNodes(w, founder, "n0")...)
+	workOn(w, c, "t4", "h4", otherNodes(w, survivor, "n0")...)
 	w.RequireNoViolations(twoPerSite)
 }
 
--- a/rehearsal/processes/stall_test.go
+++ b/rehearsal/processes/stall_test.go
@@ -69,14 +69,14 @@
 		return err == nil
 	})
 	w.Await("n0 reports both", func() bool {
-		standing := w.Node("n0").status()
-		return strings.Contains(standing, "turn t1 of h1") && strings.Contains(standing, "policy p1 is running")
+		status := w.Node("n0").status()
+		return strings.Contains(status, "turn t1 of h1") && strings.Contains(status, "policy p1 is running")
 	})
 	w.Node("n2").Kill()
 	require.NoError(t, syscall.Kill(w.Node("n1").present.pid(), syscall.SIGSTOP))
 	w.Await("the running replica has no leader", func() bool {
-		standing := w.Node("n0").status()
-		return strings.Contains(standing, "role=follower") && strings.Contains(standing, "lease=0ms")
+		status := w.Node("n0").status()
+		return strings.Contains(status, "role=follower") && strings.Contains(status, "lease=0ms")
 	})
 	w.Await("a turn that nobody requested is granted", func() bool { return false })
 }
--- a/rehearsal/processes/storm.go
+++ b/rehearsal/processes/storm.go
@@ -72,7 +72,8 @@
 		n.Start()
 		return false
 	}
-	return len(n.logged("has to take it in")) > 0 && !o.w.newReplica[n.Name] // the log line says that a replica which is new by the site file needs no operator
+	// A replica that is new by the site file needs no operator, as its log line says.
+	return len(n.logged("has to take it in")) > 0 && !o.w.newReplica[n.Name]
 }
 
 // reopen lets clients connect to a node again.
--- a/rehearsal/processes/storm_test.go
+++ b/rehearsal/processes/storm_test.go
@@ -95,7 +95,7 @@
 	faultsDone                   chan struct{} // closed once the faults are over
 	results                      []chan error  // one for each participant, which sends its result when it ends
 	poller                       *PolicyPoller
-	chief                        *Asker
+	policyOperator               *Asker
 	operator                     *Operator
 	breaker                      *LinkBreaker
 	rng                          *rand.Rand // used by chief only
@@ -137,18 +137,18 @@
 		for n := 0; g.running(lookAgain); n++ {
 			id, host := fmt.Sprint("t", i, "-", n), hosts[min(i%3*2+n%2, 4)]
 			if n%3 == 1 {
-				for taken := false; !taken && g.running(lookAgain); {
-					if at := leaving.anyNode(); at != "" {
-						_, err := leaving.Ask(at, id, host, 1, nil)
-						taken = err == nil
+				for accepted := false; !accepted && g.running(lookAgain); {
+					if node := leaving.anyNode(); node != "" {
+						_, err := leaving.Ask(node, id, host, 1, nil)
+						accepted = err == nil
 					}
 				}
 			}
 			if n%6 == 1 {
 				for withdrawn := false; !withdrawn && g.sleep(lookAgain); { // also once the fault sequence is over, because a forgotten turn keeps its place in the schedule
-					if at := present.anyNode(); at != "" {
-						_, _ = leaving.Ask(at, id, host, 1, nil) // it may be unknown whether the request was accepted
-						_, err := present.Withdraw(at, id)
+					if node := present.anyNode(); node != "" {
+						_, _ = leaving.Ask(node, id, host, 1, nil) // it may be unknown whether the request was accepted
+						_, err := present.Withdraw(node, id)
 						withdrawn = err == nil
 					}
 				}
@@ -164,12 +164,12 @@
 }
 
 // callPolicy makes a call about a policy at a node. The callers ignore the reply and repeat the call.
-func (g *faultRun) callPolicy(at, kind, id string, more map[string]any) error {
+func (g *faultRun) callPolicy(node, kind, id string, more map[string]any) error {
 	in := map[string]any{"id": id, "why": "a fault sequence"}
 	for k, v := range more {
 		in[k] = v
 	}
-	_, err := g.chief.CallPolicy(at, kind, in)
+	_, err := g.policyOperator.CallPolicy(node, kind, in)
 	return err
 }
 
@@ -179,19 +179,19 @@
 func (g *faultRun) driveRollouts() {
 	forced := map[string]int{} // size of the treatment group when a stage was last ended by force
 	for step := 0; g.running(200 * time.Millisecond); step++ {
-		at := g.chief.anyNode()
-		if at == "" {
+		node := g.policyOperator.anyNode()
+		if node == "" {
 			continue
 		}
 		p1, p2 := g.poller.Rollout("p1"), g.poller.Rollout("p2")
 		// p2 starts first, and the harmless p1 only once hosts have observed p2 at a node: otherwise p1 might
 		// end first and p2 be halted as overtaken.
 		if p2 == nil {
-			_ = g.callPolicy(at, "StartPolicy", "p2", map[string]any{"policy": `{"permissions":{"max_attempts":1}}`})
+			_ = g.callPolicy(node, "StartPolicy", "p2", map[string]any{"policy": `{"permissions":{"max_attempts":1}}`})
 			continue
 		}
 		if p1 == nil && (p2.Phase != "running" || len(g.everObserved(SingleAttempt)) > 0) {
-			_ = g.callPolicy(at, "StartPolicy", "p1", map[string]any{"policy": harmlessPolicy})
+			_ = g.callPolicy(node, "StartPolicy", "p1", map[string]any{"policy": harmlessPolicy})
 			continue
 		}
 		for _, p := range []*peerpb.Rollout{p1, p2} {
@@ -199,13 +199,13 @@
 			case p == nil:
 			case p.Phase == "running" && (len(p.Treated) > forced[p.Id] || len(p.Treated) > 0 && g.rng.IntN(20) == 0) &&
 				(p == p1 || p.Stage == "one-node" || p.Stage == "building"):
-				if g.callPolicy(at, "ForcePolicy", p.Id, map[string]any{"stage": p.Stage}) == nil {
+				if g.callPolicy(node, "ForcePolicy", p.Id, map[string]any{"stage": p.Stage}) == nil {
 					forced[p.Id] = len(p.Treated)
 				}
 			case p == p1 && g.seed%3 == 0 && p.Phase == "running" && p.Stage == "part":
 				_ = g.callPolicy(g.buildingNodes[g.rng.IntN(4)], "HaltPolicy", p.Id, nil)
 			case p == p2 && p.Phase == "running" && p.Stage == "regency" && g.rng.IntN(20) == 0:
-				_ = g.callPolicy(at, "HaltPolicy", p.Id, nil)
+				_ = g.callPolicy(node, "HaltPolicy", p.Id, nil)
 			}
 		}
 	}
@@ -252,15 +252,15 @@
 	t.Cleanup(func() { <-worldSlots })
 	w := New(t, faultPlan(seed))
 	run := &faultRun{World: w, t: t, seed: seed, provinceNodes: w.Plan.Sites[0].Nodes, buildingNodes: w.Plan.Sites[1].Nodes, faultsDone: make(chan struct{}),
-		chief: w.Asker("chief"), operator: w.NewOperator(), breaker: w.NewLinkBreaker([]int{0, SingleAttempt}[seed%2]),
+		policyOperator: w.Asker("chief"), operator: w.NewOperator(), breaker: w.NewLinkBreaker([]int{0, SingleAttempt}[seed%2]),
 		rng: rand.New(rand.NewPCG(seed, 7)), workDone: make([]int, 6)}
-	run.chief.Nodes = run.provinceNodes
+	run.policyOperator.Nodes = run.provinceNodes
 	w.Start()
 	for _, h := range w.Hosts() {
 		h.Refuse(0.3, "ERR")
 	}
 	clients := w.Come(Load{PerSecond: 160, Most: 800, Total: 1 << 20, Holds: 100 * time.Millisecond, Deadline: TrialDeadline,
-		Nodes: slices.Concat(run.provinceNodes, run.buildingNodes, run.buildingNodes)}) // a rollout begins where most clients come: at the site that will be cut off
+		Nodes: slices.Concat(run.provinceNodes, run.buildingNodes, run.buildingNodes)}) // a rollout begins where most clients connect: at the site that will be cut off
 	awaitServed(clients, w.Names()...)
 	awaitLeader(w, "p3")
 	awaitLeader(w, "b3")
@@ -324,12 +324,12 @@
 	}
 	_, provinceStep := run.writers[0].Accepted()
 	_, buildingStep := run.writers[1].Accepted()
-	reads := 0
+	totalReads := 0
 	for _, r := range run.readers {
-		reads += r.Reads
+		totalReads += r.Reads
 	}
 	t.Logf("seed %d: maintenance jobs %v, steps %d and %d, %d reads; %s observed at %v and %v, links broken %d times; operator %q; settled in %d rounds; clients %s",
-		seed, run.workDone, provinceStep, buildingStep, reads, outcomes, w.everObserved(TrialTarget), w.everObserved(SingleAttempt), run.breaker.BreakCount,
+		seed, run.workDone, provinceStep, buildingStep, totalReads, outcomes, w.everObserved(TrialTarget), w.everObserved(SingleAttempt), run.breaker.BreakCount,
 		run.operator.Actions, rounds, clients.Report())
 	fmt.Printf("fault sequence of seed %d, replica changes %t: settled in %d rounds of %d\n", seed, changeReplicas, rounds, maxSettleRounds)
 	for i, n := range run.workDone {
@@ -344,11 +344,11 @@
 func (g *faultRun) awaitSettled(c *Clients) int {
 	g.t.Helper()
 	start, servedBefore := g.Now(), c.Report().ByNode
-	waiting := slices.Clone(g.results)
+	unfinished := slices.Clone(g.results)
 	pending := map[string]string{} // accepted writes of both sites without a receipt, to the node where the receipt is read
 	for i, chain := range g.writers {
-		taken, _ := chain.Accepted()
-		for _, id := range taken {
+		accepted, _ := chain.Accepted()
+		for _, id := range accepted {
 			pending[id] = []string{g.provinceNodes[3], g.buildingNodes[3]}[i]
 		}
 	}
@@ -357,7 +357,7 @@
 		missing = nil
 		g.operator.Round()
 		g.breaker.Update()
-		waiting = slices.DeleteFunc(waiting, func(ended chan error) bool {
+		unfinished = slices.DeleteFunc(unfinished, func(ended chan error) bool {
 			select {
 			case err := <-ended:
 				require.NoError(g.t, err, "seed %d", g.seed)
@@ -366,8 +366,8 @@
 				return false
 			}
 		})
-		if len(waiting) > 0 {
-			missing = append(missing, fmt.Sprintf("%d participants are not done", len(waiting)))
+		if len(unfinished) > 0 {
+			missing = append(missing, fmt.Sprintf("%d participants are not done", len(unfinished)))
 		}
 		served := c.Report().ByNode
 		for _, n := range g.Names() {
@@ -400,7 +400,7 @@
 			good = trialTargets[id]
 		case p.Phase != "halted":
 			missing = append(missing, id+" is "+p.Phase)
-			if at := g.chief.anyNode(); at != "" && p.Phase != "halting" {
+			if at := g.policyOperator.anyNode(); at != "" && p.Phase != "halting" {
 				_ = g.callPolicy(at, "HaltPolicy", id, nil)
 			}
 		}
--- a/rehearsal/processes/turns_test.go
+++ b/rehearsal/processes/turns_test.go
@@ -40,18 +40,18 @@
 }
 
 // leaderOf returns the leader that a node reports, or "".
-func leaderOf(w *World, at string) string {
-	r, err := w.Asker("operator").Turns(at)
+func leaderOf(w *World, node string) string {
+	r, err := w.Asker("operator").Turns(node)
 	if err != nil {
 		return ""
 	}
 	return r.Leader
 }
 
-func awaitLeader(w *World, at string, except ...string) (name string) {
+func awaitLeader(w *World, node string, except ...string) (name string) {
 	w.t.Helper()
 	w.Await("the group has a leader", func() bool {
-		name = leaderOf(w, at)
+		name = leaderOf(w, node)
 		return name != "" && !slices.Contains(except, name)
 	})
 	return name
@@ -120,7 +120,8 @@
 				line = more
 			}
 		}
-		return line != "" && field(line, "horizon") == field(line, "recorded") // the group has recorded that the node has this exclusion set
+		// Equal: the group has recorded that the node has this exclusion set.
+		return line != "" && field(line, "horizon") == field(line, "recorded")
 	})
 }
 
