--- a/rehearsal/processes/storm_test.go
+++ b/rehearsal/processes/storm_test.go
@@ -31,8 +31,8 @@
 	disruptionBudget = 4                // nodes and hosts that may be disrupted at once
 
 	// maxSettleRounds is how many rounds the system may take to settle after the last fault. In a round an
-	// operator checks every node, and ten more of 160 clients a second are served: 400 rounds are at least 25
-	// s. The longest chain of waits that the settings allow is 23 s: a call of a requester to a process that
+	// operator checks every node, and ten more of 160 clients a second are served, so that 400 rounds take
+	// at least 25 s. The longest chain of waits that the settings allow is 23 s: a call of a requester to a process that
 	// was stopped (callTimeout, 8 s), one more that a leader without a quorum answers late
 	// (peer.Limits.Within, 5 s), an election of twice ten ticks (1 s), the former send leases, which a new
 	// leader must assume to be valid (1 s), and a host that counts as out of service until it is warm
@@ -98,7 +98,7 @@
 	policyOperator               *Asker
 	operator                     *Operator
 	breaker                      *LinkBreaker
-	rng                          *rand.Rand // used by chief only
+	rng                          *rand.Rand // used by driveRollouts only
 	workDone                     []int
 	writers                      []*ChainWriter
 	readers                      []*ChainReader
@@ -163,7 +163,7 @@
 	})
 }
 
-// callPolicy makes a call about a policy at a node. The callers ignore the reply and repeat the call.
+// callPolicy makes a call about a policy at a node. The reply is discarded, and a failed call is made again.
 func (g *faultRun) callPolicy(node, kind, id string, more map[string]any) error {
 	in := map[string]any{"id": id, "why": "a fault sequence"}
 	for k, v := range more {
