--- a/rehearsal/processes/policies.go
+++ b/rehearsal/processes/policies.go
@@ -138,7 +138,7 @@
 	return nodes
 }
 
-// change is the switch of a node to a trial policy, at a time between earliest and latest.
+// policySwitch is the switch of a node to a trial policy, at a time between earliest and latest.
 type policySwitch struct {
 	node             string
 	earliest, latest time.Duration
@@ -149,7 +149,7 @@
 // target. A node switched after the last snapshot that did not list it in the treatment group, and before
 // hosts observed the trial at it.
 func (w *World) budgetExceeded(poller *PolicyPoller, targets map[string]int, nodes []string, budget int, within time.Duration) (found []string) {
-	var changes []policySwitch
+	var switches []policySwitch
 	snapshots := poller.Snapshots()
 	for id, target := range targets {
 		for _, n := range w.everObserved(target) {
@@ -162,13 +162,13 @@
 					c.earliest = max(c.earliest, l.Call-time.Duration(*l.AgeMs+1)*time.Millisecond)
 				}
 			}
-			changes = append(changes, c)
+			switches = append(switches, c)
 		}
 	}
-	slices.SortFunc(changes, func(a, b policySwitch) int { return int(a.latest - b.latest) })
-	for i, last := range changes {
+	slices.SortFunc(switches, func(a, b policySwitch) int { return int(a.latest - b.latest) })
+	for i, last := range switches {
 		var disrupted []string
-		for _, c := range changes[:i+1] {
+		for _, c := range switches[:i+1] {
 			if last.latest-min(c.earliest, last.earliest) < within {
 				disrupted = append(disrupted, c.node)
 			}
--- a/rehearsal/processes/seats_test.go
+++ b/rehearsal/processes/seats_test.go
@@ -23,7 +23,7 @@
 	p := buildingPlan(nil)
 	p.Sites[0].Nodes, p.Sites[0].Replicas = []string{"n0", "n1", "n2", "n3", "n4", "n5"}, 5
 	w, c := startBuilding(t, p)
-	noReplica := "n5" // without a replica
+	noReplica := "n5"
 	killed := []string{awaitLeader(w, noReplica)}
 	killed = append(killed, otherNodes(w, killed[0], noReplica)[:2]...)
 	for id, host := range map[string]string{"t1": "h1", "t2": "h2"} {
--- a/rehearsal/processes/storm_test.go
+++ b/rehearsal/processes/storm_test.go
@@ -31,9 +31,9 @@
 	disruptionBudget = 4                // nodes and hosts that may be disrupted at once
 
 	// maxSettleRounds is how many rounds the system may take to settle after the last fault. In a round an
-	// operator checks every node, and ten more of 160 clients a second are served, so that 400 rounds take
-	// at least 25 s. The longest chain of waits that the settings allow is 23 s: a call of a requester to a process that
-	// was stopped (callTimeout, 8 s), one more that a leader without a quorum answers late
+	// operator checks every node, and ten more of 160 clients a second are served, so that 400 rounds take at
+	// least 25 s. The longest chain of waits that the settings allow is 23 s: a call of a requester to a
+	// process that was stopped (callTimeout, 8 s), one more that a leader without a quorum answers late
 	// (peer.Limits.Within, 5 s), an election of twice ten ticks (1 s), the former send leases, which a new
 	// leader must assume to be valid (1 s), and a host that counts as out of service until it is warm
 	// (cold_us, 8 s). Some 30 rounds are usual.
