--- a/rehearsal/processes/affairs_test.go
+++ b/rehearsal/processes/affairs_test.go
@@ -29,13 +29,13 @@
 // an operator declares it dead and acknowledges the risk.
 func TestATurnWaitsForANodeUntilItIsDeclaredDead(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	coming(w, "n3", "t1", "h1")
-	w.Part(true, "n3")
+	w, c := startBuilding(t, buildingPlan(nil))
+	requestUpcomingTurn(w, "n3", "t1", "h1")
+	w.Partition(true, "n3")
 	w.Node("n3").Kill()
-	rest := others(w, "n3")
-	work(w, c, "t1", "h1", rest...)
-	ask(w, "n0", "t5", "h5", 0)
+	rest := otherNodes(w, "n3")
+	workOn(w, c, "t1", "h1", rest...)
+	requestTurn(w, "n0", "t5", "h5", 0)
 	w.Await("the turn waits only for the lost node", func() bool {
 		return strings.HasPrefix(waitsFor(w, "n0", "t5"), "n3: the node is cut off")
 	})
@@ -46,11 +46,11 @@
 	assert.Equal(t, "failed_precondition", apiErr.Code)
 	assert.Contains(t, apiErr.Message, "n3 may be one")
 	assert.Contains(t, apiErr.Message, "i_know_that_it_may_still_send true")
-	served(c, rest...)
+	awaitServed(c, rest...)
 	assert.Contains(t, waitsFor(w, "n0", "t5"), "n3: the node is cut off", "the refused call must change nothing")
 
 	require.NoError(t, w.Requester("operator").DeclareDead("n0", "n3", "burnt"))
-	work(w, c, "t5", "h5", rest...)
+	workOn(w, c, "t5", "h5", rest...)
 
 	w.Heal()
 	w.Node("n3").Start()
@@ -58,7 +58,7 @@
 	assert.Contains(t, line, "was declared dead")
 	assert.Contains(t, line, "TakeIn")
 	require.NoError(t, w.Requester("operator").TakeIn("n0", "n3", "mended"))
-	coming(w, "n3", "t2", "h2") // its confirmations count again in the consensus group
-	require.NoError(t, w.Requester("staff").Work(context.Background(), "t2", "h2", 1, func() { served(c, w.Names()...) }))
-	w.RequireSound(two)
+	requestUpcomingTurn(w, "n3", "t2", "h2") // its confirmations count again in the consensus group
+	require.NoError(t, w.Requester("staff").Work(context.Background(), "t2", "h2", 1, func() { awaitServed(c, w.Names()...) }))
+	w.RequireNoViolations(twoPerSite)
 }
--- a/rehearsal/processes/asker.go
+++ b/rehearsal/processes/asker.go
@@ -53,7 +53,7 @@
 	h.mu.Lock()
 	h.ops = append(h.ops, op)
 	h.mu.Unlock()
-	h.w.news.notify()
+	h.w.changes.notify()
 }
 
 // APIError is an error reply of a node.
@@ -220,7 +220,7 @@
 // randomNode returns a running, unpaused node chosen by the seed, or "" if there is none.
 func (a *Requester) randomNode() string {
 	var running []string
-	for _, n := range a.w.order {
+	for _, n := range a.w.nodeNames {
 		if node := a.w.nodes[n]; node.OperatorAddr() != "" && !node.Paused() && (a.Nodes == nil || slices.Contains(a.Nodes, n)) {
 			running = append(running, n)
 		}
@@ -237,7 +237,7 @@
 // reply, it tries another one. It gives up when ctx or the test's patience ends. While the work runs, the host reports
 // every first line it receives as a violation.
 func (a *Requester) Work(ctx context.Context, id, host string, minutes int, do func()) error {
-	ctx, cancel := context.WithTimeout(ctx, patience(a.w.t, 2*EventTimeout))
+	ctx, cancel := context.WithTimeout(ctx, waitLimit(a.w.t, 2*EventTimeout))
 	defer cancel()
 	var lastErr error
 	// poll waits for the poll interval and returns an error if Work has to give up.
@@ -247,7 +247,7 @@
 		select {
 		case <-timer.C:
 			return nil
-		case <-a.w.over:
+		case <-a.w.done:
 			return errors.Join(errors.New("the test has ended"), lastErr)
 		case <-ctx.Done():
 			return fmt.Errorf("turn %s of host %s: %w; last error: %w", id, host, ctx.Err(), lastErr)
--- a/rehearsal/processes/asker_test.go
+++ b/rehearsal/processes/asker_test.go
@@ -62,7 +62,7 @@
 // Work completes a turn in plain JSON although every third call is refused, and the history contains the grant.
 func TestARequesterWorksThroughATurn(t *testing.T) {
 	t.Parallel()
-	w := New(t, three())
+	w := New(t, threeNodePlan())
 	_, handler := peerpbconnect.NewDeskHandler(&fakeOperatorAPI{})
 	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
@@ -71,7 +71,7 @@
 	require.ErrorContains(t, err, "not open", "a node without a site file has no operator API")
 	n1 := w.Node("n1")
 	n1.mu.Lock()
-	n1.current, n1.ended = &process{desk: strings.TrimPrefix(s.URL, "http://")}, false
+	n1.current, n1.ended = &process{apiAddr: strings.TrimPrefix(s.URL, "http://")}, false
 	n1.mu.Unlock()
 	t.Cleanup(func() { n1.ended = true }) // there is no process to kill at cleanup
 	h, worked := w.Host("h0"), false
@@ -87,7 +87,7 @@
 	_, err = a.Turns("n1")
 	require.ErrorAs(t, err, &apiErr)
 	assert.Equal(t, "unimplemented", apiErr.Code)
-	w.RequireSound(Allowance{Site: 1})
+	w.RequireNoViolations(Allowance{Site: 1})
 }
 
 // The site file lists all sites, which nodes have a replica, and the peers at the addresses of this node's own links. A
--- a/rehearsal/processes/beside.go
+++ b/rehearsal/processes/beside.go
@@ -21,7 +21,7 @@
 func (n *Node) Upgrade() *Predecessor {
 	n.t.Helper()
 	n.mu.Lock()
-	predecessor, serving := &Predecessor{n, n.current}, n.told(servingOf)
+	predecessor, serving := &Predecessor{n, n.current}, n.currentAddress(clientAddrOf)
 	require.NotEmpty(n.t, serving, "%s does not serve clients", n.Name)
 	n.predecessors = append(n.predecessors, n.current)
 	n.mu.Unlock()
@@ -35,13 +35,13 @@
 // Kill kills the process and returns once it has ended.
 func (f *Predecessor) Kill() {
 	_ = f.cmd.Process.Signal(syscall.SIGKILL) // it may have ended already
-	<-f.over
+	<-f.exited
 }
 
 // IsRunning reports whether the process runs; its end may not have been noticed yet.
 func (f *Predecessor) IsRunning() bool {
 	select {
-	case <-f.over:
+	case <-f.exited:
 		return false
 	default:
 		return true
@@ -53,7 +53,7 @@
 	f.node.t.Helper()
 	f.node.w.Await(f.node.Name+"'s previous process ends", func() bool {
 		select {
-		case <-f.over:
+		case <-f.exited:
 			return true
 		default:
 			return false
--- a/rehearsal/processes/clients.go
+++ b/rehearsal/processes/clients.go
@@ -74,7 +74,7 @@
 	load.HoldTime, load.LineInterval = orDefault(load.HoldTime, 500*time.Millisecond), orDefault(load.LineInterval, 100*time.Millisecond)
 	load.Deadline, load.MaxReconnects, load.Class, load.Value = orDefault(load.Deadline, 3*time.Second), orDefault(load.MaxReconnects, 5), orDefault(load.Class, "chat"), orDefault(load.Value, 1)
 	if load.Nodes == nil {
-		load.Nodes = w.order
+		load.Nodes = w.nodeNames
 	}
 	sketch, err := ddsketch.NewDefaultDDSketch(0.01)
 	require.NoError(w.t, err)
@@ -146,14 +146,14 @@
 		return c.report.ServedByNode[node]
 	}
 	target := served() + more
-	c.w.news.await(c.w.t, fmt.Sprintf("%d more requests are served %s", more, node), func() bool { return served() >= target }, nil)
+	c.w.changes.await(c.w.t, fmt.Sprintf("%d more requests are served %s", more, node), func() bool { return served() >= target }, nil)
 }
 
 func (c *Clients) update(f func(*Report)) {
 	c.mu.Lock()
 	f(&c.report)
 	c.mu.Unlock()
-	c.w.news.notify()
+	c.w.changes.notify()
 }
 
 // generate starts clients at random intervals derived from the seed.
@@ -179,7 +179,7 @@
 
 // sleep waits for the duration and reports whether the clients go on.
 func (c *Clients) sleep(duration time.Duration) bool {
-	return waitChange(c.w.over, c.stop, duration) && c.w.ctx.Err() == nil
+	return waitChange(c.w.done, c.stop, duration) && c.w.ctx.Err() == nil
 }
 
 // runClient runs one client: it connects, and connects again to the next node when it is turned away.
@@ -199,7 +199,7 @@
 // request sends one request to a node and holds the connection that results. It reports whether the client connects again,
 // and after which delay.
 func (c *Clients) request(node string, number, attempt int, holdTime time.Duration) (retry bool, delay time.Duration) {
-	conn, err := net.Dial("tcp4", c.w.fronts[node].Addr())
+	conn, err := net.Dial("tcp4", c.w.clientLinks[node].Addr())
 	if err != nil {
 		c.update(func(r *Report) { r.ConnectFailed++ })
 		return true, reconnectDelay
@@ -223,7 +223,7 @@
 		line += ",again=1"
 	}
 	sentAt := time.Now()
-	c.w.asked.Store(id, c.w.Now())
+	c.w.sentAt.Store(id, c.w.Now())
 	if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
 		c.update(func(r *Report) { r.ConnectFailed++ })
 		return true, reconnectDelay
@@ -240,7 +240,7 @@
 		c.update(func(rep *Report) { rep.Unanswered++; rep.countUnserved(node) })
 		return true, reconnectDelay
 	case strings.HasPrefix(response, "UP "):
-		if receiptID, _ := c.w.receipts.Load(response); receiptID != id {
+		if receiptID, _ := c.w.upLines.Load(response); receiptID != id {
 			c.reportViolation("%s sent %q to request %s, which no host has sent to it", node, response, id)
 		}
 		c.update(func(rep *Report) {
--- a/rehearsal/processes/discovery.go
+++ b/rehearsal/processes/discovery.go
@@ -102,7 +102,7 @@
 	d.mu.Lock()
 	d.fault = fault
 	d.mu.Unlock()
-	d.w.news.notify()
+	d.w.changes.notify()
 }
 
 // Sent returns all host states sent to nodes so far, in that order.
@@ -125,7 +125,7 @@
 	d.rev++
 	d.revs[h] = d.rev
 	d.mu.Unlock()
-	d.w.news.notify()
+	d.w.changes.notify()
 }
 
 // list returns the response for a node that knows revision from (0: none), and whether there is anything new in it.
@@ -135,7 +135,7 @@
 	l := hostList{Rev: d.rev, All: from <= 0 || from > d.rev, Targets: []hostEntry{}}
 	for _, h := range d.hosts {
 		h.mu.Lock()
-		if h.seenBy(node) && (l.All && h.state != "terminated" || !l.All && d.revs[h] > from) {
+		if h.visibleTo(node) && (l.All && h.state != "terminated" || !l.All && d.revs[h] > from) {
 			t := hostEntry{UID: h.ID, Endpoint: h.endpoint(node), Zone: h.Zone, Model: h.Kind, Group: h.Group, State: h.state,
 				Capacity: h.Capacity}
 			if !h.startedAt.IsZero() {
@@ -152,9 +152,9 @@
 	d.mu.Lock()
 	d.calls[node]++
 	d.mu.Unlock()
-	d.w.news.notify()
+	d.w.changes.notify()
 	if req.Method != http.MethodGet || req.URL.Path != "/v1/servers" {
-		d.w.violate("%s sent discovery an unexpected request %s %s", node, req.Method, req.URL)
+		d.w.addViolation("%s sent discovery an unexpected request %s %s", node, req.Method, req.URL)
 		http.Error(resp, "unknown path", http.StatusNotFound)
 		return
 	}
@@ -164,7 +164,7 @@
 	holdTimer := time.NewTimer(time.Duration(min(max(hold, 0), 60000)) * time.Millisecond)
 	defer holdTimer.Stop()
 	for holding := hold > 0; ; {
-		next := d.w.news.changed()
+		next := d.w.changes.changed()
 		d.mu.Lock()
 		fault := d.fault
 		d.mu.Unlock()
--- a/rehearsal/processes/faults.go
+++ b/rehearsal/processes/faults.go
@@ -146,7 +146,7 @@
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	startedAt := time.Now()
 	for _, e := range events {
-		if !w.pause(max(0, e.at-time.Since(startedAt))) {
+		if !w.sleep(max(0, e.at-time.Since(startedAt))) {
 			return
 		}
 		e.do()
@@ -176,9 +176,9 @@
 	case ResetLink:
 		w.Link(f.Node, f.Peer).ResetAfter(f.Direction, f.Amount)
 	case Isolate:
-		w.Part(false, f.Node)
+		w.Partition(false, f.Node)
 	case CutDiscovery:
-		w.ToDiscovery(f.Node).Cut()
+		w.DiscoveryLink(f.Node).Cut()
 	case DiscoveryDown:
 		w.Discovery.SetDown(true)
 	case Kill, KillStaleStore, KillEmptyStore, KillTornStore:
@@ -200,7 +200,7 @@
 // logStates logs the state that each node of a site reports when something happens to the store of one of them.
 func (w *World) logStates(what, node string) {
 	for _, n := range w.siteOf[node].Nodes {
-		state, _, _ := strings.Cut(w.Node(n).standing(), "\n")
+		state, _, _ := strings.Cut(w.Node(n).status(), "\n")
 		w.t.Logf("%s: the store of %s %s: %s", w.Now().Round(time.Millisecond), node, what, state)
 	}
 }
@@ -208,15 +208,15 @@
 // moveReplica exchanges two nodes of a site in the site files, and with that moves the replica of one to the other, and
 // makes all running nodes of the site reload the files. A node that is down reads its file when it starts.
 func (w *World) moveReplica(from, to string) {
-	w.hands.Lock()
-	defer w.hands.Unlock()
+	w.processMu.Lock()
+	defer w.processMu.Unlock()
 	s := w.siteOf[from]
 	changed := slices.Clone(s.Nodes) // other goroutines may iterate over the previous slice
 	i, j := slices.Index(changed, from), slices.Index(changed, to)
 	changed[i], changed[j] = to, from
 	s.Nodes = changed
-	delete(w.newSeat, from)
-	w.newSeat[to] = true
+	delete(w.newReplica, from)
+	w.newReplica[to] = true
 	for _, n := range changed {
 		w.nodes[n].Reload()
 	}
@@ -225,10 +225,10 @@
 // withProcess does something to a node's process while holding the lock for processes. down tells whether the process is
 // stopped by a fault from then on.
 func (w *World) withProcess(node string, down bool, do func()) {
-	w.hands.Lock()
-	defer w.hands.Unlock()
+	w.processMu.Lock()
+	defer w.processMu.Unlock()
 	do()
-	w.down[node] = down
+	w.faulted[node] = down
 }
 
 // beginUpgrade starts a newer process of the node if one serves.
@@ -246,15 +246,15 @@
 		return
 	}
 	n.w.waitUntil(func() bool {
-		return n.isCurrent(f) || len(n.linesWith("msg=serving")) > 0 && (n.w.Plan.Alone || len(n.linesWith("open to peers")) > 0)
+		return n.isCurrent(f) || len(n.linesWith("msg=serving")) > 0 && (n.w.Plan.NoSiteFile || len(n.linesWith("open to peers")) > 0)
 	})
 	if n.isCurrent(f) {
 		return
 	}
 	_ = f.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-f.over:
-	case <-n.w.over:
+	case <-f.exited:
+	case <-n.w.done:
 	}
 }
 
@@ -268,10 +268,10 @@
 
 // waitUntil waits until cond holds or the world ends. Unlike Await it may be called on any goroutine.
 func (w *World) waitUntil(cond func() bool) {
-	for next := w.news.changed(); !cond(); next = w.news.changed() {
+	for next := w.changes.changed(); !cond(); next = w.changes.changed() {
 		select {
 		case <-next:
-		case <-w.over:
+		case <-w.done:
 			return
 		}
 	}
@@ -291,38 +291,38 @@
 
 // HasLogged reports whether a line after a mark contains a text.
 func (n *Node) HasLogged(mark int, text string) bool {
-	return slices.ContainsFunc(n.since(mark), func(line string) bool { return strings.Contains(line, text) })
+	return slices.ContainsFunc(n.linesSince(mark), func(line string) bool { return strings.Contains(line, text) })
 }
 
 // endFault ends a fault.
 func (w *World) endFault(f Fault, staleStore string) {
 	switch f.Kind {
 	case Isolate:
-		for _, n := range w.order {
+		for _, n := range w.nodeNames {
 			if n != f.Node {
 				w.Link(n, f.Node).Heal()
 				w.Link(f.Node, n).Heal()
 			}
 		}
 	case CutDiscovery:
-		w.ToDiscovery(f.Node).Heal()
+		w.DiscoveryLink(f.Node).Heal()
 	case DiscoveryDown:
 		w.Discovery.SetDown(false)
 	case Kill, KillStaleStore, KillEmptyStore, KillTornStore:
 		store := map[FaultKind]StoreChange{Kill: KeepStore, KillStaleStore: StaleStore(staleStore), KillEmptyStore: EmptyStore, KillTornStore: truncateLongerFiles(int64(f.Amount))}[f.Kind]
 		w.withProcess(f.Node, false, func() {
 			if losesStore(f.Kind) {
-				delete(w.newSeat, f.Node) // a replica that it had, now with another store
+				delete(w.newReplica, f.Node) // a replica that it had, now with another store
 			}
 			missing := missingNothing
 			if f.BlockClients {
 				missing = w.Node(f.Node).missingInCopy(staleStore)
 			}
 			if missing != missingNothing {
-				w.shut[f.Node] = true
-				w.untilRight[f.Node] = missing == missingConfirmation
-				w.Front(f.Node).Refuse()
-				w.Front(f.Node).Reset()
+				w.closedToClients[f.Node] = true
+				w.closedUntilLease[f.Node] = missing == missingConfirmation
+				w.ClientLink(f.Node).Refuse()
+				w.ClientLink(f.Node).Reset()
 			}
 			w.Node(f.Node).Restart(store)
 		})
--- a/rehearsal/processes/host.go
+++ b/rehearsal/processes/host.go
@@ -53,7 +53,7 @@
 func newHost(w *World, p HostPlan) *Host {
 	h := &Host{HostPlan: p, w: w, ports: make(map[string]*port), conns: make(map[*net.TCPConn]bool), state: "in_service",
 		unresponsive: make(map[string]bool)}
-	for _, n := range w.order {
+	for _, n := range w.nodeNames {
 		h.ports[n] = newPort(w.t)
 	}
 	w.t.Cleanup(h.down)
@@ -66,7 +66,7 @@
 	h.running, h.draining, h.state = true, false, "in_service"
 	h.mu.Unlock()
 	for node, p := range h.ports {
-		require.NoError(h.w.t, p.open(func(c *net.TCPConn) { go h.serve(node, c) }))
+		require.NoError(h.w.t, p.listen(func(c *net.TCPConn) { go h.serve(node, c) }))
 	}
 }
 
@@ -84,7 +84,7 @@
 	for _, c := range all {
 		reset(c)
 	}
-	h.w.news.notify()
+	h.w.changes.notify()
 	h.handlers.Wait()
 }
 
@@ -132,7 +132,7 @@
 	h.mu.Lock()
 	h.unresponsive[node] = unresponsive
 	h.mu.Unlock()
-	h.w.news.notify()
+	h.w.changes.notify()
 }
 
 // ResetConnection, as the text of Refuse, makes the host reset the connection of a request that it has read.
@@ -228,7 +228,7 @@
 // awaitResponsive waits while the host is unresponsive to a node, and reports whether the host still runs.
 func (h *Host) awaitResponsive(node string) bool {
 	for {
-		next := h.w.news.changed()
+		next := h.w.changes.changed()
 		h.mu.Lock()
 		unresponsive, running := h.unresponsive[node], h.running
 		h.mu.Unlock()
@@ -237,7 +237,7 @@
 		}
 		select {
 		case <-next:
-		case <-h.w.over:
+		case <-h.w.done:
 			return false
 		}
 	}
@@ -259,9 +259,9 @@
 		h.mu.Lock()
 		delete(h.conns, c)
 		h.mu.Unlock()
-		h.w.news.notify()
+		h.w.changes.notify()
 	}()
-	stampedConn, err := newStamped(c, h.w)
+	stampedConn, err := newTimestampedReader(c, h.w)
 	if err != nil {
 		return // the connection was reset just now
 	}
@@ -276,8 +276,8 @@
 	for established := false; ; {
 		line, err := r.ReadString('\n')
 		if err != nil {
-			if errors.Is(err, errNoStamp) {
-				h.w.violate("%v: the checkers need the arrival times of first lines", err)
+			if errors.Is(err, errNoTimestamp) {
+				h.w.addViolation("%v: the checkers need the arrival times of first lines", err)
 			}
 			return
 		}
@@ -302,11 +302,11 @@
 		}
 		fields := strings.Fields(line)
 		if len(fields) != 4 || fields[0] != "OPEN" {
-			h.w.violate("%s sent %s an invalid first line: %.80q", node, h.ID, line)
+			h.w.addViolation("%s sent %s an invalid first line: %.80q", node, h.ID, line)
 			send("SYNTAX")
 			return
 		}
-		first := FirstLine{Host: h.ID, Node: node, ID: fields[1], Line: line, At: stampedConn.at, Concurrent: h.w.attempts.begin(fields[1], c)}
+		first := FirstLine{Host: h.ID, Node: node, ID: fields[1], Line: line, At: stampedConn.lastByteAt, Concurrent: h.w.attempts.begin(fields[1], c)}
 		h.mu.Lock()
 		number := len(h.lines)
 		h.lines = append(h.lines, first)
@@ -314,12 +314,12 @@
 		up, refusal := fmt.Sprintf("UP %s.%d", h.ID, h.lastReceipt), h.refusalFor(fields[1])
 		h.mu.Unlock()
 		if refusal == "" {
-			h.w.receipts.Store(up, fields[1])
+			h.w.upLines.Store(up, fields[1])
 		}
-		sentAt, _ := h.w.asked.Load(fields[1])
+		sentAt, _ := h.w.sentAt.Load(fields[1])
 		at, _ := sentAt.(time.Duration)
-		h.w.sights.take(first, at)
-		h.w.news.notify()
+		h.w.observations.record(first, at)
+		h.w.changes.notify()
 		if !h.awaitResponsive(node) {
 			return
 		}
--- a/rehearsal/processes/hosts_test.go
+++ b/rehearsal/processes/hosts_test.go
@@ -35,33 +35,33 @@
 // The leader's own host list shows only that the host was removed for its work; then the leader's discovery stops
 // responding. That the host is back, the leader learns only from the other nodes. The turn must complete nevertheless.
 func TestATurnCompletesWhileTheLeadersDiscoveryIsUnresponsive(t *testing.T) {
-	p := building(func(_ string, f *sitepb.File) { f.Council.TickMs = 200 }) // no new election after a short delay
+	p := buildingPlan(func(_ string, f *sitepb.File) { f.Council.TickMs = 200 }) // no new election after a short delay
 	p.Settings = shortWarmUpSettings()
 	w := New(t, p)
 	w.Start()
 	c := w.StartClients(Load{PerSecond: 60, HoldTime: 300 * time.Millisecond})
-	served(c, w.Names()...)
+	awaitServed(c, w.Names()...)
 	leaderNode := awaitLeader(w, "n3")
 	require.NoError(t, w.Requester("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		calls := w.Discovery.Calls(leaderNode)
 		w.Host("h1").Remove()
 		w.Await("the leader's list shows the host as removed", func() bool { return w.Discovery.Calls(leaderNode) > calls })
 		c.AwaitServed(120, "") // about 2 s: nodes observe the hosts once a second
-		w.ToDiscovery(leaderNode).Stall()
-		w.Await("the leader notices that discovery does not answer", func() bool { return said(w, "discovery did not answer", leaderNode) })
+		w.DiscoveryLink(leaderNode).Stall()
+		w.Await("the leader notices that discovery does not answer", func() bool { return anyLogged(w, "discovery did not answer", leaderNode) })
 		w.Host("h1").Start()
 	}))
 	w.Await("the turn is over", func() bool { return phaseOf(w, "n3", "t1") == "over" })
-	t.Logf("%s led when its discovery became unresponsive, %s leads now", leaderNode, leader(w, "n3"))
-	work(w, c, "t2", "h2", w.Names()...) // the host lists have not changed since
+	t.Logf("%s led when its discovery became unresponsive, %s leads now", leaderNode, leaderOf(w, "n3"))
+	workOn(w, c, "t2", "h2", w.Names()...) // the host lists have not changed since
 	w.Await("the next turn is over too", func() bool { return phaseOf(w, "n3", "t2") == "over" })
-	w.RequireSound(two)
+	w.RequireNoViolations(twoPerSite)
 }
 
 // Two preferred hosts of a group are never in work at the same time, though the allowance permits it: with three hosts each
 // one is a preferred host.
 func TestTwoPreferredHostsOfAGroupAreNeverInWorkAtOnce(t *testing.T) {
-	p := building(nil)
+	p := buildingPlan(nil)
 	p.Hosts = Fleet(3)
 	w := New(t, p)
 	w.Start()
@@ -79,6 +79,6 @@
 		require.NoError(t, <-errs)
 	}
 	w.Await("both turns are over", func() bool { return phaseOf(w, "n3", "t-h0") == "over" && phaseOf(w, "n3", "t-h1") == "over" })
-	w.RequireSound(Allowance{Site: 1})
+	w.RequireNoViolations(Allowance{Site: 1})
 	assert.Positive(t, slices.IndexFunc(w.History.Ops(), func(o Op) bool { return o.Kind == "Begin" && o.Error == "" }))
 }
--- a/rehearsal/processes/link.go
+++ b/rehearsal/processes/link.go
@@ -225,7 +225,7 @@
 	l.mu.Unlock()
 	if !open {
 		l.port.close()
-	} else if err := l.port.open(l.accept); err != nil {
+	} else if err := l.port.listen(l.accept); err != nil {
 		l.t.Errorf("listen for the link from %s to %s: %v", l.From, l.To, err)
 	}
 }
--- a/rehearsal/processes/news.go
+++ b/rehearsal/processes/news.go
@@ -40,7 +40,7 @@
 // returns a reason.
 func (n *notifier) await(t testing.TB, what string, cond func() bool, failure func() string) {
 	t.Helper()
-	limit := patience(t, EventTimeout)
+	limit := waitLimit(t, EventTimeout)
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
--- a/rehearsal/processes/older.go
+++ b/rehearsal/processes/older.go
@@ -82,8 +82,8 @@
 // hasSendLease reports whether the current process has a send lease: its leader has answered it and sent it the excluded
 // hosts.
 func (n *Node) hasSendLease() bool {
-	ctx, cancel := context.WithTimeout(n.w.ctx, standingWithin)
+	ctx, cancel := context.WithTimeout(n.w.ctx, statusTimeout)
 	defer cancel()
 	var turns peerpb.TurnsReply
-	return n.OperatorAddr() != "" && n.ownWord(ctx, "Turns", &turns) == nil && turns.GetSeat().GetRightMs() > 0
+	return n.OperatorAddr() != "" && n.callLocal(ctx, "Turns", &turns) == nil && turns.GetSeat().GetRightMs() > 0
 }
--- a/rehearsal/processes/port.go
+++ b/rehearsal/processes/port.go
@@ -12,11 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// port is a port of loopback that stays this process's own from New to the end of the test, whether or not anybody listens:
-// a closed one refuses, and nobody else gets it meanwhile.
+// port is a loopback port that stays reserved for this process from newPort to the end of the test, listening
+// or not: while closed it refuses connections, and no other process can get it.
 type port struct {
-	addr string
-	hold int // bound, never listens
+	addr       string
+	reservedFD int // bound and never listening
 
 	mu sync.Mutex
 	ln *net.TCPListener
@@ -26,33 +26,34 @@
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
-	p := &port{hold: fd}
+	p := &port{reservedFD: fd}
 	t.Cleanup(func() {
 		p.close()
 		unix.Close(fd)
 	})
 	require.NoError(t, unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1))
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	at, err := unix.Getsockname(fd)
+	bound, err := unix.Getsockname(fd)
 	require.NoError(t, err)
-	p.addr = (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: at.(*unix.SockaddrInet4).Port}).String()
+	p.addr = (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*unix.SockaddrInet4).Port}).String()
 	return p
 }
 
-// open listens and gives each connection to take. Nothing changes where it listens already.
-func (p *port) open(take func(*net.TCPConn)) error {
+// listen listens and passes each accepted connection to handle. It does nothing if the port listens already.
+func (p *port) listen(handle func(*net.TCPConn)) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ln != nil {
 		return nil
 	}
 	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		if e := c.Control(func(fd uintptr) {
-			// What comes is stamped from the very first packet of a connection: connections have this of their listener.
+		if controlErr := c.Control(func(fd uintptr) {
+			// Accepted connections inherit SO_TIMESTAMPNS from the listener, so that the kernel timestamps
+			// data from the first packet on.
 			err = errors.Join(unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1),
 				unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1))
-		}); e != nil {
-			return e
+		}); controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
@@ -67,13 +68,13 @@
 			if err != nil {
 				return
 			}
-			take(c)
+			handle(c)
 		}
 	}(p.ln)
 	return nil
 }
 
-// close refuses from now on. What has come and was not taken is reset.
+// close stops listening: new connections are refused, and connections that were not accepted yet are reset.
 func (p *port) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// reset ends a connection at once, with a reset.
+// reset closes a connection immediately with a TCP reset.
 func reset(c *net.TCPConn) {
 	if c != nil {
 		_ = c.SetLinger(0)
--- a/rehearsal/processes/process.go
+++ b/rehearsal/processes/process.go
@@ -17,10 +17,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is about the processes of a node: how they start, what they tell and how they end.
+// This file handles the processes of a node: starting them, reading their logs and ending them.
 
-// starter starts processes from one thread that never ends: the kernel kills a child when the thread that started it ends.
-var starter = sync.OnceValue(func() chan<- func() {
+// startThread starts processes from one thread that never ends, because the kernel kills a child (Pdeathsig)
+// when the thread that started it ends.
+var startThread = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -31,54 +32,56 @@
 	return work
 })
 
-// process is one process of a node. What it told belongs to it, not to the node: while a later one is beside it, the lines and the
-// ends of the two are read by different goroutines, in any order.
+// process is one process of a node. The addresses that it logged belong to the process and not to the node:
+// while two processes of a node run, their log lines and their ends are handled by different goroutines, in
+// any order.
 type process struct {
-	cmd     *exec.Cmd
-	over    chan struct{} // closed once its end was noticed
-	serving string        // where clients connect, as it told last
-	desk    string        // where peers and operators call, as it told last
+	cmd        *exec.Cmd
+	exited     chan struct{} // closed once the end of the process has been handled
+	clientAddr string        // address for clients, as logged last
+	apiAddr    string        // address for peers and operators, as logged last
 }
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// read takes a line of the process's log in, and says whether it tells of an address.
-func (p *process) read(line string) bool {
-	at := field(line, "listen")
+// readLine reads a line of the process's log and reports whether it announces an address.
+func (p *process) readLine(line string) bool {
+	addr := field(line, "listen")
 	switch {
-	case at == "":
+	case addr == "":
 		return false
 	case strings.Contains(line, "msg=serving "):
-		p.serving = at
+		p.clientAddr = addr
 	case strings.Contains(line, `msg="open to peers"`):
-		p.desk = at
+		p.apiAddr = addr
 	default:
 		return false
 	}
 	return true
 }
 
-func servingOf(p *process) string { return p.serving }
-func deskOf(p *process) string    { return p.desk }
+func clientAddrOf(p *process) string { return p.clientAddr }
+func apiAddrOf(p *process) string    { return p.apiAddr }
 
-// told is an address as the latest process that told one has it, of those that run; "" where none has. mu is held.
-func (n *Node) told(address func(*process) string) string {
+// currentAddress returns an address as the latest running process that logged one has it, or "". n.mu must be
+// held.
+func (n *Node) currentAddress(address func(*process) string) string {
 	if n.ended {
 		return ""
 	}
-	if at := address(n.current); at != "" {
-		return at
+	if addr := address(n.current); addr != "" {
+		return addr
 	}
 	for _, p := range slices.Backward(n.predecessors) {
-		if at := address(p); at != "" {
-			return at
+		if addr := address(p); addr != "" {
+			return addr
 		}
 	}
 	return ""
 }
 
-// gone notes the end of one of the node's processes; mu is held.
-func (n *Node) gone(p *process) {
+// processExited handles the end of one of the node's processes. n.mu must be held.
+func (n *Node) processExited(p *process) {
 	if p != n.current {
 		n.predecessors = slices.DeleteFunc(n.predecessors, func(f *process) bool { return f == p })
 		return
@@ -91,21 +94,22 @@
 	n.current, n.predecessors = n.predecessors[last], n.predecessors[:last]
 }
 
-// Start starts the node's process. It has to be down.
+// Start starts the node's process. No process may be running.
 func (n *Node) Start() {
 	n.t.Helper()
-	require.False(n.t, n.Runs(), "%s runs already", n.Name)
+	require.False(n.t, n.Runs(), "%s already runs", n.Name)
 	n.launch("127.0.0.1:0")
 }
 
-// StartAt starts the node's process at an address for clients, as a machine does that starts it again. It has to be down.
+// StartAt starts the node's process with a given address for clients, as after a restart of a machine. No
+// process may be running.
 func (n *Node) StartAt(listen string) {
 	n.t.Helper()
-	require.False(n.t, n.Runs(), "%s runs already", n.Name)
+	require.False(n.t, n.Runs(), "%s already runs", n.Name)
 	n.launch(listen)
 }
 
-// launch starts a process that is the node's from now on.
+// launch starts a process that becomes the node's present one.
 func (n *Node) launch(listen string) {
 	n.t.Helper()
 	cmd := exec.Command(n.path)
@@ -114,43 +118,43 @@
 	out, err := cmd.StderrPipe()
 	require.NoError(n.t, err)
 	started := make(chan error)
-	starter() <- func() { started <- cmd.Start() }
+	startThread() <- func() { started <- cmd.Start() }
 	require.NoError(n.t, <-started)
-	p := &process{cmd: cmd, over: make(chan struct{})}
+	p := &process{cmd: cmd, exited: make(chan struct{})}
 	n.mu.Lock()
 	n.current, n.ended, n.paused, n.logStart = p, false, false, len(n.lines)
-	most := n.maxFileBytes
+	fileLimit := n.maxFileBytes
 	n.mu.Unlock()
-	if most > 0 {
-		n.LimitFiles(most)
+	if fileLimit > 0 {
+		n.LimitFiles(fileLimit)
 	}
 	go func() {
-		n.follow(p, out)
+		n.readLog(p, out)
 		err := cmd.Wait()
 		n.mu.Lock()
 		n.lines = append(n.lines, fmt.Sprintf("-- the process has ended: %v", err))
-		n.gone(p)
+		n.processExited(p)
 		n.mu.Unlock()
-		n.aim()
-		close(p.over)
-		n.w.news.notify()
+		n.updateLinks()
+		close(p.exited)
+		n.w.changes.notify()
 	}()
 }
 
-// follow reads the log of a process and learns from it where the process listens.
-func (n *Node) follow(p *process, log io.Reader) {
+// readLog reads the log of a process and learns from it where the process listens.
+func (n *Node) readLog(p *process, log io.Reader) {
 	r := bufio.NewReader(log)
 	for {
 		line, err := r.ReadString('\n')
 		if line = strings.TrimSuffix(line, "\n"); line != "" {
 			n.mu.Lock()
 			n.lines = append(n.lines, line)
-			news := p.read(line)
+			newAddress := p.readLine(line)
 			n.mu.Unlock()
-			if news {
-				n.aim()
+			if newAddress {
+				n.updateLinks()
 			}
-			n.w.news.notify()
+			n.w.changes.notify()
 		}
 		if err != nil {
 			return
@@ -158,39 +162,39 @@
 	}
 }
 
-// field is the value of a key in a line of a log, "" where it has none.
+// field returns the value of a key in a log line, or "".
 func field(line, key string) string {
 	_, rest, _ := strings.Cut(line, " "+key+"=")
 	value, _, _ := strings.Cut(rest, " ")
 	return strings.Trim(value, `"`)
 }
 
-// aim points the links at what the processes have told last.
-func (n *Node) aim() {
+// updateLinks points the links at the addresses that the node's processes logged last.
+func (n *Node) updateLinks() {
 	if n.unlinked {
 		return
 	}
 	n.linksMu.Lock()
 	defer n.linksMu.Unlock()
 	n.mu.Lock()
-	serving, desk := n.told(servingOf), n.told(deskOf)
+	clientAddr, apiAddr := n.currentAddress(clientAddrOf), n.currentAddress(apiAddrOf)
 	n.mu.Unlock()
-	n.w.fronts[n.Name].SetTarget(serving)
-	for pair, l := range n.w.peers {
+	n.w.clientLinks[n.Name].SetTarget(clientAddr)
+	for pair, l := range n.w.peerLinks {
 		if pair[1] == n.Name {
-			l.SetTarget(desk)
+			l.SetTarget(apiAddr)
 		}
 	}
 }
 
-// Runs says whether the process runs, be it paused.
+// Runs reports whether a process runs, paused or not.
 func (n *Node) Runs() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.ended
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the present process, if one runs.
 func (n *Node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	present, ended := n.current, n.ended
@@ -199,49 +203,51 @@
 		return
 	}
 	if err := present.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		n.t.Errorf("%v to %s: %v", s, n.Name, err)
+		n.t.Errorf("sending %v to %s: %v", s, n.Name, err)
 	}
 }
 
-// Kill ends the process at once, and returns once it is gone.
+// Kill kills the present process with SIGKILL and returns once its end has been handled.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	present := n.current
 	n.mu.Unlock()
 	n.signal(syscall.SIGKILL)
 	if present != nil {
-		<-present.over
+		<-present.exited
 	}
 }
 
-// PID is the number of the present process, or of the last one.
+// PID returns the process ID of the present process, or of the last one.
 func (n *Node) PID() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current.pid()
 }
 
-// Leave asks the process to stop. It goes on until what it has taken is answered and what stands has ended.
-func (n *Node) Leave() { n.signal(syscall.SIGTERM) }
+// Terminate sends SIGTERM. The process continues until it has answered the requests it accepted and its
+// connections have ended.
+func (n *Node) Terminate() { n.signal(syscall.SIGTERM) }
 
-// AwaitEnd waits until the process has ended, and returns its exit code: -1 after a signal.
+// AwaitEnd waits until the process has ended and returns its exit code, -1 after a signal.
 func (n *Node) AwaitEnd() int {
 	n.t.Helper()
-	n.w.news.await(n.t, n.Name+" ends", func() bool { return !n.Runs() }, nil)
+	n.w.changes.await(n.t, n.Name+" ends", func() bool { return !n.Runs() }, nil)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current.cmd.ProcessState.ExitCode()
 }
 
-// Stop asks the process to stop and waits for its end, which must be in good order. Clients have to have gone.
+// Stop terminates the process and requires that it exits with code 0. The clients must have been stopped
+// before.
 func (n *Node) Stop() {
 	n.t.Helper()
-	n.Leave()
+	n.Terminate()
 	require.Zero(n.t, n.AwaitEnd(), n.Name)
 }
 
-// Pause stops the process without its knowledge, as a machine that stalls does; its connections stay open. It returns once
-// every thread of the process stands.
+// Pause stops the process with SIGSTOP, as on a stalled machine: its connections stay open. It returns once
+// all threads of the process have stopped.
 func (n *Node) Pause() {
 	n.signal(syscall.SIGSTOP)
 	n.mu.Lock()
@@ -252,7 +258,7 @@
 		return
 	}
 	var info unix.Siginfo
-	for { // WNOWAIT leaves the process's end to whoever waits for it
+	for { // WNOWAIT leaves the exit status to cmd.Wait
 		err := unix.Waitid(unix.P_PID, present.pid(), &info, unix.WSTOPPED|unix.WEXITED|unix.WNOWAIT, nil)
 		if !errors.Is(err, unix.EINTR) {
 			return
@@ -260,7 +266,7 @@
 	}
 }
 
-// Continue has a paused process go on.
+// Continue resumes a paused process.
 func (n *Node) Continue() {
 	n.mu.Lock()
 	paused := n.paused
@@ -271,7 +277,7 @@
 	}
 }
 
-// Paused says whether the process is stopped.
+// Paused reports whether the process is paused.
 func (n *Node) Paused() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/rehearsal/processes/stall.go
+++ b/rehearsal/processes/stall.go
@@ -17,38 +17,42 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// This file is what a story tells when it fails, or has waited too long: where every node stands, while the nodes still run.
+// This file reports the state of every node, while the nodes still run, when a scenario fails or has waited
+// too long.
 
 const (
-	// reportReserve is how long before the alarm of the test binary a story gives up: time to ask every node, to have those that do not
-	// answer tell their stacks, and to end them.
+	// reportReserve is how long before the time-out of the test binary a scenario gives up: time to ask every
+	// node for its status, to let those that do not answer dump their stacks, and to end them.
 	reportReserve = 30 * time.Second
-	// standingWithin is how long a node has to tell where it stands. It answers calls within milliseconds, also where it leads nobody.
-	standingWithin = 3 * time.Second
-	// stacksWithin is how long a process has to write its stacks after SIGQUIT.
-	stacksWithin = 5 * time.Second
+	// statusTimeout is how long a node has to report its status. It answers within milliseconds, also without
+	// a leader.
+	statusTimeout = 3 * time.Second
+	// stackDumpTimeout is how long a process has to write its stacks after SIGQUIT.
+	stackDumpTimeout = 5 * time.Second
 )
 
-// patience is how long a story waits for an event: so long at most, and less where the test binary's alarm comes before.
-func patience(t testing.TB, most time.Duration) time.Duration {
+// waitLimit returns how long a scenario waits for an event: longest, or less if the test binary times out
+// earlier.
+func waitLimit(t testing.TB, longest time.Duration) time.Duration {
 	timed, ok := t.(interface{ Deadline() (time.Time, bool) })
 	if !ok {
-		return most
+		return longest
 	}
 	deadline, ok := timed.Deadline()
 	if !ok {
-		return most
+		return longest
 	}
 	left := time.Until(deadline)
-	return max(0, min(most, left-min(reportReserve, left/4)))
+	return max(0, min(longest, left-min(reportReserve, left/4)))
 }
 
-// reportFailure logs where every node stands, where the test has failed, and keeps all logs. It runs before the nodes are ended.
+// reportFailure logs the status of every node if the test has failed, and keeps all logs. It runs before the
+// nodes are ended.
 func (w *World) reportFailure() {
 	if !w.t.Failed() {
 		return
 	}
-	w.t.Logf("%s: where the nodes stand\n%s", w.Now().Round(time.Millisecond), w.standing())
+	w.t.Logf("%s: status of the nodes\n%s", w.Now().Round(time.Millisecond), w.status())
 	w.mu.Lock()
 	clients := slices.Clone(w.clients)
 	w.mu.Unlock()
@@ -56,28 +60,29 @@
 		r := c.Report()
 		w.t.Logf("clients: %s; by node %v, not served %v", r, r.ServedByNode, r.UnservedByNode)
 	}
-	folder, err := w.keepLogs()
+	folder, err := w.saveLogs()
 	if err != nil {
-		w.t.Logf("the logs are not kept: %v", err)
+		w.t.Logf("could not keep the logs: %v", err)
 		return
 	}
-	w.t.Logf("all logs of this story are in %s", folder)
+	w.t.Logf("all logs of this scenario are in %s", folder)
 }
 
-// standing asks every node where it stands, all at once, and returns a paragraph for each.
-func (w *World) standing() string {
-	told := make([]string, len(w.order))
+// status asks all nodes for their status at the same time and returns a paragraph for each.
+func (w *World) status() string {
+	statuses := make([]string, len(w.nodeNames))
 	var all sync.WaitGroup
-	for i, name := range w.order {
-		all.Go(func() { told[i] = w.nodes[name].standing() })
+	for i, name := range w.nodeNames {
+		all.Go(func() { statuses[i] = w.nodes[name].status() })
 	}
 	all.Wait()
-	return strings.Join(told, "\n")
+	return strings.Join(statuses, "\n")
 }
 
-// standing is what is known of a node: its process, and its own word on its seat, its right, the open turns and the policies. A
-// process that does not answer is made to write its stacks into its log, and ends by that.
-func (n *Node) standing() string {
+// status describes a node: its process and, as the node itself reports them, its replica, its send lease, the
+// open turns and the policies. A process that does not answer is made to write its stacks to its log, which
+// ends it.
+func (n *Node) status() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: ", n.Name)
 	switch {
@@ -88,27 +93,27 @@
 		b.WriteString("the process is paused")
 		return b.String()
 	case n.OperatorAddr() == "":
-		b.WriteString("the process runs and is not open to operators")
+		b.WriteString("the process runs and does not accept operators' calls")
 		return b.String()
 	}
-	ctx, cancel := context.WithTimeout(n.w.ctx, standingWithin)
+	ctx, cancel := context.WithTimeout(n.w.ctx, statusTimeout)
 	defer cancel()
 	var turns peerpb.TurnsReply
-	if err := n.ownWord(ctx, "Turns", &turns); err != nil {
-		fmt.Fprintf(&b, "it does not answer: %v\n  %s", err, n.stacks())
+	if err := n.callLocal(ctx, "Turns", &turns); err != nil {
+		fmt.Fprintf(&b, "it does not answer: %v\n  %s", err, n.dumpStacks())
 		return b.String()
 	}
-	s := turns.GetSeat()
-	fmt.Fprintf(&b, "role=%s term=%d committed=%d applied=%d leader=%q seats=%q right=%dms unreached=%q stopped=%q",
-		s.GetRole(), s.GetTerm(), s.GetCommitted(), s.GetApplied(), turns.Leader, turns.Seats, s.GetRightMs(), s.GetUnreached(), s.GetStopped())
+	replica := turns.GetSeat()
+	fmt.Fprintf(&b, "role=%s term=%d committed=%d applied=%d leader=%q replicas=%q lease=%dms unreached=%q stopped=%q",
+		replica.GetRole(), replica.GetTerm(), replica.GetCommitted(), replica.GetApplied(), turns.Leader, turns.Seats, replica.GetRightMs(), replica.GetUnreached(), replica.GetStopped())
 	for _, t := range turns.Turns {
 		if t.Phase != "over" {
 			fmt.Fprintf(&b, "\n  turn %s of %s is %s, waits for %q", t.Id, t.Host, t.Phase, t.WaitsFor)
 		}
 	}
 	var policies peerpb.PoliciesReply
-	if err := n.ownWord(ctx, "Policies", &policies); err != nil {
-		return b.String() // it goes by none, or is no node of the top
+	if err := n.callLocal(ctx, "Policies", &policies); err != nil {
+		return b.String() // it applies no policy of a rollout, or is not a node of the top site
 	}
 	for _, r := range policies.Rollouts {
 		fmt.Fprintf(&b, "\n  policy %s is %s, stage %s, cause %q", r.Id, r.Phase, r.Stage, r.Cause)
@@ -116,39 +121,40 @@
 	return b.String()
 }
 
-// ownWord makes an operator's call that the node answers itself: it takes it for one that another node has passed on.
-func (n *Node) ownWord(ctx context.Context, kind string, out proto.Message) error {
-	desks := newOperatorClient()
-	status, text, err := desks.post(ctx, n.OperatorAddr(), kind, map[string]any{"forwarded": true})
+// callLocal makes an operator's call that the node answers itself, because the call is marked as forwarded by
+// another node.
+func (n *Node) callLocal(ctx context.Context, kind string, out proto.Message) error {
+	client := newOperatorClient()
+	status, text, err := client.post(ctx, n.OperatorAddr(), kind, map[string]any{"forwarded": true})
 	if err != nil {
 		return err
 	}
 	return decodeReply(status, text, out)
 }
 
-// stacks has a process write the stacks of all its goroutines into its log, which ends it.
-func (n *Node) stacks() string {
+// dumpStacks makes a process write the stacks of all its goroutines to its log, which ends it.
+func (n *Node) dumpStacks() string {
 	n.mu.Lock()
 	present, mark := n.current, len(n.lines)
 	n.mu.Unlock()
 	_ = present.cmd.Process.Signal(syscall.SIGQUIT)
-	_ = present.cmd.Process.Signal(syscall.SIGCONT) // one that was stopped from outside takes no other signal
+	_ = present.cmd.Process.Signal(syscall.SIGCONT) // a process that was stopped from outside handles no other signal
 	select {
-	case <-present.over:
-	case <-time.After(stacksWithin):
-		return fmt.Sprintf("no end within %s of SIGQUIT", stacksWithin)
+	case <-present.exited:
+	case <-time.After(stackDumpTimeout):
+		return fmt.Sprintf("the process has not ended within %s of SIGQUIT", stackDumpTimeout)
 	}
-	return "its stacks:\n    " + strings.Join(n.since(mark), "\n    ")
+	return "its stacks:\n    " + strings.Join(n.linesSince(mark), "\n    ")
 }
 
-// keepLogs writes the whole log of each node into a folder that outlives the test, and returns the folder.
-func (w *World) keepLogs() (folder string, err error) {
+// saveLogs writes the complete log of each node to a folder that outlives the test, and returns the folder.
+func (w *World) saveLogs() (folder string, err error) {
 	name := strings.NewReplacer("/", "_", " ", "_").Replace(w.t.Name())
 	if folder, err = os.MkdirTemp(os.Getenv(logsFolderEnv), "lichenhitch-"+name+"-"); err != nil {
 		return "", err
 	}
-	for _, node := range w.order {
-		text := strings.Join(w.nodes[node].since(0), "\n")
+	for _, node := range w.nodeNames {
+		text := strings.Join(w.nodes[node].linesSince(0), "\n")
 		if err := os.WriteFile(filepath.Join(folder, node+".log"), []byte(text), 0o600); err != nil {
 			return "", err
 		}
--- a/rehearsal/processes/storm.go
+++ b/rehearsal/processes/storm.go
@@ -11,302 +11,312 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// This file is about what takes part in a storm beside faults: an operator, a policy that breaks the link, and who looks at writes.
+// This file holds what takes part in a fault sequence besides the faults: an operator, a policy that breaks
+// the links of a node, writers, and readers that check what was written.
 
-// Operator is the staff that looks after the nodes' logs. It does what docs/operate and the lines themselves say is to be done where a
-// store is lost, and nothing else.
+// Operator follows the nodes' logs. It does what docs/operate and the log lines themselves advise after the
+// loss of a store, and nothing else.
 type Operator struct {
-	w    *World
-	by   map[string]*Requester // of each site
-	mark map[string]int    // of a process that is to be taken in: where the others' logs were then
-	mu   sync.Mutex        // of a round
-	Did  []string
+	w          *World
+	requesters map[string]*Requester // by site
+	marks      map[string]int        // for each process whose replica is to be added: the length of the other nodes' logs at that time
+	mu         sync.Mutex            // held during a round
+	Actions    []string
 }
 
-// Operator returns one that has done nothing yet.
-func (w *World) Operator() *Operator {
-	o := &Operator{w: w, by: map[string]*Requester{}, mark: map[string]int{}}
+// NewOperator returns an operator that has done nothing yet.
+func (w *World) NewOperator() *Operator {
+	o := &Operator{w: w, requesters: map[string]*Requester{}, marks: map[string]int{}}
 	for _, s := range w.Plan.Sites {
-		o.by[s.Name] = w.Requester("operator of " + s.Name)
-		o.by[s.Name].Nodes = s.Nodes
+		o.requesters[s.Name] = w.Requester("operator of " + s.Name)
+		o.requesters[s.Name].Nodes = s.Nodes
 	}
 	return o
 }
 
-// aside are the lines after which a node is to be stopped, its store put aside, and the node started with an empty one.
-var aside = []string{"is damaged", "control has stopped, and nothing is sent", "this site's writes are older than what it told before",
+// replaceStoreTexts are the log texts after which a node is to be stopped, its store moved away, and the node
+// started with an empty one.
+var replaceStoreTexts = []string{"is damaged", "control has stopped, and nothing is sent", "this site's writes are older than what it told before",
 	"stop it, put its store aside and start it with an empty one"}
 
-// Round looks at each node once, but for those that a fault has stopped.
+// Round checks each node once, except those that a fault has stopped.
 func (o *Operator) Round() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, n := range o.w.order {
-		o.w.hands.Lock()
-		stranger := !o.w.down[n] && o.see(o.w.nodes[n])
-		o.w.hands.Unlock()
-		if stranger {
-			o.takeIn(n)
+	for _, n := range o.w.nodeNames {
+		o.w.processMu.Lock()
+		mustAdd := !o.w.faulted[n] && o.check(o.w.nodes[n])
+		o.w.processMu.Unlock()
+		if mustAdd {
+			o.addReplica(n)
 		}
 	}
 }
 
-// see looks at a node that no fault has stopped, and says whether the council has to take it in.
-func (o *Operator) see(n *Node) bool {
-	for _, text := range aside {
+// check checks a node that no fault has stopped, and reports whether the group must add its replica.
+func (o *Operator) check(n *Node) bool {
+	for _, text := range replaceStoreTexts {
 		if lines := n.linesWith(text); len(lines) > 0 {
-			o.Did = append(o.Did, fmt.Sprintf("%s has an empty store now: %s", n.Name, text))
+			o.Actions = append(o.Actions, fmt.Sprintf("%s got an empty store because of: %s", n.Name, text))
 			n.Restart(EmptyStore)
-			delete(o.w.newSeat, n.Name)
-			o.open(n)
+			delete(o.w.newReplica, n.Name)
+			o.reopen(n)
 			return false
 		}
 	}
-	if o.w.untilRight[n.Name] && n.hasSendLease() {
-		o.open(n)
+	if o.w.closedUntilLease[n.Name] && n.hasSendLease() {
+		o.reopen(n)
 	}
 	if !n.Runs() {
-		o.w.violate("%s has ended by itself", n.Name)
+		o.w.addViolation("the process of %s has ended unexpectedly", n.Name)
 		n.Start()
 		return false
 	}
-	return len(n.linesWith("has to take it in")) > 0 && !o.w.newSeat[n.Name] // which comes by the site file: the line says so
+	// A replica that is new by the site file needs no operator, as its log line says.
+	return len(n.linesWith("has to take it in")) > 0 && !o.w.newReplica[n.Name]
 }
 
-// open lets clients reach a node again.
-func (o *Operator) open(n *Node) {
-	if o.w.shut[n.Name] {
-		delete(o.w.shut, n.Name)
-		delete(o.w.untilRight, n.Name)
-		o.w.Front(n.Name).Heal()
+// reopen lets clients connect to a node again.
+func (o *Operator) reopen(n *Node) {
+	if o.w.closedToClients[n.Name] {
+		delete(o.w.closedToClients, n.Name)
+		delete(o.w.closedUntilLease, n.Name)
+		o.w.ClientLink(n.Name).Heal()
 	}
 }
 
-// takeIn has the council take a node's new seat in, unless it has since its process began.
-func (o *Operator) takeIn(name string) {
-	o.w.hands.Lock()
+// addReplica makes the group add the new replica of a node, unless the group has added it since the node's
+// present process started.
+func (o *Operator) addReplica(name string) {
+	o.w.processMu.Lock()
 	site := *o.w.siteOf[name]
-	o.w.hands.Unlock()
+	o.w.processMu.Unlock()
 	for _, m := range site.Nodes {
 		if m == name {
 			continue
 		}
 		n := o.w.nodes[m]
-		key := fmt.Sprint(name, " ", o.w.nodes[name].beginning(), " ", m) // for each process of it
-		if _, seen := o.mark[key]; !seen {
-			o.mark[key] = n.Mark()
+		key := fmt.Sprint(name, " ", o.w.nodes[name].currentLogStart(), " ", m) // one mark for each of its processes
+		if _, seen := o.marks[key]; !seen {
+			o.marks[key] = n.Mark()
 		}
-		for _, line := range n.since(o.mark[key]) {
+		for _, line := range n.linesSince(o.marks[key]) {
 			if strings.Contains(line, "a seat is taken in") && field(line, "seat") == name {
 				return
 			}
 		}
 	}
-	a := o.by[site.Name]
-	at := a.randomNode()
-	if at == "" {
+	requester := o.requesters[site.Name]
+	contact := requester.randomNode()
+	if contact == "" {
 		return
 	}
-	if r, err := a.Turns(at); err == nil && r.Leader != "" && r.Leader != name {
-		if a.TakeIn(r.Leader, name, "its store was put aside") == nil {
-			if did := fmt.Sprint(name, " is taken in, by ", r.Leader); !slices.Contains(o.Did, did) {
-				o.Did = append(o.Did, did)
+	if r, err := requester.Turns(contact); err == nil && r.Leader != "" && r.Leader != name {
+		if requester.TakeIn(r.Leader, name, "its store was put aside") == nil {
+			if action := fmt.Sprint(name, " was added, through ", r.Leader); !slices.Contains(o.Actions, action) {
+				o.Actions = append(o.Actions, action)
 			}
 		}
 	}
 }
 
-// since are the lines of all a node's logs from a place on; see Mark.
-func (n *Node) since(mark int) []string {
+// linesSince returns the lines of all of a node's logs from a mark on; see Mark.
+func (n *Node) linesSince(mark int) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.lines[min(mark, len(n.lines)):])
 }
 
-// Breaker is what a policy that breaks the link does: who is seen to go by it has no link to any other node, until it is seen to go
-// by another one.
-type Breaker struct {
-	w   *World
-	Aim int
-
-	mu     sync.Mutex
-	parted []string        // a side that is cut off by a fault meanwhile
-	broken map[string]bool // nodes
-	cut    map[[2]string]bool
-	Broke  int
+// LinkBreaker has the effect of a policy that breaks the links of a node: a node at which the policy is
+// observed has no link to any other node until another policy is observed at it.
+type LinkBreaker struct {
+	w             *World
+	LatencyTarget int
+
+	mu          sync.Mutex
+	partitioned []string        // nodes that a fault cuts off from the others meanwhile
+	broken      map[string]bool // nodes at which the policy is observed
+	cut         map[[2]string]bool
+	BreakCount  int
 }
 
-// Breaker returns one for an aim; 0 for none.
-func (w *World) Breaker(aim int) *Breaker {
-	return &Breaker{w: w, Aim: aim, broken: map[string]bool{}, cut: map[[2]string]bool{}}
+// NewLinkBreaker returns a LinkBreaker for the policy with a latency target; 0 for none.
+func (w *World) NewLinkBreaker(target int) *LinkBreaker {
+	return &LinkBreaker{w: w, LatencyTarget: target, broken: map[string]bool{}, cut: map[[2]string]bool{}}
 }
 
-// Look looks at what hosts see lately.
-func (b *Breaker) Look() {
-	if b.Aim == 0 {
+// Update applies the latest observations of the hosts.
+func (b *LinkBreaker) Update() {
+	if b.LatencyTarget == 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, n := range b.w.order {
-		seen := b.w.Sightings(n, 0)
-		if len(seen) < certain {
+	for _, n := range b.w.nodeNames {
+		observed := b.w.Observations(n, 0)
+		if len(observed) < minConsecutive {
 			continue
 		}
-		by := func(s Sighting) bool { return s.Aim == b.Aim }
-		last := seen[len(seen)-certain:]
+		applies := func(s PolicyObservation) bool { return s.LatencyTarget == b.LatencyTarget }
+		latest := observed[len(observed)-minConsecutive:]
 		switch {
-		case !slices.ContainsFunc(last, func(s Sighting) bool { return !by(s) }):
+		case !slices.ContainsFunc(latest, func(s PolicyObservation) bool { return !applies(s) }):
 			if !b.broken[n] {
-				b.Broke++
+				b.BreakCount++
 			}
 			b.broken[n] = true
-		case !slices.ContainsFunc(last, by):
+		case !slices.ContainsFunc(latest, applies):
 			delete(b.broken, n)
 		}
 	}
 	b.apply()
 }
 
-// Part cuts a side off, with no nodes it takes that back.
-func (b *Breaker) Part(side ...string) {
+// Partition cuts a group of nodes off from the others; without nodes it undoes that.
+func (b *LinkBreaker) Partition(side ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.parted = side
+	b.partitioned = side
 	b.apply()
 }
 
-// apply cuts and heals what has changed; mu is held.
-func (b *Breaker) apply() {
-	for _, n := range b.w.order {
-		for _, m := range b.w.order {
+// apply cuts and heals the links whose state has changed. b.mu must be held.
+func (b *LinkBreaker) apply() {
+	for _, n := range b.w.nodeNames {
+		for _, m := range b.w.nodeNames {
 			pair := [2]string{n, m}
-			is := n != m && (b.broken[n] || b.broken[m] || slices.Contains(b.parted, n) != slices.Contains(b.parted, m))
+			shouldCut := n != m && (b.broken[n] || b.broken[m] || slices.Contains(b.partitioned, n) != slices.Contains(b.partitioned, m))
 			switch {
-			case is && !b.cut[pair]:
+			case shouldCut && !b.cut[pair]:
 				b.w.Link(n, m).Cut()
-			case !is && b.cut[pair]:
+			case !shouldCut && b.cut[pair]:
 				b.w.Link(n, m).Heal()
 			}
-			b.cut[pair] = is
+			b.cut[pair] = shouldCut
 		}
 	}
 }
 
-// Chain is somebody who writes, one after the other: a step, and once it is taken, that it stands.
-type Chain struct {
-	w      *World
-	Name   string
-	a      *Requester
-	number int
-
-	mu    sync.Mutex
-	taken []string // writes
-	last  int      // the number of the last step that was taken
+// ChainWriter writes a causal chain, one write after the other: a step and, once the step is accepted, its
+// confirmation.
+type ChainWriter struct {
+	w         *World
+	Name      string
+	requester *Requester
+	step      int
+
+	mu       sync.Mutex
+	accepted []string // IDs of the accepted writes
+	lastStep int      // the number of the last step that was accepted
 }
 
-// Chain returns one that writes at the nodes of a site.
-func (w *World) Chain(site Site) *Chain {
-	a := w.Requester("writer of " + site.Name)
-	a.Nodes = site.Nodes
-	return &Chain{w: w, Name: site.Name, a: a}
+// NewChainWriter returns a ChainWriter that writes at the nodes of a site.
+func (w *World) NewChainWriter(site Site) *ChainWriter {
+	requester := w.Requester("writer of " + site.Name)
+	requester.Nodes = site.Nodes
+	return &ChainWriter{w: w, Name: site.Name, requester: requester}
 }
 
-func chained(number int) string { return fmt.Sprintf("done %08d", number) }
+func stepValue(step int) string { return fmt.Sprintf("done %08d", step) }
 
-func numberOf(value string) int {
+func stepOf(value string) int {
 	n, _ := strconv.Atoi(strings.TrimLeft(strings.TrimPrefix(value, "done "), "0"))
 	return n
 }
 
-// Write writes the next step. What gets no answer is not written once more: it may have been taken.
-func (c *Chain) Write() {
-	c.number++
-	for _, thing := range []string{"step/", "stands/"} {
-		node, r := c.a.randomNode(), &peerpb.WriteReply{}
-		if node == "" || c.a.call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": "work", "thing": thing + c.Name,
-			"value": chained(c.number), "by": c.a.Name}, r, nil) != nil {
+// Write writes the next step and its confirmation. A write without a reply is not repeated, because it may
+// have been accepted.
+func (c *ChainWriter) Write() {
+	c.step++
+	for _, prefix := range []string{"step/", "stands/"} {
+		node, r := c.requester.randomNode(), &peerpb.WriteReply{}
+		if node == "" || c.requester.call(Op{Node: node, Kind: "Write"}, map[string]any{"kind": "work", "thing": prefix + c.Name,
+			"value": stepValue(c.step), "by": c.requester.Name}, r, nil) != nil {
 			return
 		}
 		c.mu.Lock()
-		c.taken = append(c.taken, r.Id)
-		if thing == "step/" {
-			c.last = c.number
+		c.accepted = append(c.accepted, r.Id)
+		if prefix == "step/" {
+			c.lastStep = c.step
 		}
 		c.mu.Unlock()
 	}
 }
 
-// Taken are the writes that were taken so far, and the number of the last step among them.
-func (c *Chain) Taken() (writes []string, last int) {
+// Accepted returns the writes that were accepted so far, and the number of the last step among them.
+func (c *ChainWriter) Accepted() (writes []string, last int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.taken), c.last
+	return slices.Clone(c.accepted), c.lastStep
 }
 
-// Reader reads what a chain has written, at one seat, as far as it is applied there: it sees no number go back, and no step that does
-// not stand behind what was written after it, for as long as one process runs.
-type Reader struct {
-	w            *World
-	c            *Chain
-	a            *Requester
-	node         string
-	begin        int // of the process's log
-	step, stands int
-	Reads        int
+// ChainReader reads what a ChainWriter has written from the applied state of one replica. As long as one
+// process runs, no number may decrease, and no step may be missing whose confirmation is there.
+type ChainReader struct {
+	w               *World
+	chain           *ChainWriter
+	requester       *Requester
+	node            string
+	logStart        int // where the log of the process begins
+	step, confirmed int
+	Reads           int
 }
 
-// Reader returns one.
-func (w *World) Reader(c *Chain, node string) *Reader {
-	return &Reader{w: w, c: c, a: w.Requester("reader at " + node), node: node}
+// NewChainReader returns a ChainReader for a node.
+func (w *World) NewChainReader(c *ChainWriter, node string) *ChainReader {
+	return &ChainReader{w: w, chain: c, requester: w.Requester("reader at " + node), node: node}
 }
 
-// Read reads once.
-func (r *Reader) Read() {
+// Read reads and checks the two values once.
+func (r *ChainReader) Read() {
 	n := r.w.nodes[r.node]
-	begin := n.beginning()
-	stands, step := r.one("stands/"), r.one("step/")
-	if stands < 0 || step < 0 || n.beginning() != begin {
+	logStart := n.currentLogStart()
+	confirmed, step := r.readStep("stands/"), r.readStep("step/")
+	if confirmed < 0 || step < 0 || n.currentLogStart() != logStart {
 		return
 	}
 	r.Reads++
-	if begin != r.begin {
-		r.begin, r.step, r.stands = begin, 0, 0
+	if logStart != r.logStart {
+		r.logStart, r.step, r.confirmed = logStart, 0, 0
 	}
-	if step < r.step || stands < r.stands || step < stands {
-		r.w.violate("%s tells step %d and that %d stands of %s, after %d and %d", r.node, step, stands, r.c.Name, r.step, r.stands)
+	if step < r.step || confirmed < r.confirmed || step < confirmed {
+		r.w.addViolation("%s reports step %d with step %d confirmed of %s, after steps %d and %d", r.node, step, confirmed, r.chain.Name, r.step, r.confirmed)
 	}
-	r.step, r.stands = max(step, r.step), max(stands, r.stands)
+	r.step, r.confirmed = max(step, r.step), max(confirmed, r.confirmed)
 }
 
-// one reads a number, -1 where there is no answer. The node is told that another has sent the question on: a seat that has nothing of
-// its own to answer with would ask the leader, and may be behind it later.
-func (r *Reader) one(thing string) int {
+// readStep reads a number, or returns -1 without a reply. The request is marked as forwarded, because a
+// replica that cannot answer from its own state would otherwise ask the leader, and its own state may be
+// behind that later.
+func (r *ChainReader) readStep(prefix string) int {
 	out := &peerpb.ReadReply{}
-	if r.a.call(Op{Node: r.node, Kind: "Read"}, map[string]any{"kind": "work", "thing": thing + r.c.Name,
+	if r.requester.call(Op{Node: r.node, Kind: "Read"}, map[string]any{"kind": "work", "thing": prefix + r.chain.Name,
 		"forwarded": true}, out, nil) != nil {
 		return -1
 	}
 	if !out.Found {
 		return 0
 	}
-	return numberOf(out.Value)
+	return stepOf(out.Value)
 }
 
-// beginning is where the log of the present process begins.
-func (n *Node) beginning() int {
+// currentLogStart returns where the log of the present process begins.
+func (n *Node) currentLogStart() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.logStart
 }
 
-// losses are faults of stores in the place of a plan's own: of one seat of one site or, with each third seed, of one of both, in another
-// part of the plan. Left out is what a council cannot come through without an operator's word on a store, for which there is no call: a
-// seat that starts anew waits for the word of the others, so that of three none may start anew while the store of another is lost and
-// not taken in yet. Starts of the other seats of that site are pauses here, earlier ones too: nobody knows how long a seat waits. A store must not be put back from an older copy (docs/design/affairs.md): at a node
-// without a seat nobody makes that good, and a seat sends by its old horizon until another one refuses it. So clients reach none that
-// has one.
-func losses(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
+// storeFaults replaces the store faults of a plan by its own: one of one replica of one site or, with each
+// third seed, one at each of both sites, in different parts of the plan. It leaves out what a group cannot
+// recover from unless an operator confirms a store, which the Operator of these tests does not do: a
+// restarted replica waits for the confirmation of the others, so that of three replicas none may restart
+// while the store of another one is lost and that replica has not been added yet. Restarts of the other
+// replicas of that site therefore become pauses, earlier ones too, because it is not known how long a replica
+// waits. A store must not be replaced by a stale copy (docs/design/affairs.md): at a node without a replica
+// nothing corrects that, and a replica sends by its old exclusion set until another one refuses it. So
+// clients do not reach a node that has one.
+func storeFaults(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
 	for _, f := range plan {
 		if losesStore(f.Kind) {
 			f.Kind = Kill
@@ -314,21 +324,21 @@
 		out = append(out, f)
 	}
 	kinds := []FaultKind{KillStaleStore, KillTornStore, KillEmptyStore}
-	part := duration / time.Duration(len(sites))
+	share := duration / time.Duration(len(sites))
 	for i := range sites {
 		s := sites[(i+int(seed))%len(sites)]
 		if i == 0 && seed%3 != 0 {
 			continue
 		}
-		seats := s.Nodes[:s.Seats]
-		f := Fault{Kind: kinds[(int(seed)+i)%len(kinds)], Node: seats[(int(seed)/len(kinds)+i)%len(seats)], Amount: 3000,
-			At: part*time.Duration(i) + part/10, Duration: part / 8}
+		voters := s.Nodes[:s.Replicas]
+		f := Fault{Kind: kinds[(int(seed)+i)%len(kinds)], Node: voters[(int(seed)/len(kinds)+i)%len(voters)], Amount: 3000,
+			At: share*time.Duration(i) + share/10, Duration: share / 8}
 		f.BlockClients = f.Kind == KillStaleStore
 		out = slices.DeleteFunc(out, func(o Fault) bool {
 			return o.Kind >= Kill && o.At < f.At+f.Duration && f.At < o.At+o.Duration
 		})
 		for j, o := range out {
-			if (o.Kind == Kill || o.Kind == Upgrade) && o.Node != f.Node && slices.Contains(seats, o.Node) {
+			if (o.Kind == Kill || o.Kind == Upgrade) && o.Node != f.Node && slices.Contains(voters, o.Node) {
 				out[j].Kind = Pause
 			}
 		}
@@ -338,11 +348,12 @@
 	return out
 }
 
-// seatChanges are faults of councils beside those of a plan: of every two upgrades of a plan the second is given up, and at each site
-// a seat goes to the node without one for a while. It is not that of a node which loses its store: of a node without a seat nobody
-// remembers how far its store was, so that an older one is not refused (docs/design/affairs.md). Where a store is lost at a site, its seats
-// change before or after that.
-func seatChanges(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
+// replicaChanges adds faults that change the replicas to those of a plan: every second upgrade is aborted,
+// and at each site a replica moves for a while to the node without one. It is not the replica of a node that
+// loses its store: no other node remembers the state of the store of a node without a replica, so that a
+// stale one is not refused (docs/design/affairs.md). Where a store is lost at a site, the replicas of that
+// site change before or after that.
+func replicaChanges(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
 	upgrades := 0
 	for _, f := range plan {
 		if f.Kind == Upgrade {
@@ -353,27 +364,30 @@
 		out = append(out, f)
 	}
 	for i, s := range sites {
-		at, lost := duration/20, ""
+		at, storeLost := duration/20, ""
 		for _, f := range out {
 			if losesStore(f.Kind) && slices.Contains(s.Nodes, f.Node) {
-				lost = f.Node
+				storeLost = f.Node
 				if f.At < duration/2 {
 					at = duration / 2
 				}
 			}
 		}
-		keep := slices.DeleteFunc(slices.Clone(s.Nodes[:s.Seats]), func(n string) bool { return n == lost })
-		out = append(out, Fault{Kind: MoveReplica, Node: keep[(int(seed)+i)%len(keep)], Peer: s.Nodes[len(s.Nodes)-1], At: at, Duration: duration * 3 / 10})
+		candidates := slices.DeleteFunc(slices.Clone(s.Nodes[:s.Replicas]), func(n string) bool { return n == storeLost })
+		out = append(out, Fault{Kind: MoveReplica, Node: candidates[(int(seed)+i)%len(candidates)], Peer: s.Nodes[len(s.Nodes)-1], At: at, Duration: duration * 3 / 10})
 	}
 	slices.SortStableFunc(out, func(a, b Fault) int { return int(a.At - b.At) })
 	return out
 }
 
-// losesStore says whether a node comes back with less than its store had.
-func losesStore(k FaultKind) bool { return k == KillStaleStore || k == KillEmptyStore || k == KillTornStore }
+// losesStore reports whether a node comes back with less than its store had.
+func losesStore(k FaultKind) bool {
+	return k == KillStaleStore || k == KillEmptyStore || k == KillTornStore
+}
 
-// within leaves those faults out that would heal a cut between sites while it lasts.
-func within(plan []Fault, cut span, siteOf map[string]*Site) []Fault {
+// withoutLinkFaultsDuring leaves out the faults whose end would heal the cut between the sites while it
+// lasts.
+func withoutLinkFaultsDuring(plan []Fault, cut span, siteOf map[string]*Site) []Fault {
 	return slices.DeleteFunc(plan, func(f Fault) bool {
 		crosses := f.Kind == Isolate || f.Kind < Isolate && siteOf[f.Node] != siteOf[f.Peer]
 		return crosses && f.At < cut.to && cut.from < f.At+f.Duration
--- a/rehearsal/processes/turns_test.go
+++ b/rehearsal/processes/turns_test.go
@@ -13,11 +13,11 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-// building is one site of four nodes, three with a seat, and six hosts, two of which may be out at once. Rights are short,
-// so that stories of nodes that are cut off take seconds.
-func building(tune func(string, *sitepb.File)) Plan {
+// buildingPlan is one site of four nodes, three with a replica, and six hosts, two of which may be out of
+// service at once. Send leases are short, so that scenarios with nodes that are cut off take seconds.
+func buildingPlan(tune func(string, *sitepb.File)) Plan {
 	return Plan{Seed: 3, Hosts: Fleet(6), Sites: []Site{{Name: "b", Level: sitepb.Level_BUILDING,
-		Nodes: []string{"n0", "n1", "n2", "n3"}, Seats: 3}},
+		Nodes: []string{"n0", "n1", "n2", "n3"}, Replicas: 3}},
 		Tune: func(name string, f *sitepb.File) {
 			f.Sites[0].Level, f.Sites[0].Parent = sitepb.Level_PROVINCE, ""
 			f.Rights = &sitepb.Rights{LastsMs: 1000}
@@ -29,147 +29,151 @@
 		}}
 }
 
-var two = Allowance{Site: 2}
+var twoPerSite = Allowance{Site: 2}
 
-// served waits until every node that is named has served some more clients.
-func served(c *Clients, nodes ...string) {
+// awaitServed waits until each of the nodes has served 5 more clients.
+func awaitServed(c *Clients, nodes ...string) {
 	c.w.t.Helper()
 	for _, n := range nodes {
 		c.AwaitServed(5, n)
 	}
 }
 
-// leader returns who leads, as the node that is asked knows.
-func leader(w *World, at string) string {
-	r, err := w.Requester("operator").Turns(at)
+// leaderOf returns the leader that a node reports, or "".
+func leaderOf(w *World, node string) string {
+	r, err := w.Requester("operator").Turns(node)
 	if err != nil {
 		return ""
 	}
 	return r.Leader
 }
 
-func awaitLeader(w *World, at string, but ...string) (name string) {
+func awaitLeader(w *World, node string, except ...string) (name string) {
 	w.t.Helper()
-	w.Await("somebody leads the council", func() bool {
-		name = leader(w, at)
-		return name != "" && !slices.Contains(but, name)
+	w.Await("the group has a leader", func() bool {
+		name = leaderOf(w, node)
+		return name != "" && !slices.Contains(except, name)
 	})
 	return name
 }
 
-// others are the names of all nodes but some.
-func others(w *World, but ...string) (names []string) {
+// otherNodes returns the names of all nodes except some.
+func otherNodes(w *World, except ...string) (names []string) {
 	for _, n := range w.Names() {
-		if !slices.Contains(but, n) {
+		if !slices.Contains(except, n) {
 			names = append(names, n)
 		}
 	}
 	return names
 }
 
-// said says whether one of some nodes has a text in its log by now.
-func said(w *World, text string, nodes ...string) bool {
+// anyLogged reports whether the log of one of the nodes contains a text.
+func anyLogged(w *World, text string, nodes ...string) bool {
 	return slices.ContainsFunc(nodes, func(n string) bool {
 		return slices.ContainsFunc(w.Node(n).Log(), func(line string) bool { return strings.Contains(line, text) })
 	})
 }
 
-// work has a host worked at while clients of some nodes are served.
-func work(w *World, c *Clients, id, host string, nodes ...string) {
+// workOn requests a turn for a host (permission to do maintenance on it) and does the work, while clients of
+// the nodes are served.
+func workOn(w *World, c *Clients, id, host string, nodes ...string) {
 	w.t.Helper()
-	require.NoError(w.t, w.Requester("staff").Work(context.Background(), id, host, 1, func() { served(c, nodes...) }))
+	require.NoError(w.t, w.Requester("staff").Work(context.Background(), id, host, 1, func() { awaitServed(c, nodes...) }))
 }
 
-func TestAHostIsHandedOverOnceNobodySendsItAnything(t *testing.T) {
+func TestHostIsGrantedOnceNoNodeSendsToIt(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	begun := w.Now()
-	work(w, c, "t1", "h1", w.Names()...)
-	t.Logf("asked to done in %v", w.Now()-begun)
-	w.Await("the host is in use again", func() bool {
+	w, c := startBuilding(t, buildingPlan(nil))
+	start := w.Now()
+	workOn(w, c, "t1", "h1", w.Names()...)
+	t.Logf("request to end of the work: %v", w.Now()-start)
+	w.Await("the host is used again", func() bool {
 		lines := w.Host("h1").FirstLines("n3")
 		return len(lines) > 0 && lines[len(lines)-1].At > w.Now()-time.Second
 	})
-	w.RequireSound(two)
+	w.RequireNoViolations(twoPerSite)
 }
 
-// soon is for turns that are asked for and may not begin before some time has passed: all nodes know of them by then.
-func soon(d time.Duration) map[string]any {
-	return map[string]any{"not_before_s": time.Now().Add(d).Unix()}
+// notBefore is the field of a request for a turn that may not begin before the delay has passed: by then all
+// nodes know of it.
+func notBefore(delay time.Duration) map[string]any {
+	return map[string]any{"not_before_s": time.Now().Add(delay).Unix()}
 }
 
-// ask asks for a turn that may not begin before some time has passed, until the council takes it: it may not know the hosts yet.
-func ask(w *World, node, id, host string, in time.Duration) {
+// requestTurn requests a turn that may not begin before the delay has passed, until the group accepts it: the
+// group may not know the hosts yet.
+func requestTurn(w *World, node, id, host string, delay time.Duration) {
 	w.t.Helper()
-	w.Await("the council takes "+id, func() bool {
-		_, err := w.Requester("staff").Ask(node, id, host, 1, soon(in))
+	w.Await("the group accepts "+id, func() bool {
+		_, err := w.Requester("staff").Ask(node, id, host, 1, notBefore(delay))
 		return err == nil
 	})
 }
 
-// awaitHorizon waits until a node withholds some hosts, and no others, once it has no right.
-func awaitHorizon(w *World, node, hosts string) {
+// awaitExclusionSet waits until a node would exclude exactly these hosts once its send lease expires.
+func awaitExclusionSet(w *World, node, hosts string) {
 	w.t.Helper()
-	w.Await(node+" does without "+hosts+" once it has no right", func() bool {
+	w.Await(node+" excludes "+hosts+" without a send lease", func() bool {
 		line := ""
 		for _, more := range w.Node(node).Log() {
 			if strings.Contains(more, "hosts="+hosts+" horizon=") {
 				line = more
 			}
 		}
-		return line != "" && field(line, "horizon") == field(line, "recorded") // the council goes by it
+		// Equal: the group has recorded that the node has this exclusion set.
+		return line != "" && field(line, "horizon") == field(line, "recorded")
 	})
 }
 
-func TestALeaderIsKilledBetweenAskingAndGranting(t *testing.T) {
+func TestLeaderIsKilledBetweenRequestAndGrant(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
+	w, c := startBuilding(t, buildingPlan(nil))
 	first := awaitLeader(w, "n3")
-	ask(w, first, "t1", "h1", 3*time.Second)
-	awaitHorizon(w, first, "h1")
+	requestTurn(w, first, "t1", "h1", 3*time.Second)
+	awaitExclusionSet(w, first, "h1")
 	w.Node(first).Kill()
 	killed := w.Now()
-	rest := others(w, first)
-	work(w, c, "t1", "h1", rest...)
-	t.Logf("from the leader's end to the work's in %v", w.Now()-killed)
+	rest := otherNodes(w, first)
+	workOn(w, c, "t1", "h1", rest...)
+	t.Logf("end of the leader to end of the work: %v", w.Now()-killed)
 	assert.NotEqual(t, first, awaitLeader(w, rest[0], first))
 	w.Node(first).Restart(KeepStore)
-	served(c, w.Names()...)
-	work(w, c, "t2", "h2", w.Names()...)
-	w.RequireSound(two)
+	awaitServed(c, w.Names()...)
+	workOn(w, c, "t2", "h2", w.Names()...)
+	w.RequireNoViolations(twoPerSite)
 }
 
-func TestALeaderThatLeavesHandsOver(t *testing.T) {
-	w := New(t, building(nil))
+func TestStoppingLeaderTransfersLeadership(t *testing.T) {
+	w := New(t, buildingPlan(nil))
 	w.Start()
 	c := w.StartClients(Load{PerSecond: 60, HoldTime: 300 * time.Millisecond})
-	served(c, w.Names()...)
+	awaitServed(c, w.Names()...)
 	first := awaitLeader(w, "n3")
-	ask(w, first, "t1", "h1", 3*time.Second)
-	awaitHorizon(w, first, "h1")
-	w.Node(first).Leave()
+	requestTurn(w, first, "t1", "h1", 3*time.Second)
+	awaitExclusionSet(w, first, "h1")
+	w.Node(first).Terminate()
 	left := w.Now()
 	assert.Zero(t, w.Node(first).AwaitEnd())
 	ended := w.Now()
-	assert.True(t, said(w, "leads the council no more", first), "another one had taken over when it ended")
-	rest := others(w, first)
-	work(w, c, "t1", "h1", rest...)
-	t.Logf("the leader's process ended after %v; from SIGTERM to the work's end in %v, from the process's end in %v", ended-left, w.Now()-left, w.Now()-ended)
-	w.RequireSound(two)
+	assert.True(t, anyLogged(w, "leads the council no more", first), "another replica must have taken over before it ended")
+	rest := otherNodes(w, first)
+	workOn(w, c, "t1", "h1", rest...)
+	t.Logf("the leader's process ended after %v; SIGTERM to end of the work: %v; end of the process to end of the work: %v", ended-left, w.Now()-left, w.Now()-ended)
+	w.RequireNoViolations(twoPerSite)
 }
 
-func TestANodeThatIsCutOffDoesWithoutTheHorizonAndTheOrderWaitsBeyondIt(t *testing.T) {
+func TestNodeThatIsCutOffAppliesItsExclusionSetAndOtherTurnsWait(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
+	w, c := startBuilding(t, buildingPlan(nil))
 	staff := w.Requester("staff")
 	for _, turn := range [][2]string{{"t1", "h1"}, {"t2", "h2"}} {
-		ask(w, "n0", turn[0], turn[1], 4*time.Second)
+		requestTurn(w, "n0", turn[0], turn[1], 4*time.Second)
 	}
-	awaitHorizon(w, "n3", `"h1 h2"`)
-	w.Part(true, "n3")
-	work(w, c, "t1", "h1", w.Names()...) // also n3 goes on serving
-	// h5 is in no horizon that n3 knows of: it sends there, and the order waits.
-	ask(w, "n0", "t5", "h5", 0)
+	awaitExclusionSet(w, "n3", `"h1 h2"`)
+	w.Partition(true, "n3")
+	workOn(w, c, "t1", "h1", w.Names()...) // n3 continues to serve too
+	// h5 is in no exclusion set that n3 has: n3 sends to it, and the turn waits.
+	requestTurn(w, "n0", "t5", "h5", 0)
 	var why string
 	w.Await("the turn waits for the node that is cut off", func() bool {
 		r, err := staff.Turns("n0")
@@ -181,108 +185,108 @@
 				why = strings.Join(turn.WaitsFor, "; ")
 			}
 		}
-		return strings.HasPrefix(why, "n3: the node is cut off") // and for no other
+		return strings.HasPrefix(why, "n3: the node is cut off") // and for no other node
 	})
 	w.Heal()
-	work(w, c, "t5", "h5", w.Names()...)
-	w.RequireSound(two)
+	workOn(w, c, "t5", "h5", w.Names()...)
+	w.RequireNoViolations(twoPerSite)
 }
 
-func TestANodeThatWasStoppedDoesNotActOnItsOldRight(t *testing.T) {
+func TestNodeThatWasPausedDoesNotUseItsOldSendLease(t *testing.T) {
 	t.Parallel()
-	w := New(t, building(nil))
+	w := New(t, buildingPlan(nil))
 	w.Start()
 	c := w.StartClients(Load{PerSecond: 80, HoldTime: 300 * time.Millisecond})
-	served(c, w.Names()...)
+	awaitServed(c, w.Names()...)
 	staff := w.Requester("staff")
-	ask(w, "n0", "t1", "h1", 3*time.Second)
-	awaitHorizon(w, "n3", "h1")
+	requestTurn(w, "n0", "t1", "h1", 3*time.Second)
+	awaitExclusionSet(w, "n3", "h1")
 	w.Node("n3").Pause()
 	require.NoError(t, staff.Work(context.Background(), "t1", "h1", 1, func() {
 		w.Node("n3").Continue()
-		served(c, w.Names()...)
+		awaitServed(c, w.Names()...)
 	}))
-	w.RequireSound(two)
+	w.RequireNoViolations(twoPerSite)
 }
 
-func TestANodeThatRestartsWithNoStoreSendsNothingUntilItIsTold(t *testing.T) {
+func TestNodeThatRestartsWithNoStoreSendsNothingUntilItsLeaderAnswers(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
+	w, c := startBuilding(t, buildingPlan(nil))
 	w.Node("n3").Kill()
-	w.Part(true, "n3")
-	before := len(linesOf(w, "n3"))
+	w.Partition(true, "n3")
+	before := len(firstLinesFrom(w, "n3"))
 	w.Node("n3").Restart(EmptyStore)
-	served(c, "n0", "n1", "n2")
-	assert.Len(t, linesOf(w, "n3"), before, "nothing was sent")
+	awaitServed(c, "n0", "n1", "n2")
+	assert.Len(t, firstLinesFrom(w, "n3"), before, "it must not send anything")
 	w.Heal()
-	served(c, "n3")
-	w.RequireSound(two)
+	awaitServed(c, "n3")
+	w.RequireNoViolations(twoPerSite)
 }
 
-func TestASeatThatLostItsStoreCountsAgainOnceItIsTakenIn(t *testing.T) {
+func TestReplicaThatLostItsStoreCountsAgainOnceItIsAdded(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
+	w, c := startBuilding(t, buildingPlan(nil))
 	awaitLeader(w, "n3")
 	w.Node("n2").Kill()
 	w.Node("n2").Restart(EmptyStore)
-	w.Await("the seat is a stranger", func() bool { return said(w, "has to take it in", "n2") })
-	work(w, c, "t1", "h1", w.Names()...) // the other two agree by themselves, and n2 has its right
-	w.Await("it is taken in", func() bool {
+	w.Await("the replica is not a member", func() bool { return anyLogged(w, "has to take it in", "n2") })
+	workOn(w, c, "t1", "h1", w.Names()...) // the other two have a quorum, and n2 has its send lease
+	w.Await("the replica is added", func() bool {
 		w.Requester("operator").TakeIn(awaitLeader(w, "n3"), "n2", "its disk was replaced")
-		return said(w, "a seat is taken in", "n0", "n1")
+		return anyLogged(w, "a seat is taken in", "n0", "n1")
 	})
-	ask(w, "n3", "t2", "h2", 3*time.Second)
-	awaitHorizon(w, "n0", "h2")
+	requestTurn(w, "n3", "t2", "h2", 3*time.Second)
+	awaitExclusionSet(w, "n0", "h2")
 	w.Node("n0").Kill()
 	awaitLeader(w, "n3", "n0")
-	work(w, c, "t2", "h2", "n1", "n2", "n3")
-	w.RequireSound(two)
+	workOn(w, c, "t2", "h2", "n1", "n2", "n3")
+	w.RequireNoViolations(twoPerSite)
 }
 
-func linesOf(w *World, node string) (all []FirstLine) {
+func firstLinesFrom(w *World, node string) (all []FirstLine) {
 	for _, h := range w.Hosts() {
 		all = append(all, h.FirstLines(node)...)
 	}
 	return all
 }
 
-func TestACutCouncilGivesNoTurnsAndTheTrafficGoesOn(t *testing.T) {
+func TestGroupWithoutQuorumGrantsNoTurnsAndTrafficContinues(t *testing.T) {
 	t.Parallel()
-	w, c := begun(t, building(nil))
-	w.Part(false, "n0")
-	w.Part(false, "n1")
-	w.Part(false, "n2")
-	w.Await("calls are refused, and say what to do", func() bool {
+	w, c := startBuilding(t, buildingPlan(nil))
+	w.Partition(false, "n0")
+	w.Partition(false, "n1")
+	w.Partition(false, "n2")
+	w.Await("calls are refused with advice", func() bool {
 		_, err := w.Requester("staff").Ask("n3", "t1", "h1", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "what to do")
 	})
-	served(c, w.Names()...)
+	awaitServed(c, w.Names()...)
 	w.Heal()
-	work(w, c, "t1", "h1", w.Names()...)
-	w.RequireSound(two)
+	workOn(w, c, "t1", "h1", w.Names()...)
+	w.RequireNoViolations(twoPerSite)
 }
 
-func TestNeverMoreAreOutThanTheAllowance(t *testing.T) {
+func TestNoMoreHostsAreGrantedThanAllowed(t *testing.T) {
 	t.Parallel()
-	w, _ := begun(t, building(nil))
+	w, _ := startBuilding(t, buildingPlan(nil))
 	errs := make(chan error)
 	for _, h := range []string{"h0", "h1", "h2", "h3"} {
 		go func() {
-			errs <- w.Requester("staff-"+h).Work(context.Background(), "t-"+h, h, 1, func() { w.pause(200 * time.Millisecond) })
+			errs <- w.Requester("staff-"+h).Work(context.Background(), "t-"+h, h, 1, func() { w.sleep(200 * time.Millisecond) })
 		}()
 	}
 	for range 4 {
 		require.NoError(t, <-errs)
 	}
-	w.RequireSound(two)
+	w.RequireNoViolations(twoPerSite)
 }
 
-func TestACallThatNamesNoHostIsRefusedWithWhatToDo(t *testing.T) {
+func TestRequestForAnUnknownHostIsRefusedWithAdvice(t *testing.T) {
 	t.Parallel()
-	w := New(t, building(nil))
+	w := New(t, buildingPlan(nil))
 	w.Start()
 	var err error
-	w.Await("the council knows the hosts", func() bool {
+	w.Await("the group knows the hosts", func() bool {
 		_, err = w.Requester("staff").Ask("n3", "t1", "nowhere", 1, nil)
 		return err != nil && strings.Contains(err.Error(), "nowhere")
 	})
--- a/rehearsal/processes/world_test.go
+++ b/rehearsal/processes/world_test.go
@@ -16,26 +16,26 @@
 	"lichenhitch/internal/site/sitepb"
 )
 
-func three() Plan {
-	return Plan{Seed: 1, Hosts: Fleet(3), Alone: true,
+func threeNodePlan() Plan {
+	return Plan{Seed: 1, Hosts: Fleet(3), NoSiteFile: true,
 		Sites: []Site{{Name: "b", Level: sitepb.Level_BUILDING, Nodes: []string{"n0", "n1", "n2"}}}}
 }
 
-func each(w *World, c *Clients, more int) {
+func awaitEachServed(w *World, c *Clients, count int) {
 	w.t.Helper()
 	for _, n := range w.Names() {
-		c.AwaitServed(more, n)
+		c.AwaitServed(count, n)
 	}
 }
 
-// Clients are served at the other nodes while one is killed, one stands still or one hears nothing of discovery; each node
-// serves again afterwards, and hosts know which node sent them what.
+// Clients are served at the other nodes while one node is killed, one is paused or one is cut off from
+// discovery. Each node serves again afterwards, and hosts know which node sent them each line.
 func TestNodesAreKilledPausedAndCutOff(t *testing.T) {
 	t.Parallel()
-	w := New(t, three())
+	w := New(t, threeNodePlan())
 	w.Start()
 	c := w.StartClients(Load{PerSecond: 80, HoldTime: 200 * time.Millisecond})
-	each(w, c, 5)
+	awaitEachServed(w, c, 5)
 	for _, n := range w.Names() {
 		assert.NotEmpty(t, func() (all []FirstLine) {
 			for _, h := range w.Hosts() {
@@ -50,7 +50,7 @@
 	require.False(t, n0.Runs())
 	unmet := c.Report().ConnectFailed
 	c.AwaitServed(10, "n1")
-	w.Await("the dead node's clients are refused", func() bool { return c.Report().ConnectFailed > unmet })
+	w.Await("clients of the killed node are refused", func() bool { return c.Report().ConnectFailed > unmet })
 	n0.Restart(KeepStore)
 	c.AwaitServed(5, "n0")
 
@@ -59,19 +59,19 @@
 	require.True(t, n1.Paused())
 	paused := w.Now()
 	c.AwaitServed(10, "n2")
-	w.Await("clients of the node that stands still get nothing", func() bool { return c.Report().Unanswered > 0 })
+	w.Await("clients of the paused node get no answer", func() bool { return c.Report().Unanswered > 0 })
 	c.AwaitServed(10, "n0")
-	for _, l := range linesOf(w, "n1") { // by the kernel's times: an answer may be read late
+	for _, l := range firstLinesFrom(w, "n1") { // by the kernel's timestamps, because an answer may be read late
 		require.LessOrEqual(t, l.At, paused)
 	}
 	n1.Continue()
 	c.AwaitServed(5, "n1")
 
-	w.ToDiscovery("n2").Cut()
+	w.DiscoveryLink("n2").Cut()
 	h := w.Host("h0")
 	h.Drain()
 	drained := w.Now()
-	w.Await("the node that is cut off still sends to it", func() bool {
+	w.Await("the node that is cut off still sends to the drained host", func() bool {
 		for _, l := range h.FirstLines("n2") {
 			if l.At > drained {
 				return true
@@ -83,37 +83,38 @@
 	w.Heal()
 	w.Await("it asks discovery again", func() bool { return w.Discovery.Calls("n2") > calls })
 	h.Undrain()
-	each(w, c, 5)
+	awaitEachServed(w, c, 5)
 	c.Stop()
 	r := c.Report()
 	t.Log(r)
 	assert.Equal(t, r.Requests, r.Served+r.Busy+r.Failed+r.Unanswered)
 	assert.Positive(t, r.LatencyQuantile(0.5))
 	assert.EqualValues(t, r.Served, r.Latency.GetCount())
-	w.RequireSound(Allowance{Site: 1})
+	w.RequireNoViolations(Allowance{Site: 1})
 	for _, n := range w.Names() {
 		w.Node(n).Stop()
 	}
 }
 
-// A first line at a host in work is found by the host's own count; a host that is killed gets none until it has started.
-func TestHostsInWorkAndDead(t *testing.T) {
+// A host under maintenance detects a first line by itself. A killed host gets no line until it has started
+// again.
+func TestHostsUnderMaintenanceAndCrashed(t *testing.T) {
 	t.Parallel()
-	w := New(t, three())
+	w := New(t, threeNodePlan())
 	w.Start()
 	c := w.StartClients(Load{PerSecond: 80, HoldTime: 100 * time.Millisecond})
-	each(w, c, 2)
+	awaitEachServed(w, c, 2)
 	h, other := w.Host("h1"), w.Host("h2")
 	h.BeginWork()
 	require.True(t, h.InWork())
 	n := len(h.FirstLines(""))
-	w.Await("lines come all the same", func() bool { return len(h.FirstLines("")) > n+1 })
+	w.Await("first lines still arrive", func() bool { return len(h.FirstLines("")) > n+1 })
 	h.EndWork()
 	got := h.Violations()
 	require.NotEmpty(t, got)
-	require.Equal(t, len(got), len(w.Violations(Allowance{})), "no others are found")
-	w.Await("more come", func() bool { return len(h.FirstLines("")) > n+5 })
-	assert.Len(t, h.Violations(), len(got), "those after its work are none")
+	require.Equal(t, len(got), len(w.Violations(Allowance{})), "there must be no other violations")
+	w.Await("more first lines arrive", func() bool { return len(h.FirstLines("")) > n+5 })
+	assert.Len(t, h.Violations(), len(got), "lines after the work are no violations")
 
 	other.Kill()
 	require.Zero(t, other.OpenConns())
@@ -121,19 +122,20 @@
 	c.AwaitServed(20, "")
 	require.Len(t, other.FirstLines(""), n)
 	other.Start()
-	w.Await("it is in use again", func() bool { return len(other.FirstLines("")) > n })
+	w.Await("the host is used again", func() bool { return len(other.FirstLines("")) > n })
 
 	w.Discovery.SetDown(true)
 	calls := w.Discovery.Calls("n1")
 	w.Await("discovery fails", func() bool { return w.Discovery.Calls("n1") > calls+1 })
 	w.Heal()
-	each(w, c, 5)
+	awaitEachServed(w, c, 5)
 }
 
-// The store of a node that is started again is as the story says, and its files may not grow beyond a limit.
-func TestStoresAreKeptLostOlderAndTorn(t *testing.T) {
+// A restarted node finds the store that the scenario has prepared, and a limit on the size of its files is
+// enforced.
+func TestStoresAreKeptLostStaleAndTruncated(t *testing.T) {
 	t.Parallel()
-	p := three()
+	p := threeNodePlan()
 	p.Sites[0].Nodes = []string{"n0"}
 	w := New(t, p)
 	n := w.Node("n0")
@@ -170,7 +172,7 @@
 	require.Contains(t, shared(), entry)
 	n.LimitFiles(1)
 	n.Stop()
-	assert.Contains(t, shared(), entry, "the process could not take itself off the file that all processes of a node share")
+	assert.Contains(t, shared(), entry, "the process could not remove itself from the file that all processes of a node share")
 	assert.Contains(t, n.Log()[len(n.Log())-1], "the process has ended")
 	n.LimitFiles(0)
 	n.Start()
@@ -179,9 +181,10 @@
 	assert.NotContains(t, shared(), `"PID"`)
 }
 
-// What the kernel says of a first line lies between its writing and its reading, though clocks of two kinds tell.
-func TestTheKernelsTimesAreTheWorlds(t *testing.T) {
-	w := New(t, three())
+// The kernel timestamp of a first line lies between its writing and its reading, although two different
+// clocks are involved.
+func TestKernelTimestampsAgreeWithTheTestClock(t *testing.T) {
+	w := New(t, threeNodePlan())
 	h := w.Host("h0")
 	for i := range 20 {
 		c, err := net.Dial("tcp4", h.endpoint("n1"))
@@ -189,15 +192,15 @@
 		before := w.Now()
 		_, err = fmt.Fprintf(c, "OPEN %d 1 c=chat\r\n", i)
 		require.NoError(t, err)
-		w.Await("it is read", func() bool { return len(h.FirstLines("n1")) == i+1 })
-		const apart = 2 * time.Millisecond // of the two clocks at most
-		assert.Greater(t, h.FirstLines("n1")[i].At, before-apart)
-		assert.Less(t, h.FirstLines("n1")[i].At, w.Now()+apart)
+		w.Await("the line is read", func() bool { return len(h.FirstLines("n1")) == i+1 })
+		const clockSkew = 2 * time.Millisecond // greatest difference between the two clocks
+		assert.Greater(t, h.FirstLines("n1")[i].At, before-clockSkew)
+		assert.Less(t, h.FirstLines("n1")[i].At, w.Now()+clockSkew)
 		c.Close()
 	}
 	assert.Empty(t, h.FirstLines("n0"))
-	past, now := w.when(time.Now().Add(-time.Hour).UnixNano()), w.Now()
-	assert.InDelta(t, now-time.Hour, past, float64(time.Second), "a line that was read late came when it came")
+	past, now := w.fromUnixNano(time.Now().Add(-time.Hour).UnixNano()), w.Now()
+	assert.InDelta(t, now-time.Hour, past, float64(time.Second), "a line that is read late keeps its time of arrival")
 
 	h.SetUnresponsive("n1", true)
 	answer := func(node string) string {
@@ -207,7 +210,7 @@
 		before := len(h.FirstLines(node))
 		_, err = fmt.Fprint(c, "OPEN 1 1 c=chat\r\n")
 		require.NoError(t, err)
-		w.Await("it is read", func() bool { return len(h.FirstLines(node)) > before })
+		w.Await("the line is read", func() bool { return len(h.FirstLines(node)) > before })
 		if node == "n1" {
 			require.NoError(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 			_, err = c.Read(make([]byte, 1))
@@ -219,19 +222,19 @@
 		require.NoError(t, err)
 		return line
 	}
-	assert.Equal(t, "UP h0.21\r\n", answer("n0"), "it speaks to others")
-	assert.Equal(t, "UP h0.22\r\n", answer("n1"), "and to this one when all is healed")
+	assert.Equal(t, "UP h0.21\r\n", answer("n0"), "the host answers other nodes")
+	assert.Equal(t, "UP h0.22\r\n", answer("n1"), "and this node after healing")
 }
 
-// A plan of faults is played while clients come: nothing is seen that must not be, and all nodes serve in the end.
-func TestAPlanOfFaultsIsPlayed(t *testing.T) {
+// A plan of faults runs while clients connect: there are no violations, and all nodes serve in the end.
+func TestPlanOfFaultsRuns(t *testing.T) {
 	t.Parallel()
-	w := New(t, three())
+	w := New(t, threeNodePlan())
 	w.Start()
 	c := w.StartClients(Load{PerSecond: 60, HoldTime: 200 * time.Millisecond, Deadline: time.Second})
 	w.RunFaults(RandomFaults(3, w.Names(), 3*time.Second))
-	each(w, c, 5)
+	awaitEachServed(w, c, 5)
 	c.Stop()
 	t.Log(c.Report())
-	w.RequireSound(Allowance{})
+	w.RequireNoViolations(Allowance{})
 }
