--- a/rehearsal/crowd/crowd.go
+++ b/rehearsal/crowd/crowd.go
@@ -1,13 +1,14 @@
-// Package crowd plays a large fleet in virtual time: many nodes (balance.Balancer), a few hosts for every ten, and clients
-// that come again until they are served. It counts what each node alone cannot see: how much of what clients want they
-// get, and how many nodes send nothing on for seconds.
+// Package crowd simulates a large fleet in virtual time: many nodes (balance.Balancer), three hosts for every ten nodes, and
+// clients that return until they are served. It measures what no single node can see: the share of the clients' demand
+// that is served, and the number of nodes that place no request for seconds.
 //
-//	got := crowd.Play(crowd.Plan{Nodes: 300, Load: 0.57, Burst: 0.4, Seed: 1})
+//	got := crowd.Run(crowd.Plan{Nodes: 300, Load: 0.57, Burst: 0.4, Seed: 1})
 //	fmt.Println(got)
 //
-// The hosts are simple: each has a capacity in connections, its load swings with its connections, every group that it holds
-// any of costs one more, reports are made now and then and told late, what is asked beyond the capacity piles up, and the
-// newest connection goes when too much has. One plays in about a second.
+// The hosts are simple. Each has a capacity in connections. Its load is the sum of the varying loads of its connections, plus
+// one for each group with at least one connection there. It reports its load at intervals, and the reports arrive late.
+// Load beyond the capacity builds up a backlog, and at a maximum backlog the host closes its newest connection. A run takes
+// about a second.
 package crowd
 
 import (
@@ -21,150 +22,150 @@
 	"lichenhitch/balance"
 )
 
-// The fleet, with the figures of a site of long-lived connections.
+// The parameters of the fleet, as in a site with long-lived connections.
 const (
-	lasts        = 23 * time.Second // a play
-	step         = 50 * time.Millisecond
-	begins       = 3 * time.Second // over which those come that were open before
-	burstAt      = 8300 * time.Millisecond
-	life         = 91 * time.Second // of a connection, on average
-	reportEvery  = 1157 * time.Millisecond
-	reportLate   = 420 * time.Millisecond
-	changesEvery = 11 * time.Second // a connection's load
-	message      = 7360 * time.Microsecond
-	buffer       = 1.36 // seconds of work that may pile up
-	groupSize    = 11.2
-	hotPart      = 10  // one node in so many
-	hotTimes     = 3.2 // gets so many times what others get
-	// starvedFor and starvedOf are what the operators count: a node that turns away all that it gets, so many or more, for so
-	// long, with no attempt in between.
-	starvedFor = 4 * time.Second
-	starvedOf  = 15
+	duration           = 23 * time.Second // of a run
+	step               = 50 * time.Millisecond
+	rampUp             = 3 * time.Second // time within which the connections that are open at the start are set up
+	burstAt            = 8300 * time.Millisecond
+	meanLifetime       = 91 * time.Second // of a connection
+	reportInterval     = 1157 * time.Millisecond
+	reportDelay        = 420 * time.Millisecond
+	loadChangeInterval = 11 * time.Second // mean interval between changes of a connection's load
+	messageServiceTime = 7360 * time.Microsecond
+	maxBacklog         = 1.36 // seconds of work
+	groupSize          = 11.2 // connections per group
+	hotNodeInterval    = 10   // one node in this many is hot,
+	hotNodeFactor      = 3.2  // and gets this many times the requests of the others
+	// Operators count a node as starved if it refuses all its requests for at least starvedDuration, and at least
+	// starvedRefusals of them, without an attempt in between.
+	starvedDuration = 4 * time.Second
+	starvedRefusals = 15
 )
 
-// Plan is what is played.
+// Plan is the configuration of a run.
 type Plan struct {
 	Nodes int
-	Load  float64 // of the fleet at the start, as a part of its capacity, groups aside
-	Burst float64 // connections that come at once in the middle, as a part of those at the start
+	Load  float64 // of the fleet at the start, as a fraction of its capacity, without the cost of groups
+	Burst float64 // connections that arrive at once in the middle of the run, as a fraction of those at the start
 	Seed  uint64
 }
 
-// Outcome is what came of a play.
+// Outcome is the result of a run.
 type Outcome struct {
-	Served   float64 // worth of the seconds in which clients were served, over that of all they wanted
-	Class    []float64
-	Starved  int // nodes that turned away all for four seconds on end, fifteen or more
-	Tries    int
-	Refused  int
-	Attempts int
-	Probes   int
-	Moves    int
-	Mean     float64 // true load over capacity at the end
+	Served        float64   // value of the seconds in which clients were served, divided by that of all seconds that they wanted
+	ServedByClass []float64 // the same, by class
+	Starved       int       // nodes that refused all their requests for 4 s, fifteen or more
+	Requests      int       // repeated ones included
+	Refused       int
+	Attempts      int
+	Probes        int
+	Moves         int
+	MeanRatio     float64 // actual load of the fleet divided by its capacity, at the end
 }
 
 func (o Outcome) String() string {
-	return fmt.Sprintf("served %.3f %.3f, %d nodes starved, %d tries, %d refused, %d attempts, %d probes, %d moves, mean %.2f",
-		o.Served, o.Class, o.Starved, o.Tries, o.Refused, o.Attempts, o.Probes, o.Moves, o.Mean)
+	return fmt.Sprintf("served %.3f %.3f, %d nodes starved, %d requests, %d refused, %d attempts, %d probes, %d moves, mean %.2f",
+		o.Served, o.ServedByClass, o.Starved, o.Requests, o.Refused, o.Attempts, o.Probes, o.Moves, o.MeanRatio)
 }
 
-// kind is a class of clients.
-type kind struct {
-	class             balance.Class
-	share, load, life float64
+// clientClass is a class of clients: its share of the arrivals, and its mean load and lifetime relative to the average.
+type clientClass struct {
+	settings              balance.Class
+	share, load, lifetime float64
 }
 
 type host struct {
-	id       balance.ServerID
-	capacity float64
-	conns    []*client // in the order of their standing
-	groups   map[string]int
-	load     float64
-	piled    float64 // seconds of work
-	told     float64 // ratio
+	id            balance.ServerID
+	capacity      float64
+	conns         []*client // in the order in which they were established
+	groups        map[string]int
+	load          float64
+	backlog       float64 // seconds of work
+	reportedRatio float64 // load divided by capacity
 }
 
 func (h *host) ratio() float64 { return h.load / h.capacity }
 
 type client struct {
-	kind        int
-	tenant      string
-	group       string
-	usual, load float64
-	lasts       time.Duration
-	until       time.Duration
-	host        *host // nil while it is not served
-	node        *node
-	id          balance.RequestID
-	fails       int
-	again       bool
+	classIndex      int
+	tenant          string
+	group           string
+	usualLoad, load float64
+	lifetime        time.Duration
+	endsAt          time.Duration
+	host            *host // nil while the client is not served
+	node            *node
+	id              balance.RequestID
+	failedAttempts  int
+	returning       bool
 }
 
 type node struct {
-	b       *balance.Balancer
-	clients map[balance.RequestID]*client
-	slowAt  map[*host]time.Duration
-	away    int // turned away since the last attempt
-	tried   time.Duration
-	starved bool
+	balancer       *balance.Balancer
+	clients        map[balance.RequestID]*client
+	slowReportedAt map[*host]time.Duration
+	refusals       int // since the last attempt
+	lastAttempt    time.Duration
+	starved        bool
 }
 
-// world is a play under way.
+// world is the state of a run.
 type world struct {
-	plan         Plan
-	rng          *rand.Rand
-	now          time.Duration
-	due          agenda
-	asked        int
-	ids          balance.RequestID
-	kinds        []kind
-	nodes        []*node
-	hosts        []*host
-	byID         map[balance.ServerID]*host
-	alive        []*client
-	capacity     float64
-	got, want    []float64 // worth by class
-	out          Outcome
-	served, wish float64
+	plan                     Plan
+	rng                      *rand.Rand
+	now                      time.Duration
+	events                   eventQueue
+	eventCount               int
+	lastID                   balance.RequestID
+	classes                  []clientClass
+	nodes                    []*node
+	hosts                    []*host
+	byID                     map[balance.ServerID]*host
+	wanting                  []*client
+	capacity                 float64
+	servedValue, wantedValue []float64 // by class
+	out                      Outcome
+	totalServed, totalWanted float64
 }
 
 type event struct {
-	at time.Duration
-	no int
-	do func()
+	at  time.Duration
+	seq int
+	run func()
 }
 
-// agenda is a heap of events, the earliest first and those of one moment in the order of their asking.
-type agenda []event
+// eventQueue is a heap of events, ordered by time, and at the same time by the order in which they were scheduled.
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].no < a[j].no
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
+	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	last := len(*a) - 1
 	e := (*a)[last]
 	*a = (*a)[:last]
 	return e
 }
 
-// Play plays a day. Equal plans give equal outcomes.
-func Play(p Plan) Outcome {
+// Run simulates a plan. Equal plans give equal outcomes.
+func Run(p Plan) Outcome {
 	w := &world{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 7)), byID: map[balance.ServerID]*host{}}
-	w.fleet()
-	w.traffic()
-	for len(w.due) > 0 {
-		e := heap.Pop(&w.due).(event)
-		if w.now = e.at; w.now >= lasts {
+	w.setUpFleet()
+	w.startTraffic()
+	for len(w.events) > 0 {
+		e := heap.Pop(&w.events).(event)
+		if w.now = e.at; w.now >= duration {
 			break
 		}
-		e.do()
+		e.run()
 	}
-	w.out.Served = w.served / w.wish
-	for i := range w.kinds {
-		w.out.Class = append(w.out.Class, w.got[i]/w.want[i])
+	w.out.Served = w.totalServed / w.totalWanted
+	for i := range w.classes {
+		w.out.ServedByClass = append(w.out.ServedByClass, w.servedValue[i]/w.wantedValue[i])
 	}
 	for _, n := range w.nodes {
 		if n.starved {
@@ -172,224 +173,230 @@
 		}
 	}
 	for _, h := range w.hosts {
-		w.out.Mean += h.load / w.capacity
+		w.out.MeanRatio += h.load / w.capacity
 	}
 	return w.out
 }
 
-func (w *world) in(d time.Duration, do func()) {
-	w.asked++
-	heap.Push(&w.due, event{w.now + d, w.asked, do})
+// schedule schedules an event after a delay.
+func (w *world) schedule(d time.Duration, run func()) {
+	w.eventCount++
+	heap.Push(&w.events, event{w.now + d, w.eventCount, run})
 }
 
-func (w *world) upTo(d time.Duration) time.Duration {
+// uniform returns a duration with a uniform distribution up to d.
+func (w *world) uniform(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Float64() * float64(d))
 }
-func (w *world) about(d time.Duration) time.Duration {
+
+// exponential returns a duration with an exponential distribution of mean d.
+func (w *world) exponential(d time.Duration) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() * float64(d))
 }
 
-// uneven returns a factor of mean one with a long tail.
-func (w *world) uneven(sigma float64) float64 {
+// logNormal returns a factor with a log-normal distribution of mean one.
+func (w *world) logNormal(sigma float64) float64 {
 	return math.Exp(w.rng.NormFloat64()*sigma - sigma*sigma/2)
 }
 
-// fleet sets nodes and hosts up.
-func (w *world) fleet() {
+// setUpFleet creates the nodes and the hosts.
+func (w *world) setUpFleet() {
 	const ms = time.Millisecond
-	class := func(name string, worth float64, aim, deadline, message time.Duration) balance.Class {
-		return balance.Class{Name: name, LatencyTarget: aim, Deadline: deadline, Streamed: true, MessageLatencyTarget: message, Value: worth}
+	class := func(name string, value float64, latencyTarget, deadline, message time.Duration) balance.Class {
+		return balance.Class{Name: name, LatencyTarget: latencyTarget, Deadline: deadline, Streamed: true, MessageLatencyTarget: message, Value: value}
 	}
-	w.kinds = []kind{
+	w.classes = []clientClass{
 		{class("a", 3, 300*ms, 1200*ms, 250*ms), 0.31, 1, 1},
 		{class("b", 2, 500*ms, 3000*ms, 60*ms), 0.30, 3.9, 0.8},
 		{class("c", 3, 800*ms, 3200*ms, 60*ms), 0.25, 7, 2.7},
 		{class("d", 1, 800*ms, 3200*ms, 60*ms), 0.14, 6, 0.9},
 	}
-	var lives, loads float64
-	for _, k := range w.kinds {
-		lives += k.share * k.life
-		loads += k.share * k.life * k.load
+	var lifetimeSum, loadSum float64
+	for _, k := range w.classes {
+		lifetimeSum += k.share * k.lifetime
+		loadSum += k.share * k.lifetime * k.load
 	}
-	set := balance.Settings{Balancers: w.plan.Nodes, Zone: "here", MaxAttempts: 4, Tick: 5 * ms, Probes: true,
+	settings := balance.Settings{Balancers: w.plan.Nodes, Zone: "here", MaxAttempts: 4, Tick: 5 * ms, Probes: true,
 		MaxRetryAfter: 1500 * ms, WeightsNominal: true, ConnectTimeout: 250 * ms,
 		Safety: balance.Safety{AnswerSlack: 50 * ms, DrainGrace: 2 * time.Second, ListRefreshInterval: 10 * time.Second, ColdCapacity: 0.37,
 			WarmUp: 8 * time.Second, OverloadFactor: 3, OverloadWindow: 1500 * ms},
 		Prices: balance.Prices{Probe: 0.0019, Move: 0.022}}
-	for i := range w.kinds {
-		w.kinds[i].life /= lives // so that those open have a load of one, and live for as long as is said, on average
-		w.kinds[i].load *= lives / loads
-		set.Classes = append(set.Classes, w.kinds[i].class)
+	for i := range w.classes {
+		// Makes the mean load of the open connections one, and the mean lifetime of all connections meanLifetime.
+		w.classes[i].lifetime /= lifetimeSum
+		w.classes[i].load *= lifetimeSum / loadSum
+		settings.Classes = append(settings.Classes, w.classes[i].settings)
 	}
-	w.got, w.want = make([]float64, len(w.kinds)), make([]float64, len(w.kinds))
+	w.servedValue, w.wantedValue = make([]float64, len(w.classes)), make([]float64, len(w.classes))
 	var list []balance.Listing
 	for i := range w.plan.Nodes * 3 / 10 {
 		weight := 3.0
 		if w.rng.Float64() < 0.38 {
 			weight = 1.5
 		}
-		h := &host{id: balance.ServerID(fmt.Sprint("h", i)), capacity: weight * 18.7 * w.uneven(0.15), groups: map[string]int{}}
+		h := &host{id: balance.ServerID(fmt.Sprint("h", i)), capacity: weight * 18.7 * w.logNormal(0.15), groups: map[string]int{}}
 		w.capacity += h.capacity
 		w.hosts = append(w.hosts, h)
 		w.byID[h.id] = h
 		list = append(list, balance.Listing{Server: h.id, Zone: "here", Cell: i / 6, Weight: weight, State: balance.Ready})
-		w.in(w.upTo(reportEvery), func() { w.report(h) })
+		w.schedule(w.uniform(reportInterval), func() { w.report(h) })
 	}
-	set.Tenants = []balance.Tenant{{Name: "k", Share: 0.55, Quota: 0.506 * w.capacity}, {Name: "l", Share: 0.45, Quota: 0.414 * w.capacity}}
+	settings.Tenants = []balance.Tenant{{Name: "k", Share: 0.55, Quota: 0.506 * w.capacity}, {Name: "l", Share: 0.45, Quota: 0.414 * w.capacity}}
 	for i := range w.plan.Nodes {
-		set.Self = i
-		n := &node{b: balance.New(set, w.plan.Seed*1000+uint64(i)), clients: map[balance.RequestID]*client{}, slowAt: map[*host]time.Duration{}}
+		settings.Self = i
+		n := &node{balancer: balance.New(settings, w.plan.Seed*1000+uint64(i)), clients: map[balance.RequestID]*client{}, slowReportedAt: map[*host]time.Duration{}}
 		w.nodes = append(w.nodes, n)
-		w.tell(n, balance.ServerList{Kind: balance.ListFull, Entries: list})
+		w.handle(n, balance.ServerList{Kind: balance.ListFull, Entries: list})
 	}
-	w.in(0, w.pass)
+	w.schedule(0, w.advance)
 }
 
-// traffic has clients come: those that were open before, new ones all the time, and a burst.
-func (w *world) traffic() {
+// startTraffic schedules the arrivals of clients: those of the start, new ones all the time, and a burst.
+func (w *world) startTraffic() {
 	open := w.plan.Load * w.capacity
 	for range int(open * 0.77) {
-		c := w.newcomer(true)
-		c.lasts = max(c.lasts, w.about(2*life))
-		w.in(w.upTo(begins), func() { w.begin(c) })
+		c := w.newClient(true)
+		c.lifetime = max(c.lifetime, w.exponential(2*meanLifetime))
+		w.schedule(w.uniform(rampUp), func() { w.startClient(c) })
 	}
 	var next func()
 	next = func() {
-		w.begin(w.newcomer(false))
-		w.in(w.about(time.Duration(float64(life)/open)), next)
+		w.startClient(w.newClient(false))
+		w.schedule(w.exponential(time.Duration(float64(meanLifetime)/open)), next)
 	}
-	w.in(w.about(time.Duration(float64(life)/open)), next)
-	w.in(burstAt, func() {
+	w.schedule(w.exponential(time.Duration(float64(meanLifetime)/open)), next)
+	w.schedule(burstAt, func() {
 		for range int(w.plan.Burst * open) {
-			c := w.newcomer(true)
-			w.in(w.about(700*time.Millisecond), func() { w.begin(c) })
+			c := w.newClient(true)
+			w.schedule(w.exponential(700*time.Millisecond), func() { w.startClient(c) })
 		}
 	})
 }
 
-// newcomer draws a client of those that come, or of those that are open at a time.
-func (w *world) newcomer(open bool) *client {
-	weight := func(k kind) float64 {
+// newClient draws a client, with open set from the distribution of the open connections, otherwise from that of the arrivals.
+func (w *world) newClient(open bool) *client {
+	weight := func(k clientClass) float64 {
 		if open {
-			return k.share * k.life
+			return k.share * k.lifetime
 		}
 		return k.share
 	}
 	total := 0.0
-	for _, k := range w.kinds {
+	for _, k := range w.classes {
 		total += weight(k)
 	}
 	at, chosen := w.rng.Float64()*total, 0
-	for at -= weight(w.kinds[0]); at > 0 && chosen+1 < len(w.kinds); at -= weight(w.kinds[chosen]) {
+	for at -= weight(w.classes[0]); at > 0 && chosen+1 < len(w.classes); at -= weight(w.classes[chosen]) {
 		chosen++
 	}
-	k := w.kinds[chosen]
-	c := &client{kind: chosen, tenant: "l", usual: k.load * w.uneven(1.25)}
+	k := w.classes[chosen]
+	c := &client{classIndex: chosen, tenant: "l", usualLoad: k.load * w.logNormal(1.25)}
 	if w.rng.Float64() < 0.374 {
 		c.tenant = "k"
 	}
 	groups := max(4, w.plan.Load*w.capacity/groupSize)
 	c.group = fmt.Sprint("g", int(math.Pow(w.rng.Float64(), 2.5)*groups))
-	c.lasts = time.Duration(float64(life) * k.life * w.uneven(1.2))
-	w.swing(c)
+	c.lifetime = time.Duration(float64(meanLifetime) * k.lifetime * w.logNormal(1.2))
+	w.drawLoad(c)
 	return c
 }
 
-// swing draws the load that a connection has now: idle, or about the usual one.
-func (w *world) swing(c *client) {
-	if c.load = c.usual * w.uneven(0.67) / 0.77; w.rng.Float64() < 0.24 {
-		c.load = c.usual / 20
+// drawLoad draws the current load of a connection: an idle one, or one around the usual load.
+func (w *world) drawLoad(c *client) {
+	if c.load = c.usualLoad * w.logNormal(0.67) / 0.77; w.rng.Float64() < 0.24 {
+		c.load = c.usualLoad / 20
 	}
 }
 
-// begin has a client come, and come again until its time is over.
-func (w *world) begin(c *client) {
-	c.until = w.now + c.lasts
-	w.alive = append(w.alive, c)
-	w.try(c)
+// startClient makes a client send its request, and schedules its changes of load and its end.
+func (w *world) startClient(c *client) {
+	c.endsAt = w.now + c.lifetime
+	w.wanting = append(w.wanting, c)
+	w.sendRequest(c)
 	var change func()
 	change = func() {
-		if w.now >= c.until {
+		if w.now >= c.endsAt {
 			return
 		}
 		before := c.load
-		if w.swing(c); c.host != nil {
+		if w.drawLoad(c); c.host != nil {
 			c.host.load += c.load - before
-			w.tell(c.node, balance.LoadChanged{Request: c.id, Load: c.load * 1000})
+			w.handle(c.node, balance.LoadChanged{Request: c.id, Load: c.load * 1000})
 		}
-		w.in(w.about(changesEvery), change)
+		w.schedule(w.exponential(loadChangeInterval), change)
 	}
-	w.in(w.about(changesEvery), change)
-	w.in(c.lasts, func() {
+	w.schedule(w.exponential(loadChangeInterval), change)
+	w.schedule(c.lifetime, func() {
 		if c.host != nil {
-			w.leave(c, balance.OK)
+			w.closeConn(c, balance.OK)
 		}
 	})
 }
 
-// try has a client come to a node: one in ten nodes gets several times what the others get.
-func (w *world) try(c *client) {
-	if w.now >= c.until {
+// sendRequest sends a client's request to a random node. Hot nodes get several times as many as the others.
+func (w *world) sendRequest(c *client) {
+	if w.now >= c.endsAt {
 		return
 	}
-	hot := (len(w.nodes) + hotPart - 1) / hotPart
+	hot := (len(w.nodes) + hotNodeInterval - 1) / hotNodeInterval
 	i := w.rng.IntN(len(w.nodes))
-	if extra := (hotTimes - 1) * float64(hot); w.rng.Float64() < extra/(extra+float64(len(w.nodes))) {
+	if extra := (hotNodeFactor - 1) * float64(hot); w.rng.Float64() < extra/(extra+float64(len(w.nodes))) {
 		i = w.rng.IntN(hot)
 	}
-	w.ids++
-	c.id, c.node = w.ids, w.nodes[i]
+	w.lastID++
+	c.id, c.node = w.lastID, w.nodes[i]
 	c.node.clients[c.id] = c
-	w.out.Tries++
-	class := w.kinds[c.kind].class
-	w.tell(c.node, balance.Arrival{Request: c.id, Class: class.Name, Tenant: c.tenant, Group: c.group, TimeLeft: class.Deadline,
-		Returning: c.again})
+	w.out.Requests++
+	class := w.classes[c.classIndex].settings
+	w.handle(c.node, balance.Arrival{Request: c.id, Class: class.Name, Tenant: c.tenant, Group: c.group, TimeLeft: class.Deadline,
+		Returning: c.returning})
 }
 
-// tell hands an event to a node and carries out what it answers.
-func (w *world) tell(n *node, ev balance.Event) {
-	for _, a := range slices.Clone(n.b.Handle(w.now+time.Second, ev)) {
+// handle passes an event to a node and carries out the actions that it returns.
+func (w *world) handle(n *node, ev balance.Event) {
+	for _, a := range slices.Clone(n.balancer.Handle(w.now+time.Second, ev)) {
 		switch a := a.(type) {
 		case balance.SetTimer:
-			w.in(a.After, func() { w.tell(n, balance.TimerFired{Token: a.Token}) })
+			w.schedule(a.After, func() { w.handle(n, balance.TimerFired{Token: a.Token}) })
 		case balance.Probe:
 			w.out.Probes++
 			h := w.byID[a.Server]
-			w.in(2*time.Millisecond, func() {
-				w.tell(n, balance.Probed{Server: h.id, Report: balance.Report{
-					Known: balance.HasRatio | balance.HasLatency, Ratio: h.told, Latency: 3 + 1000*h.piled}})
+			w.schedule(2*time.Millisecond, func() {
+				w.handle(n, balance.Probed{Server: h.id, Report: balance.Report{
+					Known: balance.HasRatio | balance.HasLatency, Ratio: h.reportedRatio, Latency: 3 + 1000*h.backlog}})
 			})
 		case balance.Place:
-			n.away, n.tried = 0, w.now
+			n.refusals, n.lastAttempt = 0, w.now
 			w.out.Attempts++
-			w.setUp(n, a)
+			w.setUpConn(n, a)
 		case balance.Refuse:
-			w.turnAway(n, a.Request, a.RetryAfter)
+			w.refuse(n, a.Request, a.RetryAfter)
 		case balance.Fail:
-			w.turnAway(n, a.Request, 500*time.Millisecond)
+			w.refuse(n, a.Request, 500*time.Millisecond)
 		case balance.Move:
 			if c := n.clients[a.Request]; c != nil && c.host != nil {
 				w.out.Moves++
-				w.cut(c, balance.Cancelled, 73*time.Millisecond)
+				w.disconnect(c, balance.Cancelled, 73*time.Millisecond)
 			}
 		}
 	}
 }
 
-// setUp carries an attempt out: the connection stands behind all that has piled up, or is given up.
-func (w *world) setUp(n *node, p balance.Place) {
+// setUpConn carries out an attempt: the connection is established once the host has worked off its backlog, or the attempt
+// times out.
+func (w *world) setUpConn(n *node, p balance.Place) {
 	c, h := n.clients[p.Request], w.byID[p.Server]
-	takes := 15*time.Millisecond + time.Duration(h.piled*float64(time.Second))
-	no := c.fails // each failed attempt is numbered
-	w.in(min(takes, p.Timeout), func() {
+	setUpTime := 15*time.Millisecond + time.Duration(h.backlog*float64(time.Second))
+	attempt := c.failedAttempts // the number of the attempt is the number of failed ones before it
+	w.schedule(min(setUpTime, p.Timeout), func() {
 		switch {
-		case takes > p.Timeout:
-			c.fails++
-			w.tell(n, balance.Ended{Request: p.Request, Attempt: no, Outcome: balance.TimedOut})
+		case setUpTime > p.Timeout:
+			c.failedAttempts++
+			w.handle(n, balance.Ended{Request: p.Request, Attempt: attempt, Outcome: balance.TimedOut})
 			return
-		case w.now >= c.until:
+		case w.now >= c.endsAt:
 			delete(n.clients, p.Request)
-			w.tell(n, balance.Ended{Request: p.Request, Attempt: no, Outcome: balance.OK, Final: true})
+			w.handle(n, balance.Ended{Request: p.Request, Attempt: attempt, Outcome: balance.OK, Final: true})
 			return
 		}
 		c.host = h
@@ -398,85 +405,86 @@
 		if h.groups[c.group]++; h.groups[c.group] == 1 {
 			h.load++
 		}
-		w.tell(n, balance.Established{Request: p.Request, Attempt: no})
-		w.tell(n, balance.LoadChanged{Request: p.Request, Load: c.load * 1000})
+		w.handle(n, balance.Established{Request: p.Request, Attempt: attempt})
+		w.handle(n, balance.LoadChanged{Request: p.Request, Load: c.load * 1000})
 	})
 }
 
-// turnAway has a client come again after a while, and counts.
-func (w *world) turnAway(n *node, id balance.RequestID, wait time.Duration) {
+// refuse makes a client return after a wait, and counts the refusal.
+func (w *world) refuse(n *node, id balance.RequestID, wait time.Duration) {
 	w.out.Refused++
 	c := n.clients[id]
 	delete(n.clients, id)
-	c.fails, c.again = 0, true
-	w.in(wait, func() { w.try(c) })
-	n.away++
-	n.starved = n.starved || n.away >= starvedOf && w.now-n.tried >= starvedFor
+	c.failedAttempts, c.returning = 0, true
+	w.schedule(wait, func() { w.sendRequest(c) })
+	n.refusals++
+	n.starved = n.starved || n.refusals >= starvedRefusals && w.now-n.lastAttempt >= starvedDuration
 }
 
-// leave ends a connection.
-func (w *world) leave(c *client, o balance.Outcome) {
-	h, n, id, no := c.host, c.node, c.id, c.fails
-	c.host, c.fails = nil, 0
+// closeConn ends a connection.
+func (w *world) closeConn(c *client, outcome balance.Outcome) {
+	h, n, id, attempt := c.host, c.node, c.id, c.failedAttempts
+	c.host, c.failedAttempts = nil, 0
 	h.load -= c.load
 	if h.groups[c.group]--; h.groups[c.group] == 0 {
 		h.load--
 	}
 	h.conns = slices.DeleteFunc(h.conns, func(other *client) bool { return other == c })
-	w.in(0, func() {
+	w.schedule(0, func() {
 		delete(n.clients, id)
-		w.tell(n, balance.Ended{Request: id, Attempt: no, Outcome: o, Final: true})
+		w.handle(n, balance.Ended{Request: id, Attempt: attempt, Outcome: outcome, Final: true})
 	})
 }
 
-// cut ends a connection whose client comes again.
-func (w *world) cut(c *client, o balance.Outcome, gap time.Duration) {
-	w.leave(c, o)
-	c.again = true
-	w.in(gap, func() { w.try(c) })
+// disconnect ends a connection and makes its client return after a pause.
+func (w *world) disconnect(c *client, outcome balance.Outcome, pause time.Duration) {
+	w.closeConn(c, outcome)
+	c.returning = true
+	w.schedule(pause, func() { w.sendRequest(c) })
 }
 
+// report reports a host's ratio, with a small measurement error, and schedules the next report.
 func (w *world) report(h *host) {
-	seen := h.ratio() * (1 + 0.008*w.rng.NormFloat64())
-	w.in(reportLate, func() { h.told = seen })
-	w.in(reportEvery, func() { w.report(h) })
+	ratio := h.ratio() * (1 + 0.008*w.rng.NormFloat64())
+	w.schedule(reportDelay, func() { h.reportedRatio = ratio })
+	w.schedule(reportInterval, func() { w.report(h) })
 }
 
-// pass lets a step of time pass at all hosts, and counts what clients get of it.
-func (w *world) pass() {
-	w.in(step, w.pass)
+// advance simulates one time step at all hosts, and adds up the value that clients got in it.
+func (w *world) advance() {
+	w.schedule(step, w.advance)
 	for _, h := range w.hosts {
-		h.piled = max(0, h.piled+(h.ratio()-1)*step.Seconds())
-		if h.piled > buffer && len(h.conns) > 0 {
-			w.cut(h.conns[len(h.conns)-1], balance.Reset, 158*time.Millisecond)
+		h.backlog = max(0, h.backlog+(h.ratio()-1)*step.Seconds())
+		if h.backlog > maxBacklog && len(h.conns) > 0 {
+			w.disconnect(h.conns[len(h.conns)-1], balance.Reset, 158*time.Millisecond)
 		}
-		slow := h.piled > 0.02
+		slow := h.backlog > 0.02
 		for _, c := range h.conns {
-			at := c.node.slowAt[h]
-			if slow && w.now-at < time.Second || !slow && at == 0 {
+			reportedAt := c.node.slowReportedAt[h]
+			if slow && w.now-reportedAt < time.Second || !slow && reportedAt == 0 {
 				continue
 			}
-			c.node.slowAt[h] = 0
+			c.node.slowReportedAt[h] = 0
 			if slow {
-				c.node.slowAt[h] = w.now
+				c.node.slowReportedAt[h] = w.now
 			}
-			took := time.Duration(h.piled * float64(time.Second))
-			w.in(0, func() {
+			took := time.Duration(h.backlog * float64(time.Second))
+			w.schedule(0, func() {
 				if c.host == h {
-					w.tell(c.node, balance.MessageLatency{Request: c.id, Took: took})
+					w.handle(c.node, balance.MessageLatency{Request: c.id, Took: took})
 				}
 			})
 		}
 	}
-	w.alive = slices.DeleteFunc(w.alive, func(c *client) bool { return w.now >= c.until })
-	for _, c := range w.alive {
-		k := &w.kinds[c.kind]
-		worth := k.class.Value * step.Seconds()
-		got := 0.0
-		if h := c.host; h != nil && h.piled < k.class.MessageLatencyTarget.Seconds() {
-			got = worth * (1 - min(1, h.ratio())*math.Exp(-max(0, 1-h.ratio())*float64(k.class.MessageLatencyTarget)/float64(message)))
+	w.wanting = slices.DeleteFunc(w.wanting, func(c *client) bool { return w.now >= c.endsAt })
+	for _, c := range w.wanting {
+		class := &w.classes[c.classIndex]
+		value := class.settings.Value * step.Seconds()
+		served := 0.0
+		if h := c.host; h != nil && h.backlog < class.settings.MessageLatencyTarget.Seconds() {
+			served = value * (1 - min(1, h.ratio())*math.Exp(-max(0, 1-h.ratio())*float64(class.settings.MessageLatencyTarget)/float64(messageServiceTime)))
 		}
-		w.wish, w.want[c.kind] = w.wish+worth, w.want[c.kind]+worth
-		w.served, w.got[c.kind] = w.served+got, w.got[c.kind]+got
+		w.totalWanted, w.wantedValue[c.classIndex] = w.totalWanted+value, w.wantedValue[c.classIndex]+value
+		w.totalServed, w.servedValue[c.classIndex] = w.totalServed+served, w.servedValue[c.classIndex]+served
 	}
 }
