--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts balancers for a proxy host that speaks the wire on standard input and output.
+// Command adapter runs balancers for a simulator, which exchanges events and actions with it as JSON on standard input and
+// output (package wire).
 package main
 
 import (
