--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,4 +1,4 @@
-// Command rehearse is the kit beside the daemon: it checks models of the node, and shows what breaks them.
+// Command rehearse checks models of the node and replays counterexamples on the running code.
 package main
 
 import (
@@ -13,15 +13,15 @@
 // The exit codes.
 const (
 	exitHolds    = 0
-	exitViolated = 1 // a property is violated, or a replay shows the break
+	exitViolated = 1 // a property is violated, or a replay shows a violation
 	exitUsage    = 2
 	exitPartial  = 3 // not complete: a bound was reached
 )
 
-// verdict is an outcome that is no error of usage but ends with a code of its own.
-type verdict int
+// exitCode is an error that sets the exit code of the command and prints no message.
+type exitCode int
 
-func (v verdict) Error() string { return fmt.Sprintf("exit %d", int(v)) }
+func (v exitCode) Error() string { return fmt.Sprintf("exit %d", int(v)) }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
@@ -29,7 +29,7 @@
 func run(args []string, out, errs io.Writer) int {
 	root := &cobra.Command{
 		Use:           "rehearse",
-		Short:         "Check models of the node, and show what breaks them",
+		Short:         "Check models of the node and replay counterexamples",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -39,7 +39,7 @@
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.Execute()
-	var v verdict
+	var v exitCode
 	switch {
 	case err == nil:
 		return exitHolds
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -14,12 +14,12 @@
 )
 
 func rehearse(args ...string) (code int, out, errs string) {
-	var o, e bytes.Buffer
-	code = run(args, &o, &e)
-	return code, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	code = run(args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
-func TestAModelThatHoldsIsComplete(t *testing.T) {
+func TestModelThatHoldsIsComplete(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "out.json")
 	code, out, errs := rehearse("model", "--gateways", "1", "--attempts", "2", "--quiet", "--json", file)
 	assert.Equal(t, exitHolds, code, errs)
@@ -35,7 +35,7 @@
 	assert.Greater(t, r.PeakBytes, uint64(1<<20))
 }
 
-func TestAPlantedBugIsToldTracedAndReplayed(t *testing.T) {
+func TestInjectedBugIsReportedTracedAndReplayed(t *testing.T) {
 	for _, model := range []string{"life", "core", "connection"} {
 		file := filepath.Join(t.TempDir(), "trace.json")
 		code, out, errs := rehearse("model", "--model", model, "--gateways", "1", "--clients", "1", "--attempts", "2", "--quiet",
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestTheModelsOfASitesAffairsGoByScenarios(t *testing.T) {
+func TestModelsWithScenarios(t *testing.T) {
 	trace := filepath.Join(t.TempDir(), "trace.json")
 	for _, c := range []struct {
 		code int
@@ -73,14 +73,14 @@
 	assert.Contains(t, errs, "the model itself runs the real code")
 }
 
-func TestABoundIsNoVerdict(t *testing.T) {
+func TestReachedBoundGivesNoVerdict(t *testing.T) {
 	code, out, _ := rehearse("model", "--states", "500", "--quiet")
 	assert.Equal(t, exitPartial, code)
 	assert.Contains(t, out, "NOT complete: the bound of 500 states is reached")
 	assert.Contains(t, out, "unknown   never two attempts out")
 }
 
-func TestFaultyUseIsNamed(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	require.NoError(t, os.WriteFile(bad, []byte("{\n\"model\": 3}\n"), 0o644))
 	for want, args := range map[string][]string{
@@ -105,12 +105,12 @@
 	}
 }
 
-func TestTheListNamesEverything(t *testing.T) {
+func TestListNamesAllModelsBugsAndScenarios(t *testing.T) {
 	code, out, _ := rehearse("model", "list")
 	assert.Equal(t, exitHolds, code)
 	for _, e := range catalog.Entries() {
 		assert.Contains(t, out, "model "+e.Name)
-		for _, p := range e.Plants {
+		for _, p := range e.Bugs {
 			assert.Contains(t, out, p.Name)
 		}
 		for _, s := range e.Scenarios {
--- a/rehearsal/catalog/catalog.go
+++ b/rehearsal/catalog/catalog.go
@@ -1,8 +1,8 @@
 // Package catalog lists the models that can be checked, and checks them by name.
 //
-// The models of queries are of a fleet: so many gateways, clients and attempts. Those of a site's affairs (turns, upstream)
-// are of scenarios, which have nodes, hosts and sites of their own; they run the real code, so that nothing is left to be
-// replayed.
+// The models of requests (life, core, connection) have a fleet with a configured number of gateways, clients and attempts.
+// The models of a site's coordination (turns, upstream) have scenarios, each with its own nodes, hosts and sites. They run
+// the real code, so their traces need no replay.
 package catalog
 
 import (
@@ -26,31 +26,31 @@
 	Gateways   int    `json:"gateways"`
 	Clients    int    `json:"clients"`
 	Attempts   int    `json:"attempts"`
-	Notices    int    `json:"notices,omitempty"` // of discovery in one run; core only
-	Seeds      int    `json:"seeds,omitempty"`   // of the balancer's chance; core only
+	Notices    int    `json:"notices,omitempty"` // of discovery in one run; core and connection only
+	Seeds      int    `json:"seeds,omitempty"`   // number of seeds of the balancer's random choices; core and connection only
 	Lines      int    `json:"lines,omitempty"`   // that a client may send in one run; connection only
 	Scenario   string `json:"scenario,omitempty"`
-	Plant      string `json:"plant,omitempty"`
+	Bug        string `json:"plant,omitempty"`
 	NoSymmetry bool   `json:"no_symmetry,omitempty"`
 }
 
-// Named is a thing with a name that tells what it is about.
+// Named is a name with a description.
 type Named struct{ Name, About string }
 
-// Plant is a bug that can be planted.
-type Plant struct {
+// InjectedBug is a bug that can be injected into a model.
+type InjectedBug struct {
 	Named
-	Scenario string // that finds it; empty: the whole model does
+	Scenario string // the one that finds it; empty: the model without a scenario does
 }
 
 // Entry is a model of the catalog.
 type Entry struct {
 	Named
 	Scenarios []Named
-	Plants    []Plant
-	Replays   bool // its traces can be shown on the running code
+	Bugs      []InjectedBug
+	Replays   bool // its traces can be replayed on the running code
 	defaults  Config
-	find      func(Config) (Job, error)
+	prepare   func(Config) (Job, error)
 }
 
 // Job is a model that is ready to be checked.
@@ -59,25 +59,25 @@
 	Check(model.Options) (*Report, error)
 }
 
-// Report is the outcome of a check, as it is printed and written.
+// Report is the outcome of a check, as it is printed and written to a file.
 type Report struct {
-	Config          Config     `json:"config"`
-	States          uint64     `json:"states"`
-	Transitions     uint64     `json:"transitions"`
-	Depth           int        `json:"depth"`
-	Widest          uint64     `json:"widest"`
-	Seconds         float64    `json:"seconds"`
-	LiveSeconds     float64    `json:"liveness_seconds"`
-	StatesPerSecond float64    `json:"states_per_second"`
-	PeakBytes       uint64     `json:"peak_bytes"`
-	Missed          float64    `json:"missed_state_probability"`
-	Workers         int        `json:"workers"`
-	Complete        bool       `json:"complete"`
-	Stopped         string     `json:"stopped,omitempty"`
-	Properties      []Property `json:"properties"`
-	Seen            []string   `json:"seen"`
-	NotSeen         []string   `json:"not_seen"`
-	Trace           *Trace     `json:"trace,omitempty"`
+	Config              Config     `json:"config"`
+	States              uint64     `json:"states"`
+	Transitions         uint64     `json:"transitions"`
+	Depth               int        `json:"depth"`
+	Widest              uint64     `json:"widest"` // number of states at the depth that has most
+	Seconds             float64    `json:"seconds"`
+	LivenessSeconds     float64    `json:"liveness_seconds"`
+	StatesPerSecond     float64    `json:"states_per_second"`
+	PeakBytes           uint64     `json:"peak_bytes"`
+	OmissionProbability float64    `json:"missed_state_probability"`
+	Workers             int        `json:"workers"`
+	Complete            bool       `json:"complete"`
+	StopReason          string     `json:"stopped,omitempty"`
+	Properties          []Property `json:"properties"`
+	Covered             []string   `json:"seen"`
+	NotCovered          []string   `json:"not_seen"`
+	Trace               *Trace     `json:"trace,omitempty"`
 }
 
 // Property is a property with its verdict: holds, violated or unknown.
@@ -91,13 +91,13 @@
 type Trace struct {
 	Config
 	Property string `json:"property"`
-	Seed     uint64 `json:"seed,omitempty"`  // of the balancer's in this run; core and connection
-	Start    int    `json:"start,omitempty"` // which of the model's beginnings
-	Loop     int    `json:"loop"`            // how many steps come before the part that goes on for ever, or -1
+	Seed     uint64 `json:"seed,omitempty"`  // of the balancer; core and connection only
+	Start    int    `json:"start,omitempty"` // index of the initial run (see coremodel.Model.InitialState)
+	Loop     int    `json:"loop"`            // number of steps before the part that repeats forever, or -1
 	Steps    []Step `json:"steps"`
 }
 
-// Step is a step of a trace: its code in the model, and what it means.
+// Step is a step of a trace: its code in the model, and its description.
 type Step struct {
 	Code model.Step `json:"step"`
 	Text string     `json:"text"`
@@ -108,20 +108,20 @@
 	return []Entry{lifeEntry(), coreEntry(), connectionEntry(), turnsEntry(), upstreamEntry()}
 }
 
-// Replays says whether a model's traces can be shown on the running code.
+// Replays says whether a model's traces can be replayed on the running code.
 func Replays(name string) bool {
 	return slices.ContainsFunc(Entries(), func(e Entry) bool { return e.Name == name && e.Replays })
 }
 
-// Find makes a model ready. Figures that are 0 are the model's own choice.
-func Find(c Config) (Job, error) {
+// Prepare returns a model that is ready to be checked. Numbers that are 0 get the model's defaults.
+func Prepare(c Config) (Job, error) {
 	var known []string
 	for _, e := range Entries() {
 		if e.Name != c.Model {
 			known = append(known, e.Name)
 			continue
 		}
-		if err := e.settle(&c); err != nil {
+		if err := e.chooseScenario(&c); err != nil {
 			return nil, err
 		}
 		if c.Gateways == 0 {
@@ -142,13 +142,13 @@
 		if c.Seeds == 0 {
 			c.Seeds = e.defaults.Seeds
 		}
-		return e.find(c)
+		return e.prepare(c)
 	}
 	return nil, fmt.Errorf("no model is named %q; there are: %s", c.Model, strings.Join(known, ", "))
 }
 
-// settle chooses the scenario of a model that is of nothing else: the one that finds the planted bug, or the first.
-func (e *Entry) settle(c *Config) error {
+// chooseScenario sets the scenario of a model that has only scenarios: the one that finds the injected bug, or the default.
+func (e *Entry) chooseScenario(c *Config) error {
 	switch {
 	case c.Scenario != "" && len(e.Scenarios) == 0:
 		return fmt.Errorf("scenario: model %s has none", e.Name)
@@ -157,8 +157,8 @@
 	case c.Gateways+c.Clients+c.Attempts+c.Notices+c.Seeds+c.Lines > 0 || c.NoSymmetry:
 		return fmt.Errorf("model %s takes --scenario and --plant alone: its scenarios have their own bounds", e.Name)
 	}
-	for _, p := range e.Plants {
-		if p.Name == c.Plant {
+	for _, p := range e.Bugs {
+		if p.Name == c.Bug {
 			c.Scenario = cmp.Or(c.Scenario, p.Scenario)
 		}
 	}
@@ -167,13 +167,13 @@
 }
 
 func turnsEntry() Entry {
-	e := Entry{Named: Named{"turns", "rights to send and turns for work, the real code of nodes and seats, by scenarios"},
-		defaults: Config{Scenario: "three-nodes"}, find: func(c Config) (Job, error) {
+	e := Entry{Named: Named{"turns", "send leases and turns (permissions to do maintenance on a host), the real code of nodes and replicas, by scenarios"},
+		defaults: Config{Scenario: "three-nodes"}, prepare: func(c Config) (Job, error) {
 			w, err := turnsmodel.Named(c.Scenario)
 			if err != nil {
 				return nil, err
 			}
-			m, err := w.Model(c.Plant)
+			m, err := w.Model(c.Bug)
 			if err != nil {
 				return nil, err
 			}
@@ -183,15 +183,15 @@
 		e.Scenarios = append(e.Scenarios, Named{w.Name, w.About})
 	}
 	for _, p := range turnsmodel.Plants() {
-		e.Plants = append(e.Plants, Plant{Named{p.Name, p.About}, p.World})
+		e.Bugs = append(e.Bugs, InjectedBug{Named{p.Name, p.About}, p.World})
 	}
 	return e
 }
 
 func upstreamEntry() Entry {
-	e := Entry{Named: Named{"upstream", "writes that travel up and decisions that come down, the real code of three sites, by scenarios"},
-		defaults: Config{Scenario: "two-routes"}, find: func(c Config) (Job, error) {
-			m, err := upstreammodel.New(c.Scenario, c.Plant)
+	e := Entry{Named: Named{"upstream", "writes sent up to parent sites and decisions sent down, the real code of three sites, by scenarios"},
+		defaults: Config{Scenario: "two-routes"}, prepare: func(c Config) (Job, error) {
+			m, err := upstreammodel.New(c.Scenario, c.Bug)
 			if err != nil {
 				return nil, err
 			}
@@ -201,16 +201,16 @@
 		e.Scenarios = append(e.Scenarios, Named{s.Name, s.About})
 	}
 	for _, p := range upstreammodel.Plants() {
-		e.Plants = append(e.Plants, Plant{Named{p.Name, p.About}, p.Scenario})
+		e.Bugs = append(e.Bugs, InjectedBug{Named{p.Name, p.About}, p.Scenario})
 	}
 	return e
 }
 
 func lifeEntry() Entry {
-	e := Entry{Named: Named{"life", "the life of queries in a world of gateways, clients and notices"},
-		Replays: true, defaults: Config{Gateways: 3, Clients: 1, Attempts: 4}, find: findLife}
+	e := Entry{Named: Named{"life", "the lifecycle of requests in an environment of gateways, clients and notices"},
+		Replays: true, defaults: Config{Gateways: 3, Clients: 1, Attempts: 4}, prepare: prepareLife}
 	for _, p := range lifemodel.InjectedBugs() {
-		e.Plants = append(e.Plants, Plant{Named: Named(p)})
+		e.Bugs = append(e.Bugs, InjectedBug{Named: Named(p)})
 	}
 	for _, s := range lifemodel.Scenarios() {
 		e.Scenarios = append(e.Scenarios, Named{s.Name, s.About})
@@ -218,8 +218,8 @@
 	return e
 }
 
-func findLife(c Config) (Job, error) {
-	m, err := lifemodel.New(c.Gateways, c.Clients, c.Attempts, c.Plant)
+func prepareLife(c Config) (Job, error) {
+	m, err := lifemodel.New(c.Gateways, c.Clients, c.Attempts, c.Bug)
 	if err != nil {
 		return nil, err
 	}
@@ -233,48 +233,48 @@
 }
 
 func coreEntry() Entry {
-	e := Entry{Named: Named{"core", "the running code, the real core and balancer, under a stepped clock"},
-		Replays: true, defaults: Config{Gateways: 3, Clients: 1, Attempts: 4, Notices: 1, Seeds: 2}, find: findCore}
+	e := Entry{Named: Named{"core", "the running code, the real core and balancer, with a simulated clock"},
+		Replays: true, defaults: Config{Gateways: 3, Clients: 1, Attempts: 4, Notices: 1, Seeds: 2}, prepare: prepareCore}
 	for _, p := range coremodel.InjectedBugs() {
-		e.Plants = append(e.Plants, Plant{Named: Named(p)})
+		e.Bugs = append(e.Bugs, InjectedBug{Named: Named(p)})
 	}
 	return e
 }
 
-func (c Config) core() coremodel.Config {
-	return coremodel.Config{Gateways: c.Gateways, Clients: c.Clients, Attempts: c.Attempts, Notices: c.Notices,
-		Seeds: c.Seeds, Bug: c.Plant}
+func (config Config) coreConfig() coremodel.Config {
+	return coremodel.Config{Gateways: config.Gateways, Clients: config.Clients, Attempts: config.Attempts, Notices: config.Notices,
+		Seeds: config.Seeds, Bug: config.Bug}
 }
 
-// connectionsLast is how long connections are looked at.
-const connectionsLast = 6 * time.Second
+// connectionsDuration is the simulated time for which the connection model explores connections.
+const connectionsDuration = 6 * time.Second
 
 func connectionEntry() Entry {
-	e := Entry{Named: Named{"connection", "the running code once connections stand: lines, silence, drains, moves, both ends"},
-		Replays: true, defaults: Config{Gateways: 1, Clients: 2, Attempts: 2, Seeds: 1, Lines: 1}, find: findConnection}
+	e := Entry{Named: Named{"connection", "the running code with established connections: lines, unresponsive hosts, drains, moves, both sides closing"},
+		Replays: true, defaults: Config{Gateways: 1, Clients: 2, Attempts: 2, Seeds: 1, Lines: 1}, prepare: prepareConnection}
 	for _, p := range coremodel.ConnectionBugs() {
-		e.Plants = append(e.Plants, Plant{Named: Named(p)})
+		e.Bugs = append(e.Bugs, InjectedBug{Named: Named(p)})
 	}
 	return e
 }
 
-func findConnection(c Config) (Job, error) {
-	m, err := coremodel.NewConnections(c.core(), c.Lines, connectionsLast)
+func prepareConnection(c Config) (Job, error) {
+	m, err := coremodel.NewConnections(c.coreConfig(), c.Lines, connectionsDuration)
 	if err != nil {
 		return nil, err
 	}
 	return &job[coremodel.State]{c, m}, nil
 }
 
-func findCore(c Config) (Job, error) {
-	m, err := coremodel.New(c.core())
+func prepareCore(c Config) (Job, error) {
+	m, err := coremodel.New(c.coreConfig())
 	if err != nil {
 		return nil, err
 	}
 	return &job[coremodel.State]{c, m}, nil
 }
 
-// job checks a model of any kind of states.
+// job is a model with states of any type.
 type job[S any] struct {
 	config Config
 	m      model.Model[S]
@@ -295,8 +295,8 @@
 	if j.config.Scenario != "" {
 		t += ", scenario " + j.config.Scenario
 	}
-	if j.config.Plant != "" {
-		t += ", planted: " + j.config.Plant
+	if j.config.Bug != "" {
+		t += ", planted: " + j.config.Bug
 	}
 	return t
 }
@@ -308,9 +308,9 @@
 		return nil, err
 	}
 	r := &Report{Config: j.config, States: res.States, Transitions: res.Transitions, Depth: res.Depth,
-		Widest: res.MaxLevelStates, Seconds: res.Seconds, LiveSeconds: res.LivenessSeconds, StatesPerSecond: res.Rate(),
-		PeakBytes: res.PeakBytes, Missed: res.OmissionProbability, Workers: res.Workers, Complete: res.Complete,
-		Stopped: res.StopReason, Seen: []string{}, NotSeen: []string{}}
+		Widest: res.MaxLevelStates, Seconds: res.Seconds, LivenessSeconds: res.LivenessSeconds, StatesPerSecond: res.Rate(),
+		PeakBytes: res.PeakBytes, OmissionProbability: res.OmissionProbability, Workers: res.Workers, Complete: res.Complete,
+		StopReason: res.StopReason, Covered: []string{}, NotCovered: []string{}}
 	for _, f := range res.Findings {
 		r.Properties = append(r.Properties, Property{f.Property, f.Liveness, f.Verdict.String()})
 	}
@@ -321,9 +321,9 @@
 		}
 		for i, name := range m.CoverageGoals() {
 			if res.Covered>>i&1 == 1 {
-				r.Seen = append(r.Seen, name)
+				r.Covered = append(r.Covered, name)
 			} else if expected>>i&1 == 1 {
-				r.NotSeen = append(r.NotSeen, name)
+				r.NotCovered = append(r.NotCovered, name)
 			}
 		}
 	}
@@ -339,20 +339,20 @@
 	return r, nil
 }
 
-// ParseTrace reads a trace. Errors name the place at fault.
+// ParseTrace reads a trace. Errors name the faulty line or field.
 func ParseTrace(text []byte) (*Trace, error) {
-	d := json.NewDecoder(strings.NewReader(string(text)))
-	d.DisallowUnknownFields()
-	var t Trace
-	if err := d.Decode(&t); err != nil {
-		at := int(d.InputOffset())
-		return nil, fmt.Errorf("line %d: %w", 1+strings.Count(string(text[:min(at, len(text))]), "\n"), err)
+	decoder := json.NewDecoder(strings.NewReader(string(text)))
+	decoder.DisallowUnknownFields()
+	var trace Trace
+	if err := decoder.Decode(&trace); err != nil {
+		offset := int(decoder.InputOffset())
+		return nil, fmt.Errorf("line %d: %w", 1+strings.Count(string(text[:min(offset, len(text))]), "\n"), err)
 	}
-	if len(t.Steps) == 0 {
+	if len(trace.Steps) == 0 {
 		return nil, fmt.Errorf("steps: there are none")
 	}
-	if t.Loop < -1 || t.Loop > len(t.Steps) {
-		return nil, fmt.Errorf("loop: %d is not within -1 to %d, the number of steps", t.Loop, len(t.Steps))
+	if trace.Loop < -1 || trace.Loop > len(trace.Steps) {
+		return nil, fmt.Errorf("loop: %d is not within -1 to %d, the number of steps", trace.Loop, len(trace.Steps))
 	}
-	return &t, nil
+	return &trace, nil
 }
--- a/rehearsal/catalog/catalog_test.go
+++ b/rehearsal/catalog/catalog_test.go
@@ -10,20 +10,20 @@
 	"lichenhitch/rehearsal/model"
 )
 
-// TestEveryPlantBreaksTheRunningCodeToo finds each planted bug in its model, writes and reads the trace, and plays it on
-// the running code, which must break a rule with the bug and keep all rules without it.
-func TestEveryPlantBreaksTheRunningCodeToo(t *testing.T) {
+// TestInjectedBugsViolateRulesInRunningCode finds each injected bug in its model, writes and reads the trace, and replays it
+// on the running code, which must violate a rule with the bug and keep all rules without it.
+func TestInjectedBugsViolateRulesInRunningCode(t *testing.T) {
 	for _, e := range Entries() {
 		if !e.Replays {
-			continue // its own tests find them all
+			continue // the tests of its package find all its bugs
 		}
-		for _, p := range e.Plants {
-			job, err := Find(Config{Model: e.Name, Gateways: 2, Clients: 1, Attempts: 2, Notices: 2, Seeds: 1, Plant: p.Name})
+		for _, p := range e.Bugs {
+			job, err := Prepare(Config{Model: e.Name, Gateways: 2, Clients: 1, Attempts: 2, Notices: 2, Seeds: 1, Bug: p.Name})
 			require.NoError(t, err)
-			rep, err := job.Check(model.Options{})
+			report, err := job.Check(model.Options{})
 			require.NoError(t, err)
-			require.NotNil(t, rep.Trace, "%s, %s: not found", e.Name, p.Name)
-			text, err := json.Marshal(rep.Trace)
+			require.NotNil(t, report.Trace, "%s, %s: not found", e.Name, p.Name)
+			text, err := json.Marshal(report.Trace)
 			require.NoError(t, err)
 			trace, err := ParseTrace(text)
 			require.NoError(t, err)
@@ -32,20 +32,21 @@
 				assert.ErrorContains(t, err, "loop", p.Name)
 				continue
 			}
-			shown, err := Replay(trace)
+			replayed, err := Replay(trace)
 			if assert.NoError(t, err, "%s, %s: %s", e.Name, p.Name, text) {
-				assert.NotEmpty(t, shown.Broken, "%s, %s: %s", e.Name, p.Name, text)
+				assert.NotEmpty(t, replayed.Violations, "%s, %s: %s", e.Name, p.Name, text)
 			}
-			trace.Plant = ""
-			if sound, err := Replay(trace); err == nil && p.Name != "guard-late" && p.Name != "fifth-attempt" &&
-				p.Name != "unsafe-repeat" && p.Name != "unsafe-refusal" { // there the trace's own balancer or clock is at fault
-				assert.Empty(t, sound.Broken, "%s, %s without the bug", e.Name, p.Name)
+			trace.Bug = ""
+			// In the traces of the bugs named here, the balancer or the clock of the trace itself violates the rule.
+			if withoutBug, err := Replay(trace); err == nil && p.Name != "guard-late" && p.Name != "fifth-attempt" &&
+				p.Name != "unsafe-repeat" && p.Name != "unsafe-refusal" {
+				assert.Empty(t, withoutBug.Violations, "%s, %s without the bug", e.Name, p.Name)
 			}
 		}
 	}
 }
 
-func TestFaultyTracesAreNamed(t *testing.T) {
+func TestInvalidTraces(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"model":"life",` + "\n" + `"steps":7}`:                                                         "line 2",
 		`{"model":"life","steps":[]}`:                                                                    "steps: there are none",
--- a/rehearsal/catalog/replay.go
+++ b/rehearsal/catalog/replay.go
@@ -12,77 +12,77 @@
 	"lichenhitch/rehearsal/script"
 )
 
-// Replayed is what a replay showed.
-type Replayed struct {
-	Lines  []string // what happened, step by step
-	Broken []string // the rules that the running code broke
+// ReplayResult is the outcome of a replay.
+type ReplayResult struct {
+	Lines      []string // what happened, step by step
+	Violations []string // of rules by the running code
 }
 
-// Replay drives the running code through a trace: the real query core, with the planted bug if the trace names one. An
-// error says which step of the trace does not fit.
-func Replay(t *Trace) (*Replayed, error) {
-	switch t.Model {
+// Replay runs the steps of a trace on the running code: the real query core, with the injected bug if the trace names one.
+// It returns an error with the index of the step if a step is not possible.
+func Replay(trace *Trace) (*ReplayResult, error) {
+	switch trace.Model {
 	case "life":
-		return replayLife(t)
+		return replayLife(trace)
 	case "core":
-		m, err := coremodel.New(t.core())
+		m, err := coremodel.New(trace.coreConfig())
 		if err != nil {
 			return nil, err
 		}
-		return replayCore(t, m)
+		return replayCore(trace, m)
 	case "connection":
-		m, err := coremodel.NewConnections(t.core(), t.Lines, connectionsLast)
+		m, err := coremodel.NewConnections(trace.coreConfig(), trace.Lines, connectionsDuration)
 		if err != nil {
 			return nil, err
 		}
-		return replayCore(t, m)
+		return replayCore(trace, m)
 	}
-	if slices.ContainsFunc(Entries(), func(e Entry) bool { return e.Name == t.Model }) {
-		return nil, fmt.Errorf("model: traces of %q cannot be replayed: the model itself runs the real code", t.Model)
+	if slices.ContainsFunc(Entries(), func(e Entry) bool { return e.Name == trace.Model }) {
+		return nil, fmt.Errorf("model: traces of %q cannot be replayed: the model itself runs the real code", trace.Model)
 	}
-	return nil, fmt.Errorf("model: traces of %q cannot be replayed", t.Model)
+	return nil, fmt.Errorf("model: traces of %q cannot be replayed", trace.Model)
 }
 
-// replayLife plays a trace of the model of lives, in which the balancer decides what the trace says.
-func replayLife(t *Trace) (*Replayed, error) {
-	if _, err := lifemodel.New(t.Gateways, t.Clients, t.Attempts, t.Plant); err != nil {
+// replayLife replays a trace of package lifemodel. The trace also contains the balancer's decisions.
+func replayLife(trace *Trace) (*ReplayResult, error) {
+	if _, err := lifemodel.New(trace.Gateways, trace.Clients, trace.Attempts, trace.Bug); err != nil {
 		return nil, err
 	}
-	if t.Loop >= 0 {
-		return nil, fmt.Errorf("loop: a run that never ends shows its break only in the model")
+	if trace.Loop >= 0 {
+		return nil, fmt.Errorf("loop: the violation of a run that never ends shows only in the model")
 	}
-	set := balance.Settings{MaxAttempts: t.Attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second,
+	set := balance.Settings{MaxAttempts: trace.Attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second,
 		Safety: balance.Safety{DrainGrace: 2 * time.Second}, Classes: []balance.Class{{Name: "safe"},
 			{Name: "unsafe", Effect: balance.Unsafe}, {Name: "keyed", Effect: balance.Keyed, Window: time.Hour},
 			{Name: "grouped", Effect: balance.Keyed, Group: balance.GroupZone, Window: time.Hour}}}
-	w := script.New(script.Config{Hosts: t.Gateways, Settings: set, Decider: &script.Scripted{}, Wait: time.Minute,
-		Classes: []string{"safe", "unsafe", "keyed", "safe", "grouped"}, Plant: t.Plant})
-	rep := &Replayed{}
-	w.Tell(func(l string) { rep.Lines = append(rep.Lines, "        "+l) })
-	order := map[int]int{} // a client's number in the order of asking
-	for i, s := range t.Steps {
+	w := script.New(script.Config{Hosts: trace.Gateways, Settings: set, Balancer: &script.ScriptedBalancer{}, ClientTimeout: time.Minute,
+		Classes: []string{"safe", "unsafe", "keyed", "safe", "grouped"}, Bug: trace.Bug})
+	result := &ReplayResult{}
+	w.OnEvent(func(l string) { result.Lines = append(result.Lines, "        "+l) })
+	arrivalOrder := map[int]int{} // index of each client in the order in which the clients send their requests
+	for i, s := range trace.Steps {
 		o, c, g, arg := lifemodel.Decode(s.Code)
-		if c >= t.Clients || g >= t.Gateways {
+		if c >= trace.Clients || g >= trace.Gateways {
 			return nil, fmt.Errorf("steps[%d]: step %d is about client %d and gateway %d of %d and %d", i, s.Code, c+1, g+1,
-				t.Clients, t.Gateways)
+				trace.Clients, trace.Gateways)
 		}
 		if o == lifemodel.Ask {
-			order[c] = len(order)
+			arrivalOrder[c] = len(arrivalOrder)
 		}
-		rep.Lines = append(rep.Lines, fmt.Sprintf("%4d  %s", i+1, s.Text))
-		if err := rep.do(w, lifemodel.Code(o, order[c], g, arg)); err != nil {
+		result.Lines = append(result.Lines, fmt.Sprintf("%4d  %s", i+1, s.Text))
+		if err := result.apply(w, lifemodel.Code(o, arrivalOrder[c], g, arg)); err != nil {
 			return nil, fmt.Errorf("steps[%d]: %w", i, err)
 		}
 	}
-	rep.Broken = append(rep.Broken, w.Broken()...)
-	return rep, nil
+	result.Violations = append(result.Violations, w.Violations()...)
+	return result, nil
 }
 
-// do takes one step and checks. A panic of the running code is a break as well.
-func (r *Replayed) do(w *script.World, step model.Step) (err error) {
+// apply takes one step and checks the rules. A panic of the running code is a violation as well.
+func (r *ReplayResult) apply(w *script.World, step model.Step) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			r.Broken = append(r.Broken, fmt.Sprint("panic: ", p))
+			r.Violations = append(r.Violations, fmt.Sprint("panic: ", p))
 		}
 	}()
 	if err = w.Do(step); err == nil {
@@ -91,23 +91,23 @@
 	return err
 }
 
-// replayCore plays a trace of the running code again.
-func replayCore(t *Trace, m *coremodel.Model) (*Replayed, error) {
-	rep := &Replayed{}
-	s, err := m.InitialState(t.Seed, t.Start)
+// replayCore replays a trace of package coremodel.
+func replayCore(trace *Trace, m *coremodel.Model) (*ReplayResult, error) {
+	result := &ReplayResult{}
+	s, err := m.InitialState(trace.Seed, trace.Start)
 	if err != nil {
 		return nil, err
 	}
-	for i, step := range t.Steps {
-		rep.Lines = append(rep.Lines, fmt.Sprintf("%4d  %s", i+1, m.Describe(s, step.Code, s)))
+	for i, step := range trace.Steps {
+		result.Lines = append(result.Lines, fmt.Sprintf("%4d  %s", i+1, m.Describe(s, step.Code, s)))
 		if s, err = m.Apply(s, step.Code); err != nil {
 			return nil, fmt.Errorf("steps[%d]: %w", i, err)
 		}
 	}
 	for i, name := range m.SafetyProperties() {
 		if m.Violated(s)>>i&1 == 1 {
-			rep.Broken = append(rep.Broken, name)
+			result.Violations = append(result.Violations, name)
 		}
 	}
-	return rep, nil
+	return result, nil
 }
--- a/rehearsal/coremodel/connection.go
+++ b/rehearsal/coremodel/connection.go
@@ -67,11 +67,11 @@
 			continue
 		}
 		live = true
-		if w.Chats(c) < m.maxLines {
-			add(script.Chat, c, 0, 0)
+		if w.LinesSent(c) < m.maxLines {
+			add(script.ClientLine, c, 0, 0)
 		}
-		if w.Waits(c) {
-			add(script.Reply, c, g, 0)
+		if w.AwaitsLine(c) {
+			add(script.HostLine, c, g, 0)
 		}
 		add(lifemodel.ClientLeaves, c, 0, 0)
 		add(lifemodel.ClientFaults, c, 0, 0)
--- a/rehearsal/coremodel/model.go
+++ b/rehearsal/coremodel/model.go
@@ -260,8 +260,8 @@
 
 // world returns a new environment.
 func (m *Model) world(seed uint64) *script.World {
-	cfg := script.Config{Hosts: m.cfg.Gateways, Settings: m.settings, Seed: seed, Wait: clientTimeout, Classes: classes,
-		Plant: m.cfg.Bug,
+	cfg := script.Config{Hosts: m.cfg.Gateways, Settings: m.settings, Seed: seed, ClientTimeout: clientTimeout, Classes: classes,
+		Bug: m.cfg.Bug,
 		Fleet: func(i int) balance.Listing { // the first and the last of three are in the same zone
 			return balance.Listing{Server: balance.ServerID(fmt.Sprint("g", i+1)), Weight: 1, Zone: fmt.Sprint("z", i%2)}
 		},
@@ -270,8 +270,8 @@
 		cfg.Rule = lifecycle.Step
 	}
 	if m.cfg.Decider != nil {
-		cfg.Decider = m.cfg.Decider(balance.New(m.settings, seed))
-		cfg.Strict = true
+		cfg.Balancer = m.cfg.Decider(balance.New(m.settings, seed))
+		cfg.ReadyOnly = true
 	}
 	return script.New(cfg)
 }
@@ -296,22 +296,22 @@
 			r.fingerprint = xxhash.Sum64String(crash)
 			return State{r}, nil
 		}
-		done := w.Done()
+		done := w.TakenSteps()
 		follower.follow(done)
 		follower.compare(w, m.cfg.Clients)
 		r.record(w, step, done, &follower.state, min(m.cfg.Attempts, m.cfg.Gateways))
 	}
 	w.Check()
-	if len(w.Broken()) > 0 {
+	if len(w.Violations()) > 0 {
 		r.violated |= 1 << badWireRules
 	}
 	if follower.err != "" {
 		r.violated |= 1 << badRefinement
 	}
-	if q, b := w.Kept(); !w.Stopped() && (q != w.Live() || b > w.Live()) {
+	if q, b := w.Retained(); !w.Stopped() && (q != w.LiveRequests() || b > w.LiveRequests()) {
 		r.violated |= 1 << badLeak
 	}
-	r.pending = w.Owed()
+	r.pending = w.AnyWaiting()
 	r.choices = m.choices(w, r)
 	r.ended = len(r.choices) == 0
 	r.fingerprint = xxhash.Sum64(w.Fingerprint(m.lifecycleModel.Encode([]byte{byte(r.notices)}, follower.state)))
@@ -364,7 +364,7 @@
 			int(q.Lifecycle.Attempts) == maxAttempts {
 			r.covered |= 1 << coverLastAttempt
 		}
-		if i < w.Clients() && w.Held(i) && modelState.Clients[i].Lifecycle.AwaitsAnswer() {
+		if i < w.Clients() && w.HasLateAttempt(i) && modelState.Clients[i].Lifecycle.AwaitsAnswer() {
 			r.covered |= 1 << coverLateAnswer
 		}
 	}
@@ -418,7 +418,7 @@
 				add(o, c, g, 0)
 			}
 		}
-		if w.Held(c) && waits {
+		if w.HasLateAttempt(c) && waits {
 			add(lifemodel.LateUp, c, 0, 0)
 			add(lifemodel.LateEnd, c, 0, 0)
 		}
@@ -444,12 +444,12 @@
 			for _, o := range ops {
 				arg := 0
 				if o == lifemodel.NotifyGone { // reported by its absence from a full list, the harder way to notice it
-					arg = script.Whole
+					arg = script.FullList
 				}
 				list = append(list, lifemodel.Code(o, 0, g, arg))
 			}
 		}
-		switch w.Told(g) {
+		switch w.ListedState(g) {
 		case balance.Ready:
 			add(lifemodel.NotifyDrain, lifemodel.NotifyGone, lifemodel.NotifyRestart)
 		case balance.Draining:
@@ -480,10 +480,10 @@
 	follower := modelFollower{model: m.lifecycleModel, state: m.lifecycleModel.Initial()[0]}
 	for _, step := range s.steps {
 		_ = w.Do(step)
-		follower.follow(w.Done())
+		follower.follow(w.TakenSteps())
 	}
 	from := w.Now()
-	w.Tell(func(l string) { lines = append(lines, l) })
+	w.OnEvent(func(l string) { lines = append(lines, l) })
 	crash, err := try(w, last)
 	if err != nil {
 		return []string{err.Error()}
@@ -495,9 +495,9 @@
 	if d := w.Now() - from; d > 0 {
 		lines = append([]string{fmt.Sprintf("%v later", d)}, lines...)
 	}
-	follower.follow(w.Done())
+	follower.follow(w.TakenSteps())
 	follower.compare(w, m.cfg.Clients)
-	for _, b := range w.Broken() {
+	for _, b := range w.Violations() {
 		lines = append(lines, "BROKEN "+b)
 	}
 	if follower.err != "" {
--- a/rehearsal/rules/rules.go
+++ b/rehearsal/rules/rules.go
@@ -1,6 +1,7 @@
-// Package rules checks the platform's rules for one node by what crosses its interfaces alone: what clients ask and are
-// told, which connections to hosts are begun, written to and closed, and what discovery tells. It knows nothing of how
-// the node decides. It is fed call by call with the time of each and keeps what was broken, in words.
+// Package rules checks whether one node keeps the platform's rules. It sees only what crosses the node's interfaces: the
+// requests of clients and their answers, the opening, writing and closing of connections to hosts, and the lists of
+// discovery. It knows nothing about how the node decides. The caller reports each event with its time, and the checker
+// collects a description of every violation.
 package rules
 
 import (
@@ -10,15 +11,15 @@
 	"lichenhitch/balance"
 )
 
-// Limits are the figures of the rules.
+// Limits are the parameters of the rules.
 type Limits struct {
-	DrainGrace  time.Duration // nothing is sent to a host this long after its drain was told
-	MaxAttempts int
-	Start       time.Duration // the time that is told as 0
-	Balanced    bool          // attempts are placed by the node's own decisions, which go to ready hosts only
+	DrainGrace  time.Duration // after a drain notice or a suspension, requests may be sent to the host only for this long
+	MaxAttempts int           // per request; inherited ones have no such limit
+	Start       time.Duration // subtracted from the times in descriptions of violations
+	ReadyOnly   bool          // attempts must be placed on ready hosts only
 }
 
-// Answer is how a client was answered.
+// Answer is the kind of a final answer to a client.
 type Answer int
 
 // The answers.
@@ -34,63 +35,63 @@
 
 func (a Answer) String() string { return answerNames[a] }
 
-// Word is how an attempt ended, as the host or the network lets the node see it.
-type Word int
+// AttemptEnd says how the host or the network ended an attempt, as far as the node can see.
+type AttemptEnd int
 
-// The words. Busy and NoConnection prove that nothing has run.
+// The ends of attempts. Busy and NoConnection prove that the host did not run the request.
 const (
-	Busy Word = iota
+	Busy AttemptEnd = iota
 	NoConnection
-	Other
+	OtherEnd
 )
 
-// Checker keeps the books. The zero value is not usable; see New.
+// Checker records the events of one node and checks them. The zero value is not usable; see New.
 type Checker struct {
-	limits  Limits
-	classes map[string]balance.Class
-	queries map[int]*query
-	links   map[int]*link
-	hosts   map[balance.ServerID]*host
-	broken  []string
+	limits     Limits
+	classes    map[string]balance.Class
+	requests   map[int]*request
+	conns      map[int]*conn
+	hosts      map[balance.ServerID]*host
+	violations []string
 }
 
-type query struct {
-	class     balance.Class
-	inherited bool
-	until     time.Duration // when the client's time is up
-	answered  bool
-	served    bool
-	moved     bool // a served client was told the end
-	gone      bool
-	late      bool
-	attempts  int
-	mayRun    int // link of the first attempt that may have run, or -1
-	link      int // that is open, or -1
+type request struct {
+	class           balance.Class
+	inherited       bool
+	deadline        time.Duration // when the client's time limit ends
+	answered        bool
+	served          bool
+	ended           bool // the served client was notified that its connection ends
+	clientLeft      bool
+	timedOut        bool
+	attempts        int
+	firstMayHaveRun int // connection of the first attempt that may have run on its host, or -1
+	openConn        int // -1: none
 }
 
-type link struct {
-	query   int
-	host    balance.ServerID
-	begun   time.Duration
-	sent    bool
-	open    bool
-	refused bool // it proved that nothing has run
-	hostUp  bool
-	ended   bool // the host ended it
-	zone    string
-	cell    int
+type conn struct {
+	request     int
+	host        balance.ServerID
+	begunAt     time.Duration
+	sent        bool
+	open        bool
+	notRun      bool // its end proved that the host did not run the request
+	established bool // the host answered UP
+	endedByHost bool // by the host or the network
+	zone        string
+	cell        int
 }
 
 type host struct {
-	listing balance.Listing
-	listed  bool
-	drained time.Duration // when it was told that it takes nothing new; -1: it is ready
-	out     time.Duration // when operators took it out; -1: they have not
+	listing     balance.Listing
+	listed      bool
+	drainedAt   time.Duration // when discovery first listed its current process as not ready; -1: it is ready
+	suspendedAt time.Duration // when operators took it out of service; -1: it is in service
 }
 
-// New returns a checker.
-func New(l Limits, classes []balance.Class) *Checker {
-	c := &Checker{limits: l, classes: map[string]balance.Class{}, queries: map[int]*query{}, links: map[int]*link{},
+// New returns a checker for a node with these limits and request classes.
+func New(limits Limits, classes []balance.Class) *Checker {
+	c := &Checker{limits: limits, classes: map[string]balance.Class{}, requests: map[int]*request{}, conns: map[int]*conn{},
 		hosts: map[balance.ServerID]*host{}}
 	for _, class := range classes {
 		c.classes[class.Name] = class
@@ -98,247 +99,252 @@
 	return c
 }
 
-// Broken returns what was broken so far, in order.
-func (c *Checker) Broken() []string { return c.broken }
+// Violations returns descriptions of the violations so far, in order.
+func (c *Checker) Violations() []string { return c.violations }
 
-func (c *Checker) fail(now time.Duration, format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf("after %v: ", now-c.limits.Start)+fmt.Sprintf(format, args...))
+func (c *Checker) report(now time.Duration, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("after %v: ", now-c.limits.Start)+fmt.Sprintf(format, args...))
 }
 
-// Fingerprint appends bytes that tell apart what the rules depend on. What was answered and done with is left out.
+// Fingerprint appends bytes that differ between checkers whose recorded requests could lead to different verdicts. The
+// first attempt that may have run is left out once its request was answered or its client has left.
 func (c *Checker) Fingerprint(to []byte) []byte {
-	for id := range len(c.queries) {
-		q := c.queries[id]
-		if q == nil {
+	for id := range len(c.requests) {
+		req := c.requests[id]
+		if req == nil {
 			continue
 		}
-		to = fmt.Appendf(to, "%s %v %v %v %v %v %v %d %v,", q.class.Name, q.inherited, q.until, q.answered, q.served, q.moved,
-			q.gone, q.attempts, q.late)
-		if q.mayRun >= 0 && !q.answered && !q.gone {
-			l := c.links[q.mayRun]
-			to = fmt.Appendf(to, "%v %s %d", l.begun, l.zone, l.cell)
+		to = fmt.Appendf(to, "%s %v %v %v %v %v %v %d %v,", req.class.Name, req.inherited, req.deadline, req.answered, req.served, req.ended,
+			req.clientLeft, req.attempts, req.timedOut)
+		if req.firstMayHaveRun >= 0 && !req.answered && !req.clientLeft {
+			first := c.conns[req.firstMayHaveRun]
+			to = fmt.Appendf(to, "%v %s %d", first.begunAt, first.zone, first.cell)
 		}
 		to = append(to, ';')
 	}
 	return to
 }
 
-// Note adds a break that somebody else has found.
-func (c *Checker) Note(now time.Duration, what string) { c.fail(now, "%s", what) }
+// AddViolation adds a violation that the caller has found.
+func (c *Checker) AddViolation(now time.Duration, what string) { c.report(now, "%s", what) }
 
-// Asked says that a client has asked and waits for d.
-func (c *Checker) Asked(now time.Duration, id int, class string, inherited bool, d time.Duration) {
-	c.queries[id] = &query{class: c.classes[class], inherited: inherited, until: now + d, mayRun: -1, link: -1}
+// Arrived records that a client has sent a request and waits for its answer until the timeout has passed.
+func (c *Checker) Arrived(now time.Duration, id int, class string, inherited bool, timeout time.Duration) {
+	c.requests[id] = &request{class: c.classes[class], inherited: inherited, deadline: now + timeout, firstMayHaveRun: -1, openConn: -1}
 }
 
-// Answered says that a client was given a final answer, made by a host's word on a link where link is not negative.
-func (c *Checker) Answered(now time.Duration, id int, a Answer, by int) {
-	q := c.queries[id]
+// Answered records that a client got a final answer. For Up, connID is the connection whose host answered UP.
+func (c *Checker) Answered(now time.Duration, id int, answer Answer, connID int) {
+	req := c.requests[id]
 	switch {
-	case q.gone:
-		c.fail(now, "query %d is answered %s after its client has gone", id+1, a)
-	case q.answered:
-		c.fail(now, "query %d is answered a second time: %s", id+1, a)
-	case now > q.until || q.late:
-		c.fail(now, "query %d is answered %s %v after its client's time was up", id+1, a, now-q.until)
+	case req.clientLeft:
+		c.report(now, "request %d is answered %s after its client has left", id+1, answer)
+	case req.answered:
+		c.report(now, "request %d is answered a second time: %s", id+1, answer)
+	case now > req.deadline || req.timedOut:
+		c.report(now, "request %d is answered %s %v after its client's time limit", id+1, answer, now-req.deadline)
 	}
-	q.answered = true
-	q.served = a == Up
-	switch a {
+	req.answered = true
+	req.served = answer == Up
+	switch answer {
 	case Up:
-		if l := c.links[by]; l == nil || l.query != id || !l.open || !l.hostUp {
-			c.fail(now, "query %d is served with what its host did not say", id+1)
+		if answering := c.conns[connID]; answering == nil || answering.request != id || !answering.open || !answering.established {
+			c.report(now, "request %d is answered UP although its host did not answer UP", id+1)
 		}
 	case Throttled:
-		if q.mayRun >= 0 && (q.class.Effect == balance.Unsafe || q.class.Effect == balance.Keyed &&
-			q.class.Group != balance.GroupAll) {
-			c.fail(now, "query %d, class %s, is refused though an attempt may have run", id+1, q.class.Name)
+		if req.firstMayHaveRun >= 0 && (req.class.Effect == balance.Unsafe || req.class.Effect == balance.Keyed &&
+			req.class.Group != balance.GroupAll) {
+			c.report(now, "request %d, class %s, is refused although an attempt may have run", id+1, req.class.Name)
 		}
 	}
 }
 
-// TimeUp says that a client's time is up.
-func (c *Checker) TimeUp(now time.Duration, id int) {
-	if q := c.queries[id]; !q.answered && !q.gone {
-		q.late = true
-		c.fail(now, "query %d has no answer when its client's time is up", id+1)
+// ClientTimedOut records that a client's time limit has passed.
+func (c *Checker) ClientTimedOut(now time.Duration, id int) {
+	if req := c.requests[id]; !req.answered && !req.clientLeft {
+		req.timedOut = true
+		c.report(now, "request %d has no answer at its client's time limit", id+1)
 	}
 }
 
-// Gone says that a client has left.
-func (c *Checker) Gone(id int) { c.queries[id].gone = true }
+// ClientLeft records that a client has left.
+func (c *Checker) ClientLeft(id int) { c.requests[id].clientLeft = true }
 
-// Told says that a served client is told the end of its connection: moved by the node, or ended as its host ended it.
-func (c *Checker) Told(now time.Duration, id int, move bool) {
-	q := c.queries[id]
+// ClientEnded records that a served client is notified of the end of its connection. With move, the node moves the client;
+// otherwise the connection must have been ended by the host.
+func (c *Checker) ClientEnded(now time.Duration, id int, move bool) {
+	req := c.requests[id]
 	switch {
-	case !q.served:
-		c.fail(now, "query %d is moved or ended without having been served", id+1)
-	case q.moved:
-		c.fail(now, "query %d is told its end twice", id+1)
-	case !move && q.link >= 0 && !c.links[q.link].ended:
-		c.fail(now, "query %d is cut off without MOVE while its host still answers", id+1)
+	case !req.served:
+		c.report(now, "request %d is moved or ended without having been served", id+1)
+	case req.ended:
+		c.report(now, "the client of request %d is notified of the end twice", id+1)
+	case !move && req.openConn >= 0 && !c.conns[req.openConn].endedByHost:
+		c.report(now, "request %d is disconnected without MOVE although its host has not ended the connection", id+1)
 	}
-	q.moved = true
+	req.ended = true
 }
 
-// Begun says that the node begins a connection to a host for a query.
-func (c *Checker) Begun(now time.Duration, linkID, id int, server balance.ServerID) {
-	q, h := c.queries[id], c.hosts[server]
-	l := &link{query: id, host: server, begun: now, open: true}
-	if h != nil {
-		l.zone, l.cell = h.listing.Zone, h.listing.Cell
+// AttemptStarted records that the node opens a connection to a host for a request.
+func (c *Checker) AttemptStarted(now time.Duration, connID, id int, server balance.ServerID) {
+	req, host := c.requests[id], c.hosts[server]
+	started := &conn{request: id, host: server, begunAt: now, open: true}
+	if host != nil {
+		started.zone, started.cell = host.listing.Zone, host.listing.Cell
 	}
-	c.links[linkID] = l
-	if q.link >= 0 {
-		c.fail(now, "query %d has two attempts out, at %s and %s", id+1, c.links[q.link].host, server)
+	c.conns[connID] = started
+	if req.openConn >= 0 {
+		c.report(now, "request %d has two pending attempts, at %s and %s", id+1, c.conns[req.openConn].host, server)
 	}
-	if q.answered || q.gone || q.late {
-		c.fail(now, "an attempt at %s for query %d, which is over", server, id+1)
+	if req.answered || req.clientLeft || req.timedOut {
+		c.report(now, "an attempt at %s for request %d, which is finished", server, id+1)
 	}
-	q.link = linkID
-	if q.inherited {
+	req.openConn = connID
+	if req.inherited {
 		return
 	}
-	if q.attempts++; q.attempts > c.limits.MaxAttempts {
-		c.fail(now, "query %d has attempt %d of %d", id+1, q.attempts, c.limits.MaxAttempts)
+	if req.attempts++; req.attempts > c.limits.MaxAttempts {
+		c.report(now, "request %d has attempt %d of %d", id+1, req.attempts, c.limits.MaxAttempts)
 	}
-	if c.limits.Balanced && (h == nil || !h.listed || h.listing.State != balance.Ready) {
-		c.fail(now, "query %d is placed on %s, which is not ready", id+1, server)
+	if c.limits.ReadyOnly && (host == nil || !host.listed || host.listing.State != balance.Ready) {
+		c.report(now, "request %d is placed on %s, which is not ready", id+1, server)
 	}
-	if h != nil && h.out >= 0 && c.limits.Balanced {
-		c.fail(now, "query %d is placed on %s, which is out by hand", id+1, server)
+	if host != nil && host.suspendedAt >= 0 && c.limits.ReadyOnly {
+		c.report(now, "request %d is placed on %s, which is out by hand", id+1, server)
 	}
-	c.checkRepeat(now, id, q, l)
+	c.checkRepeat(now, id, req, started)
 }
 
-// checkRepeat checks what an earlier attempt forbids.
-func (c *Checker) checkRepeat(now time.Duration, id int, q *query, l *link) {
-	if q.mayRun < 0 || q.class.Effect == balance.Safe {
+// checkRepeat checks whether the class of a request permits a repeated attempt after one that may have run.
+func (c *Checker) checkRepeat(now time.Duration, id int, req *request, repeated *conn) {
+	if req.firstMayHaveRun < 0 || req.class.Effect == balance.Safe {
 		return
 	}
-	first := c.links[q.mayRun]
+	first := c.conns[req.firstMayHaveRun]
 	switch {
-	case q.class.Effect == balance.Unsafe:
-		c.fail(now, "query %d, class %s, is repeated though an attempt may have run", id+1, q.class.Name)
-	case q.class.Group == balance.GroupZone && l.zone != first.zone, q.class.Group == balance.GroupCell && l.cell != first.cell:
-		c.fail(now, "query %d, class %s, is repeated outside the group of its first attempt", id+1, q.class.Name)
-	case now > first.begun+q.class.Window:
-		c.fail(now, "query %d, class %s, is repeated after its window", id+1, q.class.Name)
+	case req.class.Effect == balance.Unsafe:
+		c.report(now, "request %d, class %s, is repeated although an attempt may have run", id+1, req.class.Name)
+	case req.class.Group == balance.GroupZone && repeated.zone != first.zone, req.class.Group == balance.GroupCell && repeated.cell != first.cell:
+		c.report(now, "request %d, class %s, is repeated outside the group of its first attempt", id+1, req.class.Name)
+	case now > first.begunAt+req.class.Window:
+		c.report(now, "request %d, class %s, is repeated after its window", id+1, req.class.Name)
 	}
 }
 
-// Sent says that the first byte of a query is written to a host.
-func (c *Checker) Sent(now time.Duration, linkID int) {
-	l := c.links[linkID]
-	l.sent = true
-	h := c.hosts[l.host]
-	if h != nil && h.drained >= 0 && now > h.drained+c.limits.DrainGrace {
-		c.fail(now, "%s is sent query %d %v after its drain was told", l.host, l.query+1, now-h.drained)
+// Sent records that the first byte of a request is written to a host.
+func (c *Checker) Sent(now time.Duration, connID int) {
+	sending := c.conns[connID]
+	sending.sent = true
+	host := c.hosts[sending.host]
+	if host != nil && host.drainedAt >= 0 && now > host.drainedAt+c.limits.DrainGrace {
+		c.report(now, "%s is sent request %d %v after its drain was told", sending.host, sending.request+1, now-host.drainedAt)
 	}
-	if h != nil && h.out >= 0 && now > h.out+c.limits.DrainGrace {
-		c.fail(now, "%s is sent query %d %v after it was taken out by hand", l.host, l.query+1, now-h.out)
+	if host != nil && host.suspendedAt >= 0 && now > host.suspendedAt+c.limits.DrainGrace {
+		c.report(now, "%s is sent request %d %v after it was taken out by hand", sending.host, sending.request+1, now-host.suspendedAt)
 	}
-	if !l.open {
-		c.fail(now, "a closed connection to %s is written to", l.host)
+	if !sending.open {
+		c.report(now, "a request is written to a closed connection to %s", sending.host)
 	}
 }
 
-// HostUp says that a host says UP on a link.
-func (c *Checker) HostUp(linkID int) { c.links[linkID].hostUp = true }
+// HostEstablished records that a host answers UP on a connection.
+func (c *Checker) HostEstablished(connID int) { c.conns[connID].established = true }
 
-// HostEnded says that a host, or the network, ends a link, with what the node sees of it.
-func (c *Checker) HostEnded(linkID int, w Word) {
-	l := c.links[linkID]
-	l.ended = true
-	c.unlink(linkID, l, w != Other)
+// HostEnded records that the host or the network ends a connection.
+func (c *Checker) HostEnded(connID int, end AttemptEnd) {
+	ended := c.conns[connID]
+	ended.endedByHost = true
+	c.closeConn(connID, ended, end != OtherEnd)
 }
 
-// Closed says that the node closes a link.
-func (c *Checker) Closed(linkID int) {
-	if l := c.links[linkID]; l.open {
-		c.unlink(linkID, l, false)
+// Closed records that the node closes a connection.
+func (c *Checker) Closed(connID int) {
+	if closed := c.conns[connID]; closed.open {
+		c.closeConn(connID, closed, false)
 	}
 }
 
-func (c *Checker) unlink(linkID int, l *link, unseen bool) {
-	l.open, l.refused = false, unseen
-	q := c.queries[l.query]
-	if !unseen && l.sent && q.mayRun < 0 {
-		q.mayRun = linkID
+func (c *Checker) closeConn(connID int, closed *conn, notRun bool) {
+	closed.open, closed.notRun = false, notRun
+	req := c.requests[closed.request]
+	if !notRun && closed.sent && req.firstMayHaveRun < 0 {
+		req.firstMayHaveRun = connID
 	}
-	if q.link == linkID {
-		q.link = -1
+	if req.openConn == connID {
+		req.openConn = -1
 	}
 }
 
-// Passed says that lines of a link reach a client, or the other way round.
-func (c *Checker) Passed(now time.Duration, linkID, id int) {
-	if l := c.links[linkID]; l == nil || l.query != id || !c.queries[id].served {
-		c.fail(now, "lines pass between query %d and a host that does not hold it", id+1)
+// Forwarded records that lines are forwarded between a client and a host, in either direction.
+func (c *Checker) Forwarded(now time.Duration, connID, id int) {
+	if forwarding := c.conns[connID]; forwarding == nil || forwarding.request != id || !c.requests[id].served {
+		c.report(now, "lines are forwarded between request %d and a host that does not serve it", id+1)
 	}
 }
 
-// Listed says that discovery tells the node of a host. An entry that is Gone may name a host that was never listed.
-func (c *Checker) Listed(now time.Duration, l balance.Listing) {
-	h := c.hosts[l.Server]
-	if h == nil {
-		h = &host{drained: -1, out: -1}
-		c.hosts[l.Server] = h
+// Listed records an entry that the node got from discovery. An entry that is Gone may name a host that was never listed.
+func (c *Checker) Listed(now time.Duration, listing balance.Listing) {
+	entry := c.hosts[listing.Server]
+	if entry == nil {
+		entry = &host{drainedAt: -1, suspendedAt: -1}
+		c.hosts[listing.Server] = entry
 	}
-	anew := l.State != balance.Gone && h.listing.Started != l.Started
-	started := h.listing.Started
-	if h.listing, h.listed = l, l.State != balance.Gone; !h.listed {
-		h.listing.Started = started
+	restarted := listing.State != balance.Gone && entry.listing.Started != listing.Started
+	started := entry.listing.Started
+	if entry.listing, entry.listed = listing, listing.State != balance.Gone; !entry.listed {
+		entry.listing.Started = started
 	}
 	switch {
-	case l.State == balance.Ready:
-		h.drained = -1
-	case h.drained < 0 || anew:
-		h.drained = now
+	case listing.State == balance.Ready:
+		entry.drainedAt = -1
+	case entry.drainedAt < 0 || restarted:
+		entry.drainedAt = now
 	}
 }
 
-// Suspended says that operators take a host out, or back with out false. Whatever discovery tells, it holds.
-func (c *Checker) Suspended(now time.Duration, server balance.ServerID, out bool) {
-	switch h := c.hosts[server]; {
-	case !out:
-		h.out = -1
-	case h.out < 0:
-		h.out = now
+// Suspended records that operators take a host out of service, or put it back with suspended false. It applies whatever
+// discovery reports.
+func (c *Checker) Suspended(now time.Duration, server balance.ServerID, suspended bool) {
+	switch host := c.hosts[server]; {
+	case !suspended:
+		host.suspendedAt = -1
+	case host.suspendedAt < 0:
+		host.suspendedAt = now
 	}
 }
 
-// Probed says that the node asks a host for its report.
+// Probed records that the node probes a host.
 func (c *Checker) Probed(now time.Duration, server balance.ServerID) {
-	if h := c.hosts[server]; h != nil && h.out >= 0 {
-		c.fail(now, "%s is probed, which is out by hand", server)
+	if host := c.hosts[server]; host != nil && host.suspendedAt >= 0 {
+		c.report(now, "%s is probed, which is out by hand", server)
 	}
 }
 
-// Settled checks that nothing is left of queries that are over: no connection to a host stays open for a client that
-// was answered and not served, that has gone, or that was told the end.
-func (c *Checker) Settled(now time.Duration) {
-	for id, q := range c.queries {
-		over := q.gone || q.moved || q.answered && !q.served
-		if over && q.link >= 0 {
-			c.fail(now, "query %d is over, and its connection to %s is left open", id+1, c.links[q.link].host)
+// CheckFinished checks that no connection to a host stays open for a request that is finished, which it is when its client
+// was answered and not served, has left, or was notified of the end. It also checks that a served client whose connection
+// to the host is closed was notified.
+func (c *Checker) CheckFinished(now time.Duration) {
+	for id, req := range c.requests {
+		finished := req.clientLeft || req.ended || req.answered && !req.served
+		if finished && req.openConn >= 0 {
+			c.report(now, "request %d is finished, and its connection to %s is left open", id+1, c.conns[req.openConn].host)
 		}
-		if q.served && !over && q.link < 0 {
-			c.fail(now, "query %d was served, its connection to the host is closed, and its client is not told", id+1)
+		if req.served && !finished && req.openConn < 0 {
+			c.report(now, "request %d was served, its connection to the host is closed, and its client is not notified", id+1)
 		}
 	}
 }
 
-// Stopped checks what a node owes when it stops.
+// Stopped checks that a node that stops has answered every client, and, unless packets pass through, has sent MOVE to those
+// that it served.
 func (c *Checker) Stopped(now time.Duration, passThrough bool) {
-	for id, q := range c.queries {
+	for id, req := range c.requests {
 		switch {
-		case q.gone:
-		case !q.answered:
-			c.fail(now, "query %d has no answer when the node stops", id+1)
-		case q.served && !q.moved && !passThrough:
-			c.fail(now, "query %d is cut off without MOVE when the node stops", id+1)
+		case req.clientLeft:
+		case !req.answered:
+			c.report(now, "request %d has no answer when the node stops", id+1)
+		case req.served && !req.ended && !passThrough:
+			c.report(now, "request %d is disconnected without MOVE when the node stops", id+1)
 		}
 	}
 }
--- a/rehearsal/script/do.go
+++ b/rehearsal/script/do.go
@@ -13,41 +13,42 @@
 	"lichenhitch/rehearsal/rules"
 )
 
-var errTurn = errors.New("a client sends one line and waits for the answer")
+var errOutOfTurn = errors.New("a client sends one line and waits for the answer")
 
-// Do takes one step. An error says that the step makes no sense now; the world is unchanged then.
+// Do takes one step. It returns an error, and leaves the world unchanged, if the step is not possible now. Here and below,
+// o is the kind of the step, c the client and g the gateway, both counted from 0.
 func (w *World) Do(step model.Step) error {
 	o, c, g, arg := lifemodel.Decode(step)
-	if w.off {
+	if w.stopped {
 		return fmt.Errorf("the node has stopped")
 	}
 	if o == Pass {
-		w.pass(time.Duration(arg) * PassUnit)
+		w.passTime(time.Duration(arg) * PassUnit)
 		return nil
 	}
 	if o == Suspend || o == Resume {
-		return w.byHand(o == Suspend, g)
+		return w.setSuspended(o == Suspend, g)
 	}
-	if o < lifemodel.LoseContact || o >= Chat {
-		return w.doQuery(o, c, g, arg)
+	if o < lifemodel.LoseContact || o >= ClientLine {
+		return w.doRequest(o, c, g, arg)
 	}
 	switch o {
 	case Advance:
-		return w.advance()
+		return w.fireNext()
 	case AnswerProbe:
 		return w.answerProbe(arg)
 	case lifemodel.Terminate, lifemodel.StopAccepting:
-		w.note(o, c, g, arg)
+		w.record(o, c, g, arg)
 		if arg == 1 {
-			w.cfg.Settings.PassThrough = true
+			w.config.Settings.PassThrough = true
 		}
 		return nil
 	case lifemodel.StopNode:
-		w.note(o, c, g, arg|1)
-		pass := w.cfg.Settings.PassThrough || arg>>1 == 1
-		w.say("the node sends everybody away and stops")
+		w.record(o, c, g, arg|1)
+		pass := w.config.Settings.PassThrough || arg>>1 == 1
+		w.trace("the node closes all connections and stops")
 		w.Core.Shutdown(pass)
-		w.off = true
+		w.stopped = true
 		w.Rules.Stopped(w.now, pass)
 		return nil
 	}
@@ -57,242 +58,246 @@
 	return w.doHost(o, g, arg)
 }
 
-// doQuery takes a step about one client's query.
-func (w *World) doQuery(o lifemodel.Op, c, g, arg int) error {
+// doRequest takes a step of one client's request.
+func (w *World) doRequest(o lifemodel.Op, c, g, arg int) error {
 	if o >= lifemodel.Place && o <= lifemodel.Move {
 		return w.decide(o, c, g)
 	}
 	if o == lifemodel.Ask {
-		return w.ask(c, g, arg)
+		return w.sendRequest(c, g, arg)
 	}
-	if c >= len(w.client) {
+	if c >= len(w.clients) {
 		return fmt.Errorf("client %d has not asked", c+1)
 	}
-	q := w.client[c]
-	l := q.link
+	cl := w.clients[c]
+	conn := cl.conn
 	switch o {
 	case lifemodel.AttemptTimeout:
-		return w.fireKind(query.TimerAttempt, c)
+		return w.fireTimer(query.TimerAttempt, c)
 	case lifemodel.RetryInherited:
-		return w.fireKind(query.TimerRetry, c)
+		return w.fireTimer(query.TimerRetry, c)
 	case lifemodel.DeadlineFires:
-		return w.fireKind(query.TimerDeadline, c)
+		return w.fireTimer(query.TimerDeadline, c)
 	case lifemodel.ClientTimeout:
-		w.now = max(w.now, start+w.cfg.Wait)
-		w.note(o, c, 0, 0)
-		w.Rules.TimeUp(w.now, c)
+		w.now = max(w.now, startTime+w.config.ClientTimeout)
+		w.record(o, c, 0, 0)
+		w.Rules.ClientTimedOut(w.now, c)
 		return nil
 	case lifemodel.ClientLeaves:
-		w.note(o, c, 0, 0)
-		w.say("client %d leaves", c+1)
-		q.seen = lifemodel.ClientLeft
-		w.Rules.Gone(c)
-		q.query.ClientGone(true)
+		w.record(o, c, 0, 0)
+		w.trace("client %d leaves", c+1)
+		cl.view = lifemodel.ClientLeft
+		w.Rules.ClientLeft(c)
+		cl.request.ClientGone(true)
 		return nil
 	case lifemodel.ClientFaults:
-		w.note(o, c, 0, 0)
-		w.say("client %d speaks out of turn", c+1)
-		q.query.ClientFaulty(errTurn)
+		w.record(o, c, 0, 0)
+		w.trace("client %d sends data out of turn", c+1)
+		cl.request.ClientFaulty(errOutOfTurn)
 		return nil
 	case lifemodel.LateUp, lifemodel.LateEnd:
-		return w.lateWord(o, c)
+		return w.reportLate(o, c)
 	case Expire:
-		for q.seen == lifemodel.Asking {
-			w.fire(w.next())
+		for cl.view == lifemodel.Asking {
+			w.fire(w.nextTimer())
 		}
 		return nil
-	case Chat:
-		w.say("client %d sends a line", c+1)
-		q.chats++
-		if q.askedAt == 0 && q.seen == lifemodel.Served {
-			q.askedAt = w.now
+	case ClientLine:
+		w.trace("client %d sends a line", c+1)
+		cl.linesSent++
+		if cl.unansweredSince == 0 && cl.view == lifemodel.Served {
+			cl.unansweredSince = w.now
 		}
-		q.query.ClientLines([]byte("line\r\n"))
+		cl.request.ClientLines([]byte("line\r\n"))
 		return nil
 	}
-	if l == nil {
+	if conn == nil {
 		return fmt.Errorf("client %d has no connection to a gateway", c+1)
 	}
-	if g != w.hostOf(l.server) {
-		return fmt.Errorf("the connection of client %d goes to %s", c+1, l.server)
+	if g != w.hostIndex(conn.server) {
+		return fmt.Errorf("the connection of client %d goes to %s", c+1, conn.server)
 	}
-	return w.doLink(o, l, c, g)
+	return w.doConn(o, conn, c, g)
 }
 
-// doLink takes a step of the host's, or the network's, on a connection.
-func (w *World) doLink(o lifemodel.Op, l *link, c, g int) error {
-	if dialing := o == lifemodel.Connect || o == lifemodel.ConnectFails; dialing == l.sent {
+// doConn takes a step of the host or the network on a connection.
+func (w *World) doConn(o lifemodel.Op, conn *hostConn, c, g int) error {
+	if dialing := o == lifemodel.Connect || o == lifemodel.ConnectFails; dialing == conn.sent {
 		return fmt.Errorf("%s does not fit the state of the connection of client %d", o, c+1)
 	}
-	if o < lifemodel.HostGarbles && o != lifemodel.HostEnds && l.up {
-		return fmt.Errorf("the connection of client %d stands already", c+1)
+	if o < lifemodel.HostGarbles && o != lifemodel.HostEnds && conn.established {
+		return fmt.Errorf("the connection of client %d is established already", c+1)
 	}
-	if o != Reply {
-		w.note(o, c, g, 0)
-		w.say("%s, query %d: %s", l.server, c+1, o)
+	if o != HostLine {
+		w.record(o, c, g, 0)
+		w.trace("%s, request %d: %s", conn.server, c+1, o)
 	}
-	ended := func(out balance.Outcome, clean bool, seen rules.Word, word string) {
-		l.held = l.sent // it may say more than it should
-		l.shut()
-		w.Rules.HostEnded(l.id, seen)
-		l.try.Ended(out, clean, balance.Report{}, []byte(word))
+	ended := func(outcome balance.Outcome, clean bool, end rules.AttemptEnd, line string) {
+		conn.mayReportLate = conn.sent // the host may still report on the attempt
+		conn.markClosed()
+		w.Rules.HostEnded(conn.id, end)
+		conn.ref.Ended(outcome, clean, balance.Report{}, []byte(line))
 	}
 	switch o {
 	case lifemodel.Connect:
-		if w.cfg.Plant == "drained-dial" || l.try.AllowSend() {
-			l.sent = true
-			w.Rules.Sent(w.now, l.id)
+		if w.config.Bug == "drained-dial" || conn.ref.AllowSend() {
+			conn.sent = true
+			w.Rules.Sent(w.now, conn.id)
 		}
 	case lifemodel.ConnectFails:
 		ended(balance.Unreachable, false, rules.NoConnection, "")
 	case lifemodel.HostUp:
-		l.up = true
-		w.Rules.HostUp(l.id)
-		l.try.Established(fmt.Appendf(nil, "UP %d\r\n", l.id))
+		conn.established = true
+		w.Rules.HostEstablished(conn.id)
+		conn.ref.Established(fmt.Appendf(nil, "UP %d\r\n", conn.id))
 	case lifemodel.HostServed:
-		ended(balance.OK, true, rules.Other, "BYE\r\n")
+		ended(balance.OK, true, rules.OtherEnd, "BYE\r\n")
 	case lifemodel.HostFull:
 		ended(balance.Full, true, rules.Busy, "")
 	case lifemodel.HostError:
-		ended(balance.Errored, true, rules.Other, "")
+		ended(balance.Errored, true, rules.OtherEnd, "")
 	case lifemodel.HostEnds:
-		ended(balance.Reset, false, rules.Other, "")
+		ended(balance.Reset, false, rules.OtherEnd, "")
 	case lifemodel.HostGarbles:
-		l.try.HostFaulty()
+		conn.ref.HostFaulty()
 	case lifemodel.HostStalls:
-		l.try.HostNotReading()
-	case Reply:
-		w.say("%s sends client %d a line", l.server, c+1)
-		l.client.askedAt = 0
-		w.heard[l.server] = w.now
-		if w.cfg.Plant == "reply-unheard" {
+		conn.ref.HostNotReading()
+	case HostLine:
+		w.trace("%s sends client %d a line", conn.server, c+1)
+		conn.client.unansweredSince = 0
+		w.lastLineAt[conn.server] = w.now
+		if w.config.Bug == "reply-unheard" {
 			return nil
 		}
-		l.try.HostLines(fmt.Appendf(nil, "line %d\r\n", l.id))
+		conn.ref.HostLines(fmt.Appendf(nil, "line %d\r\n", conn.id))
 	default:
-		return fmt.Errorf("a world does not know %s", o)
+		return fmt.Errorf("unknown step in a world: %s", o)
 	}
 	return nil
 }
 
-// ask lets a client come.
-func (w *World) ask(c, g, class int) error {
-	mid := class == MidFlow
-	if mid {
+// sendRequest adds a client that sends a request.
+func (w *World) sendRequest(c, g, class int) error {
+	midFlow := class == MidFlow
+	if midFlow {
 		class = 0
 	}
-	if c != len(w.client) || class >= len(w.cfg.Classes) {
-		return fmt.Errorf("client %d cannot ask now, or its class %d is unknown", c+1, class)
+	if c != len(w.clients) || class >= len(w.config.Classes) {
+		return fmt.Errorf("client %d cannot send a request now, or its class %d is unknown", c+1, class)
 	}
-	var at balance.ServerID
+	var inheritedFrom balance.ServerID
 	if class == int(lifemodel.Inherited) {
 		if g >= len(w.hosts) {
 			return fmt.Errorf("there is no gateway %d", g+1)
 		}
-		at = w.hosts[g].Server
-	}
-	q := &client{w: w, id: c, inherited: at != "", seen: lifemodel.Asking}
-	w.client = append(w.client, q)
-	wait := w.cfg.Wait
-	if at != "" {
-		wait = 40*time.Second + 10*time.Millisecond
-	}
-	w.note(lifemodel.Ask, c, g, class)
-	w.say("client %d asks, class %s %s", c+1, w.cfg.Classes[class], at)
-	w.Rules.Asked(w.now, c, w.cfg.Classes[class], at != "", wait)
-	w.mark(w.now+wait, func() {
-		if q.seen == lifemodel.Asking {
-			w.note(lifemodel.ClientTimeout, c, 0, 0)
-			w.Rules.TimeUp(w.now, c)
+		inheritedFrom = w.hosts[g].Server
+	}
+	cl := &client{w: w, id: c, inherited: inheritedFrom != "", view: lifemodel.Asking}
+	w.clients = append(w.clients, cl)
+	timeout := w.config.ClientTimeout
+	if inheritedFrom != "" {
+		timeout = 40*time.Second + 10*time.Millisecond
+	}
+	w.record(lifemodel.Ask, c, g, class)
+	w.trace("client %d sends a request, class %s %s", c+1, w.config.Classes[class], inheritedFrom)
+	w.Rules.Arrived(w.now, c, w.config.Classes[class], inheritedFrom != "", timeout)
+	w.schedule(w.now+timeout, func() {
+		if cl.view == lifemodel.Asking {
+			w.record(lifemodel.ClientTimeout, c, 0, 0)
+			w.Rules.ClientTimedOut(w.now, c)
 		}
 	})
-	q.query = w.Core.Arrive(q, balance.Arrival{Class: w.cfg.Classes[class], MidFlow: mid}, at, wait)
+	cl.request = w.Core.Arrive(cl, balance.Arrival{Class: w.config.Classes[class], MidFlow: midFlow}, inheritedFrom, timeout)
 	return nil
 }
 
-// pass lets a time pass.
-func (w *World) pass(d time.Duration) {
-	until := w.now + d
-	for i := w.next(); i >= 0 && w.timers[i].at <= until; i = w.next() {
+// passTime advances the clock and fires all timers that are due by then.
+func (w *World) passTime(duration time.Duration) {
+	until := w.now + duration
+	for i := w.nextTimer(); i >= 0 && w.timers[i].at <= until; i = w.nextTimer() {
 		w.fire(i)
 	}
 	w.now = until
-	w.checkSilence()
+	w.checkUnanswered()
 }
 
-// Chats returns how many lines a client has sent, and Waits whether one of them waits for an answer.
-func (w *World) Chats(c int) int  { return w.client[c].chats }
-func (w *World) Waits(c int) bool { return w.client[c].askedAt > 0 }
+// LinesSent returns how many lines a client has sent after its request.
+func (w *World) LinesSent(c int) int { return w.clients[c].linesSent }
 
-// advance fires the next timer. Looks for silent hosts have no effect while nobody is served, and are passed over then.
-func (w *World) advance() error {
+// AwaitsLine says whether a line of a client has no response yet.
+func (w *World) AwaitsLine(c int) bool { return w.clients[c].unansweredSince > 0 }
+
+// fireNext fires the next timer. Sweeps for unresponsive hosts have no effect while no client is served; then the timer
+// after them fires too.
+func (w *World) fireNext() error {
 	for {
-		i := w.next()
+		i := w.nextTimer()
 		if i < 0 {
 			return fmt.Errorf("no timer is running")
 		}
 		t := w.timers[i]
 		w.fire(i)
-		if t.mark != nil { // what the world does at one moment, it does at once
-			for i = w.next(); i >= 0 && w.timers[i].mark != nil && w.timers[i].at == t.at; i = w.next() {
+		if t.run != nil { // everything that the world itself does at one time is one step
+			for i = w.nextTimer(); i >= 0 && w.timers[i].run != nil && w.timers[i].at == t.at; i = w.nextTimer() {
 				w.fire(i)
 			}
 			return nil
 		}
-		if t.due.Kind != query.TimerSweep || w.serving() {
+		if t.event.Kind != query.TimerSweep || w.anyServed() {
 			return nil
 		}
 	}
 }
 
-func (w *World) serving() bool {
-	for _, c := range w.client {
-		if c.seen == lifemodel.Served {
+func (w *World) anyServed() bool {
+	for _, cl := range w.clients {
+		if cl.view == lifemodel.Served {
 			return true
 		}
 	}
 	return false
 }
 
-// Scripted is a decider that decides what the script says.
-type Scripted struct{ next []balance.Action }
+// ScriptedBalancer is a balancer that takes the decisions that the script dictates.
+type ScriptedBalancer struct{ actions []balance.Action }
 
 // Handle implements query.Balancer.
-func (s *Scripted) Handle(time.Duration, balance.Event) []balance.Action {
-	acts := s.next
-	s.next = nil
+func (s *ScriptedBalancer) Handle(time.Duration, balance.Event) []balance.Action {
+	acts := s.actions
+	s.actions = nil
 	return acts
 }
 
-// decide has a scripted balancer decide.
-func (w *World) decide(o lifemodel.Op, c, g int) error {
-	s, ok := w.cfg.Decider.(*Scripted)
+// decide makes the scripted balancer take a decision.
+func (w *World) decide(o lifemodel.Op, client, g int) error {
+	balancer, ok := w.config.Balancer.(*ScriptedBalancer)
 	if !ok {
-		return fmt.Errorf("%s: the balancer here decides by itself", o)
+		return fmt.Errorf("%s: this world has no scripted balancer", o)
 	}
-	if c >= len(w.client) || g >= len(w.hosts) {
-		return fmt.Errorf("there is no client %d, or no gateway %d", c+1, g+1)
+	if client >= len(w.clients) || g >= len(w.hosts) {
+		return fmt.Errorf("there is no client %d, or no gateway %d", client+1, g+1)
 	}
-	id := balance.RequestID(c + 1)
+	id := balance.RequestID(client + 1)
 	switch o {
 	case lifemodel.Place:
-		s.next = []balance.Action{balance.Place{Request: id, Server: w.hosts[g].Server, Timeout: w.cfg.Wait}}
+		balancer.actions = []balance.Action{balance.Place{Request: id, Server: w.hosts[g].Server, Timeout: w.config.ClientTimeout}}
 	case lifemodel.Refuse:
-		s.next = []balance.Action{balance.Refuse{Request: id}}
+		balancer.actions = []balance.Action{balance.Refuse{Request: id}}
 	case lifemodel.GiveUp:
-		s.next = []balance.Action{balance.Fail{Request: id}}
+		balancer.actions = []balance.Action{balance.Fail{Request: id}}
 	case lifemodel.Move:
-		s.next = []balance.Action{balance.Move{Request: id}}
+		balancer.actions = []balance.Action{balance.Move{Request: id}}
 	}
 	w.Core.Fire(query.TimerEvent{Kind: query.TimerBalancer})
 	return nil
 }
 
-// fireKind fires a query's timer, whatever else is due before: a model's trace orders deadlines as it likes.
-func (w *World) fireKind(k query.TimerKind, c int) error {
-	w.next()
+// fireTimer fires a timer of a request even if others are due earlier: the traces of a model may have timers fire in any
+// order.
+func (w *World) fireTimer(kind query.TimerKind, c int) error {
+	w.nextTimer()
 	for i, t := range w.timers {
-		if t.mark == nil && t.due.Kind == k && int(t.due.Request) == c+1 {
+		if t.run == nil && t.event.Kind == kind && int(t.event.Request) == c+1 {
 			w.fire(i)
 			return nil
 		}
@@ -300,110 +305,111 @@
 	return fmt.Errorf("client %d has no such timer running", c+1)
 }
 
-// lateWord has a host speak of an attempt that the node is done with.
-func (w *World) lateWord(o lifemodel.Op, c int) error {
-	for _, l := range w.links {
-		if l.held && l.client.id == c {
-			w.note(o, c, 0, 0)
-			w.say("%s speaks of an attempt of query %d that is over", l.server, c+1)
+// reportLate makes a host report on an attempt that the node has already closed.
+func (w *World) reportLate(o lifemodel.Op, c int) error {
+	for _, conn := range w.conns {
+		if conn.mayReportLate && conn.client.id == c {
+			w.record(o, c, 0, 0)
+			w.trace("%s speaks of an attempt of request %d that is closed", conn.server, c+1)
 			if o == lifemodel.LateUp {
-				l.try.Established(fmt.Appendf(nil, "UP %d\r\n", l.id))
+				conn.ref.Established(fmt.Appendf(nil, "UP %d\r\n", conn.id))
 			} else {
-				l.try.Ended(balance.Reset, false, balance.Report{}, nil)
+				conn.ref.Ended(balance.Reset, false, balance.Report{}, nil)
 			}
 			return nil
 		}
 	}
-	return fmt.Errorf("client %d has no attempt that is over at a gateway", c+1)
+	return fmt.Errorf("client %d has no closed attempt at a gateway", c+1)
 }
 
 func (w *World) answerProbe(arg int) error {
 	if len(w.probes) == 0 {
-		return fmt.Errorf("no probe is out")
+		return fmt.Errorf("no probe is pending")
 	}
-	s := w.probes[0]
+	server := w.probes[0]
 	w.probes = w.probes[1:]
 	switch arg {
 	case ProbeLost:
-		w.Core.Probed(s, balance.TimedOut, 0, balance.Report{})
+		w.Core.Probed(server, balance.TimedOut, 0, balance.Report{})
 	case ProbeRefused:
-		w.Core.Probed(s, balance.Unreachable, 0, balance.Report{})
+		w.Core.Probed(server, balance.Unreachable, 0, balance.Report{})
 	default:
 		ratio := float64(arg) / 100
-		w.Core.Probed(s, balance.OK, 0, balance.Report{Known: balance.HasRatio | balance.HasHeld, Ratio: ratio,
+		w.Core.Probed(server, balance.OK, 0, balance.Report{Known: balance.HasRatio | balance.HasHeld, Ratio: ratio,
 			Held: 20 * ratio})
 	}
 	return nil
 }
 
-// Whole is the argument of a notice that comes as the whole list rather than as a change.
-const Whole = 1
+// FullList is the argument of a notice that discovery sends as a full list rather than as a change.
+const FullList = 1
 
-// doHost takes a step about a host: what discovery tells. What befalls the host itself shows on its connections only.
+// doHost takes a step of a host. Notices of discovery are passed to the node. A fault of the host itself is only recorded:
+// the node sees its effects through the steps of the host's connections.
 func (w *World) doHost(o lifemodel.Op, g, arg int) error {
-	h := w.hosts[g]
-	old := h.told
-	anew := false
+	host := w.hosts[g]
+	oldState := host.listedState
+	restarted := false
 	switch o {
 	case lifemodel.LoseContact, lifemodel.RegainContact, lifemodel.Crash:
-		w.note(o, 0, g, 0)
+		w.record(o, 0, g, 0)
 		return nil
 	case lifemodel.Restart:
-		h.restarts++
-		w.note(o, 0, g, 0)
+		host.unreportedRestarts++
+		w.record(o, 0, g, 0)
 		return nil
 	case lifemodel.DrainExpires:
-		w.now += w.cfg.Settings.Safety.DrainGrace + 100*time.Millisecond
-		w.note(o, 0, g, 0)
+		w.now += w.config.Settings.Safety.DrainGrace + 100*time.Millisecond
+		w.record(o, 0, g, 0)
 		return nil
 	case lifemodel.NotifyDrain:
-		h.told = balance.Draining
+		host.listedState = balance.Draining
 	case lifemodel.NotifyReady:
-		h.told = balance.Ready
+		host.listedState = balance.Ready
 	case lifemodel.NotifyGone:
-		h.told = balance.Gone
+		host.listedState = balance.Gone
 	case lifemodel.NotifyRelisted:
-		h.told = balance.Ready
-		anew = h.restarts > 0
+		host.listedState = balance.Ready
+		restarted = host.unreportedRestarts > 0
 	case lifemodel.NotifyRestart:
-		h.told, anew = balance.Ready, true
+		host.listedState, restarted = balance.Ready, true
 	default:
-		return fmt.Errorf("a world does not know %s", o)
+		return fmt.Errorf("unknown step in a world: %s", o)
 	}
-	if o == lifemodel.NotifyRestart && h.restarts == 0 { // it was not told so far that it died
-		w.note(lifemodel.Crash, 0, g, 0)
-		w.note(lifemodel.Restart, 0, g, 0)
+	if o == lifemodel.NotifyRestart && host.unreportedRestarts == 0 { // the restart itself was not a step
+		w.record(lifemodel.Crash, 0, g, 0)
+		w.record(lifemodel.Restart, 0, g, 0)
 	}
-	if anew {
-		h.Started, h.restarts = w.now, 0
+	if restarted {
+		host.Started, host.unreportedRestarts = w.now, 0
 	}
-	h.State = h.told
-	w.note(o, 0, g, 0)
-	w.say("discovery: %s, %s", h.Server, o)
-	w.Rules.Listed(w.now, h.Listing)
-	if old == balance.Ready && h.told != balance.Ready {
-		w.limit(g)
+	host.State = host.listedState
+	w.record(o, 0, g, 0)
+	w.trace("discovery: %s, %s", host.Server, o)
+	w.Rules.Listed(w.now, host.Listing)
+	if oldState == balance.Ready && host.listedState != balance.Ready {
+		w.startDrainLimit(g)
 	}
-	if w.cfg.Plant == "drain-lost" && o == lifemodel.NotifyDrain && w.linked(h.Server) {
+	if w.config.Bug == "drain-lost" && o == lifemodel.NotifyDrain && w.hasConn(host.Server) {
 		return nil
 	}
-	if arg == Whole {
-		w.Core.List(balance.ListFull, w.whole())
+	if arg == FullList {
+		w.Core.List(balance.ListFull, w.fullList())
 	} else {
-		w.Core.List(balance.ListChanges, []balance.Listing{h.Listing})
+		w.Core.List(balance.ListChanges, []balance.Listing{host.Listing})
 	}
 	return nil
 }
 
-// byHand has operators take a host out or back.
-func (w *World) byHand(out bool, g int) error {
+// setSuspended makes operators take a host out of service or put it back.
+func (w *World) setSuspended(suspended bool, g int) error {
 	if g >= len(w.hosts) {
 		return fmt.Errorf("there is no gateway %d", g+1)
 	}
 	server := w.hosts[g].Server
-	w.say("operators: %s is out: %v", server, out)
-	w.Rules.Suspended(w.now, server, out)
-	if out {
+	w.trace("operators: %s is out: %v", server, suspended)
+	w.Rules.Suspended(w.now, server, suspended)
+	if suspended {
 		w.Core.Suspend(server, w.now)
 	} else {
 		w.Core.Resume(server)
@@ -411,133 +417,134 @@
 	return nil
 }
 
-// whole is discovery's whole list; a host that is gone is not in it.
-func (w *World) whole() (list []balance.Listing) {
-	for _, h := range w.hosts {
-		if h.told != balance.Gone {
-			list = append(list, h.Listing)
+// fullList returns discovery's full list, which leaves out hosts that are gone.
+func (w *World) fullList() (list []balance.Listing) {
+	for _, host := range w.hosts {
+		if host.listedState != balance.Gone {
+			list = append(list, host.Listing)
 		}
 	}
 	return list
 }
 
-func (w *World) linked(s balance.ServerID) bool {
-	for _, l := range w.links {
-		if l.open && l.server == s {
+func (w *World) hasConn(server balance.ServerID) bool {
+	for _, conn := range w.conns {
+		if conn.open && conn.server == server {
 			return true
 		}
 	}
 	return false
 }
 
-// limit marks the moment from which the node must not write to a host any more.
-func (w *World) limit(g int) {
-	h := w.hosts[g]
-	h.drains++
-	drain := h.drains
-	w.mark(w.now+w.cfg.Settings.Safety.DrainGrace-50*time.Millisecond, func() {
-		if h.told != balance.Ready && h.drains == drain {
-			w.note(lifemodel.DrainExpires, 0, g, 0)
-			w.say("the limit of %s has passed", h.Server)
+// startDrainLimit schedules the time from which the node must not send requests to a host any more, 50 ms before the drain
+// grace ends.
+func (w *World) startDrainLimit(g int) {
+	host := w.hosts[g]
+	host.drainCount++
+	drainNumber := host.drainCount
+	w.schedule(w.now+w.config.Settings.Safety.DrainGrace-50*time.Millisecond, func() {
+		if host.listedState != balance.Ready && host.drainCount == drainNumber {
+			w.record(lifemodel.DrainExpires, 0, g, 0)
+			w.trace("the limit of %s has passed", host.Server)
 		}
 	})
 }
 
-// Owed says whether some client waits for its answer.
-func (w *World) Owed() bool {
-	for _, c := range w.client {
-		if c.seen == lifemodel.Asking {
+// AnyWaiting says whether any client waits for its answer.
+func (w *World) AnyWaiting() bool {
+	for _, cl := range w.clients {
+		if cl.view == lifemodel.Asking {
 			return true
 		}
 	}
 	return false
 }
 
-// Check looks at what must hold between two steps.
+// Check checks what must hold between two steps.
 func (w *World) Check() {
-	w.Rules.Settled(w.now)
-	running := make([]map[query.TimerKind]bool, len(w.client))
+	w.Rules.CheckFinished(w.now)
+	running := make([]map[query.TimerKind]bool, len(w.clients))
 	for i := range running {
 		running[i] = map[query.TimerKind]bool{}
 	}
 	for _, t := range w.timers {
-		if !t.off && t.mark == nil && t.due.Request > 0 {
-			running[t.due.Request-1][t.due.Kind] = true
+		if !t.stopped && t.run == nil && t.event.Request > 0 {
+			running[t.event.Request-1][t.event.Kind] = true
 		}
 	}
-	for i, c := range w.client {
-		if c.query != nil && !w.off {
-			w.checkClient(c, running[i])
+	for i, cl := range w.clients {
+		if cl.request != nil && !w.stopped {
+			w.checkClient(cl, running[i])
 		}
 	}
 }
 
-// checkClient checks that a query's state, its timers, its connection and the balancer's books fit together.
-func (w *World) checkClient(c *client, running map[query.TimerKind]bool) {
-	q := c.query.State()
-	for _, fit := range []struct {
+// checkClient checks that the state of a request, its timers, its connection and the events that the balancer got agree.
+func (w *World) checkClient(cl *client, running map[query.TimerKind]bool) {
+	state := cl.request.State()
+	for _, check := range []struct {
 		is, should bool
-		yes, no    string // what is wrong when it is so, and when it is not
+		yes, no    string // appended to the violation if "is" is true, and if it is false
 	}{
-		{c.seen == lifemodel.Asking, q.AwaitsAnswer(), "its client waits for an answer", "its client does not wait for an answer"},
-		{c.seen == lifemodel.Served, q.Phase == lifecycle.Established, "its client is served", "its client is not served"},
-		{c.link != nil, q.HasHostConn(), "a connection to a host is open", "no connection to a host is open"},
-		{running[query.TimerDeadline], q.AwaitsAnswer(), "the guard of its deadline runs", "no guard of its deadline runs"},
-		{running[query.TimerAttempt], q.Phase == lifecycle.Trying, "the time-out of an attempt runs", "no time-out of its attempt runs"},
-		{running[query.TimerRetry], q.Phase == lifecycle.Waiting && q.Inherited, "the pause between two tries runs",
-			"no pause between two tries runs"},
+		{cl.view == lifemodel.Asking, state.AwaitsAnswer(), "its client waits for an answer", "its client does not wait for an answer"},
+		{cl.view == lifemodel.Served, state.Phase == lifecycle.Established, "its client is served", "its client is not served"},
+		{cl.conn != nil, state.HasHostConn(), "a connection to a host is open", "no connection to a host is open"},
+		{running[query.TimerDeadline], state.AwaitsAnswer(), "its deadline timer runs", "its deadline timer does not run"},
+		{running[query.TimerAttempt], state.Phase == lifecycle.Trying, "a time-out of an attempt runs", "no time-out of its attempt runs"},
+		{running[query.TimerRetry], state.Phase == lifecycle.Waiting && state.Inherited, "a pause between two attempts runs",
+			"no pause between two attempts runs"},
 	} {
-		if fit.is != fit.should {
-			w.Rules.Note(w.now, fmt.Sprintf("query %d is %s, and %s", c.id+1, q.Phase, map[bool]string{true: fit.yes, false: fit.no}[fit.is]))
+		if check.is != check.should {
+			w.Rules.AddViolation(w.now, fmt.Sprintf("request %d is %s, and %s", cl.id+1, state.Phase, map[bool]string{true: check.yes, false: check.no}[check.is]))
 		}
 	}
-	if b := w.tap.books[balance.RequestID(c.id+1)]; b != nil && b.pending != q.HasHostConn() {
-		w.Rules.Note(w.now, fmt.Sprintf("query %d is %s, and for the balancer an attempt is pending: %v", c.id+1, q.Phase, b.pending))
+	if record := w.tap.records[balance.RequestID(cl.id+1)]; record != nil && record.pending != state.HasHostConn() {
+		w.Rules.AddViolation(w.now, fmt.Sprintf("request %d is %s, and for the balancer an attempt is pending: %v", cl.id+1, state.Phase, record.pending))
 	}
 }
 
-// Broken returns what was broken so far.
-func (w *World) Broken() []string { return w.Rules.Broken() }
+// Violations returns descriptions of the violations so far, in order.
+func (w *World) Violations() []string { return w.Rules.Violations() }
 
-// Tell has all that crosses an interface told in words.
-func (w *World) Tell(f func(string)) { w.tell = f }
+// OnEvent sets a function that gets a description of each event that crosses an interface.
+func (w *World) OnEvent(onEvent func(string)) { w.onEvent = onEvent }
 
-// Done returns what was done since the last call, in the words of the model of lives.
-func (w *World) Done() []model.Step {
-	d := w.done
-	w.done = nil
-	return d
+// TakenSteps returns what happened since the last call, as steps of the model of the request lifecycle.
+func (w *World) TakenSteps() []model.Step {
+	taken := w.takenSteps
+	w.takenSteps = nil
+	return taken
 }
 
-// State returns where a client's query stands, what its client has seen and where its connection goes: its stage and
-// its host, -1 for none.
+// State returns the lifecycle state of a client's request, what the client has seen of it, the state of its connection to
+// a host, and the index of that host, -1 for none.
 func (w *World) State(c int) (lifecycle.State, lifemodel.ClientView, lifemodel.ConnState, int) {
-	q := w.client[c]
+	cl := w.clients[c]
 	switch {
-	case q.link == nil:
-		return q.query.State(), q.seen, lifemodel.NoConn, -1
-	case q.link.sent:
-		return q.query.State(), q.seen, lifemodel.RequestSent, w.hostOf(q.link.server)
+	case cl.conn == nil:
+		return cl.request.State(), cl.view, lifemodel.NoConn, -1
+	case cl.conn.sent:
+		return cl.request.State(), cl.view, lifemodel.RequestSent, w.hostIndex(cl.conn.server)
 	}
-	return q.query.State(), q.seen, lifemodel.Dialing, w.hostOf(q.link.server)
+	return cl.request.State(), cl.view, lifemodel.Dialing, w.hostIndex(cl.conn.server)
 }
 
-// Clients returns how many clients have asked.
-func (w *World) Clients() int { return len(w.client) }
+// Clients returns how many clients have sent their requests.
+func (w *World) Clients() int { return len(w.clients) }
 
 // Elapsed returns how long the world has been running.
-func (w *World) Elapsed() time.Duration { return w.now - start }
+func (w *World) Elapsed() time.Duration { return w.now - startTime }
 
 // Stopped says whether the node has stopped.
-func (w *World) Stopped() bool { return w.off }
+func (w *World) Stopped() bool { return w.stopped }
 
-// Told returns what discovery last told of a host.
-func (w *World) Told(g int) balance.State { return w.hosts[g].told }
+// ListedState returns the state of a host as discovery last reported it.
+func (w *World) ListedState(g int) balance.State { return w.hosts[g].listedState }
 
-// Held says whether some host may still speak of an attempt of a client that is over.
-func (w *World) Held(c int) bool {
-	for _, l := range w.links {
-		if l.held && l.client.id == c {
+// HasLateAttempt says whether a host may still report on an attempt of the client that the node has closed.
+func (w *World) HasLateAttempt(c int) bool {
+	for _, conn := range w.conns {
+		if conn.mayReportLate && conn.client.id == c {
 			return true
 		}
 	}
--- a/rehearsal/script/print.go
+++ b/rehearsal/script/print.go
@@ -11,163 +11,165 @@
 	"lichenhitch/rehearsal/lifemodel"
 )
 
-// Fingerprint appends bytes that tell this world from any other: all that the core, its balancer and the stand-ins hold,
-// read by reflection. Two worlds with the same bytes go on alike. Left out are logs, functions, and two scratch lists of
-// the balancer that are filled anew before they are read.
+// Fingerprint appends bytes that identify the state of this world: the whole state of the core and its balancer, read by
+// reflection, and that of the simulated environment. Two worlds with the same bytes behave alike from there on. Loggers,
+// functions and skippedFields are left out.
 func (w *World) Fingerprint(to []byte) []byte {
-	p := printer{w: w, out: to, seen: map[uintptr]uint64{}}
-	p.value(reflect.ValueOf(w.Core))
-	p.num(uint64(w.now))
-	p.num(uint64(len(w.probes)))
+	fp := fingerprinter{w: w, buf: to, seen: map[uintptr]uint64{}}
+	fp.value(reflect.ValueOf(w.Core))
+	fp.uint(uint64(w.now))
+	fp.uint(uint64(len(w.probes)))
 	for _, s := range w.probes {
-		p.num(uint64(w.hostOf(s)))
+		fp.uint(uint64(w.hostIndex(s)))
 	}
-	for _, h := range w.hosts {
-		p.value(reflect.ValueOf(h.Listing))
-		p.num(uint64(h.restarts))
+	for _, host := range w.hosts {
+		fp.value(reflect.ValueOf(host.Listing))
+		fp.uint(uint64(host.unreportedRestarts))
 	}
-	for _, c := range w.client {
-		p.num(uint64(c.seen))
-		p.num(uint64(c.chats))
-		p.num(uint64(c.askedAt))
-		held := false
-		for _, l := range w.links {
-			held = held || l.held && l.client == c
+	for _, cl := range w.clients {
+		fp.uint(uint64(cl.view))
+		fp.uint(uint64(cl.linesSent))
+		fp.uint(uint64(cl.unansweredSince))
+		mayReportLate := false
+		for _, conn := range w.conns {
+			mayReportLate = mayReportLate || conn.mayReportLate && conn.client == cl
 		}
-		p.flag(held)
-		if l := c.link; l != nil {
-			p.num(uint64(w.hostOf(l.server)) + 1)
-			p.flag(l.sent)
-			p.flag(l.up)
+		fp.bool(mayReportLate)
+		if conn := cl.conn; conn != nil {
+			fp.uint(uint64(w.hostIndex(conn.server)) + 1)
+			fp.bool(conn.sent)
+			fp.bool(conn.established)
 		} else {
-			p.num(0)
+			fp.uint(0)
 		}
 	}
-	w.next() // drops the timers that were stopped
-	order := slices.Clone(w.timers)
-	sort.Slice(order, func(i, j int) bool {
-		a, b := order[i], order[j]
+	w.nextTimer() // removes the stopped timers
+	ordered := slices.Clone(w.timers)
+	sort.Slice(ordered, func(i, j int) bool {
+		a, b := ordered[i], ordered[j]
 		return a.at < b.at || a.at == b.at && a.seq < b.seq
 	})
-	for _, t := range order {
-		p.num(uint64(t.at))
-		p.num(uint64(t.due.Kind))
-		p.num(uint64(t.due.Request))
-		p.num(t.due.Token)
-		p.flag(t.mark != nil)
+	for _, t := range ordered {
+		fp.uint(uint64(t.at))
+		fp.uint(uint64(t.event.Kind))
+		fp.uint(uint64(t.event.Request))
+		fp.uint(t.event.Token)
+		fp.bool(t.run != nil)
 	}
-	p.flag(w.off)
-	for _, h := range w.hosts {
-		p.num(uint64(h.told))
+	fp.bool(w.stopped)
+	for _, host := range w.hosts {
+		fp.uint(uint64(host.listedState))
 	}
-	return w.Rules.Fingerprint(p.out)
+	return w.Rules.Fingerprint(fp.buf)
 }
 
-type printer struct {
+// fingerprinter encodes values by reflection.
+type fingerprinter struct {
 	w    *World
-	out  []byte
-	seen map[uintptr]uint64
+	buf  []byte
+	seen map[uintptr]uint64 // pointers met so far, numbered in that order
 }
 
-func (p *printer) num(n uint64) { p.out = binary.AppendUvarint(p.out, n) }
-func (p *printer) flag(b bool) {
+func (p *fingerprinter) uint(n uint64) { p.buf = binary.AppendUvarint(p.buf, n) }
+func (p *fingerprinter) bool(b bool) {
 	if b {
-		p.out = append(p.out, 1)
+		p.buf = append(p.buf, 1)
 	} else {
-		p.out = append(p.out, 0)
+		p.buf = append(p.buf, 0)
 	}
 }
 
 var (
-	logger  = reflect.TypeFor[*slog.Logger]()
-	mine    = reflect.TypeFor[*World]()
-	tapped  = reflect.TypeFor[*tap]()
-	timers  = reflect.TypeFor[*timer]()
-	linked  = reflect.TypeFor[*link]()
-	clients = reflect.TypeFor[*client]()
-	scratch = map[string]bool{"out": true, "fit": true}
+	loggerType = reflect.TypeFor[*slog.Logger]()
+	worldType  = reflect.TypeFor[*World]()
+	tapType    = reflect.TypeFor[*balancerTap]()
+	timerType  = reflect.TypeFor[*timer]()
+	connType   = reflect.TypeFor[*hostConn]()
+	clientType = reflect.TypeFor[*client]()
+	// skippedFields are the names of the scratch lists of balance.Balancer, which are refilled before they are read.
+	skippedFields = map[string]bool{"out": true, "fit": true}
 )
 
-// value appends a value. Pointers that were met before are told by the order of their first meeting.
-func (p *printer) value(v reflect.Value) {
+// value appends a value. A pointer that was met before is encoded by its number.
+func (p *fingerprinter) value(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
-		p.flag(v.Bool())
+		p.bool(v.Bool())
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		p.num(uint64(v.Int()))
+		p.uint(uint64(v.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		p.num(v.Uint())
+		p.uint(v.Uint())
 	case reflect.Float64, reflect.Float32:
-		p.num(math.Float64bits(v.Float()))
+		p.uint(math.Float64bits(v.Float()))
 	case reflect.String:
-		p.num(uint64(v.Len()))
-		p.out = append(p.out, v.String()...)
+		p.uint(uint64(v.Len()))
+		p.buf = append(p.buf, v.String()...)
 	case reflect.Interface:
-		p.inside(v)
+		p.iface(v)
 	case reflect.Pointer:
 		p.pointer(v)
 	case reflect.Struct:
 		p.fields(v)
 	case reflect.Slice, reflect.Array:
-		p.num(uint64(v.Len()))
+		p.uint(uint64(v.Len()))
 		for i := range v.Len() {
 			p.value(v.Index(i))
 		}
 	case reflect.Map:
-		p.entries(v)
+		p.mapEntries(v)
 	}
 }
 
-func (p *printer) inside(v reflect.Value) {
+func (p *fingerprinter) iface(v reflect.Value) {
 	if v.IsNil() {
-		p.out = append(p.out, 0)
+		p.buf = append(p.buf, 0)
 		return
 	}
-	p.out = append(p.out, 1)
+	p.buf = append(p.buf, 1)
 	p.value(v.Elem())
 }
 
-func (p *printer) pointer(v reflect.Value) {
+func (p *fingerprinter) pointer(v reflect.Value) {
 	switch {
 	case v.IsNil():
-		p.out = append(p.out, 0)
+		p.buf = append(p.buf, 0)
 		return
-	case v.Type() == logger, v.Type() == mine:
+	case v.Type() == loggerType, v.Type() == worldType:
 		return
 	}
 	at := v.Pointer()
 	if n, met := p.seen[at]; met {
-		p.num(n + 2)
+		p.uint(n + 2)
 		return
 	}
 	p.seen[at] = uint64(len(p.seen))
-	p.out = append(p.out, 1)
+	p.buf = append(p.buf, 1)
 	switch v.Type() {
-	case timers: // the list of timers tells the rest
-		p.flag(v.Elem().FieldByName("off").Bool())
-		p.num(uint64(v.Elem().FieldByName("at").Int()))
-	case linked:
-		p.flag(v.Elem().FieldByName("open").Bool())
-		p.flag(v.Elem().FieldByName("sent").Bool())
-	case clients:
-		p.num(uint64(v.Elem().FieldByName("id").Int()))
-	case tapped:
+	case timerType: // Fingerprint encodes the rest with the list of timers
+		p.bool(v.Elem().FieldByName("stopped").Bool())
+		p.uint(uint64(v.Elem().FieldByName("at").Int()))
+	case connType:
+		p.bool(v.Elem().FieldByName("open").Bool())
+		p.bool(v.Elem().FieldByName("sent").Bool())
+	case clientType:
+		p.uint(uint64(v.Elem().FieldByName("id").Int()))
+	case tapType:
 		p.value(v.Elem().FieldByName("inner"))
 	default:
 		p.value(v.Elem())
 	}
 }
 
-func (p *printer) fields(v reflect.Value) {
+func (p *fingerprinter) fields(v reflect.Value) {
 	t := v.Type()
 	for i := range v.NumField() {
-		if f := t.Field(i); f.Type.Kind() != reflect.Func && !scratch[f.Name] {
+		if field := t.Field(i); field.Type.Kind() != reflect.Func && !skippedFields[field.Name] {
 			p.value(v.Field(i))
 		}
 	}
 }
 
-func (p *printer) entries(v reflect.Value) {
+func (p *fingerprinter) mapEntries(v reflect.Value) {
 	keys := v.MapKeys()
 	sort.Slice(keys, func(i, j int) bool {
 		a, b := keys[i], keys[j]
@@ -179,31 +181,31 @@
 		}
 		return a.String() < b.String()
 	})
-	p.num(uint64(len(keys)))
+	p.uint(uint64(len(keys)))
 	for _, k := range keys {
 		p.value(k)
 		p.value(v.MapIndex(k))
 	}
 }
 
-// Kept returns how many queries the core, and how many requests its balancer, still holds.
-func (w *World) Kept() (queries, requests int) {
+// Retained returns how many requests the core and its balancer still hold.
+func (w *World) Retained() (inCore, inBalancer int) {
 	core := reflect.ValueOf(w.Core).Elem()
-	queries = core.FieldByName("requests").Len()
+	inCore = core.FieldByName("requests").Len()
 	for inner := core.FieldByName("balancer"); inner.IsValid(); {
-		at := inner.Elem().Elem() // the wrappers of the world and of plants have an inner one
-		if f := at.FieldByName("requests"); f.IsValid() {
-			return queries, f.Len()
+		balancer := inner.Elem().Elem() // the wrappers of the world and of injected bugs have the real balancer as "inner"
+		if requests := balancer.FieldByName("requests"); requests.IsValid() {
+			return inCore, requests.Len()
 		}
-		inner = at.FieldByName("inner")
+		inner = balancer.FieldByName("inner")
 	}
-	return queries, 0
+	return inCore, 0
 }
 
-// Live says how many of the clients' queries should still be held: those that wait and those that are served.
-func (w *World) Live() (n int) {
-	for _, c := range w.client {
-		if c.seen == lifemodel.Asking || c.seen == lifemodel.Served {
+// LiveRequests returns how many requests the core should still hold: those that wait and those that are served.
+func (w *World) LiveRequests() (n int) {
+	for _, cl := range w.clients {
+		if cl.view == lifemodel.Asking || cl.view == lifemodel.Served {
 			n++
 		}
 	}
--- a/rehearsal/script/world.go
+++ b/rehearsal/script/world.go
@@ -1,7 +1,8 @@
-// Package script is a scripted world round the real query core: it stands in for the clock, the clients, the server
-// links and the host group, does one thing at a time as it is told, and has all that crosses the interfaces checked by
-// package rules. Its vocabulary is that of the model of lives, so that a trace of the model can be played on the running
-// code, and a run of the code be followed by the model.
+// Package script runs the real query core in a simulated environment (a world): simulated clock, clients, connections to
+// hosts and discovery. The caller makes one step at a time, and package rules checks all that crosses the core's
+// interfaces. The steps are those of the model of the request lifecycle (package lifemodel), so that a trace of the model
+// can be replayed on the running code, and the model can follow a run of the code. Steps and their errors call a host a
+// gateway, as that package does.
 package script
 
 import (
@@ -18,224 +19,229 @@
 	"lichenhitch/rehearsal/rules"
 )
 
-// The steps of a world that the model of lives has no word for.
+// The steps of a world that package lifemodel does not have.
 const (
-	// Advance lets time pass up to the next timer, which fires.
+	// Advance advances the clock to the next timer, which fires.
 	Advance lifemodel.Op = iota + 64
-	// AnswerProbe answers the oldest probe that is out; the argument is a percentage of the host's capacity, or one of
-	// the codes below.
+	// AnswerProbe answers the oldest pending probe; the argument is the host's load as a percentage of its capacity, or
+	// one of the codes below.
 	AnswerProbe
-	// Chat passes a line of a served client to its host, and Reply one back.
-	Chat
-	Reply
-	// Expire lets time pass until the client's time is up, while nothing else happens.
+	// ClientLine is a line that a served client sends to its host, and HostLine one that the host sends back.
+	ClientLine
+	HostLine
+	// Expire advances the clock, while nothing else happens, until the client has its answer, which is due by the client's
+	// time limit.
 	Expire
-	// Pass lets a time pass, the argument times PassUnit, and all that is due in it.
+	// Pass advances the clock by the argument times PassUnit and fires all timers that are due by then.
 	Pass
-	// Suspend has operators take a host out, and Resume back.
+	// Suspend makes operators take a host out of service, and Resume makes them put it back.
 	Suspend
 	Resume
 )
 
-// PassUnit is the unit of Pass.
+// PassUnit is the unit of the argument of Pass.
 const PassUnit = 100 * time.Millisecond
 
-// MidFlow is the argument of Ask for a connection whose packets some other node passed on so far; its class is the first.
+// MidFlow is the argument of Ask for a connection whose packets another node has forwarded so far. It has the first class.
 const MidFlow = 16
 
-// How long a connection may bring nothing back for a line of the client's: where nothing else comes from its host, and
-// in any case. The sweep adds a moment.
+// How long a client may wait for the response to a line: while no line at all comes from its host, and in any case. The
+// node's limits are 200 ms shorter, because its sweep for unresponsive hosts runs periodically.
 const (
-	silentFor = lifecycle.UnresponsiveAfter + 200*time.Millisecond
-	stuckFor  = lifecycle.StuckAfter + 200*time.Millisecond
+	unresponsiveLimit = lifecycle.UnresponsiveAfter + 200*time.Millisecond
+	stuckLimit        = lifecycle.StuckAfter + 200*time.Millisecond
 )
 
-// Codes of AnswerProbe.
+// Arguments of AnswerProbe for a probe that fails.
 const (
 	ProbeLost = 200 + iota
 	ProbeRefused
 )
 
-// Config is what a world is made of.
+// Config is the configuration of a world.
 type Config struct {
 	Hosts    int
 	Settings balance.Settings
 	Seed     uint64
-	Decider  query.Balancer          // nil: the real balancer
-	Rule     query.StepFunc          // nil: that of the plant, the real one without a plant
-	Constant func(*balance.Settings) // what the node goes by whatever its settings say: a planted bug; may be nil
-	Strict   bool                    // a decider of one's own must place on ready hosts only, as the real one does
-	Wait     time.Duration           // of each client
-	Classes  []string                // by the argument of Ask; the last is that of inherited connections
-	Plant    string                  // of the model's plants, those that concern the world's side
-	Fleet    func(i int) balance.Listing
+	Balancer query.Balancer // nil: the real balancer
+	Rule     query.StepFunc // nil: the rule with the injected bug, or the real one without a bug
+	// OverrideSettings injects a bug: it changes the settings that the node applies, but not those that the rules check.
+	// It may be nil.
+	OverrideSettings func(*balance.Settings)
+	// ReadyOnly makes the rules require of a given Balancer, as of the real one, that it places requests on ready hosts only.
+	ReadyOnly     bool
+	ClientTimeout time.Duration               // of each client
+	Classes       []string                    // by the argument of Ask; lifemodel.Inherited is that of inherited connections
+	Bug           string                      // name of the injected bug; here it concerns the rule, or the world itself
+	Fleet         func(i int) balance.Listing // the listing of host i; nil: hosts of weight 1
 }
 
-// World is a core with everything round it.
+// World is a query core with its simulated environment.
 type World struct {
-	Core     *query.Core
-	Rules    *rules.Checker
-	tap      *tap
-	now      time.Duration
-	cfg      Config
-	seq      int
-	timers   []*timer
-	client   []*client
-	links    []*link
-	hosts    []*host
-	probes   []balance.ServerID
-	done     []model.Step                       // what was done, in the words of the model of lives
-	off      bool                               // the node has stopped
-	heard    map[balance.ServerID]time.Duration // when a line last came from a host
-	sweeping bool
-	tell     func(string) // of each thing that crosses an interface; may be nil
+	Core       *query.Core
+	Rules      *rules.Checker
+	tap        *balancerTap
+	now        time.Duration
+	config     Config
+	timerSeq   int
+	timers     []*timer
+	clients    []*client
+	conns      []*hostConn
+	hosts      []*host
+	probes     []balance.ServerID
+	takenSteps []model.Step                       // what happened, as steps of package lifemodel
+	stopped    bool                               // the node has stopped
+	lastLineAt map[balance.ServerID]time.Duration // when a line last came from a host
+	sweeping   bool                               // the sweep for unresponsive hosts is under way
+	onEvent    func(string)                       // gets a description of each event that crosses an interface; may be nil
 }
 
-// start is the time at which worlds begin; clocks are never 0.
-const start = time.Hour
+// startTime is the time at which worlds begin. The time of a query.Clock is never 0.
+const startTime = time.Hour
 
 type timer struct {
-	w    *World
-	at   time.Duration
-	seq  int
-	due  query.TimerEvent
-	mark func() // instead of a call to the core
-	off  bool
+	w       *World
+	at      time.Duration
+	seq     int
+	event   query.TimerEvent
+	run     func() // an action of the world itself; nil: the timer is the core's
+	stopped bool
 }
 
-func (t *timer) Stop() { t.off = true }
+func (t *timer) Stop() { t.stopped = true }
 
 type host struct {
 	balance.Listing
-	told     balance.State
-	drains   int // told so far
-	restarts int // that discovery has not told yet
+	listedState        balance.State
+	drainCount         int // number of drains so far
+	unreportedRestarts int // restarts that discovery has not reported yet
 }
 
 // New returns a world whose hosts are all listed and ready.
-func New(cfg Config) *World {
-	w := &World{now: start, cfg: cfg, heard: map[balance.ServerID]time.Duration{}}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	decider, rule, own := cfg.Decider, cfg.Rule, cfg.Settings
-	if cfg.Constant != nil {
-		cfg.Constant(&own)
+func New(config Config) *World {
+	w := &World{now: startTime, config: config, lastLineAt: map[balance.ServerID]time.Duration{}}
+	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	balancer, rule, nodeSettings := config.Balancer, config.Rule, config.Settings
+	if config.OverrideSettings != nil {
+		config.OverrideSettings(&nodeSettings)
 	}
-	if decider == nil {
-		decider = balance.New(own, cfg.Seed)
+	if balancer == nil {
+		balancer = balance.New(nodeSettings, config.Seed)
 	}
 	if rule == nil {
-		rule = lifemodel.RuleWithBug(cfg.Plant)
+		rule = lifemodel.RuleWithBug(config.Bug)
 	}
-	w.Rules = rules.New(rules.Limits{Start: start, DrainGrace: cfg.Settings.Safety.DrainGrace + 50*time.Millisecond,
-		MaxAttempts: max(1, cfg.Settings.MaxAttempts), Balanced: cfg.Decider == nil || cfg.Strict}, cfg.Settings.Classes)
-	w.tap = &tap{w, decider, map[balance.RequestID]*entry{}}
-	w.Core = query.NewWith(log, w, own, w.tap, rule)
+	w.Rules = rules.New(rules.Limits{Start: startTime, DrainGrace: config.Settings.Safety.DrainGrace + 50*time.Millisecond,
+		MaxAttempts: max(1, config.Settings.MaxAttempts), ReadyOnly: config.Balancer == nil || config.ReadyOnly}, config.Settings.Classes)
+	w.tap = &balancerTap{w, balancer, map[balance.RequestID]*requestRecord{}}
+	w.Core = query.NewWith(logger, w, nodeSettings, w.tap, rule)
 	w.Core.Connect(w, w)
-	var all []balance.Listing
-	for i := range cfg.Hosts {
-		l := balance.Listing{Server: balance.ServerID(fmt.Sprint("g", i+1)), Weight: 1}
-		if cfg.Fleet != nil {
-			l = cfg.Fleet(i)
+	var listings []balance.Listing
+	for i := range config.Hosts {
+		listing := balance.Listing{Server: balance.ServerID(fmt.Sprint("g", i+1)), Weight: 1}
+		if config.Fleet != nil {
+			listing = config.Fleet(i)
 		}
-		w.hosts = append(w.hosts, &host{Listing: l})
-		all = append(all, l)
-		w.Rules.Listed(w.now, l)
+		w.hosts = append(w.hosts, &host{Listing: listing})
+		listings = append(listings, listing)
+		w.Rules.Listed(w.now, listing)
 	}
-	w.Core.List(balance.ListSaved, all)
+	w.Core.List(balance.ListSaved, listings)
 	return w
 }
 
-// tap sees what the balancer decides.
-type tap struct {
-	w     *World
-	inner query.Balancer
-	books map[balance.RequestID]*entry
+// balancerTap passes events on to a balancer, checks them, and records the balancer's decisions.
+type balancerTap struct {
+	w       *World
+	inner   query.Balancer
+	records map[balance.RequestID]*requestRecord
 }
 
-// entry is what the balancer has been told of a request.
-type entry struct {
-	placed  int
-	pending bool
-	parted  bool
+// requestRecord is what the balancer knows of a request from the events that it got.
+type requestRecord struct {
+	attempts int  // started so far
+	pending  bool // an attempt is pending or its connection is established
+	departed bool
 }
 
-// hear checks that what the balancer is told fits together: one end for each attempt, and nothing of others.
-func (t *tap) hear(ev balance.Event) {
-	wrong := func(id balance.RequestID, what string) {
-		t.w.Rules.Note(t.w.now, fmt.Sprintf("the balancer hears of query %d %s", id, what))
+// checkEvent checks that the events that the balancer gets are consistent: one end for each attempt, and no events of
+// attempts that do not exist.
+func (t *balancerTap) checkEvent(ev balance.Event) {
+	addViolation := func(id balance.RequestID, what string) {
+		t.w.Rules.AddViolation(t.w.now, fmt.Sprintf("the balancer gets an event of request %d: %s", id, what))
 	}
 	switch e := ev.(type) {
 	case balance.Arrival:
-		if t.books[e.Request] != nil {
-			wrong(e.Request, "a second time")
+		if t.records[e.Request] != nil {
+			addViolation(e.Request, "its arrival, a second time")
 		}
-		t.books[e.Request] = &entry{}
+		t.records[e.Request] = &requestRecord{}
 	case balance.Inherited:
-		t.books[e.Request] = &entry{placed: 1, pending: true}
+		t.records[e.Request] = &requestRecord{attempts: 1, pending: true}
 	case balance.Established:
-		if b := t.books[e.Request]; b == nil || !b.pending || e.Attempt != b.placed-1 {
-			wrong(e.Request, "that an attempt stands that is not pending")
+		if record := t.records[e.Request]; record == nil || !record.pending || e.Attempt != record.attempts-1 {
+			addViolation(e.Request, "the establishment of an attempt that is not pending")
 		}
 	case balance.Ended:
-		b := t.books[e.Request]
-		if b == nil || !b.pending || e.Attempt != b.placed-1 {
-			wrong(e.Request, "the end of an attempt that is not pending")
+		record := t.records[e.Request]
+		if record == nil || !record.pending || e.Attempt != record.attempts-1 {
+			addViolation(e.Request, "the end of an attempt that is not pending")
 			return
 		}
-		if t.w.client[e.Request-1].link != nil {
-			wrong(e.Request, "the end of an attempt that is still open")
+		if t.w.clients[e.Request-1].conn != nil {
+			addViolation(e.Request, "the end of an attempt that is still open")
 		}
-		b.pending = false
+		record.pending = false
 	case balance.Departed:
-		if b := t.books[e.Request]; b == nil || b.parted {
-			wrong(e.Request, "that its client has left, out of place")
+		if record := t.records[e.Request]; record == nil || record.departed {
+			addViolation(e.Request, "its client's departure, for an unknown request or a second time")
 		} else {
-			b.parted = true
+			record.departed = true
 		}
 	}
 }
 
 // Handle implements query.Balancer.
-func (t *tap) Handle(now time.Duration, ev balance.Event) []balance.Action {
-	t.hear(ev)
+func (t *balancerTap) Handle(now time.Duration, ev balance.Event) []balance.Action {
+	t.checkEvent(ev)
 	acts := t.inner.Handle(now, ev)
 	for _, a := range acts {
 		switch a := a.(type) {
 		case balance.Place:
-			if b := t.books[a.Request]; b != nil {
-				b.placed++
-				b.pending = true
+			if record := t.records[a.Request]; record != nil {
+				record.attempts++
+				record.pending = true
 			}
-			t.w.note(lifemodel.Place, int(a.Request)-1, t.w.hostOf(a.Server), 0)
-			t.w.say("the balancer places query %d on %s for %v", a.Request, a.Server, a.Timeout)
+			t.w.record(lifemodel.Place, int(a.Request)-1, t.w.hostIndex(a.Server), 0)
+			t.w.trace("the balancer places request %d on %s for %v", a.Request, a.Server, a.Timeout)
 		case balance.Refuse:
-			t.w.note(lifemodel.Refuse, int(a.Request)-1, 0, 0)
-			t.w.say("the balancer refuses query %d", a.Request)
+			t.w.record(lifemodel.Refuse, int(a.Request)-1, 0, 0)
+			t.w.trace("the balancer refuses request %d", a.Request)
 		case balance.Fail:
-			t.w.note(lifemodel.GiveUp, int(a.Request)-1, 0, 0)
-			t.w.say("the balancer gives query %d up", a.Request)
+			t.w.record(lifemodel.GiveUp, int(a.Request)-1, 0, 0)
+			t.w.trace("the balancer gives request %d up", a.Request)
 		case balance.Move:
-			t.w.note(lifemodel.Move, int(a.Request)-1, 0, 0)
-			t.w.say("the balancer moves query %d", a.Request)
+			t.w.record(lifemodel.Move, int(a.Request)-1, 0, 0)
+			t.w.trace("the balancer moves request %d", a.Request)
 		}
 	}
 	return acts
 }
 
-func (w *World) say(format string, args ...any) {
-	if w.tell != nil {
-		w.tell(fmt.Sprintf(format, args...))
+func (w *World) trace(format string, args ...any) {
+	if w.onEvent != nil {
+		w.onEvent(fmt.Sprintf(format, args...))
 	}
 }
 
-// note keeps what was done, for the model of lives to follow.
-func (w *World) note(o lifemodel.Op, c, g, arg int) {
-	w.done = append(w.done, lifemodel.Code(o, c, g, arg))
+// record records a step for the model of the request lifecycle to follow.
+func (w *World) record(o lifemodel.Op, c, g, arg int) {
+	w.takenSteps = append(w.takenSteps, lifemodel.Code(o, c, g, arg))
 }
 
-func (w *World) hostOf(s balance.ServerID) int {
+func (w *World) hostIndex(server balance.ServerID) int {
 	for i, h := range w.hosts {
-		if h.Server == s {
+		if h.Server == server {
 			return i
 		}
 	}
@@ -246,84 +252,85 @@
 func (w *World) Now() time.Duration { return w.now }
 
 // After implements query.Clock.
-func (w *World) After(d time.Duration, due query.TimerEvent) query.Timer {
-	t := &timer{w: w, at: w.now + max(d, 0), seq: w.seq, due: due}
-	w.seq++
+func (w *World) After(delay time.Duration, event query.TimerEvent) query.Timer {
+	t := &timer{w: w, at: w.now + max(delay, 0), seq: w.timerSeq, event: event}
+	w.timerSeq++
 	w.timers = append(w.timers, t)
 	return t
 }
 
-// mark has the world itself do something at a time, before any of the core's timers of that time.
-func (w *World) mark(at time.Duration, f func()) {
-	w.timers = append(w.timers, &timer{w: w, at: at, seq: -1, mark: f})
+// schedule schedules an action of the world itself. It runs before the core's timers of the same time.
+func (w *World) schedule(at time.Duration, run func()) {
+	w.timers = append(w.timers, &timer{w: w, at: at, seq: -1, run: run})
 }
 
-// next returns the place of the timer that fires next, or -1.
-func (w *World) next() int {
-	best := -1
-	live := w.timers[:0]
+// nextTimer removes stopped timers and returns the index of the timer that fires next, or -1.
+func (w *World) nextTimer() int {
+	first := -1
+	running := w.timers[:0]
 	for _, t := range w.timers {
-		if !t.off {
-			live = append(live, t)
+		if !t.stopped {
+			running = append(running, t)
 		}
 	}
-	clear(w.timers[len(live):])
-	w.timers = live
+	clear(w.timers[len(running):])
+	w.timers = running
 	for i, t := range w.timers {
-		if best < 0 || t.at < w.timers[best].at || t.at == w.timers[best].at && t.seq < w.timers[best].seq {
-			best = i
+		if first < 0 || t.at < w.timers[first].at || t.at == w.timers[first].at && t.seq < w.timers[first].seq {
+			first = i
 		}
 	}
-	return best
+	return first
 }
 
-// fire takes a timer off and lets it fire; the clock goes on to its time.
+// fire removes a timer, advances the clock to its time and lets it fire.
 func (w *World) fire(i int) {
 	t := w.timers[i]
 	w.timers = append(w.timers[:i], w.timers[i+1:]...)
 	w.now = max(w.now, t.at)
-	if t.mark != nil {
-		t.mark()
+	if t.run != nil {
+		t.run()
 		return
 	}
-	c := int(t.due.Request) - 1
-	switch t.due.Kind {
+	client := int(t.event.Request) - 1
+	switch t.event.Kind {
 	case query.TimerDeadline:
-		w.note(lifemodel.DeadlineFires, c, 0, 0)
-		w.say("the guard of query %d fires", c+1)
+		w.record(lifemodel.DeadlineFires, client, 0, 0)
+		w.trace("the deadline timer of request %d fires", client+1)
 	case query.TimerAttempt:
-		w.note(lifemodel.AttemptTimeout, c, 0, 0)
-		w.say("the attempt of query %d times out", c+1)
+		w.record(lifemodel.AttemptTimeout, client, 0, 0)
+		w.trace("the attempt of request %d times out", client+1)
 	case query.TimerRetry:
-		w.note(lifemodel.RetryInherited, c, 0, 0)
+		w.record(lifemodel.RetryInherited, client, 0, 0)
 	}
-	if w.sweeping = t.due.Kind == query.TimerSweep; w.sweeping && w.cfg.Plant == "watch-asleep" {
+	if w.sweeping = t.event.Kind == query.TimerSweep; w.sweeping && w.config.Bug == "watch-asleep" {
 		w.sweeping = false
 		return
 	}
-	w.Core.Fire(t.due)
+	w.Core.Fire(t.event)
 	w.sweeping = false
 }
 
-// hostSilent says whether some connection at a client's host has waited for a second, with nothing heard from there.
-func (w *World) hostSilent(c *client) bool {
-	for _, o := range w.client {
-		if o.askedAt > 0 && o.server == c.server && w.now-o.askedAt >= lifecycle.UnresponsiveAfter && w.heard[o.server] < o.askedAt {
+// hostUnresponsive says whether any client of the same host has waited for lifecycle.UnresponsiveAfter without a line from
+// that host.
+func (w *World) hostUnresponsive(cl *client) bool {
+	for _, other := range w.clients {
+		if other.unansweredSince > 0 && other.server == cl.server && w.now-other.unansweredSince >= lifecycle.UnresponsiveAfter && w.lastLineAt[other.server] < other.unansweredSince {
 			return true
 		}
 	}
 	return false
 }
 
-// checkSilence checks that nobody is left with a host that brings nothing back.
-func (w *World) checkSilence() {
-	for _, c := range w.client {
-		if c.seen != lifemodel.Served || c.askedAt == 0 {
+// checkUnanswered checks that no client stays with a host that does not respond.
+func (w *World) checkUnanswered() {
+	for _, cl := range w.clients {
+		if cl.view != lifemodel.Served || cl.unansweredSince == 0 {
 			continue
 		}
-		waited := w.now - c.askedAt
-		if waited > stuckFor || waited > silentFor && w.heard[c.server] < c.askedAt {
-			w.Rules.Note(w.now, fmt.Sprintf("client %d has had no line from its host for %v, and is not moved", c.id+1, waited))
+		waited := w.now - cl.unansweredSince
+		if waited > stuckLimit || waited > unresponsiveLimit && w.lastLineAt[cl.server] < cl.unansweredSince {
+			w.Rules.AddViolation(w.now, fmt.Sprintf("client %d has had no line from its host for %v, and is not moved", cl.id+1, waited))
 		}
 	}
 }
@@ -338,120 +345,120 @@
 func (w *World) Subscribe() {}
 
 // Attempt implements query.Servers.
-func (w *World) Attempt(t query.AttemptRef, server balance.ServerID, _ time.Duration) query.Attempt {
-	l := &link{w: w, id: len(w.links), try: t, client: t.Client().(*client), server: server, open: true}
-	w.links = append(w.links, l)
-	w.Rules.Begun(w.now, l.id, l.client.id, server)
-	w.say("a connection to %s is begun for query %d", server, l.client.id+1)
-	l.client.link, l.client.server = l, server
-	return l
+func (w *World) Attempt(ref query.AttemptRef, server balance.ServerID, _ time.Duration) query.Attempt {
+	conn := &hostConn{w: w, id: len(w.conns), ref: ref, client: ref.Client().(*client), server: server, open: true}
+	w.conns = append(w.conns, conn)
+	w.Rules.AttemptStarted(w.now, conn.id, conn.client.id, server)
+	w.trace("a connection to %s is opened for request %d", server, conn.client.id+1)
+	conn.client.conn, conn.client.server = conn, server
+	return conn
 }
 
-// link is a connection to a host.
-type link struct {
-	w      *World
-	id     int
-	try    query.AttemptRef
-	client *client
-	server balance.ServerID
-	sent   bool
-	open   bool
-	up     bool
-	held   bool // the node has closed it, and the host may still speak
+// hostConn is a connection to a host.
+type hostConn struct {
+	w             *World
+	id            int
+	ref           query.AttemptRef
+	client        *client
+	server        balance.ServerID
+	sent          bool
+	open          bool
+	established   bool
+	mayReportLate bool // the connection is closed, and the host may still report on the attempt
 }
 
 // Forward implements query.Attempt.
-func (l *link) Forward([]byte) { l.w.Rules.Passed(l.w.now, l.id, l.client.id) }
+func (conn *hostConn) Forward([]byte) { conn.w.Rules.Forwarded(conn.w.now, conn.id, conn.client.id) }
 
 // End implements query.Attempt.
-func (l *link) End(bool) {
-	if l.open {
-		l.w.say("the connection of query %d to %s is closed", l.client.id+1, l.server)
-		l.held = l.sent
+func (conn *hostConn) End(bool) {
+	if conn.open {
+		conn.w.trace("the connection of request %d to %s is closed", conn.client.id+1, conn.server)
+		conn.mayReportLate = conn.sent
 	}
-	l.shut()
-	l.w.Rules.Closed(l.id)
+	conn.markClosed()
+	conn.w.Rules.Closed(conn.id)
 }
 
 // Sent implements query.Attempt.
-func (l *link) Sent() bool { return l.sent }
+func (conn *hostConn) Sent() bool { return conn.sent }
 
-// EndReceived implements query.Attempt. These hosts say no last word before they close.
-func (l *link) EndReceived() bool { return false }
+// EndReceived implements query.Attempt. The simulated hosts send no final line before they close.
+func (l *hostConn) EndReceived() bool { return false }
 
-func (l *link) shut() {
-	l.open = false
-	if l.client.link == l {
-		l.client.link = nil
+func (conn *hostConn) markClosed() {
+	conn.open = false
+	if conn.client.conn == conn {
+		conn.client.conn = nil
 	}
 }
 
-// client is a client with one query.
+// client is a client with one request.
 type client struct {
-	w         *World
-	id        int
-	inherited bool
-	query     *query.Request
-	seen      lifemodel.ClientView
-	server    balance.ServerID // of the last connection
-	link      *link            // that is open
-	chats     int              // lines sent
-	askedAt   time.Duration    // of the oldest line that nothing came back for; 0: none
+	w               *World
+	id              int
+	inherited       bool
+	request         *query.Request
+	view            lifemodel.ClientView
+	server          balance.ServerID // host of the last connection
+	conn            *hostConn        // nil: no connection is open
+	linesSent       int              // after the request
+	unansweredSince time.Duration    // time of the oldest line without a response; 0: none
 }
 
-func (c *client) answer(a rules.Answer, by int) {
-	c.w.say("client %d is answered %s", c.id+1, a)
-	c.w.Rules.Answered(c.w.now, c.id, a, by)
-	if c.seen == lifemodel.Asking {
-		if c.seen = lifemodel.Finished; a == rules.Up {
-			c.seen = lifemodel.Served
+func (c *client) recordAnswer(answer rules.Answer, connID int) {
+	c.w.trace("client %d is answered %s", c.id+1, answer)
+	c.w.Rules.Answered(c.w.now, c.id, answer, connID)
+	if c.view == lifemodel.Asking {
+		if c.view = lifemodel.Finished; answer == rules.Up {
+			c.view = lifemodel.Served
 		}
 	}
 }
 
 // Established implements query.Client.
 func (c *client) Established(answer []byte) {
-	by := -1
-	_, _ = fmt.Sscanf(string(answer), "UP %d", &by)
-	c.answer(rules.Up, by)
+	connID := -1
+	_, _ = fmt.Sscanf(string(answer), "UP %d", &connID)
+	c.recordAnswer(rules.Up, connID)
 }
 
 // Served implements query.Client.
-func (c *client) Served([]byte) { c.answer(rules.Served, -1) }
+func (c *client) Served([]byte) { c.recordAnswer(rules.Served, -1) }
 
 // Throttle implements query.Client.
-func (c *client) Throttle(time.Duration) { c.answer(rules.Throttled, -1) }
+func (c *client) Throttle(time.Duration) { c.recordAnswer(rules.Throttled, -1) }
 
 // Fail implements query.Client.
-func (c *client) Fail() { c.answer(rules.Failed, -1) }
+func (c *client) Fail() { c.recordAnswer(rules.Failed, -1) }
 
 // Reject implements query.Client.
-func (c *client) Reject(error) { c.answer(rules.Rejected, -1) }
+func (c *client) Reject(error) { c.recordAnswer(rules.Rejected, -1) }
 
 // Forward implements query.Client.
 func (c *client) Forward(line []byte) {
-	by := -1
-	_, _ = fmt.Sscanf(string(line), "line %d", &by)
-	c.w.Rules.Passed(c.w.now, by, c.id)
+	connID := -1
+	_, _ = fmt.Sscanf(string(line), "line %d", &connID)
+	c.w.Rules.Forwarded(c.w.now, connID, c.id)
 }
 
 // Move implements query.Client.
-func (c *client) Move() { c.end(true) }
+func (c *client) Move() { c.recordEnd(true) }
 
 // End implements query.Client.
-func (c *client) End(bool) { c.end(false) }
+func (c *client) End(bool) { c.recordEnd(false) }
 
-func (c *client) end(move bool) {
+func (c *client) recordEnd(move bool) {
 	if move && c.w.sweeping {
-		c.w.note(lifemodel.Move, c.id, 0, 0)
-		stuck := c.askedAt > 0 && c.w.now-c.askedAt >= lifecycle.StuckAfter
-		if !stuck && !c.w.hostSilent(c) {
-			c.w.Rules.Note(c.w.now, fmt.Sprintf("client %d is moved for silence, and its host has answered", c.id+1))
+		c.w.record(lifemodel.Move, c.id, 0, 0)
+		stuck := c.unansweredSince > 0 && c.w.now-c.unansweredSince >= lifecycle.StuckAfter
+		if !stuck && !c.w.hostUnresponsive(c) {
+			c.w.Rules.AddViolation(c.w.now, fmt.Sprintf("client %d is moved from an unresponsive host, but its host has responded", c.id+1))
 		}
 	}
-	c.w.say("client %d is told the end of its connection, MOVE: %v", c.id+1, move)
-	c.w.Rules.Told(c.w.now, c.id, move)
-	if c.seen == lifemodel.Served {
-		c.seen = lifemodel.Finished
+	c.w.trace("client %d is notified of the end of its connection, MOVE: %v", c.id+1, move)
+	c.w.Rules.ClientEnded(c.w.now, c.id, move)
+	if c.view == lifemodel.Served {
+		c.view = lifemodel.Finished
 	}
 }
--- a/rehearsal/walk/deployments_test.go
+++ b/rehearsal/walk/deployments_test.go
@@ -17,7 +17,7 @@
 
 const ms = time.Millisecond
 
-// deployments are what two organisations run the node by; see docs/design/deployments.md.
+// deployments are the settings of two organisations that run the node; see docs/design/deployments.md.
 var deployments = map[string]balance.Settings{
 	"one building": {
 		Balancers: 2, Zone: "z0", MaxAttempts: 4, MaxRetryAfter: 1500 * ms,
@@ -46,14 +46,15 @@
 	},
 }
 
-// deployed is the world of one node, with what both deployments have in common; zones is how many zones the hosts are in.
-func deployed(set balance.Settings, zones int, seed uint64) script.Config {
+// deployedConfig returns the configuration of a world with one node and the settings that both deployments have in common.
+// Zones is the number of zones that the hosts are in.
+func deployedConfig(set balance.Settings, zones int, seed uint64) script.Config {
 	set.Tick, set.ConnectTimeout, set.Probes, set.ListOnRequest, set.WeightsNominal = 5*ms, 250*ms, true, true, true
 	set.Safety.ListRefreshInterval, set.Safety.AnswerSlack = 10*time.Second, 20*ms
 	cfg := config(0, seed)
-	cfg.Settings, cfg.Classes, cfg.Wait = set, nil, 0
+	cfg.Settings, cfg.Classes, cfg.ClientTimeout = set, nil, 0
 	for _, c := range set.Classes {
-		cfg.Classes, cfg.Wait = append(cfg.Classes, c.Name), max(cfg.Wait, c.Deadline)
+		cfg.Classes, cfg.ClientTimeout = append(cfg.Classes, c.Name), max(cfg.ClientTimeout, c.Deadline)
 	}
 	fleet := cfg.Fleet
 	cfg.Hosts, cfg.Fleet = 6, func(i int) balance.Listing {
@@ -66,29 +67,30 @@
 	return cfg
 }
 
-// between draws a deployment that lies between two, and beyond them by half of their distance.
+// between draws a deployment whose settings lie between those of two deployments, or outside by up to half of the difference.
 func between(t *rapid.T, a, b balance.Settings) balance.Settings {
-	span := func(name string, a, b time.Duration) time.Duration {
-		less := (max(a, b) - min(a, b)) / 2
-		return time.Duration(rapid.Int64Range(int64(min(a, b)-less), int64(max(a, b)+less)).Draw(t, name))
+	drawDuration := func(name string, a, b time.Duration) time.Duration {
+		margin := (max(a, b) - min(a, b)) / 2
+		return time.Duration(rapid.Int64Range(int64(min(a, b)-margin), int64(max(a, b)+margin)).Draw(t, name))
 	}
 	out := rapid.SampledFrom([]balance.Settings{a, b}).Draw(t, "the rest")
 	out.Classes = append([]balance.Class(nil), rapid.SampledFrom([][]balance.Class{a.Classes, b.Classes}).Draw(t, "classes")...)
 	for i := range out.Classes {
 		out.Classes[i].Effect = rapid.SampledFrom([]balance.Effect{balance.Safe, balance.Unsafe}).Draw(t, "effect")
-		out.Classes[i].Deadline = span("deadline", a.Classes[i].Deadline, b.Classes[i].Deadline)
+		out.Classes[i].Deadline = drawDuration("deadline", a.Classes[i].Deadline, b.Classes[i].Deadline)
 	}
 	out.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "attempts")
-	out.MaxRetryAfter = span("advice", a.MaxRetryAfter, b.MaxRetryAfter)
-	out.Safety.DrainGrace = span("grace", a.Safety.DrainGrace, b.Safety.DrainGrace)
-	out.Safety.WarmUp = span("cold for", a.Safety.WarmUp, b.Safety.WarmUp)
+	out.MaxRetryAfter = drawDuration("advice", a.MaxRetryAfter, b.MaxRetryAfter)
+	out.Safety.DrainGrace = drawDuration("grace", a.Safety.DrainGrace, b.Safety.DrainGrace)
+	out.Safety.WarmUp = drawDuration("cold for", a.Safety.WarmUp, b.Safety.WarmUp)
 	out.Safety.ColdCapacity = rapid.Float64Range(0.31, 0.39).Draw(t, "cold from")
 	out.Safety.OverloadFactor = rapid.Float64Range(2.25, 3.25).Draw(t, "factor")
 	out.Balancers = rapid.IntRange(1, 4).Draw(t, "nodes")
 	return out
 }
 
-// lateDial has a host drain while the dial for an inherited connection takes until a time after it was told.
+// lateDial makes a host drain while a dial for an inherited connection is pending, lets the dial end after a time, and
+// returns the violations.
 func lateDial(t *testing.T, cfg script.Config, after time.Duration) []string {
 	t.Helper()
 	w := script.New(cfg)
@@ -98,31 +100,32 @@
 		require.NoError(t, w.Do(lifemodel.Code(script.Pass, 0, 0, 1)))
 	}
 	if err := w.Do(lifemodel.Code(lifemodel.Connect, 0, 2, 0)); err != nil {
-		t.Log(err) // the attempt is over by now
+		t.Log(err) // the attempt has ended by now
 	}
-	return w.Rules.Broken()
+	return w.Rules.Violations()
 }
 
-// TestTheRulesUnderBothDeployments walks one node of each, and has a dial end just within and just beyond the grace.
-func TestTheRulesUnderBothDeployments(t *testing.T) {
+// TestRulesUnderBothDeployments takes random walks with one node of each deployment, and lets dials end from well within to
+// beyond the drain grace.
+func TestRulesUnderBothDeployments(t *testing.T) {
 	for name, set := range deployments {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				cfg := deployed(set, 1+int(seed%2), seed)
+				cfg := deployedConfig(set, 1+int(seed%2), seed)
 				assert.NoError(t, walk(script.New(cfg), 300, rand.New(rand.NewPCG(seed, 2)).IntN), "seed %d", seed)
 			}
 			for after := time.Second; after < 4*time.Second; after += 250 * ms {
-				assert.Empty(t, lateDial(t, deployed(set, 2, 1), after), "%v after the drain was told", after)
+				assert.Empty(t, lateDial(t, deployedConfig(set, 2, 1), after), "%v after the drain notice", after)
 			}
 		})
 	}
 }
 
-// TestTheRulesUnderDeploymentsInBetween does the same for some that nobody runs yet.
-func TestTheRulesUnderDeploymentsInBetween(t *testing.T) {
+// TestRulesUnderDeploymentsInBetween takes random walks under deployments with other settings in the same range.
+func TestRulesUnderDeploymentsInBetween(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := between(t, deployments["one building"], deployments["two centres"])
-		cfg := deployed(set, rapid.IntRange(1, 2).Draw(t, "zones"), rapid.Uint64().Draw(t, "seed"))
+		cfg := deployedConfig(set, rapid.IntRange(1, 2).Draw(t, "zones"), rapid.Uint64().Draw(t, "seed"))
 		below := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
 		if err := walk(script.New(cfg), 150, below); err != nil {
 			t.Fatal(err)
@@ -130,24 +133,24 @@
 	})
 }
 
-// TestAConstantOfOneDeploymentIsFoundUnderTheOther plants the figures of each into the node of the other: the rules must
-// see what is too much there, and nothing under the deployment that the figure belongs to.
-func TestAConstantOfOneDeploymentIsFoundUnderTheOther(t *testing.T) {
+// TestSettingOfOtherDeploymentIsDetected injects a setting of one deployment into the node of the other, as a hard-coded
+// constant would. The rules must report the violation there, and none under the deployment that the setting belongs to.
+func TestSettingOfOtherDeploymentIsDetected(t *testing.T) {
 	for name, tc := range map[string]struct {
-		plant       func(*balance.Settings)
-		under, home string
-		want        string
+		inject     func(*balance.Settings)
+		under, own string
+		want       string
 	}{
 		"grace": {func(s *balance.Settings) { s.Safety.DrainGrace = 3 * time.Second }, "one building", "two centres",
 			"after its drain was told"},
 		"attempts": {func(s *balance.Settings) { s.MaxAttempts = 4 }, "two centres", "one building", "attempt 4 of 3"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			broken := func(under string) string {
+			violations := func(under string) string {
 				var all []string
 				for seed := range uint64(20) {
-					cfg := deployed(deployments[under], 2, seed)
-					cfg.Constant = tc.plant
+					cfg := deployedConfig(deployments[under], 2, seed)
+					cfg.OverrideSettings = tc.inject
 					if err := walk(script.New(cfg), 300, rand.New(rand.NewPCG(seed, 3)).IntN); err != nil {
 						all = append(all, err.Error())
 					}
@@ -157,8 +160,8 @@
 				}
 				return strings.Join(all, "\n")
 			}
-			assert.Contains(t, broken(tc.under), tc.want)
-			assert.Empty(t, broken(tc.home))
+			assert.Contains(t, violations(tc.under), tc.want)
+			assert.Empty(t, violations(tc.own))
 		})
 	}
 }
--- a/rehearsal/walk/walk_test.go
+++ b/rehearsal/walk/walk_test.go
@@ -1,4 +1,5 @@
-// Package walk plays random runs of the running code in fleets too large to visit whole, with all rules checked.
+// Package walk takes random walks with the running code, and checks all rules, in fleets that are too large to explore
+// exhaustively.
 package walk
 
 import (
@@ -21,7 +22,7 @@
 )
 
 func TestMain(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1") // verdicts do not vary
+	_ = flag.Set("rapid.seed", "1") // makes the results reproducible
 	m.Run()
 }
 
@@ -31,7 +32,7 @@
 	nodes   = 3
 )
 
-// settings are those of a fleet with probes, zones and all kinds of classes.
+// settings returns the settings of a fleet with probes, zones and classes of all effects.
 func settings(self int) balance.Settings {
 	return balance.Settings{
 		Self: self, Balancers: nodes, Zone: fmt.Sprint("z", self%2), MaxAttempts: 4, Tick: time.Millisecond,
@@ -51,54 +52,55 @@
 func world(self int, seed uint64) *script.World { return script.New(config(self, seed)) }
 
 func config(self int, seed uint64) script.Config {
-	return script.Config{Hosts: hosts, Settings: settings(self), Seed: seed, Wait: 2 * time.Second,
+	return script.Config{Hosts: hosts, Settings: settings(self), Seed: seed, ClientTimeout: 2 * time.Second,
 		Classes: []string{"safe", "unsafe", "keyed", "safe"}, Fleet: func(i int) balance.Listing {
 			return balance.Listing{Server: balance.ServerID(fmt.Sprint("g", i+1)), Weight: 1, Zone: fmt.Sprint("z", i%2),
 				Cell: i / 4}
 		}}
 }
 
-// walk plays so many steps of one node. It returns what was broken, with all that led to it.
+// walk takes a number of random steps with one node. On a violation it returns an error with all steps that led to it.
 func walk(w *script.World, steps int, draw func(n int) int) error {
-	var run []model.Step
+	var taken []model.Step
 	defer func() {
 		if p := recover(); p != nil {
-			panic(fmt.Sprintf("%v, after the steps %v", p, run))
+			panic(fmt.Sprintf("%v, after the steps %v", p, taken))
 		}
 	}()
 	do := func(s model.Step) error {
-		run = append(run, s)
+		taken = append(taken, s)
 		if err := w.Do(s); err != nil {
-			return fmt.Errorf("step %d: %w", len(run), err)
+			return fmt.Errorf("step %d: %w", len(taken), err)
 		}
-		w.Done()
+		w.TakenSteps()
 		w.Check()
-		if b := w.Broken(); len(b) > 0 {
-			return fmt.Errorf("broken after the steps %v: %v", run, b)
+		if b := w.Violations(); len(b) > 0 {
+			return fmt.Errorf("violations after the steps %v: %v", taken, b)
 		}
 		return nil
 	}
 	for range steps {
-		if err := do(w.Next(clients, draw)); err != nil {
+		if err := do(w.RandomStep(clients, draw)); err != nil {
 			return err
 		}
 	}
-	// Nothing more comes: whoever waits must be answered, also the inherited ones, and then the node stops.
+	// Without further events, all waiting clients must get their answers within 50 s, those of inherited connections
+	// included. Then the node stops.
 	for range 100 {
 		if err := do(lifemodel.Code(script.Pass, 0, 0, 5)); err != nil {
 			return err
 		}
 	}
-	if w.Owed() {
-		return fmt.Errorf("a query was never answered, after the steps %v", run)
+	if w.AnyWaiting() {
+		return fmt.Errorf("a request was never answered, after the steps %v", taken)
 	}
-	if q, b := w.Kept(); q != w.Live() || b > w.Live() {
-		return fmt.Errorf("%d queries and %d requests are kept, and %d live, after the steps %v", q, b, w.Live(), run)
+	if inCore, inBalancer := w.Retained(); inCore != w.LiveRequests() || inBalancer > w.LiveRequests() {
+		return fmt.Errorf("the core holds %d requests and the balancer %d, and %d are live, after the steps %v", inCore, inBalancer, w.LiveRequests(), taken)
 	}
 	return do(lifemodel.Code(lifemodel.StopNode, 0, 0, 1))
 }
 
-// TestRandomWalksOfALargeFleet walks three nodes, each with its own list, clients and chance.
+// TestRandomWalksOfALargeFleet takes random walks with three nodes, each with its own list, clients and random choices.
 func TestRandomWalksOfALargeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -111,13 +113,13 @@
 	})
 }
 
-// TestWalksGetSomewhere makes sure that the walks come across what they are for.
-func TestWalksGetSomewhere(t *testing.T) {
+// TestWalksCoverAllEvents checks that the walks reach all kinds of events that they are meant to test.
+func TestWalksCoverAllEvents(t *testing.T) {
 	seen := map[string]int{}
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		w := world(0, seed)
-		w.Tell(func(l string) {
+		w.OnEvent(func(l string) {
 			for _, what := range []string{"answered UP", "answered BUSY", "answered FAIL", "answered ERR", "answered BYE",
 				"out: true", "out: false", "MOVE: true", "MOVE: false", "speaks of an attempt", "tell-restart", "tell-drain", "the limit of", "times out"} {
 				if strings.Contains(l, what) {
@@ -135,43 +137,43 @@
 	}
 }
 
-// forgetful is a balancer that forgets who is out by hand whenever the list changes.
-type forgetful struct {
+// forgetfulBalancer is a balancer that forgets which hosts operators have taken out of service whenever the list changes.
+type forgetfulBalancer struct {
 	*balance.Balancer
-	out map[balance.ServerID]bool
+	suspended map[balance.ServerID]bool
 }
 
-func (f *forgetful) Handle(now time.Duration, ev balance.Event) []balance.Action {
+func (f *forgetfulBalancer) Handle(now time.Duration, ev balance.Event) []balance.Action {
 	acts := slices.Clone(f.Balancer.Handle(now, ev))
 	switch e := ev.(type) {
 	case balance.Suspend:
-		f.out[e.Server] = true
+		f.suspended[e.Server] = true
 	case balance.Resume:
-		delete(f.out, e.Server)
+		delete(f.suspended, e.Server)
 	case balance.ServerList:
-		for _, server := range slices.Sorted(maps.Keys(f.out)) {
+		for _, server := range slices.Sorted(maps.Keys(f.suspended)) {
 			acts = append(acts, f.Balancer.Handle(now, balance.Resume{Server: server})...)
 		}
-		clear(f.out)
+		clear(f.suspended)
 	}
 	return acts
 }
 
-// TestABanForgottenWhenTheListChangesIsFound plants that bug: the walks must come across it and the rules must see it.
-func TestABanForgottenWhenTheListChangesIsFound(t *testing.T) {
+// TestForgottenBanIsDetected injects that bug: the walks must reach it and the rules must report it.
+func TestForgottenBanIsDetected(t *testing.T) {
 	for seed := range uint64(20) {
 		cfg := config(0, seed)
-		cfg.Decider = &forgetful{balance.New(settings(0), seed), map[balance.ServerID]bool{}}
-		cfg.Strict = true
+		cfg.Balancer = &forgetfulBalancer{balance.New(settings(0), seed), map[balance.ServerID]bool{}}
+		cfg.ReadyOnly = true
 		err := walk(script.New(cfg), 400, rand.New(rand.NewPCG(seed, 1)).IntN)
 		if err != nil && strings.Contains(err.Error(), "out by hand") {
 			return
 		}
 	}
-	t.Error("the planted bug was not found in 20 walks")
+	t.Error("the injected bug was not found in 20 walks")
 }
 
-// FuzzWalk reads a walk from bytes: eight of the balancer's seed, then one for each choice.
+// FuzzWalk decodes a walk from bytes: eight for the balancer's seed, then one for each choice.
 func FuzzWalk(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x00\x00\x00\x00\x01"))
 	f.Add([]byte("\x00\x00\x00\x00\x00\x00\x00\x02\x00\x05\x0b\x00\x0b\x00\x05\x01\x06\x03"))
