--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -26,7 +26,7 @@
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
 // run runs the command line and returns the exit code.
-func run(args []string, out, errs io.Writer) int {
+func run(args []string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{
 		Use:           "rehearse",
 		Short:         "Check models of the node and replay counterexamples",
@@ -36,8 +36,8 @@
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.AddCommand(modelCommand())
 	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
 	err := root.Execute()
 	var v exitCode
 	switch {
@@ -46,6 +46,6 @@
 	case errors.As(err, &v):
 		return int(v)
 	}
-	fmt.Fprintln(errs, "rehearse:", err)
+	fmt.Fprintln(stderr, "rehearse:", err)
 	return exitUsage
 }
--- a/rehearsal/catalog/replay.go
+++ b/rehearsal/catalog/replay.go
@@ -51,11 +51,11 @@
 	if trace.Loop >= 0 {
 		return nil, fmt.Errorf("loop: the violation of a run that never ends shows only in the model")
 	}
-	set := balance.Settings{MaxAttempts: trace.Attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second,
+	settings := balance.Settings{MaxAttempts: trace.Attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second,
 		Safety: balance.Safety{DrainGrace: 2 * time.Second}, Classes: []balance.Class{{Name: "safe"},
 			{Name: "unsafe", Effect: balance.Unsafe}, {Name: "keyed", Effect: balance.Keyed, Window: time.Hour},
 			{Name: "grouped", Effect: balance.Keyed, Group: balance.GroupZone, Window: time.Hour}}}
-	w := script.New(script.Config{Hosts: trace.Gateways, Settings: set, Balancer: &script.ScriptedBalancer{}, ClientTimeout: time.Minute,
+	w := script.New(script.Config{Hosts: trace.Gateways, Settings: settings, Balancer: &script.ScriptedBalancer{}, ClientTimeout: time.Minute,
 		Classes: []string{"safe", "unsafe", "keyed", "safe", "grouped"}, Bug: trace.Bug})
 	result := &ReplayResult{}
 	w.OnEvent(func(l string) { result.Lines = append(result.Lines, "        "+l) })
--- a/rehearsal/rules/rules.go
+++ b/rehearsal/rules/rules.go
@@ -284,21 +284,21 @@
 
 // Listed records an entry that the node got from discovery. An entry that is Gone may name a host that was never listed.
 func (c *Checker) Listed(now time.Duration, listing balance.Listing) {
-	entry := c.hosts[listing.Server]
-	if entry == nil {
-		entry = &host{drainedAt: -1, suspendedAt: -1}
-		c.hosts[listing.Server] = entry
+	known := c.hosts[listing.Server]
+	if known == nil {
+		known = &host{drainedAt: -1, suspendedAt: -1}
+		c.hosts[listing.Server] = known
 	}
-	restarted := listing.State != balance.Gone && entry.listing.Started != listing.Started
-	started := entry.listing.Started
-	if entry.listing, entry.listed = listing, listing.State != balance.Gone; !entry.listed {
-		entry.listing.Started = started
+	restarted := listing.State != balance.Gone && known.listing.Started != listing.Started
+	started := known.listing.Started
+	if known.listing, known.listed = listing, listing.State != balance.Gone; !known.listed {
+		known.listing.Started = started
 	}
 	switch {
 	case listing.State == balance.Ready:
-		entry.drainedAt = -1
-	case entry.drainedAt < 0 || restarted:
-		entry.drainedAt = now
+		known.drainedAt = -1
+	case known.drainedAt < 0 || restarted:
+		known.drainedAt = now
 	}
 }
 
--- a/rehearsal/walk/deployments_test.go
+++ b/rehearsal/walk/deployments_test.go
@@ -48,21 +48,21 @@
 
 // deployedConfig returns the configuration of a world with one node and the settings that both deployments have in common.
 // Zones is the number of zones that the hosts are in.
-func deployedConfig(set balance.Settings, zones int, seed uint64) script.Config {
-	set.Tick, set.ConnectTimeout, set.Probes, set.ListOnRequest, set.WeightsNominal = 5*ms, 250*ms, true, true, true
-	set.Safety.ListRefreshInterval, set.Safety.AnswerSlack = 10*time.Second, 20*ms
+func deployedConfig(deployment balance.Settings, zones int, seed uint64) script.Config {
+	deployment.Tick, deployment.ConnectTimeout, deployment.Probes, deployment.ListOnRequest, deployment.WeightsNominal = 5*ms, 250*ms, true, true, true
+	deployment.Safety.ListRefreshInterval, deployment.Safety.AnswerSlack = 10*time.Second, 20*ms
 	cfg := config(0, seed)
-	cfg.Settings, cfg.Classes, cfg.ClientTimeout = set, nil, 0
-	for _, c := range set.Classes {
+	cfg.Settings, cfg.Classes, cfg.ClientTimeout = deployment, nil, 0
+	for _, c := range deployment.Classes {
 		cfg.Classes, cfg.ClientTimeout = append(cfg.Classes, c.Name), max(cfg.ClientTimeout, c.Deadline)
 	}
 	fleet := cfg.Fleet
 	cfg.Hosts, cfg.Fleet = 6, func(i int) balance.Listing {
-		l := fleet(i)
+		listing := fleet(i)
 		if zones == 1 {
-			l.Zone = "z0"
+			listing.Zone = "z0"
 		}
-		return l
+		return listing
 	}
 	return cfg
 }
@@ -73,20 +73,20 @@
 		margin := (max(a, b) - min(a, b)) / 2
 		return time.Duration(rapid.Int64Range(int64(min(a, b)-margin), int64(max(a, b)+margin)).Draw(t, name))
 	}
-	out := rapid.SampledFrom([]balance.Settings{a, b}).Draw(t, "the rest")
-	out.Classes = append([]balance.Class(nil), rapid.SampledFrom([][]balance.Class{a.Classes, b.Classes}).Draw(t, "classes")...)
-	for i := range out.Classes {
-		out.Classes[i].Effect = rapid.SampledFrom([]balance.Effect{balance.Safe, balance.Unsafe}).Draw(t, "effect")
-		out.Classes[i].Deadline = drawDuration("deadline", a.Classes[i].Deadline, b.Classes[i].Deadline)
+	drawn := rapid.SampledFrom([]balance.Settings{a, b}).Draw(t, "the rest")
+	drawn.Classes = append([]balance.Class(nil), rapid.SampledFrom([][]balance.Class{a.Classes, b.Classes}).Draw(t, "classes")...)
+	for i := range drawn.Classes {
+		drawn.Classes[i].Effect = rapid.SampledFrom([]balance.Effect{balance.Safe, balance.Unsafe}).Draw(t, "effect")
+		drawn.Classes[i].Deadline = drawDuration("deadline", a.Classes[i].Deadline, b.Classes[i].Deadline)
 	}
-	out.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "attempts")
-	out.MaxRetryAfter = drawDuration("advice", a.MaxRetryAfter, b.MaxRetryAfter)
-	out.Safety.DrainGrace = drawDuration("grace", a.Safety.DrainGrace, b.Safety.DrainGrace)
-	out.Safety.WarmUp = drawDuration("cold for", a.Safety.WarmUp, b.Safety.WarmUp)
-	out.Safety.ColdCapacity = rapid.Float64Range(0.31, 0.39).Draw(t, "cold from")
-	out.Safety.OverloadFactor = rapid.Float64Range(2.25, 3.25).Draw(t, "factor")
-	out.Balancers = rapid.IntRange(1, 4).Draw(t, "nodes")
-	return out
+	drawn.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "attempts")
+	drawn.MaxRetryAfter = drawDuration("advice", a.MaxRetryAfter, b.MaxRetryAfter)
+	drawn.Safety.DrainGrace = drawDuration("grace", a.Safety.DrainGrace, b.Safety.DrainGrace)
+	drawn.Safety.WarmUp = drawDuration("cold for", a.Safety.WarmUp, b.Safety.WarmUp)
+	drawn.Safety.ColdCapacity = rapid.Float64Range(0.31, 0.39).Draw(t, "cold from")
+	drawn.Safety.OverloadFactor = rapid.Float64Range(2.25, 3.25).Draw(t, "factor")
+	drawn.Balancers = rapid.IntRange(1, 4).Draw(t, "nodes")
+	return drawn
 }
 
 // lateDial makes a host drain while a dial for an inherited connection is pending, lets the dial end after a time, and
@@ -108,14 +108,14 @@
 // TestRulesUnderBothDeployments takes random walks with one node of each deployment, and lets dials end from well within to
 // beyond the drain grace.
 func TestRulesUnderBothDeployments(t *testing.T) {
-	for name, set := range deployments {
+	for name, deployment := range deployments {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				cfg := deployedConfig(set, 1+int(seed%2), seed)
+				cfg := deployedConfig(deployment, 1+int(seed%2), seed)
 				assert.NoError(t, walk(script.New(cfg), 300, rand.New(rand.NewPCG(seed, 2)).IntN), "seed %d", seed)
 			}
 			for after := time.Second; after < 4*time.Second; after += 250 * ms {
-				assert.Empty(t, lateDial(t, deployedConfig(set, 2, 1), after), "%v after the drain notice", after)
+				assert.Empty(t, lateDial(t, deployedConfig(deployment, 2, 1), after), "%v after the drain notice", after)
 			}
 		})
 	}
@@ -124,8 +124,8 @@
 // TestRulesUnderDeploymentsInBetween takes random walks under deployments with other settings in the same range.
 func TestRulesUnderDeploymentsInBetween(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := between(t, deployments["one building"], deployments["two centres"])
-		cfg := deployedConfig(set, rapid.IntRange(1, 2).Draw(t, "zones"), rapid.Uint64().Draw(t, "seed"))
+		deployment := between(t, deployments["one building"], deployments["two centres"])
+		cfg := deployedConfig(deployment, rapid.IntRange(1, 2).Draw(t, "zones"), rapid.Uint64().Draw(t, "seed"))
 		below := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
 		if err := walk(script.New(cfg), 150, below); err != nil {
 			t.Fatal(err)
