--- a/cmd/lichenhitch/affairs.go
+++ b/cmd/lichenhitch/affairs.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return fmt.Errorf("site file: %w", err)
 	}
-	n.loop.Call(func() { n.core.ApplyVerdict(sendlease.Restrictions{AllAfterExpiry: true}) })
+	n.loop.Call(func() { n.core.ApplyRestrictions(sendlease.Restrictions{AllAfterExpiry: true}) })
 	if n.shared.HasEarlier(n.number) {
 		go n.succeed(s)
 		return nil
@@ -47,14 +47,14 @@
 
 // control starts the control thread. wait is how long another process of this node may still act on its right.
 func (n *node) control(s *site.Site, wait time.Duration) error {
-	var of control.Sockets
+	var of control.Descriptors
 	n.loop.Call(func() { // before control takes any
 		of = n.governing(s)
-		n.govern(of.All)
+		n.govern(of.Total)
 	})
-	thread, err := control.Start(n.log, s, n.loop, traffic{n}, wait, of.Links)
+	thread, err := control.Start(n.log, s, n.loop, traffic{n}, wait, of.PeerConns)
 	if err != nil {
-		n.loop.Call(func() { n.govern(-of.All) })
+		n.loop.Call(func() { n.govern(-of.Total) })
 	}
 	var told control.Actioner
 	switch {
@@ -64,7 +64,7 @@
 		return fmt.Errorf("site: %w", err)
 	}
 	n.loop.Call(func() {
-		n.affairs, n.site, n.share = thread, s, of.All
+		n.affairs, n.site, n.share = thread, s, of.Total
 		n.core.SetCounting(true)
 		if n.shared.HasLater(n.number) { // a later process has come meanwhile
 			n.retire()
@@ -77,9 +77,9 @@
 }
 
 // governing returns the descriptors that control may hold.
-func (n *node) governing(s *site.Site) control.Sockets {
-	of, err := control.SocketsOf(s, n.sockets-ownSockets-leastTraffic)
-	var few *control.SocketsError
+func (n *node) governing(s *site.Site) control.Descriptors {
+	of, err := control.DescriptorsFor(s, n.sockets-ownSockets-leastTraffic)
+	var few *control.TooFewDescriptorsError
 	if errors.As(err, &few) {
 		n.log.Error("too few descriptors", "error", few, "action", few.Action())
 	}
@@ -121,10 +121,10 @@
 	if n.telling = n.affairs != nil; !n.telling {
 		return
 	}
-	r := control.Report{Taken: n.core.Verdict(), Clear: n.core.ClearedHosts(), Under: n.tuning.under, Asked: n.tuning.asked, Retuned: n.tuning.changes}
+	r := control.Report{Restrictions: n.core.Restrictions(), ClearedHosts: n.core.ClearedHosts(), Policy: n.tuning.under, RequestedPolicy: n.tuning.asked, SettingsChanges: n.tuning.changes}
 	taken := func() {}
 	if n.reports%lookEvery == 0 {
-		r.Look = n.core.ObserveHosts(n.tuning.set.Safety.WarmUp, n.weight(), n.discovery.Stale())
+		r.Observation = n.core.ObserveHosts(n.tuning.set.Safety.WarmUp, n.weight(), n.discovery.Stale())
 	}
 	if n.reports%lookEvery == 0 || len(n.tuning.told) > 0 || n.core.GuardFired() {
 		taken = n.evidence(&r)
@@ -196,10 +196,10 @@
 		}
 		if n.affairs != nil {
 			n.site = next
-			more := n.governing(next).All - n.share
+			more := n.governing(next).Total - n.share
 			n.share += more
 			n.govern(more)
-			n.affairs.Retune(next)
+			n.affairs.ApplySiteFile(next)
 		}
 	})
 }
--- a/cmd/lichenhitch/affairs_test.go
+++ b/cmd/lichenhitch/affairs_test.go
@@ -161,15 +161,15 @@
 	cfg.Name, cfg.Sockets = "n", 80
 	cfg.SiteFile = alone(t, cfg.Name, 300)
 	n := startConfig(t, cfg)
-	of, err := control.SocketsOf(n.site, cfg.Sockets-ownSockets-leastTraffic)
+	of, err := control.DescriptorsFor(n.site, cfg.Sockets-ownSockets-leastTraffic)
 	require.NoError(t, err)
-	assert.Equal(t, cfg.Sockets-ownSockets-leastTraffic, of.All, "all that there is room for")
+	assert.Equal(t, cfg.Sockets-ownSockets-leastTraffic, of.Total, "all that there is room for")
 	require.Eventually(t, func() (ready bool) {
 		n.loop.Call(func() { ready = n.Ready() == nil })
 		return ready
 	}, patience, time.Millisecond)
 	full := 0
-	for range 4 * of.Links { // each is left open, as long as the address takes it
+	for range 4 * of.PeerConns { // each is left open, as long as the address takes it
 		c, err := net.Dial("tcp", n.affairs.Addr())
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
@@ -181,7 +181,7 @@
 		}
 		require.Equal(t, "UP r1\r\nBYE\r\n", ask(n.addr))
 	}
-	assert.Equal(t, of.Links, full)
+	assert.Equal(t, of.PeerConns, full)
 	held, most := 0, 0
 	for range 2 * cfg.Sockets { // clients that say nothing
 		c, err := net.Dial("tcp", n.addr)
@@ -191,22 +191,22 @@
 		n.loop.Call(func() { held = n.loop.Conns() })
 		most = max(most, held)
 	}
-	assert.LessOrEqual(t, most, cfg.Sockets-ownSockets-of.All)
+	assert.LessOrEqual(t, most, cfg.Sockets-ownSockets-of.Total)
 	assert.Greater(t, most, leastTraffic/2, "it is used")
 }
 
 func TestTooFewDescriptorsAreToldOnce(t *testing.T) {
 	s := &site.Site{Peers: map[string]string{"a": "", "b": ""}}
-	of, err := control.SocketsOf(s, 20)
-	var few *control.SocketsError
+	of, err := control.DescriptorsFor(s, 20)
+	var few *control.TooFewDescriptorsError
 	require.ErrorAs(t, err, &few)
-	assert.Equal(t, of.All-20, few.Lacks)
-	of, err = control.SocketsOf(s, 20+few.Lacks)
+	assert.Equal(t, of.Total-20, few.Missing)
+	of, err = control.DescriptorsFor(s, 20+few.Missing)
 	require.NoError(t, err)
-	assert.Equal(t, 20+few.Lacks, of.All)
-	of, err = control.SocketsOf(s, 1000)
+	assert.Equal(t, 20+few.Missing, of.Total)
+	of, err = control.DescriptorsFor(s, 1000)
 	require.NoError(t, err)
-	assert.Equal(t, peer.ServerConns, of.Links)
+	assert.Equal(t, peer.ServerConns, of.PeerConns)
 
 	h := newHost(t, "a", echo)
 	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -37,7 +37,7 @@
 var _ control.Traffic = traffic{}
 
 // Bind implements control.Traffic.
-func (t traffic) Bind(v sendlease.Restrictions) { t.core.ApplyVerdict(v) }
+func (t traffic) Bind(v sendlease.Restrictions) { t.core.ApplyRestrictions(v) }
 
 // GoBy implements control.Traffic.
 func (t traffic) GoBy(p control.Policy) {
--- a/cmd/lichenhitch/policies_test.go
+++ b/cmd/lichenhitch/policies_test.go
@@ -51,7 +51,7 @@
 	var r control.Report
 	var taken func()
 	n.loop.Call(func() {
-		r.Under, r.Retuned = n.tuning.under, n.tuning.changes
+		r.Policy, r.SettingsChanges = n.tuning.under, n.tuning.changes
 		taken = n.evidence(&r)
 	})
 	return r, func() { n.loop.Call(taken) }
@@ -87,7 +87,7 @@
 	require.NoError(t, err)
 	t.Cleanup(n.stop)
 	full(n)
-	under := func() (rollout.Hash, uint64) { r, _ := told(n); return r.Under, r.Retuned }
+	under := func() (rollout.Hash, uint64) { r, _ := told(n); return r.Policy, r.SettingsChanges }
 	assert.Equal(t, "BUSY 1000", advice(t, n, ""))
 	trial := goBy(t, n, `{"permissions":{"max_retry_after_us":70000},"request_classes":{"chat":{"points":7}}}`)
 	assert.Equal(t, "BUSY 70", advice(t, n, ""))
@@ -275,7 +275,7 @@
 	n.loop.Call(func() { assert.GreaterOrEqual(t, n.loop.Now(), last) })
 	assert.Equal(t, "BUSY 500", advice(t, n, ""))
 	r, _ := told(n)
-	assert.Equal(t, good.Hash, r.Under)
+	assert.Equal(t, good.Hash, r.Policy)
 	n.reload(changed(t, n.cfg, `"deadline_us":3000000`, `"deadline_us":4000000`), nil)
 	assert.Equal(t, "BUSY 500", advice(t, n, ""), "nor does SIGHUP bring it back")
 }
@@ -297,7 +297,7 @@
 		n.reload(changed(t, cfg, `"name":"chat"`, `"name":"talk"`), nil)
 		assert.Equal(t, want, advice(t, n, ",c=talk"))
 		r, _ := told(n)
-		assert.Equal(t, want == "BUSY 500", r.Under == good.Hash)
+		assert.Equal(t, want == "BUSY 500", r.Policy == good.Hash)
 		n.reload(cfg, nil)
 		assert.Equal(t, "BUSY 70", advice(t, n, ""), "it fits again")
 	}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -1,9 +1,10 @@
-// Package control settles the affairs of a site beside the traffic: who may send, which hosts are out for work. Core is
-// the machine of one node, without I/O: what comes is handed in with the node's time, and what it does goes through Env.
-// Thread runs it in the process, on a thread of its own; rehearsals run the same Core in virtual time.
+// Package control implements the control plane of a site, separate from the traffic: which nodes hold a send lease, and
+// which hosts are out of service for maintenance. Core is the state machine of one node and does no I/O: events are
+// passed in with the node's time, and its actions go through Env. Thread runs it in the process, on a thread of its own;
+// the simulations under rehearsal/ run the same Core in virtual time.
 //
-// The node's time counts on the monotonic clock from the system's time at the start, so that it serves for leases and,
-// among the council's seats, as the time stamped on commands.
+// The node's time starts at the system time of the process's start and advances with the monotonic clock. It serves for
+// leases and, among the replicas of the consensus group, as the time stamp of commands.
 package control
 
 import (
@@ -25,366 +26,371 @@
 	"lichenhitch/internal/site"
 )
 
-// Env is what a Core acts through. Its methods return at once, but for Save and Keep, which return when what they were
-// given is durable; their errors stop the control of this node, never its traffic.
+// Env is the environment of a Core: its store, its network, the traffic loop and the log. Its methods return at once,
+// except Save, SaveLease and SavePolicies, which return once their argument is durable. An error of the store stops the
+// control of this node, never its traffic.
 type Env interface {
 	Save(consensus.WriteBatch) error
-	Keep(sendlease.Saved) error
-	Refused(why string) error                      // the store is to remember that its seat takes no part any more
-	SendRaft(seat string, q *peerpb.RaftRequest)   // answered by Core.RaftReplied, or never
-	SendRenew(seat string, q *peerpb.RenewRequest) // answered by Core.Renewed, or never
-	// SendReplay is answered by Core.Replayed; what is not answered within a time is given up.
-	SendReplay(seat string, call uint64, within time.Duration, q *peerpb.ReplayRequest)
-	KeepPolicy(Kept) error          // durable as Keep is
-	Bind(sendlease.Restrictions)    // for the loop
-	GoBy(Policy)                    // for the loop
-	Tell(event string, args ...any) // for the log: key and value by turns
-}
-
-// Call is an operator's call, or that of whoever does work on hosts: a command about one turn or one node.
+	SaveLease(sendlease.Saved) error
+	MarkRefused(why string) error                  // records in the store that its replica takes no part any more
+	SendRaft(node string, q *peerpb.RaftRequest)   // answered by Core.HandleRaftReply, or never
+	SendRenew(node string, q *peerpb.RenewRequest) // answered by Core.HandleLeaseResponse, or never
+	// SendReplay is answered by Core.Replayed. A call without an answer within the given time is abandoned.
+	SendReplay(node string, call uint64, timeout time.Duration, q *peerpb.ReplayRequest)
+	SavePolicies(Kept) error                  // returns once they are durable
+	ApplyRestrictions(sendlease.Restrictions) // of the traffic loop
+	ApplyPolicy(Policy)                       // to the traffic loop
+	Log(message string, args ...any)          // args are alternating keys and values
+}
+
+// Call is a call of an operator, or of a worker that maintains hosts: a command about one node or one turn (permission
+// to do maintenance work on a host).
 type Call struct {
 	Command turns.Command
-	ID      string // of the turn that the reply tells of
+	ID      string // of the turn that the reply describes
 }
 
-// Reply is what became of a call.
+// Reply is the result of a call.
 type Reply struct {
 	Turn    turns.Turn
 	Effects []sitesync.Effect // of a write
 }
 
-// Report is what the loop last told, whole.
+// Report is a complete report of the traffic loop to control.
 type Report struct {
-	Taken   sendlease.Restrictions   // that the loop goes by
-	Clear   []sendlease.ExcludedHost // hosts that nothing new of this node goes to
-	Look    *hostview.Observation    // at the hosts; nil: it has not looked anew
-	Under   rollout.Hash             // the policy that the loop goes by; "": the settings as they are
-	Asked   rollout.Hash             // the one that GoBy asked for last, whether or not it fitted
-	Retuned uint64                   // how often the settings as read have changed since the start
-	Counted []Counted                // since the last report that was taken, by policy, the present one last
+	Restrictions    sendlease.Restrictions   // that the loop applies
+	ClearedHosts    []sendlease.ExcludedHost // excluded hosts to which this node sends nothing new
+	Observation     *hostview.Observation    // of the hosts; nil: none since the last report
+	Policy          rollout.Hash             // the policy that the loop applies; "": the plain settings
+	RequestedPolicy rollout.Hash             // the last one passed to ApplyPolicy, whether or not it was valid
+	SettingsChanges uint64                   // number of changes of the configured settings since the start
+	Counted         []Counted                // since the last report that control accepted, by policy, the current one last
 }
 
-// Options is what a Core is made of.
+// Options are the inputs of New.
 type Options struct {
-	Site    *site.Site
-	Life    uint64                // of the store, for its seat; see council/store
-	Boot    uint64                // the how manieth opening of the store this is
-	Run     uint64                // of this process, drawn at random
-	Proven  bool                  // the store is known to be as the last process left it
-	Durable consensus.StoredState // what the store had of the council's log
-	Saved   sendlease.Saved       // and of the node's right
-	Kept    Kept                  // and of policies
-	Check   func(Policy) error    // whether one fits the node's settings; see Traffic
-	Wait    time.Duration         // before the first question: an earlier process of the node may act on its right for so long
+	Site             *site.Site
+	StoreIncarnation uint64                // of the store, for its replica; see consensus/store
+	OpenCount        uint64                // how often the store was opened, this time included
+	RunID            uint64                // random number of this process
+	StoreVerified    bool                  // the store is known to be in the state in which the last process left it
+	StoredState      consensus.StoredState // state of the consensus group's log in the store
+	SavedLease       sendlease.Saved       // state of the node's send lease in the store
+	KeptPolicies     Kept                  // state of the node's policies in the store
+	CheckPolicy      func(Policy) error    // whether a policy is valid with the node's settings; see Traffic
+	LeaseWait        time.Duration         // before the first lease request: an earlier process of the node may still use its send lease for this long
 }
 
 const (
-	// proposeWithin is how long a proposal of the leader's own may be under way before another one is made.
-	proposeWithin = 2 * time.Second
-	// callWithin is how long a call waits until what it asked for is agreed on.
-	callWithin = 4 * time.Second
-	// renewals is how many times a node asks for its right within the time that one lasts.
-	renewals = 4
-	// stuckAfter is how long a turn may wait for a node that is cut off, in times that a right lasts, before it is called
-	// back for one that can go.
-	stuckAfter = 2
+	// proposalTimeout is how long a proposal that the leader made by itself may be pending before it makes another one.
+	proposalTimeout = 2 * time.Second
+	// callTimeout is how long a call waits for its entry to be committed.
+	callTimeout = 4 * time.Second
+	// renewalsPerLease is how often a node renews its send lease within the duration of one lease.
+	renewalsPerLease = 4
+	// blockedRevokeLeases is how long a turn may wait for an unreachable node, in durations of a send lease, before it is
+	// revoked in favour of a turn that can proceed.
+	blockedRevokeLeases = 2
 )
 
-// entry is what stands in the council's log.
+// entry is an entry of the consensus group's log.
 type entry struct {
-	By    uint64         `json:"by"`  // the run that proposed it
-	Seq   uint64         `json:"seq"` // counts there
+	RunID uint64         `json:"by"`  // process that proposed it
+	Seq   uint64         `json:"seq"` // number within that process
 	Turns *turns.Command `json:"turns,omitempty"`
 
 	Writes   *written         `json:"writes,omitempty"`
-	Policies *rollout.Command `json:"policies,omitempty"` // at the top site
-	Seats    *seated          `json:"seats,omitempty"`
+	Policies *rollout.Command `json:"policies,omitempty"` // at the root site
+	Replicas *seated          `json:"seats,omitempty"`
 }
 
-// question is a node's question that waits for a quorum's word.
-type question struct {
-	ask  *peerpb.RenewRequest
-	done func(*peerpb.RenewReply)
+// pendingRequest is a lease request that waits until a quorum confirms that this replica leads.
+type pendingRequest struct {
+	request *peerpb.RenewRequest
+	done    func(*peerpb.RenewReply)
 }
 
-// waiter is a call that waits for its entry.
-type waiter struct {
-	id    string
-	until time.Duration
-	again bool // called once more it has no second effect: it does not wait for a leader that has gone
-	done  func(Reply, error)
+// pendingCall is a call that waits for its entry to be applied.
+type pendingCall struct {
+	id         string
+	deadline   time.Duration
+	idempotent bool // a repetition has no second effect, so it fails at once when this node loses the leadership
+	done       func(Reply, error)
 }
 
-// Core is the control of one node. It is for one thread.
+// Core is the control plane of one node. It is not safe for concurrent use.
 type Core struct {
 	Options
-	env    Env
-	self   consensus.ReplicaID
-	seat   *consensus.Replica // nil where this node has no seat, or belongs to no council yet
-	others map[string]*other  // the other seats, by node
-	parts  map[string]*partly
-	ticks  uint64
-	holder *sendlease.Holder
-	table  *sendlease.Table
-	book   *turns.Schedule
+	env            Env
+	replicaID      consensus.ReplicaID
+	replica        *consensus.Replica // nil if this node has none, or belongs to no consensus group yet
+	peers          map[string]*other  // what is known of the other replicas, by node
+	chunkTransfers map[string]*partly
+	ticks          uint64
+	leaseHolder    *sendlease.Holder
+	leaseTable     *sendlease.Table
+	schedule       *turns.Schedule
 	seats
-	report Report
-	stop   error // why control has stopped; nil while it works
-
-	writes    *sitesync.Site                    // nil until the site's place is agreed on
-	courier   *sitesync.Forwarder               // of a leader with sites above
-	teller    *sitesync.CreditScheduler         // of a leader
-	callers   map[sitesync.SiteIncarnation]bool // that have called this leader
-	taking    map[string]int                    // calls whose writes are being agreed on, by site
-	calling   string                            // the site above that a call is out to
-	calls     uint64
-	callUntil time.Duration
-	calledAt  time.Duration
-	upAt      map[string]int // which seat of a site above is called
-	offerAt   time.Duration
-	agedAt    time.Duration
+	loopReport Report
+	stopCause  error // why control has stopped; nil while it runs
+
+	siteSync        *sitesync.Site                    // nil until the entry with the site's place is applied
+	forwarder       *sitesync.Forwarder               // of a leader whose site has ancestors
+	creditScheduler *sitesync.CreditScheduler         // of a leader
+	knownCallers    map[sitesync.SiteIncarnation]bool // sites that have called this leader
+	pendingBatches  map[string]int                    // calls whose writes are being committed, by site
+	callTarget      string                            // ancestor site to which a call is pending; "": none
+	callNumber      uint64
+	callDeadline    time.Duration
+	callStartedAt   time.Duration
+	ancestorReplica map[string]int // index of the voter that is called, by ancestor site
+	nextOfferAt     time.Duration
+	lastAgedAt      time.Duration
 
 	policies policies
 
-	leader    string // who leads, as far as is known
-	leading   bool
-	applied   uint64
-	elected   consensus.ReplicaID      // who leads as far as this node's seat knows; 0: nobody
-	firstAt   time.Duration            // no question before
-	askAt     time.Duration            // when to ask for the right again
-	asked     []string                 // seats that were, since the last time
-	said      sendlease.LeaseRequest   // the last one
-	tries     int                      // renewals since the last answer
-	inflight  map[uint64]time.Duration // proposals of the leader's own: since when
-	acking    map[string]turns.Ack     // the last that was proposed, by node
-	asking    []question               // that no read was begun for
-	reads     map[uint64][]question
-	confirmed []consensus.ReadState // by a quorum, and not applied up to yet
-	readSeq   uint64
-	seq       uint64
-	waiters   map[uint64]waiter
-	hosts     sight
-	stamp     time.Duration // the last one on a command
-	left      func()        // to be called when this node leads no more: it is about to end; nil: it is not, or was called
-	refused   string        // what another seat refused this one for last
-	waits     bool          // this seat waited for other seats' word at the last look
-	reach     reach
-}
-
-// New returns the control of a node at a time. The loop is bound at once: by what the store had, with no right yet.
+	leader           string // node that leads, as far as is known; "": unknown
+	leading          bool
+	appliedIndex     uint64
+	leaderID         consensus.ReplicaID      // leader as this node's replica knows it; 0: none
+	firstRequestAt   time.Duration            // no lease request is sent before
+	nextRequestAt    time.Duration            // when to request the send lease again
+	requestedFrom    []string                 // nodes to which the request of this round was sent
+	lastRequest      sendlease.LeaseRequest   // the last one sent
+	attempts         int                      // rounds of requests since the last answer
+	pendingProposals map[uint64]time.Duration // when each proposal was made that the leader made by itself
+	proposedAcks     map[string]turns.Ack     // the last acknowledgement proposed, by node
+	queuedRequests   []pendingRequest         // for which no quorum read was started yet
+	readRequests     map[uint64][]pendingRequest
+	confirmedReads   []consensus.ReadState // confirmed by a quorum; their index is not applied here yet
+	readNumber       uint64
+	entryNumber      uint64
+	pendingCalls     map[uint64]pendingCall
+	hostView         hostViewState
+	lastStamp        time.Duration // time stamp of the latest command
+	onLeadershipLost func()        // called once this node no longer leads, before it shuts down; nil: no shutdown, or already called
+	lastRefusal      string        // the last reason for which another replica, or an ancestor site, refused this node's messages
+	wasUnconfirmed   bool          // at the last check this replica waited for the other replicas to confirm its store
+	reachability     reach
+}
+
+// New returns the control plane of a node. Restrictions are applied to the traffic loop at once: those from the store,
+// without a send lease.
 func New(now time.Duration, o Options, env Env) (*Core, error) {
-	c := &Core{Options: o, env: env, holder: sendlease.NewHolder(o.Site.SendLease, o.Site.Node, o.Saved),
-		table: sendlease.NewTable(o.Site.SendLease), book: turns.New(), inflight: map[uint64]time.Duration{},
-		acking: map[string]turns.Ack{}, reads: map[uint64][]question{}, waiters: map[uint64]waiter{},
-		hosts: newSight(now), others: map[string]*other{}, parts: map[string]*partly{}, firstAt: now + o.Wait, askAt: now + o.Wait,
-		reach: newReach(0)}
+	c := &Core{Options: o, env: env, leaseHolder: sendlease.NewHolder(o.Site.SendLease, o.Site.Node, o.SavedLease),
+		leaseTable: sendlease.NewTable(o.Site.SendLease), schedule: turns.New(), pendingProposals: map[uint64]time.Duration{},
+		proposedAcks: map[string]turns.Ack{}, readRequests: map[uint64][]pendingRequest{}, pendingCalls: map[uint64]pendingCall{},
+		hostView: newHostViewState(now), peers: map[string]*other{}, chunkTransfers: map[string]*partly{}, firstRequestAt: now + o.LeaseWait, nextRequestAt: now + o.LeaseWait,
+		reachability: newReach(0)}
 	if err := c.sit(); err != nil {
 		return nil, err
 	}
 	if err := c.holdPolicies(now); err != nil {
 		return nil, err
 	}
-	env.Bind(c.holder.Restrictions())
-	if c.seat != nil {
-		switch st := c.seat.Status(); {
+	env.ApplyRestrictions(c.leaseHolder.Restrictions())
+	if c.replica != nil {
+		switch st := c.replica.Status(); {
 		case st.Err != nil:
 			c.fail(st.Err)
 		case st.Unconfirmed:
-			c.waits = true
-			env.Tell("the seat waits for other seats' word that its store is not an older one", "wanted", len(st.Voters)-len(st.Voters)/2,
-				"action", "if others are down, start them: until so many have answered it takes no part")
+			c.wasUnconfirmed = true
+			env.Log("the seat waits for other seats' word that its store is not an older one", "wanted", len(st.Voters)-len(st.Voters)/2,
+				"action", "if other nodes are down, start them: this replica takes no part until so many have answered")
 		}
 	}
 	return c, nil
 }
 
-// Stopped returns why the control of this node has stopped, or nil. The traffic goes on; the right runs out.
-func (c *Core) Stopped() error { return c.stop }
+// StopCause returns why the control of this node has stopped, or nil while it runs. When it stops, traffic continues and
+// the send lease expires.
+func (c *Core) StopCause() error { return c.stopCause }
 
-// Book returns the book as it is applied here, which only a seat has.
-func (c *Core) Book() *turns.Schedule { return c.book }
+// Schedule returns the schedule of turns as applied on this node. Only a node with a replica has one.
+func (c *Core) Schedule() *turns.Schedule { return c.schedule }
 
-// Leader returns who leads the council, as far as this node knows.
+// Leader returns the node that leads the consensus group, as far as this node knows, or "".
 func (c *Core) Leader() string { return c.leader }
 
-// Leading says whether this node leads.
+// Leading reports whether this node leads.
 func (c *Core) Leading() bool { return c.leading }
 
-// Applied returns up to where this seat has applied the log.
-func (c *Core) Applied() uint64 { return c.applied }
+// AppliedIndex returns the index up to which this replica has applied the log.
+func (c *Core) AppliedIndex() uint64 { return c.appliedIndex }
 
-// Tick is called every Site.Tick.
+// Tick advances timers. It must be called every Site.Tick.
 func (c *Core) Tick(now time.Duration) {
-	if c.stop != nil {
+	if c.stopCause != nil {
 		return
 	}
 	c.ticks++
-	if c.seat != nil && c.out == 0 {
-		c.seat.Tick()
+	if c.replica != nil && c.out == 0 {
+		c.replica.Tick()
 	}
 	c.greet()
 	for _, name := range c.circle {
-		if c.parts[name] != nil {
+		if c.chunkTransfers[name] != nil {
 			c.pieces(now, name)
 		}
 	}
-	c.drive(now)
+	c.processReady(now)
 	c.tellReach()
-	c.unsettled(func(w waiter) bool { return now >= w.until })
+	c.failPendingCalls(func(w pendingCall) bool { return now >= w.deadline })
 	c.tickPolicies(now)
-	if c.stop == nil && now >= c.askAt {
-		c.renew(now)
+	if c.stopCause == nil && now >= c.nextRequestAt {
+		c.renewLease(now)
 	}
-	c.drive(now)
+	c.processReady(now)
 }
 
-// Raft takes messages of another seat, and returns what this one says of itself.
-func (c *Core) Raft(now time.Duration, q *peerpb.RaftRequest) *peerpb.RaftReply {
+// HandleRaft processes Raft messages of another replica, and returns this replica's report on itself.
+func (c *Core) HandleRaft(now time.Duration, q *peerpb.RaftRequest) *peerpb.RaftReply {
 	r := &peerpb.RaftReply{}
-	err := c.stop
+	err := c.stopCause
 	if err == nil && !c.sits() {
-		err = &NoSeatError{Node: c.Site.Node}
+		err = &NoReplicaError{Node: c.Site.Node}
 	}
 	if err == nil {
 		err = c.hear(q.Hello)
 	}
-	if err == nil && c.seat != nil {
+	if err == nil && c.replica != nil {
 		for _, m := range c.joined(now, q, r) {
 			if err == nil {
-				err = c.seat.Step(m)
+				err = c.replica.Step(m)
 			}
 		}
 	}
 	if err != nil {
 		r.Refused = err.Error()
-		var told Actioner
-		if errors.As(err, &told) {
-			r.Action = told.Action()
+		var actioner Actioner
+		if errors.As(err, &actioner) {
+			r.Action = actioner.Action()
 		}
-		r.Ends = ends(err)
+		r.Ends = endsReplica(err)
 	}
 	if c.sits() {
 		r.Hello = c.hello(q.Hello.GetNode())
 	}
-	c.drive(now)
+	c.processReady(now)
 	return r
 }
 
-// RaftReplied takes what another seat said to messages of this one.
-func (c *Core) RaftReplied(now time.Duration, r *peerpb.RaftReply) {
-	if c.stop != nil {
+// HandleRaftReply processes another replica's reply to messages of this one.
+func (c *Core) HandleRaftReply(now time.Duration, r *peerpb.RaftReply) {
+	if c.stopCause != nil {
 		return
 	}
 	err := c.hear(r.Hello)
 	if err == nil {
 		if r.Refused == "" {
-			c.reach.answered[r.Hello.Node] = c.ticks
+			c.reachability.answered[r.Hello.Node] = c.ticks
 		}
 		c.had(now, r)
 	}
 	switch {
-	case r.Ends && c.seat != nil && err == nil:
-		if err := c.env.Refused(r.Refused); err != nil {
+	case r.Ends && c.replica != nil && err == nil:
+		if err := c.env.MarkRefused(r.Refused); err != nil {
 			c.fail(err)
 			return
 		}
-		c.seat.MarkRefused(r.Refused)
-	case r.Refused != "" && r.Refused != c.refused:
-		c.refused = r.Refused
-		c.env.Tell("another seat refuses what this one says", "seat", r.GetHello().GetNode(), "why", r.Refused, "action", r.Action)
+		c.replica.MarkRefused(r.Refused)
+	case r.Refused != "" && r.Refused != c.lastRefusal:
+		c.lastRefusal = r.Refused
+		c.env.Log("another replica refuses this replica's messages", "seat", r.GetHello().GetNode(), "why", r.Refused, "action", r.Action)
 	}
-	c.drive(now)
+	c.processReady(now)
 }
 
-// ends says whether an error is the end of the seat whose words it is about.
-func ends(err error) bool {
-	var old *consensus.StaleStoreError
+// endsReplica reports whether an error means that the replica whose messages were refused can take no part any more.
+func endsReplica(err error) bool {
+	var stale *consensus.StaleStoreError
 	var copied *consensus.CopiedStoreError
-	var former *OldCouncilError
-	return errors.As(err, &old) || errors.As(err, &copied) || errors.As(err, &former)
+	var replaced *OldCouncilError
+	return errors.As(err, &stale) || errors.As(err, &copied) || errors.As(err, &replaced)
 }
 
-// Loop takes the loop's report over.
-func (c *Core) Loop(now time.Duration, r Report) {
-	c.look(r.Look)
-	r.Look = nil
-	if c.stop == nil {
+// HandleLoopReport processes a report of the traffic loop.
+func (c *Core) HandleLoopReport(now time.Duration, r Report) {
+	c.recordObservation(r.Observation)
+	r.Observation = nil
+	if c.stopCause == nil {
 		c.counted(now, r)
 	}
 	r.Counted = nil
-	c.report = r
-	c.holder.MarkInEffect(r.Taken)
-	c.holder.MarkConfirmed(r.Clear)
-	if c.stop != nil {
+	c.loopReport = r
+	c.leaseHolder.MarkInEffect(r.Restrictions)
+	c.leaseHolder.MarkConfirmed(r.ClearedHosts)
+	if c.stopCause != nil {
 		return
 	}
-	if c.holder.HasNews(c.said) && now >= c.firstAt { // somebody waits for it
-		c.renew(now)
+	if c.leaseHolder.HasNews(c.lastRequest) && now >= c.firstRequestAt { // the leader waits for this news
+		c.renewLease(now)
 	}
-	c.drive(now) // a turn's end may wait for what was seen
+	c.processReady(now) // the end of a turn may depend on the observation
 }
 
-// ---- The node's right ----
+// ---- The node's send lease ----
 
-// renew asks for the right: whoever is thought to lead, and where a question was not answered another seat too, which knows of
-// a leader or is a way to learn of one.
-func (c *Core) renew(now time.Duration) {
-	c.askAt = now + c.Site.SendLease.Duration/renewals
-	c.asked = c.asked[:0]
-	c.tries++
-	if c.tries > 2 && c.elected == 0 {
+// renewLease requests the send lease from the presumed leader. If the last request was not answered, it asks another
+// replica as well, which can name the leader.
+func (c *Core) renewLease(now time.Duration) {
+	c.nextRequestAt = now + c.Site.SendLease.Duration/renewalsPerLease
+	c.requestedFrom = c.requestedFrom[:0]
+	c.attempts++
+	if c.attempts > 2 && c.leaderID == 0 {
 		c.leader = "" // it does not answer
 	}
 	if c.leader != "" {
-		c.ask(now, c.leader)
+		c.sendLeaseRequest(now, c.leader)
 	}
-	if c.leader == "" || c.tries > 1 {
-		c.ask(now, c.Site.Voters[(c.tries+int(c.Run%7))%len(c.Site.Voters)])
+	if c.leader == "" || c.attempts > 1 {
+		c.sendLeaseRequest(now, c.Site.Voters[(c.attempts+int(c.RunID%7))%len(c.Site.Voters)])
 	}
 }
 
-// ask asks a seat for the right, once between two renewals.
-func (c *Core) ask(now time.Duration, to string) {
-	if slices.Contains(c.asked, to) || c.stop != nil {
+// sendLeaseRequest requests the send lease from a replica, at most once per renewal.
+func (c *Core) sendLeaseRequest(now time.Duration, to string) {
+	if slices.Contains(c.requestedFrom, to) || c.stopCause != nil {
 		return
 	}
-	c.asked = append(c.asked, to)
-	q := c.holder.NextRequest(now)
-	c.said = q
-	ask := &peerpb.RenewRequest{Node: q.Node, Life: q.Incarnation, Seq: q.Seq, Acked: q.Acked, Run: c.Run,
-		LastsUs: uint64(c.Site.SendLease.Duration / time.Microsecond), Census: c.tellHosts()}
-	for _, o := range q.Confirmed {
-		ask.Holds = append(ask.Holds, &peerpb.Out{Host: o.Host, Round: o.Round})
+	c.requestedFrom = append(c.requestedFrom, to)
+	next := c.leaseHolder.NextRequest(now)
+	c.lastRequest = next
+	request := &peerpb.RenewRequest{Node: next.Node, Life: next.Incarnation, Seq: next.Seq, Acked: next.Acked, Run: c.RunID,
+		LastsUs: uint64(c.Site.SendLease.Duration / time.Microsecond), Census: c.hostReport()}
+	for _, o := range next.Confirmed {
+		request.Holds = append(request.Holds, &peerpb.Out{Host: o.Host, Round: o.Round})
 	}
-	c.askPolicy(now, ask)
+	c.askPolicy(now, request)
 	if to == c.Site.Node {
-		c.Question(now, ask, func(r *peerpb.RenewReply) { c.Renewed(now, r) })
+		c.HandleLeaseRequest(now, request, func(r *peerpb.RenewReply) { c.HandleLeaseResponse(now, r) })
 		return
 	}
-	c.env.SendRenew(to, ask)
+	c.env.SendRenew(to, request)
 }
 
-// follow takes note of who is said to lead, unless this node's seat knows better, and asks there for the right at once.
-func (c *Core) follow(now time.Duration, leader string) {
-	if c.elected == 0 {
+// noteLeader records the leader that another node named, unless this node's own replica knows the leader, and requests the
+// send lease there at once.
+func (c *Core) noteLeader(now time.Duration, leader string) {
+	if c.leaderID == 0 {
 		c.leader = leader
 	}
-	if leader != "" && now >= c.firstAt {
-		c.ask(now, leader)
+	if leader != "" && now >= c.firstRequestAt {
+		c.sendLeaseRequest(now, leader)
 	}
 }
 
-// Renewed takes an answer to a question over.
-func (c *Core) Renewed(now time.Duration, r *peerpb.RenewReply) {
-	if c.stop != nil {
+// HandleLeaseResponse processes the answer to a lease request.
+func (c *Core) HandleLeaseResponse(now time.Duration, r *peerpb.RenewReply) {
+	if c.stopCause != nil {
 		return
 	}
 	if r.Refused != "" {
 		if r.Leader != "" && !c.leading {
-			c.follow(now, r.Leader)
+			c.noteLeader(now, r.Leader)
 		}
 		if r.Leader == "" && r.Action != "" {
-			c.env.Tell("no right to send is given", "why", r.Refused, "action", r.Action)
+			c.env.Log("no right to send is given", "why", r.Refused, "action", r.Action)
 		}
 		return
 	}
@@ -394,179 +400,180 @@
 	if r.Leader != "" {
 		c.leader = r.Leader
 	}
-	c.tries = 0
-	c.toldHosts(now, r)
+	c.attempts = 0
+	c.handleHostAck(now, r)
 	c.answered(r)
-	a := sendlease.LeaseResponse{Seq: r.Seq, Applied: r.Applied, Recorded: r.Recorded,
+	response := sendlease.LeaseResponse{Seq: r.Seq, Applied: r.Applied, Recorded: r.Recorded,
 		ExclusionSet: sendlease.ExclusionSet{Version: r.HorizonVersion, Hosts: r.HorizonHosts}}
 	for _, o := range r.Outs {
-		a.ExcludedHosts = append(a.ExcludedHosts, sendlease.ExcludedHost{Host: o.Host, Round: o.Round})
+		response.ExcludedHosts = append(response.ExcludedHosts, sendlease.ExcludedHost{Host: o.Host, Round: o.Round})
 	}
-	save, changed := c.holder.HandleResponse(now, a)
+	save, changed := c.leaseHolder.HandleResponse(now, response)
 	if changed {
-		c.env.Bind(c.holder.Restrictions())
+		c.env.ApplyRestrictions(c.leaseHolder.Restrictions())
 	}
 	if !save {
 		return
 	}
-	if err := c.env.Keep(c.holder.Saved()); err != nil {
+	if err := c.env.SaveLease(c.leaseHolder.Saved()); err != nil {
 		c.fail(err)
 		return
 	}
-	c.holder.MarkStored()
-	v := c.holder.Restrictions()
-	c.env.Bind(v)
-	c.env.Tell("without a right, these hosts are withheld", "hosts", strings.Join(v.ExcludedAfterExpiry, " "), "horizon", v.ExclusionSetVersion,
-		"recorded", c.holder.Saved().Recorded)
-	c.askAt = min(c.askAt, now) // what stands is acknowledged at once
+	c.leaseHolder.MarkStored()
+	restrictions := c.leaseHolder.Restrictions()
+	c.env.ApplyRestrictions(restrictions)
+	c.env.Log("stored the hosts that are excluded without a send lease", "hosts", strings.Join(restrictions.ExcludedAfterExpiry, " "),
+		"horizon", restrictions.ExclusionSetVersion, "recorded", c.leaseHolder.Saved().Recorded)
+	c.nextRequestAt = min(c.nextRequestAt, now) // acknowledges the stored exclusion set at once
 }
 
-// Leave is called before the control of this node ends as planned: where it leads, another seat is to take over. left is called
-// once, when this node leads no more, which may be never: whoever calls has a bound of its own.
-func (c *Core) Leave(now time.Duration, left func()) {
-	c.left = left
-	if c.stop != nil || !c.leading || !c.seat.TransferLeadership() {
-		c.hasLeft()
+// TransferLeadership is called before a planned shutdown of this node's control: if it leads, another replica is to take
+// over. transferred is called once this node no longer leads. That may never happen, so the caller needs a time-out.
+func (c *Core) TransferLeadership(now time.Duration, transferred func()) {
+	c.onLeadershipLost = transferred
+	if c.stopCause != nil || !c.leading || !c.replica.TransferLeadership() {
+		c.notifyLeadershipLost()
 		return
 	}
-	c.drive(now)
+	c.processReady(now)
 }
 
-func (c *Core) hasLeft() {
-	if left := c.left; left != nil {
-		c.left = nil
-		left()
+func (c *Core) notifyLeadershipLost() {
+	if notify := c.onLeadershipLost; notify != nil {
+		c.onLeadershipLost = nil
+		notify()
 	}
 }
 
-// fail stops the control of this node for good: what should be durable is not. Where the store is not the one that this node
-// has acknowledged by, what is to be withheld without a right is not known, and all hosts are.
+// fail stops the control of this node for good, since state that must be durable is not. If the store was refused,
+// it may not be the one whose content this node acknowledged: the hosts to exclude without a send lease are then unknown,
+// so all hosts are excluded.
 func (c *Core) fail(err error) {
-	stop := &StoppedError{Cause: err}
-	c.stop = stop
-	event := "control has stopped; the traffic goes on, and the right to send runs out"
+	stopped := &StoppedError{Cause: err}
+	c.stopCause = stopped
+	message := "control has stopped; the traffic goes on, and the right to send runs out"
 	var refused *consensus.RefusedError
 	if errors.As(err, &refused) {
-		event = "control has stopped, and nothing is sent: the store does not tell what is out"
-		c.env.Bind(sendlease.Restrictions{AllAfterExpiry: true})
+		message = "control has stopped, and nothing is sent: the store does not tell what is out"
+		c.env.ApplyRestrictions(sendlease.Restrictions{AllAfterExpiry: true})
 	}
-	c.env.Tell(event, "error", err, "action", stop.Action())
-	for _, w := range c.waiters {
-		w.done(Reply{}, c.stop)
+	c.env.Log(message, "error", err, "action", stopped.Action())
+	for _, w := range c.pendingCalls {
+		w.done(Reply{}, c.stopCause)
 	}
-	c.waiters = map[uint64]waiter{}
+	c.pendingCalls = map[uint64]pendingCall{}
 	c.leading, c.leader = false, ""
-	c.table.Resign()
-	c.refuseAll()
+	c.leaseTable.Resign()
+	c.refuseLeaseRequests()
 }
 
 // ---- The leader ----
 
-// Question takes a node's question; done is called with the answer, or with why there is none.
-func (c *Core) Question(now time.Duration, ask *peerpb.RenewRequest, done func(*peerpb.RenewReply)) {
-	if c.stop != nil || c.seat == nil || !c.leading {
-		hint := c.leader
-		if hint == c.Site.Node {
-			hint = ""
+// HandleLeaseRequest processes a node's lease request. done is called with the answer, or with the reason for a refusal.
+func (c *Core) HandleLeaseRequest(now time.Duration, request *peerpb.RenewRequest, done func(*peerpb.RenewReply)) {
+	if c.stopCause != nil || c.replica == nil || !c.leading {
+		leader := c.leader
+		if leader == c.Site.Node {
+			leader = ""
 		}
-		done(&peerpb.RenewReply{Seq: ask.Seq, Refused: "this node does not lead the council", Leader: hint})
+		done(&peerpb.RenewReply{Seq: request.Seq, Refused: "this node does not lead the site's consensus group", Leader: leader})
 		return
 	}
-	c.asking = append(c.asking, question{ask, done})
-	c.drive(now)
+	c.queuedRequests = append(c.queuedRequests, pendingRequest{request, done})
+	c.processReady(now)
 }
 
-// answer answers a question, now that a quorum has said that this seat leads.
-func (c *Core) answer(now time.Duration, q question) {
-	ask := q.ask
-	r := &peerpb.RenewReply{Seq: ask.Seq, Leader: c.Site.Node}
+// answerLeaseRequest answers a lease request after a quorum has confirmed that this replica leads.
+func (c *Core) answerLeaseRequest(now time.Duration, q pendingRequest) {
+	request := q.request
+	r := &peerpb.RenewReply{Seq: request.Seq, Leader: c.Site.Node}
 	switch {
-	case c.book.Dead(ask.Node):
-		r.Refused, r.Leader = fmt.Sprintf("%s was declared dead", ask.Node), ""
-		r.Action = "make sure that it runs as it should, then take it in again: POST /lichenhitch.peer.Desk/TakeIn"
-	case ask.LastsUs != uint64(c.Site.SendLease.Duration/time.Microsecond):
-		r.Refused, r.Leader = fmt.Sprintf("%s takes a right to last %v, the council %v", ask.Node,
-			time.Duration(ask.LastsUs)*time.Microsecond, c.Site.SendLease.Duration), ""
-		r.Action = "give rights.lasts_ms the same value at all nodes of the site"
-	case !slices.Contains(c.book.Members(), ask.Node):
-		r.Refused, r.Leader = fmt.Sprintf("%s is not among the nodes of site %s", ask.Node, c.Site.Own.Name), ""
-		r.Action = "enter it in the site file of the seats"
+	case c.schedule.Dead(request.Node):
+		r.Refused, r.Leader = fmt.Sprintf("%s was declared dead", request.Node), ""
+		r.Action = "make sure that it runs correctly, then readmit it: POST /lichenhitch.peer.Desk/TakeIn"
+	case request.LastsUs != uint64(c.Site.SendLease.Duration/time.Microsecond):
+		r.Refused, r.Leader = fmt.Sprintf("%s expects a send lease of %v, its consensus group grants %v", request.Node,
+			time.Duration(request.LastsUs)*time.Microsecond, c.Site.SendLease.Duration), ""
+		r.Action = "set rights.lasts_ms to the same value on all nodes of the site"
+	case !slices.Contains(c.schedule.Members(), request.Node):
+		r.Refused, r.Leader = fmt.Sprintf("%s is not among the nodes of site %s", request.Node, c.Site.Own.Name), ""
+		r.Action = "add it to the site file of the nodes with a seat"
 	}
 	if r.Refused != "" {
 		q.done(r)
 		return
 	}
-	r.Census = c.hearHosts(now, ask)
-	holds := make([]sendlease.ExcludedHost, 0, len(ask.Holds))
-	for _, o := range ask.Holds {
-		holds = append(holds, sendlease.ExcludedHost{Host: o.Host, Round: o.Round})
-	}
-	c.table.RecordConfirmed(now, sendlease.LeaseRequest{Node: ask.Node, Incarnation: ask.Life, Seq: ask.Seq, Acked: ask.Acked, Confirmed: holds})
-	c.table.RecordAnswered(now, ask.Node)
-	ack := turns.Ack{Node: ask.Node, Incarnation: ask.Life, Version: ask.Acked}
-	known := c.book.Acked(ask.Node)
-	if (ack.Incarnation != known.Incarnation || ack.Version > known.Version) && ack != c.acking[ask.Node] {
-		c.acking[ask.Node] = ack
-		c.propose(now, turns.Command{Ack: &ack})
-	}
-	r.Applied = c.applied
-	for _, o := range c.book.ExcludedHosts() {
+	r.Census = c.recordHostReport(now, request)
+	confirmed := make([]sendlease.ExcludedHost, 0, len(request.Holds))
+	for _, o := range request.Holds {
+		confirmed = append(confirmed, sendlease.ExcludedHost{Host: o.Host, Round: o.Round})
+	}
+	c.leaseTable.RecordConfirmed(now, sendlease.LeaseRequest{Node: request.Node, Incarnation: request.Life, Seq: request.Seq, Acked: request.Acked, Confirmed: confirmed})
+	c.leaseTable.RecordAnswered(now, request.Node)
+	ack := turns.Ack{Node: request.Node, Incarnation: request.Life, Version: request.Acked}
+	previous := c.schedule.Acked(request.Node)
+	if (ack.Incarnation != previous.Incarnation || ack.Version > previous.Version) && ack != c.proposedAcks[request.Node] {
+		c.proposedAcks[request.Node] = ack
+		c.proposeTurnCommand(now, turns.Command{Ack: &ack})
+	}
+	r.Applied = c.appliedIndex
+	for _, o := range c.schedule.ExcludedHosts() {
 		r.Outs = append(r.Outs, &peerpb.Out{Host: o.Host, Round: o.Round})
 	}
-	horizon := c.book.ExclusionSet()
-	r.HorizonVersion, r.HorizonHosts = horizon.Version, horizon.Hosts
-	r.Recorded = c.book.RecordedVersionIn(ask.Node, ask.Life)
-	r.Told = c.recorded(now, ask.Node, ask.Record)
-	r.Policy = c.assignment(now, ask.Node, ask.Texts)
+	exclusionSet := c.schedule.ExclusionSet()
+	r.HorizonVersion, r.HorizonHosts = exclusionSet.Version, exclusionSet.Hosts
+	r.Recorded = c.schedule.RecordedVersionIn(request.Node, request.Life)
+	r.Told = c.recorded(now, request.Node, request.Record)
+	r.Policy = c.assignment(now, request.Node, request.Texts)
 	r.Foundings = c.seating.Foundings
 	q.done(r)
 }
 
-// drive carries out what the seat has ready, and then what a leader has to do.
-func (c *Core) drive(now time.Duration) {
-	for c.stop == nil && c.seat != nil {
-		if c.lead(now); c.seat == nil {
+// processReady updates the leader role and carries out what the replica has ready, until nothing is left.
+func (c *Core) processReady(now time.Duration) {
+	for c.stopCause == nil && c.replica != nil {
+		if c.updateRole(now); c.replica == nil {
 			return
 		}
-		out, any := c.seat.Ready()
-		if !any {
+		output, ready := c.replica.Ready()
+		if !ready {
 			return
 		}
-		c.carryOut(now, out)
+		c.applyOutput(now, output)
 	}
 }
 
-func (c *Core) carryOut(now time.Duration, out consensus.Output) {
-	if err := c.env.Save(out.Save); err != nil {
+func (c *Core) applyOutput(now time.Duration, output consensus.Output) {
+	if err := c.env.Save(output.Save); err != nil {
 		c.fail(err)
 		return
 	}
-	c.send(now, out.Send)
-	if out.Snapshot != nil {
-		if err := c.decode(out.Snapshot); err != nil {
+	c.send(now, output.Send)
+	if output.Snapshot != nil {
+		if err := c.decode(output.Snapshot); err != nil {
 			c.fail(err)
 			return
 		}
-		if out.Save.Replace && len(out.Snapshot) > 0 {
-			c.env.Tell("was far behind, and has the council's whole state from its leader", "bytes", len(out.Snapshot))
+		if output.Save.Replace && len(output.Snapshot) > 0 {
+			c.env.Log("was far behind, and has the council's whole state from its leader", "bytes", len(output.Snapshot))
 		}
 	}
-	for _, e := range out.Apply {
-		c.apply(now, e)
+	for _, e := range output.Apply {
+		c.applyEntry(now, e)
 	}
-	c.seat.Advance(out)
-	st := c.seat.Status()
-	c.applied = st.Applied
-	c.confirmed = append(c.confirmed, out.Reads...)
-	c.confirmed = slices.DeleteFunc(c.confirmed, func(read consensus.ReadState) bool {
-		if read.Index > c.applied {
+	c.replica.Advance(output)
+	st := c.replica.Status()
+	c.appliedIndex = st.Applied
+	c.confirmedReads = append(c.confirmedReads, output.Reads...)
+	c.confirmedReads = slices.DeleteFunc(c.confirmedReads, func(read consensus.ReadState) bool {
+		if read.Index > c.appliedIndex {
 			return false
 		}
 		c.confirmedRound(read.Ctx)
-		for _, q := range c.reads[read.Ctx] {
-			c.answer(now, q)
+		for _, q := range c.readRequests[read.Ctx] {
+			c.answerLeaseRequest(now, q)
 		}
-		delete(c.reads, read.Ctx)
+		delete(c.readRequests, read.Ctx)
 		return true
 	})
 	if st.SnapshotDue {
@@ -574,14 +581,14 @@
 	}
 }
 
-// compact puts the book in the place of the log that led to it.
+// compact replaces the applied part of the log by a snapshot of the state.
 func (c *Core) compact() {
 	raw, err := c.encode()
 	if err != nil {
 		c.fail(err)
 		return
 	}
-	save, err := c.seat.Compact(c.applied, raw)
+	save, err := c.replica.Compact(c.appliedIndex, raw)
 	if err == nil {
 		err = c.env.Save(save)
 	}
@@ -590,92 +597,93 @@
 	}
 }
 
-// apply takes one entry of the log over.
-func (c *Core) apply(now time.Duration, e consensus.Entry) {
-	var what entry
-	if err := json.Unmarshal(e.Data, &what); err != nil || what.Turns == nil && what.Writes == nil && what.Policies == nil && what.Seats == nil {
-		c.env.Tell("an entry of the council's log is of a later version, or none", "index", e.Index, "error", err)
+// applyEntry applies one entry of the log.
+func (c *Core) applyEntry(now time.Duration, e consensus.Entry) {
+	var decoded entry
+	if err := json.Unmarshal(e.Data, &decoded); err != nil || decoded.Turns == nil && decoded.Writes == nil && decoded.Policies == nil && decoded.Replicas == nil {
+		c.env.Log("log entry skipped: it is of a later version, or invalid", "index", e.Index, "error", err)
 		return
 	}
 	var effects []sitesync.Effect
 	var refused error
 	switch {
-	case what.Writes != nil:
-		effects, refused = c.write(e.Index, *what.Writes)
-	case what.Policies != nil:
-		refused = c.plan(e.Index, *what.Policies)
-	case what.Seats != nil:
-		c.reseat(*what.Seats)
+	case decoded.Writes != nil:
+		effects, refused = c.write(e.Index, *decoded.Writes)
+	case decoded.Policies != nil:
+		refused = c.plan(e.Index, *decoded.Policies)
+	case decoded.Replicas != nil:
+		c.reseat(*decoded.Replicas)
 	default:
-		refused = c.turn(e.Index, what)
+		refused = c.applyTurnEntry(e.Index, decoded)
 	}
-	if what.By != c.Run {
+	if decoded.RunID != c.RunID {
 		return
 	}
-	delete(c.inflight, what.Seq)
-	if w, waits := c.waiters[what.Seq]; waits {
-		delete(c.waiters, what.Seq)
-		turn, _ := c.book.Turn(w.id)
-		w.done(Reply{Turn: turn, Effects: effects}, refused)
+	delete(c.pendingProposals, decoded.Seq)
+	if call, found := c.pendingCalls[decoded.Seq]; found {
+		delete(c.pendingCalls, decoded.Seq)
+		turn, _ := c.schedule.Turn(call.id)
+		call.done(Reply{Turn: turn, Effects: effects}, refused)
 	}
 }
 
-// turn takes an entry about turns over, and returns why it was refused.
-func (c *Core) turn(index uint64, what entry) (refused error) {
-	c.stamp = max(c.stamp, what.Turns.At)
-	if a := what.Turns.Alive; a != nil {
-		delete(c.acking, a.Node) // what it acknowledged meanwhile was refused
+// applyTurnEntry applies an entry about turns, and returns why it was refused, or nil.
+func (c *Core) applyTurnEntry(index uint64, command entry) (refused error) {
+	c.lastStamp = max(c.lastStamp, command.Turns.At)
+	if a := command.Turns.Alive; a != nil {
+		delete(c.proposedAcks, a.Node) // acknowledgements proposed while it was declared dead were refused
 	}
-	for _, n := range c.book.Apply(index, *what.Turns) {
+	for _, n := range c.schedule.Apply(index, *command.Turns) {
 		if n.Kind == turns.NoticeRefused {
 			refused = &RefusedError{ID: n.Turn, Why: n.Why}
 		}
-		if c.leading && (n.Kind != turns.NoticeRefused || what.By != c.Run) {
-			c.env.Tell("turns", "notice", n.Kind.String(), "turn", n.Turn, "why", n.Why)
+		if c.leading && (n.Kind != turns.NoticeRefused || command.RunID != c.RunID) {
+			c.env.Log("turns", "notice", n.Kind.String(), "turn", n.Turn, "why", n.Why)
 		}
 	}
 	return refused
 }
 
-// propose brings a command about turns before the council and returns its number, 0 where this seat does not lead.
-func (c *Core) propose(now time.Duration, cmd turns.Command) uint64 {
-	cmd.At = c.stamped(now)
-	return c.putOwn(now, entry{Turns: &cmd})
+// proposeTurnCommand proposes a command about turns and returns its number, 0 if this replica does not lead.
+func (c *Core) proposeTurnCommand(now time.Duration, cmd turns.Command) uint64 {
+	cmd.At = c.nextStamp(now)
+	return c.proposeTracked(now, entry{Turns: &cmd})
 }
 
-// stamped returns the time of a command: never earlier than that of one before.
-func (c *Core) stamped(now time.Duration) time.Duration {
-	c.stamp = max(c.stamp, now)
-	return c.stamp
+// nextStamp returns the time stamp of the next command, never earlier than that of a previous one.
+func (c *Core) nextStamp(now time.Duration) time.Duration {
+	c.lastStamp = max(c.lastStamp, now)
+	return c.lastStamp
 }
 
-// putOwn is put, and no other proposal of the leader's own is made while the entry is under way.
-func (c *Core) putOwn(now time.Duration, e entry) uint64 {
-	seq := c.put(e)
+// proposeTracked is proposeEntry for proposals that the leader makes by itself: it makes no other one while the entry is
+// pending.
+func (c *Core) proposeTracked(now time.Duration, e entry) uint64 {
+	seq := c.proposeEntry(e)
 	if seq != 0 {
-		c.inflight[seq] = now
+		c.pendingProposals[seq] = now
 	}
 	return seq
 }
 
-// put proposes an entry and returns its number, 0 where this seat does not lead.
-func (c *Core) put(e entry) uint64 {
-	c.seq++
-	e.By, e.Seq = c.Run, c.seq
+// proposeEntry proposes an entry and returns its number, 0 if this replica does not lead.
+func (c *Core) proposeEntry(e entry) uint64 {
+	c.entryNumber++
+	e.RunID, e.Seq = c.RunID, c.entryNumber
 	raw, err := json.Marshal(e)
 	if err == nil {
-		err = c.seat.Propose(raw)
+		err = c.replica.Propose(raw)
 	}
 	if err != nil {
 		return 0
 	}
-	return c.seq
+	return c.entryNumber
 }
 
-// lead does what a leader has to: it takes note of its election, asks the quorum for the questions that wait, and proposes
-// what comes next, one thing at a time.
-func (c *Core) lead(now time.Duration) {
-	st := c.seat.Status()
+// updateRole handles changes of the leader. On the leader it also starts quorum reads for queued lease requests, and
+// proposes what is due, one entry at a time.
+func (c *Core) updateRole(now time.Duration) {
+	st := c.replica.Status()
 	if c.parted(st.Err) {
 		return
 	}
@@ -685,137 +693,137 @@
 	}
 	c.notice(st)
 	c.tellRelease(st)
-	if st.Leader != c.elected { // a new one knows of no right, nor of what was confirmed to the last one
-		c.elected = st.Leader
+	if st.Leader != c.leaderID { // a new leader knows neither the leases nor the confirmations that the last one received
+		c.leaderID = st.Leader
 		c.leader = c.nameOf(st.Leader)
-		c.asked = slices.DeleteFunc(c.asked, func(seat string) bool { return seat == c.leader })
-		c.askAt = max(c.firstAt, min(c.askAt, now))
+		c.requestedFrom = slices.DeleteFunc(c.requestedFrom, func(node string) bool { return node == c.leader })
+		c.nextRequestAt = max(c.firstRequestAt, min(c.nextRequestAt, now))
 	}
 	switch {
 	case st.Leading && !c.leading:
-		c.table.BecomeLeader(now)
-		c.reach = newReach(c.ticks)
-		c.acking = map[string]turns.Ack{}
-		c.hosts.lead(now)
-		c.inflight = map[uint64]time.Duration{}
-		c.offerAt, c.agedAt = 0, now
-		c.courier, c.teller, c.calling = nil, nil, ""
+		c.leaseTable.BecomeLeader(now)
+		c.reachability = newReach(c.ticks)
+		c.proposedAcks = map[string]turns.Ack{}
+		c.hostView.reset(now)
+		c.pendingProposals = map[uint64]time.Duration{}
+		c.nextOfferAt, c.lastAgedAt = 0, now
+		c.forwarder, c.creditScheduler, c.callTarget = nil, nil, ""
 		c.policies.heard, c.policies.writes, c.policies.rounds = 0, map[string]bool{}, map[uint64]time.Duration{}
-		c.env.Tell("leads the council", "site", c.Site.Own.Name, "term", st.Term)
+		c.env.Log("leads the council", "site", c.Site.Own.Name, "term", st.Term)
 	case !st.Leading && c.leading:
-		c.table.Resign()
-		c.env.Tell("leads the council no more", "site", c.Site.Own.Name)
-		c.leading = false // whoever is answered calls again
-		c.refuseAll()
-		c.unsettled(func(w waiter) bool { return w.again })
-		c.hasLeft()
+		c.leaseTable.Resign()
+		c.env.Log("leads the council no more", "site", c.Site.Own.Name)
+		c.leading = false // the requesters that get an answer below may call again at once
+		c.refuseLeaseRequests()
+		c.failPendingCalls(func(w pendingCall) bool { return w.idempotent })
+		c.notifyLeadershipLost()
 	}
 	c.leading = st.Leading
 	if !c.leading {
 		return
 	}
 	c.steer(now, st)
-	if len(c.asking) > 0 && len(c.reads) < 4 {
-		c.readSeq++
-		ctx := c.Run<<20 | c.readSeq&(1<<20-1)
-		if c.seat.ReadIndex(ctx) == nil {
-			c.reads[ctx], c.asking = c.asking, nil
+	if len(c.queuedRequests) > 0 && len(c.readRequests) < 4 {
+		c.readNumber++
+		ctx := c.RunID<<20 | c.readNumber&(1<<20-1)
+		if c.replica.ReadIndex(ctx) == nil {
+			c.readRequests[ctx], c.queuedRequests = c.queuedRequests, nil
 			c.beginRound(now, ctx)
 		}
 	}
 	c.carry(now)
-	for seq, since := range c.inflight {
-		if now-since > proposeWithin {
-			delete(c.inflight, seq)
+	for seq, proposedAt := range c.pendingProposals {
+		if now-proposedAt > proposalTimeout {
+			delete(c.pendingProposals, seq)
 		}
 	}
-	if len(c.inflight) > 0 {
+	if len(c.pendingProposals) > 0 {
 		return
 	}
-	if c.writes == nil {
+	if c.siteSync == nil {
 		c.proposeWrite(now, c.begin(now), nil)
-		c.inflight[c.seq] = now
+		c.pendingProposals[c.entryNumber] = now
 		return
 	}
-	if own, others := c.writes.Waiting(); own+others+c.writes.Held() > 0 && now-c.agedAt >= ageEvery {
-		c.agedAt = now
+	if own, others := c.siteSync.Waiting(); own+others+c.siteSync.Held() > 0 && now-c.lastAgedAt >= ageEvery {
+		c.lastAgedAt = now
 		c.proposeWrite(now, written{Command: &sitesync.Command{}}, nil)
 	}
-	if cmd, any := c.next(now); any {
-		c.propose(now, cmd)
-	} else if cmd, any := c.nextPolicy(now); any {
+	if cmd, ok := c.nextTurnCommand(now); ok {
+		c.proposeTurnCommand(now, cmd)
+	} else if cmd, ok := c.nextPolicy(now); ok {
 		c.proposePolicy(now, cmd)
 	}
 }
 
-// unsettled answers calls that wait: what becomes of them is not known.
-func (c *Core) unsettled(which func(waiter) bool) {
-	for _, seq := range slices.Sorted(maps.Keys(c.waiters)) { // in their order, so that a rehearsal plays the same again
-		if w := c.waiters[seq]; which(w) {
-			delete(c.waiters, seq)
-			w.done(Reply{}, &UnsettledError{ID: w.id})
+// failPendingCalls answers the selected pending calls with an error that says that their outcome is unknown.
+func (c *Core) failPendingCalls(matches func(pendingCall) bool) {
+	for _, seq := range slices.Sorted(maps.Keys(c.pendingCalls)) { // in a fixed order, so that simulations are reproducible
+		if w := c.pendingCalls[seq]; matches(w) {
+			delete(c.pendingCalls, seq)
+			w.done(Reply{}, &OutcomeUnknownError{ID: w.id})
 		}
 	}
 }
 
-// refuseAll answers the questions that wait: another seat may lead by now.
-func (c *Core) refuseAll() {
-	waiting := c.asking
-	for _, ctx := range slices.Sorted(maps.Keys(c.reads)) {
-		waiting = append(waiting, c.reads[ctx]...)
+// refuseLeaseRequests refuses all pending lease requests, since another replica may lead by now.
+func (c *Core) refuseLeaseRequests() {
+	waiting := c.queuedRequests
+	for _, ctx := range slices.Sorted(maps.Keys(c.readRequests)) {
+		waiting = append(waiting, c.readRequests[ctx]...)
 	}
-	c.asking, c.reads, c.confirmed = nil, map[uint64][]question{}, nil
+	c.queuedRequests, c.readRequests, c.confirmedReads = nil, map[uint64][]pendingRequest{}, nil
 	for _, q := range waiting {
-		q.done(&peerpb.RenewReply{Seq: q.ask.Seq, Refused: "this node leads the council no more"})
+		q.done(&peerpb.RenewReply{Seq: q.request.Seq, Refused: "this node no longer leads the site's consensus group"})
 	}
 }
 
 // ---- Calls ----
 
-// Do brings an operator's call before the council. done is called once, with an *ElsewhereError where another node leads.
-func (c *Core) Do(now time.Duration, call Call, done func(Reply, error)) {
+// Submit proposes an operator's call. done is called once, with a *NotLeaderError if another node leads.
+func (c *Core) Submit(now time.Duration, call Call, done func(Reply, error)) {
 	switch {
-	case c.stop != nil:
-		done(Reply{}, c.stop)
+	case c.stopCause != nil:
+		done(Reply{}, c.stopCause)
 	case c.leading:
-		if err := c.book.Check(call.Command); err != nil {
-			turn, _ := c.book.Turn(call.ID)
+		if err := c.schedule.Check(call.Command); err != nil {
+			turn, _ := c.schedule.Turn(call.ID)
 			done(Reply{Turn: turn}, err)
 			return
 		}
-		// Asked for once more it is the same turn, and no entry is made of it. What another leader may know by now is at worst
-		// newer: a grant that was called back is found out by Begin, which does go through the log.
-		if t, known := c.book.Turn(call.ID); known && call.Command.Request != nil {
+		// A repeated request returns the existing turn without a log entry. Another leader may have newer state by now, for
+		// example a revoked grant: the worker learns of it from Begin, which does go through the log.
+		if t, known := c.schedule.Turn(call.ID); known && call.Command.Request != nil {
 			done(Reply{Turn: t}, nil)
 			return
 		}
-		seq := c.propose(now, call.Command)
+		seq := c.proposeTurnCommand(now, call.Command)
 		if seq == 0 {
 			done(Reply{}, &NoLeaderError{Site: c.Site.Own.Name})
 			return
 		}
-		c.waiters[seq] = waiter{id: call.ID, until: now + callWithin, again: true, done: done}
-		c.drive(now)
+		c.pendingCalls[seq] = pendingCall{id: call.ID, deadline: now + callTimeout, idempotent: true, done: done}
+		c.processReady(now)
 	default:
 		done(Reply{}, c.elsewhere())
 	}
 }
 
-// TakeIn has a seat taken in anew whose store is another one than its council knows: in the place of the one that the node had
-// before. It says whether there was anything to take in.
-func (c *Core) TakeIn(node string) bool {
-	o := c.others[node]
-	if !c.leading || o == nil || !o.founded || slices.Contains(c.seat.Status().Voters, o.id) {
+// AdmitReplica admits a node's replica whose store is not the one that the consensus group knows, in place of the node's
+// previous replica. It reports whether there is such a replica.
+func (c *Core) AdmitReplica(node string) bool {
+	candidate := c.peers[node]
+	if !c.leading || candidate == nil || !candidate.founded || slices.Contains(c.replica.Status().Voters, candidate.id) {
 		return false
 	}
-	c.entering = o.id
+	c.entering = candidate.id
 	return true
 }
 
-// Seated returns where this node's seat stands, false where it has none or belongs to no council yet.
-func (c *Core) Seated() (consensus.Status, bool) {
-	if c.seat == nil {
+// ReplicaStatus returns the status of this node's replica, false if the node has none or belongs to no consensus group yet.
+func (c *Core) ReplicaStatus() (consensus.Status, bool) {
+	if c.replica == nil {
 		return consensus.Status{}, false
 	}
-	return c.seat.Status(), true
+	return c.replica.Status(), true
 }
--- a/internal/control/descriptors.go
+++ b/internal/control/descriptors.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	// storeSockets are descriptors that the store may hold: the log, its lock, its folder's note, and two while it is written anew.
-	storeSockets = 5
-	// doorSockets are the peers' listener, and a connection there that is one too many until it is closed.
-	doorSockets = 2
-	// handSockets are kept for operators at the peers' address, where room is tight.
-	handSockets = 8
+	// storeDescriptors is how many descriptors the store may hold: the log, its lock, the witness file, and two while it is
+	// rewritten.
+	storeDescriptors = 5
+	// listenerDescriptors is how many the peer listener needs: itself, and an accepted connection over the limit until it is
+	// closed.
+	listenerDescriptors = 2
+	// operatorConns is how many connections to the peer address are reserved for operators if descriptors are scarce.
+	operatorConns = 8
 )
 
-// Sockets are descriptors that control may hold.
-type Sockets struct {
-	Links int // connections to the peers' address
-	All   int // with these
+// Descriptors is how many file descriptors control may hold.
+type Descriptors struct {
+	PeerConns int // accepted connections to the peer address
+	Total     int // in total, including PeerConns
 }
 
-// SocketsOf returns how many descriptors the control of a site's node may hold where there is room for so many, which traffic
-// does without. Where room is tight the peers' address takes fewer connections, but not fewer than its peers make and some
-// operators; with less room than that it returns a *SocketsError besides.
-func SocketsOf(s *site.Site, room int) (Sockets, error) {
-	rest := storeSockets + doorSockets + peer.ClientConns*len(s.Peers)
-	least := min(peer.ServerConns, peer.ClientConns*len(s.Peers)+handSockets)
-	links := min(max(room-rest, least), peer.ServerConns)
-	out := Sockets{Links: links, All: rest + links}
-	if out.All > room {
-		return out, &SocketsError{Lacks: out.All - room}
+// DescriptorsFor returns how many descriptors the control of a site's node may hold, out of those available; traffic does
+// without them. If descriptors are scarce, the peer address accepts fewer connections, but at least those that the peers make
+// and operatorConns. If not even those are available, it also returns a *TooFewDescriptorsError.
+func DescriptorsFor(s *site.Site, available int) (Descriptors, error) {
+	fixed := storeDescriptors + listenerDescriptors + peer.ClientConns*len(s.Peers)
+	minConns := min(peer.ServerConns, peer.ClientConns*len(s.Peers)+operatorConns)
+	conns := min(max(available-fixed, minConns), peer.ServerConns)
+	out := Descriptors{PeerConns: conns, Total: fixed + conns}
+	if out.Total > available {
+		return out, &TooFewDescriptorsError{Missing: out.Total - available}
 	}
 	return out, nil
 }
 
-// SocketsError says that a node's limit of descriptors leaves too few for traffic beside the affairs of its site.
-type SocketsError struct{ Lacks int }
+// TooFewDescriptorsError says that a node's limit of descriptors leaves too few for traffic beside the control plane.
+type TooFewDescriptorsError struct{ Missing int }
 
-func (e *SocketsError) Error() string {
-	return fmt.Sprintf("limits.sockets, or what the system allows, is %d too low for traffic beside the affairs of the site", e.Lacks)
+func (e *TooFewDescriptorsError) Error() string {
+	return fmt.Sprintf("limits.sockets, or what the system allows, is %d too low for traffic beside the site's control plane", e.Missing)
 }
 
 // Action implements Actioner.
-func (e *SocketsError) Action() string {
-	return fmt.Sprintf("raise limits.sockets, and the system's limit of open files, by %d at least", e.Lacks)
+func (e *TooFewDescriptorsError) Action() string {
+	return fmt.Sprintf("raise limits.sockets, and the system's limit of open files, by %d or more", e.Missing)
 }
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -11,56 +11,58 @@
 	Action() string
 }
 
-// NoLeaderError says that nobody leads the council, as far as this node knows.
+// NoLeaderError says that the site's consensus group has no leader, as far as this node knows.
 type NoLeaderError struct{ Site string }
 
 func (e *NoLeaderError) Error() string {
-	return fmt.Sprintf("nobody leads the council of site %s, as far as this node knows", e.Site)
+	return fmt.Sprintf("the consensus group of site %s has no leader, as far as this node knows", e.Site)
 }
 
 // Action implements Actioner.
 func (e *NoLeaderError) Action() string {
-	return "call again in some seconds, or another node; if it stays so, see whether more than half of the seats run and reach each other"
+	return "call again in some seconds, or call another node; if this persists, check that more than half of the nodes with a seat run and reach each other"
 }
 
-// ElsewhereError says that another node leads the council.
-type ElsewhereError struct{ Leader string }
+// NotLeaderError says that another node leads the site's consensus group.
+type NotLeaderError struct{ Leader string }
 
-func (e *ElsewhereError) Error() string { return e.Leader + " leads the council" }
+func (e *NotLeaderError) Error() string { return e.Leader + " leads the site's consensus group" }
 
 // Action implements Actioner.
-func (e *ElsewhereError) Action() string { return "call " + e.Leader }
+func (e *NotLeaderError) Action() string { return "call " + e.Leader }
 
-// NoSeatError says that this node has no seat in its council.
-type NoSeatError struct{ Node string }
+// NoReplicaError says that a node has no replica in its site's consensus group.
+type NoReplicaError struct{ Node string }
 
-func (e *NoSeatError) Error() string {
-	return fmt.Sprintf("%s has no seat in its site's council", e.Node)
+func (e *NoReplicaError) Error() string {
+	return fmt.Sprintf("%s has no seat in its site's consensus group", e.Node)
 }
 
 // Action implements Actioner.
-func (e *NoSeatError) Action() string { return "compare the site files: all must name the same seats" }
+func (e *NoReplicaError) Action() string {
+	return "compare the site files: all must give the same nodes a seat"
+}
 
-// UnsettledError says that a call was brought before the council and nothing is known yet of what became of it.
-type UnsettledError struct{ ID string }
+// OutcomeUnknownError says that a call was proposed and its outcome is not known.
+type OutcomeUnknownError struct{ ID string }
 
-func (e *UnsettledError) Error() string {
-	return fmt.Sprintf("%s: the council has not agreed in time; it may still", e.ID)
+func (e *OutcomeUnknownError) Error() string {
+	return fmt.Sprintf("%s: not committed in time; it may still be", e.ID)
 }
 
 // Action implements Actioner.
-func (e *UnsettledError) Action() string {
-	return "call once more with the same id, which has no second effect, or look at Turns"
+func (e *OutcomeUnknownError) Action() string {
+	return "repeat the call with the same id, which has no second effect, or look at Turns"
 }
 
-// RefusedError says that the council refused a call.
+// RefusedError says that the site's consensus group refused a call.
 type RefusedError struct{ ID, Why string }
 
 func (e *RefusedError) Error() string { return fmt.Sprintf("%s: %s", e.ID, e.Why) }
 
 // Action implements Actioner.
 func (e *RefusedError) Action() string {
-	return "look at Turns, and ask for what can be done from there"
+	return "look at Turns for the present state, and request what it allows"
 }
 
 // StoppedError says that the control of a node has stopped.
@@ -73,37 +75,39 @@
 
 // Action implements Actioner.
 func (e *StoppedError) Action() string {
-	var told Actioner
-	if errors.As(e.Cause, &told) {
-		return told.Action()
+	var actioner Actioner
+	if errors.As(e.Cause, &actioner) {
+		return actioner.Action()
 	}
-	return "see to the store's folder (room, rights, the disk), then restart the node"
+	return "check the store's directory (free space, permissions, the disk), then restart the node"
 }
 
-// BusyError says that more calls wait than the control takes.
+// BusyError says that the control's queue of calls is full.
 type BusyError struct{}
 
-func (*BusyError) Error() string { return "more calls wait than this node's control takes" }
+func (*BusyError) Error() string { return "the queue of calls to this node's control is full" }
 
 // Action implements Actioner.
-func (*BusyError) Action() string { return "call again in some seconds, or another node" }
+func (*BusyError) Action() string { return "call again in some seconds, or call another node" }
 
-// RiskError says that a node is not declared dead without a word on what that risks.
-type RiskError struct{ Node string }
+// DeadNodeRiskError says that a node was not declared dead because the call did not accept the risk.
+type DeadNodeRiskError struct{ Node string }
 
-func (e *RiskError) Error() string {
-	return fmt.Sprintf("a node that is declared dead and is not goes on sending to hosts that are handed over for work; %s may be one", e.Node)
+func (e *DeadNodeRiskError) Error() string {
+	return fmt.Sprintf("a node that is declared dead but still runs continues to send to hosts that are granted for maintenance; %s may be one", e.Node)
 }
 
 // Action implements Actioner.
-func (e *RiskError) Action() string {
+func (e *DeadNodeRiskError) Action() string {
 	return "make sure that it is off, then call again with i_know_that_it_may_still_send true"
 }
 
-// NameError says that a call names something that there is not.
-type NameError struct{ What, Name, Want string }
+// UnknownNameError says that a call names something that does not exist.
+type UnknownNameError struct{ Kind, Name, Expected string }
 
-func (e *NameError) Error() string { return fmt.Sprintf("%s: %.80q is none", e.What, e.Name) }
+func (e *UnknownNameError) Error() string {
+	return fmt.Sprintf("%s: %.80q is unknown or invalid", e.Kind, e.Name)
+}
 
 // Action implements Actioner.
-func (e *NameError) Action() string { return "give " + e.Want }
+func (e *UnknownNameError) Action() string { return "give " + e.Expected }
--- a/internal/control/errors_test.go
+++ b/internal/control/errors_test.go
@@ -15,9 +15,9 @@
 	"lichenhitch/internal/choice/rollout"
 )
 
-// TestEachErrorSaysWhatToDo goes through the settings and the packages that the affairs of a site are made of: each type that is an error says
-// what an operator can do.
-func TestEachErrorSaysWhatToDo(t *testing.T) {
+// Every error type of the settings and of the packages of the control plane must say what an operator can do. The test parses
+// the sources and requires an Action method on each type with an Error method.
+func TestEveryErrorHasAnAction(t *testing.T) {
 	methods := map[string]map[string]bool{} // by package and type
 	for _, dir := range []string{".", "../peer", "../site", "../consensus", "../choice", "../settings"} {
 		require.NoError(t, filepath.WalkDir(dir, func(path string, _ fs.DirEntry, err error) error {
@@ -29,47 +29,47 @@
 				return err
 			}
 			for _, d := range file.Decls {
-				f, is := d.(*ast.FuncDecl)
-				if !is || f.Recv == nil || f.Type.Params.NumFields() > 0 {
+				f, ok := d.(*ast.FuncDecl)
+				if !ok || f.Recv == nil || f.Type.Params.NumFields() > 0 {
 					continue
 				}
-				of := f.Recv.List[0].Type
-				if star, is := of.(*ast.StarExpr); is {
-					of = star.X
+				recvType := f.Recv.List[0].Type
+				if star, ok := recvType.(*ast.StarExpr); ok {
+					recvType = star.X
 				}
-				if name, is := of.(*ast.Ident); is {
-					at := file.Name.Name + "." + name.Name
-					if methods[at] == nil {
-						methods[at] = map[string]bool{}
+				if name, ok := recvType.(*ast.Ident); ok {
+					typeName := file.Name.Name + "." + name.Name
+					if methods[typeName] == nil {
+						methods[typeName] = map[string]bool{}
 					}
-					methods[at][f.Name.Name] = true
+					methods[typeName][f.Name.Name] = true
 				}
 			}
 			return nil
 		}))
 	}
 	found := 0
-	for name, has := range methods {
-		if has["Error"] {
+	for name, methodSet := range methods {
+		if methodSet["Error"] {
 			found++
-			assert.True(t, has["Action"], "%s has no Action", name)
+			assert.True(t, methodSet["Action"], "%s has no Action", name)
 		}
 	}
 	assert.Greater(t, found, 20)
 }
 
-// TestActionsNameWhatTheyAreAbout, for the errors of calls about policies and writes.
-func TestActionsNameWhatTheyAreAbout(t *testing.T) {
+// The messages and actions of errors must name what they concern.
+func TestActionsNameTheirSubject(t *testing.T) {
 	for _, c := range []struct {
-		err       Actioner
-		says, how string
+		err             Actioner
+		message, action string
 	}{
 		{&NotTopError{Site: "b", Top: "p"}, "b is not where", "a node of p"},
 		{&NoTrialError{ID: "r1", Site: "b", Top: "p"}, `"r1"`, "halted at p"},
 		{&OwnError{Thing: rollout.HaltKey("r1")}, "rollout/r1", "HaltPolicy"},
-		{&ElsewhereError{Leader: "n1"}, "n1", "call n1"},
-		{&StoppedError{Cause: &NoSeatError{Node: "n1"}}, "n1 has no seat", "compare the site files"},
-		{&SocketsError{Lacks: 7}, "7 too low", "by 7"},
+		{&NotLeaderError{Leader: "n1"}, "n1", "call n1"},
+		{&StoppedError{Cause: &NoReplicaError{Node: "n1"}}, "n1 has no seat", "compare the site files"},
+		{&TooFewDescriptorsError{Missing: 7}, "7 too low", "by 7"},
 		{&OldCouncilError{Node: "n1", Site: "b"}, "n1 goes by the council of site b", "start it with an empty one"},
 		{&OtherCouncilError{Node: "n1", Site: "b"}, "another council", "which of the two"},
 		{&NoAnswerError{Node: "n1"}, "n1 is to get a seat", "addresses"},
@@ -80,9 +80,9 @@
 		{&NotNeededError{Node: "n1", Why: "n2 leads"}, "n2 leads", "log of n1"},
 		{&FurtherError{Node: "n4"}, "n4 has more", "node n4"},
 		{&SilentError{Nodes: []string{"n1", "n2"}}, "n1 n2", "name them in lost"},
-		{&NameError{What: "stage", Name: "x", Want: "one"}, `stage: "x"`, "give one"},
+		{&UnknownNameError{Kind: "stage", Name: "x", Expected: "one"}, `stage: "x"`, "give one"},
 	} {
-		assert.Contains(t, c.err.Error(), c.says)
-		assert.Contains(t, c.err.Action(), c.how)
+		assert.Contains(t, c.err.Error(), c.message)
+		assert.Contains(t, c.err.Action(), c.action)
 	}
 }
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -37,12 +37,12 @@
 // may still count it. Others' words tell a seat that was taken out meanwhile.
 func (c *Core) sit() error {
 	c.foretold()
-	stored := c.Durable.Snapshot.GetMetadata().GetIndex() > 0 || len(c.Durable.Entries) > 0
+	stored := c.StoredState.Snapshot.GetMetadata().GetIndex() > 0 || len(c.StoredState.Entries) > 0
 	if !c.Site.IsVoter && !stored {
 		return nil
 	}
-	c.self = consensus.ReplicaIDOf(c.Site.Own.Name+"/"+c.Site.Node, c.Life)
-	if !stored && c.Durable.Refused == "" {
+	c.replicaID = consensus.ReplicaIDOf(c.Site.Own.Name+"/"+c.Site.Node, c.StoreIncarnation)
+	if !stored && c.StoredState.Refused == "" {
 		return nil
 	}
 	return c.take(nil)
@@ -50,24 +50,24 @@
 
 // take makes the seat: founding a council with others, or with what the store has.
 func (c *Core) take(founders []consensus.ReplicaID) (err error) {
-	c.seat, err = consensus.New(consensus.Options{Self: c.self, InitialVoters: founders, OpenCount: c.Boot, RunID: c.Run, StoreVerified: c.Proven,
-		SnapshotEvery: c.Site.SnapshotEvery}, c.Durable)
+	c.replica, err = consensus.New(consensus.Options{Self: c.replicaID, InitialVoters: founders, OpenCount: c.OpenCount, RunID: c.RunID, StoreVerified: c.StoreVerified,
+		SnapshotEvery: c.Site.SnapshotEvery}, c.StoredState)
 	return err
 }
 
 // found founds the council, or joins it, once enough is known of the others.
 func (c *Core) found() {
-	if c.seat != nil || c.gone || !c.Site.IsVoter {
+	if c.replica != nil || c.gone || !c.Site.IsVoter {
 		return
 	}
-	ids, all, stranger := []consensus.ReplicaID{c.self}, true, false
+	ids, all, stranger := []consensus.ReplicaID{c.replicaID}, true, false
 	for _, name := range c.Site.Voters {
-		o := c.others[name]
+		o := c.peers[name]
 		switch {
 		case name == c.Site.Node:
 		case o == nil:
 			all = false
-		case o.founded && slices.Contains(o.seats, c.self):
+		case o.founded && slices.Contains(o.seats, c.replicaID):
 			c.settle(o.seats)
 			return
 		case o.founded:
@@ -81,7 +81,7 @@
 			c.fail(err)
 			return
 		}
-		c.env.Tell("the council does not know this store and has to take it in", "seat", c.Site.Node,
+		c.env.Log("the council does not know this store and has to take it in", "seat", c.Site.Node,
 			"action", "nothing if it is a new seat of the site file; if it had one before, make sure that its old store is not used any more, "+
 				"then POST /lichenhitch.peer.Desk/TakeIn")
 		return
@@ -97,21 +97,21 @@
 		c.fail(err)
 		return
 	}
-	c.env.Tell("takes its seat in a new council", "site", c.Site.Own.Name, "seats", len(seats))
+	c.env.Log("takes its seat in a new council", "site", c.Site.Own.Name, "seats", len(seats))
 }
 
 // hello is what this seat says of itself to another one.
 func (c *Core) hello(to string) *peerpb.Hello {
-	h := &peerpb.Hello{Node: c.Site.Node, Life: c.Life, Seats: c.Site.Voters}
-	if c.seat == nil {
+	h := &peerpb.Hello{Node: c.Site.Node, Life: c.StoreIncarnation, Seats: c.Site.Voters}
+	if c.replica == nil {
 		return h
 	}
 	h.Founded, h.Foundings = true, c.seating.Foundings
 	var id consensus.ReplicaID
-	if o := c.others[to]; o != nil {
+	if o := c.peers[to]; o != nil {
 		id = o.id
 	}
-	k := c.seat.SelfReport(id)
+	k := c.replica.SelfReport(id)
 	h.Claim = &peerpb.Claim{Seat: uint64(k.Replica), Boot: k.OpenCount, Run: k.RunID, Sent: k.Sequence, Echo: k.Echo, EchoRun: k.EchoRunID,
 		Term: k.Term, Vote: uint64(k.Vote), LastTerm: k.LastTerm, Last: k.LastIndex, Commit: k.Commit, Leader: uint64(k.Leader),
 		Waiting: k.Unconfirmed}
@@ -128,7 +128,7 @@
 // hear takes in what another seat says of itself. After an error nothing else that came with it may be used.
 func (c *Core) hear(h *peerpb.Hello) error {
 	if h == nil || h.Node == c.Site.Node {
-		return &NoSeatError{Node: h.GetNode()}
+		return &NoReplicaError{Node: h.GetNode()}
 	}
 	o := &other{id: consensus.ReplicaIDOf(c.Site.Own.Name+"/"+h.Node, h.Life), life: h.Life, founded: h.Founded, at: c.ticks,
 		names: h.Seats, foundings: h.Foundings, lastTerm: h.GetClaim().GetLastTerm(), last: h.GetClaim().GetLast(),
@@ -137,14 +137,14 @@
 		o.seats = append(o.seats, consensus.ReplicaID(s))
 	}
 	if !slices.Contains(c.circle, h.Node) && !c.counts(h.Node, o) {
-		return &NoSeatError{Node: h.Node}
+		return &NoReplicaError{Node: h.Node}
 	}
 	if err := c.related(h); err != nil {
 		return err
 	}
 	if k := h.Claim; h.Founded && k != nil {
 		if o.id != consensus.ReplicaID(k.Seat) {
-			return &NoSeatError{Node: h.Node}
+			return &NoReplicaError{Node: h.Node}
 		}
 		claim := consensus.SelfReport{Replica: o.id, OpenCount: k.Boot, RunID: k.Run, Sequence: k.Sent, Echo: k.Echo, EchoRunID: k.EchoRun,
 			Term: k.Term, Vote: consensus.ReplicaID(k.Vote), LastTerm: k.LastTerm, LastIndex: k.Last, Commit: k.Commit,
@@ -153,14 +153,14 @@
 			claim.Relayed = consensus.PeerRecord{Replica: consensus.ReplicaID(of.Seat), OpenCount: of.Boot, RunID: of.Run, Term: of.Term,
 				Vote: consensus.ReplicaID(of.Vote), Acked: of.Acked, Committed: of.Committed}
 		}
-		if c.seat != nil {
+		if c.replica != nil {
 			if err := c.hearClaim(h.Node, claim); err != nil {
 				return err
 			}
 			c.heardOut(claim)
 		}
 	}
-	c.others[h.Node] = o
+	c.peers[h.Node] = o
 	c.known()
 	c.found()
 	return nil
@@ -169,12 +169,12 @@
 // hearClaim takes in what another seat says of itself. Of a process that was not heard before the log tells how far its store is, and how far
 // this seat remembers it to have been: one with less is refused.
 func (c *Core) hearClaim(node string, claim consensus.SelfReport) error {
-	was := c.seat.PeerRecord(claim.Replica)
-	if err := c.seat.Observe(claim); err != nil {
+	was := c.replica.PeerRecord(claim.Replica)
+	if err := c.replica.Observe(claim); err != nil {
 		return err
 	}
 	if was.RunID != claim.RunID {
-		c.env.Tell("hears a process of a seat for the first time", "seat", node, "boot", claim.OpenCount, "term", claim.Term, "last", claim.LastIndex,
+		c.env.Log("hears a process of a seat for the first time", "seat", node, "boot", claim.OpenCount, "term", claim.Term, "last", claim.LastIndex,
 			"committed", claim.Commit, "remembered", fmt.Sprintf("boot=%d term=%d acked=%d committed=%d", was.OpenCount, was.Term, was.Acked, was.Committed))
 	}
 	return nil
@@ -187,12 +187,12 @@
 	if !o.founded || !slices.Contains(c.Site.Members, node) {
 		return false
 	}
-	return c.seat == nil || !c.hasLog() || slices.Contains(c.seat.Status().Voters, o.id) || c.takenInSince(o)
+	return c.replica == nil || !c.hasLog() || slices.Contains(c.replica.Status().Voters, o.id) || c.takenInSince(o)
 }
 
 // takenInSince says whether another seat tells of a council in which both count, as agreed on further than this seat's log.
 func (c *Core) takenInSince(o *other) bool {
-	return o.committed > c.seat.Status().Committed && slices.Contains(o.seats, o.id) && slices.Contains(o.seats, c.self)
+	return o.committed > c.replica.Status().Committed && slices.Contains(o.seats, o.id) && slices.Contains(o.seats, c.replicaID)
 }
 
 // greet says hello to all other seats, while some of them are not known, this seat waits for their word or nobody leads: two
@@ -204,15 +204,15 @@
 		return
 	}
 	c.found()
-	if c.seat != nil {
-		st := c.seat.Status()
+	if c.replica != nil {
+		st := c.replica.Status()
 		unknown := slices.ContainsFunc(st.Voters, func(id consensus.ReplicaID) bool {
-			return id != c.self && c.nameOf(id) == ""
+			return id != c.replicaID && c.nameOf(id) == ""
 		})
 		missing := c.leading && slices.ContainsFunc(c.Site.Voters, func(name string) bool {
 			return !slices.ContainsFunc(st.Voters, func(id consensus.ReplicaID) bool { return c.called(id) == name })
 		})
-		if !unknown && !missing && !st.Unconfirmed && !st.Behind && st.Leader != 0 && c.out == 0 && slices.Contains(st.Voters, c.self) {
+		if !unknown && !missing && !st.Unconfirmed && !st.Behind && st.Leader != 0 && c.out == 0 && slices.Contains(st.Voters, c.replicaID) {
 			return
 		}
 	}
@@ -225,11 +225,11 @@
 
 // nameOf returns the node of a seat, or "" where it is not known yet.
 func (c *Core) nameOf(id consensus.ReplicaID) string {
-	if id == c.self && id != 0 {
+	if id == c.replicaID && id != 0 {
 		return c.Site.Node
 	}
 	for _, name := range c.circle {
-		if o := c.others[name]; o != nil && o.id == id {
+		if o := c.peers[name]; o != nil && o.id == id {
 			return name
 		}
 	}
@@ -249,7 +249,7 @@
 			raw, room = nil, consensus.MaxCallBytes
 		}
 		for _, m := range messages {
-			if o := c.others[name]; o == nil || o.id != m.To {
+			if o := c.peers[name]; o == nil || o.id != m.To {
 				continue
 			}
 			if len(m.Raw) > consensus.MaxCallBytes {
@@ -274,10 +274,10 @@
 }
 
 func (c *Core) partly(name string) *partly {
-	p := c.parts[name]
+	p := c.chunkTransfers[name]
 	if p == nil {
-		p = &partly{out: consensus.NewChunkSender(c.Run)}
-		c.parts[name] = p
+		p = &partly{out: consensus.NewChunkSender(c.RunID)}
+		c.chunkTransfers[name] = p
 	}
 	return p
 }
@@ -288,10 +288,10 @@
 	p.in.Expire(now)
 	piece, lost := p.out.Next(now)
 	if lost > 0 {
-		c.env.Tell("a long message did not reach another seat, and is made anew", "seat", name, "bytes", lost,
+		c.env.Log("a long message did not reach another seat, and is made anew", "seat", name, "bytes", lost,
 			"action", "look at the link to it if this is told again and again: it has to carry 256 KiB in a second")
-		if o := c.others[name]; o != nil && c.seat != nil {
-			c.seat.Unreachable(o.id)
+		if o := c.peers[name]; o != nil && c.replica != nil {
+			c.replica.Unreachable(o.id)
 		}
 	}
 	if piece != nil {
@@ -317,10 +317,10 @@
 // had goes on with a message in pieces after another seat's answer.
 func (c *Core) had(now time.Duration, r *peerpb.RaftReply) {
 	name := r.GetHello().GetNode()
-	o := c.others[name]
-	if h := r.Has; h != nil && o != nil && c.seat != nil {
+	o := c.peers[name]
+	if h := r.Has; h != nil && o != nil && c.replica != nil {
 		if c.partly(name).out.Ack(consensus.ChunkAck{RunID: h.Run, MessageID: h.Of, Received: h.Number}) {
-			c.seat.SnapshotProgress(o.id)
+			c.replica.SnapshotProgress(o.id)
 		}
 		c.pieces(now, name)
 	}
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -12,138 +12,141 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// tells has n2 ask with what it sees of its hosts, whole, and with what it confirms.
-func (a *alone) tells(seen uint64, holds []*peerpb.Out, hosts ...*peerpb.SeenHost) *peerpb.RenewReply {
-	return a.asks(1, a.core.Book().ExclusionSet().Version, func(q *peerpb.RenewRequest) {
+// reportHosts sends n2's lease request with a full report on its hosts and with its confirmations.
+func (a *soleVoter) reportHosts(seen uint64, holds []*peerpb.Out, hosts ...*peerpb.SeenHost) *peerpb.RenewReply {
+	return a.requestLease(1, a.core.Schedule().ExclusionSet().Version, func(q *peerpb.RenewRequest) {
 		q.Holds, q.Census = holds, &peerpb.Census{Version: a.seq, Seen: seen, Hosts: hosts}
 	})
 }
 
-// TestALeaderWithoutDiscoveryGoesByTheOthers: its stale list says neither that a host is there nor that it is not, and a turn
-// ends on what another node saw, if that was after the work.
-func TestALeaderWithoutDiscoveryGoesByTheOthers(t *testing.T) {
-	a := newAlone(t)
+// A leader whose discovery does not answer must rely on the other nodes: its stale list neither adds nor removes hosts, and a
+// turn ends on another node's observation if that was made after the maintenance.
+func TestLeaderWithStaleDiscoveryUsesOtherNodesReports(t *testing.T) {
+	a := newSoleVoter(t)
 	warm := func(id string) *peerpb.SeenHost { return &peerpb.SeenHost{Id: id, Warm: true} }
-	a.tells(0, nil, warm("a"), warm("b"))
-	a.pass(2 * time.Second)
+	a.reportHosts(0, nil, warm("a"), warm("b"))
+	a.advance(2 * time.Second)
 	a.stale, a.hosts = true, []hostview.Host{{ID: "a", Draining: true}}
-	a.pass(2 * time.Second)
-	require.Equal(t, []turns.Host{{ID: "a", Warm: true, Value: 2}, {ID: "b", Warm: true}}, a.core.Book().Hosts())
+	a.advance(2 * time.Second)
+	require.Equal(t, []turns.Host{{ID: "a", Warm: true, Value: 2}, {ID: "b", Warm: true}}, a.core.Schedule().Hosts())
 
-	a.ask("t", "a")
-	a.tells(0, nil, warm("a"), warm("b"))
-	a.tells(0, a.tells(0, nil, warm("a"), warm("b")).Outs, warm("a"), warm("b"))
-	a.pass(time.Second)
+	a.requestTurn("t", "a")
+	a.reportHosts(0, nil, warm("a"), warm("b"))
+	a.reportHosts(0, a.reportHosts(0, nil, warm("a"), warm("b")).Outs, warm("a"), warm("b"))
+	a.advance(time.Second)
 	require.Equal(t, turns.Granted, a.phase("t"))
-	a.do(turns.Command{Begin: &turns.Ref{ID: "t"}}, "t")
-	a.do(turns.Command{Done: &turns.Ref{ID: "t"}}, "t")
+	a.submit(turns.Command{Begin: &turns.Ref{ID: "t"}}, "t")
+	a.submit(turns.Command{Done: &turns.Ref{ID: "t"}}, "t")
 	back := a.turn("t").DoneIndex
-	a.tells(back-1, nil, warm("a"), warm("b"))
-	a.pass(3 * time.Second)
-	assert.Equal(t, turns.Returning, a.phase("t"), "it was seen before the work was done")
-	a.tells(back, nil, &peerpb.SeenHost{Id: "a", Draining: true}, warm("b"))
-	a.pass(3 * time.Second)
+	a.reportHosts(back-1, nil, warm("a"), warm("b"))
+	a.advance(3 * time.Second)
+	assert.Equal(t, turns.Returning, a.phase("t"), "the observation is from before the maintenance was done")
+	a.reportHosts(back, nil, &peerpb.SeenHost{Id: "a", Draining: true}, warm("b"))
+	a.advance(3 * time.Second)
 	assert.Equal(t, turns.Returning, a.phase("t"))
-	a.tells(back, nil, warm("a"), warm("b"))
-	a.pass(2 * time.Second)
+	a.reportHosts(back, nil, warm("a"), warm("b"))
+	a.advance(2 * time.Second)
 	assert.Equal(t, turns.Over, a.phase("t"))
 }
 
-// TestANewLeaderIsToldAll, once it has said that it has nothing; from then on it is told what has changed.
-func TestANewLeaderIsToldAll(t *testing.T) {
-	a := newAlone(t)
+// A leader that acknowledged no report gets a full one; after that it gets only the changes.
+func TestNewLeaderGetsFullHostReport(t *testing.T) {
+	a := newSoleVoter(t)
 	changes := func(since, version uint64, hosts ...*peerpb.SeenHost) uint64 {
-		return a.asks(1, 0, func(q *peerpb.RenewRequest) {
+		return a.requestLease(1, 0, func(q *peerpb.RenewRequest) {
 			q.Census = &peerpb.Census{Since: since, Version: version, Hosts: hosts}
 		}).Census
 	}
-	assert.Zero(t, changes(4, 5), "it has no 4")
+	assert.Zero(t, changes(4, 5), "it does not have version 4")
 	assert.Equal(t, uint64(5), changes(0, 5, &peerpb.SeenHost{Id: "a", Warm: true}))
-	assert.Equal(t, uint64(5), changes(6, 7), "it has no 6")
+	assert.Equal(t, uint64(5), changes(6, 7), "it does not have version 6")
 	assert.Equal(t, uint64(7), changes(5, 7, &peerpb.SeenHost{Id: "b", Warm: true}))
 
 	node := a.core
-	node.report.Look = nil
-	node.hosts.reporter.Acknowledge(3)
-	node.askAt = a.now + time.Hour
-	node.toldHosts(a.now, &peerpb.RenewReply{Seq: 1 << 30, Leader: "n2"})
-	assert.Equal(t, a.now, node.askAt, "another leader has nothing: it is told all at once")
-	assert.Zero(t, node.tellHosts().Since)
+	node.loopReport.Observation = nil
+	node.hostView.reporter.Acknowledge(3)
+	node.nextRequestAt = a.now + time.Hour
+	node.handleHostAck(a.now, &peerpb.RenewReply{Seq: 1 << 30, Leader: "n2"})
+	assert.Equal(t, a.now, node.nextRequestAt, "another leader has no report: it gets a full one at once")
+	assert.Zero(t, node.hostReport().Since)
 }
 
-// TestHomesOfOneGroupAreNotOutTogether, though the allowance has room: which homes there are both nodes told.
-func TestHomesOfOneGroupAreNotOutTogether(t *testing.T) {
-	a := newAlone(t)
+// Two preferred hosts of one group must not be out of service together, even if the limits allow two hosts. Both nodes have
+// reported the groups.
+func TestPreferredHostsOfOneGroupAreNotOutTogether(t *testing.T) {
+	a := newSoleVoter(t)
 	s := *a.core.Site
 	s.Turns.Site = 2
 	a.core.Retune(&s)
 	a.hosts = append(a.hosts, hostview.Host{ID: "c", Warm: true, Zone: "z", Kind: "m", Start: time.Hour})
 	a.groups = []hostview.Group{{Name: "room", Value: 3, Homes: []string{"a", "b"}}}
-	a.pass(10 * time.Second)
+	a.advance(10 * time.Second)
 	var homes []string
-	for _, h := range a.core.Book().Hosts() {
+	for _, h := range a.core.Schedule().Hosts() {
 		if len(h.Groups) > 0 {
 			homes = append(homes, h.ID)
 		}
 	}
 	require.Equal(t, []string{"a", "b"}, homes)
-	a.core.hosts.reporter.Acknowledge(0) // as to another leader
-	p := a.core.tellHosts()
+	a.core.hostView.reporter.Acknowledge(0) // as if another leader were elected
+	p := a.core.hostReport()
 	require.Len(t, p.Hosts, 3)
 	assert.Len(t, p.Hosts[0].Groups, 1)
 	assert.NotZero(t, p.Hosts[0].Worth)
 	assert.Equal(t, []any{"z", "m", uint64(time.Hour / time.Microsecond)}, []any{p.Hosts[2].Zone, p.Hosts[2].Kind, p.Hosts[2].StartUs})
-	entries := a.core.Applied()
+	entries := a.core.AppliedIndex()
 	a.groups[0].Value = 2
-	a.pass(10 * time.Second)
-	assert.Equal(t, entries, a.core.Applied(), "what hardly changes makes no entry")
+	a.advance(10 * time.Second)
+	assert.Equal(t, entries, a.core.AppliedIndex(), "a small change makes no log entry")
 	for _, id := range []string{"a", "b", "c"} {
-		a.ask("t-"+id, id)
+		a.requestTurn("t-"+id, id)
 	}
 	assert.Equal(t, []turns.Phase{turns.Preparing, turns.Requested, turns.Preparing}, []turns.Phase{a.phase("t-a"), a.phase("t-b"), a.phase("t-c")})
 }
 
-// besides has two turns asked for where two hosts may be out, and n2 tell whether it knows its groups.
-func (a *alone) besides(unknown bool) {
+// requestTwoTurns requests two turns where two hosts may be out of service; n2 reports whether it knows its groups.
+func (a *soleVoter) requestTwoTurns(unknown bool) {
 	a.t.Helper()
 	s := *a.core.Site
 	s.Turns.Site = 2
 	a.core.Retune(&s)
-	a.pass(10 * time.Second)
-	a.tellsGroups(nil, unknown)
-	a.ask("t-a", "a")
-	a.ask("t-b", "b")
+	a.advance(10 * time.Second)
+	a.reportGroups(nil, unknown)
+	a.requestTurn("t-a", "a")
+	a.requestTurn("t-b", "b")
 }
 
-// tellsGroups has n2 tell which groups gather at both hosts, and confirm what it is told.
-func (a *alone) tellsGroups(holds []*peerpb.Out, unknown bool, groups ...string) *peerpb.RenewReply {
-	return a.asks(1, a.core.Book().ExclusionSet().Version, func(q *peerpb.RenewRequest) {
+// reportGroups sends n2's lease request with the groups that prefer both hosts, and with its confirmations.
+func (a *soleVoter) reportGroups(holds []*peerpb.Out, unknown bool, groups ...string) *peerpb.RenewReply {
+	return a.requestLease(1, a.core.Schedule().ExclusionSet().Version, func(q *peerpb.RenewRequest) {
 		q.Holds, q.Census = holds, &peerpb.Census{Version: a.seq, GroupsUnknown: unknown, Hosts: []*peerpb.SeenHost{
 			{Id: "a", Warm: true, Groups: groups}, {Id: "b", Warm: true, Groups: groups}}}
 	})
 }
 
-// TestASecondHostWaitsUntilItsGroupsAreKnown: a node that has just started may send to it and has not told yet.
+// A second host must not be taken out of service before its groups are known: a node that has just started may send to it and
+// has not reported its groups yet.
 func TestASecondHostWaitsUntilItsGroupsAreKnown(t *testing.T) {
-	a := newAlone(t)
-	a.besides(true)
+	a := newSoleVoter(t)
+	a.requestTwoTurns(true)
 	require.Equal(t, []turns.Phase{turns.Preparing, turns.Requested}, []turns.Phase{a.phase("t-a"), a.phase("t-b")})
-	blockers := a.core.HeldUp(a.now, a.turn("t-b"))
+	blockers := a.core.Blockers(a.now, a.turn("t-b"))
 	require.Len(t, blockers, 1)
 	assert.Equal(t, "n2", blockers[0].Node)
-	a.tellsGroups(nil, false)
+	a.reportGroups(nil, false)
 	assert.Equal(t, turns.Preparing, a.phase("t-b"))
 }
 
-// TestAGroupThatIsToldWithTheLastConfirmationKeepsItsSecondHome: it is called back before anybody is told to begin.
-func TestAGroupThatIsToldWithTheLastConfirmationKeepsItsSecondHome(t *testing.T) {
-	a := newAlone(t)
-	a.besides(false)
+// A group that is reported together with the last confirmation keeps its second preferred host: that host's turn is revoked
+// before its worker is told to begin.
+func TestGroupReportedWithLastConfirmationKeepsSecondHost(t *testing.T) {
+	a := newSoleVoter(t)
+	a.requestTwoTurns(false)
 	require.Equal(t, []turns.Phase{turns.Preparing, turns.Preparing}, []turns.Phase{a.phase("t-a"), a.phase("t-b")})
-	outs := a.tellsGroups(nil, false).Outs
+	outs := a.reportGroups(nil, false).Outs
 	require.Len(t, outs, 2)
-	a.tellsGroups(nil, false) // its horizon is recorded
-	a.tellsGroups(outs, false, "room")
+	a.reportGroups(nil, false) // its exclusion set is recorded
+	a.reportGroups(outs, false, "room")
 	assert.Equal(t, []turns.Phase{turns.Granted, turns.Requested}, []turns.Phase{a.phase("t-a"), a.phase("t-b")})
 	assert.Equal(t, "another home of one of its groups is out", a.turn("t-b").Why)
 }
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -96,28 +96,28 @@
 func (c *Core) Top() *rollout.RootState { return c.policies.top }
 
 // isTop says whether this node's site is the top of the line, as far as its log says.
-func (c *Core) isTop() bool { return c.writes != nil && len(c.writes.Self().Ancestors) == 0 }
+func (c *Core) isTop() bool { return c.siteSync != nil && len(c.siteSync.Self().Ancestors) == 0 }
 
 // holdPolicies begins with what the node kept: one more start is counted under a trial, durably, before anything is served.
 func (c *Core) holdPolicies(now time.Duration) error {
-	if c.Kept.Stored.Good == "" {
-		c.Kept.Stored.Good = asIs.Hash()
+	if c.KeptPolicies.Stored.Good == "" {
+		c.KeptPolicies.Stored.Good = asIs.Hash()
 	}
-	if c.Kept.Crashes == 0 || c.Kept.Lease == 0 {
-		c.Kept.Crashes, c.Kept.Lease = c.Site.Rollout.MaxCrashes, c.Site.Rollout.TrialLease
+	if c.KeptPolicies.Crashes == 0 || c.KeptPolicies.Lease == 0 {
+		c.KeptPolicies.Crashes, c.KeptPolicies.Lease = c.Site.Rollout.MaxCrashes, c.Site.Rollout.TrialLease
 	}
 	p := policies{told: map[string]uint64{}, writes: map[string]bool{}, texts: map[rollout.Hash][]byte{asIs.Hash(): asIs.Text()},
 		sent: map[uint64]time.Duration{}, rounds: map[uint64]time.Duration{}, teller: rollout.NewReporter(c.Site.Node, c.zone())}
-	for h, text := range c.Kept.Texts {
+	for h, text := range c.KeptPolicies.Texts {
 		p.texts[h] = text
 	}
-	p.holder = rollout.NewNodePolicy(c.Kept.Stored, c.Kept.Crashes, c.Kept.LeaseEnd, now)
+	p.holder = rollout.NewNodePolicy(c.KeptPolicies.Stored, c.KeptPolicies.Crashes, c.KeptPolicies.LeaseEnd, now)
 	p.wanted = asIs.Hash() // which the loop goes by from its start
 	c.policies = p
 	if t := p.holder.Stored().Trial; t != "" && c.fits(t) != nil {
 		p.holder.DropTrial()
 	}
-	if c.Kept.Stored.Trial != "" {
+	if c.KeptPolicies.Stored.Trial != "" {
 		return c.goBy()
 	}
 	c.lay()
@@ -127,7 +127,7 @@
 // goBy makes durable what the node goes by, and then has the loop go by it.
 func (c *Core) goBy() error {
 	s := c.policies.holder.Stored()
-	k := Kept{Stored: s, Crashes: c.Kept.Crashes, Lease: c.Kept.Lease, LeaseEnd: c.policies.holder.StoredLeaseEnd(),
+	k := Kept{Stored: s, Crashes: c.KeptPolicies.Crashes, Lease: c.KeptPolicies.Lease, LeaseEnd: c.policies.holder.StoredLeaseEnd(),
 		Texts: map[rollout.Hash]json.RawMessage{}}
 	for _, h := range []rollout.Hash{s.Good, s.Trial, s.RejectedTrial} {
 		if text := c.policies.texts[h]; text != nil {
@@ -135,10 +135,10 @@
 		}
 	}
 	maps.DeleteFunc(c.policies.texts, func(h rollout.Hash, _ []byte) bool { return k.Texts[h] == nil })
-	if err := c.env.KeepPolicy(k); err != nil {
+	if err := c.env.SavePolicies(k); err != nil {
 		return err
 	}
-	c.Kept = k
+	c.KeptPolicies = k
 	c.lay()
 	return nil
 }
@@ -156,12 +156,12 @@
 	if s.Trial != "" {
 		by.Good = &Policy{Hash: s.Good, Text: p.texts[s.Good]}
 	}
-	c.env.GoBy(by)
+	c.env.ApplyPolicy(by)
 }
 
 // changed takes a change of what the node is to go by over.
 func (c *Core) changed(why string) {
-	before := c.Kept.Stored
+	before := c.KeptPolicies.Stored
 	if err := c.goBy(); err != nil {
 		c.fail(err)
 		return
@@ -170,7 +170,7 @@
 	if s == before {
 		return // a lease that goes on
 	}
-	c.env.Tell("is to go by a policy", "policy", c.policies.holder.Policy(), "trial", s.Trial != "", "round", s.Round, "why", why)
+	c.env.Log("is to go by a policy", "policy", c.policies.holder.Policy(), "trial", s.Trial != "", "round", s.Round, "why", why)
 }
 
 // tickPolicies lets a trial lapse and closes slices of evidence.
@@ -179,15 +179,15 @@
 	if lapsed, _ := p.holder.CheckLease(now); lapsed {
 		c.changed(unheard)
 	}
-	p.teller.Tick(now, p.slice, p.holder.Status(c.Site.Node), p.holder.Starts(), len(c.report.Taken.ExcludedHosts),
+	p.teller.Tick(now, p.slice, p.holder.Status(c.Site.Node), p.holder.Starts(), len(c.loopReport.Restrictions.ExcludedHosts),
 		c.disturbed() || p.retuned)
 	p.retuned = false
 }
 
 // disturbed says whether a host that this node would use is out for work: of its own zone, or of any where it has none.
 func (c *Core) disturbed() bool {
-	own, zone := c.zone(), c.hosts.zones
-	return slices.ContainsFunc(c.report.Taken.ExcludedHosts, func(o sendlease.ExcludedHost) bool {
+	own, zone := c.zone(), c.hostView.zones
+	return slices.ContainsFunc(c.loopReport.Restrictions.ExcludedHosts, func(o sendlease.ExcludedHost) bool {
 		return own == "" || zone[o.Host] == "" || zone[o.Host] == own
 	})
 }
@@ -201,9 +201,9 @@
 	for _, n := range r.Counted {
 		p.teller.Count(now, canonical(n.Under), n.Counts, n.Guards)
 	}
-	p.teller.Count(now, canonical(r.Under), nil, nil) // a quiet node speaks too
-	p.retuned = p.retuned || r.Retuned != c.report.Retuned
-	if canonical(r.Asked) != p.wanted || canonical(r.Under) == p.wanted {
+	p.teller.Count(now, canonical(r.Policy), nil, nil) // a quiet node speaks too
+	p.retuned = p.retuned || r.SettingsChanges != c.loopReport.SettingsChanges
+	if canonical(r.RequestedPolicy) != p.wanted || canonical(r.Policy) == p.wanted {
 		return
 	}
 	if lapsed, _ := p.holder.CheckLease(now); lapsed { // the loop has seen to it
@@ -244,12 +244,12 @@
 		return
 	}
 	if p.slice != 0 && p.slice != time.Duration(a.SliceUs)*time.Microsecond {
-		c.env.Tell("evidence is counted by another slice", "slice", time.Duration(a.SliceUs)*time.Microsecond)
+		c.env.Log("evidence is counted by another slice", "slice", time.Duration(a.SliceUs)*time.Microsecond)
 	}
 	p.slice = time.Duration(a.SliceUs) * time.Microsecond
-	c.Kept.Crashes = max(1, int(a.Crashes))
+	c.KeptPolicies.Crashes = max(1, int(a.Crashes))
 	if a.Trial {
-		c.Kept.Lease = time.Duration(a.LeaseUs) * time.Microsecond
+		c.KeptPolicies.Lease = time.Duration(a.LeaseUs) * time.Microsecond
 	}
 	for h, text := range a.Texts {
 		if policy, err := rollout.Parse(text); err == nil && policy.Hash() == rollout.Hash(h) {
@@ -272,11 +272,11 @@
 func (c *Core) fits(h rollout.Hash) error {
 	text := c.policies.texts[h]
 	if text == nil {
-		return &NameError{What: "policy", Name: string(h), Want: "its text with its hash"}
+		return &UnknownNameError{Kind: "policy", Name: string(h), Expected: "its text with its hash"}
 	}
-	err := c.Check(Policy{Hash: h, Text: text})
+	err := c.CheckPolicy(Policy{Hash: h, Text: text})
 	if err != nil {
-		c.env.Tell("a policy does not fit this node's settings", "policy", h, "error", err)
+		c.env.Log("a policy does not fit this node's settings", "policy", h, "error", err)
 	}
 	return err
 }
@@ -286,13 +286,13 @@
 // recorded brings a node's record before the council, if it says more than what stands there, and returns up to where the
 // node's records stand there.
 func (c *Core) recorded(now time.Duration, node string, record []byte) uint64 {
-	if c.writes == nil {
+	if c.siteSync == nil {
 		return 0
 	}
 	p := &c.policies
 	told, known := p.told[node]
 	if !known {
-		if v, any := c.writes.Value(sitesync.Evidence, rollout.NodeKey(node)); any {
+		if v, any := c.siteSync.Value(sitesync.Evidence, rollout.NodeKey(node)); any {
 			if r, err := rollout.ParseRecord(v.Value); err == nil {
 				told = r.Sequence
 			}
@@ -307,7 +307,7 @@
 		return told
 	}
 	cmd := sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.NodeKey(node), Value: record, By: node}}
-	if c.writes.Check(cmd) == nil { // a full queue takes no evidence: it is missing, and that is no health
+	if c.siteSync.Check(cmd) == nil { // a full queue takes no evidence: it is missing, and that is no health
 		p.writes[node] = true
 		c.proposeWrite(now, written{Command: &cmd}, func(Reply, error) { delete(p.writes, node) })
 	}
@@ -322,17 +322,17 @@
 		}
 		return c.policies.top.SitePolicies(c.Site.Own.Name), true
 	}
-	if c.writes == nil {
+	if c.siteSync == nil {
 		return rollout.SitePolicies{}, false
 	}
-	v, any := c.writes.Value(sitesync.Policy, rollout.SitePoliciesKey(c.Site.Own.Name))
+	v, any := c.siteSync.Value(sitesync.Policy, rollout.SitePoliciesKey(c.Site.Own.Name))
 	if !any {
 		return rollout.SitePolicies{}, false
 	}
 	if p := &c.policies; v.Write.ID != p.docOf {
 		d, err := rollout.ParseSitePolicies([]byte(strings.TrimPrefix(string(v.Value), docWord)))
 		if err != nil {
-			c.env.Tell("what the top says of policies cannot be read", "error", err)
+			c.env.Log("what the top says of policies cannot be read", "error", err)
 			return rollout.SitePolicies{}, false
 		}
 		p.doc, p.docOf = d, v.Write.ID
@@ -342,7 +342,7 @@
 
 // halted says whether a rollout is halted at this site, by a write that holds here.
 func (c *Core) halted(id string) bool {
-	v, any := c.writes.Value(sitesync.Policy, rollout.HaltKey(id))
+	v, any := c.siteSync.Value(sitesync.Policy, rollout.HaltKey(id))
 	return any && strings.HasPrefix(string(v.Value), haltWord)
 }
 
@@ -400,14 +400,14 @@
 
 // plan takes an entry about policies over, and returns why it was refused.
 func (c *Core) plan(index uint64, cmd rollout.Command) error {
-	c.stamp = max(c.stamp, cmd.At)
+	c.lastStamp = max(c.lastStamp, cmd.At)
 	top := c.policies.top
 	if top == nil {
 		return nil
 	}
 	refused := c.tellAll(top.Apply(index, cmd))
 	if r := cmd.Resume; r != nil && refused == nil && c.halted(r.ID) { // where it was halted by sites below
-		c.writes.Apply(cmd.At, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: rollout.HaltKey(r.ID),
+		c.siteSync.Apply(cmd.At, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: rollout.HaltKey(r.ID),
 			Value: []byte(backWord + r.Why), By: r.By}})
 	}
 	if cmd.Evidence == nil && cmd.Status == nil && cmd.Close == nil && cmd.Unreachable == nil && cmd.Reachable == nil {
@@ -450,7 +450,7 @@
 			refused = f.Err
 		case rollout.Notify:
 			if c.leading {
-				c.env.Tell("policies", "rollout", f.ID, "what", f.Why, "cause", f.Cause.String())
+				c.env.Log("policies", "rollout", f.ID, "what", f.Why, "cause", f.Cause.String())
 			}
 		}
 	}
@@ -466,13 +466,13 @@
 		}
 		d := c.policies.top.SitePolicies(s)
 		thing, value := rollout.SitePoliciesKey(s), append([]byte(docWord), d.Bytes()...)
-		if v, any := c.writes.Value(sitesync.Policy, thing); any && string(v.Value) == string(value) {
+		if v, any := c.siteSync.Value(sitesync.Policy, thing); any && string(v.Value) == string(value) {
 			continue
 		}
-		for _, f := range c.writes.Apply(at, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: thing, Value: value,
+		for _, f := range c.siteSync.Apply(at, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: thing, Value: value,
 			By: "the plan"}}) {
 			if f.Kind == sitesync.EffectRefused && c.leading {
-				c.env.Tell("a site cannot be told what its nodes are to go by", "site", s, "error", f.Err)
+				c.env.Log("a site cannot be told what its nodes are to go by", "site", s, "error", f.Err)
 			}
 		}
 	}
@@ -500,13 +500,13 @@
 	if c.policies.top == nil {
 		return rollout.Command{}, false
 	}
-	return c.policies.top.NextWithLocalCount(max(c.stamp, now), c.Site.Rollout, c.tree(), c.Site.Own.Name, len(c.book.ExcludedHosts()))
+	return c.policies.top.NextWithLocalCount(max(c.lastStamp, now), c.Site.Rollout, c.tree(), c.Site.Own.Name, len(c.schedule.ExcludedHosts()))
 }
 
 // proposePolicy brings a command about policies before the council and returns its number, 0 where this seat does not lead.
 func (c *Core) proposePolicy(now time.Duration, cmd rollout.Command) uint64 {
-	cmd.At = c.stamped(now)
-	return c.putOwn(now, entry{Policies: &cmd})
+	cmd.At = c.nextStamp(now)
+	return c.proposeTracked(now, entry{Policies: &cmd})
 }
 
 // keepsRoom says whether a command would disturb more at this site than rollouts and work may together.
@@ -516,7 +516,7 @@
 		return true
 	}
 	d, any := c.document()
-	return !any || len(c.book.ExcludedHosts())+d.Disrupted(max(c.stamp, now)) < most
+	return !any || len(c.schedule.ExcludedHosts())+d.Disrupted(max(c.lastStamp, now)) < most
 }
 
 // ---- Calls ----
@@ -525,9 +525,9 @@
 // *ElsewhereError where another node leads.
 func (c *Core) Plan(now time.Duration, id string, cmd rollout.Command, done func(Reply, error)) {
 	switch {
-	case c.stop != nil:
-		done(Reply{}, c.stop)
-	case c.writes != nil && !c.isTop():
+	case c.stopCause != nil:
+		done(Reply{}, c.stopCause)
+	case c.siteSync != nil && !c.isTop():
 		done(Reply{}, &NotTopError{Site: c.Site.Own.Name, Top: c.topName()})
 	case c.leading && c.policies.top != nil:
 		if err := c.policies.top.Check(cmd); err != nil {
@@ -539,8 +539,8 @@
 			done(Reply{}, &NoLeaderError{Site: c.Site.Own.Name})
 			return
 		}
-		c.waiters[seq] = waiter{id: id, until: now + callWithin, done: done}
-		c.drive(now)
+		c.pendingCalls[seq] = pendingCall{id: id, deadline: now + callTimeout, done: done}
+		c.processReady(now)
 	default:
 		done(Reply{}, c.elsewhere())
 	}
@@ -556,11 +556,11 @@
 
 // Halt has a rollout halted: at the top by its council, elsewhere by a write that holds at this site at once and travels up.
 func (c *Core) Halt(now time.Duration, id, by, why string, done func(Reply, error)) {
-	if c.stop != nil || c.isTop() {
+	if c.stopCause != nil || c.isTop() {
 		c.Plan(now, id, rollout.Command{Halt: &rollout.Halt{ID: id, Cause: rollout.Operator, By: by, Why: why}}, done)
 		return
 	}
-	if !c.leading || c.writes == nil {
+	if !c.leading || c.siteSync == nil {
 		done(Reply{}, c.elsewhere())
 		return
 	}
@@ -578,7 +578,7 @@
 
 // Policies tells what this site's nodes go by, and at the top how rollouts stand. Another node than a seat asks the leader.
 func (c *Core) Policies(now time.Duration) (*peerpb.PoliciesReply, error) {
-	if !c.follows() || c.writes == nil {
+	if !c.follows() || c.siteSync == nil {
 		return nil, c.elsewhere()
 	}
 	r := &peerpb.PoliciesReply{Site: c.Site.Own.Name, Leader: c.leader, Top: c.topName()}
@@ -591,13 +591,13 @@
 		return r, nil
 	}
 	r.Good = string(d.Good)
-	for _, node := range c.book.Members() {
+	for _, node := range c.schedule.Members() {
 		a := d.Assigned(node, c.halted)
 		g := &peerpb.GoesBy{Node: node, Policy: string(a.Policy), Trial: a.Trial}
 		if a.Trial {
 			g.Rollout = d.Nodes[node].Rollout
 		}
-		if v, any := c.writes.Value(sitesync.Evidence, rollout.NodeKey(node)); any {
+		if v, any := c.siteSync.Value(sitesync.Evidence, rollout.NodeKey(node)); any {
 			if record, err := rollout.ParseRecord(v.Value); err == nil {
 				g.Seen = string(record.Status.Policy)
 				if record.Status.Fallback != rollout.NoFallback {
@@ -637,11 +637,11 @@
 }
 
 // policy brings an operator's call before the council, here or through the node that leads it.
-func (d desk) policy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error), do func(func(Reply, error)),
+func (d operatorAPI) policy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error), do func(func(Reply, error)),
 	pass func(*peer.Client, *peerpb.PolicyRequest, func(*peerpb.PolicyReply, error))) {
 	if !d.Do(func() {
 		do(func(r Reply, err error) {
-			if p := d.leaderOf(err, q.Forwarded); p != nil {
+			if p := d.leaderClient(err, q.Forwarded); p != nil {
 				q.Forwarded = true
 				pass(p, q, done)
 				return
@@ -664,13 +664,13 @@
 }
 
 // plan brings a command of an operator's before the top's council.
-func (d desk) plan(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error), cmd rollout.Command,
+func (d operatorAPI) plan(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error), cmd rollout.Command,
 	pass func(*peer.Client, *peerpb.PolicyRequest, func(*peerpb.PolicyReply, error))) {
 	d.policy(q, done, func(then func(Reply, error)) { d.core.Plan(d.loop.Now(), q.Id, cmd, then) }, pass)
 }
 
 // StartPolicy implements peer.Node.
-func (d desk) StartPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+func (d operatorAPI) StartPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
 	if !json.Valid([]byte(q.Policy)) { // it would not stand in the log as it is
 		done(nil, &rollout.Fault{Fault: "not valid JSON"})
 		return
@@ -680,27 +680,27 @@
 }
 
 // HaltPolicy implements peer.Node.
-func (d desk) HaltPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+func (d operatorAPI) HaltPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
 	d.policy(q, done, func(then func(Reply, error)) { d.core.Halt(d.loop.Now(), q.Id, q.By, q.Why, then) }, (*peer.Client).HaltPolicy)
 }
 
 // ResumePolicy implements peer.Node.
-func (d desk) ResumePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+func (d operatorAPI) ResumePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
 	d.plan(q, done, rollout.Command{Resume: &rollout.OperatorAction{ID: q.Id, By: q.By, Why: q.Why}}, (*peer.Client).ResumePolicy)
 }
 
 // ForcePolicy implements peer.Node.
-func (d desk) ForcePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
+func (d operatorAPI) ForcePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
 	stage, any := rollout.StageOf(q.Stage)
 	if !any {
-		done(nil, &NameError{What: "stage", Name: q.Stage, Want: "the stage that Policies tells: one-node, building, regency, part or all"})
+		done(nil, &UnknownNameError{Kind: "stage", Name: q.Stage, Expected: "the stage that Policies tells: one-node, building, regency, part or all"})
 		return
 	}
 	d.plan(q, done, rollout.Command{Force: &rollout.OperatorAction{ID: q.Id, Stage: stage, By: q.By, Why: q.Why}}, (*peer.Client).ForcePolicy)
 }
 
 // Policies implements peer.Node. The leader tells most; where it is not reached, a seat's own log serves.
-func (d desk) Policies(q *peerpb.PoliciesRequest, done func(*peerpb.PoliciesReply, error)) {
+func (d operatorAPI) Policies(q *peerpb.PoliciesRequest, done func(*peerpb.PoliciesReply, error)) {
 	if !d.Do(func() {
 		if p := d.peers[d.core.Leader()]; p != nil && !d.core.Leading() && !q.Forwarded {
 			q.Forwarded = true
--- a/internal/control/seats.go
+++ b/internal/control/seats.go
@@ -85,7 +85,7 @@
 // known makes the circle anew.
 func (c *Core) known() {
 	c.circle = slices.Concat(c.Site.Voters, slices.Collect(maps.Values(c.seating.Names)))
-	for name, o := range c.others {
+	for name, o := range c.peers {
 		if c.counts(name, o) {
 			c.circle = append(c.circle, name)
 		}
@@ -95,17 +95,17 @@
 }
 
 // sits says whether this node has a seat: by its file, or still.
-func (c *Core) sits() bool { return c.Site.IsVoter || c.seat != nil }
+func (c *Core) sits() bool { return c.Site.IsVoter || c.replica != nil }
 
 // follows says whether this node's own state goes on with the council's log: whether its seat counts, as far as it knows. The state of a
 // seat which was taken out stays as it was then. One that waits may have been, and one that learns may have been taken out again without
 // a word: who takes a seat out stops telling it what is agreed on.
 func (c *Core) follows() bool {
-	if c.seat == nil || c.out != 0 {
+	if c.replica == nil || c.out != 0 {
 		return false
 	}
-	st := c.seat.Status()
-	return !st.Unconfirmed && slices.Contains(st.Voters, c.self)
+	st := c.replica.Status()
+	return !st.Unconfirmed && slices.Contains(st.Voters, c.replicaID)
 }
 
 // called returns the node of a seat, "" where it is not known.
@@ -118,19 +118,19 @@
 
 // answers says whether a seat was heard lately, with this store.
 func (c *Core) answers(id consensus.ReplicaID) bool {
-	if id == c.self {
+	if id == c.replicaID {
 		return true
 	}
-	o := c.others[c.nameOf(id)]
+	o := c.peers[c.nameOf(id)]
 	return o != nil && o.id == id && c.ticks-o.at < freshTicks
 }
 
 // Seats returns the nodes that have a seat in the council now, as far as this seat knows, sorted.
 func (c *Core) Seats() (names []string) {
-	if c.seat == nil {
+	if c.replica == nil {
 		return nil
 	}
-	for _, id := range c.seat.Status().Voters {
+	for _, id := range c.replica.Status().Voters {
 		name := c.called(id)
 		if name == "" {
 			name = fmt.Sprintf("%016x", uint64(id))
@@ -169,7 +169,7 @@
 
 // related says whether what a seat says may be used: it is of this council, or has nothing yet.
 func (c *Core) related(h *peerpb.Hello) error {
-	own, theirs := c.seat != nil && c.hasLog(), h.Founded && h.Claim.GetLast() > 0
+	own, theirs := c.replica != nil && c.hasLog(), h.Founded && h.Claim.GetLast() > 0
 	if !own || !theirs {
 		return nil
 	}
@@ -178,11 +178,11 @@
 		return &OldCouncilError{Node: h.Node, Site: c.Site.Own.Name}
 	case newer:
 		err := &OldCouncilError{Node: c.Site.Node, Site: c.Site.Own.Name}
-		if err := c.env.Refused(err.Error()); err != nil {
+		if err := c.env.MarkRefused(err.Error()); err != nil {
 			c.fail(err)
 			return err
 		}
-		c.seat.MarkRefused(err.Error())
+		c.replica.MarkRefused(err.Error())
 		return err
 	case foreign:
 		return &OtherCouncilError{Node: h.Node, Site: c.Site.Own.Name}
@@ -192,7 +192,7 @@
 
 // hasLog says whether this seat's store has anything of a council.
 func (c *Core) hasLog() bool {
-	st := c.seat.Status()
+	st := c.replica.Status()
 	return st.Committed > 0 || st.Applied > 0
 }
 
@@ -200,14 +200,14 @@
 // snapshot.
 func (c *Core) foretold() {
 	var s snapshot
-	if raw := c.Durable.Snapshot.GetData(); len(raw) > 0 && json.Unmarshal(raw, &s) == nil {
+	if raw := c.StoredState.Snapshot.GetData(); len(raw) > 0 && json.Unmarshal(raw, &s) == nil {
 		c.seating = s.Seats
 	}
 	// The names of the seats are of use also where it is not known whether they were agreed on.
-	for _, e := range c.Durable.Entries {
+	for _, e := range c.StoredState.Entries {
 		var what entry
-		if json.Unmarshal(e.GetData(), &what) == nil && what.Seats != nil {
-			c.hinted = what.Seats.Names
+		if json.Unmarshal(e.GetData(), &what) == nil && what.Replicas != nil {
+			c.hinted = what.Replicas.Names
 		}
 	}
 	c.known()
@@ -220,7 +220,7 @@
 		if !c.warned {
 			c.warned = true
 			err := &OldCouncilError{Node: r.Leader, Site: c.Site.Own.Name}
-			c.env.Tell("a right is not taken", "why", err.Error(), "action", err.Action())
+			c.env.Log("a right is not taken", "why", err.Error(), "action", err.Action())
 		}
 		return false
 	case same:
@@ -246,7 +246,7 @@
 	}
 	why, action := c.step(st)
 	if why != c.steered && why != "" {
-		c.env.Tell("the seats are not as the site file has them yet", "why", why, "action", action)
+		c.env.Log("the seats are not as the site file has them yet", "why", why, "action", action)
 	}
 	c.steered = why
 }
@@ -262,8 +262,8 @@
 	if maps.Equal(names, c.seating.Names) && len(c.seating.Foundings) > 0 || now < c.noteAt {
 		return false
 	}
-	if c.putOwn(now, entry{Seats: &seated{Founding: drawn(c.Run, st.Term), Names: names}}) != 0 {
-		c.noteAt = now + proposeWithin
+	if c.proposeTracked(now, entry{Replicas: &seated{Founding: drawn(c.RunID, st.Term), Names: names}}) != 0 {
+		c.noteAt = now + proposalTimeout
 	}
 	return true
 }
@@ -300,12 +300,12 @@
 	silent := slices.IndexFunc(goes, func(id consensus.ReplicaID) bool { return !c.answers(id) })
 	switch {
 	case comes != 0 && !slices.Contains(st.Learners, comes):
-		if err := c.seat.AddLearner(comes); err != nil {
+		if err := c.replica.AddLearner(comes); err != nil {
 			return err.Error(), "nothing: it is tried again"
 		}
-		c.env.Tell("a seat learns what was agreed on, and counts once it has it", "seat", c.called(comes))
+		c.env.Log("a seat learns what was agreed on, and counts once it has it", "seat", c.called(comes))
 		return "", ""
-	case comes != 0 && (!c.answers(comes) || !c.seat.CaughtUp(comes) || c.seating.Names[comes] == ""):
+	case comes != 0 && (!c.answers(comes) || !c.replica.CaughtUp(comes) || c.seating.Names[comes] == ""):
 		return c.called(comes) + " has not all yet that was agreed on", "see that it runs and that the seats reach it"
 	case silent >= 0 && len(st.Voters) > 1:
 		if !fit(false, goes[silent]) {
@@ -319,18 +319,18 @@
 		return c.change(comes, 0)
 	case len(goes) == 0:
 		return why, action
-	case goes[0] != c.self:
+	case goes[0] != c.replicaID:
 		if !fit(false, goes[0]) {
 			return "without " + c.called(goes[0]) + " no majority of the seats would answer", few
 		}
 		return c.change(0, goes[0])
 	}
-	if !fit(false, c.self) {
+	if !fit(false, c.replicaID) {
 		return "without this one no majority of the seats would answer", few
 	}
 	var heirs []consensus.ReplicaID
 	for _, id := range st.Voters {
-		if id != c.self && c.answers(id) && c.seat.CaughtUp(id) {
+		if id != c.replicaID && c.answers(id) && c.replica.CaughtUp(id) {
 			heirs = append(heirs, id)
 		}
 	}
@@ -339,8 +339,8 @@
 	}
 	c.handed++
 	heir := heirs[c.handed%len(heirs)]
-	c.env.Tell("this seat goes, and hands over before", "to", c.called(heir))
-	if err := c.seat.TransferLeadershipTo(heir); err != nil {
+	c.env.Log("this seat goes, and hands over before", "to", c.called(heir))
+	if err := c.replica.TransferLeadershipTo(heir); err != nil {
 		return err.Error(), "nothing: it is tried again"
 	}
 	return "", ""
@@ -348,7 +348,7 @@
 
 // change has raft take a seat in or out.
 func (c *Core) change(add, remove consensus.ReplicaID) (why, action string) {
-	if err := c.seat.ChangeVoters(add, remove); err != nil {
+	if err := c.replica.ChangeVoters(add, remove); err != nil {
 		return err.Error(), "nothing: it is tried again"
 	}
 	return "", ""
@@ -356,7 +356,7 @@
 
 // stale says whether the node of a seat has another store by now.
 func (c *Core) stale(id consensus.ReplicaID) bool {
-	o := c.others[c.called(id)]
+	o := c.peers[c.called(id)]
 	return o != nil && o.id != id
 }
 
@@ -398,7 +398,7 @@
 		}
 	}
 	for _, name := range missing {
-		o := c.others[name]
+		o := c.peers[name]
 		var err Actioner
 		switch {
 		case o == nil || c.ticks-o.at >= freshTicks:
@@ -419,7 +419,7 @@
 }
 
 func (c *Core) last(id consensus.ReplicaID) string {
-	if id == c.self {
+	if id == c.replicaID {
 		return "~"
 	}
 	return fmt.Sprintf("%016x", uint64(id))
@@ -445,8 +445,8 @@
 // otherFiles are the present seats whose files name other seats than this one's, or are not known.
 func (c *Core) otherFiles(st consensus.Status) (names []string) {
 	for _, id := range st.Voters {
-		o := c.others[c.nameOf(id)]
-		if id != c.self && (!c.answers(id) || !slices.Equal(o.names, c.Site.Voters)) {
+		o := c.peers[c.nameOf(id)]
+		if id != c.replicaID && (!c.answers(id) || !slices.Equal(o.names, c.Site.Voters)) {
 			names = append(names, c.called(id))
 		}
 	}
@@ -459,9 +459,9 @@
 // heardOut takes note of a seat's word that this one is none of the council's any more. Whoever takes a seat out stops telling it
 // what is agreed on, this included.
 func (c *Core) heardOut(claim consensus.SelfReport) {
-	st := c.seat.Status()
-	if claim.Commit > st.Committed && len(claim.Voters) > 0 && slices.Contains(st.Voters, c.self) && c.out < claim.Commit &&
-		!slices.Contains(claim.Voters, c.self) && slices.Contains(st.Voters, claim.Replica) {
+	st := c.replica.Status()
+	if claim.Commit > st.Committed && len(claim.Voters) > 0 && slices.Contains(st.Voters, c.replicaID) && c.out < claim.Commit &&
+		!slices.Contains(claim.Voters, c.replicaID) && slices.Contains(st.Voters, claim.Replica) {
 		c.leave(claim.Commit)
 	}
 }
@@ -473,11 +473,11 @@
 		return false
 	}
 	if c.leading {
-		c.table.Resign()
+		c.leaseTable.Resign()
 		c.leading = false
-		c.refuseAll()
+		c.refuseLeaseRequests()
 	}
-	c.seat, c.gone = nil, true
+	c.replica, c.gone = nil, true
 	c.tellGone()
 	return true
 }
@@ -488,7 +488,7 @@
 	if c.Site.IsVoter {
 		action = "if it is to have a seat, stop it, put its store aside and start it with an empty one"
 	}
-	c.env.Tell("the council has taken this node's seat out while it was away", "seat", c.Site.Node, "action", action)
+	c.env.Log("the council has taken this node's seat out while it was away", "seat", c.Site.Node, "action", action)
 }
 
 // notice takes note of what this seat's own log says of the seats, this one among them.
@@ -496,18 +496,18 @@
 	if !slices.Equal(st.Voters, c.were) {
 		for _, id := range st.Voters {
 			if len(c.were) > 0 && !slices.Contains(c.were, id) {
-				c.env.Tell("a seat is taken in", "seat", c.called(id), "seats", strings.Join(c.Seats(), " "))
+				c.env.Log("a seat is taken in", "seat", c.called(id), "seats", strings.Join(c.Seats(), " "))
 			}
 		}
 		for _, id := range c.were {
 			if !slices.Contains(st.Voters, id) {
-				c.env.Tell("a seat is taken out", "seat", c.called(id), "seats", strings.Join(c.Seats(), " "))
+				c.env.Log("a seat is taken out", "seat", c.called(id), "seats", strings.Join(c.Seats(), " "))
 			}
 		}
 		c.were = st.Voters
 		c.known()
 	}
-	in := slices.Contains(st.Voters, c.self) || slices.Contains(st.Learners, c.self)
+	in := slices.Contains(st.Voters, c.replicaID) || slices.Contains(st.Learners, c.replicaID)
 	switch {
 	case c.out != 0 && in && st.Applied >= c.out:
 		c.out = 0
@@ -523,7 +523,7 @@
 		if c.Site.IsVoter {
 			action = "compare the site files: those of most seats do not name it"
 		}
-		c.env.Tell("the council has taken this node's seat out", "seat", c.Site.Node, "action", action)
+		c.env.Log("the council has taken this node's seat out", "seat", c.Site.Node, "action", action)
 	}
 	c.out = max(at, 1)
 }
@@ -540,11 +540,11 @@
 		for _, t := range steps {
 			say = append(say, t.String())
 		}
-		c.env.Tell("the site file names other seats", "steps", strings.Join(say, ", then "),
+		c.env.Log("the site file names other seats", "steps", strings.Join(say, ", then "),
 			"action", "give the file to all nodes of the site; the council changes its seats once most of its seats have it")
 	}
 	switch {
-	case c.stop != nil || c.seat != nil:
+	case c.stopCause != nil || c.replica != nil:
 	case c.gone:
 		if s.IsVoter && len(steps) > 0 {
 			c.tellGone()
@@ -561,10 +561,10 @@
 // settled says why no word on seats is taken as things are, nil where one is.
 func (c *Core) settled(node, by, why string, risk bool, name, is string) error {
 	switch {
-	case c.stop != nil:
-		return c.stop
-	case c.seat == nil || !c.hasLog():
-		return &NoSeatError{Node: c.Site.Node}
+	case c.stopCause != nil:
+		return c.stopCause
+	case c.replica == nil || !c.hasLog():
+		return &NoReplicaError{Node: c.Site.Node}
 	case !risk:
 		return &SeatRiskError{Node: node, Risk: is, Word: name}
 	case strings.TrimSpace(by) == "" || strings.TrimSpace(why) == "":
@@ -583,14 +583,14 @@
 	if err != nil {
 		return err
 	}
-	if st := c.seat.Status(); !st.Unconfirmed && !st.Behind {
+	if st := c.replica.Status(); !st.Unconfirmed && !st.Behind {
 		return &NotNeededError{Node: q.Node, Why: "its seat does not wait"}
 	}
-	if err := c.seat.ConfirmStore(); err != nil {
+	if err := c.replica.ConfirmStore(); err != nil {
 		return err
 	}
-	c.env.Tell("an operator vouches for the store of this seat; it waits for nobody", "seat", q.Node, "by", q.By, "why", q.Why)
-	c.drive(now)
+	c.env.Log("an operator vouches for the store of this seat; it waits for nobody", "seat", q.Node, "by", q.By, "why", q.Why)
+	c.processReady(now)
 	return nil
 }
 
@@ -603,27 +603,27 @@
 	if err != nil {
 		return err
 	}
-	c.drive(now) // what the store has is applied, as far as it is known to be agreed on
-	if c.stop != nil {
-		return c.stop
+	c.processReady(now) // what the store has is applied, as far as it is known to be agreed on
+	if c.stopCause != nil {
+		return c.stopCause
 	}
-	st := c.seat.Status()
-	if !slices.Contains(st.Voters, c.self) {
-		return &NoSeatError{Node: c.Site.Node}
+	st := c.replica.Status()
+	if !slices.Contains(st.Voters, c.replicaID) {
+		return &NoReplicaError{Node: c.Site.Node}
 	}
 	if st.Leader != 0 && c.answers(st.Leader) {
 		return &NotNeededError{Node: q.Node, Why: c.called(st.Leader) + " leads the council"}
 	}
-	own := c.seat.SelfReport(0)
+	own := c.replica.SelfReport(0)
 	var lost, silent []string
 	for _, id := range st.Voters {
 		name := c.called(id)
 		if name == "" {
 			name = fmt.Sprintf("%016x", uint64(id))
 		}
-		o := c.others[c.nameOf(id)]
+		o := c.peers[c.nameOf(id)]
 		switch {
-		case id == c.self:
+		case id == c.replicaID:
 		case slices.Contains(q.Lost, name) && c.answers(id):
 			return &NotNeededError{Node: q.Node, Why: name + " answers, with the store that is said to be lost"}
 		case slices.Contains(q.Lost, name):
@@ -641,36 +641,36 @@
 		return &NotNeededError{Node: q.Node, Why: fmt.Sprintf("the stores of %d of %d seats are not named as lost", len(st.Voters)-len(lost), len(st.Voters))}
 	}
 	slices.Sort(lost)
-	rest, err := c.seat.UnappliedEntries()
+	rest, err := c.replica.UnappliedEntries()
 	if err != nil {
 		return err
 	}
 	for _, e := range rest {
-		c.apply(now, e)
+		c.applyEntry(now, e)
 	}
 	if len(c.seating.Foundings) == 0 {
 		c.seating.Foundings = []uint64{1}
 	}
-	c.seating = seating{Foundings: append(slices.Clone(c.seating.Foundings), drawn(c.Run, st.Term)),
-		Names: map[consensus.ReplicaID]string{c.self: c.Site.Node}, By: q.By, Why: q.Why}
-	c.others, c.entering, c.were, c.out = map[string]*other{}, 0, []consensus.ReplicaID{c.self}, 0
+	c.seating = seating{Foundings: append(slices.Clone(c.seating.Foundings), drawn(c.RunID, st.Term)),
+		Names: map[consensus.ReplicaID]string{c.replicaID: c.Site.Node}, By: q.By, Why: q.Why}
+	c.peers, c.entering, c.were, c.out = map[string]*other{}, 0, []consensus.ReplicaID{c.replicaID}, 0
 	c.known()
 	raw, err := c.encode()
 	if err != nil {
 		c.fail(err)
-		return c.stop
+		return c.stopCause
 	}
-	save, err := c.seat.Rebootstrap(raw)
+	save, err := c.replica.Rebootstrap(raw)
 	if err == nil {
 		err = c.env.Save(save)
 	}
 	if err != nil {
 		c.fail(err)
-		return c.stop
+		return c.stopCause
 	}
-	c.applied = c.seat.Status().Applied
-	c.env.Tell("this seat has founded the council anew, alone", "site", c.Site.Own.Name, "lost", strings.Join(lost, " "), "by", q.By,
+	c.appliedIndex = c.replica.Status().Applied
+	c.env.Log("this seat has founded the council anew, alone", "site", c.Site.Own.Name, "lost", strings.Join(lost, " "), "by", q.By,
 		"why", q.Why, "action", "start the other seats with empty stores: they are taken in as the site file names them")
-	c.drive(now)
+	c.processReady(now)
 	return nil
 }
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -23,18 +23,18 @@
 // Standing tells where this node stands in its council.
 func (c *Core) Standing(now time.Duration) *peerpb.SeatStatus {
 	s := &peerpb.SeatStatus{Node: c.Site.Node, Role: roleNone}
-	if left := c.holder.Restrictions().LeaseEnd - now; left > 0 {
+	if left := c.leaseHolder.Restrictions().LeaseEnd - now; left > 0 {
 		s.RightMs = left.Milliseconds()
 	}
-	if c.seat != nil {
-		st := c.seat.Status()
+	if c.replica != nil {
+		st := c.replica.Status()
 		s.Role, s.Term, s.Committed, s.Applied = c.role(st), st.Term, st.Committed, st.Applied
 	}
 	if c.leading {
 		s.Unreached = c.unreached()
 	}
-	if c.stop != nil {
-		s.Role, s.Stopped = roleStopped, c.stop.Error()
+	if c.stopCause != nil {
+		s.Role, s.Stopped = roleStopped, c.stopCause.Error()
 	}
 	return s
 }
@@ -47,9 +47,9 @@
 		return roleLeader
 	case st.Behind:
 		return roleBehind
-	case slices.Contains(st.Learners, c.self):
+	case slices.Contains(st.Learners, c.replicaID):
 		return roleLearner
-	case !slices.Contains(st.Voters, c.self):
+	case !slices.Contains(st.Voters, c.replicaID):
 		return roleNone
 	}
 	return roleFollower
@@ -69,9 +69,9 @@
 
 // unreached returns the nodes of the seats that have not answered a call of this leader for freshTicks.
 func (c *Core) unreached() (nodes []string) {
-	for _, id := range c.seat.Status().Voters {
+	for _, id := range c.replica.Status().Voters {
 		name := c.called(id)
-		if id != c.self && c.ticks-max(c.reach.answered[name], c.reach.since) >= freshTicks {
+		if id != c.replicaID && c.ticks-max(c.reachability.answered[name], c.reachability.since) >= freshTicks {
 			nodes = append(nodes, name)
 		}
 	}
@@ -81,39 +81,39 @@
 
 // tellReach logs which seats this leader has ceased to reach, and which it reaches again.
 func (c *Core) tellReach() {
-	if !c.leading || c.stop != nil {
+	if !c.leading || c.stopCause != nil {
 		return
 	}
 	unreached := c.unreached()
 	for _, name := range unreached {
-		if c.reach.told[name] {
+		if c.reachability.told[name] {
 			continue
 		}
-		c.reach.told[name] = true
+		c.reachability.told[name] = true
 		heard := "no"
-		if o := c.others[name]; o != nil && c.ticks-o.at < freshTicks {
+		if o := c.peers[name]; o != nil && c.ticks-o.at < freshTicks {
 			heard = "yes"
 		}
-		c.env.Tell("a seat does not answer its leader's calls", "seat", name, "its own calls come", heard,
+		c.env.Log("a seat does not answer its leader's calls", "seat", name, "its own calls come", heard,
 			"action", "see whether its node runs; if its own calls come, whether the address that the site file gives for it leads there")
 	}
 	var back []string
-	for name := range c.reach.told {
+	for name := range c.reachability.told {
 		if !slices.Contains(unreached, name) {
-			delete(c.reach.told, name)
+			delete(c.reachability.told, name)
 			back = append(back, name)
 		}
 	}
 	if len(back) > 0 {
 		slices.Sort(back)
-		c.env.Tell("seats answer their leader's calls again, or are none any more", "seats", strings.Join(back, " "))
+		c.env.Log("seats answer their leader's calls again, or are none any more", "seats", strings.Join(back, " "))
 	}
 }
 
 // tellRelease logs that the wait of this seat for other seats' word is over.
 func (c *Core) tellRelease(st consensus.Status) {
-	if c.waits && !st.Unconfirmed {
-		c.env.Tell("the seat waits no more", "seat", c.Site.Node, "term", st.Term, "applied", st.Applied)
+	if c.wasUnconfirmed && !st.Unconfirmed {
+		c.env.Log("the seat waits no more", "seat", c.Site.Node, "term", st.Term, "applied", st.Applied)
 	}
-	c.waits = st.Unconfirmed
+	c.wasUnconfirmed = st.Unconfirmed
 }
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -22,30 +22,30 @@
 )
 
 const (
-	// waiting is how many calls, answers and reports may wait for the control thread. Beyond it calls are refused; a peer's
-	// are lost, as on a bad line.
-	waiting = 256
-	// stopWithin is how long Stop waits for the thread, which may be stuck in its store.
-	stopWithin = 2 * time.Second
-	// leaveWithin is how long Stop waits at most before that until another seat leads.
-	leaveWithin = stopWithin / 2
-	// noteBucket and the keys are where the node's right stands in the store.
-	noteBucket = "right"
-	noteSaved  = "saved"
-	notePolicy = "policy"
+	// inboxSize is how many calls, answers and reports may wait for the control thread. Beyond it, calls are refused, and
+	// answers of peers and reports are dropped like lost messages.
+	inboxSize = 256
+	// stopTimeout is how long Stop waits for the thread, which may be stuck in its store.
+	stopTimeout = 2 * time.Second
+	// transferTimeout is how long Stop waits at most, before that, until another replica leads.
+	transferTimeout = stopTimeout / 2
+	// stateBucket and its keys are where the store has the node's send lease and its policies.
+	stateBucket = "right"
+	leaseKey    = "saved"
+	policyKey   = "policy"
 )
 
-// Loop is the traffic's side. Its methods are called on the control thread and return at once.
+// Loop is the traffic loop. Its methods are called on the control thread and return at once.
 type Loop interface {
-	// Now is the node's time, safe from any thread.
+	// Now returns the node's time. It may be called from any thread.
 	Now() time.Duration
-	// Do has something done on the loop soon; false where the loop has ended.
+	// Do schedules a function on the loop. It returns false if the loop has ended.
 	Do(func()) bool
 }
 
-// Thread runs a Core in the process, on a thread of its own. Loop and control meet in two bounded queues: the latest
-// verdict, which replaces one that was not taken yet, and reports, the latest of which are dropped while the thread is
-// behind. Neither side waits for the other.
+// Thread runs a Core in the process, on a thread of its own. Control passes restrictions and policies to the traffic loop,
+// where a later value replaces one that was not applied yet; the loop passes reports to control through a bounded queue, and
+// new ones are dropped while the thread is behind. Neither side waits for the other.
 type Thread struct {
 	log     *slog.Logger
 	site    *site.Site
@@ -56,10 +56,10 @@
 	server  *peer.Server
 	peers   map[string]*peer.Client
 	inbox   chan func()
-	core    *Core // of the thread
+	core    *Core // used only on the control thread
 
-	verdict latest[sendlease.Restrictions]
-	policy  latest[Policy]
+	restrictions latest[sendlease.Restrictions]
+	policy       latest[Policy]
 
 	stop    chan struct{}
 	stopped chan struct{}
@@ -67,30 +67,30 @@
 }
 
 // Start opens the store, begins to listen and starts the thread. wait is how long an earlier process of this node may still
-// act on its right. links is how many connections the peers' address takes.
-func Start(log *slog.Logger, s *site.Site, loop Loop, traffic Traffic, wait time.Duration, links int) (*Thread, error) {
+// use its send lease. maxConns is how many connections the peer address accepts.
+func Start(log *slog.Logger, s *site.Site, loop Loop, traffic Traffic, wait time.Duration, maxConns int) (*Thread, error) {
 	t := &Thread{log: log, site: s, tick: s.Tick, loop: loop, traffic: traffic, peers: map[string]*peer.Client{},
-		inbox: make(chan func(), waiting), stop: make(chan struct{}), stopped: make(chan struct{})}
-	var durable consensus.StoredState
+		inbox: make(chan func(), inboxSize), stop: make(chan struct{}), stopped: make(chan struct{})}
+	var stored consensus.StoredState
 	var err error
-	t.store, durable, err = store.Open(filepath.Join(s.Store, "council.db"), store.Identity{Site: s.Own.Name, Node: s.Node,
+	t.store, stored, err = store.Open(filepath.Join(s.Store, "council.db"), store.Identity{Site: s.Own.Name, Node: s.Node,
 		Witness: s.Witness})
 	if err != nil {
 		return nil, err
 	}
-	saved, err := t.restore()
+	saved, err := t.loadLease()
 	if err != nil {
 		t.store.Close()
 		return nil, err
 	}
-	kept, err := t.kept()
+	kept, err := t.loadPolicies()
 	if err != nil {
 		t.store.Close()
 		return nil, err
 	}
-	who := t.store.Identity()
-	t.core, err = New(loop.Now(), Options{Site: s, Life: who.ReplicaIncarnation, Boot: who.OpenCount, Run: who.RunID, Proven: who.Verified,
-		Durable: durable, Saved: saved, Kept: kept, Check: traffic.Check, Wait: wait}, t)
+	identity := t.store.Identity()
+	t.core, err = New(loop.Now(), Options{Site: s, StoreIncarnation: identity.ReplicaIncarnation, OpenCount: identity.OpenCount, RunID: identity.RunID, StoreVerified: identity.Verified,
+		StoredState: stored, SavedLease: saved, KeptPolicies: kept, CheckPolicy: traffic.Check, LeaseWait: wait}, t)
 	if err != nil {
 		t.store.Close()
 		return nil, err
@@ -98,32 +98,33 @@
 	for name, address := range s.Peers {
 		t.peers[name] = peer.NewClient(name, address, peer.ClientLimits{})
 	}
-	if t.server, err = peer.Serve(s.Listen, desk{t}, peer.Limits{MaxConns: links}); err != nil {
+	if t.server, err = peer.Serve(s.Listen, operatorAPI{t}, peer.Limits{MaxConns: maxConns}); err != nil {
 		t.closePeers()
 		t.store.Close()
 		return nil, err
 	}
-	log.Info("open to peers", "listen", t.server.Addr(), "site", s.Own.Name, "seat", s.IsVoter, "store", s.Store, "boot", who.OpenCount)
+	log.Info("open to peers", "listen", t.server.Addr(), "site", s.Own.Name, "seat", s.IsVoter, "store", s.Store, "boot", identity.OpenCount)
 	go t.run()
 	return t, nil
 }
 
-// restore reads the node's right from the store; a new store gets a life that comes after that of any before it.
-func (t *Thread) restore() (saved sendlease.Saved, err error) {
-	raw, err := t.store.Get(noteBucket, noteSaved)
+// loadLease reads the node's send lease state from the store. A new store gets an incarnation greater than that of any store
+// before it.
+func (t *Thread) loadLease() (saved sendlease.Saved, err error) {
+	raw, err := t.store.Get(stateBucket, leaseKey)
 	if err != nil {
 		return saved, err
 	}
 	if raw == nil {
 		saved.Incarnation = uint64(time.Now().UnixNano())
-		return saved, t.Keep(saved)
+		return saved, t.SaveLease(saved)
 	}
 	return saved, json.Unmarshal(raw, &saved)
 }
 
-// kept reads what the node kept of policies.
-func (t *Thread) kept() (Kept, error) {
-	raw, err := t.store.Get(noteBucket, notePolicy)
+// loadPolicies reads the node's policy state from the store.
+func (t *Thread) loadPolicies() (Kept, error) {
+	raw, err := t.store.Get(stateBucket, policyKey)
 	if err != nil || raw == nil {
 		return Kept{}, err
 	}
@@ -132,51 +133,53 @@
 		return Kept{}, err
 	}
 	now := t.loop.Now()
-	k.Kept.LeaseEnd = leaseEndFromStore(k.LeaseEnd, k.Lease, now, t.sinceBoot())
+	k.Kept.LeaseEnd = leaseEndFromStore(k.LeaseEnd, k.Lease, now, t.bootTime())
 	return k.Kept, nil
 }
 
-// sinceBoot returns the present moment on the clock that goes on over restarts, none where it cannot be read.
-func (t *Thread) sinceBoot() boottime.Moment {
+// bootTime returns the present moment on the boot clock, which continues across restarts of the process; the zero moment if it
+// cannot be read.
+func (t *Thread) bootTime() boottime.Moment {
 	m, err := boottime.Now()
 	if err != nil {
-		t.log.Warn("a restart will take the node back to the good policy until its site is heard", "error", err)
+		t.log.Warn("boot clock not readable: after a restart the node applies the good policy until its site answers", "error", err)
 	}
 	return m
 }
 
-// Addr is where peers and operators call.
+// Addr returns the address for peers and operators.
 func (t *Thread) Addr() string { return t.server.Addr() }
 
-// Stop ends the thread, the address and the store; where this node leads, another seat takes over first, if one does within an
-// election's time and leaveWithin. A thread that is stuck is left behind: its store stays locked until the process ends.
+// Stop ends the thread, closes the listener and the store. If this node leads, it first transfers the leadership, and waits for
+// that at most an election time-out and at most transferTimeout. A thread that is stuck is abandoned: its store stays locked
+// until the process ends.
 func (t *Thread) Stop() {
 	t.once.Do(func() {
-		t.leave(min(consensus.ElectionTicks*t.tick, leaveWithin))
+		t.transferLeadership(min(consensus.ElectionTicks*t.tick, transferTimeout))
 		t.server.Close()
 		close(t.stop)
-		late := time.NewTimer(stopWithin)
-		defer late.Stop()
+		timer := time.NewTimer(stopTimeout)
+		defer timer.Stop()
 		select {
 		case <-t.stopped:
-		case <-late.C:
-			t.log.Error("the control thread is stuck and is left behind")
+		case <-timer.C:
+			t.log.Error("the control thread is stuck and is abandoned; the store stays locked until the process ends")
 		}
 	})
 }
 
-// leave waits until this node leads no more, for so long at most.
-func (t *Thread) leave(most time.Duration) {
-	left := make(chan struct{})
-	if !t.Do(func() { t.core.Leave(t.loop.Now(), func() { close(left) }) }) {
+// transferLeadership waits until this node no longer leads, or until the time-out.
+func (t *Thread) transferLeadership(timeout time.Duration) {
+	transferred := make(chan struct{})
+	if !t.Do(func() { t.core.TransferLeadership(t.loop.Now(), func() { close(transferred) }) }) {
 		return
 	}
-	late := time.NewTimer(most)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-left:
-	case <-late.C:
-		t.log.Info("ends with no word that another seat leads; the others find a leader when they miss this one")
+	case <-transferred:
+	case <-timer.C:
+		t.log.Info("stops before another replica was seen to lead; the others elect a leader after their election time-out")
 	}
 }
 
@@ -186,15 +189,17 @@
 	}
 }
 
-// Report hands the loop's report over and says whether it did: not while the thread is behind. What was counted is then to
-// come with a later one.
-func (t *Thread) Report(r Report) bool { return t.Do(func() { t.core.Loop(t.loop.Now(), r) }) }
+// Report passes a report of the traffic loop to control. It returns false while the thread is behind: then a later report must
+// contain what was counted.
+func (t *Thread) Report(r Report) bool {
+	return t.Do(func() { t.core.HandleLoopReport(t.loop.Now(), r) })
+}
 
-// Retune takes a changed site file over that Site.Change has nothing against.
-func (t *Thread) Retune(s *site.Site) {
+// ApplySiteFile applies a changed site file that Site.CheckChange has accepted.
+func (t *Thread) ApplySiteFile(s *site.Site) {
 	t.Do(func() {
 		for name, p := range t.peers {
-			// Who is no peer any more may have a seat until the council has taken it out.
+			// A node that is no longer in the site file keeps its client: its replica may be a voter until the group removes it.
 			if s.Peers[name] != "" && s.Peers[name] != t.site.Peers[name] {
 				delete(t.peers, name)
 				go p.Close()
@@ -210,7 +215,7 @@
 	})
 }
 
-// Do has something done on the control thread, and says whether there is room for it. It never waits.
+// Do schedules a function on the control thread, and returns false if the queue is full. It never waits.
 func (t *Thread) Do(f func()) bool {
 	select {
 	case t.inbox <- f:
@@ -221,7 +226,7 @@
 }
 
 func (t *Thread) run() {
-	runtime.LockOSThread() // a store that hangs in a system call takes no thread from anybody else
+	runtime.LockOSThread() // a store that hangs in a system call then blocks no thread of other goroutines
 	defer close(t.stopped)
 	tick := time.NewTicker(t.tick)
 	defer tick.Stop()
@@ -230,7 +235,7 @@
 		case <-t.stop:
 			t.closePeers()
 			if err := t.store.Close(); err != nil {
-				t.log.Warn("the store was not closed in good order", "error", err)
+				t.log.Warn("closing the store failed", "error", err)
 			}
 			return
 		case <-tick.C:
@@ -246,65 +251,65 @@
 // Save implements Env.
 func (t *Thread) Save(s consensus.WriteBatch) error { return t.store.Save(s) }
 
-// Keep implements Env.
-func (t *Thread) Keep(s sendlease.Saved) error {
+// SaveLease implements Env.
+func (t *Thread) SaveLease(s sendlease.Saved) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	return t.store.Put(noteBucket, noteSaved, raw)
+	return t.store.Put(stateBucket, leaseKey, raw)
 }
 
-// KeepPolicy implements Env.
-func (t *Thread) KeepPolicy(k Kept) error {
+// SavePolicies implements Env.
+func (t *Thread) SavePolicies(k Kept) error {
 	stored := storedPolicies{Kept: k}
 	if k.LeaseEnd != 0 {
-		boot := t.sinceBoot()
+		boot := t.bootTime()
 		stored.LeaseEnd = leaseEndToStore(k.LeaseEnd, t.loop.Now(), boot)
 	}
 	raw, err := json.Marshal(stored)
 	if err != nil {
 		return err
 	}
-	return t.store.Put(noteBucket, notePolicy, raw)
+	return t.store.Put(stateBucket, policyKey, raw)
 }
 
-// GoBy implements Env.
-func (t *Thread) GoBy(p Policy) { t.policy.hand(p, t.loop, t.traffic.GoBy) }
+// ApplyPolicy implements Env.
+func (t *Thread) ApplyPolicy(p Policy) { t.policy.deliver(p, t.loop, t.traffic.GoBy) }
 
-// Refused implements Env.
-func (t *Thread) Refused(why string) error { return t.store.MarkRefused(why) }
+// MarkRefused implements Env.
+func (t *Thread) MarkRefused(why string) error { return t.store.MarkRefused(why) }
 
 // SendRaft implements Env.
-func (t *Thread) SendRaft(seat string, q *peerpb.RaftRequest) {
-	if p := t.peers[seat]; p != nil {
+func (t *Thread) SendRaft(node string, q *peerpb.RaftRequest) {
+	if p := t.peers[node]; p != nil {
 		p.Raft(q, func(r *peerpb.RaftReply, err error) {
 			if err == nil {
-				t.Do(func() { t.core.RaftReplied(t.loop.Now(), r) })
+				t.Do(func() { t.core.HandleRaftReply(t.loop.Now(), r) })
 			}
 		})
 	}
 }
 
 // SendRenew implements Env.
-func (t *Thread) SendRenew(seat string, q *peerpb.RenewRequest) {
-	if p := t.peers[seat]; p != nil {
+func (t *Thread) SendRenew(node string, q *peerpb.RenewRequest) {
+	if p := t.peers[node]; p != nil {
 		p.Renew(q, func(r *peerpb.RenewReply, err error) {
 			if err == nil {
-				t.Do(func() { t.core.Renewed(t.loop.Now(), r) })
+				t.Do(func() { t.core.HandleLeaseResponse(t.loop.Now(), r) })
 			}
 		})
 	}
 }
 
 // SendReplay implements Env.
-func (t *Thread) SendReplay(seat string, call uint64, within time.Duration, q *peerpb.ReplayRequest) {
-	p := t.peers[seat]
-	if p == nil { // no address for it
+func (t *Thread) SendReplay(node string, call uint64, timeout time.Duration, q *peerpb.ReplayRequest) {
+	p := t.peers[node]
+	if p == nil { // its address is not known
 		t.Do(func() { t.core.Replayed(t.loop.Now(), call, nil) })
 		return
 	}
-	p.ReplayWithTimeout(within, q, func(r *peerpb.ReplayReply, err error) {
+	p.ReplayWithTimeout(timeout, q, func(r *peerpb.ReplayReply, err error) {
 		if err != nil {
 			r = nil
 		}
@@ -312,18 +317,20 @@
 	})
 }
 
-// Bind implements Env.
-func (t *Thread) Bind(v sendlease.Restrictions) { t.verdict.hand(v, t.loop, t.traffic.Bind) }
+// ApplyRestrictions implements Env.
+func (t *Thread) ApplyRestrictions(v sendlease.Restrictions) {
+	t.restrictions.deliver(v, t.loop, t.traffic.Bind)
+}
 
-// latest is what the loop is to take next: one that was not taken yet is replaced.
+// latest is the next value for the traffic loop. A later value replaces one that the loop has not taken yet.
 type latest[T any] struct {
 	mu     sync.Mutex
 	value  T
-	posted bool // and the loop is going to take it
+	posted bool // the loop has a pending function that takes the value
 }
 
-// hand has the loop take a value, or a later one in its place.
-func (l *latest[T]) hand(v T, loop Loop, take func(T)) {
+// deliver passes a value, or the later one that replaced it, to apply on the loop.
+func (l *latest[T]) deliver(v T, loop Loop, apply func(T)) {
 	l.mu.Lock()
 	l.value = v
 	post := !l.posted
@@ -337,38 +344,38 @@
 		v := l.value
 		l.posted = false
 		l.mu.Unlock()
-		take(v)
+		apply(v)
 	})
 }
 
-// Tell implements Env.
-func (t *Thread) Tell(event string, args ...any) { t.log.Info(event, args...) }
+// Log implements Env.
+func (t *Thread) Log(message string, args ...any) { t.log.Info(message, args...) }
 
 // ---- Calls ----
 
-// desk carries the calls of peers and operators out on the control thread.
-type desk struct{ *Thread }
+// operatorAPI carries out the calls of peers and operators on the control thread.
+type operatorAPI struct{ *Thread }
 
-var _ peer.Node = desk{}
+var _ peer.Node = operatorAPI{}
 
 // Renew implements peer.Node.
-func (d desk) Renew(q *peerpb.RenewRequest, done func(*peerpb.RenewReply, error)) {
+func (d operatorAPI) Renew(q *peerpb.RenewRequest, done func(*peerpb.RenewReply, error)) {
 	if !d.Do(func() {
-		d.core.Question(d.loop.Now(), q, func(r *peerpb.RenewReply) { done(r, nil) })
+		d.core.HandleLeaseRequest(d.loop.Now(), q, func(r *peerpb.RenewReply) { done(r, nil) })
 	}) {
 		done(nil, &BusyError{})
 	}
 }
 
 // Raft implements peer.Node.
-func (d desk) Raft(q *peerpb.RaftRequest, done func(*peerpb.RaftReply, error)) {
-	if !d.Do(func() { done(d.core.Raft(d.loop.Now(), q), nil) }) {
+func (d operatorAPI) Raft(q *peerpb.RaftRequest, done func(*peerpb.RaftReply, error)) {
+	if !d.Do(func() { done(d.core.HandleRaft(d.loop.Now(), q), nil) }) {
 		done(nil, &BusyError{})
 	}
 }
 
 // Replay implements peer.Node.
-func (d desk) Replay(q *peerpb.ReplayRequest, done func(*peerpb.ReplayReply, error)) {
+func (d operatorAPI) Replay(q *peerpb.ReplayRequest, done func(*peerpb.ReplayReply, error)) {
 	if !d.Do(func() {
 		d.core.Replay(d.loop.Now(), q, func(r *peerpb.ReplayReply) { done(r, nil) })
 	}) {
@@ -377,7 +384,7 @@
 }
 
 // Write implements peer.Node.
-func (d desk) Write(q *peerpb.WriteRequest, done func(*peerpb.WriteReply, error)) {
+func (d operatorAPI) Write(q *peerpb.WriteRequest, done func(*peerpb.WriteReply, error)) {
 	kind, err := kindOf(q.Kind)
 	if err != nil {
 		done(nil, err)
@@ -390,7 +397,7 @@
 	local := sitesync.LocalWrite{Kind: kind, Subject: q.Thing, Value: []byte(q.Value), By: q.By, Urgent: q.Urgent, Token: q.Token}
 	if !d.Do(func() {
 		d.core.Write(d.loop.Now(), local, func(r Reply, err error) {
-			if p := d.leaderOf(err, q.Forwarded); p != nil {
+			if p := d.leaderClient(err, q.Forwarded); p != nil {
 				q.Forwarded = true
 				p.Write(q, done)
 				return
@@ -399,15 +406,15 @@
 				done(nil, err)
 				return
 			}
-			done(&peerpb.WriteReply{Id: writtenID(r.Effects), Token: d.core.writes.Token()}, nil)
+			done(&peerpb.WriteReply{Id: writtenID(r.Effects), Token: d.core.siteSync.Token()}, nil)
 		})
 	}) {
 		done(nil, &BusyError{})
 	}
 }
 
-// Read implements peer.Node. A seat answers from what is applied there; another node asks the leader.
-func (d desk) Read(q *peerpb.ReadRequest, done func(*peerpb.ReadReply, error)) {
+// Read implements peer.Node. A replica answers from its applied state; a node without one forwards the call to the leader.
+func (d operatorAPI) Read(q *peerpb.ReadRequest, done func(*peerpb.ReadReply, error)) {
 	kind, err := kindOf(q.Kind)
 	if err != nil && q.Kind != "" {
 		done(nil, err)
@@ -415,7 +422,7 @@
 	}
 	if !d.Do(func() {
 		r, err := d.core.Read(kind, q.Thing, q.Id)
-		if p := d.leaderOf(err, q.Forwarded); p != nil {
+		if p := d.leaderClient(err, q.Forwarded); p != nil {
 			q.Forwarded = true
 			p.Read(q, done)
 			return
@@ -426,9 +433,9 @@
 	}
 }
 
-// leaderOf returns the client of the node that a call has to go to, or nil where it is not to be passed on.
-func (d desk) leaderOf(err error, forwarded bool) *peer.Client {
-	var elsewhere *ElsewhereError
+// leaderClient returns the client of the leader to which a failed call must be forwarded, or nil if it must not be forwarded.
+func (d operatorAPI) leaderClient(err error, forwarded bool) *peer.Client {
+	var elsewhere *NotLeaderError
 	if !forwarded && errors.As(err, &elsewhere) {
 		return d.peers[elsewhere.Leader]
 	}
@@ -436,72 +443,73 @@
 }
 
 // Ask implements peer.Node.
-func (d desk) Ask(q *peerpb.AskRequest, done func(*peerpb.TurnReply, error)) {
+func (d operatorAPI) Ask(q *peerpb.AskRequest, done func(*peerpb.TurnReply, error)) {
 	if q.Id == "" {
 		q.Id = fmt.Sprintf("%s-%x", q.Host, d.loop.Now()/time.Millisecond)
 	}
-	ask := &turns.Request{ID: q.Id, Host: q.Host, Duration: time.Duration(q.Minutes) * time.Minute,
+	request := &turns.Request{ID: q.Id, Host: q.Host, Duration: time.Duration(q.Minutes) * time.Minute,
 		NotBefore: time.Duration(q.NotBeforeS) * time.Second, FinishBy: time.Duration(q.FinishByS) * time.Second,
 		Urgency: int(q.Urgency), Requester: q.By}
-	d.call(Call{turns.Command{Request: ask}, q.Id}, q.Forwarded, done, func(p *peer.Client) {
+	d.submit(Call{turns.Command{Request: request}, q.Id}, q.Forwarded, done, func(p *peer.Client) {
 		q.Forwarded = true
 		p.Ask(q, done)
 	})
 }
 
 // Begin implements peer.Node.
-func (d desk) Begin(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
-	d.turn(turns.Command{Begin: ref(q)}, q, done, (*peer.Client).Begin)
+func (d operatorAPI) Begin(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
+	d.changeTurn(turns.Command{Begin: ref(q)}, q, done, (*peer.Client).Begin)
 }
 
 // Done implements peer.Node.
-func (d desk) Done(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
-	d.turn(turns.Command{Done: ref(q)}, q, done, (*peer.Client).Done)
+func (d operatorAPI) Done(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
+	d.changeTurn(turns.Command{Done: ref(q)}, q, done, (*peer.Client).Done)
 }
 
 // Withdraw implements peer.Node.
-func (d desk) Withdraw(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
-	d.turn(turns.Command{Withdraw: ref(q)}, q, done, (*peer.Client).Withdraw)
+func (d operatorAPI) Withdraw(q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error)) {
+	d.changeTurn(turns.Command{Withdraw: ref(q)}, q, done, (*peer.Client).Withdraw)
 }
 
 func ref(q *peerpb.TurnRequest) *turns.Ref { return &turns.Ref{ID: q.Id, Why: q.Why} }
 
-func (d desk) turn(cmd turns.Command, q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error),
-	pass func(*peer.Client, *peerpb.TurnRequest, func(*peerpb.TurnReply, error))) {
-	d.call(Call{cmd, q.Id}, q.Forwarded, done, func(p *peer.Client) {
+func (d operatorAPI) changeTurn(cmd turns.Command, q *peerpb.TurnRequest, done func(*peerpb.TurnReply, error),
+	forward func(*peer.Client, *peerpb.TurnRequest, func(*peerpb.TurnReply, error))) {
+	d.submit(Call{cmd, q.Id}, q.Forwarded, done, func(p *peer.Client) {
 		q.Forwarded = true
-		pass(p, q, done)
+		forward(p, q, done)
 	})
 }
 
-// call brings a call before the council, here or through the node that leads it.
-func (d desk) call(call Call, forwarded bool, done func(*peerpb.TurnReply, error), pass func(*peer.Client)) {
+// submit proposes a call, here or through the node that leads.
+func (d operatorAPI) submit(call Call, forwarded bool, done func(*peerpb.TurnReply, error), forward func(*peer.Client)) {
 	if !d.Do(func() {
-		d.core.Do(d.loop.Now(), call, func(r Reply, err error) {
-			if p := d.leaderOf(err, forwarded); p != nil {
-				pass(p)
+		d.core.Submit(d.loop.Now(), call, func(r Reply, err error) {
+			if p := d.leaderClient(err, forwarded); p != nil {
+				forward(p)
 				return
 			}
 			if err != nil {
 				done(nil, err)
 				return
 			}
-			done(&peerpb.TurnReply{Turn: d.told(r.Turn)}, nil)
+			done(&peerpb.TurnReply{Turn: d.turnMessage(r.Turn)}, nil)
 		})
 	}) {
 		done(nil, &BusyError{})
 	}
 }
 
-// told is a turn as operators are told of it.
-func (d desk) told(t turns.Turn) *peerpb.Turn {
+// turnMessage returns a turn in the form for operators.
+func (d operatorAPI) turnMessage(t turns.Turn) *peerpb.Turn {
 	return &peerpb.Turn{Id: t.ID, Host: t.Host, Phase: t.Phase.String(), By: t.Requester, Round: t.Round,
-		WaitsFor: d.core.Blockers(d.loop.Now(), t), SinceMs: int64(t.Since / time.Millisecond),
+		WaitsFor: d.core.BlockerTexts(d.loop.Now(), t), SinceMs: int64(t.Since / time.Millisecond),
 		Minutes: uint32(t.Duration / time.Minute)}
 }
 
-// Turns implements peer.Node. The leader's book tells most; where it is not reached, another seat's own serves.
-func (d desk) Turns(q *peerpb.TurnsRequest, done func(*peerpb.TurnsReply, error)) {
+// Turns implements peer.Node. The leader answers with the most detail; if it is not known here, this node's own schedule is
+// returned.
+func (d operatorAPI) Turns(q *peerpb.TurnsRequest, done func(*peerpb.TurnsReply, error)) {
 	if !d.Do(func() {
 		leader := d.core.Leader()
 		if p := d.peers[leader]; p != nil && !d.core.Leading() && !q.Forwarded {
@@ -509,9 +517,9 @@
 			p.Turns(q, done)
 			return
 		}
-		r := &peerpb.TurnsReply{Leader: leader, Applied: d.core.Applied(), Seats: d.core.Seats(), Seat: d.core.Standing(d.loop.Now())}
-		for _, t := range d.core.Book().Turns() {
-			r.Turns = append(r.Turns, d.told(t))
+		r := &peerpb.TurnsReply{Leader: leader, Applied: d.core.AppliedIndex(), Seats: d.core.Seats(), Seat: d.core.Standing(d.loop.Now())}
+		for _, t := range d.core.Schedule().Turns() {
+			r.Turns = append(r.Turns, d.turnMessage(t))
 		}
 		done(r, nil)
 	}) {
@@ -520,18 +528,18 @@
 }
 
 // DeclareDead implements peer.Node.
-func (d desk) DeclareDead(q *peerpb.DeclareRequest, done func(*peerpb.DeclareReply, error)) {
+func (d operatorAPI) DeclareDead(q *peerpb.DeclareRequest, done func(*peerpb.DeclareReply, error)) {
 	if !q.IKnowThatItMayStillSend {
-		done(nil, &RiskError{Node: q.Node})
+		done(nil, &DeadNodeRiskError{Node: q.Node})
 		return
 	}
 	d.declare(turns.Command{Dead: declaration(q)}, q, true, done, (*peer.Client).DeclareDead)
 }
 
 // TakeIn implements peer.Node.
-func (d desk) TakeIn(q *peerpb.DeclareRequest, done func(*peerpb.DeclareReply, error)) {
+func (d operatorAPI) TakeIn(q *peerpb.DeclareRequest, done func(*peerpb.DeclareReply, error)) {
 	if !d.Do(func() {
-		if d.core.TakeIn(q.Node) {
+		if d.core.AdmitReplica(q.Node) {
 			done(&peerpb.DeclareReply{Node: q.Node}, nil)
 			return
 		}
@@ -541,24 +549,24 @@
 	}
 }
 
-// Vouch implements peer.Node. It is carried out at the node that it names.
-func (d desk) Vouch(q *peerpb.VouchRequest, done func(*peerpb.SeatReply, error)) {
-	d.seat(q.Node, q.Forwarded, done, func() error { return d.core.Vouch(d.loop.Now(), q) }, func(p *peer.Client) {
+// Vouch implements peer.Node. It is carried out on the node that it names.
+func (d operatorAPI) Vouch(q *peerpb.VouchRequest, done func(*peerpb.SeatReply, error)) {
+	d.onNode(q.Node, q.Forwarded, done, func() error { return d.core.Vouch(d.loop.Now(), q) }, func(p *peer.Client) {
 		q.Forwarded = true
 		p.Vouch(q, done)
 	})
 }
 
-// FoundAnew implements peer.Node. It is carried out at the node that it names.
-func (d desk) FoundAnew(q *peerpb.FoundRequest, done func(*peerpb.SeatReply, error)) {
-	d.seat(q.Node, q.Forwarded, done, func() error { return d.core.FoundAnew(d.loop.Now(), q) }, func(p *peer.Client) {
+// FoundAnew implements peer.Node. It is carried out on the node that it names.
+func (d operatorAPI) FoundAnew(q *peerpb.FoundRequest, done func(*peerpb.SeatReply, error)) {
+	d.onNode(q.Node, q.Forwarded, done, func() error { return d.core.FoundAnew(d.loop.Now(), q) }, func(p *peer.Client) {
 		q.Forwarded = true
 		p.FoundAnew(q, done)
 	})
 }
 
-// seat carries a word about a node's seat out there.
-func (d desk) seat(node string, forwarded bool, done func(*peerpb.SeatReply, error), do func() error, pass func(*peer.Client)) {
+// onNode carries out an operator's command about a node's replica on that node.
+func (d operatorAPI) onNode(node string, forwarded bool, done func(*peerpb.SeatReply, error), do func() error, forward func(*peer.Client)) {
 	if !d.Do(func() {
 		switch p := d.peers[node]; {
 		case node == d.site.Node:
@@ -568,9 +576,9 @@
 			}
 			done(&peerpb.SeatReply{Node: node, Seats: d.core.Seats()}, nil)
 		case p == nil || forwarded:
-			done(nil, &NameError{What: "node", Name: node, Want: "the name of a node with a seat in this site"})
+			done(nil, &UnknownNameError{Kind: "node", Name: node, Expected: "the name of a node with a seat in this site"})
 		default:
-			pass(p)
+			forward(p)
 		}
 	}) {
 		done(nil, &BusyError{})
@@ -581,9 +589,9 @@
 	return &turns.Declaration{Node: q.Node, By: q.By, Why: q.Why}
 }
 
-func (d desk) declare(cmd turns.Command, q *peerpb.DeclareRequest, dead bool, done func(*peerpb.DeclareReply, error),
-	pass func(*peer.Client, *peerpb.DeclareRequest, func(*peerpb.DeclareReply, error))) {
-	d.call(Call{Command: cmd}, q.Forwarded, func(_ *peerpb.TurnReply, err error) {
+func (d operatorAPI) declare(cmd turns.Command, q *peerpb.DeclareRequest, dead bool, done func(*peerpb.DeclareReply, error),
+	forward func(*peer.Client, *peerpb.DeclareRequest, func(*peerpb.DeclareReply, error))) {
+	d.submit(Call{Command: cmd}, q.Forwarded, func(_ *peerpb.TurnReply, err error) {
 		if err != nil {
 			done(nil, err)
 			return
@@ -591,6 +599,6 @@
 		done(&peerpb.DeclareReply{Node: q.Node, Dead: dead}, nil)
 	}, func(p *peer.Client) {
 		q.Forwarded = true
-		pass(p, q, done)
+		forward(p, q, done)
 	})
 }
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -56,13 +56,13 @@
 }
 
 func (c *Core) encode() ([]byte, error) {
-	book, err := c.book.Encode()
+	book, err := c.schedule.Encode()
 	if err != nil {
 		return nil, err
 	}
 	s := snapshot{Book: book, Seats: c.seating}
-	if c.writes != nil {
-		s.Writes = c.writes.Encode()
+	if c.siteSync != nil {
+		s.Writes = c.siteSync.Encode()
 	}
 	if c.policies.top != nil {
 		s.Policies = c.policies.top.Encode()
@@ -71,7 +71,7 @@
 }
 
 func (c *Core) decode(raw []byte) error {
-	c.book, c.writes, c.policies.top, c.policies.told = turns.New(), nil, nil, map[string]uint64{}
+	c.schedule, c.siteSync, c.policies.top, c.policies.told = turns.New(), nil, nil, map[string]uint64{}
 	c.seating = seating{}
 	c.known()
 	if len(raw) == 0 {
@@ -82,11 +82,11 @@
 	c.seating = s.Seats
 	c.known()
 	if err == nil {
-		c.book, err = turns.Decode(s.Book)
+		c.schedule, err = turns.Decode(s.Book)
 	}
 	if err == nil && s.Writes != nil {
-		if c.writes, err = sitesync.Decode(s.Writes, MergeEvidence); err == nil {
-			c.writes.WithRetention(rollout.StripEvidence)
+		if c.siteSync, err = sitesync.Decode(s.Writes, MergeEvidence); err == nil {
+			c.siteSync.WithRetention(rollout.StripEvidence)
 		}
 	}
 	if err == nil && s.Policies != nil {
@@ -116,36 +116,36 @@
 
 // write takes an entry about writes over.
 func (c *Core) write(index uint64, e written) (effects []sitesync.Effect, err error) {
-	c.stamp = max(c.stamp, e.At)
+	c.lastStamp = max(c.lastStamp, e.At)
 	if e.Place != nil {
-		if c.writes == nil {
-			c.writes = sitesync.New(*e.Place, e.Limits).WithMerge(MergeEvidence).WithRetention(rollout.StripEvidence)
+		if c.siteSync == nil {
+			c.siteSync = sitesync.New(*e.Place, e.Limits).WithMerge(MergeEvidence).WithRetention(rollout.StripEvidence)
 			c.crown()
 		}
 		return nil, nil
 	}
-	if c.writes == nil || e.Command == nil {
+	if c.siteSync == nil || e.Command == nil {
 		return nil, nil
 	}
-	effects = c.writes.Apply(e.At, *e.Command)
+	effects = c.siteSync.Apply(e.At, *e.Command)
 	c.planned(index, e.At, effects)
 	for _, f := range effects {
 		switch f.Kind {
 		case sitesync.EffectApplied:
 			if f.Write.Kind == sitesync.Safety {
-				c.hosts.at = 0 // a leader looks at once
+				c.hostView.nextMergeAt = 0 // a leader looks at once
 			}
 		case sitesync.EffectRefused:
 			err = f.Err
 		case sitesync.EffectReceipt:
 			if r := f.Receipt; c.leading && r.Outcome != sitesync.Applied {
-				c.env.Tell("a write of this site was not simply taken", "write", r.ID.String(), "outcome", r.Outcome.String(),
+				c.env.Log("a write of this site was not simply taken", "write", r.ID.String(), "outcome", r.Outcome.String(),
 					"why", r.Why, "by", r.Site)
 			}
 		case sitesync.EffectIncarnationEnded:
-			c.env.Tell("a site has lost its store; what it wrote and did not send is lost", "last known write", f.ID.String())
+			c.env.Log("a site has lost its store; what it wrote and did not send is lost", "last known write", f.ID.String())
 		case sitesync.EffectStaleStore:
-			c.env.Tell("this site's writes are older than what it told before: an old store was put back", "known above", f.ID.String())
+			c.env.Log("this site's writes are older than what it told before: an old store was put back", "known above", f.ID.String())
 		}
 	}
 	return effects, err
@@ -153,30 +153,30 @@
 
 // proposeWrite brings a command about writes before the council; done is called with what it brought, or why nothing.
 func (c *Core) proposeWrite(now time.Duration, w written, done func(Reply, error)) {
-	w.At = c.stamped(now)
-	seq := c.put(entry{Writes: &w})
+	w.At = c.nextStamp(now)
+	seq := c.proposeEntry(entry{Writes: &w})
 	switch {
 	case seq == 0 && done != nil:
 		done(Reply{}, &NoLeaderError{Site: c.Site.Own.Name})
 	case done != nil:
-		c.waiters[seq] = waiter{id: "write", until: now + callWithin, done: done}
+		c.pendingCalls[seq] = pendingCall{id: "write", deadline: now + callTimeout, done: done}
 	}
 }
 
 // Write commits a write of this site. done is called once, with an *ElsewhereError where another node leads.
 func (c *Core) Write(now time.Duration, l sitesync.LocalWrite, done func(Reply, error)) {
 	switch {
-	case c.stop != nil:
-		done(Reply{}, c.stop)
-	case c.leading && c.writes != nil:
+	case c.stopCause != nil:
+		done(Reply{}, c.stopCause)
+	case c.leading && c.siteSync != nil:
 		cmd := sitesync.Command{Write: &l}
-		if err := c.writes.Check(cmd); err != nil {
+		if err := c.siteSync.Check(cmd); err != nil {
 			done(Reply{}, err)
 			return
 		}
 		c.tell().CountLocalWrite(now)
 		c.proposeWrite(now, written{Command: &cmd}, done)
-		c.drive(now)
+		c.processReady(now)
 	default:
 		done(Reply{}, c.elsewhere())
 	}
@@ -187,15 +187,15 @@
 	if c.leader == "" || c.leader == c.Site.Node {
 		return &NoLeaderError{Site: c.Site.Own.Name}
 	}
-	return &ElsewhereError{Leader: c.leader}
+	return &NotLeaderError{Leader: c.leader}
 }
 
 // tell returns the leader's teller.
 func (c *Core) tell() *sitesync.CreditScheduler {
-	if c.teller == nil {
-		c.teller, c.callers, c.taking = sitesync.NewCreditScheduler(budget), map[sitesync.SiteIncarnation]bool{}, map[string]int{}
+	if c.creditScheduler == nil {
+		c.creditScheduler, c.knownCallers, c.pendingBatches = sitesync.NewCreditScheduler(budget), map[sitesync.SiteIncarnation]bool{}, map[string]int{}
 	}
-	return c.teller
+	return c.creditScheduler
 }
 
 // Replay takes a call of a site below in; done is called with the answer, or with why there is none.
@@ -206,13 +206,13 @@
 		if errors.As(err, &told) {
 			r.Action = told.Action()
 		}
-		var other *ElsewhereError
+		var other *NotLeaderError
 		if errors.As(err, &other) {
 			r.Leader = other.Leader
 		}
 		done(r)
 	}
-	if c.stop != nil || !c.leading || c.writes == nil {
+	if c.stopCause != nil || !c.leading || c.siteSync == nil {
 		refuse(c.elsewhere())
 		return
 	}
@@ -225,32 +225,32 @@
 		b.Writes = nil // its credit is another leader's: it is answered, and sends them once more
 	}
 	if b.Probe {
-		a := c.writes.Answer(b, 0, 0)
-		if a.Working = c.taking[b.From.Site] > 0; !a.Working {
-			a.Credit, a.Wait = c.tell().Grant(now, b, c.writes.Room())
+		a := c.siteSync.Answer(b, 0, 0)
+		if a.Working = c.pendingBatches[b.From.Site] > 0; !a.Working {
+			a.Credit, a.Wait = c.tell().Grant(now, b, c.siteSync.Room())
 		}
 		done(&peerpb.ReplayReply{Answer: a.Bytes()})
 		return
 	}
 	answer := func() {
-		credit, wait := c.tell().Grant(now, b, c.writes.Room())
-		r := &peerpb.ReplayReply{Answer: c.writes.Answer(b, credit, wait).Bytes()}
+		credit, wait := c.tell().Grant(now, b, c.siteSync.Room())
+		r := &peerpb.ReplayReply{Answer: c.siteSync.Answer(b, credit, wait).Bytes()}
 		if age, heard := c.topAge(now); heard { // by when the call came: the answer may wait for a commit
 			us := uint64(age / time.Microsecond)
 			r.AgeUs = &us
 		}
 		done(r)
 	}
-	if own := c.writes.Unoffered(); own != nil {
+	if own := c.siteSync.Unoffered(); own != nil {
 		c.proposeWrite(now, written{Command: own}, nil)
 	}
 	caller := sitesync.SiteIncarnation{Site: b.From.Site, Incarnation: b.From.Incarnation}
-	if len(b.Writes) == 0 && c.callers[caller] && !c.writes.HasNews(b) {
+	if len(b.Writes) == 0 && c.knownCallers[caller] && !c.siteSync.HasNews(b) {
 		answer()
 		return
 	}
-	c.callers[caller] = true
-	taking := c.taking
+	c.knownCallers[caller] = true
+	taking := c.pendingBatches
 	taking[caller.Site]++
 	c.proposeWrite(now, written{Command: &sitesync.Command{Batch: b}}, func(_ Reply, err error) {
 		taking[caller.Site]--
@@ -260,28 +260,28 @@
 		}
 		answer()
 	})
-	c.drive(now)
+	c.processReady(now)
 }
 
 // carry has the leader's courier make its next call.
 func (c *Core) carry(now time.Duration) {
-	if c.writes == nil || len(c.Site.Ancestors) == 0 {
+	if c.siteSync == nil || len(c.Site.Ancestors) == 0 {
 		return
 	}
-	if c.courier == nil {
+	if c.forwarder == nil {
 		p := pace
 		p.MinTimeout = leastTicks * c.Site.Tick
-		c.courier = sitesync.NewForwarder(func() *sitesync.Site { return c.writes }, p)
-		c.upAt = map[string]int{}
+		c.forwarder = sitesync.NewForwarder(func() *sitesync.Site { return c.siteSync }, p)
+		c.ancestorReplica = map[string]int{}
 	}
-	if c.calling != "" && now >= c.callUntil {
+	if c.callTarget != "" && now >= c.callDeadline {
 		c.callFailed(now)
 	}
-	if offer := c.courier.Offer(); offer != nil && now >= c.offerAt {
-		c.offerAt = now + proposeWithin
-		c.proposeWrite(now, written{Command: offer}, func(Reply, error) { c.offerAt = 0 })
+	if offer := c.forwarder.Offer(); offer != nil && now >= c.nextOfferAt {
+		c.nextOfferAt = now + proposalTimeout
+		c.proposeWrite(now, written{Command: offer}, func(Reply, error) { c.nextOfferAt = 0 })
 	}
-	to, b, _ := c.courier.Next(now)
+	to, b, _ := c.forwarder.Next(now)
 	if b == nil {
 		return
 	}
@@ -289,29 +289,29 @@
 		if g.Name != to {
 			continue
 		}
-		c.calls++
-		within := c.courier.CallTimeout()
-		c.calling, c.calledAt, c.callUntil = to, now, now+within
-		c.env.SendReplay(g.Voters[c.upAt[to]%len(g.Voters)], c.calls, within, &peerpb.ReplayRequest{Site: c.Site.Own.Name, Batch: b.Bytes()})
+		c.callNumber++
+		within := c.forwarder.CallTimeout()
+		c.callTarget, c.callStartedAt, c.callDeadline = to, now, now+within
+		c.env.SendReplay(g.Voters[c.ancestorReplica[to]%len(g.Voters)], c.callNumber, within, &peerpb.ReplayRequest{Site: c.Site.Own.Name, Batch: b.Bytes()})
 		return
 	}
 }
 
 // Replayed takes what became of a call upwards over; r is nil where there was no answer.
 func (c *Core) Replayed(now time.Duration, call uint64, r *peerpb.ReplayReply) {
-	if c.stop != nil || c.courier == nil || call != c.calls || c.calling == "" {
+	if c.stopCause != nil || c.forwarder == nil || call != c.callNumber || c.callTarget == "" {
 		return // of another leader's time, or given up
 	}
 	if r == nil || r.Refused != "" {
-		to := c.calling
-		if r != nil && r.Action != "" && r.Leader == "" && r.Refused != c.refused {
-			c.refused = r.Refused
-			c.env.Tell("a site above refuses what this one sends", "site", to, "why", r.Refused, "action", r.Action)
+		to := c.callTarget
+		if r != nil && r.Action != "" && r.Leader == "" && r.Refused != c.lastRefusal {
+			c.lastRefusal = r.Refused
+			c.env.Log("a site above refuses what this one sends", "site", to, "why", r.Refused, "action", r.Action)
 		}
 		if i := seatOf(c.Site.Ancestors, to, r.GetLeader()); i >= 0 {
-			c.upAt[to], c.calling = i, ""
-			c.courier.Redirected(now)
-			c.drive(now)
+			c.ancestorReplica[to], c.callTarget = i, ""
+			c.forwarder.Redirected(now)
+			c.processReady(now)
 			return
 		}
 		c.callFailed(now)
@@ -319,17 +319,17 @@
 	}
 	a, err := sitesync.ParseAnswer(r.Answer)
 	if err != nil {
-		c.env.Tell("what a site above answers cannot be read", "site", c.calling, "error", err)
+		c.env.Log("what a site above answers cannot be read", "site", c.callTarget, "error", err)
 		c.callFailed(now)
 		return
 	}
-	c.calling = ""
+	c.callTarget = ""
 	heard := func() {}
 	if r.AgeUs != nil && a.Down != nil && a.Down.Last {
-		at := c.calledAt - time.Duration(*r.AgeUs)*time.Microsecond
+		at := c.callStartedAt - time.Duration(*r.AgeUs)*time.Microsecond
 		heard = func() { c.heardTop(at) }
 	}
-	if cmd := c.courier.Answered(now, a); cmd != nil {
+	if cmd := c.forwarder.Answered(now, a); cmd != nil {
 		c.proposeWrite(now, written{Command: cmd}, func(_ Reply, err error) {
 			if err == nil && c.leading { // now it holds here
 				heard()
@@ -338,14 +338,14 @@
 	} else {
 		heard()
 	}
-	c.drive(now)
+	c.processReady(now)
 }
 
 // callFailed goes on to the next seat of the site that was called.
 func (c *Core) callFailed(now time.Duration) {
-	c.upAt[c.calling]++
-	c.calling = ""
-	c.courier.Failed(now)
+	c.ancestorReplica[c.callTarget]++
+	c.callTarget = ""
+	c.forwarder.Failed(now)
 }
 
 // seatOf returns the place of a node among the seats of a site above, or -1.
@@ -362,9 +362,9 @@
 
 // begin returns the entry that a site's writes begin with. It may be the first that is stamped.
 func (c *Core) begin(now time.Duration) written {
-	born := max(c.stamp, now)
+	born := max(c.lastStamp, now)
 	p := &sitesync.Place{Site: c.Site.Own.Name, Level: c.Site.Own.Level, StoreCreated: born,
-		Incarnation: uint64(born/time.Microsecond)<<8 | c.Run&0xff | 1} // rises, and no two are alike
+		Incarnation: uint64(born/time.Microsecond)<<8 | c.RunID&0xff | 1} // rises, and no two are alike
 	for _, g := range c.Site.Ancestors {
 		p.Ancestors = append(p.Ancestors, g.Name)
 	}
@@ -377,23 +377,23 @@
 
 // banned says whether a host was written out at this site, or above or below it.
 func (c *Core) banned(host string) bool {
-	if c.writes == nil {
+	if c.siteSync == nil {
 		return false
 	}
-	v, any := c.writes.Value(sitesync.Safety, "host/"+host)
+	v, any := c.siteSync.Value(sitesync.Safety, "host/"+host)
 	return any && strings.HasPrefix(string(v.Value), "out")
 }
 
 // Read tells what holds here of a thing, and what became of a write.
 func (c *Core) Read(kind sitesync.Kind, thing, id string) (*peerpb.ReadReply, error) {
-	if !c.follows() || c.writes == nil {
+	if !c.follows() || c.siteSync == nil {
 		return nil, c.elsewhere()
 	}
-	r := &peerpb.ReadReply{Token: c.writes.Token()}
-	own, others := c.writes.Waiting()
+	r := &peerpb.ReadReply{Token: c.siteSync.Token()}
+	own, others := c.siteSync.Waiting()
 	r.Waiting = int32(own + others)
 	if thing != "" {
-		if v, any := c.writes.Value(kind, thing); any {
+		if v, any := c.siteSync.Value(kind, thing); any {
 			r.Found, r.Value, r.By, r.Origin = true, string(v.Value), v.Write.By, v.Write.ID.Origin.Site
 		}
 	}
@@ -402,9 +402,9 @@
 		if err != nil {
 			return nil, err
 		}
-		if c.writes.Judged().Has(d) {
+		if c.siteSync.Judged().Has(d) {
 			r.Receipt = sitesync.Applied.String()
-			if v, not := c.writes.Refusal(d); not {
+			if v, not := c.siteSync.Refusal(d); not {
 				r.Receipt, r.Why = v.Outcome.String(), v.Why
 			}
 		}
@@ -425,7 +425,7 @@
 		}
 	}
 	if !ok || dot <= 0 || err != nil {
-		return d, &NameError{What: "id", Name: text, Want: "as the answer to Write gave it"}
+		return d, &UnknownNameError{Kind: "id", Name: text, Expected: "as the answer to Write gave it"}
 	}
 	return d, nil
 }
@@ -437,7 +437,7 @@
 			return k, nil
 		}
 	}
-	return 0, &NameError{What: "kind", Name: name, Want: "safety, policy, work or note"}
+	return 0, &UnknownNameError{Kind: "kind", Name: name, Expected: "safety, policy, work or note"}
 }
 
 // writtenID is the name of the write that a commit brought.
--- a/internal/control/writes_test.go
+++ b/internal/control/writes_test.go
@@ -34,7 +34,7 @@
 		_, err := MergeEvidence(c.a, c.b)
 		assert.Equal(t, c.ok, err == nil, "%q %q: %v", c.a, c.b, err)
 	}
-	c := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
+	c := &Core{Options: Options{Site: &site.Site{}}, schedule: turns.New()}
 	_, err = c.write(1, written{Place: &sitesync.Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"p"}},
 		Limits: sitesync.Limits{Bytes: 1 << 20, Number: 100, Batch: 9}})
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 		_, err = c.write(1, written{Command: &sitesync.Command{Write: l}})
 		require.NoError(t, err)
 	}
-	v, _ := c.writes.Value(sitesync.Evidence, rollout.NodeKey("n"))
+	v, _ := c.siteSync.Value(sitesync.Evidence, rollout.NodeKey("n"))
 	assert.Equal(t, string(record("n", 3)), string(v.Value))
 	id, err := parseID(v.Write.ID.String())
 	require.NoError(t, err)
@@ -68,7 +68,7 @@
 
 // ofNodes is the top above a site each of whose nodes has told its record so many times.
 func ofNodes(nodes, times int) (*Core, error) {
-	c := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
+	c := &Core{Options: Options{Site: &site.Site{}}, schedule: turns.New()}
 	_, err := c.write(1, written{Place: &sitesync.Place{Site: "p", Incarnation: 1}, Limits: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Batch: 256}})
 	from := sitesync.Origin{Site: "b", Incarnation: 1, Evidence: true}
 	tree := rollout.Tree{Sites: []rollout.Site{{Name: "p"}, {Name: "b", Parent: "p"}}}
@@ -101,15 +101,15 @@
 	assert.Contains(t, plan, "class 14")
 	raw, err := c.encode()
 	require.NoError(t, err)
-	other := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
+	other := &Core{Options: Options{Site: &site.Site{}}, schedule: turns.New()}
 	require.NoError(t, other.decode(raw))
 	again, err := other.encode()
 	require.NoError(t, err)
 	require.Equal(t, string(raw), string(again))
 	for _, seat := range []*Core{c, other} {
-		assert.Less(t, len(seat.writes.Encode()), 4096)
+		assert.Less(t, len(seat.siteSync.Encode()), 4096)
 		assert.Equal(t, plan, string(seat.policies.top.Encode()))
-		v, _ := seat.writes.Value(sitesync.Evidence, rollout.NodeKey("n1"))
+		v, _ := seat.siteSync.Value(sitesync.Evidence, rollout.NodeKey("n1"))
 		assert.Equal(t, string(record("n1", 4)), string(v.Value))
 		assert.Equal(t, uint64(4), seat.recorded(0, "n1", nil), "a new leader knows how far the node has told")
 		l := &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.NodeKey("n1"), Value: full("n1", 9, 17)} // of the top's own site
@@ -119,7 +119,7 @@
 		assert.Equal(t, uint64(9), seat.recorded(0, "n1", nil))
 	}
 	assert.Equal(t, string(c.policies.top.Encode()), string(other.policies.top.Encode()))
-	assert.Equal(t, string(c.writes.Encode()), string(other.writes.Encode()))
+	assert.Equal(t, string(c.siteSync.Encode()), string(other.siteSync.Encode()))
 }
 
 // BenchmarkSnapshot is the whole state of a top whose nodes have told records of some 56 KiB twice.
@@ -142,7 +142,7 @@
 // TestAQuestionIsAnsweredAtOnce without a commit and without the top's age, and says whether writes of an earlier call are being
 // agreed on.
 func TestAQuestionIsAnsweredAtOnce(t *testing.T) {
-	a := newAlone(t)
+	a := newSoleVoter(t)
 	call := func(b sitesync.Batch) (got *sitesync.Answer, r *peerpb.ReplayReply) {
 		b.From = sitesync.Place{Site: "b", Level: 1, Incarnation: 1}
 		a.core.Replay(a.now, &peerpb.ReplayRequest{Site: "b", Batch: b.Bytes()}, func(reply *peerpb.ReplayReply) { r = reply })
@@ -152,16 +152,16 @@
 		return got, r
 	}
 	call(sitesync.Batch{})
-	applied := a.core.Applied()
+	applied := a.core.AppliedIndex()
 	got, r := call(sitesync.Batch{Probe: true, Waiting: 1})
-	assert.Equal(t, applied, a.core.Applied())
+	assert.Equal(t, applied, a.core.AppliedIndex())
 	assert.Nil(t, got.Down)
 	assert.Nil(t, r.AgeUs, "what holds there is not known here by it")
 	assert.Equal(t, 1, got.Credit)
 	w := sitesync.Write{ID: sitesync.ID{Origin: sitesync.Origin{Site: "b", Incarnation: 1}, Number: 1}, Kind: sitesync.Note, Subject: "x", Value: []byte("x")}
 	call(sitesync.Batch{Writes: []sitesync.Write{w}})
-	assert.Zero(t, a.core.taking["b"], "a council of one agrees at once")
-	a.core.taking["b"]++
+	assert.Zero(t, a.core.pendingBatches["b"], "a council of one agrees at once")
+	a.core.pendingBatches["b"]++
 	got, _ = call(sitesync.Batch{Probe: true, Waiting: 1, Queries: []sitesync.Origin{w.ID.Origin}})
 	assert.True(t, got.Working)
 	assert.Zero(t, got.Credit)
--- a/internal/query/restrictions.go
+++ b/internal/query/restrictions.go
@@ -21,37 +21,37 @@
 // withheld.
 type restrictions struct {
 	enabled       bool
-	verdict       sendlease.Restrictions
+	current       sendlease.Restrictions
 	withheldSince map[balance.ServerID]time.Duration // since when each host is withheld
 	suspended     map[balance.ServerID]bool          // the hosts that are withheld, of which the balancer was notified
 }
 
-// ApplyVerdict applies the latest verdict of the site's consensus group. It is complete and replaces the one
-// before. From its return on, nothing new is sent to excluded hosts: attempts whose first line was not yet written
-// end unsent.
-func (c *Core) ApplyVerdict(v sendlease.Restrictions) {
+// ApplyRestrictions applies the latest restrictions of the site's consensus group. They are complete and replace the
+// previous ones. From its return on, nothing new is sent to excluded hosts: attempts whose first line was not yet
+// written end unsent.
+func (c *Core) ApplyRestrictions(v sendlease.Restrictions) {
 	if c.restrictions.withheldSince == nil {
 		c.restrictions.withheldSince, c.restrictions.suspended = map[balance.ServerID]time.Duration{}, map[balance.ServerID]bool{}
 	}
-	c.restrictions.enabled, c.restrictions.verdict = true, v
+	c.restrictions.enabled, c.restrictions.current = true, v
 	c.syncWithheld()
 }
 
 // LeaseExpired reports whether this node needs a send lease of a consensus group, and its lease has expired.
 func (c *Core) LeaseExpired() bool {
-	return c.restrictions.enabled && c.clock.Now() >= c.restrictions.verdict.LeaseEnd
+	return c.restrictions.enabled && c.clock.Now() >= c.restrictions.current.LeaseEnd
 }
 
 // LacksExclusionSet reports whether this node has no send lease and has never received an exclusion set, so that
 // it may send nothing.
 func (c *Core) LacksExclusionSet() bool {
-	return c.LeaseExpired() && c.restrictions.verdict.AllAfterExpiry
+	return c.LeaseExpired() && c.restrictions.current.AllAfterExpiry
 }
 
-// withheld reports whether the verdict, or the expiry of the send lease, forbids to send anything new to a host.
+// withheld reports whether the restrictions, or the expiry of the send lease, forbid to send anything new to a host.
 // It reads the clock itself, so that a process that was suspended does not continue on a lease that has expired.
 func (c *Core) withheld(server balance.ServerID) bool {
-	return c.restrictions.enabled && c.restrictions.verdict.Excludes(string(server), c.clock.Now())
+	return c.restrictions.enabled && c.restrictions.current.Excludes(string(server), c.clock.Now())
 }
 
 // syncWithheld notifies the balancer of the hosts that are withheld now. A node that has never received an
@@ -63,11 +63,11 @@
 	}
 	now := c.clock.Now()
 	withhold := map[balance.ServerID]bool{}
-	for _, o := range c.restrictions.verdict.ExcludedHosts {
+	for _, o := range c.restrictions.current.ExcludedHosts {
 		withhold[balance.ServerID(o.Host)] = true
 	}
-	if now >= c.restrictions.verdict.LeaseEnd && !c.restrictions.verdict.AllAfterExpiry {
-		for _, host := range c.restrictions.verdict.ExcludedAfterExpiry {
+	if now >= c.restrictions.current.LeaseEnd && !c.restrictions.current.AllAfterExpiry {
+		for _, host := range c.restrictions.current.ExcludedAfterExpiry {
 			withhold[balance.ServerID(host)] = true
 		}
 	}
@@ -93,7 +93,7 @@
 // ClearedHosts returns the excluded hosts to which this node sends nothing new: no attempt is in progress there,
 // and the established connections were moved, or had clearTimeout to be moved.
 func (c *Core) ClearedHosts() (all []sendlease.ExcludedHost) {
-	if !c.restrictions.enabled || len(c.restrictions.verdict.ExcludedHosts) == 0 {
+	if !c.restrictions.enabled || len(c.restrictions.current.ExcludedHosts) == 0 {
 		return nil
 	}
 	trying, established := map[balance.ServerID]bool{}, map[balance.ServerID]bool{}
@@ -106,7 +106,7 @@
 		}
 	}
 	now := c.clock.Now()
-	for _, o := range c.restrictions.verdict.ExcludedHosts {
+	for _, o := range c.restrictions.current.ExcludedHosts {
 		server := balance.ServerID(o.Host)
 		if !trying[server] && (!established[server] || now-c.restrictions.withheldSince[server] >= clearTimeout) {
 			all = append(all, o)
@@ -115,8 +115,8 @@
 	return all
 }
 
-// Verdict returns the verdict that is in effect.
-func (c *Core) Verdict() sendlease.Restrictions { return c.restrictions.verdict }
+// Restrictions returns the restrictions that are in effect.
+func (c *Core) Restrictions() sendlease.Restrictions { return c.restrictions.current }
 
 // ObserveHosts returns what this node observes of the hosts in the list, for the site's consensus group. stale
 // says that discovery does not answer. A host that drains, or that started less than coldFor ago, is not warm.
--- a/internal/query/restrictions_test.go
+++ b/internal/query/restrictions_test.go
@@ -16,7 +16,7 @@
 func TestExcludedHostGetsNothingNewAtOnce(t *testing.T) {
 	env, c := newCore("a")
 	env.arrive(c, "")
-	c.ApplyVerdict(sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 7}}, LeaseEnd: env.now + time.Hour})
+	c.ApplyRestrictions(sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 7}}, LeaseEnd: env.now + time.Hour})
 	assert.Empty(t, c.ClearedHosts(), "an attempt is in progress there")
 	assert.False(t, env.allowSend(), "its first line was not yet written, and must not be written any more")
 	assert.Equal(t, []sendlease.ExcludedHost{{Host: "a", Round: 7}}, c.ClearedHosts())
@@ -28,7 +28,7 @@
 	env, c := newCore("a")
 	env.arrive(c, "")
 	env.last.Established(nil)
-	c.ApplyVerdict(sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 7}}, LeaseEnd: env.now + time.Hour})
+	c.ApplyRestrictions(sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 7}}, LeaseEnd: env.now + time.Hour})
 	assert.Empty(t, c.ClearedHosts())
 	env.advance(clearTimeout)
 	assert.Len(t, c.ClearedHosts(), 1)
@@ -37,7 +37,7 @@
 
 func TestExpiredSendLeaseIsNotUsed(t *testing.T) {
 	env, c := newCore("a", "b")
-	c.ApplyVerdict(sendlease.Restrictions{ExcludedAfterExpiry: []string{"a"}, LeaseEnd: env.now + time.Second})
+	c.ApplyRestrictions(sendlease.Restrictions{ExcludedAfterExpiry: []string{"a"}, LeaseEnd: env.now + time.Second})
 	var servers []balance.ServerID
 	for range 20 {
 		servers = append(servers, env.arrive(c, "").server)
@@ -56,14 +56,14 @@
 	for range 20 {
 		assert.NotEqual(t, balance.ServerID("a"), env.arrive(c, "").server)
 	}
-	c.ApplyVerdict(sendlease.Restrictions{ExcludedAfterExpiry: []string{"a"}, LeaseEnd: env.now + time.Hour})
+	c.ApplyRestrictions(sendlease.Restrictions{ExcludedAfterExpiry: []string{"a"}, LeaseEnd: env.now + time.Hour})
 	assert.False(t, c.LeaseExpired())
 	assert.NotContains(t, c.restrictions.suspended, balance.ServerID("a"), "with a new send lease the host is in use again")
 }
 
 func TestNodeWithoutAnExclusionSetSendsNothing(t *testing.T) {
 	env, c := newCore("a", "b")
-	c.ApplyVerdict(sendlease.Restrictions{AllAfterExpiry: true})
+	c.ApplyRestrictions(sendlease.Restrictions{AllAfterExpiry: true})
 	assert.True(t, c.LacksExclusionSet())
 	env.arrive(c, "")
 	for len(env.active) > 0 {
@@ -71,7 +71,7 @@
 	}
 	env.advance(3 * time.Second)
 	assert.Equal(t, []string{"throttle"}, env.answers, "nothing was sent, so trying again is harmless")
-	c.ApplyVerdict(sendlease.Restrictions{AllAfterExpiry: true, LeaseEnd: env.now + time.Hour})
+	c.ApplyRestrictions(sendlease.Restrictions{AllAfterExpiry: true, LeaseEnd: env.now + time.Hour})
 	env.arrive(c, "")
 	assert.True(t, env.allowSend())
 }
@@ -80,14 +80,14 @@
 	excluded := sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 1}}, LeaseEnd: 2 * time.Hour}
 	notExcluded := sendlease.Restrictions{LeaseEnd: 2 * time.Hour}
 	for name, steps := range map[string][4]func(*Core, time.Duration){
-		"ban, turn, ban ends, turn ends": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) },
-			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }},
-		"ban, turn, turn ends, ban ends": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) },
-			func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
-		"turn, ban, ban ends, turn ends": {func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
-			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }},
-		"turn, ban, turn ends, ban ends": {func(c *Core, _ time.Duration) { c.ApplyVerdict(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
-			func(c *Core, _ time.Duration) { c.ApplyVerdict(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
+		"ban, turn, ban ends, turn ends": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) },
+			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(notExcluded) }},
+		"ban, turn, turn ends, ban ends": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) },
+			func(c *Core, _ time.Duration) { c.ApplyRestrictions(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
+		"turn, ban, ban ends, turn ends": {func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
+			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(notExcluded) }},
+		"turn, ban, turn ends, ban ends": {func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
+			func(c *Core, _ time.Duration) { c.ApplyRestrictions(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
 	} {
 		env, c := newCore("a", "b")
 		for i, step := range steps {
--- a/rehearsal/province/askers.go
+++ b/rehearsal/province/askers.go
@@ -49,11 +49,11 @@
 	if n.paused || n.core == nil {
 		return
 	}
-	n.core.Do(n.clock(), control.Call{Command: cmd, ID: a.id}, func(r control.Reply, err error) {
+	n.core.Submit(n.clock(), control.Call{Command: cmd, ID: a.id}, func(r control.Reply, err error) {
 		if answered {
 			return
 		}
-		var elsewhere *control.ElsewhereError
+		var elsewhere *control.NotLeaderError
 		if errors.As(err, &elsewhere) {
 			answered = true
 			i := slices.IndexFunc(p.nodes, func(m *node) bool { return m.name == elsewhere.Leader })
--- a/rehearsal/province/check.go
+++ b/rehearsal/province/check.go
@@ -31,7 +31,7 @@
 // reader returns the seat of a site with the longest log, or nil where none of them runs.
 func (w *World) reader(p *place) (s *node) {
 	for _, n := range p.nodes[:len(p.group.Voters)] {
-		if n.up && n.core != nil && n.core.Applied() > 0 && (s == nil || n.core.Applied() > s.core.Applied()) {
+		if n.up && n.core != nil && n.core.AppliedIndex() > 0 && (s == nil || n.core.AppliedIndex() > s.core.AppliedIndex()) {
 			s = n
 		}
 	}
@@ -41,7 +41,7 @@
 // look reads what holds at a site, if more is applied there than was.
 func (w *World) look(p *place) {
 	s := w.reader(p)
-	if s == nil || s.core.Applied() <= p.looked {
+	if s == nil || s.core.AppliedIndex() <= p.looked {
 		return
 	}
 	for _, t := range w.things {
@@ -56,13 +56,13 @@
 		if x != p.shown[t] {
 			p.shown[t] = x
 			p.before[t] = append(p.before[t], x)
-			w.say(fmt.Sprint(p.name, " holds ", x, " of ", t.kind, " ", t.thing, " at ", s.name, " from ", s.core.Applied()))
+			w.say(fmt.Sprint(p.name, " holds ", x, " of ", t.kind, " ", t.thing, " at ", s.name, " from ", s.core.AppliedIndex()))
 		}
 		if t.kind == sitesync.Safety {
 			p.hand(w, t.thing, r.Value)
 		}
 	}
-	p.looked = s.core.Applied()
+	p.looked = s.core.AppliedIndex()
 	if p.tokened {
 		return
 	}
@@ -79,7 +79,7 @@
 
 // hands looks at the hosts that are written out, at a seat that answers a node.
 func (w *World) hands(s *node) {
-	if s.core.Applied() < s.site.looked {
+	if s.core.AppliedIndex() < s.site.looked {
 		return
 	}
 	for _, t := range w.things[:w.Hand] {
@@ -159,8 +159,8 @@
 					if n.core == nil || !n.core.Leading() {
 						continue
 					}
-					t, known := n.core.Book().Turn(a.id)
-					w.say(fmt.Sprint(n.name, " leads; known ", known, " ", t.Phase, " ", n.core.Blockers(n.clock(), t)))
+					t, known := n.core.Schedule().Turn(a.id)
+					w.say(fmt.Sprint(n.name, " leads; known ", known, " ", t.Phase, " ", n.core.BlockerTexts(n.clock(), t)))
 				}
 			}
 		}
--- a/rehearsal/province/leaders_test.go
+++ b/rehearsal/province/leaders_test.go
@@ -57,10 +57,10 @@
 		old := w.leads(p)
 		w.cutOff(old)
 		var err error
-		old.core.Do(old.clock(), askFor(0), func(_ control.Reply, e error) { err = e })
+		old.core.Submit(old.clock(), askFor(0), func(_ control.Reply, e error) { err = e })
 		require.NoError(t, err)
 		w.within(t, 5*time.Second, "it steps down", func() bool { return !old.core.Leading() })
-		assert.ErrorAs(t, err, new(*control.UnsettledError))
+		assert.ErrorAs(t, err, new(*control.OutcomeUnknownError))
 	}
 }
 
@@ -90,7 +90,7 @@
 		}
 		w.within(t, 10*time.Second, "nobody leads", func() bool {
 			return !slices.ContainsFunc(p.nodes[:3], func(n *node) bool {
-				st, _ := n.core.Seated()
+				st, _ := n.core.ReplicaStatus()
 				return st.Leader != 0
 			})
 		})
@@ -150,7 +150,7 @@
 		}
 	}
 	w.after(n.election(0), once)
-	n.core.Leave(n.clock(), func() { w.after(0, once) })
+	n.core.TransferLeadership(n.clock(), func() { w.after(0, once) })
 }
 
 func TestALeaderThatEndsAsPlannedHandsOver(t *testing.T) {
@@ -177,7 +177,7 @@
 			old := w.leads(p)
 			soon := askFor(0) // all nodes know of it by then, the one that ends too
 			soon.Command.Request.NotBefore = old.clock() + w.Lasts
-			old.core.Do(old.clock(), soon, func(_ control.Reply, err error) { require.NoError(t, err) })
+			old.core.Submit(old.clock(), soon, func(_ control.Reply, err error) { require.NoError(t, err) })
 			w.until(w.now + w.Lasts - w.any(w.Lasts/4))
 			ended := w.now
 			w.end(old, planned)
@@ -187,7 +187,7 @@
 			})
 			next = append(next, w.now-ended)
 			w.within(t, time.Minute, "the next work", func() bool {
-				turn, _ := w.leads(p).core.Book().Turn(soon.ID)
+				turn, _ := w.leads(p).core.Schedule().Turn(soon.ID)
 				return turn.Phase == turns.Granted
 			})
 			granted = append(granted, w.now-ended)
@@ -209,7 +209,7 @@
 		if n == leader || n.name == old {
 			continue
 		}
-		n.core.Renewed(n.clock(), &peerpb.RenewReply{Refused: "this node does not lead the council", Leader: old})
+		n.core.HandleLeaseResponse(n.clock(), &peerpb.RenewReply{Refused: "this node does not lead the council", Leader: old})
 		if n.file.IsVoter {
 			assert.Equal(t, leader.name, n.core.Leader())
 		} else {
