--- a/rehearsal/province/network.go
+++ b/rehearsal/province/network.go
@@ -12,11 +12,11 @@
 func (n *node) SendRaft(seat string, q *peerpb.RaftRequest) {
 	run := n.run
 	n.send(seat, proto.Size(q), func(to *node) {
-		r := to.core.Raft(to.clock(), q)
+		r := to.core.HandleRaft(to.clock(), q)
 		to.watch()
 		to.send(n.name, proto.Size(r), func(n *node) {
 			if n.run == run { // an answer goes to the process that asked
-				n.core.RaftReplied(n.clock(), r)
+				n.core.HandleRaftReply(n.clock(), r)
 			}
 		}, nil)
 	}, nil)
@@ -26,7 +26,7 @@
 func (n *node) SendRenew(seat string, q *peerpb.RenewRequest) {
 	run, asked := n.run, n.w.now
 	n.send(seat, proto.Size(q), func(to *node) {
-		to.core.Question(to.clock(), q, func(r *peerpb.RenewReply) {
+		to.core.HandleLeaseRequest(to.clock(), q, func(r *peerpb.RenewReply) {
 			if r.Refused == "" {
 				n.w.hands(to)
 			}
@@ -34,7 +34,7 @@
 				if n.run != run {
 					return
 				}
-				n.core.Renewed(n.clock(), r)
+				n.core.HandleLeaseResponse(n.clock(), r)
 				if r.Refused == "" {
 					n.later(binding+1, func() { n.asked = max(n.asked, asked) })
 				}
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -67,8 +67,8 @@
 		n.repeat(w.any(60*time.Millisecond), n.placing)
 		return
 	}
-	core, err := control.New(n.clock(), control.Options{Site: n.file, Life: n.life, Boot: n.boot, Run: n.run, Proven: w.Witness,
-		Durable: n.store, Saved: n.saved, Kept: n.kept, Check: func(control.Policy) error { return nil }}, n)
+	core, err := control.New(n.clock(), control.Options{Site: n.file, StoreIncarnation: n.life, OpenCount: n.boot, RunID: n.run, StoreVerified: w.Witness,
+		StoredState: n.store, SavedLease: n.saved, KeptPolicies: n.kept, CheckPolicy: func(control.Policy) error { return nil }}, n)
 	if err != nil {
 		w.broken(n.name + " does not start: " + err.Error())
 		n.up = false
@@ -81,7 +81,7 @@
 		return time.Duration(float64(n.file.Tick) / n.rate)
 	})
 	n.repeat(w.any(100*time.Millisecond), func() time.Duration {
-		n.core.Loop(n.clock(), n.report())
+		n.core.HandleLoopReport(n.clock(), n.report())
 		return 100 * time.Millisecond
 	})
 	n.repeat(w.any(60*time.Millisecond), n.placing)
@@ -113,14 +113,16 @@
 	f()
 }
 
-// KeepPolicy implements control.Env.
-func (n *node) KeepPolicy(k control.Kept) error {
+// SavePolicies implements control.Env.
+func (n *node) SavePolicies(k control.Kept) error {
 	n.kept = k
 	return nil
 }
 
-// GoBy implements control.Env: the loop takes the policy a moment later.
-func (n *node) GoBy(p control.Policy) { n.later(n.w.any(5*time.Millisecond), func() { n.goes = p }) }
+// ApplyPolicy implements control.Env: the loop takes the policy a moment later.
+func (n *node) ApplyPolicy(p control.Policy) {
+	n.later(n.w.any(5*time.Millisecond), func() { n.goes = p })
+}
 
 // watch notes elections.
 func (n *node) watch() {
@@ -135,11 +137,11 @@
 
 // report is what a loop tells. A stand-in has no attempts under way: what it has taken is in effect.
 func (n *node) report() control.Report {
-	r := control.Report{Taken: n.taken, Clear: n.taken.ExcludedHosts, Under: n.goes.Hash, Asked: n.goes.Hash}
+	r := control.Report{Restrictions: n.taken, ClearedHosts: n.taken.ExcludedHosts, Policy: n.goes.Hash, RequestedPolicy: n.goes.Hash}
 	if len(n.w.trials) > 0 {
 		r.Counted = n.count()
 	}
-	r.Look = n.look()
+	r.Observation = n.look()
 	return r
 }
 
@@ -195,29 +197,29 @@
 	return nil
 }
 
-// Keep implements control.Env.
-func (n *node) Keep(s sendlease.Saved) error {
+// SaveLease implements control.Env.
+func (n *node) SaveLease(s sendlease.Saved) error {
 	n.saved = s
 	return nil
 }
 
-// Refused implements control.Env.
-func (n *node) Refused(why string) error {
+// MarkRefused implements control.Env.
+func (n *node) MarkRefused(why string) error {
 	n.store.Refused = why
 	n.w.say(n.name + " is refused: " + why)
 	return nil
 }
 
-// Bind implements control.Env: the loop takes the verdict a moment later.
-func (n *node) Bind(v sendlease.Restrictions) {
+// ApplyRestrictions implements control.Env: the loop takes the verdict a moment later.
+func (n *node) ApplyRestrictions(v sendlease.Restrictions) {
 	n.later(n.w.any(binding), func() { n.taken = v })
 }
 
 // binding is the longest that a loop takes to have a verdict.
 const binding = 5 * time.Millisecond
 
-// Tell implements control.Env.
-func (n *node) Tell(event string, args ...any) {
+// Log implements control.Env.
+func (n *node) Log(event string, args ...any) {
 	if n.w.Trace != nil {
 		n.w.say(fmt.Sprintln(n.name, event, args))
 	}
--- a/rehearsal/province/policies.go
+++ b/rehearsal/province/policies.go
@@ -108,7 +108,7 @@
 			return
 		}
 		done := func(_ control.Reply, err error) {
-			var elsewhere *control.ElsewhereError
+			var elsewhere *control.NotLeaderError
 			if errors.As(err, &elsewhere) && !passed {
 				w.after(time.Millisecond, func() { call(w.byName[elsewhere.Leader], true) })
 				return
@@ -140,8 +140,8 @@
 func (w *World) newest() (top *rollout.RootState) {
 	most := uint64(0)
 	for _, n := range w.sites[0].nodes {
-		if n.core != nil && n.core.Top() != nil && n.core.Applied() >= most {
-			most, top = n.core.Applied(), n.core.Top()
+		if n.core != nil && n.core.Top() != nil && n.core.AppliedIndex() >= most {
+			most, top = n.core.AppliedIndex(), n.core.Top()
 		}
 	}
 	return top
--- a/rehearsal/province/where.go
+++ b/rehearsal/province/where.go
@@ -61,7 +61,7 @@
 	led        = "led"
 )
 
-func (n *node) runs() bool { return n.up && !n.paused && n.core != nil && n.core.Stopped() == nil }
+func (n *node) runs() bool { return n.up && !n.paused && n.core != nil && n.core.StopCause() == nil }
 
 // linked says whether two nodes of a site run and reach each other both ways.
 func linked(a, b *node) bool {
@@ -84,7 +84,7 @@
 
 // seated says whether a node's seat takes part.
 func seated(n *node) bool {
-	st, ok := n.core.Seated()
+	st, ok := n.core.ReplicaStatus()
 	return ok && !st.Unconfirmed && st.Err == nil
 }
 
@@ -126,7 +126,7 @@
 		if !n.file.IsVoter || !n.runs() {
 			continue
 		}
-		st, ok := n.core.Seated()
+		st, ok := n.core.ReplicaStatus()
 		begun = begun || ok
 		if !ok || !st.Unconfirmed {
 			continue
@@ -193,7 +193,7 @@
 
 // waitsFor says what a turn waits for at a site whose council is led.
 func (w *World) waitsFor(p *place, a *work, leader *node) string {
-	book := leader.core.Book()
+	book := leader.core.Schedule()
 	t, known := book.Turn(a.id)
 	switch {
 	case !known:
@@ -223,7 +223,7 @@
 
 // waitsForNodes says which kind of node a turn that is being prepared waits for, the worst of them.
 func (p *place) waitsForNodes(t turns.Turn, leader *node) string {
-	held := leader.core.HeldUp(leader.clock(), t)
+	held := leader.core.Blockers(leader.clock(), t)
 	worst := "d: nobody holds it up, and the grant is not agreed on"
 	away := false
 	for _, b := range held {
@@ -250,7 +250,7 @@
 
 // waitsForRoom says what keeps a turn from being prepared: the turns that are out before it, or nothing but the leader.
 func (p *place) waitsForRoom(t turns.Turn, leader *node) string {
-	book := leader.core.Book()
+	book := leader.core.Schedule()
 	if !slices.ContainsFunc(book.Hosts(), func(h turns.Host) bool { return h.ID == t.Host }) {
 		return "d: the fleet is not known to the council yet"
 	}
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -44,7 +44,7 @@
 	Lists    Lists
 	Overrun  bool // one work of ten takes much longer than was said
 	Plain    bool // turns the plain way: see plain.go
-	Witness  bool // processes are killed on machines that go on, which proves their stores (control.Options.Proven)
+	Witness  bool // processes are killed on machines that go on, which proves their stores (control.Options.StoreVerified)
 	Where    bool // count where the time of turns goes: see where.go
 	For      time.Duration
 	Quiet    time.Duration // at the end, with nothing broken any more: what was asked for has to be done by then
--- a/rehearsal/province/writers.go
+++ b/rehearsal/province/writers.go
@@ -107,7 +107,7 @@
 	if from != nil {
 		w.look(from)
 		s := w.reader(from)
-		if r, err := s.core.Read(sitesync.Note, "", ""); err == nil && s.core.Applied() == from.looked { // else its log is behind
+		if r, err := s.core.Read(sitesync.Note, "", ""); err == nil && s.core.AppliedIndex() == from.looked { // else its log is behind
 			l.Token = r.Token
 			x.sees(w, from)
 			for _, q := range w.sites {
@@ -152,8 +152,8 @@
 		return
 	}
 	n.core.Write(n.clock(), x.local, func(r control.Reply, err error) {
-		var elsewhere *control.ElsewhereError
-		var unsettled *control.UnsettledError
+		var elsewhere *control.NotLeaderError
+		var unsettled *control.OutcomeUnknownError
 		switch {
 		case errors.As(err, &elsewhere) && !passed:
 			w.after(2*time.Millisecond, func() { w.handIn(x, w.byName[elsewhere.Leader], true) })
