--- a/cmd/lichenhitch/discovery_test.go
+++ b/cmd/lichenhitch/discovery_test.go
@@ -19,33 +19,33 @@
 	"lichenhitch/internal/settings"
 )
 
-// These stories are about what a node does with a discovery that holds, breaks off, trickles or never ends. The test writes
-// each answer itself, so that crossings are forced. The times of the terms are asserted in virtual time, in package watch;
-// here it is that the watch is what decides.
+// These tests cover a node's reaction to a discovery that holds calls, breaks them off, sends slowly or never ends an
+// answer. Each test writes every answer itself, so that crossings are forced. Package watch tests the exact times in
+// virtual time; these tests show that the node applies them.
 
-// soon is far beyond what the watch allows between two calls, and far below what the polling time of these settings, ten
-// minutes, would make of it.
-const soon = 30 * time.Second
+// maxRetryDelay is far above what the watch allows between two calls, and far below the poll interval of these
+// settings, ten minutes.
+const maxRetryDelay = 30 * time.Second
 
-// heldCall is a call that a discovery has got, with the connection that it came on.
-type heldCall struct {
+// discoveryCall is a call that discovery has received, with its connection.
+type discoveryCall struct {
 	net.Conn
 	path string
 	at   time.Time
 }
 
-// manualDiscovery hands every call to its test.
+// manualDiscovery passes every call to its test.
 type manualDiscovery struct {
 	net.Listener
 	t     *testing.T
-	calls chan *heldCall
+	calls chan *discoveryCall
 }
 
 func newManualDiscovery(t *testing.T) *manualDiscovery {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &manualDiscovery{Listener: ln, t: t, calls: make(chan *heldCall, 1000)}
+	d := &manualDiscovery{Listener: ln, t: t, calls: make(chan *discoveryCall, 1000)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -67,39 +67,40 @@
 			return
 		}
 		if path, ok := strings.CutPrefix(line, "GET "); ok {
-			d.calls <- &heldCall{c, strings.Fields(path)[0], time.Now()}
+			d.calls <- &discoveryCall{c, strings.Fields(path)[0], time.Now()}
 		}
 	}
 }
 
-// next waits for the next call.
-func (d *manualDiscovery) next() *heldCall {
+// nextCall waits for the next call.
+func (d *manualDiscovery) nextCall() *discoveryCall {
 	d.t.Helper()
 	select {
 	case c := <-d.calls:
 		return c
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(d.t, "discovery is not called")
 		return nil
 	}
 }
 
-// say writes to the connection of a call. That the node has ended it is for the test to see by what it does.
-func (c *heldCall) say(text string) { _, _ = io.WriteString(c, text) }
+// send writes to the connection of a call. A write error is ignored: a test sees by the node's behavior whether the
+// node has closed it.
+func (c *discoveryCall) send(text string) { _, _ = io.WriteString(c, text) }
 
-// over waits until the node has ended the connection of a call, while bytes go on coming.
-func (c *heldCall) over(t *testing.T) {
+// awaitClosed waits until the node has closed the connection of a call, while it sends further bytes.
+func (c *discoveryCall) awaitClosed(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		_, err := io.WriteString(c, " ")
 		return err != nil
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 }
 
 const unavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-// configOf is the configuration of a node with some of the settings replaced.
-func configOf(t *testing.T, d net.Listener, known string, replace ...string) config.Config {
+// configWith returns the configuration of a node with some of the settings replaced.
+func configWith(t *testing.T, d net.Listener, known string, replace ...string) config.Config {
 	t.Helper()
 	cfg := testConfig(t, newDiscovery(t), known)
 	cfg.Discovery = d.Addr().String()
@@ -110,98 +111,99 @@
 	return cfg
 }
 
-// startWatching starts a node at a manual discovery, which has told version 42, and returns its watch.
-func startWatching(t *testing.T, hosts ...*host) (*node, *manualDiscovery, *heldCall) {
+// startWatching starts a node with a manual discovery that has sent version 42, and returns the node's watch call.
+func startWatching(t *testing.T, hosts ...*host) (*node, *manualDiscovery, *discoveryCall) {
 	t.Helper()
 	d := newManualDiscovery(t)
-	n := startConfig(t, configOf(t, d, list(41, true, targetsOf(hosts...)...),
+	n := startConfig(t, configWith(t, d, list(41, true, targetsOf(hosts...)...),
 		`"ask_within_us":1000000`, `"ask_within_us":600000000`))
-	d.next().say(ok(list(42, false)))
-	c := d.next()
+	d.nextCall().send(ok(list(42, false)))
+	c := d.nextCall()
 	require.Contains(t, c.path, "from=42&hold_ms=")
 	return n, d, c
 }
 
-// A watch that falls silent is asked anew. What the silent one brings later has no effect.
-func TestASilentWatchIsAskedAnew(t *testing.T) {
+// A watch that stops responding is called again. What the unresponsive call returns later has no effect.
+func TestUnresponsiveWatchIsCalledAgain(t *testing.T) {
 	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
-	n, d, silent := startWatching(t, a)
-	again := d.next()
-	assert.Less(t, again.at.Sub(silent.at), soon)
-	assert.Contains(t, again.path, "from=42", "what it missed is asked for, not the whole list")
-	silent.say(ok(list(43, false, target("a", a.Addr().String(), "terminated"))))
-	silent.over(t)
-	again.say(ok(list(44, false, target("a", a.Addr().String(), "terminating"), targetsOf(b)[0])))
-	assert.Contains(t, d.next().path, "from=44")
+	n, d, unresponsive := startWatching(t, a)
+	retry := d.nextCall()
+	assert.Less(t, retry.at.Sub(unresponsive.at), maxRetryDelay)
+	assert.Contains(t, retry.path, "from=42", "the missed changes are requested, not the full list")
+	unresponsive.send(ok(list(43, false, target("a", a.Addr().String(), "terminated"))))
+	unresponsive.awaitClosed(t)
+	retry.send(ok(list(44, false, target("a", a.Addr().String(), "terminating"), targetsOf(b)[0])))
+	assert.Contains(t, d.nextCall().path, "from=44")
 	c := dial(t, n)
 	open(c, "")
-	require.Equal(t, "UP r1", c.hear())
+	require.Equal(t, "UP r1", c.receive())
 	assert.Empty(t, a.firstLines())
 }
 
-// An answer that trickles, or never ends, is given up as one that does not come: its bytes renew nothing.
-func TestAnAnswerThatNeverEndsIsGivenUp(t *testing.T) {
+// An answer that arrives slowly, or never ends, is given up like one that does not arrive: its bytes do not extend
+// the time limit.
+func TestAnswerWithoutEndIsGivenUp(t *testing.T) {
 	for name, c := range map[string]struct{ head, piece string }{
-		"a body that trickles":        {"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{", " "},
-		"chunks without end":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\n \r\n"},
-		"a head that trickles":        {"HTTP/1.1 200 OK\r\nX: ", "x"},
-		"trailers without end":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n"},
-		"a chunk's size that goes on": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;", "x"},
+		"a slow body":                {"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{", " "},
+		"chunks without end":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\n \r\n"},
+		"a slow header":              {"HTTP/1.1 200 OK\r\nX: ", "x"},
+		"trailers without end":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n"},
+		"a chunk's size without end": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;", "x"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, d, slow := startWatching(t)
+			_, d, call := startWatching(t)
 			go func() {
 				for err := error(nil); err == nil; time.Sleep(10 * time.Millisecond) {
-					_, err = io.WriteString(slow, c.head)
+					_, err = io.WriteString(call, c.head)
 					c.head = c.piece
 				}
 			}()
-			assert.Less(t, d.next().at.Sub(slow.at), soon)
+			assert.Less(t, d.nextCall().at.Sub(call.at), maxRetryDelay)
 		})
 	}
 }
 
-// However long an outage lasts, calls go on coming: what discovery has at its return is not waited for.
-func TestCallsThatFailAreMadeAgainSoon(t *testing.T) {
+// However long an outage lasts, calls are repeated soon, so that an update is received as soon as discovery is back.
+func TestFailedCallsAreRepeatedSoon(t *testing.T) {
 	_, d, last := startWatching(t)
 	for range 6 {
-		last.say(unavailable)
-		next := d.next()
+		last.send(unavailable)
+		next := d.nextCall()
 		assert.Contains(t, next.path, "from=42")
-		assert.Less(t, next.at.Sub(last.at), soon)
+		assert.Less(t, next.at.Sub(last.at), maxRetryDelay)
 		last = next
 	}
 }
 
-// Changes to a list that is older than the one that is held are not taken: the whole list is asked for.
-func TestChangesToAnOlderListAreNotTaken(t *testing.T) {
+// Changes with a lower version than the node's list are not applied: the node requests the full list.
+func TestChangesToAnOlderListAreNotApplied(t *testing.T) {
 	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
 	n, d, c := startWatching(t, a)
-	c.say(ok(list(45, false, target("a", a.Addr().String(), "terminating"), targetsOf(b)[0])))
-	d.next().say(ok(list(44, false, targetsOf(a)[0], target("b", b.Addr().String(), "terminating"))))
-	whole := d.next()
-	assert.Equal(t, "/v1/servers", whole.path)
-	one := dial(t, n)
-	open(one, "")
-	require.Equal(t, "UP r1", one.hear())
+	c.send(ok(list(45, false, target("a", a.Addr().String(), "terminating"), targetsOf(b)[0])))
+	d.nextCall().send(ok(list(44, false, targetsOf(a)[0], target("b", b.Addr().String(), "terminating"))))
+	fullList := d.nextCall()
+	assert.Equal(t, "/v1/servers", fullList.path)
+	cl := dial(t, n)
+	open(cl, "")
+	require.Equal(t, "UP r1", cl.receive())
 	assert.Empty(t, a.firstLines())
-	whole.say(ok(list(46, true, targetsOf(a, b)...)))
-	assert.Contains(t, d.next().path, "from=46")
+	fullList.send(ok(list(46, true, targetsOf(a, b)...)))
+	assert.Contains(t, d.nextCall().path, "from=46")
 }
 
-// What comes behind an answer was not asked for, and is not taken for the next one.
-func TestASecondAnswerIsNotTakenForTheNext(t *testing.T) {
+// Data after the end of an answer was not requested and is not taken as the answer to the next call.
+func TestDataAfterAnAnswerIsNotTheNextAnswer(t *testing.T) {
 	_, d, c := startWatching(t)
-	c.say(ok(list(43, false)) + ok(list(50, false)))
-	next := d.next()
+	c.send(ok(list(43, false)) + ok(list(50, false)))
+	next := d.nextCall()
 	assert.Contains(t, next.path, "from=43")
-	next.say(ok(list(44, false)))
-	assert.Contains(t, d.next().path, "from=44")
+	next.send(ok(list(44, false)))
+	assert.Contains(t, d.nextCall().path, "from=44")
 }
 
-// A large list is taken indented, in chunks and in pieces.
-func TestALargeIndentedListInPiecesIsTaken(t *testing.T) {
+// A large list is accepted with indentation, in chunks and in partial writes.
+func TestLargeIndentedListInPiecesIsAccepted(t *testing.T) {
 	const hosts = 2000
 	_, d, c := startWatching(t)
 	var all []string
@@ -210,19 +212,19 @@
 	}
 	var body bytes.Buffer
 	require.NoError(t, json.Indent(&body, []byte(list(43, true, all...)), "", "        "))
-	c.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	c.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for body.Len() > 0 {
 		piece := body.Next(10_000)
-		c.say(fmt.Sprintf("%x\r\n%s", len(piece), piece[:len(piece)/2]))
-		c.say(string(piece[len(piece)/2:]) + "\r\n")
+		c.send(fmt.Sprintf("%x\r\n%s", len(piece), piece[:len(piece)/2]))
+		c.send(string(piece[len(piece)/2:]) + "\r\n")
 	}
-	c.say("0\r\n\r\n")
-	assert.Contains(t, d.next().path, "from=43")
+	c.send("0\r\n\r\n")
+	assert.Contains(t, d.nextCall().path, "from=43")
 }
 
-// Discovery moves while a call is out, while one is about to be made again, twice in a row and back. Each time the whole
-// list is asked for at once, and only the last address counts.
-func TestDiscoveryMovesAtAnyMoment(t *testing.T) {
+// The discovery address changes while a call is pending, while one is about to be repeated, twice in a row and back.
+// Each time the full list is requested at once, and only the last address counts.
+func TestDiscoveryAddressChangesAtAnyTime(t *testing.T) {
 	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
 	n, first, watch := startWatching(t, a)
 	second, third := newManualDiscovery(t), newManualDiscovery(t)
@@ -233,41 +235,42 @@
 			}
 		})
 	}
-	move(second) // while the watch is out
-	out := second.next()
-	assert.Equal(t, "/v1/servers", out.path)
-	out.say(unavailable)
-	out.over(t)
-	move(third, second, third) // while the next call waits, and while a connection is being made
-	last := third.next()
+	move(second) // while the watch is pending
+	pending := second.nextCall()
+	assert.Equal(t, "/v1/servers", pending.path)
+	pending.send(unavailable)
+	pending.awaitClosed(t)
+	move(third, second, third) // while the next call waits, and while a connection is being established
+	last := third.nextCall()
 	assert.Equal(t, "/v1/servers", last.path)
-	move(first) // back, while a call is out
-	back := first.next()
+	move(first) // back, while a call is pending
+	back := first.nextCall()
 	assert.Equal(t, "/v1/servers", back.path, "its versions may count differently by now")
-	gone := ok(list(99, true))
-	for _, c := range []*heldCall{watch, last} {
-		c.say(gone)
-		c.over(t)
+	stale := ok(list(99, true))
+	for _, c := range []*discoveryCall{watch, last} {
+		c.send(stale)
+		c.awaitClosed(t)
 	}
-	back.say(ok(list(7, true, targetsOf(b)...)))
-	assert.Contains(t, first.next().path, "from=7")
+	back.send(ok(list(7, true, targetsOf(b)...)))
+	assert.Contains(t, first.nextCall().path, "from=7")
 	c := dial(t, n)
 	open(c, "")
-	require.Equal(t, "UP r1", c.hear())
+	require.Equal(t, "UP r1", c.receive())
 	assert.Empty(t, a.firstLines())
 }
 
-const push, asked = `"registry_mode":"push"`, `"registry_mode":"ask"`
+const pushMode, askMode = `"registry_mode":"push"`, `"registry_mode":"ask"`
 
-// Where lists are pushed, what the agent has counts as told from the first moment of the process: nobody is served by the
-// list of an earlier process before the agent has told its own, and from then on there is a watch.
-func TestAnAgentIsHeardBeforeAnyoneIsServed(t *testing.T) {
+// Where lists are pushed, what the agent has counts as known to the node from the first moment of the process: no
+// client is served by the list of an earlier process before the agent has sent its own, and from then on there is a
+// watch.
+func TestAgentsListIsAwaitedBeforeClientsAreServed(t *testing.T) {
 	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
 	d := newManualDiscovery(t)
-	cfg := configOf(t, d, list(41, true, targetsOf(a)...), asked, push, `"aim_us":300000`, fmt.Sprintf(`"aim_us":%d`, patience.Microseconds()))
-	before := knownEnough
-	knownEnough = patience // however slow the machine is
-	t.Cleanup(func() { knownEnough = before })
+	cfg := configWith(t, d, list(41, true, targetsOf(a)...), askMode, pushMode, `"aim_us":300000`, fmt.Sprintf(`"aim_us":%d`, testTimeout.Microseconds()))
+	before := firstListTimeout
+	firstListTimeout = testTimeout // however slow the machine is
+	t.Cleanup(func() { firstListTimeout = before })
 	started := make(chan *node)
 	go func() {
 		n, err := start(slog.New(slog.NewTextHandler(io.Discard, nil)), cfg)
@@ -276,46 +279,46 @@
 		}
 		started <- n
 	}()
-	c := d.next()
+	c := d.nextCall()
 	assert.Contains(t, c.path, "from=41")
 	select {
 	case <-started:
-		t.Fatal("the node serves, and the agent has not answered")
-	case <-time.After(200 * time.Millisecond): // an agent that takes a moment
+		t.Fatal("the node serves before the agent has answered")
+	case <-time.After(200 * time.Millisecond): // an agent that is somewhat slow
 	}
-	c.say(ok(list(42, false, target("a", a.Addr().String(), "terminating"), targetsOf(b)[0])))
+	c.send(ok(list(42, false, target("a", a.Addr().String(), "terminating"), targetsOf(b)[0])))
 	n := <-started
 	for range 5 {
 		c := dial(t, n)
 		open(c, "")
-		require.Equal(t, "UP r1", c.hear())
+		require.Equal(t, "UP r1", c.receive())
 	}
 	assert.Empty(t, a.firstLines(), "the earlier process had it in service")
-	d.next().say(ok(list(43, false, target("b", b.Addr().String(), "terminating"), targetsOf(a)[0])))
-	assert.Contains(t, d.next().path, "from=43", "the watch goes on")
+	d.nextCall().send(ok(list(43, false, target("b", b.Addr().String(), "terminating"), targetsOf(a)[0])))
+	assert.Contains(t, d.nextCall().path, "from=43", "the watch continues")
 	later := dial(t, n)
 	open(later, "")
-	require.Equal(t, "UP r1", later.hear())
+	require.Equal(t, "UP r1", later.receive())
 	assert.Len(t, a.firstLines(), 1)
 }
 
-// An agent that says nothing does not keep the node out, and is called again and again; so is one that ends connections or
-// refuses. What it has at last is taken.
-func TestAnAgentIsCalledAgainQuickly(t *testing.T) {
+// An agent that does not respond does not keep the node from serving and is called again and again, and so is one
+// that closes connections or refuses. Its list is applied once it arrives.
+func TestUnresponsiveAgentIsCalledAgainQuickly(t *testing.T) {
 	a := newHost(t, "a", echo)
 	d := newManualDiscovery(t)
-	n := startConfig(t, configOf(t, d, list(41, true, targetsOf(a)...), asked, push))
+	n := startConfig(t, configWith(t, d, list(41, true, targetsOf(a)...), askMode, pushMode))
 	c := dial(t, n)
 	open(c, "")
-	require.Equal(t, "UP r1", c.hear())
-	d.next() // which is not answered
+	require.Equal(t, "UP r1", c.receive())
+	d.nextCall() // not answered
 	for i := range 20 {
-		if c := d.next(); i%2 == 0 {
-			c.say(unavailable)
+		if c := d.nextCall(); i%2 == 0 {
+			c.send(unavailable)
 		} else {
 			c.Close()
 		}
 	}
-	d.next().say(ok(list(42, false)))
-	assert.Contains(t, d.next().path, "from=42")
+	d.nextCall().send(ok(list(42, false)))
+	assert.Contains(t, d.nextCall().path, "from=42")
 }
--- a/cmd/lichenhitch/main.go
+++ b/cmd/lichenhitch/main.go
@@ -1,4 +1,4 @@
-// Command lichenhitch is one node: it takes the queries that the front brings and places each on a host.
+// Command lichenhitch runs one node: it accepts client requests and places each of them on a host.
 package main
 
 import (
@@ -32,23 +32,24 @@
 )
 
 const (
-	// ownSockets are descriptors that the process itself needs: its log, its pollers, its listener, and one or two
-	// more for each connection while it is handed to the loop.
-	ownSockets = 24
-	// probeSockets are kept free of queries, for discovery and for probes that are not connected yet.
+	// reservedSockets are descriptors that the process itself needs: its log, its pollers, its listener, and one or
+	// two more for each connection that is being passed to the event loop.
+	reservedSockets = 24
+	// probeSockets are kept free of client requests, for discovery and for probes that are not connected yet.
 	probeSockets = 16
-	// leastTraffic is how many descriptors are left to traffic beside the affairs of a site, if there is any room: what the
-	// least that may be told in limits.sockets leaves without them.
-	leastTraffic = 64 - ownSockets
-	// queuedPart is the part of the memory that may hold what waits for peers to read, all connections together.
-	queuedPart = 4
-	// leaveLook is how often a leaving node looks whether it may stop.
-	leaveLook = 20 * time.Millisecond
+	// minTrafficSockets is how many descriptors are left to traffic beside site control, as far as the limit allows:
+	// what the smallest permitted limits.sockets (64) leaves to a node without site control.
+	minTrafficSockets = 64 - reservedSockets
+	// queuedMemoryDivisor sets the part of the memory limit (1/4) that may hold data queued for peers to read, over
+	// all connections.
+	queuedMemoryDivisor = 4
+	// shutdownPollInterval is how often a node that shuts down checks whether it may stop.
+	shutdownPollInterval = 20 * time.Millisecond
 )
 
 func main() {
-	// First of all: a signal that nobody waits for ends the program. Each channel keeps one signal until it is
-	// read, and drops more of the same, which would say nothing new.
+	// Before anything else: a signal without a registered channel ends the program. Each channel holds one signal
+	// until it is read and drops further ones, which would add nothing.
 	reload, quit := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(quit, syscall.SIGTERM, syscall.SIGINT)
@@ -64,8 +65,9 @@
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	// The loop and the dialler wait inside system calls, each on a thread of its own. With one processor for
-	// Go, a thread that wakes up would wait until the other one's is taken away from it, up to 10 ms.
+	// The loop and the dialer block in system calls, each on a thread of its own. With a single P (Go's
+	// GOMAXPROCS=1), a thread that returns from a system call would wait until the P is taken from the other one, up
+	// to 10 ms.
 	runtime.GOMAXPROCS(max(4, runtime.GOMAXPROCS(0)))
 	debug.SetMemoryLimit(memoryLimit(cfg.MemoryMB))
 
@@ -77,80 +79,81 @@
 		select {
 		case <-reload:
 			n.reload(config.Reload(os.Getenv, n.cfg))
-			n.reseat()
+			n.reloadSite()
 		case s := <-quit:
 			n.log.Info("leaving", "signal", s.String())
-			n.leave()
+			n.shutDown()
 			return nil
 		}
 	}
 }
 
-// node is the program, wired.
+// node holds the parts of the program, connected to each other.
 type node struct {
-	log       *slog.Logger
-	cfg       config.Config
-	sockets   int // descriptors that all processes of the node together may hold
-	loop      *evloop.Loop
-	core      *query.Core
-	discovery *discovery.Client
-	acceptor  *clientconn.Acceptor
-	connector *backend.Connector
-	desk      *evloop.Listener              // of the management address; nil where there is none
-	store     *handover.Store               // nil where nothing can be shared with another process
-	number    int                           // of this process, as the store counts
-	begun     time.Duration                 // the start
-	read      atomic.Pointer[config.Config] // the settings as read, for any thread
+	log           *slog.Logger
+	cfg           config.Config
+	sockets       int // descriptors that all processes of the node together may hold
+	loop          *evloop.Loop
+	core          *query.Core
+	discovery     *discovery.Client
+	acceptor      *clientconn.Acceptor
+	connector     *backend.Connector
+	operatorAPI   *evloop.Listener              // of the management address; nil without one
+	store         *handover.Store               // nil where no state can be shared with other processes
+	processNumber int                           // of this process, as assigned by the store
+	startedAt     time.Duration                 // loop time of the start
+	latestConfig  atomic.Pointer[config.Config] // the settings as read from the configuration; for any goroutine
 
-	// These belong to the loop.
-	addr     string           // where clients connect
-	listener *evloop.Listener // nil while the door is closed
-	retired  *evloop.Listener // the last one; what is queued there may still come
-	shared   handover.State   // as this process has taken it over
-	service  lifecycle.Service
-	pacing   bool               // step is going to be called
-	ready    bool               // the others know that the door is open and there is a list
-	passing  *passing           // connections on their way to a successor; nil where there are none
-	receiver *handover.Receiver // of connections from an earlier process
-	affairs  *control.Thread    // nil where no site file is named, or an earlier process has the store
-	site     *site.Site
-	gaveUp   bool // the affairs, to a later process
-	telling  bool // report is going to be called
-	reports  int
-	tuning   tuning
-	others   int // processes, and descriptors that they hold, as budget knows
-	held     int
-	share    int // descriptors that affairs may hold
-	governs  int // and all control that has not ended, and as budget knows
-	governed int
-	empty    chan struct{} // closed when the node has left
+	// The following fields belong to the loop.
+	addr                   string           // where clients connect
+	listener               *evloop.Listener // nil while the node does not accept clients
+	drainingListener       *evloop.Listener // the previous listener; connections queued on it may still arrive
+	sharedState            handover.State   // as this process has applied it last
+	service                lifecycle.Service
+	stepping               bool               // a call of step is scheduled
+	ready                  bool               // the other processes know that this one accepts clients and has a host list
+	connSender             *connSender        // hands connections over to a successor; nil without one
+	receiver               *handover.Receiver // of connections from an earlier process
+	controlThread          *control.Thread    // nil without a site file, or while an earlier process has the store
+	site                   *site.Site
+	controlReleased        bool // control was released to a later process
+	reporting              bool // a call of report is scheduled
+	reportCount            int
+	policyState            policyState
+	budgetedSiblings       int // sibling processes, and the descriptors that they hold, as updateLimits applied them last
+	budgetedSiblingSockets int
+	controlSockets         int // descriptors that controlThread may hold
+	allControlSockets      int // the same for all control threads that have not ended, and as updateLimits applied it last
+	budgetedControlSockets int
+	shutdownComplete       chan struct{} // closed when the node has finished shutting down
 }
 
-// start wires the parts and serves. Where an earlier process of the node serves, the door opens later; see arrive.
+// start connects the parts and begins to serve. While an earlier process of the node serves, this one starts to
+// accept clients later; see announceReady.
 func start(log *slog.Logger, cfg config.Config) (*node, error) {
-	n := &node{log: log, cfg: cfg, addr: cfg.Listen, sockets: socketLimit(cfg.Sockets), empty: make(chan struct{}),
+	n := &node{log: log, cfg: cfg, addr: cfg.Listen, sockets: socketLimit(cfg.Sockets), shutdownComplete: make(chan struct{}),
 		service: lifecycle.Service{PassThrough: cfg.Settings.PassThrough,
 			MaxStay: lifecycle.MaxStay(longestDeadline(cfg.Settings))},
-		tuning: tuning{set: cfg.Settings}}
+		policyState: policyState{settings: cfg.Settings}}
 	n.publishSettings()
-	links := n.sockets - ownSockets
+	maxConns := n.sockets - reservedSockets
 	var err error
-	n.loop, err = evloop.Start(log, evloop.Limits{Conns: links, Queued: cfg.MemoryMB << 20 / queuedPart / n.sockets})
+	n.loop, err = evloop.Start(log, evloop.Limits{Conns: maxConns, Queued: cfg.MemoryMB << 20 / queuedMemoryDivisor / n.sockets})
 	if err != nil {
 		return nil, err
 	}
-	n.begun = n.loop.Now()
-	ticks := &clock{loop: n.loop}
-	n.core = query.New(log, ticks, cfg.Settings, cfg.Seed)
-	ticks.core = n.core
+	n.startedAt = n.loop.Now()
+	coreClock := &clock{loop: n.loop}
+	n.core = query.New(log, coreClock, cfg.Settings, cfg.Seed)
+	coreClock.core = n.core
 	n.discovery = discovery.New(log, n.loop, n.core, cfg.Discovery, cfg.Settings, cfg.Seed)
 	n.connector = backend.New(log, n.loop, n.core, cfg.Settings.ConnectTimeout, n.discovery.Endpoint)
-	n.acceptor = clientconn.New(log, n.loop, n.core, cfg.Settings, links-probeSockets,
+	n.acceptor = clientconn.New(log, n.loop, n.core, cfg.Settings, maxConns-probeSockets,
 		func() bool { return n.service.Serving() })
-	n.join()
+	n.joinProcesses()
 	n.loop.Call(func() {
 		n.core.Connect(n.connector, n.discovery)
-		n.take(n.shared)
+		n.applySharedState(n.sharedState)
 		if cfg.Known != nil {
 			n.discovery.Restore(*cfg.Known)
 		} else {
@@ -158,26 +161,26 @@
 		}
 		n.discovery.Start()
 	})
-	if err := n.settle(); err != nil { // may take as long as the disk does
+	if err := n.startSiteControl(); err != nil { // may take as long as the disk does
 		n.stop()
 		return nil, err
 	}
-	n.awaitAgent()
+	n.awaitFirstList()
 	n.loop.Call(func() {
-		if n.shared.HasEarlier(n.number) {
-			n.receive()
+		if n.sharedState.HasEarlier(n.processNumber) {
+			n.startReceiving()
 			log.Info("an earlier process serves; the door opens once there is a list", "listen", cfg.Listen)
-		} else if err = n.openDoor(); err != nil {
+		} else if err = n.startListening(); err != nil {
 			return
 		}
 		if cfg.Management != "" {
-			if n.desk, err = n.loop.Listen(cfg.Management, management.New(log, n.loop, n).Accept); err != nil {
+			if n.operatorAPI, err = n.loop.Listen(cfg.Management, management.New(log, n.loop, n).Accept); err != nil {
 				err = fmt.Errorf("management: %w", err)
 				return
 			}
-			log.Info("open to operators", "management", n.desk.Addr())
+			log.Info("operator API listening", "management", n.operatorAPI.Addr())
 		}
-		n.arrive()
+		n.announceReady()
 	})
 	if err != nil {
 		n.stop()
@@ -189,30 +192,30 @@
 	return n, nil
 }
 
-// stop ends everything at once.
+// stop ends everything at once, without waiting for open requests.
 func (n *node) stop() {
-	var ending []*evloop.Listener
-	var settled *control.Thread
+	var listeners []*evloop.Listener
+	var thread *control.Thread
 	n.loop.Call(func() {
 		if n.listener != nil {
 			n.listener.Close()
 		}
-		if n.desk != nil {
-			n.desk.Close()
+		if n.operatorAPI != nil {
+			n.operatorAPI.Close()
 		}
-		settled, n.affairs = n.affairs, nil
-		for _, l := range []*evloop.Listener{n.listener, n.retired, n.desk} {
+		thread, n.controlThread = n.controlThread, nil
+		for _, l := range []*evloop.Listener{n.listener, n.drainingListener, n.operatorAPI} {
 			if l != nil {
-				ending = append(ending, l)
+				listeners = append(listeners, l)
 			}
 		}
 	})
-	for _, l := range ending {
+	for _, l := range listeners {
 		l.Wait()
 	}
-	n.endPassing()
-	if settled != nil {
-		settled.Stop()
+	n.finishHandover()
+	if thread != nil {
+		thread.Stop()
 	}
 	n.loop.Stop()
 	if n.store != nil {
@@ -220,99 +223,102 @@
 	}
 }
 
-// openDoor begins to take clients.
-func (n *node) openDoor() error {
-	listener, err := n.loop.ListenShared(n.addr, n.shared.HasEarlier(n.number), n.acceptor.Accept)
+// startListening begins to accept clients.
+func (n *node) startListening() error {
+	listener, err := n.loop.ListenShared(n.addr, n.sharedState.HasEarlier(n.processNumber), n.acceptor.Accept)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	if n.listener = listener; n.addr != listener.Addr() {
-		n.addr = listener.Addr() // the port was left to the system
+		n.addr = listener.Addr() // the system chose the port
 	}
 	n.log.Info("serving", "listen", listener.Addr(), "discovery", n.cfg.Discovery)
 	return nil
 }
 
-// reload takes over what a new configuration changes, on SIGHUP. The file was read and checked beside the loop. One that
-// is faulty, or only half written yet, changes nothing.
+// reload applies a new configuration on SIGHUP. The file was read and checked outside the loop. A faulty or partly
+// written file changes nothing.
 func (n *node) reload(cfg config.Config, err error) {
 	if err != nil {
-		var faulty *settings.KeyError
-		if errors.As(err, &faulty) {
-			n.log.Error("the new configuration is faulty; the old one stays", "error", err, "action", faulty.Action())
+		var keyErr *settings.KeyError
+		if errors.As(err, &keyErr) {
+			n.log.Error("the new configuration is faulty; the old one stays", "error", err, "action", keyErr.Action())
 		} else {
 			n.log.Error("the new configuration is faulty; the old one stays", "error", err)
 		}
 		return
 	}
-	if fixed := cfg.RestartKeys(n.cfg); len(fixed) > 0 {
-		n.log.Warn("what has changed besides takes a restart", "keys", fixed)
+	if restartKeys := cfg.RestartKeys(n.cfg); len(restartKeys) > 0 {
+		n.log.Warn("what has changed besides takes a restart", "keys", restartKeys)
 	}
 	cfg.Settings.PassThrough = n.cfg.Settings.PassThrough
 	n.log.Info("configuration read again", "discovery", cfg.Discovery, "before", n.cfg.Discovery,
 		"settings changed", !reflect.DeepEqual(cfg.Settings, n.cfg.Settings))
 	n.loop.Call(func() {
-		n.resettle(cfg)
+		n.applyConfig(cfg)
 		n.discovery.Relocate(cfg.Discovery)
 	})
 }
 
-// socketLimit is how many descriptors the node may hold: what it is told, or less where the system allows less.
-func socketLimit(told int) int {
-	var own unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &own); err == nil && own.Cur < uint64(told) {
-		return int(own.Cur)
+// socketLimit returns how many descriptors the node may hold: the configured number, or the system's limit where that
+// is lower.
+func socketLimit(configured int) int {
+	var rlimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &rlimit); err == nil && rlimit.Cur < uint64(configured) {
+		return int(rlimit.Cur)
 	}
-	return told
+	return configured
 }
 
-// memoryLimit is the limit, in bytes, that Go keeps its memory under: what else the process needs is left.
-func memoryLimit(told int) int64 { return int64(told) << 20 * 3 / 4 }
+// memoryLimit returns the limit, in bytes, for the memory that the Go runtime manages: 3/4 of the configured limit.
+// The rest is for what the process needs outside of it.
+func memoryLimit(configuredMB int) int64 { return int64(configuredMB) << 20 * 3 / 4 }
 
-// leave answers all that was taken and stops.
-func (n *node) leave() {
-	n.loop.Call(func() { n.ask(lifecycle.Terminate) })
-	<-n.empty
+// shutDown answers all requests that were accepted and then stops.
+func (n *node) shutDown() {
+	n.loop.Call(func() { n.applyOperation(lifecycle.Terminate) })
+	<-n.shutdownComplete
 	n.stop()
 }
 
-// ask takes a wish for the node as a whole.
-func (n *node) ask(w lifecycle.Operation) {
-	n.service = n.service.Apply(w, n.loop.Now())
-	n.pace()
+// applyOperation applies an operation on the node as a whole, such as Terminate.
+func (n *node) applyOperation(operation lifecycle.Operation) {
+	n.service = n.service.Apply(operation, n.loop.Now())
+	n.ensureStepping()
 }
 
-// pace begins to step, unless that is under way.
-func (n *node) pace() {
-	if !n.pacing {
+// ensureStepping starts the calls of step, unless they are under way.
+func (n *node) ensureStepping() {
+	if !n.stepping {
 		n.step()
 	}
 }
 
-// step does what lifecycle.Service orders, again and again for as long as the process does not simply serve.
+// step carries out the commands of lifecycle.Service. It schedules itself until the service is idle, that is, until
+// the process just serves.
 func (n *node) step() {
-	n.pacing = !n.service.Idle()
-	if !n.pacing {
+	n.stepping = !n.service.Idle()
+	if !n.stepping {
 		return
 	}
 	if n.service.Done(n.loop.Now(), n.loop.Lingering()) {
-		close(n.empty)
+		close(n.shutdownComplete)
 		return
 	}
-	n.pass()
-	var order lifecycle.Command
+	n.handOverConns()
+	var command lifecycle.Command
 	var count int
-	n.service, order, count = n.service.Step(n.loop.Now(), n.owed(), n.core.Established())
-	switch order {
+	n.service, command, count = n.service.Step(n.loop.Now(), n.pendingResponses(), n.core.Established())
+	switch command {
 	case lifecycle.MoveSome:
 		n.core.MoveOldest(count)
 	case lifecycle.StopAccepting:
 		if n.listener != nil {
 			n.listener.DrainAndClose()
-			n.retired, n.listener = n.listener, nil
+			n.drainingListener, n.listener = n.listener, nil
 		}
 	case lifecycle.ResumeAccepting:
-		if err := n.openDoor(); err != nil {
+		if err := n.startListening(); err != nil {
 			n.log.Error("the door stays closed", "error", err)
 			n.service.NotAccepting = true // so that it is tried again
 		}
@@ -320,17 +326,17 @@
 		n.core.Shutdown(n.service.PassThrough)
 		n.acceptor.ThrottleAwaiting()
 	}
-	n.loop.After(leaveLook, n.step)
+	n.loop.After(shutdownPollInterval, n.step)
 }
 
-// owed returns how many answers are owed or may be at any moment: to requests, to clients that have not sent theirs yet,
-// and to what is queued at a door that is just being closed.
-func (n *node) owed() int {
-	owed := n.core.Waiting() + n.acceptor.AwaitingRequest()
-	if n.retired != nil && !n.retired.Done() {
-		owed++
+// pendingResponses returns how many responses are outstanding: to requests, to clients that have not sent their
+// request yet, and one more while connections may be queued on a listener that is being closed.
+func (n *node) pendingResponses() int {
+	pending := n.core.Waiting() + n.acceptor.AwaitingRequest()
+	if n.drainingListener != nil && !n.drainingListener.Done() {
+		pending++
 	}
-	return owed
+	return pending
 }
 
 func longestDeadline(set balance.Settings) (longest time.Duration) {
@@ -340,13 +346,13 @@
 	return longest
 }
 
-// clock adapts the loop for the core.
+// clock adapts the loop to the interface query.Clock of the core.
 type clock struct {
 	loop *evloop.Loop
 	core *query.Core
 }
 
 func (c *clock) Now() time.Duration { return c.loop.Now() }
-func (c *clock) After(d time.Duration, due query.TimerEvent) query.Timer {
-	return c.loop.After(d, func() { c.core.Fire(due) })
+func (c *clock) After(d time.Duration, event query.TimerEvent) query.Timer {
+	return c.loop.After(d, func() { c.core.Fire(event) })
 }
--- a/cmd/lichenhitch/node_test.go
+++ b/cmd/lichenhitch/node_test.go
@@ -27,15 +27,15 @@
 	"lichenhitch/internal/settings"
 )
 
-// The stories run the whole node over loopback sockets against scripted peers. They wait for events, with limits
-// far beyond what is expected, and assert on what came, not on when.
-const patience = 2 * time.Minute
+// These tests run the whole node over loopback sockets against scripted peers. They wait for events, with time limits
+// far above the expected time, and assert what arrived, not when.
+const testTimeout = 2 * time.Minute
 
-// asProgram makes the test binary run as the program itself.
-const asProgram = "LICHENHITCH_RUN"
+// runAsProgramEnv is the environment variable that makes the test binary run as the program itself.
+const runAsProgramEnv = "LICHENHITCH_RUN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
@@ -49,13 +49,13 @@
 "drain_grace_us":2000000},"tariffs":{"probe":0},
 "request_classes":[{"name":"chat","aim_us":300000,"deadline_us":3000000,"semantics":"read_like","streamed":true,"points":1}]}`
 
-// host is a scripted host. It answers probes by itself; script gets every first line and the connection.
+// host is a scripted host. It answers probes itself; the script gets every other first line and the connection.
 type host struct {
 	net.Listener
 	uid string
 
 	mu    sync.Mutex
-	lines []string // the first lines that came
+	lines []string // the first lines received
 }
 
 func newHost(t *testing.T, uid string, script func(line string, c net.Conn, r *bufio.Reader)) *host {
@@ -102,7 +102,7 @@
 	return append([]string(nil), h.lines...)
 }
 
-// echo is the script of a sound host.
+// echo is the script of a healthy host.
 func echo(_ string, c net.Conn, r *bufio.Reader) {
 	io.WriteString(c, "UP r1\r\n")
 	for {
@@ -115,7 +115,7 @@
 	}
 }
 
-// hang is the script of a host that says nothing until its peer closes.
+// hang is the script of a host that sends nothing until its peer closes.
 func hang(_ string, _ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) }
 
 func target(uid, endpoint, state string) string {
@@ -128,25 +128,25 @@
 }
 
 func targetsOf(hosts ...*host) []string {
-	var out []string
+	var targets []string
 	for _, h := range hosts {
-		out = append(out, target(h.uid, h.Addr().String(), "in_service"))
+		targets = append(targets, target(h.uid, h.Addr().String(), "in_service"))
 	}
-	return out
+	return targets
 }
 
-// scriptedDiscovery answers each watch with the next of its answers, and holds it when there is none.
+// scriptedDiscovery answers each call with the next of its responses, and holds the call while there is none.
 type scriptedDiscovery struct {
 	net.Listener
-	asked   chan string // the path of each call
-	answers chan string
+	requests  chan string // the path of each call
+	responses chan string
 }
 
 func newDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &scriptedDiscovery{Listener: ln, asked: make(chan string, 100), answers: make(chan string, 100)}
+	d := &scriptedDiscovery{Listener: ln, requests: make(chan string, 100), responses: make(chan string, 100)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -169,14 +169,14 @@
 			return
 		}
 		if path, ok := strings.CutPrefix(line, "GET "); ok {
-			d.asked <- strings.Fields(path)[0]
+			d.requests <- strings.Fields(path)[0]
 		}
 		if line == "\r\n" {
-			answer := <-d.answers
-			if answer == "" {
+			response := <-d.responses
+			if response == "" {
 				return // a reset or a crash
 			}
-			io.WriteString(c, answer)
+			io.WriteString(c, response)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 	return n
 }
 
-// program is the node as a process of its own, started by its environment and a configuration file.
+// program is the node as a process of its own, started with its environment variables and a configuration file.
 type program struct {
 	*exec.Cmd
 	t            *testing.T
@@ -220,27 +220,27 @@
 func startProgram(t *testing.T, discovery, known string) *program {
 	t.Helper()
 	p := &program{t: t, path: filepath.Join(t.TempDir(), "config.json")}
-	p.write(discovery, known)
+	p.writeConfig(discovery, known)
 	p.Cmd = exec.Command(os.Args[0])
-	p.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+p.path, "GW_DISCOVERY="+discovery, "GW_LISTEN=127.0.0.1:0",
+	p.Env = append(os.Environ(), runAsProgramEnv+"=1", "GW_CONFIG="+p.path, "GW_DISCOVERY="+discovery, "GW_LISTEN=127.0.0.1:0",
 		"TMPDIR="+t.TempDir())
 	out, err := p.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, p.Start())
 	t.Cleanup(func() { p.Process.Kill() })
 	p.log = bufio.NewScanner(out)
-	_, rest, _ := strings.Cut(p.logged("msg=serving"), "listen=")
+	_, rest, _ := strings.Cut(p.awaitLogged("msg=serving"), "listen=")
 	p.listen, _, _ = strings.Cut(rest, " ")
 	return p
 }
 
-func (p *program) write(discovery, known string) {
+func (p *program) writeConfig(discovery, known string) {
 	text := fmt.Sprintf(`{"name":"n","seed":"1","discovery":%q,"known":%s,"settings":%s}`, discovery, known, testSettings)
 	require.NoError(p.t, os.WriteFile(p.path, []byte(text), 0o600))
 }
 
-// logged waits for a line of the log that holds a text.
-func (p *program) logged(text string) string {
+// awaitLogged waits for a log line that contains a text.
+func (p *program) awaitLogged(text string) string {
 	for p.log.Scan() {
 		if strings.Contains(p.log.Text(), text) {
 			return p.log.Text()
@@ -267,55 +267,55 @@
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	return &client{t, c, bufio.NewReader(c)}
 }
 
-func (c *client) say(line string) {
+func (c *client) send(line string) {
 	c.t.Helper()
 	_, err := io.WriteString(c, line+"\r\n")
 	require.NoError(c.t, err)
 }
 
-func (c *client) hear() string {
+func (c *client) receive() string {
 	c.t.Helper()
 	line, err := c.r.ReadString('\n')
 	require.NoError(c.t, err)
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// ended asserts that nothing more comes and the connection is over.
-func (c *client) ended() {
+// assertClosed asserts that nothing more arrives and the connection is closed.
+func (c *client) assertClosed() {
 	c.t.Helper()
 	rest, _ := io.ReadAll(c.r)
 	assert.Empty(c.t, string(rest))
 }
 
-const openRest = ",g=5c0f,x9=new"
+const openSuffix = ",g=5c0f,x9=new"
 
 var lastID atomic.Int64
 
 func open(c *client, extra string) { openAs(c, fmt.Sprintf("%x", lastID.Add(1)), extra) }
 
 func openAs(c *client, id, extra string) {
-	c.say("OPEN " + id + " 7f3a c=chat,t=acme,d=15000" + openRest + extra)
+	c.send("OPEN " + id + " 7f3a c=chat,t=acme,d=15000" + openSuffix + extra)
 }
 
-func TestAQueryIsServedAndItsLinesPassUnchanged(t *testing.T) {
+func TestRequestIsServedAndLinesAreForwardedUnchanged(t *testing.T) {
 	h := newHost(t, "a", echo)
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	c := dial(t, n)
-	c.say("PING")
-	require.Equal(t, "PONG", c.hear())
+	c.send("PING")
+	require.Equal(t, "PONG", c.receive())
 	open(c, "")
-	require.Equal(t, "UP r1", c.hear())
+	require.Equal(t, "UP r1", c.receive())
 	for _, line := range []string{"M 1 ab", "", "  spaced \t out ", strings.Repeat("x", 4000)} {
-		c.say(line)
-		require.Equal(t, line, c.hear())
+		c.send(line)
+		require.Equal(t, line, c.receive())
 	}
-	c.say("end")
-	require.Equal(t, "BYE", c.hear())
-	c.ended()
+	c.send("end")
+	require.Equal(t, "BYE", c.receive())
+	c.assertClosed()
 
 	require.Len(t, h.firstLines(), 1)
 	var left int
@@ -325,14 +325,15 @@
 	rest := after[strings.Index(after, ","):]
 	_, err := fmt.Sscan(strings.TrimSuffix(after, rest), &left)
 	require.NoError(t, err)
-	assert.Equal(t, openRest, rest)
+	assert.Equal(t, openSuffix, rest)
 	assert.Greater(t, left, 0)
-	assert.Less(t, left, 15000, "d tells what is left")
+	assert.Less(t, left, 15000, "d is the time that is left")
 }
 
-// endedByPeer says whether the node has ended a connection, by the state of the kernel: the host's goroutine may hear of it much
-// later. An end that was sent before a later connection was made has come by then, or comes within moments.
-func endedByPeer(t *testing.T, c net.Conn) bool {
+// closedByPeer reports whether the node has closed a connection, by the state in the kernel: the host's goroutine may
+// notice it much later. A FIN or RST sent before a later connection was opened has arrived by then, or arrives within
+// moments.
+func closedByPeer(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	const (
 		established = 1 // TCP_ESTABLISHED of the kernel's tcp_states.h
@@ -342,7 +343,7 @@
 	if !assert.NoError(t, err) {
 		return false
 	}
-	for begun := time.Now(); time.Since(begun) < within; time.Sleep(time.Millisecond) {
+	for started := time.Now(); time.Since(started) < within; time.Sleep(time.Millisecond) {
 		open := false
 		err := raw.Control(func(fd uintptr) {
 			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -355,47 +356,47 @@
 	return false
 }
 
-// A host that refuses, one that never answers and one that is full each cost an attempt; the next host serves,
-// and no two attempts are out at once.
-func TestFailedAttemptsGoOnToTheNextHost(t *testing.T) {
+// A host that refuses, one that never answers and one that is full each cost an attempt; the next host is tried, and
+// no two attempts are open at the same time.
+func TestFailedAttemptsContinueAtTheNextHost(t *testing.T) {
 	var mu sync.Mutex
-	out := map[net.Conn]bool{} // attempts that their hosts have not ended
-	started, together := 0, 0
+	active := map[net.Conn]bool{} // attempts that their hosts have not ended
+	started, overlapping := 0, 0
 	tracked := func(script func(string, net.Conn, *bufio.Reader)) func(string, net.Conn, *bufio.Reader) {
 		return func(line string, c net.Conn, r *bufio.Reader) {
 			mu.Lock()
-			for earlier := range out {
-				if !endedByPeer(t, earlier) {
-					together++
+			for earlier := range active {
+				if !closedByPeer(t, earlier) {
+					overlapping++
 				}
 			}
-			out[c] = true
+			active[c] = true
 			started++
 			mu.Unlock()
 			script(line, c, r)
 			mu.Lock()
-			delete(out, c)
+			delete(active, c)
 			mu.Unlock()
 		}
 	}
-	gone := newHost(t, "gone", echo)
-	gone.Close()
-	silent := newHost(t, "silent", tracked(hang))
+	closed := newHost(t, "gone", echo)
+	closed.Close()
+	unresponsive := newHost(t, "silent", tracked(hang))
 	full := newHost(t, "full", tracked(func(_ string, c net.Conn, _ *bufio.Reader) { io.WriteString(c, "BUSY inflight=7\r\n") }))
-	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(gone, silent, full)...))
+	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(closed, unresponsive, full)...))
 	c := dial(t, n)
 	open(c, "")
-	assert.Regexp(t, `^BUSY( \d+)?$`, c.hear(), "every host has failed")
-	c.ended()
-	assert.Len(t, silent.firstLines(), 1)
+	assert.Regexp(t, `^BUSY( \d+)?$`, c.receive(), "every host has failed")
+	c.assertClosed()
+	assert.Len(t, unresponsive.firstLines(), 1)
 	assert.Len(t, full.firstLines(), 1)
 	mu.Lock()
 	defer mu.Unlock()
 	assert.Equal(t, 2, started)
-	assert.Zero(t, together, "attempts begun while another one was out")
+	assert.Zero(t, overlapping, "attempts started while another one was open")
 }
 
-// A host that vanishes leaves its connections open and silent; only the missing lines tell.
+// A host that vanishes leaves its connections open without sending anything; only the missing lines show it.
 func TestClientsOfASilentHostAreMoved(t *testing.T) {
 	stop := make(chan struct{})
 	h := newHost(t, "a", func(_ string, c net.Conn, r *bufio.Reader) {
@@ -404,19 +405,19 @@
 	})
 	defer close(stop)
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
-	asking, idle := dial(t, n), dial(t, n)
-	for _, c := range []*client{asking, idle} {
+	active, idle := dial(t, n), dial(t, n)
+	for _, c := range []*client{active, idle} {
 		open(c, "")
-		require.Equal(t, "UP r1", c.hear())
+		require.Equal(t, "UP r1", c.receive())
 	}
-	asking.say("M 1 ab")
-	assert.Equal(t, "MOVE", asking.hear())
-	assert.Equal(t, "MOVE", idle.hear(), "one silent connection speaks for its host")
-	asking.ended()
-	idle.ended()
+	active.send("M 1 ab")
+	assert.Equal(t, "MOVE", active.receive())
+	assert.Equal(t, "MOVE", idle.receive(), "one unresponsive connection shows that the host is unresponsive")
+	active.assertClosed()
+	idle.assertClosed()
 }
 
-func TestAHostThatEndsOrDiesEndsItsClient(t *testing.T) {
+func TestHostThatClosesOrResetsClosesItsClient(t *testing.T) {
 	for name, script := range map[string]func(string, net.Conn, *bufio.Reader){
 		"moved": func(_ string, c net.Conn, _ *bufio.Reader) { io.WriteString(c, "UP r1\r\nMOVE\r\n") },
 		"reset": func(_ string, c net.Conn, r *bufio.Reader) {
@@ -429,19 +430,19 @@
 			n := startNode(t, newDiscovery(t), list(1, true, targetsOf(newHost(t, "a", script))...))
 			c := dial(t, n)
 			open(c, "")
-			require.Equal(t, "UP r1", c.hear())
+			require.Equal(t, "UP r1", c.receive())
 			if name == "moved" {
-				assert.Equal(t, "MOVE", c.hear())
+				assert.Equal(t, "MOVE", c.receive())
 			} else {
-				c.say("M 1")
+				c.send("M 1")
 			}
-			c.ended()
+			c.assertClosed()
 		})
 	}
 }
 
-// A host that has said BYE and then vanishes has said the client's last word: no MOVE comes after it.
-func TestAClientThatHasItsLastWordIsNotMoved(t *testing.T) {
+// A host that has sent BYE and then vanishes has sent the client's last line: no MOVE follows it.
+func TestClientThatHasItsLastLineIsNotMoved(t *testing.T) {
 	stop := make(chan struct{})
 	h := newHost(t, "a", func(_ string, c net.Conn, r *bufio.Reader) {
 		io.WriteString(c, "UP r1\r\n")
@@ -452,30 +453,30 @@
 	})
 	defer close(stop)
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
-	over, asking := dial(t, n), dial(t, n)
-	for _, c := range []*client{over, asking} {
+	finished, active := dial(t, n), dial(t, n)
+	for _, c := range []*client{finished, active} {
 		open(c, "")
-		require.Equal(t, "UP r1", c.hear())
+		require.Equal(t, "UP r1", c.receive())
 	}
-	over.say("end")
-	require.Equal(t, "BYE", over.hear())
-	asking.say("M 1 ab")
-	assert.Equal(t, "MOVE", asking.hear(), "the host is silent")
-	over.ended()
+	finished.send("end")
+	require.Equal(t, "BYE", finished.receive())
+	active.send("M 1 ab")
+	assert.Equal(t, "MOVE", active.receive(), "the host is unresponsive")
+	finished.assertClosed()
 }
 
-// An end is passed on however it comes: in the middle of a line, with the host still listening, and on connections that
-// stood before the node did.
+// The end of a host's connection is forwarded however it arrives: in the middle of a line, with the host still
+// reading, and on connections that were established before the node started.
 func TestAHostsEndReachesItsClient(t *testing.T) {
 	for name, c := range map[string]struct {
 		extra string
-		say   string // what the host says once it is asked to end
-		want  string // what the client hears
+		say   string // what the host sends once it is asked to end
+		want  string // what the client receives
 	}{
-		"in the middle of a line":    {say: "M 1\r\nM 2", want: "M 1\r\n"},
-		"behind its last word":       {say: "BYE\r\n", want: "BYE\r\n"},
-		"it stood before this node":  {extra: ",at=a", say: "MOVE\r\n", want: "MOVE\r\n"},
-		"its packets passed through": {extra: ",mid=1", say: "MOVE\r\n", want: "MOVE\r\n"},
+		"in the middle of a line":      {say: "M 1\r\nM 2", want: "M 1\r\n"},
+		"after its last line":          {say: "BYE\r\n", want: "BYE\r\n"},
+		"established before this node": {extra: ",at=a", say: "MOVE\r\n", want: "MOVE\r\n"},
+		"packets pass through":         {extra: ",mid=1", say: "MOVE\r\n", want: "MOVE\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, "a", func(_ string, peer net.Conn, r *bufio.Reader) {
@@ -483,26 +484,26 @@
 				_, _ = r.ReadString('\n')
 				io.WriteString(peer, c.say)
 				_ = peer.(*net.TCPConn).CloseWrite()
-				<-t.Context().Done() // it goes on listening
+				<-t.Context().Done() // its receiving side stays open
 			})
 			n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 			cl := dial(t, n)
 			open(cl, c.extra)
-			require.Equal(t, "UP r1", cl.hear())
-			cl.say("end")
+			require.Equal(t, "UP r1", cl.receive())
+			cl.send("end")
 			got, err := io.ReadAll(cl.r)
-			require.NoError(t, err, "the end is in good order, as the host's")
+			require.NoError(t, err, "the connection ends in good order, as the host's side did")
 			assert.Equal(t, c.want, string(got))
 		})
 	}
 }
 
-// A client's end reaches its host as it came.
+// The end of a client's connection reaches its host in the same manner: as an orderly close or as a reset.
 func TestAClientsEndReachesItsHost(t *testing.T) {
 	for name, c := range map[string]struct {
 		reset bool
 		want  error
-	}{"in good order": {}, "broken": {reset: true, want: syscall.ECONNRESET}} {
+	}{"in good order": {}, "reset": {reset: true, want: syscall.ECONNRESET}} {
 		t.Run(name, func(t *testing.T) {
 			ended := make(chan error, 1)
 			h := newHost(t, "a", func(_ string, peer net.Conn, r *bufio.Reader) {
@@ -513,7 +514,7 @@
 			n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 			cl := dial(t, n)
 			open(cl, "")
-			require.Equal(t, "UP r1", cl.hear())
+			require.Equal(t, "UP r1", cl.receive())
 			if c.reset {
 				require.NoError(t, cl.Conn.(*net.TCPConn).SetLinger(0))
 			}
@@ -521,15 +522,16 @@
 			select {
 			case err := <-ended:
 				assert.ErrorIs(t, err, c.want)
-			case <-time.After(patience):
-				t.Fatal("the host does not hear that its client has gone")
+			case <-time.After(testTimeout):
+				t.Fatal("the host does not see that its client has closed")
 			}
 		})
 	}
 }
 
-// A host that ends all its connections in one moment, while some of the clients leave by themselves, ends every one:
-// what came for a connection that another one's end has closed disturbs none that took its descriptor.
+// A host ends all its connections at the same moment, while some of the clients close by themselves. Every client is
+// closed, and events for a descriptor that was closed meanwhile do not affect the connection that has reused its
+// number.
 func TestAHostThatEndsAllAtOnceEndsAllItsClients(t *testing.T) {
 	const clients, rounds = 40, 3
 	for range rounds {
@@ -544,29 +546,29 @@
 		for i := range all {
 			all[i] = dial(t, n)
 			open(all[i], ",at=a")
-			require.Equal(t, "UP r1", all[i].hear())
+			require.Equal(t, "UP r1", all[i].receive())
 		}
 		close(end)
 		for i, c := range all {
 			if i%4 == 0 {
 				c.Close()
-				all[i] = dial(t, n) // one that comes in between is answered
-				all[i].say("PING")
+				all[i] = dial(t, n) // a client that connects meanwhile is answered
+				all[i].send("PING")
 			}
 		}
 		for i, c := range all {
 			if i%4 == 0 {
-				assert.Equal(t, "PONG", c.hear())
+				assert.Equal(t, "PONG", c.receive())
 				continue
 			}
-			assert.Equal(t, "MOVE", c.hear())
-			c.ended()
+			assert.Equal(t, "MOVE", c.receive())
+			c.assertClosed()
 		}
 	}
 }
 
-// A line over 4 KiB, from either side, cannot be passed on; while the host answers, its client is moved.
-func TestALineThatIsTooLongMovesTheClient(t *testing.T) {
+// A line over 4 KiB, from either side, cannot be forwarded; while the host responds, its client is moved.
+func TestTooLongLineMovesTheClient(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	h := newHost(t, "a", func(_ string, c net.Conn, r *bufio.Reader) {
 		io.WriteString(c, "UP r1\r\n")
@@ -576,140 +578,143 @@
 		_, _ = io.Copy(io.Discard, r)
 	})
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
-	for _, said := range []string{"go\r\n", long} {
+	for _, sent := range []string{"go\r\n", long} {
 		c := dial(t, n)
 		open(c, "")
-		require.Equal(t, "UP r1", c.hear())
-		_, err := io.WriteString(c, said)
+		require.Equal(t, "UP r1", c.receive())
+		_, err := io.WriteString(c, sent)
 		require.NoError(t, err)
-		assert.Equal(t, "MOVE", c.hear())
-		c.ended()
+		assert.Equal(t, "MOVE", c.receive())
+		c.assertClosed()
 	}
 }
 
-func TestChangesOfTheHostGroupAreFollowed(t *testing.T) {
+func TestChangesOfTheHostListAreApplied(t *testing.T) {
 	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
 	d := newDiscovery(t)
 	n := startNode(t, d, list(41, true, targetsOf(a)...))
-	assert.Contains(t, <-d.asked, "/v1/servers?from=41&hold_ms=")
-	d.answers <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-	assert.Contains(t, <-d.asked, "from=41", "asked again after a failure")
-	d.answers <- ok(`{"rev":42,"all":false,"targets":[{"uid":`)
-	assert.Contains(t, <-d.asked, "from=41", "asked again after a broken list")
-	d.answers <- "" // the connection breaks
-	for path := range d.asked {
+	assert.Contains(t, <-d.requests, "/v1/servers?from=41&hold_ms=")
+	d.responses <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	assert.Contains(t, <-d.requests, "from=41", "called again after a failure")
+	d.responses <- ok(`{"rev":42,"all":false,"targets":[{"uid":`)
+	assert.Contains(t, <-d.requests, "from=41", "called again after a broken list")
+	d.responses <- "" // the connection breaks
+	for path := range d.requests {
 		if assert.Contains(t, path, "from=41") {
 			break
 		}
 	}
 	body := list(43, false, target("a", a.Addr().String(), "terminating"), targetsOf(b)[0])
-	d.answers <- fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
+	d.responses <- fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
 		9, body[:9], len(body)-9, body[9:])
-	for path := range d.asked {
-		if strings.Contains(path, "from=43") { // the next watch follows the news
+	for path := range d.requests {
+		if strings.Contains(path, "from=43") { // the next watch continues from the update
 			break
 		}
 	}
 	for range 5 {
 		c := dial(t, n)
 		open(c, "")
-		require.Equal(t, "UP r1", c.hear())
+		require.Equal(t, "UP r1", c.receive())
 	}
-	assert.Empty(t, a.firstLines(), "nothing new goes to a host that drains")
+	assert.Empty(t, a.firstLines(), "no new request goes to a draining host")
 	assert.Len(t, b.firstLines(), 5)
 }
 
-// A new configuration moves discovery, though the environment still names the old one. Connections and hosts stay
-// meanwhile, a faulty file changes nothing, and signals in any number end nothing but with SIGTERM.
+// A new configuration changes the discovery address, though the environment still names the old one. Connections and
+// hosts are kept meanwhile, a faulty file changes nothing, and SIGHUP in any number does not end the program, even
+// during the shutdown that SIGTERM starts.
 func TestAProgramTakesOverANewConfiguration(t *testing.T) {
 	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
 	before, after := newDiscovery(t), newDiscovery(t)
 	known := list(41, true, targetsOf(a)...)
 	p := startProgram(t, before.Addr().String(), known)
-	hup := func() { require.NoError(t, p.Process.Signal(syscall.SIGHUP)) }
-	assert.Contains(t, <-before.asked, "from=41")
-	standing := dialAt(t, p.listen)
-	open(standing, "")
-	require.Equal(t, "UP r1", standing.hear())
-
-	hup() // the same address
-	p.logged("configuration read again")
+	reload := func() { require.NoError(t, p.Process.Signal(syscall.SIGHUP)) }
+	assert.Contains(t, <-before.requests, "from=41")
+	established := dialAt(t, p.listen)
+	open(established, "")
+	require.Equal(t, "UP r1", established.receive())
+
+	reload() // the same address
+	p.awaitLogged("configuration read again")
 	require.NoError(t, os.WriteFile(p.path, []byte(`{"name":"n","discovery":`), 0o600))
-	hup()
-	assert.Contains(t, p.logged("level=ERROR"), "GW_CONFIG")
-	p.write("nowhere", known)
-	hup()
-	assert.Contains(t, p.logged("level=ERROR"), "discovery: ")
-	p.write(after.Addr().String(), known)
+	reload()
+	assert.Contains(t, p.awaitLogged("level=ERROR"), "GW_CONFIG")
+	p.writeConfig("nowhere", known)
+	reload()
+	assert.Contains(t, p.awaitLogged("level=ERROR"), "discovery: ")
+	p.writeConfig(after.Addr().String(), known)
 	text, err := os.ReadFile(p.path)
 	require.NoError(t, err)
 	text = bytes.Replace(text, []byte(`"drain_grace_us":2000000`), []byte(`"drain_grace_us":0`), 1)
 	require.NoError(t, os.WriteFile(p.path, text, 0o600))
-	hup()
-	refused := p.logged("level=ERROR")
+	reload()
+	refused := p.awaitLogged("level=ERROR")
 	assert.Contains(t, refused, "settings.safety.drain_grace_us: 0 is out of range")
 	assert.Contains(t, refused, "action=\"correct settings.safety.drain_grace_us")
-	assert.Empty(t, after.asked, "nothing was taken, not even the address")
-	assert.Empty(t, before.asked, "the watch at the same address was not disturbed")
-	p.write(after.Addr().String(), known)
+	assert.Empty(t, after.requests, "nothing was applied, not even the address")
+	assert.Empty(t, before.requests, "the watch at the same address was not interrupted")
+	p.writeConfig(after.Addr().String(), known)
 	for range 50 {
-		hup()
+		reload()
 	}
-	assert.Equal(t, "/v1/servers", <-after.asked, "the whole list, at once")
-	after.answers <- "" // the first tries fail
-	assert.Equal(t, "/v1/servers", <-after.asked)
-	after.answers <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-	assert.Equal(t, "/v1/servers", <-after.asked)
+	assert.Equal(t, "/v1/servers", <-after.requests, "the full list is requested at once")
+	after.responses <- "" // the first attempts fail
+	assert.Equal(t, "/v1/servers", <-after.requests)
+	after.responses <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	assert.Equal(t, "/v1/servers", <-after.requests)
 	meanwhile := dialAt(t, p.listen)
 	open(meanwhile, "")
-	require.Equal(t, "UP r1", meanwhile.hear(), "the hosts known so far stay")
-	after.answers <- ok(list(7, true, targetsOf(b)...))
-	assert.Contains(t, <-after.asked, "from=7")
+	require.Equal(t, "UP r1", meanwhile.receive(), "the hosts known so far are kept")
+	after.responses <- ok(list(7, true, targetsOf(b)...))
+	assert.Contains(t, <-after.requests, "from=7")
 	later := dialAt(t, p.listen)
 	open(later, "")
-	require.Equal(t, "UP r1", later.hear())
+	require.Equal(t, "UP r1", later.receive())
 	assert.Len(t, a.firstLines(), 2)
 	assert.Len(t, b.firstLines(), 1)
-	for _, c := range []*client{standing, meanwhile} {
-		c.say("M 1")
-		assert.Equal(t, "M 1", c.hear(), "open connections stay")
+	for _, c := range []*client{established, meanwhile} {
+		c.send("M 1")
+		assert.Equal(t, "M 1", c.receive(), "open connections are kept")
 	}
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	for range 20 {
 		_ = p.Process.Signal(syscall.SIGHUP)
 	}
-	assert.NoError(t, p.Wait(), "it leaves in good order")
+	assert.NoError(t, p.Wait(), "it shuts down without an error")
 }
 
-func TestAnInheritedConnectionGoesToItsHostOnly(t *testing.T) {
-	var tries sync.Map
+func TestInheritedConnectionGoesToItsHostOnly(t *testing.T) {
+	var attempts sync.Map
 	other := newHost(t, "other", echo)
 	holder := newHost(t, "holder", func(line string, c net.Conn, r *bufio.Reader) {
-		if _, again := tries.LoadOrStore("first", true); again {
+		if _, again := attempts.LoadOrStore("first", true); again {
 			echo(line, c, r)
-		} // the first try breaks
+		} // the first attempt breaks
 	})
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(other, holder)...))
 	c := dial(t, n)
 	open(c, ",at=holder")
-	require.Equal(t, "UP r1", c.hear())
+	require.Equal(t, "UP r1", c.receive())
 	assert.Empty(t, other.firstLines())
 	assert.Len(t, holder.firstLines(), 2)
 }
 
-// A connection that stood before has no deadline: its d is the longest time that fits 32 bits of microseconds.
-func TestAConnectionWithoutADeadlineIsTaken(t *testing.T) {
+// A connection that was established before has no deadline: its d is the longest time that fits 32 bits of
+// microseconds.
+func TestConnectionWithoutADeadlineIsAccepted(t *testing.T) {
 	h := newHost(t, "a", echo)
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	for _, extra := range []string{"", ",at=a"} {
 		c := dial(t, n)
-		c.say(fmt.Sprintf("OPEN %x", lastID.Add(1)) + " 7f3a c=chat,t=acme,d=4294967,g=0000000000000000" + extra)
-		assert.Equal(t, "UP r1", c.hear(), "%q", extra)
+		c.send(fmt.Sprintf("OPEN %x", lastID.Add(1)) + " 7f3a c=chat,t=acme,d=4294967,g=0000000000000000" + extra)
+		assert.Equal(t, "UP r1", c.receive(), "%q", extra)
 	}
 }
 
-// Silence, half a line and a trickle each end in an error, and so does what comes while the answer is awaited; its
-// query is taken back. An id that is in use is refused, and its owner goes on.
+// A client that sends nothing, part of a line or single bytes slowly gets an error, and so does one that sends more
+// while it waits for the response; its request is canceled. An ID that is in use is refused, and its owner's
+// connection is unaffected.
 func TestClientsThatDoNotKeepToTheOrderAreTurnedAway(t *testing.T) {
 	taken := make(chan struct{})
 	left := make(chan struct{})
@@ -725,20 +730,20 @@
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	owner := dial(t, n)
 	openAs(owner, "9b1f", "")
-	require.Equal(t, "UP r1", owner.hear())
+	require.Equal(t, "UP r1", owner.receive())
 	again := dial(t, n)
 	openAs(again, "9b1f", "")
-	assert.Equal(t, "ERR the id is in use", again.hear())
-	again.ended()
-	owner.say("M 1 ab")
-	assert.Equal(t, "M 1 ab", owner.hear())
+	assert.Equal(t, "ERR the id is in use", again.receive())
+	again.assertClosed()
+	owner.send("M 1 ab")
+	assert.Equal(t, "M 1 ab", owner.receive())
 
 	eager := dial(t, n)
-	eager.say("OPEN e 7f3a c=chat,d=15000,x=slow")
+	eager.send("OPEN e 7f3a c=chat,d=15000,x=slow")
 	<-taken
-	eager.say("M 1 ab")
-	assert.Contains(t, eager.hear(), "ERR a client sends one line")
-	eager.ended()
+	eager.send("M 1 ab")
+	assert.Contains(t, eager.receive(), "ERR a client sends one line")
+	eager.assertClosed()
 	<-left
 
 	silent, half, trickle := dial(t, n), dial(t, n), dial(t, n)
@@ -752,15 +757,15 @@
 		}
 	}()
 	for _, c := range []*client{silent, half, trickle} {
-		assert.Equal(t, "ERR no query has come", c.hear())
-		c.ended()
+		assert.Equal(t, "ERR no query has come", c.receive())
+		c.assertClosed()
 	}
-	owner.say("end")
-	assert.Equal(t, "BYE", owner.hear())
-	owner.ended()
+	owner.send("end")
+	assert.Equal(t, "BYE", owner.receive())
+	owner.assertClosed()
 	later := dial(t, n)
 	openAs(later, "9b1f", "")
-	assert.Equal(t, "UP r1", later.hear(), "the id is free")
+	assert.Equal(t, "UP r1", later.receive(), "the id is free")
 }
 
 func TestBadInputGetsAnAnswerAndReachesNoHost(t *testing.T) {
@@ -778,8 +783,8 @@
 		c := dial(t, n)
 		_, err := io.WriteString(c, in)
 		require.NoError(t, err)
-		assert.Contains(t, c.hear(), "ERR ", "%.40q", in)
-		c.ended()
+		assert.Contains(t, c.receive(), "ERR ", "%.40q", in)
+		c.assertClosed()
 	}
 	half := dial(t, n)
 	_, err := io.WriteString(half, "OPEN 1 2 c=chat,d=1")
@@ -787,12 +792,13 @@
 	half.Close()
 	c := dial(t, n)
 	open(c, "")
-	assert.Equal(t, "UP r1", c.hear(), "the node goes on")
+	assert.Equal(t, "UP r1", c.receive(), "the node continues to serve")
 	assert.Len(t, h.firstLines(), 1)
 }
 
-// On SIGTERM, what was taken is answered and what comes shortly after is taken too. What stands goes on after the
-// node has stopped accepting; with the last of it gone the node stops.
+// On SIGTERM, requests that were accepted are answered, and connections that arrive shortly after are accepted too.
+// Established connections continue after the node has stopped accepting; the node stops once the last of them is
+// closed.
 func TestLeavingAnswersAllThatWasTaken(t *testing.T) {
 	release := make(chan struct{})
 	h := newHost(t, "a", func(line string, c net.Conn, r *bufio.Reader) {
@@ -804,13 +810,13 @@
 	open(early, "")
 	left := make(chan struct{})
 	go func() {
-		n.leave()
+		n.shutDown()
 		close(left)
 	}()
 	open(late, "")
 	close(release)
-	assert.Equal(t, "UP r1", early.hear())
-	assert.Equal(t, "UP r1", late.hear())
+	assert.Equal(t, "UP r1", early.receive())
+	assert.Equal(t, "UP r1", late.receive())
 	for { // until it has stopped accepting
 		c, err := net.Dial("tcp", n.addr)
 		if errors.Is(err, syscall.ECONNREFUSED) {
@@ -824,15 +830,15 @@
 		c.Close()
 	}
 	for range 100 {
-		early.say("M 1 ab")
-		require.Equal(t, "M 1 ab", early.hear())
+		early.send("M 1 ab")
+		require.Equal(t, "M 1 ab", early.receive())
 	}
 	early.Close()
 	late.Close()
 	<-left
 }
 
-// A client that sends without end is moved; its host is sound and gets the next query.
+// A client that sends without end is moved; its host is healthy and gets the next request.
 func TestAFloodFromAClientIsNotHeldAgainstItsHost(t *testing.T) {
 	h := newHost(t, "a", func(line string, c net.Conn, r *bufio.Reader) {
 		if strings.Contains(line, "x=flood") {
@@ -845,17 +851,17 @@
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	flood := dial(t, n)
 	open(flood, ",x=flood")
-	require.Equal(t, "UP r1", flood.hear())
+	require.Equal(t, "UP r1", flood.receive())
 	go func() {
 		lines := bytes.Repeat([]byte("M 1 0123456789abcdef\r\n"), 1000)
 		for err := error(nil); err == nil; {
 			_, err = flood.Write(lines)
 		}
 	}()
-	assert.Equal(t, "MOVE", flood.hear())
+	assert.Equal(t, "MOVE", flood.receive())
 	c := dial(t, n)
 	open(c, "")
-	assert.Equal(t, "UP r1", c.hear())
+	assert.Equal(t, "UP r1", c.receive())
 }
 
 func TestAFloodFromAHostDoesNotGrowTheNode(t *testing.T) {
@@ -866,16 +872,16 @@
 		flood := bytes.Repeat([]byte("M 1 0123456789abcdef\r\n"), 1000)
 		for {
 			if _, err := c.Write(flood); err != nil {
-				return // the node has given the connection up
+				return // the node has closed the connection
 			}
 		}
 	})
 	n := startNode(t, newDiscovery(t), list(1, true, targetsOf(h)...))
 	c := dial(t, n)
-	open(c, "") // and never reads
+	open(c, "") // the client never reads
 	select {
 	case <-blocked:
-	case <-time.After(patience):
-		t.Fatal("the node takes all that the host sends though its client reads nothing")
+	case <-time.After(testTimeout):
+		t.Fatal("the node reads everything that the host sends although its client reads nothing")
 	}
 }
--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -13,76 +13,77 @@
 	"lichenhitch/internal/settings"
 )
 
-// This file is what policies in stages ask of the traffic: to go by one, and to tell what was counted under which. Settings are
-// those of the configuration, as read, with the policy laid over them.
-
-// mostTold is how many policies' counts wait at most for a control that is behind. It is what sets policies, so that there
-// are hardly two.
-const mostTold = 4
-
-// tuning is what the node goes by. It belongs to the loop.
-type tuning struct {
-	set      balance.Settings  // as they are in effect
-	wanted   control.Policy    // that control has set last
-	asked    rollout.Hash      // of the one that control has asked for last
-	under    rollout.Hash      // of the one that is laid over the settings; "": none
-	told     []control.Counted // under earlier ones, not told yet
-	changes  uint64            // of the settings as read
-	expiring bool              // a timer looks at the end of a trial's lease
+// This file is the traffic side of policies that are rolled out in stages: it applies a policy and reports what was
+// counted under it. Settings are those of the configuration, as read, overlaid with the policy.
+
+// maxUnreportedCounts is the maximum number of policies whose counts wait for a control that is behind. Control
+// itself sets the policies, so that there are rarely more than two.
+const maxUnreportedCounts = 4
+
+// policyState holds the policy and the settings that the node applies. It belongs to the loop.
+type policyState struct {
+	settings        balance.Settings  // as they are in effect
+	wanted          control.Policy    // set last, by control or after the lease of a trial expired
+	requested       rollout.Hash      // the one that control requested last, whether it fitted or not
+	applied         rollout.Hash      // the one that overlays the settings; "" for none
+	unreported      []control.Counted // counted under earlier policies and not reported yet
+	settingsChanges uint64            // number of changes of the settings as read
+	expiryScheduled bool              // a timer for the end of a trial's lease is set
 }
 
-// traffic is the node as control has it do things.
+// traffic implements control.Traffic, the operations that control calls on the node.
 type traffic struct{ *node }
 
 var _ control.Traffic = traffic{}
 
 // Bind implements control.Traffic.
-func (t traffic) Bind(v sendlease.Restrictions) { t.core.ApplyVerdict(v) }
+func (t traffic) Bind(restrictions sendlease.Restrictions) { t.core.ApplyVerdict(restrictions) }
 
 // GoBy implements control.Traffic.
 func (t traffic) GoBy(p control.Policy) {
-	t.tuning.asked = p.Hash
-	if t.tuning.wanted.Hash == p.Hash && t.tuning.under == p.Hash { // no more than a longer lease
-		t.tuning.wanted = p
-		t.expire()
+	t.policyState.requested = p.Hash
+	if t.policyState.wanted.Hash == p.Hash && t.policyState.applied == p.Hash { // only the lease is extended
+		t.policyState.wanted = p
+		t.scheduleExpiry()
 		return
 	}
-	if err := t.goBy(p); err != nil {
-		t.log.Error("the policy does not fit the settings; the node goes on as before", "policy", p.Hash, "under", t.tuning.under,
-			"error", err)
+	if err := t.applyPolicy(p); err != nil {
+		t.log.Error("the policy does not fit the settings; the node continues as before", "policy", p.Hash,
+			"under", t.policyState.applied, "error", err)
 		return
 	}
-	t.tuning.wanted = p
+	t.policyState.wanted = p
 	t.log.Info("goes by a policy", "policy", p.Hash)
-	t.expire()
+	t.scheduleExpiry()
 }
 
-// expire has the good policy hold once the lease of the trial is over, whatever control does meanwhile.
-func (n *node) expire() {
-	w := n.tuning.wanted
-	if n.tuning.expiring || w.Until == 0 || w.Good == nil {
+// scheduleExpiry sets a timer that applies the good policy when the lease of the trial expires, whatever state
+// control is in.
+func (n *node) scheduleExpiry() {
+	w := n.policyState.wanted
+	if n.policyState.expiryScheduled || w.Until == 0 || w.Good == nil {
 		return
 	}
-	n.tuning.expiring = true
+	n.policyState.expiryScheduled = true
 	n.loop.After(w.Until-n.loop.Now(), func() {
-		n.tuning.expiring = false
-		if w := n.tuning.wanted; w.Good != nil && n.loop.Now() >= w.Until {
-			n.log.Info("the lease of a trial policy is over; goes by the good one", "policy", w.Good.Hash, "trial", w.Hash)
-			n.tuning.wanted = *w.Good
+		n.policyState.expiryScheduled = false
+		if w := n.policyState.wanted; w.Good != nil && n.loop.Now() >= w.Until {
+			n.log.Info("the lease of a trial policy has expired; the good policy is applied", "policy", w.Good.Hash, "trial", w.Hash)
+			n.policyState.wanted = *w.Good
 			n.fallBack(w)
 		}
-		n.expire()
+		n.scheduleExpiry()
 	})
 }
 
 // Check implements control.Traffic.
 func (t traffic) Check(p control.Policy) error {
-	_, err := laid(t.read.Load(), p)
+	_, err := overlay(t.latestConfig.Load(), p)
 	return err
 }
 
-// laid returns settings as read with a policy laid over them. An error is a *rollout.Fault.
-func laid(cfg *config.Config, p control.Policy) (balance.Settings, error) {
+// overlay returns the settings as read, overlaid with a policy. An error is a *rollout.Fault.
+func overlay(cfg *config.Config, p control.Policy) (balance.Settings, error) {
 	if len(p.Text) == 0 || string(bytes.TrimSpace(p.Text)) == "{}" {
 		return cfg.Settings, nil
 	}
@@ -96,21 +97,21 @@
 	}
 	set, err := settings.Decode(raw)
 	if err != nil {
-		return set, &rollout.Fault{Fault: err.Error()} // Over has decoded it before
+		return set, &rollout.Fault{Fault: err.Error()} // ApplyTo has decoded the same text before
 	}
-	set.PassThrough = cfg.Settings.PassThrough // only a start takes it over
+	set.PassThrough = cfg.Settings.PassThrough // only a restart changes it
 	return set, nil
 }
 
-// goBy goes by the settings as read with a policy laid over them from now on. If that fails nothing has changed.
-func (n *node) goBy(p control.Policy) error {
-	set, err := laid(&n.cfg, p)
+// applyPolicy applies the settings as read, overlaid with a policy. On an error nothing has changed.
+func (n *node) applyPolicy(p control.Policy) error {
+	set, err := overlay(&n.cfg, p)
 	if err != nil {
 		return err
 	}
-	n.putAside()
-	longest := max(longestDeadline(set), longestDeadline(n.tuning.set)) // of queries that are open, too
-	n.tuning.set, n.tuning.under = set, p.Hash
+	n.closeCounts()
+	longest := max(longestDeadline(set), longestDeadline(n.policyState.settings)) // open requests may still have the old deadline
+	n.policyState.settings, n.policyState.applied = set, p.Hash
 	n.core.ApplySettings(set)
 	n.acceptor.ApplySettings(set)
 	n.connector.SetConnectTimeout(set.ConnectTimeout)
@@ -119,76 +120,78 @@
 	return nil
 }
 
-// resettle goes by a configuration that was read again, with the policy over it. Where that does not fit any more, the
-// settings hold without it, and with the good policy where it was a trial, until it fits again or control sets another.
-func (n *node) resettle(cfg config.Config) {
+// applyConfig applies a configuration that was read again, overlaid with the policy. If the policy does not fit the
+// new settings, they apply without it, or with the good policy where it was a trial, until it fits again or control
+// sets another one.
+func (n *node) applyConfig(cfg config.Config) {
 	if !reflect.DeepEqual(cfg.Settings, n.cfg.Settings) {
-		n.tuning.changes++
+		n.policyState.settingsChanges++
 	}
 	n.cfg.Discovery, n.cfg.Settings, n.cfg.RawSettings, n.cfg.Keys = cfg.Discovery, cfg.Settings, cfg.RawSettings, cfg.Keys
 	n.publishSettings()
-	if err := n.goBy(n.tuning.wanted); err != nil {
-		n.log.Error("the policy does not fit the new settings; they hold without it, or with the good one", "policy",
-			n.tuning.wanted.Hash, "error", err)
-		n.fallBack(n.tuning.wanted)
+	if err := n.applyPolicy(n.policyState.wanted); err != nil {
+		n.log.Error("the policy does not fit the new settings; they apply without it, or with the good policy", "policy",
+			n.policyState.wanted.Hash, "error", err)
+		n.fallBack(n.policyState.wanted)
 	}
 }
 
-// fallBack leaves a policy: the good one holds in place of a trial, or, where there is none or it does not fit either, the
-// settings without any.
+// fallBack replaces a policy that can no longer be applied: by the good policy if it was a trial, or by the settings
+// without a policy where there is no good policy or that does not fit either.
 func (n *node) fallBack(from control.Policy) {
 	good := control.Policy{}
 	if from.Good != nil {
 		good = *from.Good
 	}
-	if err := n.goBy(good); err != nil {
-		n.log.Error("the good policy does not fit the settings, which hold without it", "policy", good.Hash, "error", err)
-		_ = n.goBy(control.Policy{}) // which fits always
+	if err := n.applyPolicy(good); err != nil {
+		n.log.Error("the good policy does not fit the settings, which apply without it", "policy", good.Hash, "error", err)
+		_ = n.applyPolicy(control.Policy{}) // which always fits
 	}
 }
 
-// publishSettings lets Check know of the settings as read.
+// publishSettings makes the settings as read available to Check.
 func (n *node) publishSettings() {
 	cfg := n.cfg
-	n.read.Store(&cfg)
+	n.latestConfig.Store(&cfg)
 }
 
-// putAside ends what was counted up to now under the policy that was in effect.
-func (n *node) putAside() {
-	if c, any := n.counted(); any {
-		if n.tuning.told = append(n.tuning.told, c); len(n.tuning.told) > mostTold {
-			n.log.Warn("control is behind: what was counted under a policy is lost", "policy", n.tuning.told[0].Under)
-			n.tuning.told = n.tuning.told[1:]
+// closeCounts ends the counts under the policy that has been in effect and keeps them for a report.
+func (n *node) closeCounts() {
+	if c, found := n.currentCounts(); found {
+		if n.policyState.unreported = append(n.policyState.unreported, c); len(n.policyState.unreported) > maxUnreportedCounts {
+			n.log.Warn("control is behind; the counts under a policy are lost", "policy", n.policyState.unreported[0].Under)
+			n.policyState.unreported = n.policyState.unreported[1:]
 		}
 		n.core.ResetCounts()
 	}
 }
 
-// counted returns what was counted since it was last told or put aside, if anything was.
-func (n *node) counted() (c control.Counted, any bool) {
-	c.Under = n.tuning.under
-	c.Counts, c.Guards = n.core.Counts(n.worth())
+// currentCounts returns the counts since they were last reported or closed, and whether there are any.
+func (n *node) currentCounts() (c control.Counted, found bool) {
+	c.Under = n.policyState.applied
+	c.Counts, c.Guards = n.core.Counts(n.classValue())
 	return c, len(c.Counts)+len(c.Guards) > 0
 }
 
-// worth tells what a class is worth by the settings as read: what a policy says of it must not count for the policy.
-func (n *node) worth() func(class string) float64 {
-	worth := map[string]float64{}
+// classValue returns the value of a class by the settings as read, without the policy: what a policy sets as the
+// value must not count in its own favor.
+func (n *node) classValue() func(class string) float64 {
+	values := map[string]float64{}
 	for _, c := range n.cfg.Settings.Classes {
-		worth[c.Name] = c.Value
+		values[c.Name] = c.Value
 	}
-	return func(class string) float64 { return worth[class] }
+	return func(class string) float64 { return values[class] }
 }
 
-// evidence adds to a report what was counted, and returns what to do once control has the report. What was counted stays
-// until then.
-func (n *node) evidence(r *control.Report) (taken func()) {
-	r.Counted = append(r.Counted, n.tuning.told...)
-	if c, any := n.counted(); any {
+// addCounts adds the counts to a report, and returns the function to call once control has accepted the report. The
+// counts are kept until then.
+func (n *node) addCounts(r *control.Report) (accepted func()) {
+	r.Counted = append(r.Counted, n.policyState.unreported...)
+	if c, found := n.currentCounts(); found {
 		r.Counted = append(r.Counted, c)
 	}
 	return func() {
-		n.tuning.told = nil
+		n.policyState.unreported = nil
 		n.core.ResetCounts()
 	}
 }
--- a/cmd/lichenhitch/policies_test.go
+++ b/cmd/lichenhitch/policies_test.go
@@ -28,37 +28,38 @@
 	return control.Policy{Hash: p.Hash(), Text: p.Text()}
 }
 
-// goBy has a node go by a policy, as control does, and returns the policy's hash.
-func goBy(t *testing.T, n *node, text string) rollout.Hash {
+// setPolicy sets a node's policy, as control does, and returns the policy's hash.
+func setPolicy(t *testing.T, n *node, text string) rollout.Hash {
 	t.Helper()
 	p := policy(t, text)
 	n.loop.Call(func() { traffic{n}.GoBy(p) })
 	return p.Hash
 }
 
-// full has the node's door full, so that whoever comes is told at once when to come again: no later than the settings allow.
-func full(n *node) { n.loop.Call(func() { n.acceptor.SetMaxConns(0) }) }
+// refuseAll leaves no room for clients, so that each is refused at once with the time after which to retry: at most
+// the maximum in the settings.
+func refuseAll(n *node) { n.loop.Call(func() { n.acceptor.SetMaxConns(0) }) }
 
-func advice(t *testing.T, n *node, extra string) string {
+func firstResponse(t *testing.T, n *node, extra string) string {
 	t.Helper()
 	c := dial(t, n)
 	open(c, extra)
-	return c.hear()
+	return c.receive()
 }
 
-// told returns what a node would tell control now.
-func told(n *node) (control.Report, func()) {
+// pendingReport returns what a node would report to control now.
+func pendingReport(n *node) (control.Report, func()) {
 	var r control.Report
-	var taken func()
+	var accepted func()
 	n.loop.Call(func() {
-		r.Under, r.Retuned = n.tuning.under, n.tuning.changes
-		taken = n.evidence(&r)
+		r.Under, r.Retuned = n.policyState.applied, n.policyState.settingsChanges
+		accepted = n.addCounts(&r)
 	})
-	return r, func() { n.loop.Call(taken) }
+	return r, func() { n.loop.Call(accepted) }
 }
 
-// changed is a configuration whose settings have other text.
-func changed(t *testing.T, cfg config.Config, old, new string) config.Config {
+// replaceSetting returns a configuration in whose settings a text is replaced.
+func replaceSetting(t *testing.T, cfg config.Config, old, new string) config.Config {
 	t.Helper()
 	require.Contains(t, string(cfg.RawSettings), old)
 	cfg.RawSettings = []byte(strings.Replace(string(cfg.RawSettings), old, new, 1))
@@ -68,88 +69,89 @@
 	return cfg
 }
 
-func TestAPolicyChangesHowOftenAHostIsTried(t *testing.T) {
+func TestPolicyChangesTheNumberOfAttempts(t *testing.T) {
 	for text, tries := range map[string]int{`{}`: 2, `{"permissions":{"max_attempts":1}}`: 1} {
 		busy := func(_ string, c net.Conn, _ *bufio.Reader) { io.WriteString(c, "BUSY inflight=7\r\n") }
 		a, b := newHost(t, "a", busy), newHost(t, "b", busy)
 		n := startNode(t, newDiscovery(t), list(1, true, targetsOf(a, b)...))
-		goBy(t, n, text)
-		assert.Regexp(t, `^BUSY( \d+)?$`, advice(t, n, ""))
+		setPolicy(t, n, text)
+		assert.Regexp(t, `^BUSY( \d+)?$`, firstResponse(t, n, ""))
 		assert.Len(t, append(a.firstLines(), b.firstLines()...), tries, text)
 	}
 }
 
-// A policy holds over settings that are read again, for as long as it fits them. One that does not changes nothing.
-func TestSettingsAreReadAgainBelowAPolicy(t *testing.T) {
+// A policy is kept over settings that are read again, for as long as it fits them. One that does not fit changes
+// nothing.
+func TestPolicyIsKeptWhenSettingsAreReadAgain(t *testing.T) {
 	cfg := testConfig(t, newDiscovery(t), list(1, true))
-	var log lines
+	var log syncLog
 	n, err := start(slog.New(slog.NewTextHandler(&log, nil)), cfg)
 	require.NoError(t, err)
 	t.Cleanup(n.stop)
-	full(n)
-	under := func() (rollout.Hash, uint64) { r, _ := told(n); return r.Under, r.Retuned }
-	assert.Equal(t, "BUSY 1000", advice(t, n, ""))
-	trial := goBy(t, n, `{"permissions":{"max_retry_after_us":70000},"request_classes":{"chat":{"points":7}}}`)
-	assert.Equal(t, "BUSY 70", advice(t, n, ""))
-	goBy(t, n, `{"request_classes":{"another":{"points":7}}}`)
-	assert.Equal(t, "BUSY 70", advice(t, n, ""))
-	now, changes := under()
-	assert.Equal(t, trial, now)
+	refuseAll(n)
+	appliedPolicy := func() (rollout.Hash, uint64) { r, _ := pendingReport(n); return r.Under, r.Retuned }
+	assert.Equal(t, "BUSY 1000", firstResponse(t, n, ""))
+	trial := setPolicy(t, n, `{"permissions":{"max_retry_after_us":70000},"request_classes":{"chat":{"points":7}}}`)
+	assert.Equal(t, "BUSY 70", firstResponse(t, n, ""))
+	setPolicy(t, n, `{"request_classes":{"another":{"points":7}}}`)
+	assert.Equal(t, "BUSY 70", firstResponse(t, n, ""))
+	applied, changes := appliedPolicy()
+	assert.Equal(t, trial, applied)
 	assert.Zero(t, changes)
 	assert.Equal(t, 1, log.count("does not fit the settings"))
 
-	longer := changed(t, cfg, `"deadline_us":3000000`, `"deadline_us":4000000`)
+	longer := replaceSetting(t, cfg, `"deadline_us":3000000`, `"deadline_us":4000000`)
 	n.reload(longer, nil)
 	n.reload(longer, nil)
-	assert.Equal(t, "BUSY 70", advice(t, n, ""))
-	now, changes = under()
-	assert.Equal(t, trial, now)
+	assert.Equal(t, "BUSY 70", firstResponse(t, n, ""))
+	applied, changes = appliedPolicy()
+	assert.Equal(t, trial, applied)
 	assert.Equal(t, uint64(1), changes, "the second changed nothing")
 	n.loop.Call(func() {
-		assert.Equal(t, 4*time.Second, n.tuning.set.Classes[0].Deadline)
-		assert.Equal(t, 7.0, n.tuning.set.Classes[0].Value)
-		assert.True(t, n.tuning.set.PassThrough)
+		assert.Equal(t, 4*time.Second, n.policyState.settings.Classes[0].Deadline)
+		assert.Equal(t, 7.0, n.policyState.settings.Classes[0].Value)
+		assert.True(t, n.policyState.settings.PassThrough)
 	})
 
-	n.reload(changed(t, cfg, `"name":"chat"`, `"name":"talk"`), nil)
-	assert.Equal(t, "BUSY 1000", advice(t, n, ",c=talk"))
-	now, changes = under()
-	assert.Empty(t, now, "the settings hold without it")
+	n.reload(replaceSetting(t, cfg, `"name":"chat"`, `"name":"talk"`), nil)
+	assert.Equal(t, "BUSY 1000", firstResponse(t, n, ",c=talk"))
+	applied, changes = appliedPolicy()
+	assert.Empty(t, applied, "the settings apply without it")
 	assert.Equal(t, uint64(2), changes)
 	assert.Equal(t, 1, log.count("does not fit the new settings"))
 
 	n.reload(cfg, nil)
-	assert.Equal(t, "BUSY 70", advice(t, n, ""))
-	now, _ = under()
-	assert.Equal(t, trial, now, "it fits again")
+	assert.Equal(t, "BUSY 70", firstResponse(t, n, ""))
+	applied, _ = appliedPolicy()
+	assert.Equal(t, trial, applied, "it fits again")
 	n.loop.Call(func() { traffic{n}.GoBy(control.Policy{}) })
-	assert.Equal(t, "BUSY 1000", advice(t, n, ""))
+	assert.Equal(t, "BUSY 1000", firstResponse(t, n, ""))
 }
 
-// lines is a log that can be read meanwhile.
-type lines struct {
+// syncLog is a log that can be read while it is written.
+type syncLog struct {
 	mu sync.Mutex
 	bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *syncLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Buffer.Write(p)
 }
 
-func (l *lines) count(text string) int {
+func (l *syncLog) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.String(), text)
 }
 
-// Check goes by the settings as read, whatever policy is over them, on any thread.
-func TestAPolicyIsCheckedAgainstTheSettingsAsRead(t *testing.T) {
+// Check applies to the settings as read, whatever policy overlays them, on any thread.
+func TestPolicyIsCheckedAgainstTheSettingsAsRead(t *testing.T) {
 	cfg := testConfig(t, newDiscovery(t), list(1, true))
 	n := startConfig(t, cfg)
-	talk := changed(t, cfg, `"name":"chat"`, `"name":"talk"`)
-	goBy(t, n, `{"request_classes":{"chat":{"aim_us":1000}}}`)
+	talk := replaceSetting(t, cfg, `"name":"chat"`, `"name":"talk"`)
+	setPolicy(t, n, `{"request_classes":{"chat":{"aim_us":1000}}}`)
 	chats, odd := policy(t, `{"request_classes":{"chat":{"aim_us":1000}}}`), control.Policy{Text: []byte(`{"me":1}`)}
 	stop := make(chan struct{})
 	var checks sync.WaitGroup
@@ -178,86 +180,87 @@
 	assert.NoError(t, traffic{n}.Check(control.Policy{}))
 }
 
-// What was counted is told with the policy that it was counted under, once, and waits until control has it.
-func TestCountsAreToldUnderTheirPolicy(t *testing.T) {
+// Counts are reported under the policy that was in effect, once, and are kept until control has accepted them.
+func TestCountsAreReportedUnderTheirPolicy(t *testing.T) {
 	n := startNode(t, newDiscovery(t), list(1, true))
 	n.loop.Call(func() { n.core.SetCounting(true) })
-	full(n)
+	refuseAll(n)
 	refused := func(n uint64) []rollout.Counts {
 		return []rollout.Counts{{Class: "chat", Tenant: "acme", Offered: n, Refused: n}}
 	}
-	advice(t, n, "")
-	trial := goBy(t, n, `{"request_classes":{"chat":{"points":7}}}`)
+	firstResponse(t, n, "")
+	trial := setPolicy(t, n, `{"request_classes":{"chat":{"points":7}}}`)
 	want := []control.Counted{{Counts: refused(1)}}
-	r, taken := told(n)
+	r, accepted := pendingReport(n)
 	assert.Equal(t, want, r.Counted)
-	advice(t, n, "")
-	advice(t, n, "")
+	firstResponse(t, n, "")
+	firstResponse(t, n, "")
 	want = append(want, control.Counted{Under: trial, Counts: refused(2)})
-	r, _ = told(n)
-	assert.Equal(t, want, r.Counted, "control did not take the report before")
-	taken()
-	r, _ = told(n)
+	r, _ = pendingReport(n)
+	assert.Equal(t, want, r.Counted, "control did not accept the previous report")
+	accepted()
+	r, _ = pendingReport(n)
 	assert.Empty(t, r.Counted)
-	for i := range 3 * mostTold {
-		advice(t, n, "")
-		goBy(t, n, fmt.Sprintf(`{"request_classes":{"chat":{"points":%d}}}`, i))
+	for i := range 3 * maxUnreportedCounts {
+		firstResponse(t, n, "")
+		setPolicy(t, n, fmt.Sprintf(`{"request_classes":{"chat":{"points":%d}}}`, i))
 	}
-	r, _ = told(n)
-	assert.Len(t, r.Counted, mostTold)
+	r, _ = pendingReport(n)
+	assert.Len(t, r.Counted, maxUnreportedCounts)
 }
 
-// A node with a site tells control what it counted; while control stands still, nothing is lost.
-func TestWhatWasCountedReachesControl(t *testing.T) {
+// A node with a site reports its counts to control; nothing is lost while control is blocked.
+func TestCountsReachControl(t *testing.T) {
 	h := newHost(t, "a", echo)
-	n := startAlone(t, h, 300)
-	waits := func() (counts []rollout.Counts, reports int) {
-		n.loop.Call(func() { counts, _ = n.core.Counts(n.worth()); reports = n.reports })
+	n := startWithSite(t, h, 300)
+	pending := func() (counts []rollout.Counts, reports int) {
+		n.loop.Call(func() { counts, _ = n.core.Counts(n.classValue()); reports = n.reportCount })
 		return counts, reports
 	}
-	release, still := make(chan struct{}), make(chan struct{})
-	require.True(t, n.affairs.Do(func() { close(still); <-release }))
-	<-still
-	for n.affairs.Do(func() {}) { // until nothing more goes in
+	release, blocked := make(chan struct{}), make(chan struct{})
+	require.True(t, n.controlThread.Do(func() { close(blocked); <-release }))
+	<-blocked
+	for n.controlThread.Do(func() {}) { // until the queue to control is full
 	}
-	require.Equal(t, "UP r1", advice(t, n, ""))
-	begun := 0
+	require.Equal(t, "UP r1", firstResponse(t, n, ""))
+	firstReport := 0
 	require.Eventually(t, func() bool {
-		counts, reports := waits()
-		if len(counts) > 0 && begun == 0 {
-			begun = reports
+		counts, reports := pending()
+		if len(counts) > 0 && firstReport == 0 {
+			firstReport = reports
 		}
-		return begun > 0 && reports >= begun+2*lookEvery
-	}, patience, time.Millisecond, "two reports with counts were tried")
-	counts, _ := waits()
+		return firstReport > 0 && reports >= firstReport+2*hostViewEvery
+	}, testTimeout, time.Millisecond, "two reports with counts were tried")
+	counts, _ := pending()
 	require.Len(t, counts, 2)
 	assert.Equal(t, uint64(1), counts[1].Served)
 	assert.NotEmpty(t, counts[0].SetUp)
 	close(release)
-	require.Eventually(t, func() bool { counts, _ := waits(); return len(counts) == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { counts, _ := pending(); return len(counts) == 0 }, testTimeout, time.Millisecond)
 }
 
-// What a policy says of the worth of a class does not count for it.
-func TestWorthIsThatOfTheSettingsAsRead(t *testing.T) {
+// A value that a policy sets for a class does not count in the policy's own favor.
+func TestValueOfAClassIsThatOfTheSettingsAsRead(t *testing.T) {
 	h := newHost(t, "a", echo)
 	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
-	cfg = changed(t, cfg, `"streamed":true`, `"streamed":true,"points":3`)
+	cfg = replaceSetting(t, cfg, `"streamed":true`, `"streamed":true,"points":3`)
 	n := startConfig(t, cfg)
 	n.loop.Call(func() { n.core.SetCounting(true) })
-	goBy(t, n, `{"request_classes":{"chat":{"points":7}}}`)
-	require.Equal(t, "UP r1", advice(t, n, ""))
-	r, _ := told(n)
+	setPolicy(t, n, `{"request_classes":{"chat":{"points":7}}}`)
+	require.Equal(t, "UP r1", firstResponse(t, n, ""))
+	r, _ := pendingReport(n)
 	require.Len(t, r.Counted, 1)
 	assert.Equal(t, 3.0, r.Counted[0].Counts[1].Value)
 }
 
-// The loop ends a trial whose lease is over by itself, however control stands; a longer lease keeps it.
-func TestALeaseIsOverWithoutControl(t *testing.T) {
-	var log lines
+// The loop itself ends a trial whose lease has expired, whatever state control is in; an extended lease keeps the
+// trial.
+func TestTrialLeaseExpiresWithoutControl(t *testing.T) {
+	var log syncLog
 	n, err := start(slog.New(slog.NewTextHandler(&log, nil)), testConfig(t, newDiscovery(t), list(1, true)))
 	require.NoError(t, err)
 	t.Cleanup(n.stop)
-	full(n)
+	refuseAll(n)
 	good := policy(t, `{"permissions":{"max_retry_after_us":500000}}`)
 	trial := policy(t, `{"permissions":{"max_retry_after_us":70000}}`)
 	var first, last time.Duration
@@ -268,37 +271,38 @@
 		traffic{n}.GoBy(trial)
 		trial.Until = last
 		traffic{n}.GoBy(trial)
-		assert.Equal(t, trial.Hash, n.tuning.under) // a client may come too late to see it
+		assert.Equal(t, trial.Hash, n.policyState.applied) // a client may connect too late to see it
 	})
-	over := func() bool { return log.count("the lease of a trial policy is over") > 0 }
-	require.Eventually(t, over, patience, time.Millisecond)
+	expired := func() bool { return log.count("the lease of a trial policy has expired") > 0 }
+	require.Eventually(t, expired, testTimeout, time.Millisecond)
 	n.loop.Call(func() { assert.GreaterOrEqual(t, n.loop.Now(), last) })
-	assert.Equal(t, "BUSY 500", advice(t, n, ""))
-	r, _ := told(n)
+	assert.Equal(t, "BUSY 500", firstResponse(t, n, ""))
+	r, _ := pendingReport(n)
 	assert.Equal(t, good.Hash, r.Under)
-	n.reload(changed(t, n.cfg, `"deadline_us":3000000`, `"deadline_us":4000000`), nil)
-	assert.Equal(t, "BUSY 500", advice(t, n, ""), "nor does SIGHUP bring it back")
+	n.reload(replaceSetting(t, n.cfg, `"deadline_us":3000000`, `"deadline_us":4000000`), nil)
+	assert.Equal(t, "BUSY 500", firstResponse(t, n, ""), "SIGHUP does not bring the trial back")
 }
 
-// A trial that does not fit any more gives way to the good policy, and that to the settings alone.
-func TestATrialThatDoesNotFitAnyMoreGivesWayToTheGoodPolicy(t *testing.T) {
+// A trial that no longer fits is replaced by the good policy, and by the settings alone where the good policy does
+// not fit either.
+func TestTrialThatNoLongerFitsIsReplacedByTheGoodPolicy(t *testing.T) {
 	for text, want := range map[string]string{`{"permissions":{"max_retry_after_us":500000}}`: "BUSY 500",
 		`{"permissions":{"max_retry_after_us":500000},"request_classes":{"chat":{"points":1}}}`: "BUSY 1000"} {
 		cfg := testConfig(t, newDiscovery(t), list(1, true))
 		n := startConfig(t, cfg)
-		full(n)
+		refuseAll(n)
 		good := policy(t, text)
 		trial := policy(t, `{"permissions":{"max_retry_after_us":70000},"request_classes":{"chat":{"points":7}}}`)
 		n.loop.Call(func() {
 			trial.Good, trial.Until = &good, n.loop.Now()+time.Hour
 			traffic{n}.GoBy(trial)
 		})
-		assert.Equal(t, "BUSY 70", advice(t, n, ""))
-		n.reload(changed(t, cfg, `"name":"chat"`, `"name":"talk"`), nil)
-		assert.Equal(t, want, advice(t, n, ",c=talk"))
-		r, _ := told(n)
+		assert.Equal(t, "BUSY 70", firstResponse(t, n, ""))
+		n.reload(replaceSetting(t, cfg, `"name":"chat"`, `"name":"talk"`), nil)
+		assert.Equal(t, want, firstResponse(t, n, ",c=talk"))
+		r, _ := pendingReport(n)
 		assert.Equal(t, want == "BUSY 500", r.Under == good.Hash)
 		n.reload(cfg, nil)
-		assert.Equal(t, "BUSY 70", advice(t, n, ""), "it fits again")
+		assert.Equal(t, "BUSY 70", firstResponse(t, n, ""), "it fits again")
 	}
 }
--- a/cmd/lichenhitch/effects_test.go
+++ b/cmd/lichenhitch/semantics_test.go
@@ -14,7 +14,8 @@
 	"lichenhitch/internal/settings"
 )
 
-// registrySettings are those of another kind of service: other names, and classes that may not simply be repeated.
+// registrySettings are those of another kind of service: other names, and classes whose requests may not simply be
+// repeated.
 const registrySettings = `{"balancers":1,"my_zone":"z","registry_mode":"ask","round_us":2000,"weight_source":"silent",
 "permissions":{"probes":true,"max_attempts":3,"retry_after":false,"connect_timeout_us":400000},
 "extra":{"mode":"proxy","message_aim_us":[0,0,0,0,0]},"parties":[{"name":"harbour-office","share":1}],
@@ -27,38 +28,38 @@
  {"name":"book-cell","aim_us":900000,"deadline_us":5000000,"semantics":"idempotency_key","group":"cell","window_us":60000000,"points":2},
  {"name":"book-brief","aim_us":900000,"deadline_us":5000000,"semantics":"idempotency_key","group":"all","window_us":1000,"points":2}]}`
 
-// misbehave is what the first host does that is asked; whoever is asked later serves.
-type misbehave func(c net.Conn)
+// failure is the behavior of the host that gets the first attempt; hosts that get later ones serve.
+type failure func(c net.Conn)
 
-func resets(c net.Conn) {
+func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-func says(line string) misbehave { return func(c net.Conn) { io.WriteString(c, line) } }
+func respond(line string) failure { return func(c net.Conn) { io.WriteString(c, line) } }
 
-// What a class allows decides what happens after an attempt that may have run, under whatever names the settings give.
+// What a class allows decides what happens after an attempt that may have run, under whatever names the settings use.
 func TestWhatMayHaveRunIsRepeatedOnlyAsItsClassAllows(t *testing.T) {
 	const served, failed, refused = "UP r1", "FAIL", "BUSY"
 	for name, c := range map[string]struct {
 		class string
-		first misbehave
+		first failure
 		want  string
 	}{
-		"a read is repeated":                             {"read-berth", resets, served},
-		"what must not run twice is not repeated":        {"pay-fee", resets, failed},
-		"nor after an error":                             {"pay-fee", says("ERR\r\n"), failed},
-		"nor after an answer that is none":               {"pay-fee", says("UP\x00\r\n"), failed},
-		"it is sent on where it has not run":             {"pay-fee", says("BUSY\r\n"), served},
-		"a keyed one is repeated anywhere":               {"book-any", resets, served},
-		"one whose key a cell knows is not, elsewhere":   {"book-cell", resets, failed},
-		"but where it has not run":                       {"book-cell", says("BUSY\r\n"), served},
-		"after its window it is refused, being harmless": {"book-brief", resets, refused},
+		"a read is repeated":                               {"read-berth", resetConn, served},
+		"what must not run twice is not repeated":          {"pay-fee", resetConn, failed},
+		"not repeated after an error":                      {"pay-fee", respond("ERR\r\n"), failed},
+		"not repeated after an invalid answer":             {"pay-fee", respond("UP\x00\r\n"), failed},
+		"sent to another host if it has not run":           {"pay-fee", respond("BUSY\r\n"), served},
+		"repeated on any host with a key that all know":    {"book-any", resetConn, served},
+		"not repeated outside the cell that knows its key": {"book-cell", resetConn, failed},
+		"sent to another cell if it has not run":           {"book-cell", respond("BUSY\r\n"), served},
+		"refused after its window, as that is harmless":    {"book-brief", resetConn, refused},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var asked atomic.Int32
+			var attempts atomic.Int32
 			script := func(line string, conn net.Conn, r *bufio.Reader) {
-				if asked.Add(1) == 1 {
+				if attempts.Add(1) == 1 {
 					c.first(conn)
 					return
 				}
@@ -75,13 +76,13 @@
 			require.NoError(t, settings.CheckComplete([]byte(registrySettings)))
 			cfg.Settings, cfg.RawSettings = set, []byte(registrySettings)
 			client := dial(t, startConfig(t, cfg))
-			client.say("OPEN 5 7f3a c=" + c.class + ",t=harbour-office,d=5000")
-			assert.Equal(t, c.want, client.hear())
+			client.send("OPEN 5 7f3a c=" + c.class + ",t=harbour-office,d=5000")
+			assert.Equal(t, c.want, client.receive())
 			lines := len(a.firstLines()) + len(b.firstLines())
 			if c.want == served {
 				assert.Equal(t, 2, lines)
 			} else {
-				client.ended()
+				client.assertClosed()
 				assert.Equal(t, 1, lines, "no second attempt")
 			}
 		})
--- /dev/null
+++ b/cmd/lichenhitch/sharedstate_test.go
@@ -0,0 +1,185 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"lichenhitch/internal/config"
+)
+
+// awaitReady waits until a process reports that it is ready.
+func awaitReady(t *testing.T, n *node) {
+	t.Helper()
+	for started := time.Now(); callOperatorAPI(t, n.operatorAPI.Addr(), "GET /v1/readyz") != "200"; time.Sleep(time.Millisecond) {
+		require.Less(t, time.Since(started), testTimeout)
+	}
+}
+
+// successorConfig returns the configuration of another process of a node, with the same client address.
+func successorConfig(n *node, cfg config.Config) config.Config {
+	cfg.Listen = n.addr
+	return cfg
+}
+
+// requestOnce sends one request, ends it once it is served, and returns everything that was received.
+func requestOnce(addr string) string {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return ""
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	fmt.Fprintf(c, "OPEN %x 7f3a c=chat,t=acme,d=15000\r\n", lastID.Add(1))
+	r := bufio.NewReader(c)
+	response, _ := r.ReadString('\n')
+	io.WriteString(c, "end\r\n")
+	rest, _ := io.ReadAll(r)
+	return response + string(rest)
+}
+
+// A new process takes over while clients keep connecting: each is served, none is refused. Connections established at
+// the old process continue, and so do a ban and a drain that either process was asked for.
+func TestANewProcessTakesOverUnderLoad(t *testing.T) {
+	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
+	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(a, b)...))
+	old := startConfig(t, cfg)
+	awaitReady(t, old)
+	changeByOperator(t, old.operatorAPI.Addr(), "POST /v1/hosts/a/suspend")
+	client := dial(t, old)
+	open(client, "")
+	require.Equal(t, "UP r1", client.receive())
+	_, err := io.WriteString(client, "M ")
+	require.NoError(t, err)
+
+	var served, unanswered atomic.Int64
+	stop, stopped := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(stopped)
+		for {
+			select {
+			case <-stop:
+				return
+			default:
+			}
+			if response := requestOnce(old.addr); response == "UP r1\r\nBYE\r\n" {
+				served.Add(1)
+			} else if unanswered.Add(1); !assert.Empty(t, response) {
+				return
+			}
+		}
+	}()
+	next := startConfig(t, successorConfig(old, cfg))
+	awaitReady(t, next)
+	for callOperatorAPI(t, old.operatorAPI.Addr(), "GET /v1/readyz") != "503" { // until the new process has the address
+		time.Sleep(time.Millisecond)
+	}
+	more := served.Load() + 50
+	require.Eventually(t, func() bool { return served.Load() >= more }, testTimeout, time.Millisecond)
+	close(stop)
+	<-stopped
+	// Where the system refuses the filter that directs connections to the latest process, the kernel resets a
+	// connection that arrives at the very moment in which the old process closes its socket.
+	assert.LessOrEqual(t, unanswered.Load(), int64(2))
+	assert.Empty(t, a.firstLines(), "the ban was carried over")
+	var established int
+	for established == 0 { // until the connection has been handed over, unbroken
+		next.loop.Call(func() { established = next.core.Established() })
+	}
+	client.send("1")
+	require.Equal(t, "M 1", client.receive(), "the partial line that the old process had read was handed over too")
+	client.send("end")
+	require.Equal(t, "BYE", client.receive())
+	client.assertClosed()
+
+	changeByOperator(t, next.operatorAPI.Addr(), "POST /v1/hosts/a/resume")
+	changeByOperator(t, old.operatorAPI.Addr(), "POST /v1/hosts/b/suspend")
+	for banned := 0; banned != 1; { // until the new process, which did not get the call, applies it too
+		next.loop.Call(func() { banned = len(next.core.Suspended()) })
+		if banned == 1 {
+			next.loop.Call(func() { assert.EqualValues(t, "b", next.core.Suspended()[0]) })
+		}
+	}
+	changeByOperator(t, old.operatorAPI.Addr(), "POST /v1/node/drain")
+	for ping(t, old.addr) != "BUSY" {
+		time.Sleep(time.Millisecond)
+	}
+	changeByOperator(t, next.operatorAPI.Addr(), "POST /v1/node/activate")
+	require.Equal(t, "PONG", ping(t, old.addr))
+
+	old.shutDown()
+	require.Equal(t, "PONG", ping(t, next.addr))
+}
+
+// If a new process ends before it is ready, the old one continues to serve; if it ends afterwards, the old one takes
+// the address back.
+func TestOldProcessContinuesIfTheNewOneEnds(t *testing.T) {
+	h := newHost(t, "a", echo)
+	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
+	old := startConfig(t, cfg)
+	awaitReady(t, old)
+	cfg.Known = nil // it never gets a list
+	next := startConfig(t, successorConfig(old, cfg))
+	require.Equal(t, "503", callOperatorAPI(t, next.operatorAPI.Addr(), "GET /v1/readyz"))
+	require.Equal(t, "200", callOperatorAPI(t, old.operatorAPI.Addr(), "GET /v1/readyz"))
+	next.stop()
+	require.Equal(t, "PONG", ping(t, old.addr))
+
+	cfg = testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
+	cfg.SharedDir = old.cfg.SharedDir
+	next = startConfig(t, successorConfig(old, cfg))
+	awaitReady(t, next)
+	for callOperatorAPI(t, old.operatorAPI.Addr(), "GET /v1/readyz") == "200" {
+		time.Sleep(time.Millisecond)
+	}
+	next.stop()
+	awaitReady(t, old)
+	c := dialAt(t, old.addr)
+	open(c, "")
+	require.Equal(t, "UP r1", c.receive())
+}
+
+// Neither the state file of a process that was killed nor an unreadable one keeps a node from starting.
+func TestUnreadableStateFileIsReplaced(t *testing.T) {
+	h := newHost(t, "a", echo)
+	for name, text := range map[string]string{
+		"cut": `{"Version":1,"Bans":{"a":1`, "empty": "", "another version": `{"Version":99,"End":true}`,
+		"dead process": `{"Version":1,"Bans":{"a":1},"Processes":[{"Number":7,"Slot":3,"PID":1,"Ready":true}],"End":true}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(h)...))
+			require.NoError(t, os.WriteFile(filepath.Join(cfg.SharedDir, "lichenhitch-n.state"), []byte(text), 0o600))
+			n := startConfig(t, cfg)
+			awaitReady(t, n)
+			var banned int
+			n.loop.Call(func() { banned = len(n.core.Suspended()) })
+			assert.Equal(t, name == "dead process", banned == 1, "a ban outlives the process that set it")
+			changeByOperator(t, n.operatorAPI.Addr(), "POST /v1/hosts/a/resume")
+		})
+	}
+}
+
+// Without a directory for shared state, a node works on its own.
+func TestNodeWithoutASharedDirectoryWorksAlone(t *testing.T) {
+	a, b := newHost(t, "a", echo), newHost(t, "b", echo)
+	cfg := testConfig(t, newDiscovery(t), list(1, true, targetsOf(a, b)...))
+	cfg.SharedDir = filepath.Join(cfg.SharedDir, "absent")
+	n := startConfig(t, cfg)
+	awaitReady(t, n)
+	changeByOperator(t, n.operatorAPI.Addr(), "POST /v1/hosts/a/suspend")
+	c := dial(t, n)
+	open(c, "")
+	require.Equal(t, "UP r1", c.receive())
+	assert.Empty(t, a.firstLines())
+	changeByOperator(t, n.operatorAPI.Addr(), "POST /v1/node/drain")
+	require.Equal(t, "BUSY", ping(t, n.addr))
+}
