--- a/cmd/lichenhitch/handover.go
+++ b/cmd/lichenhitch/handover.go
@@ -106,7 +106,8 @@
 // MOVE starts a line of its own.
 func sendMove(client int) { _, _ = unix.Write(client, []byte("MOVE\r\n")) }
 
-// finishHandover waits until all connections that were taken out of the loop have been handed over.
+// finishHandover closes the receiver and waits until all connections that were taken out of the loop have been handed
+// over.
 func (n *node) finishHandover() {
 	var sender *connSender
 	n.loop.Call(func() {
