--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -22,13 +22,13 @@
 
 // tuning is what the node goes by. It belongs to the loop.
 type tuning struct {
-	set      balance.Settings  // as they are in effect
-	wanted   control.Policy    // that control has set last
-	asked    rollout.Hash      // of the one that control has asked for last
-	under    rollout.Hash      // of the one that is laid over the settings; "": none
-	told     []control.Counted // under earlier ones, not told yet
-	changes  uint64            // of the settings as read
-	expiring bool              // a timer looks at the end of a trial's lease
+	set      balance.Settings       // as they are in effect
+	wanted   control.Policy         // that control has set last
+	asked    rollout.Hash           // of the one that control has asked for last
+	under    rollout.Hash           // of the one that is laid over the settings; "": none
+	told     []control.PolicyCounts // under earlier ones, not told yet
+	changes  uint64                 // of the settings as read
+	expiring bool                   // a timer looks at the end of a trial's lease
 }
 
 // traffic is the node as control has it do things.
@@ -36,11 +36,11 @@
 
 var _ control.Traffic = traffic{}
 
-// Bind implements control.Traffic.
-func (t traffic) Bind(v sendlease.Restrictions) { t.core.ApplyVerdict(v) }
+// ApplyRestrictions implements control.Traffic.
+func (t traffic) ApplyRestrictions(v sendlease.Restrictions) { t.core.ApplyVerdict(v) }
 
-// GoBy implements control.Traffic.
-func (t traffic) GoBy(p control.Policy) {
+// ApplyPolicy implements control.Traffic.
+func (t traffic) ApplyPolicy(p control.Policy) {
 	t.tuning.asked = p.Hash
 	if t.tuning.wanted.Hash == p.Hash && t.tuning.under == p.Hash { // no more than a longer lease
 		t.tuning.wanted = p
@@ -60,13 +60,13 @@
 // expire has the good policy hold once the lease of the trial is over, whatever control does meanwhile.
 func (n *node) expire() {
 	w := n.tuning.wanted
-	if n.tuning.expiring || w.Until == 0 || w.Good == nil {
+	if n.tuning.expiring || w.LeaseEnd == 0 || w.Good == nil {
 		return
 	}
 	n.tuning.expiring = true
-	n.loop.After(w.Until-n.loop.Now(), func() {
+	n.loop.After(w.LeaseEnd-n.loop.Now(), func() {
 		n.tuning.expiring = false
-		if w := n.tuning.wanted; w.Good != nil && n.loop.Now() >= w.Until {
+		if w := n.tuning.wanted; w.Good != nil && n.loop.Now() >= w.LeaseEnd {
 			n.log.Info("the lease of a trial policy is over; goes by the good one", "policy", w.Good.Hash, "trial", w.Hash)
 			n.tuning.wanted = *w.Good
 			n.fallBack(w)
@@ -157,7 +157,7 @@
 func (n *node) putAside() {
 	if c, any := n.counted(); any {
 		if n.tuning.told = append(n.tuning.told, c); len(n.tuning.told) > mostTold {
-			n.log.Warn("control is behind: what was counted under a policy is lost", "policy", n.tuning.told[0].Under)
+			n.log.Warn("control is behind: what was counted under a policy is lost", "policy", n.tuning.told[0].Policy)
 			n.tuning.told = n.tuning.told[1:]
 		}
 		n.core.ResetCounts()
@@ -165,8 +165,8 @@
 }
 
 // counted returns what was counted since it was last told or put aside, if anything was.
-func (n *node) counted() (c control.Counted, any bool) {
-	c.Under = n.tuning.under
+func (n *node) counted() (c control.PolicyCounts, any bool) {
+	c.Policy = n.tuning.under
 	c.Counts, c.Guards = n.core.Counts(n.worth())
 	return c, len(c.Counts)+len(c.Guards) > 0
 }
--- a/cmd/lichenhitch/policies_test.go
+++ b/cmd/lichenhitch/policies_test.go
@@ -32,7 +32,7 @@
 func goBy(t *testing.T, n *node, text string) rollout.Hash {
 	t.Helper()
 	p := policy(t, text)
-	n.loop.Call(func() { traffic{n}.GoBy(p) })
+	n.loop.Call(func() { traffic{n}.ApplyPolicy(p) })
 	return p.Hash
 }
 
@@ -122,7 +122,7 @@
 	assert.Equal(t, "BUSY 70", advice(t, n, ""))
 	now, _ = under()
 	assert.Equal(t, trial, now, "it fits again")
-	n.loop.Call(func() { traffic{n}.GoBy(control.Policy{}) })
+	n.loop.Call(func() { traffic{n}.ApplyPolicy(control.Policy{}) })
 	assert.Equal(t, "BUSY 1000", advice(t, n, ""))
 }
 
@@ -188,12 +188,12 @@
 	}
 	advice(t, n, "")
 	trial := goBy(t, n, `{"request_classes":{"chat":{"points":7}}}`)
-	want := []control.Counted{{Counts: refused(1)}}
+	want := []control.PolicyCounts{{Counts: refused(1)}}
 	r, taken := told(n)
 	assert.Equal(t, want, r.Counted)
 	advice(t, n, "")
 	advice(t, n, "")
-	want = append(want, control.Counted{Under: trial, Counts: refused(2)})
+	want = append(want, control.PolicyCounts{Policy: trial, Counts: refused(2)})
 	r, _ = told(n)
 	assert.Equal(t, want, r.Counted, "control did not take the report before")
 	taken()
@@ -264,10 +264,10 @@
 	n.loop.Call(func() {
 		first = n.loop.Now() + 100*time.Millisecond
 		last = first + 200*time.Millisecond
-		trial.Good, trial.Until = &good, first
-		traffic{n}.GoBy(trial)
-		trial.Until = last
-		traffic{n}.GoBy(trial)
+		trial.Good, trial.LeaseEnd = &good, first
+		traffic{n}.ApplyPolicy(trial)
+		trial.LeaseEnd = last
+		traffic{n}.ApplyPolicy(trial)
 		assert.Equal(t, trial.Hash, n.tuning.under) // a client may come too late to see it
 	})
 	over := func() bool { return log.count("the lease of a trial policy is over") > 0 }
@@ -290,8 +290,8 @@
 		good := policy(t, text)
 		trial := policy(t, `{"permissions":{"max_retry_after_us":70000},"request_classes":{"chat":{"points":7}}}`)
 		n.loop.Call(func() {
-			trial.Good, trial.Until = &good, n.loop.Now()+time.Hour
-			traffic{n}.GoBy(trial)
+			trial.Good, trial.LeaseEnd = &good, n.loop.Now()+time.Hour
+			traffic{n}.ApplyPolicy(trial)
 		})
 		assert.Equal(t, "BUSY 70", advice(t, n, ""))
 		n.reload(changed(t, cfg, `"name":"chat"`, `"name":"talk"`), nil)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -35,7 +35,7 @@
 	SendRenew(seat string, q *peerpb.RenewRequest) // answered by Core.Renewed, or never
 	// SendReplay is answered by Core.Replayed; what is not answered within a time is given up.
 	SendReplay(seat string, call uint64, within time.Duration, q *peerpb.ReplayRequest)
-	KeepPolicy(Kept) error          // durable as Keep is
+	KeepPolicy(PolicyState) error   // durable as Keep is
 	Bind(sendlease.Restrictions)    // for the loop
 	GoBy(Policy)                    // for the loop
 	Tell(event string, args ...any) // for the log: key and value by turns
@@ -61,7 +61,7 @@
 	Under   rollout.Hash             // the policy that the loop goes by; "": the settings as they are
 	Asked   rollout.Hash             // the one that GoBy asked for last, whether or not it fitted
 	Retuned uint64                   // how often the settings as read have changed since the start
-	Counted []Counted                // since the last report that was taken, by policy, the present one last
+	Counted []PolicyCounts           // since the last report that was taken, by policy, the present one last
 }
 
 // Options is what a Core is made of.
@@ -73,7 +73,7 @@
 	Proven  bool                  // the store is known to be as the last process left it
 	Durable consensus.StoredState // what the store had of the council's log
 	Saved   sendlease.Saved       // and of the node's right
-	Kept    Kept                  // and of policies
+	Kept    PolicyState           // and of policies
 	Check   func(Policy) error    // whether one fits the node's settings; see Traffic
 	Wait    time.Duration         // before the first question: an earlier process of the node may act on its right for so long
 }
@@ -96,9 +96,9 @@
 	Seq   uint64         `json:"seq"` // counts there
 	Turns *turns.Command `json:"turns,omitempty"`
 
-	Writes   *written         `json:"writes,omitempty"`
+	Writes   *writeEntry      `json:"writes,omitempty"`
 	Policies *rollout.Command `json:"policies,omitempty"` // at the top site
-	Seats    *seated          `json:"seats,omitempty"`
+	Seats    *membershipEntry `json:"seats,omitempty"`
 }
 
 // question is a node's question that waits for a quorum's word.
@@ -120,14 +120,14 @@
 	Options
 	env    Env
 	self   consensus.ReplicaID
-	seat   *consensus.Replica // nil where this node has no seat, or belongs to no council yet
-	others map[string]*other  // the other seats, by node
-	parts  map[string]*partly
+	seat   *consensus.Replica      // nil where this node has no seat, or belongs to no council yet
+	others map[string]*peerReplica // the other seats, by node
+	parts  map[string]*chunkStreams
 	ticks  uint64
 	holder *sendlease.Holder
 	table  *sendlease.Table
 	book   *turns.Schedule
-	seats
+	membershipState
 	report Report
 	stop   error // why control has stopped; nil while it works
 
@@ -144,7 +144,7 @@
 	offerAt   time.Duration
 	agedAt    time.Duration
 
-	policies policies
+	policies policyControl
 
 	leader    string // who leads, as far as is known
 	leading   bool
@@ -168,7 +168,7 @@
 	left      func()        // to be called when this node leads no more: it is about to end; nil: it is not, or was called
 	refused   string        // what another seat refused this one for last
 	waits     bool          // this seat waited for other seats' word at the last look
-	reach     reach
+	reach     reachability
 }
 
 // New returns the control of a node at a time. The loop is bound at once: by what the store had, with no right yet.
@@ -176,12 +176,12 @@
 	c := &Core{Options: o, env: env, holder: sendlease.NewHolder(o.Site.SendLease, o.Site.Node, o.Saved),
 		table: sendlease.NewTable(o.Site.SendLease), book: turns.New(), inflight: map[uint64]time.Duration{},
 		acking: map[string]turns.Ack{}, reads: map[uint64][]question{}, waiters: map[uint64]waiter{},
-		hosts: newSight(now), others: map[string]*other{}, parts: map[string]*partly{}, firstAt: now + o.Wait, askAt: now + o.Wait,
-		reach: newReach(0)}
-	if err := c.sit(); err != nil {
+		hosts: newSight(now), others: map[string]*peerReplica{}, parts: map[string]*chunkStreams{}, firstAt: now + o.Wait, askAt: now + o.Wait,
+		reach: newReachability(0)}
+	if err := c.openReplica(); err != nil {
 		return nil, err
 	}
-	if err := c.holdPolicies(now); err != nil {
+	if err := c.initPolicies(now); err != nil {
 		return nil, err
 	}
 	env.Bind(c.holder.Restrictions())
@@ -219,17 +219,17 @@
 		return
 	}
 	c.ticks++
-	if c.seat != nil && c.out == 0 {
+	if c.seat != nil && c.removedAt == 0 {
 		c.seat.Tick()
 	}
-	c.greet()
-	for _, name := range c.circle {
+	c.sendHellos()
+	for _, name := range c.contacts {
 		if c.parts[name] != nil {
-			c.pieces(now, name)
+			c.sendChunk(now, name)
 		}
 	}
 	c.drive(now)
-	c.tellReach()
+	c.logReachability()
 	c.unsettled(func(w waiter) bool { return now >= w.until })
 	c.tickPolicies(now)
 	if c.stop == nil && now >= c.askAt {
@@ -242,14 +242,14 @@
 func (c *Core) Raft(now time.Duration, q *peerpb.RaftRequest) *peerpb.RaftReply {
 	r := &peerpb.RaftReply{}
 	err := c.stop
-	if err == nil && !c.sits() {
+	if err == nil && !c.hasReplica() {
 		err = &NoSeatError{Node: c.Site.Node}
 	}
 	if err == nil {
-		err = c.hear(q.Hello)
+		err = c.handleHello(q.Hello)
 	}
 	if err == nil && c.seat != nil {
-		for _, m := range c.joined(now, q, r) {
+		for _, m := range c.receiveChunk(now, q, r) {
 			if err == nil {
 				err = c.seat.Step(m)
 			}
@@ -263,7 +263,7 @@
 		}
 		r.Ends = ends(err)
 	}
-	if c.sits() {
+	if c.hasReplica() {
 		r.Hello = c.hello(q.Hello.GetNode())
 	}
 	c.drive(now)
@@ -275,12 +275,12 @@
 	if c.stop != nil {
 		return
 	}
-	err := c.hear(r.Hello)
+	err := c.handleHello(r.Hello)
 	if err == nil {
 		if r.Refused == "" {
-			c.reach.answered[r.Hello.Node] = c.ticks
+			c.reach.lastReply[r.Hello.Node] = c.ticks
 		}
-		c.had(now, r)
+		c.handleChunkAck(now, r)
 	}
 	switch {
 	case r.Ends && c.seat != nil && err == nil:
@@ -300,7 +300,7 @@
 func ends(err error) bool {
 	var old *consensus.StaleStoreError
 	var copied *consensus.CopiedStoreError
-	var former *OldCouncilError
+	var former *SupersededGroupError
 	return errors.As(err, &old) || errors.As(err, &copied) || errors.As(err, &former)
 }
 
@@ -309,7 +309,7 @@
 	c.look(r.Look)
 	r.Look = nil
 	if c.stop == nil {
-		c.counted(now, r)
+		c.recordCounts(now, r)
 	}
 	r.Counted = nil
 	c.report = r
@@ -356,7 +356,7 @@
 	for _, o := range q.Confirmed {
 		ask.Holds = append(ask.Holds, &peerpb.Out{Host: o.Host, Round: o.Round})
 	}
-	c.askPolicy(now, ask)
+	c.addPolicyRequest(now, ask)
 	if to == c.Site.Node {
 		c.Question(now, ask, func(r *peerpb.RenewReply) { c.Renewed(now, r) })
 		return
@@ -388,7 +388,7 @@
 		}
 		return
 	}
-	if !c.answeredBy(r) {
+	if !c.acceptsLeaseFrom(r) {
 		return
 	}
 	if r.Leader != "" {
@@ -396,7 +396,7 @@
 	}
 	c.tries = 0
 	c.toldHosts(now, r)
-	c.answered(r)
+	c.handlePolicyReply(r)
 	a := sendlease.LeaseResponse{Seq: r.Seq, Applied: r.Applied, Recorded: r.Recorded,
 		ExclusionSet: sendlease.ExclusionSet{Version: r.HorizonVersion, Hosts: r.HorizonHosts}}
 	for _, o := range r.Outs {
@@ -516,9 +516,9 @@
 	horizon := c.book.ExclusionSet()
 	r.HorizonVersion, r.HorizonHosts = horizon.Version, horizon.Hosts
 	r.Recorded = c.book.RecordedVersionIn(ask.Node, ask.Life)
-	r.Told = c.recorded(now, ask.Node, ask.Record)
+	r.Told = c.recordEvidence(now, ask.Node, ask.Record)
 	r.Policy = c.assignment(now, ask.Node, ask.Texts)
-	r.Foundings = c.seating.Foundings
+	r.Foundings = c.membership.BootstrapIDs
 	q.done(r)
 }
 
@@ -541,7 +541,7 @@
 		c.fail(err)
 		return
 	}
-	c.send(now, out.Send)
+	c.sendMessages(now, out.Send)
 	if out.Snapshot != nil {
 		if err := c.decode(out.Snapshot); err != nil {
 			c.fail(err)
@@ -562,7 +562,7 @@
 		if read.Index > c.applied {
 			return false
 		}
-		c.confirmedRound(read.Ctx)
+		c.readConfirmed(read.Ctx)
 		for _, q := range c.reads[read.Ctx] {
 			c.answer(now, q)
 		}
@@ -601,11 +601,11 @@
 	var refused error
 	switch {
 	case what.Writes != nil:
-		effects, refused = c.write(e.Index, *what.Writes)
+		effects, refused = c.applyWrite(e.Index, *what.Writes)
 	case what.Policies != nil:
-		refused = c.plan(e.Index, *what.Policies)
+		refused = c.applyPlan(e.Index, *what.Policies)
 	case what.Seats != nil:
-		c.reseat(*what.Seats)
+		c.applyMembership(*what.Seats)
 	default:
 		refused = c.turn(e.Index, what)
 	}
@@ -676,31 +676,31 @@
 // what comes next, one thing at a time.
 func (c *Core) lead(now time.Duration) {
 	st := c.seat.Status()
-	if c.parted(st.Err) {
+	if c.handleNotMember(st.Err) {
 		return
 	}
 	if st.Err != nil {
 		c.fail(st.Err)
 		return
 	}
-	c.notice(st)
-	c.tellRelease(st)
+	c.noteVoterChanges(st)
+	c.logConfirmed(st)
 	if st.Leader != c.elected { // a new one knows of no right, nor of what was confirmed to the last one
 		c.elected = st.Leader
-		c.leader = c.nameOf(st.Leader)
+		c.leader = c.nodeOf(st.Leader)
 		c.asked = slices.DeleteFunc(c.asked, func(seat string) bool { return seat == c.leader })
 		c.askAt = max(c.firstAt, min(c.askAt, now))
 	}
 	switch {
 	case st.Leading && !c.leading:
 		c.table.BecomeLeader(now)
-		c.reach = newReach(c.ticks)
+		c.reach = newReachability(c.ticks)
 		c.acking = map[string]turns.Ack{}
 		c.hosts.lead(now)
 		c.inflight = map[uint64]time.Duration{}
 		c.offerAt, c.agedAt = 0, now
 		c.courier, c.teller, c.calling = nil, nil, ""
-		c.policies.heard, c.policies.writes, c.policies.rounds = 0, map[string]bool{}, map[uint64]time.Duration{}
+		c.policies.rootHeardAt, c.policies.proposedRecords, c.policies.readRounds = 0, map[string]bool{}, map[uint64]time.Duration{}
 		c.env.Tell("leads the council", "site", c.Site.Own.Name, "term", st.Term)
 	case !st.Leading && c.leading:
 		c.table.Resign()
@@ -714,16 +714,16 @@
 	if !c.leading {
 		return
 	}
-	c.steer(now, st)
+	c.reconcileVoters(now, st)
 	if len(c.asking) > 0 && len(c.reads) < 4 {
 		c.readSeq++
 		ctx := c.Run<<20 | c.readSeq&(1<<20-1)
 		if c.seat.ReadIndex(ctx) == nil {
 			c.reads[ctx], c.asking = c.asking, nil
-			c.beginRound(now, ctx)
+			c.beginRead(now, ctx)
 		}
 	}
-	c.carry(now)
+	c.forwardWrites(now)
 	for seq, since := range c.inflight {
 		if now-since > proposeWithin {
 			delete(c.inflight, seq)
@@ -733,17 +733,17 @@
 		return
 	}
 	if c.writes == nil {
-		c.proposeWrite(now, c.begin(now), nil)
+		c.proposeWrite(now, c.firstWriteEntry(now), nil)
 		c.inflight[c.seq] = now
 		return
 	}
-	if own, others := c.writes.Waiting(); own+others+c.writes.Held() > 0 && now-c.agedAt >= ageEvery {
+	if own, others := c.writes.Waiting(); own+others+c.writes.Held() > 0 && now-c.agedAt >= ageInterval {
 		c.agedAt = now
-		c.proposeWrite(now, written{Command: &sitesync.Command{}}, nil)
+		c.proposeWrite(now, writeEntry{Command: &sitesync.Command{}}, nil)
 	}
 	if cmd, any := c.next(now); any {
 		c.propose(now, cmd)
-	} else if cmd, any := c.nextPolicy(now); any {
+	} else if cmd, any := c.nextPolicyCommand(now); any {
 		c.proposePolicy(now, cmd)
 	}
 }
@@ -797,7 +797,7 @@
 		c.waiters[seq] = waiter{id: call.ID, until: now + callWithin, again: true, done: done}
 		c.drive(now)
 	default:
-		done(Reply{}, c.elsewhere())
+		done(Reply{}, c.notLeaderError())
 	}
 }
 
@@ -805,10 +805,10 @@
 // before. It says whether there was anything to take in.
 func (c *Core) TakeIn(node string) bool {
 	o := c.others[node]
-	if !c.leading || o == nil || !o.founded || slices.Contains(c.seat.Status().Voters, o.id) {
+	if !c.leading || o == nil || !o.bootstrapped || slices.Contains(c.seat.Status().Voters, o.id) {
 		return false
 	}
-	c.entering = o.id
+	c.admitted = o.id
 	return true
 }
 
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -46,7 +46,7 @@
 func (a *alone) SendRenew(string, *peerpb.RenewRequest)                          {}
 func (a *alone) SendReplay(string, uint64, time.Duration, *peerpb.ReplayRequest) {}
 func (a *alone) Tell(string, ...any)                                             {}
-func (a *alone) KeepPolicy(Kept) error                                           { return a.full }
+func (a *alone) KeepPolicy(PolicyState) error                                    { return a.full }
 func (a *alone) GoBy(p Policy)                                                   { a.goes = p }
 func (a *alone) Bind(v sendlease.Restrictions) {
 	a.did = append(a.did, "bound")
@@ -247,7 +247,7 @@
 	a.asks(1, 0)
 	s := *a.core.Site
 	s.Members = []string{"n1"}
-	a.core.Retune(&s)
+	a.core.ApplySiteFile(&s)
 	a.pass(lasts)
 	assert.Equal(t, []string{"n1", "n2"}, a.core.Book().Members())
 	a.pass(3 * time.Second)
@@ -328,7 +328,7 @@
 	a := newAlone(t)
 	s := *a.core.Site
 	s.Turns.Lookahead = 1
-	a.core.Retune(&s)
+	a.core.ApplySiteFile(&s)
 	a.ask("t", "a")
 	a.asks(1, a.asks(1, 0).HorizonVersion) // n2 knows of a, and is cut off from here on
 	a.do(turns.Command{Withdraw: &turns.Ref{ID: "t"}}, "t")
--- a/internal/control/errors_test.go
+++ b/internal/control/errors_test.go
@@ -64,22 +64,22 @@
 		err       Actioner
 		says, how string
 	}{
-		{&NotTopError{Site: "b", Top: "p"}, "b is not where", "a node of p"},
-		{&NoTrialError{ID: "r1", Site: "b", Top: "p"}, `"r1"`, "halted at p"},
-		{&OwnError{Thing: rollout.HaltKey("r1")}, "rollout/r1", "HaltPolicy"},
+		{&NotRootSiteError{Site: "b", Root: "p"}, "b is not the root site", "a node of p"},
+		{&NoTrialError{ID: "r1", Site: "b", Root: "p"}, `"r1"`, "halted at p"},
+		{&ReservedKeyError{Key: rollout.HaltKey("r1")}, "rollout/r1", "HaltPolicy"},
 		{&ElsewhereError{Leader: "n1"}, "n1", "call n1"},
 		{&StoppedError{Cause: &NoSeatError{Node: "n1"}}, "n1 has no seat", "compare the site files"},
 		{&SocketsError{Lacks: 7}, "7 too low", "by 7"},
-		{&OldCouncilError{Node: "n1", Site: "b"}, "n1 goes by the council of site b", "start it with an empty one"},
-		{&OtherCouncilError{Node: "n1", Site: "b"}, "another council", "which of the two"},
+		{&SupersededGroupError{Node: "n1", Site: "b"}, "n1 goes by the council of site b", "start it with an empty one"},
+		{&ForeignGroupError{Node: "n1", Site: "b"}, "another consensus group", "which of the two"},
 		{&NoAnswerError{Node: "n1"}, "n1 is to get a seat", "addresses"},
-		{&OtherFileError{Node: "n1"}, "names other seats", "have it reload"},
-		{&SeatRiskError{Node: "n1", Risk: "it may be lost", Word: "i_know"}, "it may be lost", "with i_know true"},
-		{&ReasonError{}, "who gave this word and why", "by and why"},
-		{&NotYetError{Node: "n1"}, "n1 was started just now", "in some seconds"},
+		{&SiteFileMismatchError{Node: "n1"}, "names other seats", "have it reload"},
+		{&ReplicaRiskError{Node: "n1", Risk: "it may be lost", Confirmation: "i_know"}, "it may be lost", "with i_know true"},
+		{&MissingReasonError{}, "the operator and a reason", "by and why"},
+		{&TooEarlyError{Node: "n1"}, "n1 was started just now", "in some seconds"},
 		{&NotNeededError{Node: "n1", Why: "n2 leads"}, "n2 leads", "log of n1"},
-		{&FurtherError{Node: "n4"}, "n4 has more", "node n4"},
-		{&SilentError{Nodes: []string{"n1", "n2"}}, "n1 n2", "name them in lost"},
+		{&LongerLogError{Node: "n4"}, "n4 has more", "node n4"},
+		{&UnaccountedReplicasError{Nodes: []string{"n1", "n2"}}, "n1 n2", "name them in lost"},
 		{&NameError{What: "stage", Name: "x", Want: "one"}, `stage: "x"`, "give one"},
 	} {
 		assert.Contains(t, c.err.Error(), c.says)
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -142,7 +142,7 @@
 	}
 	f := s.census.Merge(now, terms)
 	for i := range f.Hosts {
-		f.Hosts[i].Banned = c.banned(f.Hosts[i].ID)
+		f.Hosts[i].Banned = c.isBanned(f.Hosts[i].ID)
 	}
 	unsure := func(host string) bool { _, is := slices.BinarySearch(f.Unsure, host); return is }
 	news := !slices.EqualFunc(f.Hosts, slices.DeleteFunc(terms.Previous, func(h turns.Host) bool { return h.Gone }),
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -76,7 +76,7 @@
 	a := newAlone(t)
 	s := *a.core.Site
 	s.Turns.Site = 2
-	a.core.Retune(&s)
+	a.core.ApplySiteFile(&s)
 	a.hosts = append(a.hosts, hostview.Host{ID: "c", Warm: true, Zone: "z", Kind: "m", Start: time.Hour})
 	a.groups = []hostview.Group{{Name: "room", Value: 3, Homes: []string{"a", "b"}}}
 	a.pass(10 * time.Second)
@@ -108,7 +108,7 @@
 	a.t.Helper()
 	s := *a.core.Site
 	s.Turns.Site = 2
-	a.core.Retune(&s)
+	a.core.ApplySiteFile(&s)
 	a.pass(10 * time.Second)
 	a.tellsGroups(nil, unknown)
 	a.ask("t-a", "a")
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -11,7 +11,7 @@
 
 // storedPolicies is Kept as it is written.
 type storedPolicies struct {
-	Kept
+	PolicyState
 	LeaseEnd boottime.Moment `json:"lease_end"`
 }
 
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -17,259 +17,269 @@
 	"lichenhitch/internal/site"
 )
 
-// This file takes policies down the sites in stages, on evidence. The council of the top site has the plan (rollout.RootState).
-// Down come documents, one a site, as decisions that the top writes; a site's leader answers its nodes out of its own, with how
-// long ago the top was heard, which counts against a trial's lease. Up go records, one a node, as evidence that the node's site
-// writes. A halt by an operator holds at his own site at once, and travels up as a write.
-
-// Traffic is what control has the loop do, and asks of the node. Where nothing else is said, it is called on the loop.
+// This file rolls policies out to the sites in stages, based on evidence. The consensus group of the root site holds
+// the plan (rollout.RootState). Documents travel down, one per site, as decisions that the root site writes; a site's
+// leader answers its nodes from its own document, with the time since the root site was last heard from, which counts
+// against a trial's lease. Records travel up, one per node, as evidence that the node's site writes. An operator's
+// halt takes effect at the operator's own site at once, and travels up as a write.
+
+// Traffic is what the control plane tells the traffic loop to do, and asks of the node. Unless stated otherwise, it
+// is called on the loop.
 type Traffic interface {
-	// Bind takes the council's latest word over.
-	Bind(sendlease.Restrictions)
-	// GoBy lays a policy over the node's settings and goes by them from now on; what was counted before is told as counted
-	// under the policy before. A policy that does not fit the settings (any more) changes nothing, and the next report says
-	// under which policy the node goes. From Until on the loop goes by the good policy by itself, whatever control does: it may
-	// be stuck in its store.
-	GoBy(Policy)
-	// Check says whether a policy fits the node's settings as they are now: nil, or a *rollout.Fault. From any thread.
+	// ApplyRestrictions applies the group's latest restrictions on hosts.
+	ApplyRestrictions(sendlease.Restrictions)
+	// ApplyPolicy overlays the node's settings with a policy and applies them from now on; what was counted before is
+	// reported under the previous policy. A policy that does not fit the settings (any more) changes nothing, and the
+	// next report names the policy that the node applies. From LeaseEnd on the loop applies the good policy by itself,
+	// since the control thread may be blocked in its store.
+	ApplyPolicy(Policy)
+	// Check returns nil if a policy fits the node's current settings, or else a *rollout.Fault. Any thread may call
+	// it.
 	Check(Policy) error
 }
 
-// Policy is a policy with its canonical text. The zero value is the settings as they are.
+// Policy is a policy with its canonical text. The zero value stands for the settings without a policy.
 type Policy struct {
-	Hash  rollout.Hash
-	Text  []byte
-	Until time.Duration // of a trial: the end of its lease by the node's time; 0: it has none
-	Good  *Policy       // that holds then
-}
-
-// Counted is what the loop has counted under one policy since the last report that control took.
-type Counted struct {
-	Under  rollout.Hash
-	Counts []rollout.Counts // a class (and tenant) each; the histogram of set-ups stands with the class that has no tenant
-	Guards []string         // that fired
-}
-
-// Kept is what a node keeps of policies over its starts.
-type Kept struct {
-	Stored  rollout.Stored                   `json:"stored"`
-	Texts   map[rollout.Hash]json.RawMessage `json:"texts"`             // of those that Stored names
-	Crashes int                              `json:"crashes,omitempty"` // of the trial, and its lease, as the top has them
-	Lease   time.Duration                    `json:"lease,omitempty"`
-	// LeaseEnd is the end of the trial's lease by the node's time, or up to half a lease before it. The store has it on a clock that goes
-	// on over starts.
+	Hash     rollout.Hash
+	Text     []byte
+	LeaseEnd time.Duration // of a trial: the end of its lease in the node's time; 0: it has none
+	Good     *Policy       // to apply from then on
+}
+
+// PolicyCounts is what the loop has counted under one policy since the last report that the control thread accepted.
+type PolicyCounts struct {
+	Policy rollout.Hash
+	Counts []rollout.Counts // one for each class (and tenant); the histogram of set-up times is with the class that has no tenant
+	Guards []string         // guards that fired
+}
+
+// PolicyState is what a node stores about policies across restarts.
+type PolicyState struct {
+	Stored     rollout.Stored                   `json:"stored"`
+	Texts      map[rollout.Hash]json.RawMessage `json:"texts"`             // of the policies that Stored names
+	MaxCrashes int                              `json:"crashes,omitempty"` // limit of the trial, and its lease, as the root site has them
+	TrialLease time.Duration                    `json:"lease,omitempty"`
+	// LeaseEnd is the end of the trial's lease in the node's time, or up to half a lease before it. The store holds it
+	// on a clock that continues across restarts.
 	LeaseEnd time.Duration `json:"-"`
 }
 
 const (
-	docWord  = "begin " // a document's value begins with it, and a halt's with the next; see sitesync.Rules
-	haltWord = "halt "
-	backWord = "resume "
-	unheard  = "the top was not heard for as long as the trial's lease"
-	// mostSent is how many questions may wait for an answer that tells a policy.
-	mostSent = 16
+	documentPrefix     = "begin " // begins a document's value, and the next one a halt's; see sitesync.Rules
+	haltPrefix         = "halt "
+	resumePrefix       = "resume "
+	reasonLeaseExpired = "the root site was not heard from for the length of the trial's lease"
+	// maxPendingRequests is how many lease requests may wait for an answer that assigns a policy.
+	maxPendingRequests = 16
 )
 
-// asIs is the policy that changes nothing.
-var asIs = rollout.EmptyPolicy()
-
-// policies is what a Core has of them.
-type policies struct {
-	top     *rollout.RootState       // at a seat of the top site, once its place is agreed on
-	told    map[string]uint64        // rollout.Record.Sequence of the newest record in the log, by node; those that were looked up
-	writes  map[string]bool          // nodes whose record this leader has proposed
-	doc     rollout.SitePolicies     // what this site's nodes are to go by, as it was read last
-	docOf   sitesync.ID              // the write that it was read from
-	heard   time.Duration            // a moment whose word of the top holds here: see topAge; 0: never
-	rounds  map[uint64]time.Duration // a top's: when reads began that a quorum has not answered
-	holder  *rollout.NodePolicy      // of this node, as is what follows
-	texts   map[rollout.Hash][]byte  // that the node has
-	teller  *rollout.Reporter
-	sent    map[uint64]time.Duration // when questions for the right were sent
-	slice   time.Duration            // what evidence is counted by; 0: not known yet
-	wanted  rollout.Hash             // that the loop was told to go by, and until when
-	until   time.Duration
-	retuned bool // the settings as read have changed since the last tick
-}
-
-// Top returns the plan of policies as it is applied here, which only a seat of the top site has; not to be changed.
-func (c *Core) Top() *rollout.RootState { return c.policies.top }
-
-// isTop says whether this node's site is the top of the line, as far as its log says.
-func (c *Core) isTop() bool { return c.writes != nil && len(c.writes.Self().Ancestors) == 0 }
-
-// holdPolicies begins with what the node kept: one more start is counted under a trial, durably, before anything is served.
-func (c *Core) holdPolicies(now time.Duration) error {
+// emptyPolicy changes no setting.
+var emptyPolicy = rollout.EmptyPolicy()
+
+// policyControl is a Core's state about policies.
+type policyControl struct {
+	root            *rollout.RootState       // on a replica of the root site, once the site's place is committed
+	recordSeq       map[string]uint64        // rollout.Record.Sequence of the newest record in the log, by node, for nodes that were looked up
+	proposedRecords map[string]bool          // nodes whose record this leader has proposed
+	sitePolicies    rollout.SitePolicies     // what the nodes of this site are to apply, as last read
+	sitePoliciesID  sitesync.ID              // the write that it was read from
+	rootHeardAt     time.Duration            // a moment as of which the root site's decisions are applied here: see rootAge; 0: never
+	readRounds      map[uint64]time.Duration // at the root site: when reads began that a quorum has not confirmed
+	nodePolicy      *rollout.NodePolicy      // of this node, as are the fields below
+	texts           map[rollout.Hash][]byte  // policy texts that the node has
+	reporter        *rollout.Reporter
+	sentAt          map[uint64]time.Duration // when lease requests were sent
+	slice           time.Duration            // time slice by which evidence is counted; 0: not known yet
+	requested       rollout.Hash             // the policy that the loop was told to apply, and until when
+	requestedUntil  time.Duration
+	settingsChanged bool // the settings as read have changed since the last tick
+}
+
+// RootState returns the state of policies as applied here, which only a replica of the root site has. The caller must
+// not modify it.
+func (c *Core) RootState() *rollout.RootState { return c.policies.root }
+
+// isRootSite reports whether this node's site is the root site, as far as its log says.
+func (c *Core) isRootSite() bool { return c.writes != nil && len(c.writes.Self().Ancestors) == 0 }
+
+// initPolicies loads what the node has stored. If a trial is in effect, one more start is counted and stored before
+// anything is served.
+func (c *Core) initPolicies(now time.Duration) error {
 	if c.Kept.Stored.Good == "" {
-		c.Kept.Stored.Good = asIs.Hash()
+		c.Kept.Stored.Good = emptyPolicy.Hash()
 	}
-	if c.Kept.Crashes == 0 || c.Kept.Lease == 0 {
-		c.Kept.Crashes, c.Kept.Lease = c.Site.Rollout.MaxCrashes, c.Site.Rollout.TrialLease
+	if c.Kept.MaxCrashes == 0 || c.Kept.TrialLease == 0 {
+		c.Kept.MaxCrashes, c.Kept.TrialLease = c.Site.Rollout.MaxCrashes, c.Site.Rollout.TrialLease
 	}
-	p := policies{told: map[string]uint64{}, writes: map[string]bool{}, texts: map[rollout.Hash][]byte{asIs.Hash(): asIs.Text()},
-		sent: map[uint64]time.Duration{}, rounds: map[uint64]time.Duration{}, teller: rollout.NewReporter(c.Site.Node, c.zone())}
+	p := policyControl{recordSeq: map[string]uint64{}, proposedRecords: map[string]bool{},
+		texts:  map[rollout.Hash][]byte{emptyPolicy.Hash(): emptyPolicy.Text()},
+		sentAt: map[uint64]time.Duration{}, readRounds: map[uint64]time.Duration{}, reporter: rollout.NewReporter(c.Site.Node, c.zone())}
 	for h, text := range c.Kept.Texts {
 		p.texts[h] = text
 	}
-	p.holder = rollout.NewNodePolicy(c.Kept.Stored, c.Kept.Crashes, c.Kept.LeaseEnd, now)
-	p.wanted = asIs.Hash() // which the loop goes by from its start
+	p.nodePolicy = rollout.NewNodePolicy(c.Kept.Stored, c.Kept.MaxCrashes, c.Kept.LeaseEnd, now)
+	p.requested = emptyPolicy.Hash() // the loop applies it from its start
 	c.policies = p
-	if t := p.holder.Stored().Trial; t != "" && c.fits(t) != nil {
-		p.holder.DropTrial()
+	if t := p.nodePolicy.Stored().Trial; t != "" && c.checkFits(t) != nil {
+		p.nodePolicy.DropTrial()
 	}
 	if c.Kept.Stored.Trial != "" {
-		return c.goBy()
+		return c.storeAndApplyPolicy()
 	}
-	c.lay()
+	c.applyPolicy()
 	return nil
 }
 
-// goBy makes durable what the node goes by, and then has the loop go by it.
-func (c *Core) goBy() error {
-	s := c.policies.holder.Stored()
-	k := Kept{Stored: s, Crashes: c.Kept.Crashes, Lease: c.Kept.Lease, LeaseEnd: c.policies.holder.StoredLeaseEnd(),
-		Texts: map[rollout.Hash]json.RawMessage{}}
-	for _, h := range []rollout.Hash{s.Good, s.Trial, s.RejectedTrial} {
+// storeAndApplyPolicy stores what the node applies, and then has the loop apply it.
+func (c *Core) storeAndApplyPolicy() error {
+	stored := c.policies.nodePolicy.Stored()
+	state := PolicyState{Stored: stored, MaxCrashes: c.Kept.MaxCrashes, TrialLease: c.Kept.TrialLease,
+		LeaseEnd: c.policies.nodePolicy.StoredLeaseEnd(),
+		Texts:    map[rollout.Hash]json.RawMessage{}}
+	for _, h := range []rollout.Hash{stored.Good, stored.Trial, stored.RejectedTrial} {
 		if text := c.policies.texts[h]; text != nil {
-			k.Texts[h] = text
+			state.Texts[h] = text
 		}
 	}
-	maps.DeleteFunc(c.policies.texts, func(h rollout.Hash, _ []byte) bool { return k.Texts[h] == nil })
-	if err := c.env.KeepPolicy(k); err != nil {
+	maps.DeleteFunc(c.policies.texts, func(h rollout.Hash, _ []byte) bool { return state.Texts[h] == nil })
+	if err := c.env.KeepPolicy(state); err != nil {
 		return err
 	}
-	c.Kept = k
-	c.lay()
+	c.Kept = state
+	c.applyPolicy()
 	return nil
 }
 
-// lay tells the loop which policy to go by and until when, unless it was told.
-func (c *Core) lay() {
+// applyPolicy tells the loop which policy to apply and until when, unless it was told so already.
+func (c *Core) applyPolicy() {
 	p := &c.policies
-	s, until := p.holder.Stored(), p.holder.LeaseEnd()
-	h := p.holder.Policy()
-	if h == p.wanted && until == p.until {
+	stored, until := p.nodePolicy.Stored(), p.nodePolicy.LeaseEnd()
+	hash := p.nodePolicy.Policy()
+	if hash == p.requested && until == p.requestedUntil {
 		return
 	}
-	p.wanted, p.until = h, until
-	by := Policy{Hash: h, Text: p.texts[h], Until: until}
-	if s.Trial != "" {
-		by.Good = &Policy{Hash: s.Good, Text: p.texts[s.Good]}
+	p.requested, p.requestedUntil = hash, until
+	policy := Policy{Hash: hash, Text: p.texts[hash], LeaseEnd: until}
+	if stored.Trial != "" {
+		policy.Good = &Policy{Hash: stored.Good, Text: p.texts[stored.Good]}
 	}
-	c.env.GoBy(by)
+	c.env.GoBy(policy)
 }
 
-// changed takes a change of what the node is to go by over.
-func (c *Core) changed(why string) {
+// policyChanged handles a change of the policy that the node is to apply.
+func (c *Core) policyChanged(why string) {
 	before := c.Kept.Stored
-	if err := c.goBy(); err != nil {
+	if err := c.storeAndApplyPolicy(); err != nil {
 		c.fail(err)
 		return
 	}
-	s := c.policies.holder.Stored()
-	if s == before {
-		return // a lease that goes on
+	stored := c.policies.nodePolicy.Stored()
+	if stored == before {
+		return // only the lease was renewed
 	}
-	c.env.Tell("is to go by a policy", "policy", c.policies.holder.Policy(), "trial", s.Trial != "", "round", s.Round, "why", why)
+	c.env.Tell("the policy to apply has changed", "policy", c.policies.nodePolicy.Policy(), "trial", stored.Trial != "",
+		"round", stored.Round, "why", why)
 }
 
-// tickPolicies lets a trial lapse and closes slices of evidence.
+// tickPolicies ends a trial whose lease has expired, and closes time slices of evidence.
 func (c *Core) tickPolicies(now time.Duration) {
 	p := &c.policies
-	if lapsed, _ := p.holder.CheckLease(now); lapsed {
-		c.changed(unheard)
+	if expired, _ := p.nodePolicy.CheckLease(now); expired {
+		c.policyChanged(reasonLeaseExpired)
 	}
-	p.teller.Tick(now, p.slice, p.holder.Status(c.Site.Node), p.holder.Starts(), len(c.report.Taken.ExcludedHosts),
-		c.disturbed() || p.retuned)
-	p.retuned = false
+	p.reporter.Tick(now, p.slice, p.nodePolicy.Status(c.Site.Node), p.nodePolicy.Starts(), len(c.report.Taken.ExcludedHosts),
+		c.disrupted() || p.settingsChanged)
+	p.settingsChanged = false
 }
 
-// disturbed says whether a host that this node would use is out for work: of its own zone, or of any where it has none.
-func (c *Core) disturbed() bool {
-	own, zone := c.zone(), c.hosts.zones
-	return slices.ContainsFunc(c.report.Taken.ExcludedHosts, func(o sendlease.ExcludedHost) bool {
-		return own == "" || zone[o.Host] == "" || zone[o.Host] == own
+// disrupted reports whether a host that this node would use is out of service: a host of its own zone, or of any zone
+// if the zone of either is not known.
+func (c *Core) disrupted() bool {
+	ownZone, zones := c.zone(), c.hosts.zones
+	return slices.ContainsFunc(c.report.Taken.ExcludedHosts, func(excluded sendlease.ExcludedHost) bool {
+		return ownZone == "" || zones[excluded.Host] == "" || zones[excluded.Host] == ownZone
 	})
 }
 
-// zone is the one that this node stands in, as the site file has it.
+// zone returns this node's zone, as the site file has it.
 func (c *Core) zone() string { return c.Site.Own.Zones[c.Site.Node] }
 
-// counted takes over what the loop has counted, and under which policy it goes.
-func (c *Core) counted(now time.Duration, r Report) {
+// recordCounts records what the loop has counted, and under which policy it runs.
+func (c *Core) recordCounts(now time.Duration, r Report) {
 	p := &c.policies
-	for _, n := range r.Counted {
-		p.teller.Count(now, canonical(n.Under), n.Counts, n.Guards)
+	for _, counts := range r.Counted {
+		p.reporter.Count(now, canonical(counts.Policy), counts.Counts, counts.Guards)
 	}
-	p.teller.Count(now, canonical(r.Under), nil, nil) // a quiet node speaks too
-	p.retuned = p.retuned || r.Retuned != c.report.Retuned
-	if canonical(r.Asked) != p.wanted || canonical(r.Under) == p.wanted {
+	p.reporter.Count(now, canonical(r.Under), nil, nil) // a node without traffic reports as well
+	p.settingsChanged = p.settingsChanged || r.Retuned != c.report.Retuned
+	if canonical(r.Asked) != p.requested || canonical(r.Under) == p.requested {
 		return
 	}
-	if lapsed, _ := p.holder.CheckLease(now); lapsed { // the loop has seen to it
-		c.changed(unheard)
-	} else if p.holder.DropTrial() { // the settings have changed under it
-		c.changed("the trial does not fit the node's settings any more")
+	if expired, _ := p.nodePolicy.CheckLease(now); expired { // the loop has applied the good policy by itself
+		c.policyChanged(reasonLeaseExpired)
+	} else if p.nodePolicy.DropTrial() { // the settings have changed under the trial
+		c.policyChanged("the trial does not fit the node's settings any more")
 	}
 }
 
 func canonical(h rollout.Hash) rollout.Hash {
 	if h == "" {
-		return asIs.Hash()
+		return emptyPolicy.Hash()
 	}
 	return h
 }
 
-// askPolicy adds to a question for the right what the node has counted, and which texts it has.
-func (c *Core) askPolicy(now time.Duration, q *peerpb.RenewRequest) {
+// addPolicyRequest adds what the node has counted, and which policy texts it has, to a lease request.
+func (c *Core) addPolicyRequest(now time.Duration, request *peerpb.RenewRequest) {
 	p := &c.policies
-	q.Record = p.teller.Pending()
+	request.Record = p.reporter.Pending()
 	for _, h := range slices.Sorted(maps.Keys(p.texts)) {
-		q.Texts = append(q.Texts, string(h))
+		request.Texts = append(request.Texts, string(h))
 	}
-	p.sent[q.Seq] = now
-	if q.Seq > mostSent {
-		delete(p.sent, q.Seq-mostSent)
+	p.sentAt[request.Seq] = now
+	if request.Seq > maxPendingRequests {
+		delete(p.sentAt, request.Seq-maxPendingRequests)
 	}
 }
 
-// answered takes over what an answer says of the node's record, and of what it is to go by.
-func (c *Core) answered(r *peerpb.RenewReply) {
+// handlePolicyReply handles what a lease reply says of the node's record, and of the policy to apply.
+func (c *Core) handlePolicyReply(r *peerpb.RenewReply) {
 	p := &c.policies
-	p.teller.Acknowledge(r.Told)
-	asked, known := p.sent[r.Seq]
-	delete(p.sent, r.Seq)
-	a := r.Policy
-	if a == nil || !known {
+	p.reporter.Acknowledge(r.Told)
+	sentAt, known := p.sentAt[r.Seq]
+	delete(p.sentAt, r.Seq)
+	assignment := r.Policy
+	if assignment == nil || !known {
 		return
 	}
-	if p.slice != 0 && p.slice != time.Duration(a.SliceUs)*time.Microsecond {
-		c.env.Tell("evidence is counted by another slice", "slice", time.Duration(a.SliceUs)*time.Microsecond)
+	if p.slice != 0 && p.slice != time.Duration(assignment.SliceUs)*time.Microsecond {
+		c.env.Tell("the time slice of evidence has changed", "slice", time.Duration(assignment.SliceUs)*time.Microsecond)
 	}
-	p.slice = time.Duration(a.SliceUs) * time.Microsecond
-	c.Kept.Crashes = max(1, int(a.Crashes))
-	if a.Trial {
-		c.Kept.Lease = time.Duration(a.LeaseUs) * time.Microsecond
+	p.slice = time.Duration(assignment.SliceUs) * time.Microsecond
+	c.Kept.MaxCrashes = max(1, int(assignment.Crashes))
+	if assignment.Trial {
+		c.Kept.TrialLease = time.Duration(assignment.LeaseUs) * time.Microsecond
 	}
-	for h, text := range a.Texts {
+	for h, text := range assignment.Texts {
 		if policy, err := rollout.Parse(text); err == nil && policy.Hash() == rollout.Hash(h) {
 			p.texts[rollout.Hash(h)] = policy.Text()
 		}
 	}
-	if a.Trial { // what the site heard long ago keeps no trial alive; back to the good policy any word leads
-		asked -= time.Duration(a.AgeUs) * time.Microsecond
+	if assignment.Trial { // an old decision must not keep a trial alive; for a return to the good policy any age will do
+		sentAt -= time.Duration(assignment.AgeUs) * time.Microsecond
 	}
-	changed := p.holder.HandleAssignment(rollout.Assignment{Round: a.Round, Policy: rollout.Hash(a.Policy), Good: rollout.Hash(a.Good), Trial: a.Trial,
-		Lease: time.Duration(a.LeaseUs) * time.Microsecond}, asked, c.fits)
+	changed := p.nodePolicy.HandleAssignment(rollout.Assignment{Round: assignment.Round,
+		Policy: rollout.Hash(assignment.Policy), Good: rollout.Hash(assignment.Good), Trial: assignment.Trial,
+		Lease: time.Duration(assignment.LeaseUs) * time.Microsecond}, sentAt, c.checkFits)
 	if changed {
-		c.changed("the council says so")
+		c.policyChanged("assigned by the site's consensus group")
 	} else {
-		c.lay() // a lease goes on
+		c.applyPolicy() // only the lease was renewed
 	}
 }
 
-// fits is the node's own check of a policy.
-func (c *Core) fits(h rollout.Hash) error {
+// checkFits returns nil if a policy fits this node's settings, or else the reason.
+func (c *Core) checkFits(h rollout.Hash) error {
 	text := c.policies.texts[h]
 	if text == nil {
 		return &NameError{What: "policy", Name: string(h), Want: "its text with its hash"}
@@ -283,44 +293,44 @@
 
 // ---- A site's leader ----
 
-// recorded brings a node's record before the council, if it says more than what stands there, and returns up to where the
-// node's records stand there.
-func (c *Core) recorded(now time.Duration, node string, record []byte) uint64 {
+// recordEvidence proposes a node's record, if it is newer than the committed one, and returns the sequence number up
+// to which the node's records are committed.
+func (c *Core) recordEvidence(now time.Duration, node string, record []byte) uint64 {
 	if c.writes == nil {
 		return 0
 	}
 	p := &c.policies
-	told, known := p.told[node]
+	sequence, known := p.recordSeq[node]
 	if !known {
 		if v, any := c.writes.Value(sitesync.Evidence, rollout.NodeKey(node)); any {
-			if r, err := rollout.ParseRecord(v.Value); err == nil {
-				told = r.Sequence
+			if decoded, err := rollout.ParseRecord(v.Value); err == nil {
+				sequence = decoded.Sequence
 			}
 		}
-		p.told[node] = told
+		p.recordSeq[node] = sequence
 	}
-	if len(record) == 0 || p.writes[node] {
-		return told
+	if len(record) == 0 || p.proposedRecords[node] {
+		return sequence
 	}
-	r, err := rollout.ParseRecord(record)
-	if err != nil || r.Node != node || r.Sequence <= told {
-		return told
+	decoded, err := rollout.ParseRecord(record)
+	if err != nil || decoded.Node != node || decoded.Sequence <= sequence {
+		return sequence
 	}
-	cmd := sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.NodeKey(node), Value: record, By: node}}
-	if c.writes.Check(cmd) == nil { // a full queue takes no evidence: it is missing, and that is no health
-		p.writes[node] = true
-		c.proposeWrite(now, written{Command: &cmd}, func(Reply, error) { delete(p.writes, node) })
+	command := sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.NodeKey(node), Value: record, By: node}}
+	if c.writes.Check(command) == nil { // a full queue accepts no evidence: it is missing then, and does not count as health
+		p.proposedRecords[node] = true
+		c.proposeWrite(now, writeEntry{Command: &command}, func(Reply, error) { delete(p.proposedRecords, node) })
 	}
-	return told
+	return sequence
 }
 
-// document returns what this site's nodes are to go by; false where it was told nothing.
-func (c *Core) document() (rollout.SitePolicies, bool) {
-	if c.isTop() {
-		if c.policies.top == nil {
+// sitePolicies returns what the nodes of this site are to apply; false if the site has no document.
+func (c *Core) sitePolicies() (rollout.SitePolicies, bool) {
+	if c.isRootSite() {
+		if c.policies.root == nil {
 			return rollout.SitePolicies{}, false
 		}
-		return c.policies.top.SitePolicies(c.Site.Own.Name), true
+		return c.policies.root.SitePolicies(c.Site.Own.Name), true
 	}
 	if c.writes == nil {
 		return rollout.SitePolicies{}, false
@@ -329,86 +339,90 @@
 	if !any {
 		return rollout.SitePolicies{}, false
 	}
-	if p := &c.policies; v.Write.ID != p.docOf {
-		d, err := rollout.ParseSitePolicies([]byte(strings.TrimPrefix(string(v.Value), docWord)))
+	if p := &c.policies; v.Write.ID != p.sitePoliciesID {
+		decoded, err := rollout.ParseSitePolicies([]byte(strings.TrimPrefix(string(v.Value), documentPrefix)))
 		if err != nil {
-			c.env.Tell("what the top says of policies cannot be read", "error", err)
+			c.env.Tell("the policy document of the root site cannot be decoded", "error", err)
 			return rollout.SitePolicies{}, false
 		}
-		p.doc, p.docOf = d, v.Write.ID
+		p.sitePolicies, p.sitePoliciesID = decoded, v.Write.ID
 	}
-	return c.policies.doc, true
+	return c.policies.sitePolicies, true
 }
 
-// halted says whether a rollout is halted at this site, by a write that holds here.
-func (c *Core) halted(id string) bool {
+// isHalted reports whether a rollout is halted at this site, by a write that is in effect here.
+func (c *Core) isHalted(id string) bool {
 	v, any := c.writes.Value(sitesync.Policy, rollout.HaltKey(id))
-	return any && strings.HasPrefix(string(v.Value), haltWord)
+	return any && strings.HasPrefix(string(v.Value), haltPrefix)
 }
 
-// assignment is what a node of this site is to go by, nil where nothing can be said. A site that was never told anything by
-// the top, in this leader's time, keeps no trial alive.
-func (c *Core) assignment(now time.Duration, node string, has []string) *peerpb.Assignment {
-	d, any := c.document()
+// assignment returns what a node of this site is to apply, nil if that is not known. A site that has not heard from
+// the root site while this node leads keeps no trial alive.
+func (c *Core) assignment(now time.Duration, node string, texts []string) *peerpb.Assignment {
+	policies, any := c.sitePolicies()
 	if !any {
 		return nil
 	}
-	a := d.Assigned(node, c.halted)
-	age, heard := c.topAge(now)
-	if a.Trial && !heard {
+	assigned := policies.Assigned(node, c.isHalted)
+	age, known := c.rootAge(now)
+	if assigned.Trial && !known {
 		return nil
 	}
-	out := &peerpb.Assignment{Round: a.Round, Policy: string(a.Policy), Good: string(a.Good), Trial: a.Trial,
-		LeaseUs: uint64(a.Lease / time.Microsecond), AgeUs: uint64(age / time.Microsecond), SliceUs: uint64(d.Slice / time.Microsecond),
-		Crashes: uint32(d.MaxCrashes), Texts: map[string][]byte{}}
-	for _, h := range []rollout.Hash{a.Policy, a.Good} {
-		if !slices.Contains(has, string(h)) {
-			out.Texts[string(h)] = d.Text(h)
+	reply := &peerpb.Assignment{Round: assigned.Round, Policy: string(assigned.Policy), Good: string(assigned.Good), Trial: assigned.Trial,
+		LeaseUs: uint64(assigned.Lease / time.Microsecond), AgeUs: uint64(age / time.Microsecond), SliceUs: uint64(policies.Slice / time.Microsecond),
+		Crashes: uint32(policies.MaxCrashes), Texts: map[string][]byte{}}
+	for _, h := range []rollout.Hash{assigned.Policy, assigned.Good} {
+		if !slices.Contains(texts, string(h)) {
+			reply.Texts[string(h)] = policies.Text(h)
 		}
 	}
-	return out
+	return reply
 }
 
-// topAge says how long ago, at most, what holds here was the top's word; false: never, in this leader's time.
-func (c *Core) topAge(now time.Duration) (age time.Duration, heard bool) {
+// rootAge returns for how long, at most, the root site's decisions applied here may have been out of date; false if
+// the root site was not heard from while this node leads.
+func (c *Core) rootAge(now time.Duration) (age time.Duration, heard bool) {
 	switch {
-	case c.policies.heard == 0:
+	case c.policies.rootHeardAt == 0:
 		return 0, false
 	}
-	return max(0, now-c.policies.heard), true
+	return max(0, now-c.policies.rootHeardAt), true
 }
 
-// beginRound notes that a read begins, which a quorum is asked to confirm; confirmedRound, that it has. The top's own word is
-// as new as the last read that a quorum has confirmed: a leader that was stopped and goes on has no new word.
-func (c *Core) beginRound(now time.Duration, ctx uint64) {
-	if c.isTop() {
-		c.policies.rounds[ctx] = now
+// beginRead records when a read begins that a quorum is asked to confirm; readConfirmed, that it was confirmed. The
+// root site's own decisions are as recent as the last read that a quorum has confirmed: a leader that was paused and
+// resumes does not know of later ones.
+func (c *Core) beginRead(now time.Duration, ctx uint64) {
+	if c.isRootSite() {
+		c.policies.readRounds[ctx] = now
 	}
 }
 
-func (c *Core) confirmedRound(ctx uint64) {
-	if at, any := c.policies.rounds[ctx]; any {
-		c.heardTop(at)
-		delete(c.policies.rounds, ctx)
+func (c *Core) readConfirmed(ctx uint64) {
+	if at, any := c.policies.readRounds[ctx]; any {
+		c.noteRootHeard(at)
+		delete(c.policies.readRounds, ctx)
 	}
 }
 
-// heardTop notes that what holds here is the top's word of a moment, or later.
-func (c *Core) heardTop(at time.Duration) { c.policies.heard = max(c.policies.heard, at) }
+// noteRootHeard records that the root site's decisions as of a moment, or later, are applied here.
+func (c *Core) noteRootHeard(at time.Duration) {
+	c.policies.rootHeardAt = max(c.policies.rootHeardAt, at)
+}
 
-// ---- The top ----
+// ---- The root site ----
 
-// plan takes an entry about policies over, and returns why it was refused.
-func (c *Core) plan(index uint64, cmd rollout.Command) error {
+// applyPlan applies a log entry about policies, and returns the reason if it was refused.
+func (c *Core) applyPlan(index uint64, cmd rollout.Command) error {
 	c.stamp = max(c.stamp, cmd.At)
-	top := c.policies.top
-	if top == nil {
+	root := c.policies.root
+	if root == nil {
 		return nil
 	}
-	refused := c.tellAll(top.Apply(index, cmd))
-	if r := cmd.Resume; r != nil && refused == nil && c.halted(r.ID) { // where it was halted by sites below
-		c.writes.Apply(cmd.At, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: rollout.HaltKey(r.ID),
-			Value: []byte(backWord + r.Why), By: r.By}})
+	refused := c.reportEffects(root.Apply(index, cmd))
+	if resume := cmd.Resume; resume != nil && refused == nil && c.isHalted(resume.ID) { // if sites below had halted it
+		c.writes.Apply(cmd.At, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: rollout.HaltKey(resume.ID),
+			Value: []byte(resumePrefix + resume.Why), By: resume.By}})
 	}
 	if cmd.Evidence == nil && cmd.Status == nil && cmd.Close == nil && cmd.Unreachable == nil && cmd.Reachable == nil {
 		c.publish(cmd.At)
@@ -416,121 +430,122 @@
 	return refused
 }
 
-// planned takes writes that the top has applied into the plan: records of nodes, and halts of sites below.
-func (c *Core) planned(index uint64, at time.Duration, effects []sitesync.Effect) {
-	for _, f := range effects {
-		if f.Write == nil || f.Kind != sitesync.EffectApplied && f.Kind != sitesync.EffectMerged {
+// applyWritesToPlan passes applied writes to the plan: records of nodes, and halts of sites below.
+func (c *Core) applyWritesToPlan(index uint64, at time.Duration, effects []sitesync.Effect) {
+	for _, effect := range effects {
+		if effect.Write == nil || effect.Kind != sitesync.EffectApplied && effect.Kind != sitesync.EffectMerged {
 			continue
 		}
-		w := f.Write
-		if node, is := strings.CutPrefix(w.Subject, rollout.NodeKey("")); is && w.Kind == sitesync.Evidence {
-			r, err := rollout.ParseRecord(w.Value)
-			if err != nil || r.Node != node {
+		write := effect.Write
+		if node, match := strings.CutPrefix(write.Subject, rollout.NodeKey("")); match && write.Kind == sitesync.Evidence {
+			record, err := rollout.ParseRecord(write.Value)
+			if err != nil || record.Node != node {
 				continue
 			}
-			c.policies.told[node] = max(c.policies.told[node], r.Sequence)
-			if c.policies.top != nil {
-				c.tellAll(c.policies.top.Record(index, at, r))
+			c.policies.recordSeq[node] = max(c.policies.recordSeq[node], record.Sequence)
+			if c.policies.root != nil {
+				c.reportEffects(c.policies.root.Record(index, at, record))
 			}
 		}
-		id, is := strings.CutPrefix(w.Subject, rollout.HaltKey(""))
-		if why, halts := strings.CutPrefix(string(w.Value), haltWord); is && halts && w.Kind == sitesync.Policy && c.policies.top != nil &&
-			w.ID.Origin.Site != c.Site.Own.Name {
-			c.tellAll(c.policies.top.Apply(index, rollout.Command{At: at, Halt: &rollout.Halt{ID: id, Cause: rollout.Operator,
-				By: w.By + " at " + w.ID.Origin.Site, Why: why}}))
+		id, match := strings.CutPrefix(write.Subject, rollout.HaltKey(""))
+		if why, halts := strings.CutPrefix(string(write.Value), haltPrefix); match && halts && write.Kind == sitesync.Policy && c.policies.root != nil &&
+			write.ID.Origin.Site != c.Site.Own.Name {
+			c.reportEffects(c.policies.root.Apply(index, rollout.Command{At: at, Halt: &rollout.Halt{ID: id, Cause: rollout.Operator,
+				By: write.By + " at " + write.ID.Origin.Site, Why: why}}))
 		}
 	}
 }
 
-// tellAll has operators told of what a command brought, and returns why it was refused.
-func (c *Core) tellAll(effects []rollout.Effect) (refused error) {
-	for _, f := range effects {
-		switch f.Kind {
+// reportEffects logs the effects of a command for operators, and returns the reason if it was refused.
+func (c *Core) reportEffects(effects []rollout.Effect) (refused error) {
+	for _, effect := range effects {
+		switch effect.Kind {
 		case rollout.Refused:
-			refused = f.Err
+			refused = effect.Err
 		case rollout.Notify:
 			if c.leading {
-				c.env.Tell("policies", "rollout", f.ID, "what", f.Why, "cause", f.Cause.String())
+				c.env.Tell("policies", "rollout", effect.ID, "what", effect.Why, "cause", effect.Cause.String())
 			}
 		}
 	}
 	return refused
 }
 
-// publish has each site below told what its nodes are to go by, where that has changed: a write of the top's own, which every
-// seat makes by itself out of the same log.
+// publish writes the document of each site below whose document has changed: a write of the root site's own, which
+// every replica derives from the same log.
 func (c *Core) publish(at time.Duration) {
-	for _, s := range c.policies.top.Sites() {
-		if s == c.Site.Own.Name {
+	for _, name := range c.policies.root.Sites() {
+		if name == c.Site.Own.Name {
 			continue
 		}
-		d := c.policies.top.SitePolicies(s)
-		thing, value := rollout.SitePoliciesKey(s), append([]byte(docWord), d.Bytes()...)
-		if v, any := c.writes.Value(sitesync.Policy, thing); any && string(v.Value) == string(value) {
+		policies := c.policies.root.SitePolicies(name)
+		key, value := rollout.SitePoliciesKey(name), append([]byte(documentPrefix), policies.Bytes()...)
+		if v, any := c.writes.Value(sitesync.Policy, key); any && string(v.Value) == string(value) {
 			continue
 		}
-		for _, f := range c.writes.Apply(at, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: thing, Value: value,
+		for _, effect := range c.writes.Apply(at, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: key, Value: value,
 			By: "the plan"}}) {
-			if f.Kind == sitesync.EffectRefused && c.leading {
-				c.env.Tell("a site cannot be told what its nodes are to go by", "site", s, "error", f.Err)
+			if effect.Kind == sitesync.EffectRefused && c.leading {
+				c.env.Tell("the policy document of a site cannot be written", "site", name, "error", effect.Err)
 			}
 		}
 	}
 }
 
-// tree is the sites that policies go down, as this node's site file has them.
-func (c *Core) tree() rollout.Tree {
-	var t rollout.Tree
-	for _, g := range slices.Concat([]site.Definition{c.Site.Own}, c.Site.Descendants) {
-		s := rollout.Site{Name: g.Name, Parent: g.Parent}
-		if g.Name == c.Site.Own.Name {
-			s.Parent = ""
+// siteTree returns the sites that policies are rolled out to, as this node's site file has them.
+func (c *Core) siteTree() rollout.Tree {
+	var tree rollout.Tree
+	for _, definition := range slices.Concat([]site.Definition{c.Site.Own}, c.Site.Descendants) {
+		treeSite := rollout.Site{Name: definition.Name, Parent: definition.Parent}
+		if definition.Name == c.Site.Own.Name {
+			treeSite.Parent = ""
 		}
-		for _, n := range g.Nodes {
-			s.Nodes = append(s.Nodes, rollout.TreeNode{Name: n, Zone: g.Zones[n]})
+		for _, n := range definition.Nodes {
+			treeSite.Nodes = append(treeSite.Nodes, rollout.TreeNode{Name: n, Zone: definition.Zones[n]})
 		}
-		t.Sites = append(t.Sites, s)
+		tree.Sites = append(tree.Sites, treeSite)
 	}
-	slices.SortFunc(t.Sites, func(a, b rollout.Site) int { return strings.Compare(a.Name, b.Name) })
-	return t
+	slices.SortFunc(tree.Sites, func(a, b rollout.Site) int { return strings.Compare(a.Name, b.Name) })
+	return tree
 }
 
-// nextPolicy returns what the top's leader proposes next about policies.
-func (c *Core) nextPolicy(now time.Duration) (rollout.Command, bool) {
-	if c.policies.top == nil {
+// nextPolicyCommand returns what the root site's leader proposes next about policies.
+func (c *Core) nextPolicyCommand(now time.Duration) (rollout.Command, bool) {
+	if c.policies.root == nil {
 		return rollout.Command{}, false
 	}
-	return c.policies.top.NextWithLocalCount(max(c.stamp, now), c.Site.Rollout, c.tree(), c.Site.Own.Name, len(c.book.ExcludedHosts()))
+	return c.policies.root.NextWithLocalCount(max(c.stamp, now), c.Site.Rollout, c.siteTree(), c.Site.Own.Name, len(c.book.ExcludedHosts()))
 }
 
-// proposePolicy brings a command about policies before the council and returns its number, 0 where this seat does not lead.
+// proposePolicy proposes a command about policies and returns its number, 0 if this replica does not lead.
 func (c *Core) proposePolicy(now time.Duration, cmd rollout.Command) uint64 {
 	cmd.At = c.stamped(now)
 	return c.putOwn(now, entry{Policies: &cmd})
 }
 
-// keepsRoom says whether a command would disturb more at this site than rollouts and work may together.
-func (c *Core) keepsRoom(now time.Duration, cmd turns.Command) bool {
-	most := c.Site.Rollout.MaxDisrupted
-	if cmd.Prepare == nil || most == 0 {
+// withinDisruptionLimit reports whether a command would keep the disruption at this site within the limit for
+// rollouts and maintenance together.
+func (c *Core) withinDisruptionLimit(now time.Duration, cmd turns.Command) bool {
+	limit := c.Site.Rollout.MaxDisrupted
+	if cmd.Prepare == nil || limit == 0 {
 		return true
 	}
-	d, any := c.document()
-	return !any || len(c.book.ExcludedHosts())+d.Disrupted(max(c.stamp, now)) < most
+	policies, any := c.sitePolicies()
+	return !any || len(c.book.ExcludedHosts())+policies.Disrupted(max(c.stamp, now)) < limit
 }
 
 // ---- Calls ----
 
-// Plan brings an operator's command about a rollout before the council of the top site. done is called once, with an
-// *ElsewhereError where another node leads.
+// Plan proposes an operator's command about a rollout at the root site. done is called once, with an *ElsewhereError
+// if another node leads.
 func (c *Core) Plan(now time.Duration, id string, cmd rollout.Command, done func(Reply, error)) {
 	switch {
 	case c.stop != nil:
 		done(Reply{}, c.stop)
-	case c.writes != nil && !c.isTop():
-		done(Reply{}, &NotTopError{Site: c.Site.Own.Name, Top: c.topName()})
-	case c.leading && c.policies.top != nil:
-		if err := c.policies.top.Check(cmd); err != nil {
+	case c.writes != nil && !c.isRootSite():
+		done(Reply{}, &NotRootSiteError{Site: c.Site.Own.Name, Root: c.rootSite()})
+	case c.leading && c.policies.root != nil:
+		if err := c.policies.root.Check(cmd); err != nil {
 			done(Reply{}, err)
 			return
 		}
@@ -542,108 +557,112 @@
 		c.waiters[seq] = waiter{id: id, until: now + callWithin, done: done}
 		c.drive(now)
 	default:
-		done(Reply{}, c.elsewhere())
+		done(Reply{}, c.notLeaderError())
 	}
 }
 
-// topName is the site at the top of the line.
-func (c *Core) topName() string {
-	if n := len(c.Site.Ancestors); n > 0 {
-		return c.Site.Ancestors[n-1].Name
+// rootSite returns the name of the root site.
+func (c *Core) rootSite() string {
+	if levels := len(c.Site.Ancestors); levels > 0 {
+		return c.Site.Ancestors[levels-1].Name
 	}
 	return c.Site.Own.Name
 }
 
-// Halt has a rollout halted: at the top by its council, elsewhere by a write that holds at this site at once and travels up.
+// Halt halts a rollout: at the root site through its consensus group, elsewhere by a write that takes effect at this
+// site at once and travels up.
 func (c *Core) Halt(now time.Duration, id, by, why string, done func(Reply, error)) {
-	if c.stop != nil || c.isTop() {
+	if c.stop != nil || c.isRootSite() {
 		c.Plan(now, id, rollout.Command{Halt: &rollout.Halt{ID: id, Cause: rollout.Operator, By: by, Why: why}}, done)
 		return
 	}
 	if !c.leading || c.writes == nil {
-		done(Reply{}, c.elsewhere())
+		done(Reply{}, c.notLeaderError())
 		return
 	}
-	d, _ := c.document()
-	if !slices.ContainsFunc(slices.Collect(maps.Values(d.Nodes)), func(g rollout.NodeEntry) bool { return g.Rollout == id && id != "" }) {
-		done(Reply{}, &NoTrialError{ID: id, Site: c.Site.Own.Name, Top: c.topName()})
+	policies, _ := c.sitePolicies()
+	if !slices.ContainsFunc(slices.Collect(maps.Values(policies.Nodes)), func(g rollout.NodeEntry) bool { return g.Rollout == id && id != "" }) {
+		done(Reply{}, &NoTrialError{ID: id, Site: c.Site.Own.Name, Root: c.rootSite()})
 		return
 	}
 	if by == "" || why == "" {
-		done(Reply{}, &rollout.Refusal{Why: "who halts it and why are wanted", Do: "tell both"})
+		done(Reply{}, &rollout.Refusal{Why: "the operator and a reason for the halt are required", Do: "give both"})
 		return
 	}
-	c.Write(now, sitesync.LocalWrite{Kind: sitesync.Policy, Subject: rollout.HaltKey(id), Value: []byte(haltWord + why), By: by, Urgent: true}, done)
+	c.Write(now, sitesync.LocalWrite{Kind: sitesync.Policy, Subject: rollout.HaltKey(id), Value: []byte(haltPrefix + why),
+		By: by, Urgent: true}, done)
 }
 
-// Policies tells what this site's nodes go by, and at the top how rollouts stand. Another node than a seat asks the leader.
+// Policies returns what this site's nodes apply, and at the root site the state of rollouts. A node without an
+// up-to-date replica returns an *ElsewhereError, so that the leader is asked.
 func (c *Core) Policies(now time.Duration) (*peerpb.PoliciesReply, error) {
-	if !c.follows() || c.writes == nil {
-		return nil, c.elsewhere()
+	if !c.followsLog() || c.writes == nil {
+		return nil, c.notLeaderError()
 	}
-	r := &peerpb.PoliciesReply{Site: c.Site.Own.Name, Leader: c.leader, Top: c.topName()}
-	if age, heard := c.topAge(now); heard {
+	reply := &peerpb.PoliciesReply{Site: c.Site.Own.Name, Leader: c.leader, Top: c.rootSite()}
+	if age, known := c.rootAge(now); known {
 		ms := uint64(age / time.Millisecond)
-		r.AgeMs = &ms
+		reply.AgeMs = &ms
 	}
-	d, any := c.document()
+	policies, any := c.sitePolicies()
 	if !any {
-		return r, nil
+		return reply, nil
 	}
-	r.Good = string(d.Good)
+	reply.Good = string(policies.Good)
 	for _, node := range c.book.Members() {
-		a := d.Assigned(node, c.halted)
-		g := &peerpb.GoesBy{Node: node, Policy: string(a.Policy), Trial: a.Trial}
-		if a.Trial {
-			g.Rollout = d.Nodes[node].Rollout
+		assigned := policies.Assigned(node, c.isHalted)
+		listed := &peerpb.GoesBy{Node: node, Policy: string(assigned.Policy), Trial: assigned.Trial}
+		if assigned.Trial {
+			listed.Rollout = policies.Nodes[node].Rollout
 		}
 		if v, any := c.writes.Value(sitesync.Evidence, rollout.NodeKey(node)); any {
 			if record, err := rollout.ParseRecord(v.Value); err == nil {
-				g.Seen = string(record.Status.Policy)
+				listed.Seen = string(record.Status.Policy)
 				if record.Status.Fallback != rollout.NoFallback {
-					g.Fell = record.Status.Fallback.String()
+					listed.Fell = record.Status.Fallback.String()
 				}
 			}
 		}
-		r.Nodes = append(r.Nodes, g)
+		reply.Nodes = append(reply.Nodes, listed)
 	}
-	if c.policies.top != nil {
-		for _, o := range c.policies.top.Plan().Rollouts() {
-			r.Rollouts = append(r.Rollouts, rolloutOf(o))
+	if c.policies.root != nil {
+		for _, current := range c.policies.root.Plan().Rollouts() {
+			reply.Rollouts = append(reply.Rollouts, rolloutReply(current))
 		}
 	}
-	return r, nil
+	return reply, nil
 }
 
-// rolloutOf is a rollout as operators are told of it.
-func rolloutOf(o *rollout.Rollout) *peerpb.Rollout {
-	r := &peerpb.Rollout{Id: o.ID, Policy: string(o.Policy), Phase: o.Phase.String(), Stage: o.Stage.String(), Attempt: uint32(o.Attempt),
-		BegunMs: int64(o.StageBegan / time.Millisecond)}
-	if o.Phase == rollout.Running {
-		r.Missing = o.Missing
+// rolloutReply returns a rollout as the operator API reports it.
+func rolloutReply(source *rollout.Rollout) *peerpb.Rollout {
+	r := &peerpb.Rollout{Id: source.ID, Policy: string(source.Policy), Phase: source.Phase.String(),
+		Stage: source.Stage.String(), Attempt: uint32(source.Attempt),
+		BegunMs: int64(source.StageBegan / time.Millisecond)}
+	if source.Phase == rollout.Running {
+		r.Missing = source.Missing
 	}
-	if o.Cause != rollout.None {
-		r.Cause = o.Cause.String()
+	if source.Cause != rollout.None {
+		r.Cause = source.Cause.String()
 	}
-	for _, t := range o.Treated {
+	for _, t := range source.Treated {
 		if !t.RolledBack {
 			r.Treated = append(r.Treated, t.Node)
 		}
 	}
-	for _, e := range o.Log {
+	for _, e := range source.Log {
 		r.Log = append(r.Log, &peerpb.PolicyNote{AtMs: int64(e.At / time.Millisecond), What: e.Event, Stage: e.Stage.String(), By: e.By, Why: e.Why})
 	}
 	return r
 }
 
-// policy brings an operator's call before the council, here or through the node that leads it.
-func (d desk) policy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error), do func(func(Reply, error)),
-	pass func(*peer.Client, *peerpb.PolicyRequest, func(*peerpb.PolicyReply, error))) {
+// policyCall carries out an operator's call, here or through the node that leads.
+func (d desk) policyCall(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error), call func(func(Reply, error)),
+	forward func(*peer.Client, *peerpb.PolicyRequest, func(*peerpb.PolicyReply, error))) {
 	if !d.Do(func() {
-		do(func(r Reply, err error) {
-			if p := d.leaderOf(err, q.Forwarded); p != nil {
+		call(func(r Reply, err error) {
+			if leader := d.leaderOf(err, q.Forwarded); leader != nil {
 				q.Forwarded = true
-				pass(p, q, done)
+				forward(leader, q, done)
 				return
 			}
 			if err != nil {
@@ -651,9 +670,9 @@
 				return
 			}
 			reply := &peerpb.PolicyReply{Write: writtenID(r.Effects)}
-			if top := d.core.policies.top; top != nil {
-				if o := top.Plan().Rollout(q.Id); o != nil {
-					reply.Rollout = rolloutOf(o)
+			if root := d.core.policies.root; root != nil {
+				if current := root.Plan().Rollout(q.Id); current != nil {
+					reply.Rollout = rolloutReply(current)
 				}
 			}
 			done(reply, nil)
@@ -663,43 +682,44 @@
 	}
 }
 
-// plan brings a command of an operator's before the top's council.
-func (d desk) plan(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error), cmd rollout.Command,
-	pass func(*peer.Client, *peerpb.PolicyRequest, func(*peerpb.PolicyReply, error))) {
-	d.policy(q, done, func(then func(Reply, error)) { d.core.Plan(d.loop.Now(), q.Id, cmd, then) }, pass)
+// planCall proposes an operator's command at the root site.
+func (d desk) planCall(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error), cmd rollout.Command,
+	forward func(*peer.Client, *peerpb.PolicyRequest, func(*peerpb.PolicyReply, error))) {
+	d.policyCall(q, done, func(finish func(Reply, error)) { d.core.Plan(d.loop.Now(), q.Id, cmd, finish) }, forward)
 }
 
 // StartPolicy implements peer.Node.
 func (d desk) StartPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	if !json.Valid([]byte(q.Policy)) { // it would not stand in the log as it is
+	if !json.Valid([]byte(q.Policy)) { // invalid JSON could not be written to the log as raw text
 		done(nil, &rollout.Fault{Fault: "not valid JSON"})
 		return
 	}
-	d.plan(q, done, rollout.Command{Start: &rollout.Start{ID: q.Id, Policy: json.RawMessage(q.Policy), By: q.By, Why: q.Why}},
+	d.planCall(q, done, rollout.Command{Start: &rollout.Start{ID: q.Id, Policy: json.RawMessage(q.Policy), By: q.By, Why: q.Why}},
 		(*peer.Client).StartPolicy)
 }
 
 // HaltPolicy implements peer.Node.
 func (d desk) HaltPolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	d.policy(q, done, func(then func(Reply, error)) { d.core.Halt(d.loop.Now(), q.Id, q.By, q.Why, then) }, (*peer.Client).HaltPolicy)
+	d.policyCall(q, done, func(finish func(Reply, error)) { d.core.Halt(d.loop.Now(), q.Id, q.By, q.Why, finish) }, (*peer.Client).HaltPolicy)
 }
 
 // ResumePolicy implements peer.Node.
 func (d desk) ResumePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	d.plan(q, done, rollout.Command{Resume: &rollout.OperatorAction{ID: q.Id, By: q.By, Why: q.Why}}, (*peer.Client).ResumePolicy)
+	d.planCall(q, done, rollout.Command{Resume: &rollout.OperatorAction{ID: q.Id, By: q.By, Why: q.Why}}, (*peer.Client).ResumePolicy)
 }
 
 // ForcePolicy implements peer.Node.
 func (d desk) ForcePolicy(q *peerpb.PolicyRequest, done func(*peerpb.PolicyReply, error)) {
-	stage, any := rollout.StageOf(q.Stage)
-	if !any {
-		done(nil, &NameError{What: "stage", Name: q.Stage, Want: "the stage that Policies tells: one-node, building, regency, part or all"})
+	stage, known := rollout.StageOf(q.Stage)
+	if !known {
+		done(nil, &NameError{What: "stage", Name: q.Stage, Want: "the stage that Policies reports: one-node, building, regency, part or all"})
 		return
 	}
-	d.plan(q, done, rollout.Command{Force: &rollout.OperatorAction{ID: q.Id, Stage: stage, By: q.By, Why: q.Why}}, (*peer.Client).ForcePolicy)
+	d.planCall(q, done, rollout.Command{Force: &rollout.OperatorAction{ID: q.Id, Stage: stage, By: q.By, Why: q.Why}}, (*peer.Client).ForcePolicy)
 }
 
-// Policies implements peer.Node. The leader tells most; where it is not reached, a seat's own log serves.
+// Policies implements peer.Node. The leader knows most; if no leader is known, this node answers from its own
+// replica.
 func (d desk) Policies(q *peerpb.PoliciesRequest, done func(*peerpb.PoliciesReply, error)) {
 	if !d.Do(func() {
 		if p := d.peers[d.core.Leader()]; p != nil && !d.core.Leading() && !q.Forwarded {
@@ -707,51 +727,51 @@
 			p.Policies(q, done)
 			return
 		}
-		r, err := d.core.Policies(d.loop.Now())
-		done(r, err)
+		reply, err := d.core.Policies(d.loop.Now())
+		done(reply, err)
 	}) {
 		done(nil, &BusyError{})
 	}
 }
 
-// NotTopError says that policies are started, resumed and forced at the top of the line.
-type NotTopError struct{ Site, Top string }
+// NotRootSiteError reports that policies are started, resumed and forced at the root site only.
+type NotRootSiteError struct{ Site, Root string }
 
-func (e *NotTopError) Error() string {
-	return fmt.Sprintf("%s is not where policies are decided on: that is %s", e.Site, e.Top)
+func (e *NotRootSiteError) Error() string {
+	return fmt.Sprintf("%s is not the root site: policies are managed at %s", e.Site, e.Root)
 }
 
 // Action implements Actioner.
-func (e *NotTopError) Action() string {
-	return "call a node of " + e.Top + "; what can be done here is to halt a policy, with HaltPolicy"
+func (e *NotRootSiteError) Action() string {
+	return "call a node of " + e.Root + "; here a policy can only be halted, with HaltPolicy"
 }
 
-// NoTrialError says that no node of a site is to go by a rollout's policy.
-type NoTrialError struct{ ID, Site, Top string }
+// NoTrialError reports that no node of a site is assigned the policy of a rollout.
+type NoTrialError struct{ ID, Site, Root string }
 
 func (e *NoTrialError) Error() string {
-	return fmt.Sprintf("no node of %s is to go by the policy of a rollout %.80q", e.Site, e.ID)
+	return fmt.Sprintf("no node of %s is assigned the policy of a rollout %.80q", e.Site, e.ID)
 }
 
 // Action implements Actioner.
 func (e *NoTrialError) Action() string {
-	return "see Policies for what the nodes here go by; a rollout that has not come here is halted at " + e.Top
+	return "see Policies for the policies of the nodes here; a rollout that has not reached this site is halted at " + e.Root
 }
 
-// OwnError says that a thing is written about by the nodes themselves only.
-type OwnError struct{ Thing string }
+// ReservedKeyError reports that only the nodes themselves write about a key.
+type ReservedKeyError struct{ Key string }
 
-func (e *OwnError) Error() string {
-	return fmt.Sprintf("%.80q is written about by the nodes themselves", e.Thing)
+func (e *ReservedKeyError) Error() string {
+	return fmt.Sprintf("%.80q is written only by the nodes themselves", e.Key)
 }
 
 // Action implements Actioner.
-func (*OwnError) Action() string {
+func (*ReservedKeyError) Action() string {
 	return "start, halt, resume and force policies with StartPolicy, HaltPolicy, ResumePolicy and ForcePolicy"
 }
 
-// owned says whether only nodes themselves write about a thing.
-func owned(thing string) bool {
+// isReservedKey reports whether only the nodes themselves write about a key.
+func isReservedKey(key string) bool {
 	return slices.ContainsFunc([]string{rollout.SitePoliciesKey(""), rollout.HaltKey(""), rollout.NodeKey("")},
-		func(head string) bool { return strings.HasPrefix(thing, head) })
+		func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -122,18 +122,18 @@
 }
 
 // kept reads what the node kept of policies.
-func (t *Thread) kept() (Kept, error) {
+func (t *Thread) kept() (PolicyState, error) {
 	raw, err := t.store.Get(noteBucket, notePolicy)
 	if err != nil || raw == nil {
-		return Kept{}, err
+		return PolicyState{}, err
 	}
 	var k storedPolicies
 	if err := json.Unmarshal(raw, &k); err != nil {
-		return Kept{}, err
+		return PolicyState{}, err
 	}
 	now := t.loop.Now()
-	k.Kept.LeaseEnd = leaseEndFromStore(k.LeaseEnd, k.Lease, now, t.sinceBoot())
-	return k.Kept, nil
+	k.PolicyState.LeaseEnd = leaseEndFromStore(k.LeaseEnd, k.TrialLease, now, t.sinceBoot())
+	return k.PolicyState, nil
 }
 
 // sinceBoot returns the present moment on the clock that goes on over restarts, none where it cannot be read.
@@ -206,7 +206,7 @@
 			}
 		}
 		t.site = s
-		t.core.Retune(s)
+		t.core.ApplySiteFile(s)
 	})
 }
 
@@ -256,8 +256,8 @@
 }
 
 // KeepPolicy implements Env.
-func (t *Thread) KeepPolicy(k Kept) error {
-	stored := storedPolicies{Kept: k}
+func (t *Thread) KeepPolicy(k PolicyState) error {
+	stored := storedPolicies{PolicyState: k}
 	if k.LeaseEnd != 0 {
 		boot := t.sinceBoot()
 		stored.LeaseEnd = leaseEndToStore(k.LeaseEnd, t.loop.Now(), boot)
@@ -270,7 +270,7 @@
 }
 
 // GoBy implements Env.
-func (t *Thread) GoBy(p Policy) { t.policy.hand(p, t.loop, t.traffic.GoBy) }
+func (t *Thread) GoBy(p Policy) { t.policy.hand(p, t.loop, t.traffic.ApplyPolicy) }
 
 // Refused implements Env.
 func (t *Thread) Refused(why string) error { return t.store.MarkRefused(why) }
@@ -301,19 +301,21 @@
 func (t *Thread) SendReplay(seat string, call uint64, within time.Duration, q *peerpb.ReplayRequest) {
 	p := t.peers[seat]
 	if p == nil { // no address for it
-		t.Do(func() { t.core.Replayed(t.loop.Now(), call, nil) })
+		t.Do(func() { t.core.HandleReplayReply(t.loop.Now(), call, nil) })
 		return
 	}
 	p.ReplayWithTimeout(within, q, func(r *peerpb.ReplayReply, err error) {
 		if err != nil {
 			r = nil
 		}
-		t.Do(func() { t.core.Replayed(t.loop.Now(), call, r) })
+		t.Do(func() { t.core.HandleReplayReply(t.loop.Now(), call, r) })
 	})
 }
 
 // Bind implements Env.
-func (t *Thread) Bind(v sendlease.Restrictions) { t.verdict.hand(v, t.loop, t.traffic.Bind) }
+func (t *Thread) Bind(v sendlease.Restrictions) {
+	t.verdict.hand(v, t.loop, t.traffic.ApplyRestrictions)
+}
 
 // latest is what the loop is to take next: one that was not taken yet is replaced.
 type latest[T any] struct {
@@ -383,8 +385,8 @@
 		done(nil, err)
 		return
 	}
-	if owned(q.Thing) {
-		done(nil, &OwnError{Thing: q.Thing})
+	if isReservedKey(q.Thing) {
+		done(nil, &ReservedKeyError{Key: q.Thing})
 		return
 	}
 	local := sitesync.LocalWrite{Kind: kind, Subject: q.Thing, Value: []byte(q.Value), By: q.By, Urgent: q.Urgent, Token: q.Token}
@@ -509,7 +511,7 @@
 			p.Turns(q, done)
 			return
 		}
-		r := &peerpb.TurnsReply{Leader: leader, Applied: d.core.Applied(), Seats: d.core.Seats(), Seat: d.core.Standing(d.loop.Now())}
+		r := &peerpb.TurnsReply{Leader: leader, Applied: d.core.Applied(), Seats: d.core.Voters(), Seat: d.core.StatusReport(d.loop.Now())}
 		for _, t := range d.core.Book().Turns() {
 			r.Turns = append(r.Turns, d.told(t))
 		}
@@ -543,7 +545,7 @@
 
 // Vouch implements peer.Node. It is carried out at the node that it names.
 func (d desk) Vouch(q *peerpb.VouchRequest, done func(*peerpb.SeatReply, error)) {
-	d.seat(q.Node, q.Forwarded, done, func() error { return d.core.Vouch(d.loop.Now(), q) }, func(p *peer.Client) {
+	d.seat(q.Node, q.Forwarded, done, func() error { return d.core.ConfirmStore(d.loop.Now(), q) }, func(p *peer.Client) {
 		q.Forwarded = true
 		p.Vouch(q, done)
 	})
@@ -551,7 +553,7 @@
 
 // FoundAnew implements peer.Node. It is carried out at the node that it names.
 func (d desk) FoundAnew(q *peerpb.FoundRequest, done func(*peerpb.SeatReply, error)) {
-	d.seat(q.Node, q.Forwarded, done, func() error { return d.core.FoundAnew(d.loop.Now(), q) }, func(p *peer.Client) {
+	d.seat(q.Node, q.Forwarded, done, func() error { return d.core.Rebootstrap(d.loop.Now(), q) }, func(p *peer.Client) {
 		q.Forwarded = true
 		p.FoundAnew(q, done)
 	})
@@ -566,7 +568,7 @@
 				done(nil, err)
 				return
 			}
-			done(&peerpb.SeatReply{Node: node, Seats: d.core.Seats()}, nil)
+			done(&peerpb.SeatReply{Node: node, Seats: d.core.Voters()}, nil)
 		case p == nil || forwarded:
 			done(nil, &NameError{What: "node", Name: node, Want: "the name of a node with a seat in this site"})
 		default:
--- a/internal/control/turns.go
+++ b/internal/control/turns.go
@@ -45,7 +45,7 @@
 			return turns.Command{Grant: &turns.Ref{ID: t.ID, Round: t.Round}}, true
 		}
 	}
-	if cmd, any := c.book.Next(stamp); any && c.keepsRoom(now, cmd) && c.knowsHomes(now, cmd) {
+	if cmd, any := c.book.Next(stamp); any && c.withinDisruptionLimit(now, cmd) && c.knowsHomes(now, cmd) {
 		return cmd, true
 	}
 	return c.book.RevokeBlocked(stamp, views, stuckAfter*c.Site.SendLease.Duration)
@@ -104,7 +104,7 @@
 	if err := c.book.Check(cmd); err != nil {
 		return []turns.Blocker{{Why: err.Error()}}
 	}
-	if !c.keepsRoom(now, cmd) {
+	if !c.withinDisruptionLimit(now, cmd) {
 		return []turns.Blocker{{Why: "work and policies under way disturb as much as the site may bear"}}
 	}
 	if !c.book.IsOnlyHostOut(t.ID) {
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -16,73 +16,75 @@
 	"lichenhitch/internal/site"
 )
 
-// This file carries what is written at this site to the sites above, takes in what comes from below, and has a host that
-// was written out be out at all nodes of the site.
+// This file forwards the writes of this site to the sites above, accepts those of the sites below, and takes a host
+// that was banned by a write out of service at all nodes of the site.
 
 var (
-	// pace is how a site's leader calls those above: a poll is how late a decision of theirs comes at most, and a nearer
-	// site is tried again as often as a far one is bothered in its place. Before any answer was measured one is waited for as long
-	// as TCP does (RFC 6298). The most is more than a peer takes to answer at all (peer.Limits.Within) and its client waits.
-	pace = sitesync.Timing{PollInterval: time.Second, RetryDelay: 200 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 3,
+	// forwarderTiming times the calls of a site's leader to the sites above. PollInterval is how late a decision of
+	// theirs arrives at most; a nearer site is tried again every ReturnInterval while a farther one is used in its
+	// place. Before any answer was measured, the timeout is that of TCP (RFC 6298). MaxTimeout exceeds the time that a
+	// peer takes to answer any call (peer.Limits.CallTimeout) and that its client waits.
+	forwarderTiming = sitesync.Timing{PollInterval: time.Second, RetryDelay: 200 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 3,
 		ReturnInterval: 2 * time.Second, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second}
-	// budget is what a leader takes from below; see docs/design/upstream.md for the storm that it was measured with.
-	budget = sitesync.Budget{Rate: 8000, Batch: 256, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: 256}
+	// creditBudget limits what a leader accepts from the sites below; docs/design/upstream.md describes the reconnect
+	// storm that it was measured with.
+	creditBudget = sitesync.Budget{Rate: 8000, Batch: 256, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: 256}
 )
 
 const (
-	// leastTicks is the shortest that a call upwards is waited for, in ticks: the council above works by ticks as well, and what
-	// is shorter is not told here.
-	leastTicks = 2
-	// ageEvery is the pause between two entries that let time pass for writes that wait.
-	ageEvery = time.Minute
-	// heldWrites may wait for what they depend on.
-	heldWrites = 1024
+	// minCallTicks is the lower bound of the timeout of a call to a site above, in ticks: the group above acts on
+	// ticks as well, and shorter times cannot be told apart here.
+	minCallTicks = 2
+	// ageInterval is the time between two entries that advance the time for writes that wait.
+	ageInterval = time.Minute
+	// maxHeldWrites is how many writes may wait for what they depend on, if the site sets no limit.
+	maxHeldWrites = 1024
 )
 
-// written is what the council's log says of writes: the site's place once, then commands.
-type written struct {
+// writeEntry is a log entry about writes: the site's place first, then commands.
+type writeEntry struct {
 	At      time.Duration     `json:"at"`
-	Place   *sitesync.Place   `json:"place,omitempty"` // begins with them, with Limits
+	Place   *sitesync.Place   `json:"place,omitempty"` // in the first entry, with Limits
 	Limits  sitesync.Limits   `json:"limits,omitzero"`
 	Command *sitesync.Command `json:"command,omitempty"`
 }
 
-// snapshot is a seat's whole state.
+// snapshot is the whole state of a replica.
 type snapshot struct {
-	Book     json.RawMessage `json:"book"`
-	Writes   []byte          `json:"writes,omitempty"`
-	Policies []byte          `json:"policies,omitempty"`
-	Seats    seating         `json:"seats,omitzero"`
+	Schedule   json.RawMessage `json:"book"`
+	Writes     []byte          `json:"writes,omitempty"`
+	Policies   []byte          `json:"policies,omitempty"`
+	Membership membership      `json:"seats,omitzero"`
 }
 
 func (c *Core) encode() ([]byte, error) {
-	book, err := c.book.Encode()
+	schedule, err := c.book.Encode()
 	if err != nil {
 		return nil, err
 	}
-	s := snapshot{Book: book, Seats: c.seating}
+	s := snapshot{Schedule: schedule, Membership: c.membership}
 	if c.writes != nil {
 		s.Writes = c.writes.Encode()
 	}
-	if c.policies.top != nil {
-		s.Policies = c.policies.top.Encode()
+	if c.policies.root != nil {
+		s.Policies = c.policies.root.Encode()
 	}
 	return json.Marshal(s)
 }
 
 func (c *Core) decode(raw []byte) error {
-	c.book, c.writes, c.policies.top, c.policies.told = turns.New(), nil, nil, map[string]uint64{}
-	c.seating = seating{}
-	c.known()
+	c.book, c.writes, c.policies.root, c.policies.recordSeq = turns.New(), nil, nil, map[string]uint64{}
+	c.membership = membership{}
+	c.updateContacts()
 	if len(raw) == 0 {
 		return nil
 	}
 	var s snapshot
 	err := json.Unmarshal(raw, &s)
-	c.seating = s.Seats
-	c.known()
+	c.membership = s.Membership
+	c.updateContacts()
 	if err == nil {
-		c.book, err = turns.Decode(s.Book)
+		c.book, err = turns.Decode(s.Schedule)
 	}
 	if err == nil && s.Writes != nil {
 		if c.writes, err = sitesync.Decode(s.Writes, MergeEvidence); err == nil {
@@ -90,71 +92,73 @@
 		}
 	}
 	if err == nil && s.Policies != nil {
-		c.policies.top, err = rollout.DecodeRootState(s.Policies)
+		c.policies.root, err = rollout.DecodeRootState(s.Policies)
 	}
-	c.crown()
+	c.initRootState()
 	return err
 }
 
-// crown gives the top site its plan.
-func (c *Core) crown() {
-	if c.isTop() && c.policies.top == nil {
-		c.policies.top = rollout.NewRootState()
+// initRootState creates the rollout state at the root site.
+func (c *Core) initRootState() {
+	if c.isRootSite() && c.policies.root == nil {
+		c.policies.root = rollout.NewRootState()
 	}
 }
 
-// recordHead is what the record of a node begins with; see rollout.Record.Bytes.
-const recordHead = "rollout record "
+// recordPrefix begins an encoded record of a node; see rollout.Record.Bytes.
+const recordPrefix = "rollout record "
 
-// MergeEvidence merges evidence by its head: records of nodes, or else histograms. The same at all sites: see sitesync.Merge.
+// MergeEvidence merges two pieces of evidence by their prefix: records of nodes, or else histograms. It is the same
+// at all sites: see sitesync.Merge.
 func MergeEvidence(a, b []byte) ([]byte, error) {
-	if bytes.HasPrefix(a, []byte(recordHead)) {
+	if bytes.HasPrefix(a, []byte(recordPrefix)) {
 		return rollout.MergeRecords(a, b)
 	}
 	return sitesync.MergeSketches(a, b)
 }
 
-// write takes an entry about writes over.
-func (c *Core) write(index uint64, e written) (effects []sitesync.Effect, err error) {
-	c.stamp = max(c.stamp, e.At)
-	if e.Place != nil {
+// applyWrite applies a log entry about writes. It returns the effects, and the reason if the write was refused.
+func (c *Core) applyWrite(index uint64, written writeEntry) (effects []sitesync.Effect, err error) {
+	c.stamp = max(c.stamp, written.At)
+	if written.Place != nil {
 		if c.writes == nil {
-			c.writes = sitesync.New(*e.Place, e.Limits).WithMerge(MergeEvidence).WithRetention(rollout.StripEvidence)
-			c.crown()
+			c.writes = sitesync.New(*written.Place, written.Limits).WithMerge(MergeEvidence).WithRetention(rollout.StripEvidence)
+			c.initRootState()
 		}
 		return nil, nil
 	}
-	if c.writes == nil || e.Command == nil {
+	if c.writes == nil || written.Command == nil {
 		return nil, nil
 	}
-	effects = c.writes.Apply(e.At, *e.Command)
-	c.planned(index, e.At, effects)
-	for _, f := range effects {
-		switch f.Kind {
+	effects = c.writes.Apply(written.At, *written.Command)
+	c.applyWritesToPlan(index, written.At, effects)
+	for _, effect := range effects {
+		switch effect.Kind {
 		case sitesync.EffectApplied:
-			if f.Write.Kind == sitesync.Safety {
-				c.hosts.at = 0 // a leader looks at once
+			if effect.Write.Kind == sitesync.Safety {
+				c.hosts.at = 0 // a leader merges the host views at once
 			}
 		case sitesync.EffectRefused:
-			err = f.Err
+			err = effect.Err
 		case sitesync.EffectReceipt:
-			if r := f.Receipt; c.leading && r.Outcome != sitesync.Applied {
-				c.env.Tell("a write of this site was not simply taken", "write", r.ID.String(), "outcome", r.Outcome.String(),
-					"why", r.Why, "by", r.Site)
+			if receipt := effect.Receipt; c.leading && receipt.Outcome != sitesync.Applied {
+				c.env.Tell("a write of this site had another outcome than applied", "write", receipt.ID.String(), "outcome", receipt.Outcome.String(),
+					"why", receipt.Why, "by", receipt.Site)
 			}
 		case sitesync.EffectIncarnationEnded:
-			c.env.Tell("a site has lost its store; what it wrote and did not send is lost", "last known write", f.ID.String())
+			c.env.Tell("a site has lost its store; writes that it had not sent are lost", "last known write", effect.ID.String())
 		case sitesync.EffectStaleStore:
-			c.env.Tell("this site's writes are older than what it told before: an old store was put back", "known above", f.ID.String())
+			c.env.Tell("this site's writes are older than what it told before: an old store was put back", "known above", effect.ID.String())
 		}
 	}
 	return effects, err
 }
 
-// proposeWrite brings a command about writes before the council; done is called with what it brought, or why nothing.
-func (c *Core) proposeWrite(now time.Duration, w written, done func(Reply, error)) {
-	w.At = c.stamped(now)
-	seq := c.put(entry{Writes: &w})
+// proposeWrite proposes a command about writes; done, if any, is called with its effects, or with the reason why
+// there are none.
+func (c *Core) proposeWrite(now time.Duration, written writeEntry, done func(Reply, error)) {
+	written.At = c.stamped(now)
+	seq := c.put(entry{Writes: &written})
 	switch {
 	case seq == 0 && done != nil:
 		done(Reply{}, &NoLeaderError{Site: c.Site.Own.Name})
@@ -163,7 +167,7 @@
 	}
 }
 
-// Write commits a write of this site. done is called once, with an *ElsewhereError where another node leads.
+// Write commits a write of this site. done is called once, with an *ElsewhereError if another node leads.
 func (c *Core) Write(now time.Duration, l sitesync.LocalWrite, done func(Reply, error)) {
 	switch {
 	case c.stop != nil:
@@ -174,85 +178,85 @@
 			done(Reply{}, err)
 			return
 		}
-		c.tell().CountLocalWrite(now)
-		c.proposeWrite(now, written{Command: &cmd}, done)
+		c.ensureScheduler().CountLocalWrite(now)
+		c.proposeWrite(now, writeEntry{Command: &cmd}, done)
 		c.drive(now)
 	default:
-		done(Reply{}, c.elsewhere())
+		done(Reply{}, c.notLeaderError())
 	}
 }
 
-// elsewhere says who leads, if that is known.
-func (c *Core) elsewhere() error {
+// notLeaderError returns an error that names the leader, if it is known.
+func (c *Core) notLeaderError() error {
 	if c.leader == "" || c.leader == c.Site.Node {
 		return &NoLeaderError{Site: c.Site.Own.Name}
 	}
 	return &ElsewhereError{Leader: c.leader}
 }
 
-// tell returns the leader's teller.
-func (c *Core) tell() *sitesync.CreditScheduler {
+// ensureScheduler returns the leader's credit scheduler, which it creates if needed.
+func (c *Core) ensureScheduler() *sitesync.CreditScheduler {
 	if c.teller == nil {
-		c.teller, c.callers, c.taking = sitesync.NewCreditScheduler(budget), map[sitesync.SiteIncarnation]bool{}, map[string]int{}
+		c.teller, c.callers, c.taking = sitesync.NewCreditScheduler(creditBudget), map[sitesync.SiteIncarnation]bool{}, map[string]int{}
 	}
 	return c.teller
 }
 
-// Replay takes a call of a site below in; done is called with the answer, or with why there is none.
+// Replay handles a call of a site below; done is called with the answer, or with the reason why there is none.
 func (c *Core) Replay(now time.Duration, q *peerpb.ReplayRequest, done func(*peerpb.ReplayReply)) {
 	refuse := func(err error) {
 		r := &peerpb.ReplayReply{Refused: err.Error()}
-		var told Actioner
-		if errors.As(err, &told) {
-			r.Action = told.Action()
+		var actioner Actioner
+		if errors.As(err, &actioner) {
+			r.Action = actioner.Action()
 		}
-		var other *ElsewhereError
-		if errors.As(err, &other) {
-			r.Leader = other.Leader
+		var elsewhere *ElsewhereError
+		if errors.As(err, &elsewhere) {
+			r.Leader = elsewhere.Leader
 		}
 		done(r)
 	}
 	if c.stop != nil || !c.leading || c.writes == nil {
-		refuse(c.elsewhere())
+		refuse(c.notLeaderError())
 		return
 	}
-	b, err := sitesync.ParseBatch(q.Batch)
+	batch, err := sitesync.ParseBatch(q.Batch)
 	if err != nil {
 		refuse(err)
 		return
 	}
-	if c.tell().Admit(b) != nil {
-		b.Writes = nil // its credit is another leader's: it is answered, and sends them once more
+	if c.ensureScheduler().Admit(batch) != nil {
+		batch.Writes = nil // another leader granted its credit: it gets an answer, and sends them again
 	}
-	if b.Probe {
-		a := c.writes.Answer(b, 0, 0)
-		if a.Working = c.taking[b.From.Site] > 0; !a.Working {
-			a.Credit, a.Wait = c.tell().Grant(now, b, c.writes.Room())
+	if batch.Probe {
+		answer := c.writes.Answer(batch, 0, 0)
+		if answer.Working = c.taking[batch.From.Site] > 0; !answer.Working {
+			answer.Credit, answer.Wait = c.ensureScheduler().Grant(now, batch, c.writes.Room())
 		}
-		done(&peerpb.ReplayReply{Answer: a.Bytes()})
+		done(&peerpb.ReplayReply{Answer: answer.Bytes()})
 		return
 	}
 	answer := func() {
-		credit, wait := c.tell().Grant(now, b, c.writes.Room())
-		r := &peerpb.ReplayReply{Answer: c.writes.Answer(b, credit, wait).Bytes()}
-		if age, heard := c.topAge(now); heard { // by when the call came: the answer may wait for a commit
+		credit, wait := c.ensureScheduler().Grant(now, batch, c.writes.Room())
+		r := &peerpb.ReplayReply{Answer: c.writes.Answer(batch, credit, wait).Bytes()}
+		if age, known := c.rootAge(now); known { // as of the call's arrival: the answer may wait for a commit
 			us := uint64(age / time.Microsecond)
 			r.AgeUs = &us
 		}
 		done(r)
 	}
-	if own := c.writes.Unoffered(); own != nil {
-		c.proposeWrite(now, written{Command: own}, nil)
+	if offer := c.writes.Unoffered(); offer != nil {
+		c.proposeWrite(now, writeEntry{Command: offer}, nil)
 	}
-	caller := sitesync.SiteIncarnation{Site: b.From.Site, Incarnation: b.From.Incarnation}
-	if len(b.Writes) == 0 && c.callers[caller] && !c.writes.HasNews(b) {
+	caller := sitesync.SiteIncarnation{Site: batch.From.Site, Incarnation: batch.From.Incarnation}
+	if len(batch.Writes) == 0 && c.callers[caller] && !c.writes.HasNews(batch) {
 		answer()
 		return
 	}
 	c.callers[caller] = true
 	taking := c.taking
 	taking[caller.Site]++
-	c.proposeWrite(now, written{Command: &sitesync.Command{Batch: b}}, func(_ Reply, err error) {
+	c.proposeWrite(now, writeEntry{Command: &sitesync.Command{Batch: batch}}, func(_ Reply, err error) {
 		taking[caller.Site]--
 		if err != nil {
 			refuse(err)
@@ -263,15 +267,15 @@
 	c.drive(now)
 }
 
-// carry has the leader's courier make its next call.
-func (c *Core) carry(now time.Duration) {
+// forwardWrites makes the next call of the leader's forwarder.
+func (c *Core) forwardWrites(now time.Duration) {
 	if c.writes == nil || len(c.Site.Ancestors) == 0 {
 		return
 	}
 	if c.courier == nil {
-		p := pace
-		p.MinTimeout = leastTicks * c.Site.Tick
-		c.courier = sitesync.NewForwarder(func() *sitesync.Site { return c.writes }, p)
+		timing := forwarderTiming
+		timing.MinTimeout = minCallTicks * c.Site.Tick
+		c.courier = sitesync.NewForwarder(func() *sitesync.Site { return c.writes }, timing)
 		c.upAt = map[string]int{}
 	}
 	if c.calling != "" && now >= c.callUntil {
@@ -279,10 +283,10 @@
 	}
 	if offer := c.courier.Offer(); offer != nil && now >= c.offerAt {
 		c.offerAt = now + proposeWithin
-		c.proposeWrite(now, written{Command: offer}, func(Reply, error) { c.offerAt = 0 })
+		c.proposeWrite(now, writeEntry{Command: offer}, func(Reply, error) { c.offerAt = 0 })
 	}
-	to, b, _ := c.courier.Next(now)
-	if b == nil {
+	to, batch, _ := c.courier.Next(now)
+	if batch == nil {
 		return
 	}
 	for _, g := range c.Site.Ancestors {
@@ -292,23 +296,23 @@
 		c.calls++
 		within := c.courier.CallTimeout()
 		c.calling, c.calledAt, c.callUntil = to, now, now+within
-		c.env.SendReplay(g.Voters[c.upAt[to]%len(g.Voters)], c.calls, within, &peerpb.ReplayRequest{Site: c.Site.Own.Name, Batch: b.Bytes()})
+		c.env.SendReplay(g.Voters[c.upAt[to]%len(g.Voters)], c.calls, within, &peerpb.ReplayRequest{Site: c.Site.Own.Name, Batch: batch.Bytes()})
 		return
 	}
 }
 
-// Replayed takes what became of a call upwards over; r is nil where there was no answer.
-func (c *Core) Replayed(now time.Duration, call uint64, r *peerpb.ReplayReply) {
+// HandleReplayReply handles the reply to a call to a site above; r is nil if there was none.
+func (c *Core) HandleReplayReply(now time.Duration, call uint64, r *peerpb.ReplayReply) {
 	if c.stop != nil || c.courier == nil || call != c.calls || c.calling == "" {
-		return // of another leader's time, or given up
+		return // of an earlier term, or timed out
 	}
 	if r == nil || r.Refused != "" {
 		to := c.calling
 		if r != nil && r.Action != "" && r.Leader == "" && r.Refused != c.refused {
 			c.refused = r.Refused
-			c.env.Tell("a site above refuses what this one sends", "site", to, "why", r.Refused, "action", r.Action)
+			c.env.Tell("a site above refuses the calls of this site", "site", to, "why", r.Refused, "action", r.Action)
 		}
-		if i := seatOf(c.Site.Ancestors, to, r.GetLeader()); i >= 0 {
+		if i := voterIndex(c.Site.Ancestors, to, r.GetLeader()); i >= 0 {
 			c.upAt[to], c.calling = i, ""
 			c.courier.Redirected(now)
 			c.drive(now)
@@ -317,40 +321,40 @@
 		c.callFailed(now)
 		return
 	}
-	a, err := sitesync.ParseAnswer(r.Answer)
+	answer, err := sitesync.ParseAnswer(r.Answer)
 	if err != nil {
-		c.env.Tell("what a site above answers cannot be read", "site", c.calling, "error", err)
+		c.env.Tell("the answer of a site above cannot be decoded", "site", c.calling, "error", err)
 		c.callFailed(now)
 		return
 	}
 	c.calling = ""
-	heard := func() {}
-	if r.AgeUs != nil && a.Down != nil && a.Down.Last {
+	noteRoot := func() {}
+	if r.AgeUs != nil && answer.Down != nil && answer.Down.Last {
 		at := c.calledAt - time.Duration(*r.AgeUs)*time.Microsecond
-		heard = func() { c.heardTop(at) }
+		noteRoot = func() { c.noteRootHeard(at) }
 	}
-	if cmd := c.courier.Answered(now, a); cmd != nil {
-		c.proposeWrite(now, written{Command: cmd}, func(_ Reply, err error) {
-			if err == nil && c.leading { // now it holds here
-				heard()
+	if cmd := c.courier.Answered(now, answer); cmd != nil {
+		c.proposeWrite(now, writeEntry{Command: cmd}, func(_ Reply, err error) {
+			if err == nil && c.leading { // now it is applied here
+				noteRoot()
 			}
 		})
 	} else {
-		heard()
+		noteRoot()
 	}
 	c.drive(now)
 }
 
-// callFailed goes on to the next seat of the site that was called.
+// callFailed records a failed call and moves on to the next replica of the site that was called.
 func (c *Core) callFailed(now time.Duration) {
 	c.upAt[c.calling]++
 	c.calling = ""
 	c.courier.Failed(now)
 }
 
-// seatOf returns the place of a node among the seats of a site above, or -1.
-func seatOf(above []site.Definition, name, node string) int {
-	for _, g := range above {
+// voterIndex returns the index of a node among the voters of a site above, or -1.
+func voterIndex(ancestors []site.Definition, name, node string) int {
+	for _, g := range ancestors {
 		for i, s := range g.Voters {
 			if g.Name == name && s == node {
 				return i
@@ -360,23 +364,23 @@
 	return -1
 }
 
-// begin returns the entry that a site's writes begin with. It may be the first that is stamped.
-func (c *Core) begin(now time.Duration) written {
-	born := max(c.stamp, now)
-	p := &sitesync.Place{Site: c.Site.Own.Name, Level: c.Site.Own.Level, StoreCreated: born,
-		Incarnation: uint64(born/time.Microsecond)<<8 | c.Run&0xff | 1} // rises, and no two are alike
+// firstWriteEntry returns the entry that a site's writes begin with. It may be the first one with a time stamp.
+func (c *Core) firstWriteEntry(now time.Duration) writeEntry {
+	created := max(c.stamp, now)
+	p := &sitesync.Place{Site: c.Site.Own.Name, Level: c.Site.Own.Level, StoreCreated: created,
+		Incarnation: uint64(created/time.Microsecond)<<8 | c.Run&0xff | 1} // increasing and unique
 	for _, g := range c.Site.Ancestors {
 		p.Ancestors = append(p.Ancestors, g.Name)
 	}
 	limits := c.Site.SiteSync
 	if limits.Held == 0 {
-		limits.Held = heldWrites
+		limits.Held = maxHeldWrites
 	}
-	return written{Place: p, Limits: limits}
+	return writeEntry{Place: p, Limits: limits}
 }
 
-// banned says whether a host was written out at this site, or above or below it.
-func (c *Core) banned(host string) bool {
+// isBanned reports whether a host was banned by a write at this site, or at one above or below it.
+func (c *Core) isBanned(host string) bool {
 	if c.writes == nil {
 		return false
 	}
@@ -384,27 +388,27 @@
 	return any && strings.HasPrefix(string(v.Value), "out")
 }
 
-// Read tells what holds here of a thing, and what became of a write.
-func (c *Core) Read(kind sitesync.Kind, thing, id string) (*peerpb.ReadReply, error) {
-	if !c.follows() || c.writes == nil {
-		return nil, c.elsewhere()
+// Read returns the value of a subject at this site, and the outcome of a write.
+func (c *Core) Read(kind sitesync.Kind, subject, id string) (*peerpb.ReadReply, error) {
+	if !c.followsLog() || c.writes == nil {
+		return nil, c.notLeaderError()
 	}
 	r := &peerpb.ReadReply{Token: c.writes.Token()}
 	own, others := c.writes.Waiting()
 	r.Waiting = int32(own + others)
-	if thing != "" {
-		if v, any := c.writes.Value(kind, thing); any {
+	if subject != "" {
+		if v, any := c.writes.Value(kind, subject); any {
 			r.Found, r.Value, r.By, r.Origin = true, string(v.Value), v.Write.By, v.Write.ID.Origin.Site
 		}
 	}
 	if id != "" {
-		d, err := parseID(id)
+		writeID, err := parseID(id)
 		if err != nil {
 			return nil, err
 		}
-		if c.writes.Judged().Has(d) {
+		if c.writes.Judged().Has(writeID) {
 			r.Receipt = sitesync.Applied.String()
-			if v, not := c.writes.Refusal(d); not {
+			if v, not := c.writes.Refusal(writeID); not {
 				r.Receipt, r.Why = v.Outcome.String(), v.Why
 			}
 		}
@@ -412,25 +416,26 @@
 	return r, nil
 }
 
-// parseID reads a write's name as sitesync.ID.String writes it: site.life/number, with ! behind the life of an urgent one, ~ of
-// evidence.
-func parseID(text string) (d sitesync.ID, err error) {
-	head, number, ok := strings.Cut(text, "/")
-	dot := strings.LastIndexByte(head, '.')
-	if ok && dot > 0 {
-		life := head[dot+1:]
-		d.Origin.Site, d.Origin.Urgent, d.Origin.Evidence = head[:dot], strings.HasSuffix(life, "!"), strings.HasSuffix(life, "~")
-		if d.Origin.Incarnation, err = strconv.ParseUint(strings.TrimRight(life, "!~"), 16, 64); err == nil {
-			d.Number, err = strconv.ParseUint(number, 10, 64)
+// parseID parses a write's ID as sitesync.ID.String formats it: site.incarnation/number, with ! after the incarnation
+// of an urgent write, and ~ after that of evidence.
+func parseID(text string) (writeID sitesync.ID, err error) {
+	origin, number, ok := strings.Cut(text, "/")
+	separator := strings.LastIndexByte(origin, '.')
+	if ok && separator > 0 {
+		incarnation := origin[separator+1:]
+		writeID.Origin.Site, writeID.Origin.Urgent, writeID.Origin.Evidence = origin[:separator],
+			strings.HasSuffix(incarnation, "!"), strings.HasSuffix(incarnation, "~")
+		if writeID.Origin.Incarnation, err = strconv.ParseUint(strings.TrimRight(incarnation, "!~"), 16, 64); err == nil {
+			writeID.Number, err = strconv.ParseUint(number, 10, 64)
 		}
 	}
-	if !ok || dot <= 0 || err != nil {
-		return d, &NameError{What: "id", Name: text, Want: "as the answer to Write gave it"}
+	if !ok || separator <= 0 || err != nil {
+		return writeID, &NameError{What: "id", Name: text, Want: "the id from the reply to Write"}
 	}
-	return d, nil
+	return writeID, nil
 }
 
-// kindOf returns the kind of a name that operators may write.
+// kindOf returns the kind of writes with a name, of those that operators may write.
 func kindOf(name string) (sitesync.Kind, error) {
 	for k := sitesync.Note; int(k) < sitesync.Kinds; k++ {
 		if k.String() == name {
@@ -440,11 +445,11 @@
 	return 0, &NameError{What: "kind", Name: name, Want: "safety, policy, work or note"}
 }
 
-// writtenID is the name of the write that a commit brought.
+// writtenID returns the ID of the write that a commit applied or merged, "" if there is none.
 func writtenID(effects []sitesync.Effect) string {
-	for _, f := range effects {
-		if f.Write != nil && (f.Kind == sitesync.EffectApplied || f.Kind == sitesync.EffectMerged) {
-			return fmt.Sprint(f.Write.ID)
+	for _, effect := range effects {
+		if effect.Write != nil && (effect.Kind == sitesync.EffectApplied || effect.Kind == sitesync.EffectMerged) {
+			return fmt.Sprint(effect.Write.ID)
 		}
 	}
 	return ""
--- a/internal/control/writes_test.go
+++ b/internal/control/writes_test.go
@@ -15,12 +15,12 @@
 	"lichenhitch/internal/site"
 )
 
-func record(node string, told uint64) []byte {
-	return rollout.Record{Node: node, Sequence: told, Status: rollout.NodeStatus{Node: node}}.Bytes()
+func record(node string, sequence uint64) []byte {
+	return rollout.Record{Node: node, Sequence: sequence, Status: rollout.NodeStatus{Node: node}}.Bytes()
 }
 
-// TestEvidenceIsMergedByItsHead, and still is once the state went through a snapshot.
-func TestEvidenceIsMergedByItsHead(t *testing.T) {
+// Evidence is merged by its prefix, also after the state went through a snapshot.
+func TestEvidenceIsMergedByItsPrefix(t *testing.T) {
 	sketch, err := ddsketch.NewDefaultDDSketch(0.01)
 	require.NoError(t, err)
 	require.NoError(t, sketch.Add(1))
@@ -35,15 +35,15 @@
 		assert.Equal(t, c.ok, err == nil, "%q %q: %v", c.a, c.b, err)
 	}
 	c := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
-	_, err = c.write(1, written{Place: &sitesync.Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"p"}},
+	_, err = c.applyWrite(1, writeEntry{Place: &sitesync.Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"p"}},
 		Limits: sitesync.Limits{Bytes: 1 << 20, Number: 100, Batch: 9}})
 	require.NoError(t, err)
-	for told := range uint64(3) {
+	for sequence := range uint64(3) {
 		raw, err := c.encode()
 		require.NoError(t, err)
 		require.NoError(t, c.decode(raw))
-		l := &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.NodeKey("n"), Value: record("n", told+1)}
-		_, err = c.write(1, written{Command: &sitesync.Command{Write: l}})
+		l := &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.NodeKey("n"), Value: record("n", sequence+1)}
+		_, err = c.applyWrite(1, writeEntry{Command: &sitesync.Command{Write: l}})
 		require.NoError(t, err)
 	}
 	v, _ := c.writes.Value(sitesync.Evidence, rollout.NodeKey("n"))
@@ -53,39 +53,41 @@
 	assert.Equal(t, v.Write.ID, id)
 }
 
-// full is the longest record of a node, or nearly.
-func full(node string, told, slice uint64) []byte {
-	r := rollout.Record{Node: node, Sequence: told, Status: rollout.NodeStatus{Node: node}}
+// fullRecord returns a record of about the maximum length.
+func fullRecord(node string, sequence, slice uint64) []byte {
+	result := rollout.Record{Node: node, Sequence: sequence, Status: rollout.NodeStatus{Node: node}}
 	for i := range uint64(8) {
-		e := rollout.Evidence{Node: node, Slice: slice + i}
+		evidence := rollout.Evidence{Node: node, Slice: slice + i}
 		for j := range 15 {
-			e.Counts = append(e.Counts, rollout.Counts{Class: fmt.Sprint("class ", j), Offered: told, Served: told, SetUp: make([]byte, 260)})
+			evidence.Counts = append(evidence.Counts, rollout.Counts{Class: fmt.Sprint("class ", j), Offered: sequence,
+				Served: sequence, SetUp: make([]byte, 260)})
 		}
-		r.Slices = append(r.Slices, e)
+		result.Slices = append(result.Slices, evidence)
 	}
-	return r.Bytes()
+	return result.Bytes()
 }
 
-// ofNodes is the top above a site each of whose nodes has told its record so many times.
-func ofNodes(nodes, times int) (*Core, error) {
+// rootWithRecords returns the root site above a site whose nodes have each sent that many records.
+func rootWithRecords(nodes, times int) (*Core, error) {
 	c := &Core{Options: Options{Site: &site.Site{}}, book: turns.New()}
-	_, err := c.write(1, written{Place: &sitesync.Place{Site: "p", Incarnation: 1}, Limits: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Batch: 256}})
+	_, err := c.applyWrite(1, writeEntry{Place: &sitesync.Place{Site: "p", Incarnation: 1},
+		Limits: sitesync.Limits{Bytes: 16 << 20, Number: 50000, Batch: 256}})
 	from := sitesync.Origin{Site: "b", Incarnation: 1, Evidence: true}
 	tree := rollout.Tree{Sites: []rollout.Site{{Name: "p"}, {Name: "b", Parent: "p"}}}
 	for i := range nodes {
 		tree.Sites[1].Nodes = append(tree.Sites[1].Nodes, rollout.TreeNode{Name: fmt.Sprint("n", i), Zone: "z"})
 	}
-	c.policies.told = map[string]uint64{}
-	c.tellAll(c.policies.top.Apply(2, rollout.Command{Tree: &tree}))
+	c.policies.recordSeq = map[string]uint64{}
+	c.reportEffects(c.policies.root.Apply(2, rollout.Command{Tree: &tree}))
 	number := uint64(0)
-	for t := range uint64(times) {
-		for _, place := range tree.Sites[1].Nodes {
-			n := place.Name
+	for round := range uint64(times) {
+		for _, node := range tree.Sites[1].Nodes {
+			n := node.Name
 			number++
 			w := sitesync.Write{ID: sitesync.ID{Origin: from, Number: number}, Kind: sitesync.Evidence, Level: 1, Subject: rollout.NodeKey(n),
-				Value: full(n, t+1, 4*t+1)}
+				Value: fullRecord(n, round+1, 4*round+1)}
 			b := &sitesync.Batch{From: sitesync.Place{Site: "b", Level: 1, Incarnation: 1}, Writes: []sitesync.Write{w}}
-			if _, refused := c.write(number+2, written{Command: &sitesync.Command{Batch: b}}); refused != nil {
+			if _, refused := c.applyWrite(number+2, writeEntry{Command: &sitesync.Command{Batch: b}}); refused != nil {
 				return nil, refused
 			}
 		}
@@ -93,11 +95,12 @@
 	return c, err
 }
 
-// TestTheTopKeepsOfARecordWhatIsStillAsked, and the plan has the rest: also after a restart, and at a seat that was far behind.
-func TestTheTopKeepsOfARecordWhatIsStillAsked(t *testing.T) {
-	c, err := ofNodes(3, 4)
+// The root site keeps of a stored record only what is still requested, and the plan has the rest: also after a
+// restart, and on a replica that was far behind and got a snapshot.
+func TestRootStripsEvidenceFromStoredRecords(t *testing.T) {
+	c, err := rootWithRecords(3, 4)
 	require.NoError(t, err)
-	plan := string(c.policies.top.Encode())
+	plan := string(c.policies.root.Encode())
 	assert.Contains(t, plan, "class 14")
 	raw, err := c.encode()
 	require.NoError(t, err)
@@ -106,27 +109,27 @@
 	again, err := other.encode()
 	require.NoError(t, err)
 	require.Equal(t, string(raw), string(again))
-	for _, seat := range []*Core{c, other} {
-		assert.Less(t, len(seat.writes.Encode()), 4096)
-		assert.Equal(t, plan, string(seat.policies.top.Encode()))
-		v, _ := seat.writes.Value(sitesync.Evidence, rollout.NodeKey("n1"))
+	for _, core := range []*Core{c, other} {
+		assert.Less(t, len(core.writes.Encode()), 4096)
+		assert.Equal(t, plan, string(core.policies.root.Encode()))
+		v, _ := core.writes.Value(sitesync.Evidence, rollout.NodeKey("n1"))
 		assert.Equal(t, string(record("n1", 4)), string(v.Value))
-		assert.Equal(t, uint64(4), seat.recorded(0, "n1", nil), "a new leader knows how far the node has told")
-		l := &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.NodeKey("n1"), Value: full("n1", 9, 17)} // of the top's own site
-		f, refused := seat.write(99, written{Command: &sitesync.Command{Write: l}})
+		assert.Equal(t, uint64(4), core.recordEvidence(0, "n1", nil), "a new leader knows the sequence number of the node's record")
+		l := &sitesync.LocalWrite{Kind: sitesync.Evidence, Subject: rollout.NodeKey("n1"), Value: fullRecord("n1", 9, 17)} // of the root's own site
+		effects, refused := core.applyWrite(99, writeEntry{Command: &sitesync.Command{Write: l}})
 		require.NoError(t, refused)
-		assert.Equal(t, string(full("n1", 9, 17)), string(f[0].Write.Value), "what is handed over is whole")
-		assert.Equal(t, uint64(9), seat.recorded(0, "n1", nil))
+		assert.Equal(t, string(fullRecord("n1", 9, 17)), string(effects[0].Write.Value), "the effect has the whole record")
+		assert.Equal(t, uint64(9), core.recordEvidence(0, "n1", nil))
 	}
-	assert.Equal(t, string(c.policies.top.Encode()), string(other.policies.top.Encode()))
+	assert.Equal(t, string(c.policies.root.Encode()), string(other.policies.root.Encode()))
 	assert.Equal(t, string(c.writes.Encode()), string(other.writes.Encode()))
 }
 
-// BenchmarkSnapshot is the whole state of a top whose nodes have told records of some 56 KiB twice.
+// BenchmarkSnapshot encodes the whole state of a root site whose nodes have sent records of some 56 KiB twice.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, nodes := range []int{300, 3000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
-			c, err := ofNodes(nodes, 2)
+			c, err := rootWithRecords(nodes, 2)
 			require.NoError(b, err)
 			bytes := 0
 			for b.Loop() {
@@ -139,9 +142,9 @@
 	}
 }
 
-// TestAQuestionIsAnsweredAtOnce without a commit and without the top's age, and says whether writes of an earlier call are being
-// agreed on.
-func TestAQuestionIsAnsweredAtOnce(t *testing.T) {
+// A probe is answered without a commit and without the root's age; the answer says whether writes of an earlier call
+// are being committed.
+func TestProbeIsAnsweredWithoutCommit(t *testing.T) {
 	a := newAlone(t)
 	call := func(b sitesync.Batch) (got *sitesync.Answer, r *peerpb.ReplayReply) {
 		b.From = sitesync.Place{Site: "b", Level: 1, Incarnation: 1}
@@ -156,11 +159,11 @@
 	got, r := call(sitesync.Batch{Probe: true, Waiting: 1})
 	assert.Equal(t, applied, a.core.Applied())
 	assert.Nil(t, got.Down)
-	assert.Nil(t, r.AgeUs, "what holds there is not known here by it")
+	assert.Nil(t, r.AgeUs, "the answer to a probe does not carry the root's state")
 	assert.Equal(t, 1, got.Credit)
 	w := sitesync.Write{ID: sitesync.ID{Origin: sitesync.Origin{Site: "b", Incarnation: 1}, Number: 1}, Kind: sitesync.Note, Subject: "x", Value: []byte("x")}
 	call(sitesync.Batch{Writes: []sitesync.Write{w}})
-	assert.Zero(t, a.core.taking["b"], "a council of one agrees at once")
+	assert.Zero(t, a.core.taking["b"], "a group of one commits at once")
 	a.core.taking["b"]++
 	got, _ = call(sitesync.Batch{Probe: true, Waiting: 1, Queries: []sitesync.Origin{w.ID.Origin}})
 	assert.True(t, got.Working)
--- a/rehearsal/province/faults.go
+++ b/rehearsal/province/faults.go
@@ -113,7 +113,7 @@
 // already comes back when it was going to.
 func (w *World) restart(n *node, after time.Duration, empty bool) {
 	if empty {
-		n.store, n.saved, n.kept, n.boot, n.life = consensus.StoredState{}, sendlease.Saved{}, control.Kept{}, 0, n.life+1
+		n.store, n.saved, n.kept, n.boot, n.life = consensus.StoredState{}, sendlease.Saved{}, control.PolicyState{}, 0, n.life+1
 		w.say("the store of " + n.name + " is lost")
 	}
 	if !n.up {
--- a/rehearsal/province/network.go
+++ b/rehearsal/province/network.go
@@ -50,7 +50,7 @@
 	answer := func(r *peerpb.ReplayReply) func(*node) {
 		return func(n *node) {
 			if n.run == run {
-				n.core.Replayed(n.clock(), call, r)
+				n.core.HandleReplayReply(n.clock(), call, r)
 			}
 		}
 	}
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -27,7 +27,7 @@
 	run     uint64
 	store   consensus.StoredState
 	saved   sendlease.Saved
-	kept    control.Kept
+	kept    control.PolicyState
 	goes    control.Policy // that its loop goes by
 	up      bool
 	paused  bool
@@ -114,7 +114,7 @@
 }
 
 // KeepPolicy implements control.Env.
-func (n *node) KeepPolicy(k control.Kept) error {
+func (n *node) KeepPolicy(k control.PolicyState) error {
 	n.kept = k
 	return nil
 }
--- a/rehearsal/province/policies.go
+++ b/rehearsal/province/policies.go
@@ -140,8 +140,8 @@
 func (w *World) newest() (top *rollout.RootState) {
 	most := uint64(0)
 	for _, n := range w.sites[0].nodes {
-		if n.core != nil && n.core.Top() != nil && n.core.Applied() >= most {
-			most, top = n.core.Applied(), n.core.Top()
+		if n.core != nil && n.core.RootState() != nil && n.core.Applied() >= most {
+			most, top = n.core.Applied(), n.core.RootState()
 		}
 	}
 	return top
@@ -180,12 +180,12 @@
 func (w *World) tries(n *node) bool {
 	top := w.newest()
 	return slices.ContainsFunc(w.trials, func(x *trial) bool {
-		return n.goes.Hash == x.policy.Hash() && top.Plan().Good() != x.policy.Hash() && n.goes.Until > 0
+		return n.goes.Hash == x.policy.Hash() && top.Plan().Good() != x.policy.Hash() && n.goes.LeaseEnd > 0
 	})
 }
 
 // count makes up what a node's loop has counted since its last report.
-func (n *node) count() []control.Counted {
+func (n *node) count() []control.PolicyCounts {
 	c := rollout.Counts{Class: "chat", Offered: 10}
 	for range c.Offered {
 		if n.w.rng.IntN(50) > 0 {
@@ -197,7 +197,7 @@
 			c.Served -= min(c.Served, c.Offered/4)
 		}
 	}
-	return []control.Counted{{Under: n.goes.Hash, Counts: []rollout.Counts{c}}}
+	return []control.PolicyCounts{{Policy: n.goes.Hash, Counts: []rollout.Counts{c}}}
 }
 
 // settled looks at the end whether all is over.
