--- a/cmd/lichenhitch/policies.go
+++ b/cmd/lichenhitch/policies.go
@@ -22,13 +22,13 @@
 
 // policyState holds the policy and the settings that the node applies. It belongs to the loop.
 type policyState struct {
-	settings        balance.Settings  // as they are in effect
-	wanted          control.Policy    // set last, by control or after the lease of a trial expired
-	requested       rollout.Hash      // the one that control requested last, whether it fitted or not
-	applied         rollout.Hash      // the one that overlays the settings; "" for none
-	unreported      []control.Counted // counted under earlier policies and not reported yet
-	settingsChanges uint64            // number of changes of the settings as read
-	expiryScheduled bool              // a timer for the end of a trial's lease is set
+	settings        balance.Settings       // as they are in effect
+	wanted          control.Policy         // set last, by control or after the lease of a trial expired
+	requested       rollout.Hash           // the one that control requested last, whether it fitted or not
+	applied         rollout.Hash           // the one that overlays the settings; "" for none
+	unreported      []control.PolicyCounts // counted under earlier policies and not reported yet
+	settingsChanges uint64                 // number of changes of the settings as read
+	expiryScheduled bool                   // a timer for the end of a trial's lease is set
 }
 
 // traffic implements control.Traffic, the operations that control calls on the node.
@@ -36,11 +36,13 @@
 
 var _ control.Traffic = traffic{}
 
-// Bind implements control.Traffic.
-func (t traffic) Bind(restrictions sendlease.Restrictions) { t.core.ApplyRestrictions(restrictions) }
+// ApplyRestrictions implements control.Traffic.
+func (t traffic) ApplyRestrictions(restrictions sendlease.Restrictions) {
+	t.core.ApplyRestrictions(restrictions)
+}
 
-// GoBy implements control.Traffic.
-func (t traffic) GoBy(p control.Policy) {
+// ApplyPolicy implements control.Traffic.
+func (t traffic) ApplyPolicy(p control.Policy) {
 	t.policyState.requested = p.Hash
 	if t.policyState.wanted.Hash == p.Hash && t.policyState.applied == p.Hash { // only the lease is extended
 		t.policyState.wanted = p
@@ -61,13 +63,13 @@
 // control is in.
 func (n *node) scheduleExpiry() {
 	w := n.policyState.wanted
-	if n.policyState.expiryScheduled || w.Until == 0 || w.Good == nil {
+	if n.policyState.expiryScheduled || w.LeaseEnd == 0 || w.Good == nil {
 		return
 	}
 	n.policyState.expiryScheduled = true
-	n.loop.After(w.Until-n.loop.Now(), func() {
+	n.loop.After(w.LeaseEnd-n.loop.Now(), func() {
 		n.policyState.expiryScheduled = false
-		if w := n.policyState.wanted; w.Good != nil && n.loop.Now() >= w.Until {
+		if w := n.policyState.wanted; w.Good != nil && n.loop.Now() >= w.LeaseEnd {
 			n.log.Info("the lease of a trial policy has expired; the good policy is applied", "policy", w.Good.Hash, "trial", w.Hash)
 			n.policyState.wanted = *w.Good
 			n.fallBack(w)
@@ -159,7 +161,7 @@
 func (n *node) closeCounts() {
 	if c, found := n.currentCounts(); found {
 		if n.policyState.unreported = append(n.policyState.unreported, c); len(n.policyState.unreported) > maxUnreportedCounts {
-			n.log.Warn("control is behind; the counts under a policy are lost", "policy", n.policyState.unreported[0].Under)
+			n.log.Warn("control is behind; the counts under a policy are lost", "policy", n.policyState.unreported[0].Policy)
 			n.policyState.unreported = n.policyState.unreported[1:]
 		}
 		n.core.ResetCounts()
@@ -167,8 +169,8 @@
 }
 
 // currentCounts returns the counts since they were last reported or closed, and whether there are any.
-func (n *node) currentCounts() (c control.Counted, found bool) {
-	c.Under = n.policyState.applied
+func (n *node) currentCounts() (c control.PolicyCounts, found bool) {
+	c.Policy = n.policyState.applied
 	c.Counts, c.Guards = n.core.Counts(n.classValue())
 	return c, len(c.Counts)+len(c.Guards) > 0
 }
--- a/cmd/lichenhitch/policies_test.go
+++ b/cmd/lichenhitch/policies_test.go
@@ -32,7 +32,7 @@
 func setPolicy(t *testing.T, n *node, text string) rollout.Hash {
 	t.Helper()
 	p := policy(t, text)
-	n.loop.Call(func() { traffic{n}.GoBy(p) })
+	n.loop.Call(func() { traffic{n}.ApplyPolicy(p) })
 	return p.Hash
 }
 
@@ -124,7 +124,7 @@
 	assert.Equal(t, "BUSY 70", firstResponse(t, n, ""))
 	applied, _ = appliedPolicy()
 	assert.Equal(t, trial, applied, "it fits again")
-	n.loop.Call(func() { traffic{n}.GoBy(control.Policy{}) })
+	n.loop.Call(func() { traffic{n}.ApplyPolicy(control.Policy{}) })
 	assert.Equal(t, "BUSY 1000", firstResponse(t, n, ""))
 }
 
@@ -190,12 +190,12 @@
 	}
 	firstResponse(t, n, "")
 	trial := setPolicy(t, n, `{"request_classes":{"chat":{"points":7}}}`)
-	want := []control.Counted{{Counts: refused(1)}}
+	want := []control.PolicyCounts{{Counts: refused(1)}}
 	r, accepted := pendingReport(n)
 	assert.Equal(t, want, r.Counted)
 	firstResponse(t, n, "")
 	firstResponse(t, n, "")
-	want = append(want, control.Counted{Under: trial, Counts: refused(2)})
+	want = append(want, control.PolicyCounts{Policy: trial, Counts: refused(2)})
 	r, _ = pendingReport(n)
 	assert.Equal(t, want, r.Counted, "control did not accept the previous report")
 	accepted()
@@ -267,10 +267,10 @@
 	n.loop.Call(func() {
 		first = n.loop.Now() + 100*time.Millisecond
 		last = first + 200*time.Millisecond
-		trial.Good, trial.Until = &good, first
-		traffic{n}.GoBy(trial)
-		trial.Until = last
-		traffic{n}.GoBy(trial)
+		trial.Good, trial.LeaseEnd = &good, first
+		traffic{n}.ApplyPolicy(trial)
+		trial.LeaseEnd = last
+		traffic{n}.ApplyPolicy(trial)
 		assert.Equal(t, trial.Hash, n.policyState.applied) // a client may connect too late to see it
 	})
 	expired := func() bool { return log.count("the lease of a trial policy has expired") > 0 }
@@ -294,8 +294,8 @@
 		good := policy(t, text)
 		trial := policy(t, `{"permissions":{"max_retry_after_us":70000},"request_classes":{"chat":{"points":7}}}`)
 		n.loop.Call(func() {
-			trial.Good, trial.Until = &good, n.loop.Now()+time.Hour
-			traffic{n}.GoBy(trial)
+			trial.Good, trial.LeaseEnd = &good, n.loop.Now()+time.Hour
+			traffic{n}.ApplyPolicy(trial)
 		})
 		assert.Equal(t, "BUSY 70", firstResponse(t, n, ""))
 		n.reload(replaceSetting(t, cfg, `"name":"chat"`, `"name":"talk"`), nil)
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -37,7 +37,7 @@
 	SendRenew(node string, q *peerpb.RenewRequest) // answered by Core.HandleLeaseResponse, or never
 	// SendReplay is answered by Core.Replayed. A call without an answer within the given time is abandoned.
 	SendReplay(node string, call uint64, timeout time.Duration, q *peerpb.ReplayRequest)
-	SavePolicies(Kept) error                  // returns once they are durable
+	SavePolicies(PolicyState) error           // returns once they are durable
 	ApplyRestrictions(sendlease.Restrictions) // of the traffic loop
 	ApplyPolicy(Policy)                       // to the traffic loop
 	Log(message string, args ...any)          // args are alternating keys and values
@@ -64,7 +64,7 @@
 	Policy          rollout.Hash             // the policy that the loop applies; "": the plain settings
 	RequestedPolicy rollout.Hash             // the last one passed to ApplyPolicy, whether or not it was valid
 	SettingsChanges uint64                   // number of changes of the configured settings since the start
-	Counted         []Counted                // since the last report that control accepted, by policy, the current one last
+	Counted         []PolicyCounts           // since the last report that control accepted, by policy, the current one last
 }
 
 // Options are the inputs of New.
@@ -76,7 +76,7 @@
 	StoreVerified    bool                  // the store is known to be in the state in which the last process left it
 	StoredState      consensus.StoredState // state of the consensus group's log in the store
 	SavedLease       sendlease.Saved       // state of the node's send lease in the store
-	KeptPolicies     Kept                  // state of the node's policies in the store
+	KeptPolicies     PolicyState           // state of the node's policies in the store
 	CheckPolicy      func(Policy) error    // whether a policy is valid with the node's settings; see Traffic
 	LeaseWait        time.Duration         // before the first lease request: an earlier process of the node may still use its send lease for this long
 }
@@ -99,9 +99,9 @@
 	Seq   uint64         `json:"seq"` // number within that process
 	Turns *turns.Command `json:"turns,omitempty"`
 
-	Writes   *written         `json:"writes,omitempty"`
+	Writes   *writeEntry      `json:"writes,omitempty"`
 	Policies *rollout.Command `json:"policies,omitempty"` // at the root site
-	Replicas *seated          `json:"seats,omitempty"`
+	Replicas *membershipEntry `json:"seats,omitempty"`
 }
 
 // pendingRequest is a lease request that waits until a quorum confirms that this replica leads.
@@ -123,14 +123,14 @@
 	Options
 	env            Env
 	replicaID      consensus.ReplicaID
-	replica        *consensus.Replica // nil if this node has none, or belongs to no consensus group yet
-	peers          map[string]*other  // what is known of the other replicas, by node
-	chunkTransfers map[string]*partly
+	replica        *consensus.Replica      // nil if this node has none, or belongs to no consensus group yet
+	peers          map[string]*peerReplica // what is known of the other replicas, by node
+	chunkTransfers map[string]*chunkStreams
 	ticks          uint64
 	leaseHolder    *sendlease.Holder
 	leaseTable     *sendlease.Table
 	schedule       *turns.Schedule
-	seats
+	membershipState
 	loopReport Report
 	stopCause  error // why control has stopped; nil while it runs
 
@@ -147,7 +147,7 @@
 	nextOfferAt     time.Duration
 	lastAgedAt      time.Duration
 
-	policies policies
+	policies policyControl
 
 	leader           string // node that leads, as far as is known; "": unknown
 	leading          bool
@@ -171,7 +171,7 @@
 	onLeadershipLost func()        // called once this node no longer leads, before it shuts down; nil: no shutdown, or already called
 	lastRefusal      string        // the last reason for which another replica, or an ancestor site, refused this node's messages
 	wasUnconfirmed   bool          // at the last check this replica waited for the other replicas to confirm its store
-	reachability     reach
+	reachability     reachability
 }
 
 // New returns the control plane of a node. Restrictions are applied to the traffic loop at once: those from the store,
@@ -180,12 +180,12 @@
 	c := &Core{Options: o, env: env, leaseHolder: sendlease.NewHolder(o.Site.SendLease, o.Site.Node, o.SavedLease),
 		leaseTable: sendlease.NewTable(o.Site.SendLease), schedule: turns.New(), pendingProposals: map[uint64]time.Duration{},
 		proposedAcks: map[string]turns.Ack{}, readRequests: map[uint64][]pendingRequest{}, pendingCalls: map[uint64]pendingCall{},
-		hostView: newHostViewState(now), peers: map[string]*other{}, chunkTransfers: map[string]*partly{}, firstRequestAt: now + o.LeaseWait, nextRequestAt: now + o.LeaseWait,
-		reachability: newReach(0)}
-	if err := c.sit(); err != nil {
+		hostView: newHostViewState(now), peers: map[string]*peerReplica{}, chunkTransfers: map[string]*chunkStreams{}, firstRequestAt: now + o.LeaseWait, nextRequestAt: now + o.LeaseWait,
+		reachability: newReachability(0)}
+	if err := c.openReplica(); err != nil {
 		return nil, err
 	}
-	if err := c.holdPolicies(now); err != nil {
+	if err := c.initPolicies(now); err != nil {
 		return nil, err
 	}
 	env.ApplyRestrictions(c.leaseHolder.Restrictions())
@@ -224,17 +224,17 @@
 		return
 	}
 	c.ticks++
-	if c.replica != nil && c.out == 0 {
+	if c.replica != nil && c.removedAt == 0 {
 		c.replica.Tick()
 	}
-	c.greet()
-	for _, name := range c.circle {
+	c.sendHellos()
+	for _, name := range c.contacts {
 		if c.chunkTransfers[name] != nil {
-			c.pieces(now, name)
+			c.sendChunk(now, name)
 		}
 	}
 	c.processReady(now)
-	c.tellReach()
+	c.logReachability()
 	c.failPendingCalls(func(w pendingCall) bool { return now >= w.deadline })
 	c.tickPolicies(now)
 	if c.stopCause == nil && now >= c.nextRequestAt {
@@ -247,14 +247,14 @@
 func (c *Core) HandleRaft(now time.Duration, q *peerpb.RaftRequest) *peerpb.RaftReply {
 	r := &peerpb.RaftReply{}
 	err := c.stopCause
-	if err == nil && !c.sits() {
+	if err == nil && !c.hasReplica() {
 		err = &NoReplicaError{Node: c.Site.Node}
 	}
 	if err == nil {
-		err = c.hear(q.Hello)
+		err = c.handleHello(q.Hello)
 	}
 	if err == nil && c.replica != nil {
-		for _, m := range c.joined(now, q, r) {
+		for _, m := range c.receiveChunk(now, q, r) {
 			if err == nil {
 				err = c.replica.Step(m)
 			}
@@ -268,7 +268,7 @@
 		}
 		r.Ends = endsReplica(err)
 	}
-	if c.sits() {
+	if c.hasReplica() {
 		r.Hello = c.hello(q.Hello.GetNode())
 	}
 	c.processReady(now)
@@ -280,12 +280,12 @@
 	if c.stopCause != nil {
 		return
 	}
-	err := c.hear(r.Hello)
+	err := c.handleHello(r.Hello)
 	if err == nil {
 		if r.Refused == "" {
-			c.reachability.answered[r.Hello.Node] = c.ticks
+			c.reachability.lastReply[r.Hello.Node] = c.ticks
 		}
-		c.had(now, r)
+		c.handleChunkAck(now, r)
 	}
 	switch {
 	case r.Ends && c.replica != nil && err == nil:
@@ -305,7 +305,7 @@
 func endsReplica(err error) bool {
 	var stale *consensus.StaleStoreError
 	var copied *consensus.CopiedStoreError
-	var replaced *OldCouncilError
+	var replaced *SupersededGroupError
 	return errors.As(err, &stale) || errors.As(err, &copied) || errors.As(err, &replaced)
 }
 
@@ -314,7 +314,7 @@
 	c.recordObservation(r.Observation)
 	r.Observation = nil
 	if c.stopCause == nil {
-		c.counted(now, r)
+		c.recordCounts(now, r)
 	}
 	r.Counted = nil
 	c.loopReport = r
@@ -361,7 +361,7 @@
 	for _, o := range next.Confirmed {
 		request.Holds = append(request.Holds, &peerpb.Out{Host: o.Host, Round: o.Round})
 	}
-	c.askPolicy(now, request)
+	c.addPolicyRequest(now, request)
 	if to == c.Site.Node {
 		c.HandleLeaseRequest(now, request, func(r *peerpb.RenewReply) { c.HandleLeaseResponse(now, r) })
 		return
@@ -394,7 +394,7 @@
 		}
 		return
 	}
-	if !c.answeredBy(r) {
+	if !c.acceptsLeaseFrom(r) {
 		return
 	}
 	if r.Leader != "" {
@@ -402,7 +402,7 @@
 	}
 	c.attempts = 0
 	c.handleHostAck(now, r)
-	c.answered(r)
+	c.handlePolicyReply(r)
 	response := sendlease.LeaseResponse{Seq: r.Seq, Applied: r.Applied, Recorded: r.Recorded,
 		ExclusionSet: sendlease.ExclusionSet{Version: r.HorizonVersion, Hosts: r.HorizonHosts}}
 	for _, o := range r.Outs {
@@ -523,9 +523,9 @@
 	exclusionSet := c.schedule.ExclusionSet()
 	r.HorizonVersion, r.HorizonHosts = exclusionSet.Version, exclusionSet.Hosts
 	r.Recorded = c.schedule.RecordedVersionIn(request.Node, request.Life)
-	r.Told = c.recorded(now, request.Node, request.Record)
+	r.Told = c.recordEvidence(now, request.Node, request.Record)
 	r.Policy = c.assignment(now, request.Node, request.Texts)
-	r.Foundings = c.seating.Foundings
+	r.Foundings = c.membership.BootstrapIDs
 	q.done(r)
 }
 
@@ -548,7 +548,7 @@
 		c.fail(err)
 		return
 	}
-	c.send(now, output.Send)
+	c.sendMessages(now, output.Send)
 	if output.Snapshot != nil {
 		if err := c.decode(output.Snapshot); err != nil {
 			c.fail(err)
@@ -569,7 +569,7 @@
 		if read.Index > c.appliedIndex {
 			return false
 		}
-		c.confirmedRound(read.Ctx)
+		c.readConfirmed(read.Ctx)
 		for _, q := range c.readRequests[read.Ctx] {
 			c.answerLeaseRequest(now, q)
 		}
@@ -608,11 +608,11 @@
 	var refused error
 	switch {
 	case decoded.Writes != nil:
-		effects, refused = c.write(e.Index, *decoded.Writes)
+		effects, refused = c.applyWrite(e.Index, *decoded.Writes)
 	case decoded.Policies != nil:
-		refused = c.plan(e.Index, *decoded.Policies)
+		refused = c.applyPlan(e.Index, *decoded.Policies)
 	case decoded.Replicas != nil:
-		c.reseat(*decoded.Replicas)
+		c.applyMembership(*decoded.Replicas)
 	default:
 		refused = c.applyTurnEntry(e.Index, decoded)
 	}
@@ -684,31 +684,31 @@
 // proposes what is due, one entry at a time.
 func (c *Core) updateRole(now time.Duration) {
 	st := c.replica.Status()
-	if c.parted(st.Err) {
+	if c.handleNotMember(st.Err) {
 		return
 	}
 	if st.Err != nil {
 		c.fail(st.Err)
 		return
 	}
-	c.notice(st)
-	c.tellRelease(st)
+	c.noteVoterChanges(st)
+	c.logConfirmed(st)
 	if st.Leader != c.leaderID { // a new leader knows neither the leases nor the confirmations that the last one received
 		c.leaderID = st.Leader
-		c.leader = c.nameOf(st.Leader)
+		c.leader = c.nodeOf(st.Leader)
 		c.requestedFrom = slices.DeleteFunc(c.requestedFrom, func(node string) bool { return node == c.leader })
 		c.nextRequestAt = max(c.firstRequestAt, min(c.nextRequestAt, now))
 	}
 	switch {
 	case st.Leading && !c.leading:
 		c.leaseTable.BecomeLeader(now)
-		c.reachability = newReach(c.ticks)
+		c.reachability = newReachability(c.ticks)
 		c.proposedAcks = map[string]turns.Ack{}
 		c.hostView.reset(now)
 		c.pendingProposals = map[uint64]time.Duration{}
 		c.nextOfferAt, c.lastAgedAt = 0, now
 		c.forwarder, c.creditScheduler, c.callTarget = nil, nil, ""
-		c.policies.heard, c.policies.writes, c.policies.rounds = 0, map[string]bool{}, map[uint64]time.Duration{}
+		c.policies.rootHeardAt, c.policies.proposedRecords, c.policies.readRounds = 0, map[string]bool{}, map[uint64]time.Duration{}
 		c.env.Log("leads the council", "site", c.Site.Own.Name, "term", st.Term)
 	case !st.Leading && c.leading:
 		c.leaseTable.Resign()
@@ -722,16 +722,16 @@
 	if !c.leading {
 		return
 	}
-	c.steer(now, st)
+	c.reconcileVoters(now, st)
 	if len(c.queuedRequests) > 0 && len(c.readRequests) < 4 {
 		c.readNumber++
 		ctx := c.RunID<<20 | c.readNumber&(1<<20-1)
 		if c.replica.ReadIndex(ctx) == nil {
 			c.readRequests[ctx], c.queuedRequests = c.queuedRequests, nil
-			c.beginRound(now, ctx)
+			c.beginRead(now, ctx)
 		}
 	}
-	c.carry(now)
+	c.forwardWrites(now)
 	for seq, proposedAt := range c.pendingProposals {
 		if now-proposedAt > proposalTimeout {
 			delete(c.pendingProposals, seq)
@@ -741,17 +741,17 @@
 		return
 	}
 	if c.siteSync == nil {
-		c.proposeWrite(now, c.begin(now), nil)
+		c.proposeWrite(now, c.firstWriteEntry(now), nil)
 		c.pendingProposals[c.entryNumber] = now
 		return
 	}
-	if own, others := c.siteSync.Waiting(); own+others+c.siteSync.Held() > 0 && now-c.lastAgedAt >= ageEvery {
+	if own, others := c.siteSync.Waiting(); own+others+c.siteSync.Held() > 0 && now-c.lastAgedAt >= ageInterval {
 		c.lastAgedAt = now
-		c.proposeWrite(now, written{Command: &sitesync.Command{}}, nil)
+		c.proposeWrite(now, writeEntry{Command: &sitesync.Command{}}, nil)
 	}
 	if cmd, ok := c.nextTurnCommand(now); ok {
 		c.proposeTurnCommand(now, cmd)
-	} else if cmd, ok := c.nextPolicy(now); ok {
+	} else if cmd, ok := c.nextPolicyCommand(now); ok {
 		c.proposePolicy(now, cmd)
 	}
 }
@@ -805,7 +805,7 @@
 		c.pendingCalls[seq] = pendingCall{id: call.ID, deadline: now + callTimeout, idempotent: true, done: done}
 		c.processReady(now)
 	default:
-		done(Reply{}, c.elsewhere())
+		done(Reply{}, c.notLeaderError())
 	}
 }
 
@@ -813,10 +813,10 @@
 // previous replica. It reports whether there is such a replica.
 func (c *Core) AdmitReplica(node string) bool {
 	candidate := c.peers[node]
-	if !c.leading || candidate == nil || !candidate.founded || slices.Contains(c.replica.Status().Voters, candidate.id) {
+	if !c.leading || candidate == nil || !candidate.bootstrapped || slices.Contains(c.replica.Status().Voters, candidate.id) {
 		return false
 	}
-	c.entering = candidate.id
+	c.admitted = candidate.id
 	return true
 }
 
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -48,7 +48,7 @@
 func (a *soleVoter) SendRenew(string, *peerpb.RenewRequest)                          {}
 func (a *soleVoter) SendReplay(string, uint64, time.Duration, *peerpb.ReplayRequest) {}
 func (a *soleVoter) Log(string, ...any)                                              {}
-func (a *soleVoter) SavePolicies(Kept) error                                         { return a.storeErr }
+func (a *soleVoter) SavePolicies(PolicyState) error                                  { return a.storeErr }
 func (a *soleVoter) ApplyPolicy(p Policy)                                            { a.policy = p }
 func (a *soleVoter) ApplyRestrictions(v sendlease.Restrictions) {
 	a.calls = append(a.calls, "apply restrictions")
@@ -249,7 +249,7 @@
 	a.requestLease(1, 0)
 	s := *a.core.Site
 	s.Members = []string{"n1"}
-	a.core.Retune(&s)
+	a.core.ApplySiteFile(&s)
 	a.advance(leaseDuration)
 	assert.Equal(t, []string{"n1", "n2"}, a.core.Schedule().Members())
 	a.advance(3 * time.Second)
@@ -332,7 +332,7 @@
 	a := newSoleVoter(t)
 	s := *a.core.Site
 	s.Turns.Lookahead = 1
-	a.core.Retune(&s)
+	a.core.ApplySiteFile(&s)
 	a.requestTurn("t", "a")
 	a.requestLease(1, a.requestLease(1, 0).HorizonVersion) // n2 has a in its exclusion set, and is unreachable from here on
 	a.submit(turns.Command{Withdraw: &turns.Ref{ID: "t"}}, "t")
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -142,7 +142,7 @@
 	}
 	f := state.aggregator.Merge(now, params)
 	for i := range f.Hosts {
-		f.Hosts[i].Banned = c.banned(f.Hosts[i].ID)
+		f.Hosts[i].Banned = c.isBanned(f.Hosts[i].ID)
 	}
 	isUnsure := func(host string) bool { _, is := slices.BinarySearch(f.Unsure, host); return is }
 	changed := !slices.EqualFunc(f.Hosts, slices.DeleteFunc(params.Previous, func(h turns.Host) bool { return h.Gone }),
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -77,7 +77,7 @@
 	a := newSoleVoter(t)
 	s := *a.core.Site
 	s.Turns.Site = 2
-	a.core.Retune(&s)
+	a.core.ApplySiteFile(&s)
 	a.hosts = append(a.hosts, hostview.Host{ID: "c", Warm: true, Zone: "z", Kind: "m", Start: time.Hour})
 	a.groups = []hostview.Group{{Name: "room", Value: 3, Homes: []string{"a", "b"}}}
 	a.advance(10 * time.Second)
@@ -109,7 +109,7 @@
 	a.t.Helper()
 	s := *a.core.Site
 	s.Turns.Site = 2
-	a.core.Retune(&s)
+	a.core.ApplySiteFile(&s)
 	a.advance(10 * time.Second)
 	a.reportGroups(nil, unknown)
 	a.requestTurn("t-a", "a")
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -11,7 +11,7 @@
 
 // storedPolicies is Kept in its stored form.
 type storedPolicies struct {
-	Kept
+	PolicyState
 	LeaseEnd boottime.Moment `json:"lease_end"`
 }
 
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -123,18 +123,18 @@
 }
 
 // loadPolicies reads the node's policy state from the store.
-func (t *Thread) loadPolicies() (Kept, error) {
+func (t *Thread) loadPolicies() (PolicyState, error) {
 	raw, err := t.store.Get(stateBucket, policyKey)
 	if err != nil || raw == nil {
-		return Kept{}, err
+		return PolicyState{}, err
 	}
 	var k storedPolicies
 	if err := json.Unmarshal(raw, &k); err != nil {
-		return Kept{}, err
+		return PolicyState{}, err
 	}
 	now := t.loop.Now()
-	k.Kept.LeaseEnd = leaseEndFromStore(k.LeaseEnd, k.Lease, now, t.bootTime())
-	return k.Kept, nil
+	k.PolicyState.LeaseEnd = leaseEndFromStore(k.LeaseEnd, k.TrialLease, now, t.bootTime())
+	return k.PolicyState, nil
 }
 
 // bootTime returns the present moment on the boot clock, which continues across restarts of the process; the zero moment if it
@@ -211,7 +211,7 @@
 			}
 		}
 		t.site = s
-		t.core.Retune(s)
+		t.core.ApplySiteFile(s)
 	})
 }
 
@@ -261,8 +261,8 @@
 }
 
 // SavePolicies implements Env.
-func (t *Thread) SavePolicies(k Kept) error {
-	stored := storedPolicies{Kept: k}
+func (t *Thread) SavePolicies(k PolicyState) error {
+	stored := storedPolicies{PolicyState: k}
 	if k.LeaseEnd != 0 {
 		boot := t.bootTime()
 		stored.LeaseEnd = leaseEndToStore(k.LeaseEnd, t.loop.Now(), boot)
@@ -275,7 +275,7 @@
 }
 
 // ApplyPolicy implements Env.
-func (t *Thread) ApplyPolicy(p Policy) { t.policy.deliver(p, t.loop, t.traffic.GoBy) }
+func (t *Thread) ApplyPolicy(p Policy) { t.policy.deliver(p, t.loop, t.traffic.ApplyPolicy) }
 
 // MarkRefused implements Env.
 func (t *Thread) MarkRefused(why string) error { return t.store.MarkRefused(why) }
@@ -306,20 +306,20 @@
 func (t *Thread) SendReplay(node string, call uint64, timeout time.Duration, q *peerpb.ReplayRequest) {
 	p := t.peers[node]
 	if p == nil { // its address is not known
-		t.Do(func() { t.core.Replayed(t.loop.Now(), call, nil) })
+		t.Do(func() { t.core.HandleReplayReply(t.loop.Now(), call, nil) })
 		return
 	}
 	p.ReplayWithTimeout(timeout, q, func(r *peerpb.ReplayReply, err error) {
 		if err != nil {
 			r = nil
 		}
-		t.Do(func() { t.core.Replayed(t.loop.Now(), call, r) })
+		t.Do(func() { t.core.HandleReplayReply(t.loop.Now(), call, r) })
 	})
 }
 
 // ApplyRestrictions implements Env.
 func (t *Thread) ApplyRestrictions(v sendlease.Restrictions) {
-	t.restrictions.deliver(v, t.loop, t.traffic.Bind)
+	t.restrictions.deliver(v, t.loop, t.traffic.ApplyRestrictions)
 }
 
 // latest is the next value for the traffic loop. A later value replaces one that the loop has not taken yet.
@@ -390,8 +390,8 @@
 		done(nil, err)
 		return
 	}
-	if owned(q.Thing) {
-		done(nil, &OwnError{Thing: q.Thing})
+	if isReservedKey(q.Thing) {
+		done(nil, &ReservedKeyError{Key: q.Thing})
 		return
 	}
 	local := sitesync.LocalWrite{Kind: kind, Subject: q.Thing, Value: []byte(q.Value), By: q.By, Urgent: q.Urgent, Token: q.Token}
@@ -517,7 +517,7 @@
 			p.Turns(q, done)
 			return
 		}
-		r := &peerpb.TurnsReply{Leader: leader, Applied: d.core.AppliedIndex(), Seats: d.core.Seats(), Seat: d.core.Standing(d.loop.Now())}
+		r := &peerpb.TurnsReply{Leader: leader, Applied: d.core.AppliedIndex(), Seats: d.core.Voters(), Seat: d.core.StatusReport(d.loop.Now())}
 		for _, t := range d.core.Schedule().Turns() {
 			r.Turns = append(r.Turns, d.turnMessage(t))
 		}
@@ -551,7 +551,7 @@
 
 // Vouch implements peer.Node. It is carried out on the node that it names.
 func (d operatorAPI) Vouch(q *peerpb.VouchRequest, done func(*peerpb.SeatReply, error)) {
-	d.onNode(q.Node, q.Forwarded, done, func() error { return d.core.Vouch(d.loop.Now(), q) }, func(p *peer.Client) {
+	d.onNode(q.Node, q.Forwarded, done, func() error { return d.core.ConfirmStore(d.loop.Now(), q) }, func(p *peer.Client) {
 		q.Forwarded = true
 		p.Vouch(q, done)
 	})
@@ -559,7 +559,7 @@
 
 // FoundAnew implements peer.Node. It is carried out on the node that it names.
 func (d operatorAPI) FoundAnew(q *peerpb.FoundRequest, done func(*peerpb.SeatReply, error)) {
-	d.onNode(q.Node, q.Forwarded, done, func() error { return d.core.FoundAnew(d.loop.Now(), q) }, func(p *peer.Client) {
+	d.onNode(q.Node, q.Forwarded, done, func() error { return d.core.Rebootstrap(d.loop.Now(), q) }, func(p *peer.Client) {
 		q.Forwarded = true
 		p.FoundAnew(q, done)
 	})
@@ -574,7 +574,7 @@
 				done(nil, err)
 				return
 			}
-			done(&peerpb.SeatReply{Node: node, Seats: d.core.Seats()}, nil)
+			done(&peerpb.SeatReply{Node: node, Seats: d.core.Voters()}, nil)
 		case p == nil || forwarded:
 			done(nil, &UnknownNameError{Kind: "node", Name: node, Expected: "the name of a node with a seat in this site"})
 		default:
--- a/internal/control/turns.go
+++ b/internal/control/turns.go
@@ -46,7 +46,7 @@
 			return turns.Command{Grant: &turns.Ref{ID: t.ID, Round: t.Round}}, true
 		}
 	}
-	if cmd, ok := c.schedule.Next(stamp); ok && c.keepsRoom(now, cmd) && c.groupsKnownFor(now, cmd) {
+	if cmd, ok := c.schedule.Next(stamp); ok && c.withinDisruptionLimit(now, cmd) && c.groupsKnownFor(now, cmd) {
 		return cmd, true
 	}
 	return c.schedule.RevokeBlocked(stamp, views, blockedRevokeLeases*c.Site.SendLease.Duration)
@@ -107,7 +107,7 @@
 	if err := c.schedule.Check(prepare); err != nil {
 		return []turns.Blocker{{Why: err.Error()}}
 	}
-	if !c.keepsRoom(now, prepare) {
+	if !c.withinDisruptionLimit(now, prepare) {
 		return []turns.Blocker{{Why: "maintenance and policy trials in progress already use the disruption that the site allows"}}
 	}
 	if !c.schedule.IsOnlyHostOut(t.ID) {
