--- a/rehearsal/soak/plants_test.go
+++ b/rehearsal/soak/plants_test.go
@@ -23,10 +23,10 @@
 }
 
 var plants = []plant{
-	{"every request is refused", "balance/balance.go", "if left <= b.set.Tick || len(r.attempts) >= r.set.MaxAttempts {", "if left > 0 {",
+	{"every request is refused", "balance/balance.go", "if left <= b.settings.Tick || len(r.attempts) >= r.settings.MaxAttempts {", "if left > 0 {",
 		"a part of the requests served"},
-	{"no request is tried again", "balance/balance.go", "len(r.attempts) >= r.set.MaxAttempts", "len(r.attempts) >= 1", triedAgain},
-	{"BUSY names too long a time", "internal/clientconn/acceptor.go", "min(fullRetry, set.MaxRetryAfter)", "2 * set.MaxRetryAfter",
+	{"no request is tried again", "balance/balance.go", "len(r.attempts) >= r.settings.MaxAttempts", "len(r.attempts) >= 1", triedAgain},
+	{"BUSY names too long a time", "internal/clientconn/acceptor.go", "min(fullRetryAfter, set.MaxRetryAfter)", "2 * set.MaxRetryAfter",
 		"the time that BUSY names"},
 }
 
