--- a/rehearsal/processes/asker.go
+++ b/rehearsal/processes/asker.go
@@ -234,7 +234,7 @@
 }
 
 // Work requests a turn, runs the work once the turn is granted and begun, and reports that it is done. If a node does not
-// reply, it tries another one. It gives up when ctx or the test's patience ends. While the work runs, the host reports
+// reply, it tries another one. It gives up when ctx or the time limit of the test (see waitLimit) is reached. While the work runs, the host reports
 // every first line it receives as a violation.
 func (a *Requester) Work(ctx context.Context, id, host string, minutes int, do func()) error {
 	ctx, cancel := context.WithTimeout(ctx, waitLimit(a.w.t, 2*EventTimeout))
--- a/rehearsal/processes/beside.go
+++ b/rehearsal/processes/beside.go
@@ -29,7 +29,7 @@
 	return predecessor
 }
 
-// Leave asks the process to stop, as Node.Leave does.
+// Leave asks the process to stop, as Node.Terminate does.
 func (f *Predecessor) Leave() { require.NoError(f.node.t, f.cmd.Process.Signal(syscall.SIGTERM)) }
 
 // Kill kills the process and returns once it has ended.
--- a/rehearsal/processes/discovery.go
+++ b/rehearsal/processes/discovery.go
@@ -14,7 +14,7 @@
 )
 
 // Discovery is the fake discovery service: one list of hosts, served to each node with the addresses at which that node
-// reaches the hosts. Each node calls it over its own link; see World.ToDiscovery.
+// reaches the hosts. Each node calls it over its own link; see World.DiscoveryLink.
 type Discovery struct {
 	w *World
 
--- a/rehearsal/processes/doc.go
+++ b/rehearsal/processes/doc.go
@@ -5,7 +5,7 @@
 // checkers rely on what hosts, clients and requesters observed, never on what a node reports about itself.
 //
 //	w := processes.New(t, processes.Plan{Seed: 1, Hosts: processes.Fleet(4), Sites: []processes.Site{
-//		{Name: "b", Level: sitepb.Level_BUILDING, Nodes: []string{"n0", "n1", "n2"}, Seats: 3}}})
+//		{Name: "b", Level: sitepb.Level_BUILDING, Nodes: []string{"n0", "n1", "n2"}, Replicas: 3}}})
 //	w.Start()
 //	clients := w.StartClients(processes.Load{PerSecond: 40, MaxConcurrent: 60, HoldTime: 300 * time.Millisecond})
 //	requester := w.Requester("night shift")
@@ -14,11 +14,11 @@
 //	requester.Work(ctx, "t1", "h0", 5, func() { ... })
 //	w.Heal()
 //	clients.Stop()
-//	w.RequireSound(processes.Allowance{Site: 1})
+//	w.RequireNoViolations(processes.Allowance{Site: 1})
 //
 // A fault sequence (TestTurnsWritesAndPoliciesUnderFaultsFromASeed, flags -storms and -storm) runs turns, writes and policy
 // rollouts at the same time under faults derived from a seed, with an Operator that follows the procedures in docs/operate.
 //
-// The policy that a node applies is read from the first lines that reach hosts (Sighting); Lookout reports what the sites'
-// consensus groups say about it.
+// The policy that a node applies is read from the first lines that reach hosts (PolicyObservation); PolicyPoller reports
+// what the sites' consensus groups say about it.
 package processes
--- a/rehearsal/processes/news.go
+++ b/rehearsal/processes/news.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// EventTimeout is how long a test waits for an event: far longer than expected even on a loaded machine. See patience.
+// EventTimeout is how long a test waits for an event: far longer than expected even on a loaded machine. See waitLimit.
 const EventTimeout = 5 * time.Minute
 
 // notifier wakes all goroutines that wait for a change.
--- a/rehearsal/processes/node.go
+++ b/rehearsal/processes/node.go
@@ -162,7 +162,7 @@
 }
 
 // ClientAddr returns the address at which the node serves clients, or "" while it does not serve. Test clients connect
-// through World.Front instead.
+// through World.ClientLink instead.
 func (n *Node) ClientAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/rehearsal/processes/world.go
+++ b/rehearsal/processes/world.go
@@ -86,11 +86,11 @@
 
 	processMu       sync.Mutex      // held to start and end processes while a plan of faults runs
 	faulted         map[string]bool // nodes that a fault has stopped
-	closedToClients map[string]bool // nodes that clients cannot reach: see Fault.Shut
+	closedToClients map[string]bool // nodes that clients cannot reach: see Fault.BlockClients
 	// closedUntilLease holds those of closedToClients whose store is not refused: they are reopened once
 	// their leader has answered them.
 	closedUntilLease map[string]bool
-	newReplica       map[string]bool // nodes whose replica is new by the site file: see Reseat
+	newReplica       map[string]bool // nodes whose replica is new by the site file: see MoveReplica
 
 	upgrades sync.WaitGroup // upgrades that are being completed
 
