--- a/rehearsal/soak/client.go
+++ b/rehearsal/soak/client.go
@@ -14,51 +14,53 @@
 	"lichenhitch/rehearsal/processes"
 )
 
-// manner is what a client means to do.
-type manner uint8
+// behavior is what a client does with its connection.
+type behavior uint8
 
 const (
-	keeps     manner = iota // its connection, until the run is over
-	visits                  // for a moment
-	hurries                 // hangs up while it waits
-	hesitates               // sends nothing for a while after it has connected
+	staysConnected behavior = iota // keeps its connection open until the end of the run
+	visitsBriefly                  // exchanges a few lines and leaves
+	hangsUpEarly                   // closes the connection while it waits for the response
+	sendsLate                      // sends its first line only some time after it has connected
 )
 
-// mannersDrawn are the manners that clients are drawn from.
-var mannersDrawn = [...]manner{keeps, keeps, keeps, visits, visits, hurries, hesitates}
+// behaviorMix is the distribution from which client behaviors are drawn.
+var behaviorMix = [...]behavior{staysConnected, staysConnected, staysConnected, visitsBriefly, visitsBriefly, hangsUpEarly, sendsLate}
 
 const (
-	lineEvery = 500 * time.Millisecond // a client's lines; the page's clients send one every 2 s
-	visitMost = time.Second
-	hurryMost = 60 * time.Millisecond
-	// hesitateMost is within the 2 s after which a connection without a request may be ended.
-	hesitateMost = 1500 * time.Millisecond
-	// comesAgain is how long a client waits after MOVE or a refusal.
-	comesAgain = 50 * time.Millisecond
-	// waitsBeyond is how much longer than its time a client listens: an answer up to half a second late is late, a later one is none
-	// (STANDING). What is heard after that changes nothing.
-	waitsBeyond = 1500 * time.Millisecond
-	dialWithin  = time.Second
-	leastWait   = 300 * time.Millisecond // of a client for its answer
-	// longestSilence is within what a running host has to be heard, or its client moved (PROTOCOL, Figures: 7 s).
-	longestSilence = 7 * time.Second
+	lineInterval   = 500 * time.Millisecond // between two lines of a client; clients of the protocol pages send one every 2 s
+	maxVisit       = time.Second
+	maxHangUpDelay = 60 * time.Millisecond
+	// maxSendDelay is less than the 2 s after which a node may close a connection without a request.
+	maxSendDelay = 1500 * time.Millisecond
+	// reconnectDelay is how long a client waits after MOVE or a refusal before it connects again.
+	reconnectDelay = 50 * time.Millisecond
+	// lateAnswerWait is how much longer than its response timeout a client reads: an answer up to half a second after
+	// the timeout counts as late, a later one as none (STANDING). Nothing read after that changes the result.
+	lateAnswerWait     = 1500 * time.Millisecond
+	dialTimeout        = time.Second
+	minResponseTimeout = 300 * time.Millisecond // shortest response timeout of a client
+	// maxHostSilence is the time within which a running host must respond, or else its client must be moved (PROTOCOL,
+	// Figures: 7 s).
+	maxHostSilence = 7 * time.Second
 )
 
-// front deals clients out to the nodes that are open to them.
-type front struct {
-	mu    sync.Mutex
-	nodes []string
-	shut  map[string]bool
-	addr  map[string]string
+// frontEnd stands for the load balancer in front of the nodes: it distributes clients over the nodes that are open to
+// them.
+type frontEnd struct {
+	mu     sync.Mutex
+	nodes  []string
+	closed map[string]bool
+	addr   map[string]string
 }
 
-// pick returns a node that is open and where it listens, "" where none is.
-func (f *front) pick(n int) (node, addr string) {
+// pick returns an open node and its listen address, or "" if no node is open.
+func (f *frontEnd) pick(n int) (node, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var open []string
 	for _, name := range f.nodes {
-		if !f.shut[name] {
+		if !f.closed[name] {
 			open = append(open, name)
 		}
 	}
@@ -69,47 +71,48 @@
 	return node, f.addr[node]
 }
 
-func (f *front) set(node string, open bool) {
+func (f *frontEnd) setOpen(node string, open bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shut[node] = !open
+	f.closed[node] = !open
 }
 
-// crowd is all clients of a run.
-type crowd struct {
-	w     *processes.World
-	plan  Plan
-	front *front
-	rec   *recorder
-	stop  chan struct{} // closed when no client comes any more, and those that keep their connections end them
-	all   sync.WaitGroup
+// clientPool holds all clients of a run.
+type clientPool struct {
+	world    *processes.World
+	plan     Plan
+	frontEnd *frontEnd
+	rec      *recorder
+	stop     chan struct{} // closed at the end: no new clients start, and all close their connections
+	running  sync.WaitGroup
 }
 
-// classes are those of the settings, with how many of ten clients are of each.
+// classes are the request classes of the settings, weighted: six of ten clients are of class chat, four of class
+// print.
 var classes = [...]string{"chat", "chat", "chat", "chat", "chat", "chat", "print", "print", "print", "print"}
 
-// come has clients come until the crowd is told to stop.
-func (c *crowd) come() {
+// generate starts clients at random intervals until stop is closed.
+func (c *clientPool) generate() {
 	rng := rand.New(rand.NewPCG(c.plan.Seed, 0x636f6d65))
-	rate, kept := c.plan.PerSecond*float64(len(c.plan.Nodes)), 0
+	rate, staying := c.plan.ClientsPerSecond*float64(len(c.plan.Nodes)), 0
 	for number := 0; ; number++ {
 		gap := time.Duration(min(rng.ExpFloat64(), 4) / rate * float64(time.Second))
-		client := client{crowd: c, number: number, manner: mannersDrawn[rng.IntN(len(mannersDrawn))],
-			class: classes[rng.IntN(len(classes))], draw: rng.Float64(), seed: rng.Uint64()}
-		if client.manner == keeps {
-			if kept++; kept > c.plan.Keepers() {
-				client.manner = visits
+		client := client{clientPool: c, number: number, behavior: behaviorMix[rng.IntN(len(behaviorMix))],
+			class: classes[rng.IntN(len(classes))], fraction: rng.Float64(), seed: rng.Uint64()}
+		if client.behavior == staysConnected {
+			if staying++; staying > c.plan.MaxStayingClients() {
+				client.behavior = visitsBriefly
 			}
 		}
 		if !c.pause(gap) {
 			return
 		}
-		c.all.Go(client.live)
+		c.running.Go(client.run)
 	}
 }
 
-// pause waits, and says whether the clients go on.
-func (c *crowd) pause(long time.Duration) bool {
+// pause waits for the given time and reports whether the clients continue.
+func (c *clientPool) pause(long time.Duration) bool {
 	timer := time.NewTimer(long)
 	defer timer.Stop()
 	select {
@@ -117,14 +120,14 @@
 		return true
 	case <-c.stop:
 		return false
-	case <-c.w.Done():
+	case <-c.world.Done():
 		return false
 	}
 }
 
-// idle opens a connection at a node and says nothing until the node ends it or the run is over.
-func (c *crowd) idle(addr string) {
-	conn, err := net.DialTimeout("tcp4", addr, dialWithin)
+// openIdle opens a connection to a node and sends nothing until the node closes it or the run ends.
+func (c *clientPool) openIdle(addr string) {
+	conn, err := net.DialTimeout("tcp4", addr, dialTimeout)
 	if err != nil {
 		return
 	}
@@ -142,71 +145,72 @@
 	}
 }
 
-// client is one client, which may come several times.
+// client is one client, which may connect several times.
 type client struct {
-	*crowd
-	number int
-	manner manner
-	class  string
-	draw   float64
-	seed   uint64
+	*clientPool
+	number   int
+	behavior behavior
+	class    string
+	fraction float64
+	seed     uint64
 }
 
-func (c client) live() {
+func (c client) run() {
 	rng := rand.New(rand.NewPCG(c.seed, 1))
-	for try := 0; ; try++ {
-		node, addr := c.front.pick(rng.IntN(1 << 16))
-		if addr == "" || !c.visit(node, addr, try) || !c.pause(comesAgain) {
+	for attempt := 0; ; attempt++ {
+		node, addr := c.frontEnd.pick(rng.IntN(1 << 16))
+		if addr == "" || !c.connectOnce(node, addr, attempt) || !c.pause(reconnectDelay) {
 			return
 		}
 	}
 }
 
-// wait is how long the client waits for an answer.
-func (c client) wait() time.Duration {
-	return max(leastWait, time.Duration(c.draw*float64(c.plan.Longest))).Truncate(time.Millisecond)
+// responseTimeout returns how long the client waits for an answer.
+func (c client) responseTimeout() time.Duration {
+	return max(minResponseTimeout, time.Duration(c.fraction*float64(c.plan.LongestDeadline))).Truncate(time.Millisecond)
 }
 
-// visit comes to a node once and says whether the client comes again.
-func (c client) visit(node, addr string, try int) (again bool) {
-	conn, err := net.DialTimeout("tcp4", addr, dialWithin)
+// connectOnce connects to a node once and reports whether the client should connect again.
+func (c client) connectOnce(node, addr string, attempt int) (again bool) {
+	conn, err := net.DialTimeout("tcp4", addr, dialTimeout)
 	if err != nil {
-		c.rec.note(func(r *Record) { r.Unmet++ })
+		c.rec.update(func(r *Record) { r.ConnectFailed++ })
 		return true
 	}
 	defer conn.Close()
-	dialled := c.w.Now()
-	if c.manner == hesitates && !c.pause(time.Duration(c.draw*float64(hesitateMost))) {
+	connected := c.world.Now()
+	if c.behavior == sendsLate && !c.pause(time.Duration(c.fraction*float64(maxSendDelay))) {
 		return false
 	}
-	q := Request{ID: fmt.Sprintf("%08x%08x", uint32(c.seed), c.number<<8|try), Node: node, Class: c.class, Dialled: dialled, Wait: c.wait()}
+	q := Request{ID: fmt.Sprintf("%08x%08x", uint32(c.seed), c.number<<8|attempt), Node: node, Class: c.class,
+		Connected: connected, Wait: c.responseTimeout()}
 	line := fmt.Sprintf("OPEN %s %x c=%s,t=acme,d=%d,g=%x\r\n", q.ID, c.number+1, q.Class, q.Wait.Milliseconds(), c.number%31+1)
-	if try > 0 {
+	if attempt > 0 {
 		line = strings.Replace(line, "\r\n", ",again=1\r\n", 1)
 	}
 	if _, err := io.WriteString(conn, line); err != nil {
-		c.rec.note(func(r *Record) { r.Unmet++ }) // it was ended before anything was said
+		c.rec.update(func(r *Record) { r.ConnectFailed++ }) // the node closed the connection before the request was written
 		return true
 	}
-	q.Sent = c.w.Now()
-	if c.manner == hurries && try == 0 {
-		if c.pause(time.Duration(c.draw * float64(hurryMost))) {
+	q.Sent = c.world.Now()
+	if c.behavior == hangsUpEarly && attempt == 0 {
+		if c.pause(time.Duration(c.fraction * float64(maxHangUpDelay))) {
 			conn.Close()
-			q.Outcome, q.At = Left, c.w.Now()
-			c.rec.note(func(r *Record) { r.Requests = append(r.Requests, q) })
+			q.Outcome, q.EndedAt = ClientLeft, c.world.Now()
+			c.rec.update(func(r *Record) { r.Requests = append(r.Requests, q) })
 		}
 		return false
 	}
-	return c.listen(conn, q)
+	return c.awaitResponse(conn, q)
 }
 
-// listen waits for the answer, and holds what comes of it.
-func (c client) listen(conn net.Conn, q Request) (again bool) {
-	_ = conn.SetReadDeadline(time.Now().Add(q.Wait + waitsBeyond))
+// awaitResponse waits for the answer to the request and, after UP, uses the connection.
+func (c client) awaitResponse(conn net.Conn, q Request) (again bool) {
+	_ = conn.SetReadDeadline(time.Now().Add(q.Wait + lateAnswerWait))
 	r := bufio.NewReader(conn)
 	text, err := r.ReadString('\n')
-	q.At = c.w.Now()
-	var late net.Error
+	q.EndedAt = c.world.Now()
+	var timeout net.Error
 	switch {
 	case err == nil && strings.HasPrefix(text, "UP "):
 		q.Outcome = Up
@@ -217,92 +221,93 @@
 		q.RetryAfter = time.Duration(ms) * time.Millisecond
 	case err == nil:
 		q.Outcome = Failed
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &timeout) && timeout.Timeout():
 		q.Outcome = Unanswered
 	case errors.Is(err, io.EOF):
-		q.Outcome = ClosedRead
+		q.Outcome = ClosedUnanswered
 	default:
 		q.Outcome = Reset
 	}
-	c.rec.note(func(r *Record) { r.Requests = append(r.Requests, q) })
+	c.rec.update(func(r *Record) { r.Requests = append(r.Requests, q) })
 	if q.Outcome != Up {
-		return c.manner == keeps
+		return c.behavior == staysConnected
 	}
 	host, _, _ := strings.Cut(strings.TrimPrefix(text, "UP "), ".")
-	return c.hold(conn, r, Connection{ID: q.ID, Node: q.Node, Host: host, Began: q.At})
+	return c.exchangeLines(conn, r, Connection{ID: q.ID, Node: q.Node, Host: host, Began: q.EndedAt})
 }
 
-// hold speaks with the host until the client has had enough or the connection has ended.
-func (c client) hold(conn net.Conn, r *bufio.Reader, s Connection) (again bool) {
-	enough := time.Now().Add(time.Duration(c.draw * float64(visitMost)))
-	over := func(e Ending) {
-		s.Ending, s.Ended = e, c.w.Now()
-		c.rec.note(func(r *Record) { r.Connections = append(r.Connections, s) })
+// exchangeLines exchanges lines with the host until the client leaves or the connection ends.
+func (c client) exchangeLines(conn net.Conn, r *bufio.Reader, s Connection) (again bool) {
+	leaveAt := time.Now().Add(time.Duration(c.fraction * float64(maxVisit)))
+	finish := func(e Ending) {
+		s.Ending, s.Ended = e, c.world.Now()
+		c.rec.update(func(r *Record) { r.Connections = append(r.Connections, s) })
 	}
 	for n := 0; ; n++ {
-		said, begun := fmt.Sprintf("M %d %s", n, s.ID), c.w.Now()
-		_ = conn.SetDeadline(time.Now().Add(longestSilence + longestSilence))
-		_, err := io.WriteString(conn, said+"\r\n")
-		var heard string
-		if err == nil || n > 0 { // what was said before the end can be read still
-			heard, err = r.ReadString('\n')
+		sent, sentAt := fmt.Sprintf("M %d %s", n, s.ID), c.world.Now()
+		_ = conn.SetDeadline(time.Now().Add(maxHostSilence + maxHostSilence))
+		_, err := io.WriteString(conn, sent+"\r\n")
+		var received string
+		if err == nil || n > 0 { // what the node sent before it closed the connection can still be read
+			received, err = r.ReadString('\n')
 		}
-		switch heard = strings.TrimSuffix(heard, "\r\n"); {
-		case err == nil && heard == "MOVE":
-			over(Moved)
-			return c.manner == keeps
-		case err == nil && heard == "BYE":
-			over(Said)
-			return c.manner == keeps
+		switch received = strings.TrimSuffix(received, "\r\n"); {
+		case err == nil && received == "MOVE":
+			finish(Moved)
+			return c.behavior == staysConnected
+		case err == nil && received == "BYE":
+			finish(ByeReceived)
+			return c.behavior == staysConnected
 		case err != nil:
-			over(CutOff)
-			return c.manner == keeps
-		case heard != said:
-			c.rec.note(func(r *Record) {
-				r.Violations = append(r.Violations, processes.Violation{Host: s.Host, At: c.w.Now(),
-					What: fmt.Sprintf("%s passed %q to %s, which had said %q", s.Node, heard, s.ID, said)})
+			finish(CutOff)
+			return c.behavior == staysConnected
+		case received != sent:
+			c.rec.update(func(r *Record) {
+				r.Violations = append(r.Violations, processes.Violation{Host: s.Host, At: c.world.Now(),
+					What: fmt.Sprintf("%s sent %q to client %s, which had sent %q", s.Node, received, s.ID, sent)})
 			})
 			return false
 		}
-		if took := c.w.Now() - begun; took > s.Slowest {
-			s.Slowest, s.SlowestAt = took, begun
+		if took := c.world.Now() - sentAt; took > s.SlowestEcho {
+			s.SlowestEcho, s.SlowestSentAt = took, sentAt
 		}
-		if c.manner != keeps && time.Now().After(enough) {
-			over(ByClient)
+		if c.behavior != staysConnected && time.Now().After(leaveAt) {
+			finish(ClosedByClient)
 			return false
 		}
-		if ended := c.rest(conn, r, &s, over); ended {
-			return c.manner == keeps
+		if ended := c.awaitNextLine(conn, r, &s, finish); ended {
+			return c.behavior == staysConnected
 		}
 		select {
 		case <-c.stop:
-			over(ByClient)
+			finish(ClosedByClient)
 			return false
 		default:
 		}
 	}
 }
 
-// rest waits until the next line is due, and takes what the node says meanwhile: a MOVE is read when it comes, not at the next line.
-func (c client) rest(conn net.Conn, r *bufio.Reader, s *Connection, over func(Ending)) (ended bool) {
-	_ = conn.SetReadDeadline(time.Now().Add(lineEvery))
-	heard, err := r.ReadString('\n')
-	var late net.Error
+// awaitNextLine waits until the client's next line is due and reads what the node sends in the meantime, so that a
+// MOVE is read when it arrives and not after the next line.
+func (c client) awaitNextLine(conn net.Conn, r *bufio.Reader, s *Connection, finish func(Ending)) (ended bool) {
+	_ = conn.SetReadDeadline(time.Now().Add(lineInterval))
+	received, err := r.ReadString('\n')
+	var timeout net.Error
 	switch {
-	case err != nil && errors.As(err, &late) && late.Timeout():
+	case err != nil && errors.As(err, &timeout) && timeout.Timeout():
 		return false
-	case err == nil && heard == "MOVE\r\n":
-		over(Moved)
-	case err == nil && heard == "BYE\r\n":
-		over(Said)
+	case err == nil && received == "MOVE\r\n":
+		finish(Moved)
+	case err == nil && received == "BYE\r\n":
+		finish(ByeReceived)
 	case err != nil:
-		over(CutOff)
+		finish(CutOff)
 	default:
-		c.rec.note(func(rec *Record) {
-			rec.Violations = append(rec.Violations, processes.Violation{Host: s.Host, At: c.w.Now(),
-				What: fmt.Sprintf("%s said %q to %s, which had said nothing", s.Node, heard, s.ID)})
+		c.rec.update(func(rec *Record) {
+			rec.Violations = append(rec.Violations, processes.Violation{Host: s.Host, At: c.world.Now(),
+				What: fmt.Sprintf("%s sent %q to client %s, which had sent nothing", s.Node, received, s.ID)})
 		})
-		over(CutOff)
+		finish(CutOff)
 	}
 	return true
 }
--- a/rehearsal/soak/doc.go
+++ b/rehearsal/soak/doc.go
@@ -1,11 +1,12 @@
-// Package soak plays one site for some twenty seconds from a seed, with more trouble at once than any story has, and judges what
-// clients, hosts and the kernel saw. It has three parts:
+// Package soak runs one site for some twenty seconds under faults generated from a seed, with more concurrent faults
+// than any scenario of rehearsal/processes has, and checks what clients, hosts and the kernel observed. It has three
+// parts:
 //
-//	Draw    a Plan from a seed: nodes, hosts, clients, and the trouble with its times
-//	Play    the plan on real processes of the program (rehearsal/processes), which gives a Record
-//	Judge   each rule on the Record: the worst figure that was seen, beside its bound
+//	GeneratePlan  returns the Plan of a seed: nodes, hosts, clients, and the faults with their times
+//	Run           runs the plan on real processes of the program (rehearsal/processes) and returns a Record
+//	Judge         checks each rule on the Record and returns the worst value observed and its bound
 //
-// No judge goes by what a node says of itself. Each bound is the operators' or follows from the settings; the comment on it says
-// from what. A seed fixes the trouble, its times and the clients; what the system's scheduling adds differs from run to run, so that a
-// Record holds the order of events as it was.
+// No check relies on what a node reports about itself. Each bound is given by the operators or follows from the
+// settings; the comment on the bound names its source. A seed determines the faults, their times and the clients.
+// Scheduling differs between runs of one seed, so a Record keeps the events with the times at which they happened.
 package soak
--- a/rehearsal/soak/plan.go
+++ b/rehearsal/soak/plan.go
@@ -9,24 +9,24 @@
 	"lichenhitch/rehearsal/processes"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of fault.
 type Kind uint8
 
-// The kinds.
+// Kinds of faults.
 const (
-	Restart      Kind = iota // signals, the kill at the page's earliest, and the next process at once
-	Crash                    // SIGKILL right after an accept, and the next process at once
-	Upgrade                  // a later process takes over; the former one is asked to end, and killed at the page's earliest
-	UpgradeFails             // a later process is killed during the handover
-	UpgradeCrash             // a later process takes over, and the former one is killed during the handover
-	EarlyTerm                // SIGKILL, and a next process that is asked to end while it starts, and killed at the earliest
+	Restart      Kind = iota // planned: Event.Signals, SIGKILL after Plan.KillDelay, and the next process starts at once
+	Crash                    // SIGKILL right after an accept, and the next process starts at once
+	Upgrade                  // a successor takes over; its predecessor receives SIGTERM, and SIGKILL after Plan.KillDelay
+	UpgradeFails             // a successor is killed during the handover
+	UpgradeCrash             // a successor takes over, and its predecessor is killed during the handover
+	EarlyTerm                // SIGKILL; the next process receives SIGTERM while it starts, and SIGKILL after Plan.KillDelay
 	Reload                   // SIGHUP twice
-	Discovery                // Event.Trouble
-	HostDrains               // discovery tells, the host refuses, and is back later
-	HostHangs                // it says nothing and reads nothing
-	HostResets               // it ends, and starts again later
-	HostFails                // it answers a part of the requests with Event.Answer
-	kinds
+	Discovery                // the fault is Event.DiscoveryFault
+	HostDrains               // discovery lists the host as draining, the host refuses requests, and is back later
+	HostHangs                // the host sends nothing and reads nothing
+	HostResets               // the host is killed and starts again later
+	HostFails                // the host answers a part of the requests with Event.Response
+	kindCount
 )
 
 func (k Kind) String() string {
@@ -34,138 +34,140 @@
 		"discovery", "host drains", "host hangs", "host resets", "host fails"}[k]
 }
 
-// Signals are what a process gets at a planned restart.
+// Signals is a sequence of signals that a process receives in a planned restart.
 type Signals uint8
 
-// The series of signals.
+// Sequences of signals.
 const (
 	Term         Signals = iota // SIGTERM
 	TermTwice                   // SIGTERM, and again a while later
-	HangupTerm                  // SIGHUP, and SIGTERM once the file was likely read
-	HangupInTerm                // SIGTERM while a reload is under way: right after SIGHUP
+	HangupTerm                  // SIGHUP, and SIGTERM once the settings were probably reloaded
+	HangupInTerm                // SIGTERM during a reload: right after SIGHUP
 	TermHangup                  // SIGTERM, and SIGHUP a while later
-	signals
+	signalsCount
 )
 
 func (s Signals) String() string {
 	return [...]string{"SIGTERM", "SIGTERM twice", "SIGHUP then SIGTERM", "SIGTERM in a reload", "SIGTERM then SIGHUP"}[s]
 }
 
-// Event is one piece of trouble.
+// Event is one fault. At counts from the beginning of the faults. For a fault of a process, Duration is the time during
+// which the node has no other fault.
 type Event struct {
-	At, Lasts time.Duration // from the beginning; Lasts of a process's trouble is how long nothing else befalls that node
-	Kind      Kind
-	Node      string // "" for hosts and discovery
-	Host      string
-	Signals   Signals
-	FrontOn   time.Duration // for how long after SIGTERM new connections go on coming
-	Trouble   processes.DiscoveryFault
-	Answer    string // of HostFails
+	At, Duration     time.Duration
+	Kind             Kind
+	Node             string // "" for faults of hosts and discovery
+	Host             string
+	Signals          Signals
+	ClientsAfterTerm time.Duration // for how long new connections keep coming after SIGTERM
+	DiscoveryFault   processes.DiscoveryFault
+	Response         string // of HostFails
 }
 
 func (e Event) String() string {
 	switch e.Kind {
 	case Restart:
-		return fmt.Sprintf("%s %s: %s, clients for %s more", e.Kind, e.Node, e.Signals, e.FrontOn)
+		return fmt.Sprintf("%s %s: %s, clients for %s more", e.Kind, e.Node, e.Signals, e.ClientsAfterTerm)
 	case Discovery:
-		return fmt.Sprintf("%s %s for %s", e.Kind, e.Trouble, e.Lasts)
+		return fmt.Sprintf("%s %s for %s", e.Kind, e.DiscoveryFault, e.Duration)
 	case HostFails:
-		return fmt.Sprintf("%s %s with %q for %s", e.Kind, e.Host, e.Answer, e.Lasts)
+		return fmt.Sprintf("%s %s with %q for %s", e.Kind, e.Host, e.Response, e.Duration)
 	case HostDrains, HostHangs, HostResets:
-		return fmt.Sprintf("%s %s for %s", e.Kind, e.Host, e.Lasts)
+		return fmt.Sprintf("%s %s for %s", e.Kind, e.Host, e.Duration)
 	}
 	return fmt.Sprintf("%s %s", e.Kind, e.Node)
 }
 
-// Plan is what one run plays.
+// Plan is what one run does.
 type Plan struct {
-	Seed      uint64
-	Nodes     []string
-	Hosts     int
-	PerSecond float64       // new clients at each node
-	Crowd     int           // idle clients at each node that come at once; 0: none
-	Sockets   int           // descriptors that a node may hold
-	Longest   time.Duration // the longest deadline of the settings
-	Pass      bool          // packets pass through the nodes: what stands at a planned restart need not be moved
-	Lasts     time.Duration // until the last trouble is over
-	Events    []Event       // in the order of their beginnings
+	Seed             uint64
+	Nodes            []string
+	Hosts            int
+	ClientsPerSecond float64       // new clients at each node
+	IdleClients      int           // number of idle clients that connect to each node at once; 0: none
+	Sockets          int           // limit of descriptors of a node
+	LongestDeadline  time.Duration // the longest deadline in the settings
+	PassThrough      bool          // nodes pass packets through: a planned restart need not move established connections
+	Duration         time.Duration // until the last fault has ended
+	Events           []Event       // sorted by At
 }
 
 const (
-	// The front goes on sending for so long after SIGTERM (PROTOCOL, Figures: 0.2 to 0.4 s).
-	frontLeast, frontMost = 200 * time.Millisecond, 400 * time.Millisecond
-	// killBeyond is how much later than the longest deadline, counted as longestCounted where it is longer, SIGKILL comes at the
-	// earliest after SIGTERM (PROTOCOL, Figures).
-	killBeyond     = 700 * time.Millisecond
-	longestCounted = 3 * time.Second
-	// restPart is how long a node is left alone after it was started again.
-	restPart = time.Second
-
-	// descriptorsOfOne is how many a connection takes at a node: the client's and the host's.
-	descriptorsOfOne = 2
-
-	troubleLasts = 14 * time.Second
-	crowdSockets = 192
-	mostSockets  = 1024
+	// The front end keeps sending new connections for so long after SIGTERM (PROTOCOL, Figures: 0.2 to 0.4 s).
+	minClientsAfterTerm, maxClientsAfterTerm = 200 * time.Millisecond, 400 * time.Millisecond
+	// SIGKILL comes at the earliest killMargin later after SIGTERM than the longest deadline, of which at most
+	// countedDeadline counts (PROTOCOL, Figures).
+	killMargin      = 700 * time.Millisecond
+	countedDeadline = 3 * time.Second
+	// recoveryTime is how long a node has no fault after its process was started again.
+	recoveryTime = time.Second
+
+	// descriptorsPerConn: a node needs one descriptor for the client's side of a connection and one for the host's.
+	descriptorsPerConn = 2
+
+	faultDuration  = 14 * time.Second
+	crowdedSockets = 192
+	maxSockets     = 1024
 )
 
-// answers are those of hosts that fail.
-var answers = [...]string{"ERR", "BUSY", processes.ResetConnection}
+// failureResponses are the responses of hosts that fail.
+var failureResponses = [...]string{"ERR", "BUSY", processes.ResetConnection}
 
-// failingPart is the part of the requests that a host which fails answers so.
-const failingPart = 0.5
+// failureFraction is the fraction of the requests that a failing host answers with Event.Response.
+const failureFraction = 0.5
 
-// Kill is how long after SIGTERM a process is killed.
-func (p Plan) Kill() time.Duration { return min(p.Longest, longestCounted) + killBeyond }
+// KillDelay returns how long after SIGTERM a process is killed: the shortest time that the protocol page allows.
+func (p Plan) KillDelay() time.Duration { return min(p.LongestDeadline, countedDeadline) + killMargin }
 
-// Keepers is how many clients may keep their connections, so that nodes have room for them and for those that visit while half of the nodes
-// are down.
-func (p Plan) Keepers() int { return len(p.Nodes) / 2 * p.Sockets / descriptorsOfOne / 2 }
+// MaxStayingClients returns how many clients may stay connected so that the nodes have room for them and for short
+// visits while half of the nodes are stopped.
+func (p Plan) MaxStayingClients() int { return len(p.Nodes) / 2 * p.Sockets / descriptorsPerConn / 2 }
 
-// Draw returns the plan of a seed.
-func Draw(seed uint64) Plan {
+// GeneratePlan returns the plan of a seed.
+func GeneratePlan(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
-	p := Plan{Seed: seed, Hosts: 6 + rng.IntN(6), Longest: time.Duration(1500+rng.IntN(2500)) * time.Millisecond, Sockets: mostSockets,
-		Lasts: troubleLasts}
+	p := Plan{Seed: seed, Hosts: 6 + rng.IntN(6), LongestDeadline: time.Duration(1500+rng.IntN(2500)) * time.Millisecond, Sockets: maxSockets,
+		Duration: faultDuration}
 	for i := range 3 + rng.IntN(6) {
 		p.Nodes = append(p.Nodes, fmt.Sprint("n", i))
 	}
-	p.PerSecond = 30 / float64(len(p.Nodes)) // hosts bear some hundreds of connections in all
+	p.ClientsPerSecond = 30 / float64(len(p.Nodes)) // the hosts can serve some hundreds of connections in total
 	if rng.IntN(4) == 0 {
-		p.Sockets = crowdSockets
-		p.Crowd = 2 * crowdSockets
+		p.Sockets = crowdedSockets
+		p.IdleClients = 2 * crowdedSockets
 	}
-	p.Pass = rng.IntN(3) == 0
-	p.Events = p.drawEvents(rng)
+	p.PassThrough = rng.IntN(3) == 0
+	p.Events = p.generateEvents(rng)
 	return p
 }
 
-// drawEvents draws trouble for the whole time. No two befall one node, one host or discovery at once; at least half of the nodes and
-// two thirds of the hosts are left alone at any time.
-func (p Plan) drawEvents(rng *rand.Rand) (events []Event) {
-	busy := map[string]time.Duration{} // until when
-	count := func(prefix byte, at time.Duration) (n int) {
-		for name, until := range busy {
+// generateEvents generates faults for the whole duration. A node, a host or discovery never has two faults at once;
+// at least half of the nodes and two thirds of the hosts have no fault at any time.
+func (p Plan) generateEvents(rng *rand.Rand) (events []Event) {
+	busyUntil := map[string]time.Duration{} // by node, host or "discovery": the end of its latest fault
+	countBusy := func(prefix byte, at time.Duration) (n int) {
+		for name, until := range busyUntil {
 			if name[0] == prefix && until > at {
 				n++
 			}
 		}
 		return n
 	}
-	between := func(least, most time.Duration) time.Duration {
+	randomBetween := func(least, most time.Duration) time.Duration {
 		return (least + time.Duration(rng.Int64N(int64(most-least)))).Truncate(time.Millisecond)
 	}
-	for at := between(0, time.Second); at < p.Lasts; at += between(100*time.Millisecond, 900*time.Millisecond) {
-		e := Event{At: at, Kind: Kind(rng.IntN(int(kinds))), Signals: Signals(rng.IntN(int(signals))), FrontOn: between(frontLeast, frontMost),
-			Trouble: processes.DiscoveryFault(1 + rng.IntN(int(processes.DiscoveryEndless))), Lasts: between(time.Second, 4*time.Second),
-			Answer: answers[rng.IntN(len(answers))]}
+	for at := randomBetween(0, time.Second); at < p.Duration; at += randomBetween(100*time.Millisecond, 900*time.Millisecond) {
+		e := Event{At: at, Kind: Kind(rng.IntN(int(kindCount))), Signals: Signals(rng.IntN(int(signalsCount))),
+			ClientsAfterTerm: randomBetween(minClientsAfterTerm, maxClientsAfterTerm),
+			DiscoveryFault:   processes.DiscoveryFault(1 + rng.IntN(int(processes.DiscoveryEndless))), Duration: randomBetween(time.Second, 4*time.Second),
+			Response: failureResponses[rng.IntN(len(failureResponses))]}
 		node, host := p.Nodes[rng.IntN(len(p.Nodes))], fmt.Sprint("h", rng.IntN(p.Hosts))
 		key := node
 		switch e.Kind {
 		case Restart, Upgrade, EarlyTerm:
-			e.Lasts = p.Kill() + restPart
+			e.Duration = p.KillDelay() + recoveryTime
 		case Crash, UpgradeFails, UpgradeCrash, Reload:
-			e.Lasts = restPart
+			e.Duration = recoveryTime
 		case Discovery:
 			key = "discovery"
 		default:
@@ -176,11 +178,11 @@
 		} else if key == host {
 			e.Host = host
 		}
-		crowded := key == node && 2*(count('n', at)+1) > len(p.Nodes) || key == host && 3*(count('h', at)+1) > p.Hosts
-		if crowded || busy[key] > at || at+e.Lasts > p.Lasts {
+		tooMany := key == node && 2*(countBusy('n', at)+1) > len(p.Nodes) || key == host && 3*(countBusy('h', at)+1) > p.Hosts
+		if tooMany || busyUntil[key] > at || at+e.Duration > p.Duration {
 			continue
 		}
-		busy[key] = at + e.Lasts
+		busyUntil[key] = at + e.Duration
 		events = append(events, e)
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
--- a/rehearsal/soak/plants_test.go
+++ b/rehearsal/soak/plants_test.go
@@ -12,57 +12,58 @@
 	"github.com/stretchr/testify/require"
 )
 
-var plantsPlayed = flag.Bool("plants", false, "play each planted bug on a copy of the module; takes minutes")
+var runInjectedBugs = flag.Bool("plants", false, "run the soak test with each injected bug on a copy of the module; takes minutes")
 
-// plant is a bug that a rule of the soak is to see.
-type plant struct {
+// injectedBug is a bug that a rule of the soak test must detect.
+type injectedBug struct {
 	name     string
-	file     string // from the module's root
-	old, new string // what is taken out, which stands there once, and what is put in its place
-	rule     string // that sees it
+	file     string // path from the module's root
+	old, new string // old occurs exactly once in the file and is replaced by new
+	rule     string // the rule that detects the bug
 }
 
-var plants = []plant{
+var injectedBugs = []injectedBug{
 	{"every request is refused", "balance/balance.go", "if left <= b.settings.Tick || len(r.attempts) >= r.settings.MaxAttempts {", "if left > 0 {",
 		"a part of the requests served"},
-	{"no request is tried again", "balance/balance.go", "len(r.attempts) >= r.settings.MaxAttempts", "len(r.attempts) >= 1", triedAgain},
+	{"no request is tried again", "balance/balance.go", "len(r.attempts) >= r.settings.MaxAttempts", "len(r.attempts) >= 1", retriedRule},
 	{"BUSY names too long a time", "internal/clientconn/acceptor.go", "min(fullRetryAfter, set.MaxRetryAfter)", "2 * set.MaxRetryAfter",
 		"the time that BUSY names"},
 }
 
 const moduleRoot = "../.."
 
-// TestPlants: what each plant takes out stands in the program, and with -plants its rule breaks the soak within three seeds.
+// TestPlants checks that the text that each injected bug replaces occurs exactly once in the source. With -plants it
+// also checks that the soak test detects each bug within three seeds, by the bug's rule.
 func TestPlants(t *testing.T) {
-	for _, p := range plants {
+	for _, p := range injectedBugs {
 		t.Run(p.name, func(t *testing.T) {
 			text, err := os.ReadFile(filepath.Join(moduleRoot, p.file))
 			require.NoError(t, err)
 			require.Equal(t, 1, strings.Count(string(text), p.old), "%s: %s", p.file, p.old)
-			if *plantsPlayed {
-				playPlant(t, p, strings.Replace(string(text), p.old, p.new, 1))
+			if *runInjectedBugs {
+				runInjectedBug(t, p, strings.Replace(string(text), p.old, p.new, 1))
 			}
 		})
 	}
 }
 
-// playPlant plays three seeds with a file of the program changed.
-func playPlant(t *testing.T, p plant, planted string) {
+// runInjectedBug runs three seeds on a copy of the module in which one file is changed.
+func runInjectedBug(t *testing.T, p injectedBug, changed string) {
 	t.Helper()
 	root, err := filepath.Abs(moduleRoot)
 	require.NoError(t, err)
 	scratch := filepath.Join(t.TempDir(), "module")
 	require.NoError(t, exec.Command("git", "clone", "--quiet", root, scratch).Run())
-	require.NoError(t, os.WriteFile(filepath.Join(scratch, p.file), []byte(planted), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(scratch, p.file), []byte(changed), 0o600))
 	cmd := exec.Command("go", "test", "-count", "1", "./rehearsal/soak", "-run", "TestSoak", "-args", "-seeds", "3", "-first", "740119", "-beside", "3")
 	cmd.Dir = scratch
 	out, err := cmd.CombinedOutput()
-	assert.Error(t, err, "the soak is kept")
-	seen := false
+	assert.Error(t, err, "the soak test passes with the injected bug")
+	detected := false
 	for line := range strings.Lines(string(out)) {
-		seen = seen || strings.Contains(line, p.rule) && strings.Contains(line, "BROKEN") || strings.Contains(line, "no request was tried again")
+		detected = detected || strings.Contains(line, p.rule) && strings.Contains(line, "BROKEN") || strings.Contains(line, "no request was tried again")
 	}
-	assert.True(t, seen, "%q does not see it", p.rule)
+	assert.True(t, detected, "rule %q does not detect the injected bug", p.rule)
 	for line := range strings.Lines(string(out)) {
 		if strings.HasPrefix(line, "seed ") || strings.HasPrefix(line, "soak: ") {
 			t.Log(strings.TrimSpace(line))
--- a/rehearsal/soak/report.go
+++ b/rehearsal/soak/report.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Line tells of a run in one line: the seed, the load of the machine, the result, and the worst figure of each rule that a figure was
-// seen of.
-func Line(r Record) string {
-	result := "kept"
+// SummaryLine summarizes a run in one line: the seed, the load of the machine, the verdict, and the worst value of
+// each rule that had cases.
+func SummaryLine(r Record) string {
+	verdict := "kept"
 	var worst []string
-	for _, ruling := range Judge(r) {
-		if !ruling.Kept() {
-			result = "BROKEN"
+	for _, rule := range Judge(r) {
+		if !rule.Passed() {
+			verdict = "BROKEN"
 		}
-		if ruling.Seen > 0 {
-			worst = append(worst, fmt.Sprintf("%s %s/%s of %d", ruling.Rule, ruling.Worst, ruling.Bound, ruling.Seen))
+		if rule.Checked > 0 {
+			worst = append(worst, fmt.Sprintf("%s %s/%s of %d", rule.Rule, rule.Worst, rule.Bound, rule.Checked))
 		}
 	}
 	stalled := time.Duration(0)
@@ -25,50 +25,50 @@
 		stalled = max(stalled, s.To-s.From)
 	}
 	mode := "proxy"
-	if r.Plan.Pass {
+	if r.Plan.PassThrough {
 		mode = "pass"
 	}
-	return fmt.Sprintf("seed %d, load %s, %s, %d nodes, %d hosts, crowd %d, %d events, %d requests, %d stood, longest stall of the rig %s: %s (%s)",
-		r.Plan.Seed, load(), mode, len(r.Plan.Nodes), r.Plan.Hosts, r.Plan.Crowd, len(r.Plan.Events), len(r.Requests), len(r.Connections),
-		stalled.Round(time.Millisecond), result, strings.Join(worst, "; "))
+	return fmt.Sprintf("seed %d, load %s, %s, %d nodes, %d hosts, %d idle clients per node, %d events, %d requests, %d established, longest stall of the test %s: %s (%s)",
+		r.Plan.Seed, loadAverage(), mode, len(r.Plan.Nodes), r.Plan.Hosts, r.Plan.IdleClients, len(r.Plan.Events), len(r.Requests), len(r.Connections),
+		stalled.Round(time.Millisecond), verdict, strings.Join(worst, "; "))
 }
 
-// Tally sums up over runs how many cases each rule had. Use it from one goroutine at a time.
+// Tally sums the number of cases of each rule over runs. It is not safe for concurrent use.
 type Tally struct {
-	rules []string
-	seen  map[string]int
-	good  map[string]int
+	rules     []string
+	checked   map[string]int
+	successes map[string]int
 }
 
-// NewTally returns one of no run.
-func NewTally() *Tally { return &Tally{seen: map[string]int{}, good: map[string]int{}} }
+// NewTally returns an empty Tally.
+func NewTally() *Tally { return &Tally{checked: map[string]int{}, successes: map[string]int{}} }
 
-// Add takes a run's rulings in.
-func (t *Tally) Add(rulings []Ruling) {
-	for _, r := range rulings {
-		if _, known := t.seen[r.Rule]; !known {
+// Add adds the results of a run.
+func (t *Tally) Add(results []RuleResult) {
+	for _, r := range results {
+		if _, known := t.checked[r.Rule]; !known {
 			t.rules = append(t.rules, r.Rule)
 		}
-		t.seen[r.Rule] += r.Seen
-		t.good[r.Rule] += r.Good
+		t.checked[r.Rule] += r.Checked
+		t.successes[r.Rule] += r.Successes
 	}
 }
 
-// NoneTriedAgain says whether enough requests over all runs could have been tried again, and none was.
-func (t *Tally) NoneTriedAgain() bool {
-	return t.seen[triedAgain] >= leastAsked && t.good[triedAgain] == 0
+// NoneRetried reports whether enough requests over all runs could have been retried and none was.
+func (t *Tally) NoneRetried() bool {
+	return t.checked[retriedRule] >= minSample && t.successes[retriedRule] == 0
 }
 
 func (t *Tally) String() string {
 	var all []string
 	for _, rule := range t.rules {
-		all = append(all, fmt.Sprintf("%s %d", rule, t.seen[rule]))
+		all = append(all, fmt.Sprintf("%s %d", rule, t.checked[rule]))
 	}
 	return strings.Join(all, "; ")
 }
 
-// load is the machine's load over the last minute.
-func load() string {
+// loadAverage returns the machine's load average over the last minute.
+func loadAverage() string {
 	text, _ := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(text), " ")
 	return first
--- a/rehearsal/soak/soak_test.go
+++ b/rehearsal/soak/soak_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	seeds  = flag.Int("seeds", 2, "how many seeds are played")
-	first  = flag.Uint64("first", 1, "the first of these seeds")
-	beside = flag.Int("beside", 2, "how many are played at once")
+	seeds    = flag.Int("seeds", 2, "number of seeds to run")
+	first    = flag.Uint64("first", 1, "the first seed")
+	parallel = flag.Int("beside", 2, "number of seeds to run at once")
 )
 
 func TestMain(m *testing.M) {
@@ -26,39 +26,40 @@
 	os.Exit(code)
 }
 
-// One site under trouble from a seed: every rule is kept, by what clients, hosts and the kernel saw.
+// TestSoak runs one site under faults generated from a seed and checks every rule against what clients, hosts and the
+// kernel observed.
 func TestSoak(t *testing.T) {
-	room := make(chan struct{}, *beside)
-	var broken atomic.Int64
-	var summing sync.Mutex
+	slots := make(chan struct{}, *parallel)
+	var failedSeeds atomic.Int64
+	var tallyMu sync.Mutex
 	tally := NewTally()
 	t.Cleanup(func() {
-		fmt.Printf("soak: %d seeds, %d broken; judged: %s\n", *seeds, broken.Load(), tally)
-		assert.False(t, tally.NoneTriedAgain(), "no request was tried again in any run")
+		fmt.Printf("soak: %d seeds, %d broken; cases checked: %s\n", *seeds, failedSeeds.Load(), tally)
+		assert.False(t, tally.NoneRetried(), "no request was tried again in any run")
 	})
 	for i := range uint64(*seeds) {
 		seed := *first + i
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			room <- struct{}{}
-			defer func() { <-room }()
-			r := Play(t, Draw(seed))
-			var told []string
-			kept := true
-			rulings := Judge(r)
-			summing.Lock()
-			tally.Add(rulings)
-			summing.Unlock()
-			for _, ruling := range rulings {
-				told = append(told, "    "+ruling.String())
-				kept = kept && ruling.Kept()
-				assert.True(t, ruling.Kept(), ruling)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			r := Run(t, GeneratePlan(seed))
+			var lines []string
+			passed := true
+			results := Judge(r)
+			tallyMu.Lock()
+			tally.Add(results)
+			tallyMu.Unlock()
+			for _, result := range results {
+				lines = append(lines, "    "+result.String())
+				passed = passed && result.Passed()
+				assert.True(t, result.Passed(), result)
 			}
-			t.Logf("%s\n%s\n%s", Line(r), strings.Join(told, "\n"), strings.Join(r.Order, "\n"))
-			fmt.Println(Line(r)) // a line for each seed, also of a run that is not verbose
-			if !kept {
-				broken.Add(1)
-				t.Logf("again: go test ./rehearsal/soak -run TestSoak -args -seeds 1 -first %d", seed)
+			t.Logf("%s\n%s\n%s", SummaryLine(r), strings.Join(lines, "\n"), strings.Join(r.EventLog, "\n"))
+			fmt.Println(SummaryLine(r)) // one line per seed, also without -v
+			if !passed {
+				failedSeeds.Add(1)
+				t.Logf("to repeat: go test ./rehearsal/soak -run TestSoak -args -seeds 1 -first %d", seed)
 			}
 		})
 	}
