--- a/rehearsal/rolloutsim/run.go
+++ b/rehearsal/rolloutsim/run.go
@@ -11,7 +11,7 @@
 	"lichenhitch/internal/choice/rollout"
 )
 
-// Limits are those of the simulated rollouts.
+// Limits returns the limits of the simulated rollouts.
 func Limits() rollout.Limits {
 	l := rollout.Defaults()
 	l.Slice, l.WindowSlices, l.BaselineWindows = 15*time.Minute, 2, 28
@@ -19,54 +19,55 @@
 	return l
 }
 
-// Options are what one run is about.
+// Options configure one simulation.
 type Options struct {
-	Seed      uint64
-	Regencies int
-	Nodes     int
-	Noise     Noise
-	Limits    rollout.Limits
-	Lost      [3]float64 // by class: what the trial loses more, as a part; less than 0: it gains
-	Second    bool       // another, harmless rollout begins some hours later
-	Deaths    float64    // odds that a leader dies in a step, and that one of a site dies in a slice
-	Lossy     float64    // odds that a record is lost on its way, that it is repeated, that an old one comes late
-	Seats     int        // 1, 3 or 5; 0: 1
-	Plant     string
-	Scenario  Scenario
-	Longest   time.Duration // of the run
+	Seed          uint64
+	Regencies     int
+	Nodes         int
+	Noise         Noise
+	Limits        rollout.Limits
+	ExtraLoss     [3]float64 // by class: additional fraction of requests that the trial loses; negative: it loses fewer
+	SecondRollout bool       // another, harmless rollout begins 3 hours later
+	LeaderDeaths  float64    // probability that the leader dies in a step, and that the leader of a site dies in a slice
+	RecordLoss    float64    // probability that a record is lost in transit, that it is repeated, and that it also arrives late
+	Replicas      int        // number of replicas of the root: 1, 3 or 5; 0: 1
+	InjectedBug   string
+	Scenario      Scenario
+	MaxDuration   time.Duration // of the simulation, in virtual time
 }
 
-// Scenario is a trouble of its own.
+// Scenario is a special condition of a simulation.
 type Scenario uint8
 
-// The scenarios.
+// Scenarios.
 const (
 	Calm      Scenario = iota
-	Crashes            // the trial crashes a node every hour; the node tells of no guard
+	Crashes            // the trial crashes a node every hour; the node reports no guard
 	Guarded            // a rule's guard fires at a treated node in the second stage
-	Deaf               // under the trial a node neither hears nor is heard
-	Silent             // nobody asks anything from the start of the rollout on
-	ZoneLost           // the building of the first treated node loses most of what it is asked, for 8 hours
+	Deaf               // a node on the trial can neither receive nor send
+	Silent             // no node receives requests from the start of the rollout on
+	ZoneLost           // the building of the first treated node loses most of its requests for 8 hours
 	Operator           // an operator halts, resumes and forces
 	CutHalt            // a treated node is cut off while the rollout is halted
-	Worked             // the building of the first treated node is in work all the time
-	HaltBelow          // an operator halts at the building of the first treated node; the top hears of it hours later
-	Shy                // nobody asks anything of those that the second stage adds, once they have gone over
+	Worked             // the building of the first treated node is in maintenance all the time
+	HaltBelow          // an operator halts at the building of the first treated node; the root learns of it hours later
+	Shy                // the nodes that the second stage adds receive no requests once they are treated
 )
 
-// Outcome is what became of a rollout.
+// Outcome is the result of a rollout.
 type Outcome struct {
 	Phase rollout.Phase
 	Cause rollout.Cause
 	Stage rollout.Stage
-	Hours float64 // from the start to the halt, or to the end
+	Hours float64 // from the start to the halt or the end
 	Why   string
 }
 
 func (o Outcome) String() string { return fmt.Sprint(o.Phase, " ", o.Cause, " ", o.Stage, " ", o.Why) }
 
-// book is what a seat replicates: a top, or one with a planted bug.
-type book interface {
+// rootReplica is the state that each replica of the root site holds: a rollout.RootState, or one with an injected
+// bug.
+type rootReplica interface {
 	Apply(uint64, rollout.Command) []rollout.Effect
 	Record(uint64, time.Duration, rollout.Record) []rollout.Effect
 	Next(time.Duration, rollout.Limits, rollout.Tree) (rollout.Command, bool)
@@ -85,97 +86,99 @@
 func hashOf(text string) rollout.Hash {
 	p, err := rollout.Parse([]byte(text))
 	if err != nil {
-		panic(err) // the texts are constants
+		panic(err) // cannot happen: the texts are constants
 	}
 	return p.Hash()
 }
 
 var trialHash = hashOf(trialText)
 
-// node is the side of one node.
+// node is a simulated node.
 type node struct {
-	*host
-	holder *rollout.NodePolicy
-	stored rollout.Stored
-	teller *rollout.Reporter
-	heard  time.Duration // the top's word that it was answered with last
-	starts int           // of its present trial, as the world counts them
-	under  rollout.Hash
+	*nodeTraffic
+	policy         *rollout.NodePolicy
+	stored         rollout.Stored
+	reporter       *rollout.Reporter
+	rootAnsweredAt time.Duration // when the root answered the site that answered this node last
+	starts         int           // starts under its current policy, counted by the simulation
+	appliedPolicy  rollout.Hash
 }
 
-// council is the side of a site: what the top told it, what was halted at it, and the newest word of its nodes that the top
-// has not confirmed yet. All of it is replicated, so that it outlives its leader.
-type council struct {
-	name    string
-	cut     bool
-	doc     rollout.SitePolicies
-	asked   time.Duration // when the top answered it last
-	halted  map[string]bool
-	waiting map[string]rollout.Record
+// siteState is the state of a site below the root: the policies received from the root, the rollouts halted at the
+// site, and the newest records of its nodes that the root has not confirmed yet. All of it is replicated, so that it
+// survives the site's leader.
+type siteState struct {
+	name           string
+	unreachable    bool
+	policies       rollout.SitePolicies
+	rootAnsweredAt time.Duration // when the root last answered it
+	halted         map[string]bool
+	pending        map[string]rollout.Record
 }
 
-// stray is a record that comes late.
-type stray struct {
+// lateRecord is a record that arrives late.
+type lateRecord struct {
 	due time.Duration
 	r   rollout.Record
 }
 
-// run is one simulation.
-type run struct {
-	o       Options
-	w       *world
-	nodes   []*node
-	sites   []*council
-	seats   []book
-	leader  int
-	index   uint64
-	now     time.Duration
-	slice   time.Duration // when the present one began
-	rng     *rand.Rand
-	check   *check
-	begun   time.Duration
-	plant   planted
-	strays  []stray
-	sent    int // records that came to the top
-	err     error
-	scripts int // how far the scenario has come
-	since   time.Duration
+// simulation is one run.
+type simulation struct {
+	o           Options
+	world       *world
+	nodes       []*node
+	sites       []*siteState
+	replicas    []rootReplica
+	leader      int
+	index       uint64
+	now         time.Duration
+	sliceStart  time.Duration // start of the current slice
+	rng         *rand.Rand
+	check       *check
+	startedAt   time.Duration
+	bug         injectedBug
+	lateRecords []lateRecord
+	recordCount int // records that reached the root
+	err         error
+	scriptStep  int // completed steps of the scenario
+	stepAt      time.Duration
 }
 
-// Run takes a trial down the province and returns what became of it. The error is a *Broken where a property does not hold.
+// Run simulates the rollout of a trial in the province and returns its outcome. The error is a *Violation if a
+// property does not hold.
 func Run(o Options) (Outcome, error) {
-	s, err := newRun(o)
+	s, err := newSimulation(o)
 	if err != nil {
 		return Outcome{}, err
 	}
 	slice := o.Limits.Slice
-	warm := warmUp(o)
-	for k := uint64(0); s.now < o.Longest; k++ {
+	warmUpEnd := warmUp(o)
+	for k := uint64(0); s.now < o.MaxDuration; k++ {
 		s.now = time.Duration(k) * slice
-		s.slice = s.now
-		if s.begun == 0 && s.now >= warm {
-			s.begun = s.now
+		s.sliceStart = s.now
+		if s.startedAt == 0 && s.now >= warmUpEnd {
+			s.startedAt = s.now
 			s.propose(rollout.Command{Start: &rollout.Start{ID: trialID, Policy: []byte(trialText), By: "desk", Why: "fewer attempts"}})
 		}
-		if o.Second && s.now == warm+3*time.Hour {
+		if o.SecondRollout && s.now == warmUpEnd+3*time.Hour {
 			s.propose(rollout.Command{Start: &rollout.Start{ID: secondID, Policy: []byte(secondText), By: "desk", Why: "three"}})
 		}
-		s.script()
-		s.ask()
-		s.deliver()
-		s.serve(k)
+		s.runScript()
+		s.distributePolicies()
+		s.deliverRecords()
+		s.serveSlice(k)
 		s.now = time.Duration(k+1) * slice
 		for _, n := range s.nodes {
-			s.tick(n)
+			s.reportStatus(n)
 		}
-		s.deliver()
-		s.lead()
-		s.check.slice(s)
+		s.deliverRecords()
+		s.proposeAll()
+		s.check.checkSlice(s)
 		if s.err = errors.Join(s.err, s.check.err()); s.err != nil {
 			return s.outcome(), s.err
 		}
-		if r := s.trial(); r != nil && (r.Phase == rollout.Done || r.Phase == rollout.Halted && s.scripted()) {
-			if !o.Second || s.over() {
+		if r := s.trial(); r != nil && (r.Phase == rollout.Done || r.Phase == rollout.Halted && s.scriptDone()) {
+			if !o.SecondRollout || s.allEnded() {
 				break
 			}
 		}
@@ -183,79 +186,80 @@
 	return s.outcome(), nil
 }
 
-func newRun(o Options) (*run, error) {
-	s := &run{o: o, w: newWorld(o.Seed, o.Regencies, o.Nodes, o.Noise, o.Longest), rng: rand.New(rand.NewPCG(o.Seed, 77))}
-	if o.Plant != "" {
-		i := slices.IndexFunc(plants, func(p planted) bool { return p.name == o.Plant })
+func newSimulation(o Options) (*simulation, error) {
+	s := &simulation{o: o, world: newWorld(o.Seed, o.Regencies, o.Nodes, o.Noise, o.MaxDuration), rng: rand.New(rand.NewPCG(o.Seed, 77))}
+	if o.InjectedBug != "" {
+		i := slices.IndexFunc(injectedBugs, func(p injectedBug) bool { return p.name == o.InjectedBug })
 		if i < 0 {
-			return nil, fmt.Errorf("no bug is named %q", o.Plant)
+			return nil, fmt.Errorf("unknown injected bug %q", o.InjectedBug)
 		}
-		s.plant = plants[i]
+		s.bug = injectedBugs[i]
 	}
-	for range max(o.Seats, 1) {
-		var b book = rollout.NewRootState()
-		if s.plant.book != nil {
-			b = s.plant.book(rollout.NewRootState())
+	for range max(o.Replicas, 1) {
+		var b rootReplica = rollout.NewRootState()
+		if s.bug.newReplica != nil {
+			b = s.bug.newReplica(rollout.NewRootState())
 		}
-		s.seats = append(s.seats, b)
+		s.replicas = append(s.replicas, b)
 	}
-	for _, name := range s.w.site {
-		s.sites = append(s.sites, &council{name: name, halted: map[string]bool{}, waiting: map[string]rollout.Record{}})
+	for _, name := range s.world.siteNames {
+		s.sites = append(s.sites, &siteState{name: name, halted: map[string]bool{}, pending: map[string]rollout.Record{}})
 	}
-	for _, h := range s.w.hosts {
-		n := &node{host: h, stored: rollout.Stored{Good: s.seats[0].Plan().Good()}, teller: rollout.NewReporter(h.name, s.w.site[h.site])}
-		n.holder = rollout.NewNodePolicy(n.stored, o.Limits.MaxCrashes, 0, 0)
+	for _, h := range s.world.nodes {
+		n := &node{nodeTraffic: h, stored: rollout.Stored{Good: s.replicas[0].Plan().Good()}, reporter: rollout.NewReporter(h.name, s.world.siteNames[h.site])}
+		n.policy = rollout.NewNodePolicy(n.stored, o.Limits.MaxCrashes, 0, 0)
 		s.nodes = append(s.nodes, n)
 	}
 	s.check = newCheck(s)
-	s.lead() // the limits and the tree
+	s.proposeAll() // sets the limits and the tree of sites
 	return s, s.err
 }
 
-// warmUp is how long nodes are watched before anything begins: a day and some, since nights say little of rare classes.
+// warmUp returns how long nodes are observed before the rollout begins: more than a day, because nights have too few
+// requests of rare classes.
 func warmUp(o Options) time.Duration {
 	return time.Duration(o.Limits.BaselineWindows*o.Limits.WindowSlices)*o.Limits.Slice*12/7 + 2*time.Hour
 }
 
-// propose brings a command into the log, at all seats.
-func (s *run) propose(c rollout.Command) {
+// propose appends a command to the log and applies it at all replicas.
+func (s *simulation) propose(c rollout.Command) {
 	c.At = s.now
 	s.index++
-	for i, b := range s.seats {
+	for i, b := range s.replicas {
 		effects := b.Apply(s.index, c)
 		if i == 0 {
-			s.check.applied(s, c, effects)
+			s.check.checkCommand(s, c, effects)
 		}
 	}
 }
 
-// record brings a node's record into the log, at all seats. Some records share an entry.
-func (s *run) record(r rollout.Record) {
-	if s.sent++; s.sent%4 == 0 {
+// applyRecord appends a node's record to the log and applies it at all replicas. Four records share a log entry.
+func (s *simulation) applyRecord(r rollout.Record) {
+	if s.recordCount++; s.recordCount%4 == 0 {
 		s.index++
 	}
-	for i, b := range s.seats {
+	for i, b := range s.replicas {
 		b.Record(s.index, s.now, r)
 		if i == 0 {
-			s.check.recorded(s, r)
+			s.check.checkRecord(s, r)
 		}
 	}
 }
 
-func (s *run) trial() *rollout.Rollout { return s.seats[0].Plan().Rollout(trialID) }
+func (s *simulation) trial() *rollout.Rollout { return s.replicas[0].Plan().Rollout(trialID) }
 
-// script does what the scenario is about.
-func (s *run) script() {
+// runScript performs the next step of the scenario if it is due.
+func (s *simulation) runScript() {
 	r := s.trial()
 	if r == nil {
 		return
 	}
-	first := s.named(r.Targets[0][0])
+	first := s.nodeNamed(r.Targets[0][0])
 	slice := s.o.Limits.Slice
 	do := func(step int, when bool, f func()) {
-		if s.scripts == step && when {
-			s.scripts++
-			s.since = s.now
+		if s.scriptStep == step && when {
+			s.scriptStep++
+			s.stepAt = s.now
 			f()
 		}
 	}
@@ -263,239 +267,245 @@
 	case Silent:
 		do(0, true, func() {
 			for _, n := range s.nodes {
-				n.size = 0
+				n.noonRequests = 0
 			}
 		})
 	case Shy:
 		do(0, r.Stage == rollout.OneBuilding && len(r.Treated) > 1, func() {
 			for _, name := range r.Targets[rollout.OneBuilding] {
-				s.named(name).size = 0
+				s.nodeNamed(name).noonRequests = 0
 			}
 		})
 	case ZoneLost:
 		do(0, r.Phase == rollout.Running && len(r.Treated) > 0, func() {
-			s.w.zones[first.site] = append(s.w.zones[first.site], event{s.now + 4*slice, s.now + 8*time.Hour, 0.6})
+			s.world.zoneTrouble[first.site] = append(s.world.zoneTrouble[first.site], event{s.now + 4*slice, s.now + 8*time.Hour, 0.6})
 		})
 	case Worked:
 		do(0, true, func() {
-			s.w.work[first.site] = append(s.w.work[first.site], event{s.now, s.now + 1000*time.Hour, 0.01})
+			s.world.maintenance[first.site] = append(s.world.maintenance[first.site], event{s.now, s.now + 1000*time.Hour, 0.01})
 		})
 	case CutHalt:
 		do(0, r.Stage >= rollout.OneBuilding && len(r.Treated) > 1, func() {
 			at := event{from: s.now, to: s.now + 5*time.Hour}
-			s.w.cut[first.regency] = append(s.w.cut[first.regency], at)
+			s.world.cutOff[first.regency] = append(s.world.cutOff[first.regency], at)
 		})
-		do(1, s.now >= s.since+2*slice, func() {
+		do(1, s.now >= s.stepAt+2*slice, func() {
 			s.propose(rollout.Command{Halt: &rollout.Halt{ID: trialID, Cause: rollout.Operator, By: "desk", Why: "enough"}})
 		})
-		do(2, s.now >= s.since+8*time.Hour, func() {})
+		do(2, s.now >= s.stepAt+8*time.Hour, func() {})
 	case HaltBelow:
 		do(0, r.Stage >= rollout.OneBuilding && len(r.Treated) > 1, func() { s.sites[first.site].halted[trialID] = true })
-		do(1, s.now >= s.since+8*slice, func() {
+		do(1, s.now >= s.stepAt+8*slice, func() {
 			s.propose(rollout.Command{Halt: &rollout.Halt{ID: trialID, Cause: rollout.Operator, By: "desk below", Why: "enough"}})
 		})
 	case Operator:
 		do(0, len(r.Treated) > 0, func() {
 			s.propose(rollout.Command{Force: &rollout.OperatorAction{ID: trialID, Stage: r.Stage, By: "desk", Why: "known to be good"}})
 		})
-		do(1, r.Stage == rollout.OneBuilding && s.now >= s.since+4*slice, func() {
+		do(1, r.Stage == rollout.OneBuilding && s.now >= s.stepAt+4*slice, func() {
 			s.propose(rollout.Command{Halt: &rollout.Halt{ID: trialID, Cause: rollout.Operator, By: "desk", Why: "a doubt"}})
-			s.fire(first, "too late") // nobody hears of it before the rollout is resumed
-			s.strays = append(s.strays, stray{s.now + 14*slice, first.teller.Newest()})
-			first.teller = rollout.NewReporter(first.name, s.w.site[first.site])
+			s.fireGuard(first, "too late") // reaches the root only after the rollout is resumed
+			s.lateRecords = append(s.lateRecords, lateRecord{s.now + 14*slice, first.reporter.Newest()})
+			first.reporter = rollout.NewReporter(first.name, s.world.siteNames[first.site])
 		})
-		do(2, r.Phase == rollout.Halted && s.now >= s.since+6*slice, func() {
-			s.check.resumed = s.now
+		do(2, r.Phase == rollout.Halted && s.now >= s.stepAt+6*slice, func() {
+			s.check.resumedAt = s.now
 			s.propose(rollout.Command{Resume: &rollout.OperatorAction{ID: trialID, By: "desk", Why: "the doubt is cleared"}})
 		})
-		do(3, first.under == trialHash && r.Attempt == 2 && s.now >= s.since+12*slice, func() {
-			s.fire(first, "rule")
-			s.record(first.teller.Newest())
+		do(3, first.appliedPolicy == trialHash && r.Attempt == 2 && s.now >= s.stepAt+12*slice, func() {
+			s.fireGuard(first, "rule")
+			s.applyRecord(first.reporter.Newest())
 			s.propose(rollout.Command{Force: &rollout.OperatorAction{ID: trialID, Stage: r.Stage, By: "desk", Why: "in spite of it"}})
 		})
 	}
 }
 
-// scripted says whether nothing more is to come.
-func (s *run) scripted() bool {
+// scriptDone reports whether all steps of the scenario have been done.
+func (s *simulation) scriptDone() bool {
 	last := map[Scenario]int{CutHalt: 3, Operator: 4, HaltBelow: 2}[s.o.Scenario]
-	return s.scripts >= last
+	return s.scriptStep >= last
 }
 
-func (s *run) named(name string) *node {
+func (s *simulation) nodeNamed(name string) *node {
 	i := slices.IndexFunc(s.nodes, func(n *node) bool { return n.name == name })
 	return s.nodes[i]
 }
 
-func (s *run) over() bool {
-	return !slices.ContainsFunc(s.seats[0].Plan().Rollouts(), func(r *rollout.Rollout) bool { return r.Phase.Active() })
+func (s *simulation) allEnded() bool {
+	return !slices.ContainsFunc(s.replicas[0].Plan().Rollouts(), func(r *rollout.Rollout) bool { return r.Phase.Active() })
 }
 
-// busyAt says whether a host of a site is in work in the present slice.
-func (s *run) busyAt(site int) bool { return anyAt(s.w.work[site], s.slice) }
+// inMaintenance reports whether a host of the site is in maintenance in the current slice.
+func (s *simulation) inMaintenance(site int) bool {
+	return anyAt(s.world.maintenance[site], s.sliceStart)
+}
 
-// ask lets each site ask the top and each node its site, as the node's lease counts: from when the top answered the site.
-func (s *run) ask() {
+// distributePolicies lets each site poll the root and each node poll its site. A node's lease counts from the time at
+// which the root answered the site.
+func (s *simulation) distributePolicies() {
 	for i, c := range s.sites {
-		if s.plant.forgetHalts && s.rng.Float64() < s.o.Deaths {
+		if s.bug.forgetHalts && s.rng.Float64() < s.o.LeaderDeaths {
 			clear(c.halted)
 		}
-		if c.cut = anyAt(s.w.cut[s.w.regency[i]], s.now); !c.cut && (c.asked == 0 || s.rng.Float64() >= s.o.Lossy) {
-			c.doc, c.asked = s.seats[s.leader].SitePolicies(c.name), s.now
+		if c.unreachable = anyAt(s.world.cutOff[s.world.siteRegency[i]], s.now); !c.unreachable && (c.rootAnsweredAt == 0 || s.rng.Float64() >= s.o.RecordLoss) {
+			c.policies, c.rootAnsweredAt = s.replicas[s.leader].SitePolicies(c.name), s.now
 			if s.rng.IntN(256) == 0 {
-				if c.doc, s.err = rollout.ParseSitePolicies(c.doc.Bytes()); s.err != nil {
+				if c.policies, s.err = rollout.ParseSitePolicies(c.policies.Bytes()); s.err != nil {
 					return
 				}
 			}
 		}
 	}
 	for _, n := range s.nodes {
-		if c := s.sites[n.site]; c.asked > 0 && !s.deaf(n) {
-			asked := c.asked
-			if n.heard = asked; s.plant.freshWord {
-				asked = s.now
+		if c := s.sites[n.site]; c.rootAnsweredAt > 0 && !s.isCutOffByTrial(n) {
+			answeredAt := c.rootAnsweredAt
+			if n.rootAnsweredAt = answeredAt; s.bug.alwaysFresh {
+				answeredAt = s.now
 			}
-			a := c.doc.Assigned(n.name, func(id string) bool { return c.halted[id] })
-			n.holder.HandleAssignment(a, asked, func(rollout.Hash) error { return nil })
+			a := c.policies.Assigned(n.name, func(id string) bool { return c.halted[id] })
+			n.policy.HandleAssignment(a, answeredAt, func(rollout.Hash) error { return nil })
 		}
-		if !s.plant.noLapse {
-			n.holder.CheckLease(s.now)
+		if !s.bug.noLeaseExpiry {
+			n.policy.CheckLease(s.now)
 		}
-		n.stored = n.holder.Stored()
-		if p := n.holder.Policy(); p != n.under {
-			n.under, n.starts = p, 0
+		n.stored = n.policy.Stored()
+		if p := n.policy.Policy(); p != n.appliedPolicy {
+			n.appliedPolicy, n.starts = p, 0
 		}
-		s.tick(n)
+		s.reportStatus(n)
 	}
 }
 
-func (s *run) deaf(n *node) bool { return s.o.Scenario == Deaf && n.holder.Policy() == trialHash }
+func (s *simulation) isCutOffByTrial(n *node) bool {
+	return s.o.Scenario == Deaf && n.policy.Policy() == trialHash
+}
 
-// tick is the end of a slice, or the node's look at what it goes by.
-func (s *run) tick(n *node) {
-	out, work := 0, s.busyAt(n.site)
-	if work {
-		out = 1
+// reportStatus updates the node's reporter, at the end of a slice and when the node's policy may have changed.
+func (s *simulation) reportStatus(n *node) {
+	outOfService, maintenance := 0, s.inMaintenance(n.site)
+	if maintenance {
+		outOfService = 1
 	}
-	n.teller.Tick(s.now, s.sites[n.site].doc.Slice, n.holder.Status(n.name), n.holder.Starts(), out, work && !s.plant.deafToWork)
+	n.reporter.Tick(s.now, s.sites[n.site].policies.Slice, n.policy.Status(n.name), n.policy.Starts(), outOfService, maintenance && !s.bug.hideMaintenance)
 }
 
-// fire lets a guard fire at a node now.
-func (s *run) fire(n *node, what string) {
-	s.check.fired = s.now
-	n.teller.Count(s.now, n.under, nil, []string{what})
+// fireGuard lets a guard fire at a node now.
+func (s *simulation) fireGuard(n *node, what string) {
+	s.check.lastFired = s.now
+	n.reporter.Count(s.now, n.appliedPolicy, nil, []string{what})
 }
 
-// deliver takes the records of nodes to their sites and from there to the top: some are lost and come with a later one, some
-// come twice, some late.
-func (s *run) deliver() {
-	odds := func() bool { return s.o.Lossy > 0 && s.rng.Float64() < s.o.Lossy }
-	for i, st := range s.strays {
-		if s.now >= st.due {
-			s.record(st.r)
-			s.strays[i].due = 1 << 62
+// deliverRecords delivers the records of nodes to their sites and from there to the root. Some are lost and merged
+// into a later one, some arrive twice, some late.
+func (s *simulation) deliverRecords() {
+	drawLoss := func() bool { return s.o.RecordLoss > 0 && s.rng.Float64() < s.o.RecordLoss }
+	for i, late := range s.lateRecords {
+		if s.now >= late.due {
+			s.applyRecord(late.r)
+			s.lateRecords[i].due = 1 << 62
 		}
 	}
-	s.strays = slices.DeleteFunc(s.strays, func(st stray) bool { return st.due == 1<<62 })
+	s.lateRecords = slices.DeleteFunc(s.lateRecords, func(late lateRecord) bool { return late.due == 1<<62 })
 	for _, n := range s.nodes {
 		c := s.sites[n.site]
-		if r := n.teller.Newest(); n.teller.HasPending() && !s.deaf(n) {
+		if r := n.reporter.Newest(); n.reporter.HasPending() && !s.isCutOffByTrial(n) {
 			if s.rng.IntN(256) == 0 {
-				if r, s.err = rollout.ParseRecord(n.teller.Pending()); s.err != nil {
+				if r, s.err = rollout.ParseRecord(n.reporter.Pending()); s.err != nil {
 					return
 				}
 			}
-			n.teller.Acknowledge(r.Sequence)
-			if old, there := c.waiting[n.name]; there {
-				r = old.Merge(r)
+			n.reporter.Acknowledge(r.Sequence)
+			if earlier, found := c.pending[n.name]; found {
+				r = earlier.Merge(r)
 			}
-			c.waiting[n.name] = r
+			c.pending[n.name] = r
 		}
-		r, there := c.waiting[n.name]
-		if !there || c.cut || odds() {
+		r, found := c.pending[n.name]
+		if !found || c.unreachable || drawLoss() {
 			continue
 		}
-		s.record(r)
-		if odds() {
-			s.strays = append(s.strays, stray{s.now + time.Duration(s.rng.IntN(40))*s.o.Limits.Slice, r})
+		s.applyRecord(r)
+		if drawLoss() {
+			s.lateRecords = append(s.lateRecords, lateRecord{s.now + time.Duration(s.rng.IntN(40))*s.o.Limits.Slice, r})
 		}
-		if !odds() { // or else it is not confirmed, and comes once more
-			delete(c.waiting, n.name)
+		if !drawLoss() { // otherwise the confirmation is lost, and the record is sent again
+			delete(c.pending, n.name)
 		}
 	}
 }
 
-// serve lets each node serve for a slice and count.
-func (s *run) serve(k uint64) {
+// serveSlice lets each node serve and count requests for one slice.
+func (s *simulation) serveSlice(k uint64) {
 	from := time.Duration(k) * s.o.Limits.Slice
 	s.now += s.o.Limits.Slice / 2
 	for _, n := range s.nodes {
-		var more func(int) float64
-		if n.under == trialHash {
-			more = func(class int) float64 { return s.o.Lost[class] }
+		var extraLoss func(int) float64
+		if n.appliedPolicy == trialHash {
+			extraLoss = func(class int) float64 { return s.o.ExtraLoss[class] }
 		}
-		n.teller.Count(s.now, n.under, s.w.counts(n.host, from, more), nil)
-		if r := s.trial(); s.o.Scenario == Guarded && n.under == trialHash && r.Stage == rollout.OneBuilding {
-			s.fire(n, "drain")
+		n.reporter.Count(s.now, n.appliedPolicy, s.world.counts(n.nodeTraffic, from, extraLoss), nil)
+		if r := s.trial(); s.o.Scenario == Guarded && n.appliedPolicy == trialHash && r.Stage == rollout.OneBuilding {
+			s.fireGuard(n, "drain")
 		}
-		if n.under == trialHash && s.o.Scenario == Crashes && k%4 == 0 {
+		if n.appliedPolicy == trialHash && s.o.Scenario == Crashes && k%4 == 0 {
 			n.starts++
 			stored := n.stored
-			if s.plant.forgetStarts {
+			if s.bug.forgetStarts {
 				stored.Starts = 0
 			}
-			n.holder = rollout.NewNodePolicy(stored, s.o.Limits.MaxCrashes, n.holder.StoredLeaseEnd(), s.now)
-			n.stored = n.holder.Stored()
-			n.teller = rollout.NewReporter(n.name, s.w.site[n.site])
-			s.check.fired = s.now
+			n.policy = rollout.NewNodePolicy(stored, s.o.Limits.MaxCrashes, n.policy.StoredLeaseEnd(), s.now)
+			n.stored = n.policy.Stored()
+			n.reporter = rollout.NewReporter(n.name, s.world.siteNames[n.site])
+			s.check.lastFired = s.now
 		}
 	}
 }
 
-// lead lets the leader propose all that there is to propose. It may die in any step: its proposal is lost, or taken and
-// then proposed once more; another seat, now and then one that has just read its snapshot, goes on.
-func (s *run) lead() {
+// proposeAll lets the leader propose everything that is due. The leader may die in any step: its proposal is then
+// lost, or applied and proposed once more. Another replica takes over, sometimes one that has just been restored from
+// a snapshot.
+func (s *simulation) proposeAll() {
 	for range 1000 {
-		if s.rng.Float64() < s.o.Deaths {
-			s.leader = s.rng.IntN(len(s.seats))
-			if !bytes.Equal(s.seats[0].Encode(), s.seats[s.leader].Encode()) {
-				s.err = &Broken{"seats", "two seats of one log differ"}
+		if s.rng.Float64() < s.o.LeaderDeaths {
+			s.leader = s.rng.IntN(len(s.replicas))
+			if !bytes.Equal(s.replicas[0].Encode(), s.replicas[s.leader].Encode()) {
+				s.err = &Violation{"seats", "two replicas of one log have different states"}
 				return
 			}
-			if p, ok := s.seats[s.leader].(*rollout.RootState); ok && s.rng.IntN(4) == 0 {
-				again, err := rollout.DecodeRootState(p.Encode())
+			if p, ok := s.replicas[s.leader].(*rollout.RootState); ok && s.rng.IntN(4) == 0 {
+				decoded, err := rollout.DecodeRootState(p.Encode())
 				if err != nil {
 					s.err = err
 					return
 				}
-				s.seats[s.leader] = again
+				s.replicas[s.leader] = decoded
 			}
 		}
-		c, any := s.seats[s.leader].Next(s.now, s.o.Limits, s.w.tree)
-		if !any {
+		c, found := s.replicas[s.leader].Next(s.now, s.o.Limits, s.world.tree)
+		if !found {
 			return
 		}
-		switch dies := s.rng.Float64() < s.o.Deaths; {
-		case !dies:
+		switch leaderDies := s.rng.Float64() < s.o.LeaderDeaths; {
+		case !leaderDies:
 			s.propose(c)
-		case s.rng.IntN(2) == 0: // lost
+		case s.rng.IntN(2) == 0: // the proposal is lost
 		default:
 			s.propose(c)
 			s.propose(c)
 		}
 	}
-	s.err = &Broken{"end", "the leader proposes without end"}
+	s.err = &Violation{"end", "the leader does not stop proposing"}
 }
 
-func (s *run) outcome() Outcome {
+func (s *simulation) outcome() Outcome {
 	r := s.trial()
 	if r == nil {
 		return Outcome{}
 	}
-	o := Outcome{Phase: r.Phase, Cause: r.Cause, Stage: r.Stage, Hours: (s.now - s.begun).Hours()}
+	o := Outcome{Phase: r.Phase, Cause: r.Cause, Stage: r.Stage, Hours: (s.now - s.startedAt).Hours()}
 	for _, e := range r.Log {
 		if r.Cause != rollout.None && e.Event == "halt: "+r.Cause.String() {
-			o.Hours, o.Why = (e.At - s.begun).Hours(), e.Why
+			o.Hours, o.Why = (e.At - s.startedAt).Hours(), e.Why
 		}
 	}
 	return o
--- a/rehearsal/rolloutsim/sim_test.go
+++ b/rehearsal/rolloutsim/sim_test.go
@@ -13,8 +13,8 @@
 	"lichenhitch/internal/choice/rollout"
 )
 
-// TestTable prints what becomes of rollouts with and without a regression, against the plain way. A thousand without one and
-// 250 of each other:
+// TestTable prints the outcomes of rollouts with and without a regression, compared with rollouts by the clock. For a
+// thousand without a regression and 250 with each of the others:
 //
 //	ROLLOUTS=1000 nice go test -run TestTable -timeout 2h -v ./rehearsal/rolloutsim
 func TestTable(t *testing.T) {
@@ -25,43 +25,44 @@
 	var rows []Row
 	for _, lost := range []float64{0, 0.02, 0.05, 0.2} {
 		n := map[bool]int{true: runs, false: bad}[lost == 0]
-		rows = append(rows, Table(Province(), []float64{lost}, n, Workers())...)
-		t.Log("\n" + Print(rows))
+		rows = append(rows, Table(ProvinceOptions(), []float64{lost}, n, Workers())...)
+		t.Log("\n" + FormatTable(rows))
 	}
 	for _, r := range rows {
 		require.Positive(t, r.Runs)
 		if r.Way != "evidence" {
 			continue
 		}
-		if r.Lost == 0 {
+		if r.ExtraLoss == 0 {
 			assert.LessOrEqual(t, r.Halted, runs/100, "halted wrongly")
 			continue
 		}
-		assert.Empty(t, r.Broken)
+		assert.Empty(t, r.Violations)
 		assert.LessOrEqual(t, r.Done, max(1, r.Runs/20), "never halted")
-		if r.Lost == 0.2 {
+		if r.ExtraLoss == 0.2 {
 			assert.Zero(t, r.Done+r.Stages[2]+r.Stages[3]+r.Stages[4], "halted in the third stage or later")
 		}
 	}
 }
 
-// TestEveryPlantIsFound plants each bug and expects the property that it breaks; the same without the bug keeps all.
-func TestEveryPlantIsFound(t *testing.T) {
-	for _, p := range Plants() {
+// TestEveryInjectedBugIsFound injects each bug and expects a violation of its property; the same simulation without
+// the bug violates none.
+func TestEveryInjectedBugIsFound(t *testing.T) {
+	for _, p := range InjectedBugs() {
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			o := Small(p.Name)
+			o := SmallOptions(p.Name)
 			_, err := Run(o)
 			require.NoError(t, err, "without it")
-			o.Plant = p.Name
+			o.InjectedBug = p.Name
 			_, err = Run(o)
-			assert.ErrorContains(t, err, p.Breaks+": ")
+			assert.ErrorContains(t, err, p.Violates+": ")
 			t.Log(err)
 		})
 	}
 }
 
-// TestScenarios goes through each trouble with a leader that dies in one step of five.
+// TestScenarios runs each scenario with a leader that dies in one step of five.
 func TestScenarios(t *testing.T) {
 	for scenario, want := range map[Scenario]struct {
 		phase rollout.Phase
@@ -75,8 +76,8 @@
 	} {
 		t.Run(fmt.Sprint(scenario), func(t *testing.T) {
 			t.Parallel()
-			o := Small("")
-			o.Scenario, o.Deaths, o.Lossy = scenario, 0.2, 0.2
+			o := SmallOptions("")
+			o.Scenario, o.LeaderDeaths, o.RecordLoss = scenario, 0.2, 0.2
 			out, err := Run(o)
 			require.NoError(t, err)
 			assert.Equal(t, want.phase, out.Phase, out)
@@ -86,17 +87,18 @@
 	}
 }
 
-// TestTwoRolloutsWorkAndDeaths lets two rollouts, work and all noise meet, with a leader that dies in any step.
-func TestTwoRolloutsWorkAndDeaths(t *testing.T) {
+// TestTwoRolloutsMaintenanceAndLeaderDeaths combines two rollouts, maintenance, all noise and a leader that may die
+// in any step.
+func TestTwoRolloutsMaintenanceAndLeaderDeaths(t *testing.T) {
 	var ends [8]Outcome
 	t.Run("all", func(t *testing.T) {
 		for seed := range ends {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				o := Small("")
-				o.Seed, o.Second, o.Deaths, o.Lossy, o.Noise, o.Limits.MaxDisrupted = uint64(seed), true, 0.2, 0.1, Ordinary, 6
-				o.Noise.Work, o.Longest = 100, 400*time.Hour
-				o.Lost[seed%3] = []float64{0, 0.2}[seed/4]
+				o := SmallOptions("")
+				o.Seed, o.SecondRollout, o.LeaderDeaths, o.RecordLoss, o.Noise, o.Limits.MaxDisrupted = uint64(seed), true, 0.2, 0.1, Ordinary, 6
+				o.Noise.Maintenance, o.MaxDuration = 100, 400*time.Hour
+				o.ExtraLoss[seed%3] = []float64{0, 0.2}[seed/4]
 				var err error
 				ends[seed], err = Run(o)
 				require.NoError(t, err)
@@ -115,16 +117,16 @@
 	assert.GreaterOrEqual(t, done, 3)
 }
 
-// TestTroubleOfNodesIsNotBlamed counts wrong halts where nodes and zones are in trouble three times as often.
-func TestTroubleOfNodesIsNotBlamed(t *testing.T) {
+// TestNodeTroubleDoesNotHaltRollouts counts false halts when nodes and zones are in trouble three times as often.
+func TestNodeTroubleDoesNotHaltRollouts(t *testing.T) {
 	runs := 6
 	if n, err := strconv.Atoi(os.Getenv("ROLLOUTS")); err == nil {
 		runs = n / 4
 	}
-	o := Province()
+	o := ProvinceOptions()
 	o.Noise.NodeTrouble *= 3
 	o.Noise.ZoneTrouble *= 3
 	rows := Table(o, []float64{0}, runs, Workers())
-	t.Log("\n" + Print(rows))
+	t.Log("\n" + FormatTable(rows))
 	assert.LessOrEqual(t, rows[0].Halted, runs/50)
 }
--- a/rehearsal/rolloutsim/table.go
+++ b/rehearsal/rolloutsim/table.go
@@ -11,30 +11,30 @@
 	"lichenhitch/internal/choice/rollout"
 )
 
-// Row is what became of the rollouts with one regression, one way.
+// Row summarizes the rollouts with one regression in one way.
 type Row struct {
-	Lost     float64
-	Way      string
-	Runs     int
-	Halted   int // for a regression
-	Unproven int // taken back since nothing was proven
-	Done     int // its policy became the good one
-	Other    int
-	Stages   [rollout.Stages]int // of those halted
-	Hours    []float64           // to the end, sorted
-	Broken   []string
+	ExtraLoss  float64
+	Way        string
+	Runs       int
+	Halted     int // because of a regression
+	Unproven   int // rolled back because nothing was proven
+	Done       int // its policy became the good one
+	Other      int
+	Stages     [rollout.Stages]int // of the halted rollouts
+	Hours      []float64           // to the halt or the end, sorted
+	Violations []string
 }
 
-// Table runs rollouts with each of the regressions in one class, each both ways in the same world, on the workers told.
-// Seeds count up from the first; the class is one of the three in turn.
+// Table runs rollouts with each of the regressions, each in all ways in the same world, with the given number of
+// workers. Seeds count up from o.Seed; the class with the regression is each of the three in turn.
 func Table(o Options, regressions []float64, runs, workers int) []Row {
 	var rows []Row
-	for _, lost := range regressions {
+	for _, extraLoss := range regressions {
 		clock := func(at float64) func(Options) (Outcome, error) {
-			return func(o Options) (Outcome, error) { return Plain(o, at) }
+			return func(o Options) (Outcome, error) { return RunByClock(o, at) }
 		}
 		ways := []func(Options) (Outcome, error){Run, clock(o.Limits.Margin), clock(5 * o.Limits.Margin)}
-		pair := []Row{{Lost: lost, Way: "evidence"}, {Lost: lost, Way: "clock 2%"}, {Lost: lost, Way: "clock 10%"}}
+		group := []Row{{ExtraLoss: extraLoss, Way: "evidence"}, {ExtraLoss: extraLoss, Way: "clock 2%"}, {ExtraLoss: extraLoss, Way: "clock 10%"}}
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		queue := make(chan int)
@@ -42,13 +42,13 @@
 			wg.Go(func() {
 				for i := range queue {
 					for w, way := range ways {
-						one := o
-						one.Seed += uint64(i)
-						one.Lost = [3]float64{}
-						one.Lost[i%3] = lost
-						out, err := way(one)
+						options := o
+						options.Seed += uint64(i)
+						options.ExtraLoss = [3]float64{}
+						options.ExtraLoss[i%3] = extraLoss
+						out, err := way(options)
 						mu.Lock()
-						pair[w].add(one.Seed, out, err)
+						group[w].add(options.Seed, out, err)
 						mu.Unlock()
 					}
 				}
@@ -59,11 +59,11 @@
 		}
 		close(queue)
 		wg.Wait()
-		for i := range pair {
-			slices.Sort(pair[i].Hours)
-			slices.Sort(pair[i].Broken)
+		for i := range group {
+			slices.Sort(group[i].Hours)
+			slices.Sort(group[i].Violations)
 		}
-		rows = append(rows, pair...)
+		rows = append(rows, group...)
 	}
 	return rows
 }
@@ -83,41 +83,42 @@
 	}
 	r.Hours = append(r.Hours, o.Hours)
 	if err != nil {
-		r.Broken = append(r.Broken, fmt.Sprintf("seed %d: %v", seed, err))
+		r.Violations = append(r.Violations, fmt.Sprintf("seed %d: %v", seed, err))
 	}
 }
 
-// At is the hours to the end at a quantile.
-func (r Row) At(q float64) float64 {
+// Quantile returns the given quantile of the hours to the halt or the end.
+func (r Row) Quantile(q float64) float64 {
 	if len(r.Hours) == 0 {
 		return 0
 	}
 	return r.Hours[min(int(q*float64(len(r.Hours))), len(r.Hours)-1)]
 }
 
-// String is a line of the table.
+// String returns the row as a line of the table.
 func (r Row) String() string {
-	return fmt.Sprintf("%4.0f%%  %-9s %5d  %6d  %8d  %5d  %5d  %v  %5.1f  %5.1f", 100*r.Lost, r.Way,
-		r.Runs, r.Halted, r.Unproven, r.Done, r.Other, r.Stages, r.At(0.5), r.At(0.95))
+	return fmt.Sprintf("%4.0f%%  %-9s %5d  %6d  %8d  %5d  %5d  %v  %5.1f  %5.1f", 100*r.ExtraLoss, r.Way,
+		r.Runs, r.Halted, r.Unproven, r.Done, r.Other, r.Stages, r.Quantile(0.5), r.Quantile(0.95))
 }
 
-// Print is the whole table.
-func Print(rows []Row) string {
+// FormatTable returns the whole table.
+func FormatTable(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("lost   way        runs  halted  unproven  done   other  halted in stage  median h  95th h\n")
 	for _, r := range rows {
 		fmt.Fprintln(&b, r)
-		for _, s := range r.Broken {
+		for _, s := range r.Violations {
 			fmt.Fprintln(&b, "      ", s)
 		}
 	}
 	return b.String()
 }
 
-// Province is the options of the tables: 35 regencies, 300 nodes, ordinary noise, one record of fifty lost.
-func Province() Options {
-	return Options{Regencies: 35, Nodes: 300, Noise: Ordinary, Limits: Limits(), Lossy: 0.02, Longest: 500 * time.Hour}
+// ProvinceOptions returns the options of the tables: 35 regencies, 300 nodes, ordinary noise, one record of fifty
+// lost.
+func ProvinceOptions() Options {
+	return Options{Regencies: 35, Nodes: 300, Noise: Ordinary, Limits: Limits(), RecordLoss: 0.02, MaxDuration: 500 * time.Hour}
 }
 
-// Workers is how many runs go on at once.
+// Workers returns the number of simulations that run concurrently.
 func Workers() int { return max(1, runtime.GOMAXPROCS(0)*3/4) }
