--- a/rehearsal/rolloutsim/check.go
+++ b/rehearsal/rolloutsim/check.go
@@ -205,13 +205,13 @@
 		c.openWindows[windowNumber] = map[string]int{}
 		delete(c.openWindows, windowNumber-8)
 	}
-	h := c.s.nodeByNumber(e.Node)
+	n := c.s.nodeByNumber(e.Node)
 	begin := time.Duration(windowNumber) * time.Duration(c.s.o.Limits.WindowSlices) * c.s.o.Limits.Slice
 	at, changed := c.changed[e.Node]
-	work := anyAt(c.s.world.maintenance[h.site], time.Duration(e.Slice)*c.s.o.Limits.Slice)
+	inMaintenance := anyAt(c.s.world.maintenance[n.site], time.Duration(e.Slice)*c.s.o.Limits.Slice)
 	l := c.s.o.Limits
 	enough := slices.ContainsFunc(e.Counts, func(k rollout.Counts) bool { return k.Offered*uint64(l.WindowSlices) >= l.MinRequests/2 })
-	if e.Policy != trialHash || work || !enough || changed && at > begin {
+	if e.Policy != trialHash || inMaintenance || !enough || changed && at > begin {
 		return
 	}
 	c.openWindows[windowNumber][e.Node]++
@@ -293,7 +293,7 @@
 	if c.s.o.Scenario == Deaf {
 		c.report("P3", "stage %d ends although no treated node is reachable", e.Stage)
 	}
-	want, reported := 0, 0 // totals over all stages so far
+	treated, reported := 0, 0 // totals over all stages so far
 	for stage, names := range r.Targets[:e.Stage+1] {
 		addedByStage, reportedOfStage := 0, 0
 		for _, name := range names {
@@ -304,17 +304,18 @@
 				}
 			}
 		}
-		want, reported = want+addedByStage, reported+reportedOfStage
+		treated, reported = treated+addedByStage, reported+reportedOfStage
 		if rollout.Stage(stage) == e.Stage && float64(reportedOfStage) < l.Coverage*float64(addedByStage) {
 			c.report("P3", "stage %d ends, and of the %d nodes that it adds %d have reported", e.Stage, addedByStage, reportedOfStage)
 		}
 	}
-	if float64(reported) < l.Coverage*float64(want) {
-		c.report("P3", "stage %d ends, and of %d nodes %d have reported", e.Stage, want, reported)
+	if float64(reported) < l.Coverage*float64(treated) {
+		c.report("P3", "stage %d ends, and of %d nodes %d have reported", e.Stage, treated, reported)
 	}
 	if c.losesMoreThan(0.1) {
 		gains := slices.ContainsFunc(c.s.o.ExtraLoss[:], func(l float64) bool { return l < 0 })
-		c.report(map[bool]string{false: "P1", true: "P4"}[gains], "stage %d ends although the trial has additional losses by class of %v", e.Stage, c.s.o.ExtraLoss)
+		c.report(map[bool]string{false: "P1", true: "P4"}[gains],
+			"stage %d ends although the trial has additional losses by class of %v", e.Stage, c.s.o.ExtraLoss)
 	}
 }
 
@@ -382,13 +383,13 @@
 // maxInspectedNodes is the largest number of nodes for which the encoded state is inspected.
 const maxInspectedNodes = 50
 
-// checkState checks T1 on the encoded state: regularly, and only in small provinces.
+// checkState checks T1 on the encoded state: every 13th slice, and only in small provinces.
 func (c *check) checkState(s *simulation) {
 	if s.o.Nodes > maxInspectedNodes || uint64(s.now/s.o.Limits.Slice)%13 != 0 {
 		return
 	}
 	text := s.replicas[0].Encode()
-	var state struct {
+	var state struct { // the field names are those of the encoded state
 		Taken map[string]struct{ Seen rollout.NodeStatus }
 		Plan  struct {
 			Open []struct {
--- a/rehearsal/rolloutsim/run.go
+++ b/rehearsal/rolloutsim/run.go
@@ -206,7 +206,8 @@
 		s.sites = append(s.sites, &siteState{name: name, halted: map[string]bool{}, pending: map[string]rollout.Record{}})
 	}
 	for _, h := range s.world.nodes {
-		n := &node{nodeTraffic: h, stored: rollout.Stored{Good: s.replicas[0].Plan().Good()}, reporter: rollout.NewReporter(h.name, s.world.siteNames[h.site])}
+		n := &node{nodeTraffic: h, stored: rollout.Stored{Good: s.replicas[0].Plan().Good()},
+			reporter: rollout.NewReporter(h.name, s.world.siteNames[h.site])}
 		n.policy = rollout.NewNodePolicy(n.stored, o.Limits.MaxCrashes, 0, 0)
 		s.nodes = append(s.nodes, n)
 	}
@@ -347,7 +348,8 @@
 		if s.bug.forgetHalts && s.rng.Float64() < s.o.LeaderDeaths {
 			clear(c.halted)
 		}
-		if c.unreachable = anyAt(s.world.cutOff[s.world.siteRegency[i]], s.now); !c.unreachable && (c.rootAnsweredAt == 0 || s.rng.Float64() >= s.o.RecordLoss) {
+		if c.unreachable = anyAt(s.world.cutOff[s.world.siteRegency[i]], s.now); !c.unreachable &&
+			(c.rootAnsweredAt == 0 || s.rng.Float64() >= s.o.RecordLoss) {
 			c.policies, c.rootAnsweredAt = s.replicas[s.leader].SitePolicies(c.name), s.now
 			if s.rng.IntN(256) == 0 {
 				if c.policies, s.err = rollout.ParseSitePolicies(c.policies.Bytes()); s.err != nil {
@@ -386,7 +388,8 @@
 	if maintenance {
 		outOfService = 1
 	}
-	n.reporter.Tick(s.now, s.sites[n.site].policies.Slice, n.policy.Status(n.name), n.policy.Starts(), outOfService, maintenance && !s.bug.hideMaintenance)
+	n.reporter.Tick(s.now, s.sites[n.site].policies.Slice, n.policy.Status(n.name), n.policy.Starts(),
+		outOfService, maintenance && !s.bug.hideMaintenance)
 }
 
 // fireGuard lets a guard fire at a node now.
--- a/rehearsal/rolloutsim/world.go
+++ b/rehearsal/rolloutsim/world.go
@@ -163,7 +163,8 @@
 // loss by class. Every slice draws the same number of random values, so that a policy changes nothing but the losses.
 func (w *world) counts(h *nodeTraffic, at time.Duration, extraLoss func(class int) float64) []rollout.Counts {
 	out := make([]rollout.Counts, 0, len(classes))
-	sharedLoss := 1 - (1-lossAt(h.trouble, at))*(1-lossAt(w.zoneTrouble[h.site], at))*(1-lossAt(w.maintenance[h.site], at))*(1-lossAt(w.fleetTrouble, at))
+	sharedLoss := 1 - (1-lossAt(h.trouble, at))*(1-lossAt(w.zoneTrouble[h.site], at))*
+		(1-lossAt(w.maintenance[h.site], at))*(1-lossAt(w.fleetTrouble, at))
 	drift := w.drift * (1 + math.Sin(2*math.Pi*at.Hours()/17)) / 2
 	for i, c := range classes {
 		sizeNoise, lossNoise, countNoise := h.rng.NormFloat64(), h.rng.NormFloat64(), h.rng.NormFloat64()
--- a/rehearsal/soak/judge.go
+++ b/rehearsal/soak/judge.go
@@ -133,7 +133,8 @@
 		case q.Outcome == Unanswered, q.Outcome == ClosedUnanswered, q.Outcome == Reset:
 			t.add(never, "%s at %s, sent %s, connected %s, timeout %s: %s at %s", q.ID, q.Node, q.Sent, q.Connected, q.Wait, q.Outcome, q.EndedAt)
 		default:
-			t.add(q.EndedAt-q.Sent-q.Wait-r.longestStall(q.Sent, q.EndedAt), "%s at %s, sent %s, timeout %s: %s at %s", q.ID, q.Node, q.Sent, q.Wait, q.Outcome, q.EndedAt)
+			t.add(q.EndedAt-q.Sent-q.Wait-r.longestStall(q.Sent, q.EndedAt),
+				"%s at %s, sent %s, timeout %s: %s at %s", q.ID, q.Node, q.Sent, q.Wait, q.Outcome, q.EndedAt)
 		}
 	}
 	return t.RuleResult
@@ -200,7 +201,8 @@
 func (r *Record) checkCutOff() RuleResult {
 	c := newCountRule("connections cut off")
 	for _, s := range r.Connections {
-		exempt := s.Ending != CutOff || r.crashedDuring(s.Node, s.Began, s.Ended) || r.Plan.PassThrough && r.wasStopping(s.Node, s.Ended) ||
+		exempt := s.Ending != CutOff || r.crashedDuring(s.Node, s.Began, s.Ended) ||
+			r.Plan.PassThrough && r.wasStopping(s.Node, s.Ended) ||
 			anyOverlaps(r.Downtimes[s.Host], s.Ended-maxOpenAfterHostEnd, s.Ended) || anyOverlaps(r.Hangs[s.Host], s.Ended-maxOpenAfterHostEnd, s.Ended)
 		c.add(!exempt, "%s of %s at %s, established from %s to %s", s.ID, s.Node, s.Host, s.Began, s.Ended)
 	}
@@ -279,7 +281,8 @@
 func (r *Record) checkLinesToDrained(t *timeRule, node, host string, drain Span, knownAt time.Duration) {
 	for _, l := range r.HostLines {
 		if l.Node == node && l.Host == host && l.At >= knownAt && l.At < drain.To {
-			t.add(l.At-knownAt-r.longestStall(knownAt, l.At), "%s sent %s to %s at %s, which drained at %s, known at %s", node, l.ID, host, l.At, drain.From, knownAt)
+			t.add(l.At-knownAt-r.longestStall(knownAt, l.At),
+				"%s sent %s to %s at %s, which drained at %s, known at %s", node, l.ID, host, l.At, drain.From, knownAt)
 		}
 	}
 }
--- a/rehearsal/soak/liveness.go
+++ b/rehearsal/soak/liveness.go
@@ -36,7 +36,8 @@
 // kept running. The plan leaves enough hosts without faults for all clients (Plan.generateEvents).
 func (r *Record) servable() (all []Request) {
 	for _, q := range r.Requests {
-		exempt := q.Outcome == ClientLeft || r.crashedDuring(q.Node, q.Connected, q.EndedAt) || r.connectedTooLate(q) || q.Outcome == Reset && r.Plan.IdleClients > 0
+		exempt := q.Outcome == ClientLeft || r.crashedDuring(q.Node, q.Connected, q.EndedAt) || r.connectedTooLate(q) ||
+			q.Outcome == Reset && r.Plan.IdleClients > 0
 		if !exempt {
 			all = append(all, q)
 		}
