--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What the project's people and its CI run. CI calls the same targets.
+# Targets for developers and for CI, which calls the same ones.
 
 POLICY = balance/balance.go
 
@@ -10,8 +10,8 @@
 	mkdir -p bin
 	CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
 
-# Two runs of go test, passed over only for the failures that KNOWN-RED.txt lists; see tools/testgate. The decision module, the models of
-# one thread and the gate itself run without the race detector; all else runs with it.
+# Two runs of go test, of which only the failures listed in KNOWN-RED.txt are tolerated; see tools/testgate. The decision module, the
+# single-threaded models and simulations, and the tools run without the race detector; everything else runs with it.
 test:
 	go run ./tools/testgate \
 		-timeout 30m ./balance/... ./rehearsal/lifemodel ./rehearsal/coremodel ./rehearsal/catalog ./rehearsal/walk ./rehearsal/crowd \
@@ -19,7 +19,7 @@
 		-- -race -timeout 30m ./cmd/... ./internal/... ./rehearsal/model ./rehearsal/processes \
 		./rehearsal/soak
 
-# The long soak, by hand: a line for each seed and a summary, and for a failure the command that plays it again.
+# The long soak test, not part of CI: prints a line for each seed, a summary, and the command that reproduces each failure.
 #   make soak SEEDS=50 FIRST=1
 SEEDS ?= 50
 FIRST ?= 1
@@ -30,7 +30,7 @@
 	go test -count 1 -timeout 120m ./rehearsal/processes -run 'UnderFaultsFromASeed' -v \
 		-args -storms $(SEEDS) -storm $(FIRST) -councils $(SEEDS) -council $(FIRST)
 
-# The bugs that the soak is to see, each planted in a clone of the last commit.
+# Checks that the soak test detects each injected bug, in a clone of the last commit.
 .PHONY: soak-plants
 soak-plants:
 	go test -count 1 -timeout 60m ./rehearsal/soak -run TestPlants -v -args -plants
@@ -41,16 +41,16 @@
 	@if expand -t 4 $(POLICY) | grep -nE '^.{111,}$$'; then \
 	  echo "$(POLICY): lines longer than 110 characters" >&2; exit 1; fi
 
-# One node with the example configuration, on loopback. Without a discovery there it serves its known hosts.
+# One node with the example configuration, on loopback. Without discovery there it uses the known hosts of the configuration.
 run: build
 	GW_NAME=n0 GW_CONFIG=deploy/example.json bin/lichenhitch
 
-# Three nodes of a building and one of its province, with a site file each; see docs/operate/turns.md.
+# Three nodes of a building and one of its province, each with its site file; see docs/operate/turns.md.
 .PHONY: run-site
 run-site: build
 	deploy/run-site.sh
 
-# How fast and how far the models go, for docs/design/model.md. Takes some 15 minutes and all cores.
+# Measures the speed of the model checker and the sizes of the models, for docs/design/model.md. Takes some 15 minutes and all cores.
 .PHONY: bench-model
 bench-model: build
 	for n in 1 2 4; do GOMAXPROCS=$$n bin/rehearse model --quiet --workers $$n || exit 1; done
@@ -62,7 +62,7 @@
 	bin/rehearse model --model connection
 	go test ./internal/query -run '^$$' -bench Query -count 10
 
-# The generated code is committed; this makes it anew. protoc, protoc-gen-go and protoc-gen-connect-go have to be on the path.
+# Regenerates the code of the .proto files, which is committed. Needs protoc, protoc-gen-go and protoc-gen-connect-go on the path.
 .PHONY: proto
 proto:
 	protoc --go_out=. --go_opt=module=lichenhitch internal/site/sitepb/site.proto
--- a/deploy/run-site.sh
+++ b/deploy/run-site.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Three nodes of one building and one of the province above it, on loopback, until Ctrl-C. Their files are in run-site/. Clients
-# connect to ports 7070 to 7073, peers and operators to 7400 to 7403. Without discovery they serve the hosts of example.json.
+# Runs three nodes of one building and one of the province above it, on loopback, until Ctrl-C. Their files are in run-site/. Clients
+# connect to ports 7070 to 7073, peers and operators to 7400 to 7403. Without discovery the nodes use the hosts of example.json.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
