--- a/rehearsal/province/where.go
+++ b/rehearsal/province/where.go
@@ -230,7 +230,7 @@
 		n := leader.w.byName[b.Node]
 		why := "has not confirmed"
 		switch {
-		case strings.Contains(b.Why, "lacks the host"), strings.Contains(b.Why, "lacks it"), strings.Contains(b.Why, "no horizon"):
+		case strings.Contains(b.Why, "lacks the host"), strings.Contains(b.Why, "no exclusion set"):
 			why = "has no horizon recorded that has the host"
 		case strings.Contains(b.Why, "has confirmed round"):
 			why = "has confirmed another round"
