--- a/rehearsal/province/askers.go
+++ b/rehearsal/province/askers.go
@@ -11,138 +11,138 @@
 )
 
 // ask follows one turn from its asking to its end, through whichever node answers.
-func (w *World) ask(p *place, a *work) {
-	a.asked = w.now
-	if p.doomed {
-		a.over = true
+func (w *World) requestTurn(site *siteState, turn *requestedTurn) {
+	turn.requestedAt = w.now
+	if site.losesStores {
+		turn.ended = true
 		return
 	}
-	if w.Plain {
-		p.lock.list = append(p.lock.list, a)
+	if w.FixedOrder {
+		site.lock.waiting = append(site.lock.waiting, turn)
 		return
 	}
-	w.call(p, a, turns.Command{Request: &turns.Request{ID: a.id, Host: a.host, Duration: 2 * time.Second, Requester: "staff"}})
+	w.call(site, turn, turns.Command{Request: &turns.Request{ID: turn.id, Host: turn.host, Duration: 2 * time.Second, Requester: "staff"}})
 }
 
 // call brings a command before the council, through any node, and then looks again and again.
-func (w *World) call(p *place, a *work, cmd turns.Command) {
-	if !a.over {
-		w.callAt(p, a, cmd, p.nodes[w.rng.IntN(len(p.nodes))])
+func (w *World) call(site *siteState, turn *requestedTurn, cmd turns.Command) {
+	if !turn.ended {
+		w.callAt(site, turn, cmd, site.nodes[w.rng.IntN(len(site.nodes))])
 	}
 }
 
-func (w *World) callAt(p *place, a *work, cmd turns.Command, n *node) {
+func (w *World) callAt(site *siteState, turn *requestedTurn, cmd turns.Command, n *node) {
 	answered := false
-	a.at = n
-	next := func(d time.Duration) {
+	turn.callee = n
+	proceed := func(delay time.Duration) {
 		if !answered {
-			answered, a.at = true, nil
-			w.after(d, func() { w.step(p, a) })
+			answered, turn.callee = true, nil
+			w.after(delay, func() { w.nextStep(site, turn) })
 		}
 	}
-	w.after(5*time.Second, func() { next(0) })
+	w.after(5*time.Second, func() { proceed(0) })
 	if !n.up { // nobody listens there: the call fails at once, as others do
-		next(100 * time.Millisecond)
+		proceed(100 * time.Millisecond)
 		return
 	}
-	a.lost = func() { next(100 * time.Millisecond) }
+	turn.connLost = func() { proceed(100 * time.Millisecond) }
 	if n.paused || n.core == nil {
 		return
 	}
-	n.core.Submit(n.clock(), control.Call{Command: cmd, ID: a.id}, func(r control.Reply, err error) {
+	n.core.Submit(n.clock(), control.Call{Command: cmd, ID: turn.id}, func(reply control.Reply, err error) {
 		if answered {
 			return
 		}
-		var elsewhere *control.NotLeaderError
-		if errors.As(err, &elsewhere) {
+		var notLeader *control.NotLeaderError
+		if errors.As(err, &notLeader) {
 			answered = true
-			i := slices.IndexFunc(p.nodes, func(m *node) bool { return m.name == elsewhere.Leader })
-			w.after(2*time.Millisecond, func() { w.callAt(p, a, cmd, p.nodes[i]) })
+			i := slices.IndexFunc(site.nodes, func(m *node) bool { return m.name == notLeader.Leader })
+			w.after(2*time.Millisecond, func() { w.callAt(site, turn, cmd, site.nodes[i]) })
 			return
 		}
-		if err == nil || r.Turn.ID != "" {
-			w.learn(p, a, cmd, r.Turn, err)
+		if err == nil || reply.Turn.ID != "" {
+			w.handleReply(site, turn, cmd, reply.Turn, err)
 		}
-		next(100 * time.Millisecond)
+		proceed(100 * time.Millisecond)
 	})
 }
 
 // learn takes in what the asker was told. Only what it was told of its own call counts as done.
-func (w *World) learn(p *place, a *work, cmd turns.Command, t turns.Turn, err error) {
-	if !a.agreed {
-		a.agreed = true
-		w.tally.Agreed = append(w.tally.Agreed, w.now-a.asked)
+func (w *World) handleReply(site *siteState, turn *requestedTurn, cmd turns.Command, status turns.Turn, err error) {
+	if !turn.committed {
+		turn.committed = true
+		w.tally.CommitTimes = append(w.tally.CommitTimes, w.now-turn.requestedAt)
 	}
-	if t.Phase == turns.Granted {
-		a.granted = true
-		w.count(a)
+	if status.Phase == turns.Granted {
+		turn.granted = true
+		w.countGrant(turn)
 	}
-	if t.Phase == turns.Working && !a.begun { // nobody else begins it
-		w.work(p, a)
+	if status.Phase == turns.Working && !turn.begun { // nobody else begins it
+		w.startWork(site, turn)
 	}
-	if t.Phase == turns.Over && !a.over {
-		a.over = true
-		if a.done {
+	if status.Phase == turns.Over && !turn.ended {
+		turn.ended = true
+		if turn.done {
 			w.tally.Done++
-			w.back(p, a)
+			w.checkReturned(site, turn)
 		}
 	}
 }
 
 // count notes that a turn was given for the first time.
-func (w *World) count(a *work) {
-	if !a.counted {
-		a.counted = true
+func (w *World) countGrant(turn *requestedTurn) {
+	if !turn.grantCounted {
+		turn.grantCounted = true
 		w.tally.Granted++
-		w.tally.Waited = append(w.tally.Waited, w.now-a.asked)
+		w.tally.GrantTimes = append(w.tally.GrantTimes, w.now-turn.requestedAt)
 	}
 }
 
 // overrun is by how much work now and then takes longer than was said.
-const overrun = 10 * time.Second
+const overrunTime = 10 * time.Second
 
 // work begins work, and ends it when it is done.
-func (w *World) work(p *place, a *work) {
-	h := p.hosts[a.host]
-	a.begun, h.inWork, h.by = true, true, a.id
-	w.say(a.id + " begins at " + h.id)
-	if w.Lists.Leave {
-		h.leaves(w)
+func (w *World) startWork(site *siteState, turn *requestedTurn) {
+	host := site.hosts[turn.host]
+	turn.begun, host.inWork, host.workTurn = true, true, turn.id
+	w.log(turn.id + " begins at " + host.id)
+	if w.Lists.RemoveDuringWork {
+		host.removeFromLists(w)
 	}
-	out := 0
-	for _, h := range p.hosts {
-		if h.inWork {
-			out++
+	inWork := 0
+	for _, host := range site.hosts {
+		if host.inWork {
+			inWork++
 		}
 	}
-	w.tally.MostOut = max(w.tally.MostOut, out)
-	if out > w.Limits.Site {
-		w.broken(fmt.Sprintf("%d hosts of %s are in work, %d allowed", out, p.name, w.Limits.Site))
+	w.tally.MaxInWork = max(w.tally.MaxInWork, inWork)
+	if inWork > w.Limits.Site {
+		w.violation(fmt.Sprintf("%d hosts of %s are in work, %d allowed", inWork, site.name, w.Limits.Site))
 	}
-	w.after(a.lasts, func() {
-		a.done, a.doneAt, h.inWork = true, w.now, false
-		if w.Lists.Leave {
-			h.returns(w)
+	w.after(turn.duration, func() {
+		turn.done, turn.doneAt, host.inWork = true, w.now, false
+		if w.Lists.RemoveDuringWork {
+			host.returnToLists(w)
 		}
-		if w.Plain {
+		if w.FixedOrder {
 			w.tally.Done++
 		}
-		w.say(a.id + " is done at " + h.id)
+		w.log(turn.id + " is done at " + host.id)
 	})
 }
 
 // step does what an asker does next: it asks once more, which has no second effect and tells how the turn stands; it
 // begins what is granted, and reports what is done.
-func (w *World) step(p *place, a *work) {
+func (w *World) nextStep(site *siteState, turn *requestedTurn) {
 	switch {
-	case a.done:
-		w.call(p, a, turns.Command{Done: &turns.Ref{ID: a.id}})
-	case a.begun:
-		w.after(200*time.Millisecond, func() { w.step(p, a) })
-	case a.granted:
-		a.granted = false // it may be called back before the work begins
-		w.call(p, a, turns.Command{Begin: &turns.Ref{ID: a.id}})
+	case turn.done:
+		w.call(site, turn, turns.Command{Done: &turns.Ref{ID: turn.id}})
+	case turn.begun:
+		w.after(200*time.Millisecond, func() { w.nextStep(site, turn) })
+	case turn.granted:
+		turn.granted = false // it may be called back before the work begins
+		w.call(site, turn, turns.Command{Begin: &turns.Ref{ID: turn.id}})
 	default:
-		w.call(p, a, turns.Command{Request: &turns.Request{ID: a.id, Host: a.host, Duration: 2 * time.Second, Requester: "staff"}})
+		w.call(site, turn, turns.Command{Request: &turns.Request{ID: turn.id, Host: turn.host, Duration: 2 * time.Second, Requester: "staff"}})
 	}
 }
--- a/rehearsal/province/check.go
+++ b/rehearsal/province/check.go
@@ -14,63 +14,63 @@
 const (
 	// settled is how long after the last fault every council has a leader and every node a right again: what was killed last
 	// may be down for 14 s more, and then there is an election.
-	settled = 30 * time.Second
+	recoveryTime = 30 * time.Second
 	// known is how long after a host is out by hand at a site every answer to a node there names it: the leader looks at its
 	// hosts once a second, and may have an entry under way for two.
-	known = 4 * time.Second
+	propagationTime = 4 * time.Second
 )
 
 // early is a write that held at a site before one that it depends on, as far as it could be seen.
-type early struct {
-	site   *place
-	x, dep *write
-	cur    *write // what held instead; nil: nothing
-	at     time.Duration
+type orderSuspect struct {
+	site              *siteState
+	write, dependency *write
+	current           *write // what held instead; nil: nothing
+	at                time.Duration
 }
 
 // reader returns the seat of a site with the longest log, or nil where none of them runs.
-func (w *World) reader(p *place) (s *node) {
-	for _, n := range p.nodes[:len(p.group.Voters)] {
-		if n.up && n.core != nil && n.core.AppliedIndex() > 0 && (s == nil || n.core.AppliedIndex() > s.core.AppliedIndex()) {
-			s = n
+func (w *World) reader(site *siteState) (best *node) {
+	for _, n := range site.nodes[:len(site.definition.Voters)] {
+		if n.up && n.core != nil && n.core.AppliedIndex() > 0 && (best == nil || n.core.AppliedIndex() > best.core.AppliedIndex()) {
+			best = n
 		}
 	}
-	return s
+	return best
 }
 
 // look reads what holds at a site, if more is applied there than was.
-func (w *World) look(p *place) {
-	s := w.reader(p)
-	if s == nil || s.core.AppliedIndex() <= p.looked {
+func (w *World) readSite(site *siteState) {
+	reader := w.reader(site)
+	if reader == nil || reader.core.AppliedIndex() <= site.readIndex {
 		return
 	}
-	for _, t := range w.things {
-		r, err := s.core.Read(t.kind, t.thing, "")
+	for _, subject := range w.subjects {
+		result, err := reader.core.Read(subject.kind, subject.name, "")
 		if err != nil {
 			return
 		}
-		var x *write
-		if r.Found {
-			x = w.writes[numbered(r.Value)-1]
+		var write *write
+		if result.Found {
+			write = w.writes[writeNumber(result.Value)-1]
 		}
-		if x != p.shown[t] {
-			p.shown[t] = x
-			p.before[t] = append(p.before[t], x)
-			w.say(fmt.Sprint(p.name, " holds ", x, " of ", t.kind, " ", t.thing, " at ", s.name, " from ", s.core.AppliedIndex()))
+		if write != site.current[subject] {
+			site.current[subject] = write
+			site.history[subject] = append(site.history[subject], write)
+			w.log(fmt.Sprint(site.name, " holds ", write, " of ", subject.kind, " ", subject.name, " at ", reader.name, " from ", reader.core.AppliedIndex()))
 		}
-		if t.kind == sitesync.Safety {
-			p.hand(w, t.thing, r.Value)
+		if subject.kind == sitesync.Safety {
+			site.recordSharedHost(w, subject.name, result.Value)
 		}
 	}
-	p.looked = s.core.AppliedIndex()
-	if p.tokened {
+	site.readIndex = reader.core.AppliedIndex()
+	if site.tokenUsed {
 		return
 	}
-	for _, t := range w.things {
-		if x := p.shown[t]; x != nil {
-			for _, dep := range x.saw {
-				if cur := p.shown[dep.subject]; cur == nil || before(cur, dep) {
-					w.early = append(w.early, early{p, x, dep, cur, w.now})
+	for _, subject := range w.subjects {
+		if write := site.current[subject]; write != nil {
+			for _, dependency := range write.dependencies {
+				if current := site.current[dependency.subject]; current == nil || overwritten(current, dependency) {
+					w.suspects = append(w.suspects, orderSuspect{site, write, dependency, current, w.now})
 				}
 			}
 		}
@@ -78,43 +78,43 @@
 }
 
 // hands looks at the hosts that are written out, at a seat that answers a node.
-func (w *World) hands(s *node) {
-	if s.core.AppliedIndex() < s.site.looked {
+func (w *World) readSharedHosts(replica *node) {
+	if replica.core.AppliedIndex() < replica.site.readIndex {
 		return
 	}
-	for _, t := range w.things[:w.Hand] {
-		if r, err := s.core.Read(t.kind, t.thing, ""); err == nil {
-			s.site.hand(w, t.thing, r.Value)
+	for _, subject := range w.subjects[:w.SharedHosts] {
+		if r, err := replica.core.Read(subject.kind, subject.name, ""); err == nil {
+			replica.site.recordSharedHost(w, subject.name, r.Value)
 		}
 	}
 }
 
 // hand takes in what holds of a host that may be out by hand.
-func (p *place) hand(w *World, thing, value string) {
+func (p *siteState) recordSharedHost(w *World, name, value string) {
 	if !strings.HasPrefix(value, "out") {
-		delete(p.out, thing)
-	} else if _, out := p.out[thing]; !out {
-		p.out[thing] = w.now
+		delete(p.outSince, name)
+	} else if _, out := p.outSince[name]; !out {
+		p.outSince[name] = w.now
 	}
 }
 
 // checkHand checks that a node that sends something to a host could not know that it is out by hand.
-func (w *World) checkHand(n *node, host string) {
-	thing := "host/" + host
-	since, out := n.site.out[thing]
-	late := w.calm && w.now > w.healed+settled && w.now > since+known+w.Lasts
-	if !out || n.asked < since+known && !late {
+func (w *World) checkOutOfService(n *node, host string) {
+	name := "host/" + host
+	since, out := n.site.outSince[name]
+	overdue := w.quiet && w.now > w.healedAt+recoveryTime && w.now > since+propagationTime+w.LeaseDuration
+	if !out || n.leaseRequestedAt < since+propagationTime && !overdue {
 		return
 	}
-	w.look(n.site)
-	if again, out := n.site.out[thing]; out && again == since {
-		w.broken(fmt.Sprintf("%s sent something new to %s, which is out by hand at %s since %v", n.name, host, n.site.name, since))
+	w.readSite(n.site)
+	if sinceNow, out := n.site.outSince[name]; out && sinceNow == since {
+		w.violation(fmt.Sprintf("%s sent something new to %s, which is out by hand at %s since %v", n.name, host, n.site.name, since))
 	}
 }
 
 // before says whether a write was written over, by another one or by one that that one was written over.
-func before(x, by *write) bool {
-	for y := by.over; y != nil; y = y.over {
+func overwritten(x, by *write) bool {
+	for y := by.overwrote; y != nil; y = y.overwrote {
 		if y == x {
 			return true
 		}
@@ -123,125 +123,125 @@
 }
 
 // sample reads the receipts of some of a site's writes: what was said once must not change.
-func (w *World) sample(p *place) {
-	s := w.reader(p)
-	if s == nil || len(w.writes) == 0 {
+func (w *World) sampleReceipts(site *siteState) {
+	reader := w.reader(site)
+	if reader == nil || len(w.writes) == 0 {
 		return
 	}
 	for range 5 {
-		if x := w.writes[w.rng.IntN(len(w.writes))]; x.site == p && x.agreed {
-			w.receipt(p, s, x)
+		if write := w.writes[w.rng.IntN(len(w.writes))]; write.site == site && write.committed {
+			w.readReceipt(site, reader, write)
 		}
 	}
 }
 
 // receipt reads what a seat says became of a write; "": nothing yet.
-func (w *World) receipt(p *place, s *node, x *write) string {
-	r, err := s.core.Read(x.kind, "", x.id.String())
-	if err != nil || r.Receipt == "" {
+func (w *World) readReceipt(site *siteState, replica *node, write *write) string {
+	result, err := replica.core.Read(write.kind, "", write.id.String())
+	if err != nil || result.Receipt == "" {
 		return ""
 	}
-	if was := p.receipt[x.id]; was != "" && was != r.Receipt {
-		w.broken(fmt.Sprintf("%s says of w%d %s, and said %s", s.name, x.number, r.Receipt, was))
+	if earlier := site.receipts[write.id]; earlier != "" && earlier != result.Receipt {
+		w.violation(fmt.Sprintf("%s says of w%d %s, and said %s", replica.name, write.number, result.Receipt, earlier))
 	}
-	p.receipt[x.id] = r.Receipt
-	return r.Receipt
+	site.receipts[write.id] = result.Receipt
+	return result.Receipt
 }
 
 // atEnd checks what has to hold once all is whole and nobody writes any more.
-func (w *World) atEnd() {
-	for _, p := range w.sites {
-		for _, a := range p.asks {
-			if !a.over {
-				w.tally.Undone++
-				w.say(p.name + ": not over: " + a.id)
-				for _, n := range p.nodes {
+func (w *World) checkAtEnd() {
+	for _, site := range w.sites {
+		for _, turn := range site.turns {
+			if !turn.ended {
+				w.tally.Unfinished++
+				w.log(site.name + ": not over: " + turn.id)
+				for _, n := range site.nodes {
 					if n.core == nil || !n.core.Leading() {
 						continue
 					}
-					t, known := n.core.Schedule().Turn(a.id)
-					w.say(fmt.Sprint(n.name, " leads; known ", known, " ", t.Phase, " ", n.core.BlockerTexts(n.clock(), t)))
+					t, known := n.core.Schedule().Turn(turn.id)
+					w.log(fmt.Sprint(n.name, " leads; known ", known, " ", t.Phase, " ", n.core.BlockerTexts(n.clock(), t)))
 				}
 			}
 		}
 	}
-	if w.Plain || len(w.things) == 0 {
+	if w.FixedOrder || len(w.subjects) == 0 {
 		return
 	}
-	for _, p := range w.sites {
-		if w.reader(p) == nil {
-			w.broken(p.name + " has no seat that runs")
+	for _, site := range w.sites {
+		if w.reader(site) == nil {
+			w.violation(site.name + " has no seat that runs")
 			return
 		}
-		w.look(p)
+		w.readSite(site)
 	}
-	w.fates()
-	for _, p := range w.sites {
-		w.checkValues(p)
-		w.checkOrder(p)
+	w.checkReceipts()
+	for _, site := range w.sites {
+		w.checkValues(site)
+		w.checkOrder(site)
 	}
-	for _, e := range w.early {
-		if e.dep.fate == "applied" && (e.cur == nil || e.cur.fate == "applied") {
-			w.broken(fmt.Sprintf("%v: %s had w%d of %s, and not w%d of %s that its writer had seen", e.at, e.site.name, e.x.number,
-				e.x.thing, e.dep.number, e.dep.thing))
+	for _, suspect := range w.suspects {
+		if suspect.dependency.outcome == "applied" && (suspect.current == nil || suspect.current.outcome == "applied") {
+			w.violation(fmt.Sprintf("%v: %s had w%d of %s, and not w%d of %s that its writer had seen", suspect.at, suspect.site.name, suspect.write.number,
+				suspect.write.name, suspect.dependency.number, suspect.dependency.name))
 		}
 	}
 }
 
 // fates reads what became of each write, at the top and at its own site.
-func (w *World) fates() {
-	names := map[sitesync.ID]*write{}
+func (w *World) checkReceipts() {
+	byID := map[sitesync.ID]*write{}
 	for _, x := range w.writes {
-		if !x.agreed {
+		if !x.committed {
 			continue
 		}
-		if y := names[x.id]; y != nil {
-			w.broken(fmt.Sprintf("w%d and w%d have one name, %s", y.number, x.number, x.id))
+		if y := byID[x.id]; y != nil {
+			w.violation(fmt.Sprintf("w%d and w%d have one name, %s", y.number, x.number, x.id))
 		}
-		names[x.id] = x
-		t := top(x.site)
-		x.fate = w.receipt(t, w.reader(t), x)
-		if x.fate == "" && x.doomed {
-			w.tally.Lost++
+		byID[x.id] = x
+		root := rootOf(x.site)
+		x.outcome = w.readReceipt(root, w.reader(root), x)
+		if x.outcome == "" && x.lostWithStores {
+			w.tally.LostWrites++
 			continue
 		}
-		for _, s := range x.site.nodes[:len(x.site.group.Voters)] {
-			if got := w.receipt(x.site, s, x); got == "" || got != x.fate {
-				w.broken(fmt.Sprintf("w%d (%s): %s has the receipt %q, the top %q", x.number, x.id, s.name, got, x.fate))
+		for _, replica := range x.site.nodes[:len(x.site.definition.Voters)] {
+			if receipt := w.readReceipt(x.site, replica, x); receipt == "" || receipt != x.outcome {
+				w.violation(fmt.Sprintf("w%d (%s): %s has the receipt %q, the top %q", x.number, x.id, replica.name, receipt, x.outcome))
 			}
 		}
 		w.tally.Receipts++
-		if x.fate != "applied" {
-			w.tally.NotTaken++
+		if x.outcome != "applied" {
+			w.tally.Rejected++
 		}
 	}
 }
 
-func top(p *place) *place {
-	for p.up != nil {
-		p = p.up
+func rootOf(site *siteState) *siteState {
+	for site.parent != nil {
+		site = site.parent
 	}
-	return p
+	return site
 }
 
 // checkValues checks that all seats of a site hold what the top holds, and the top nothing that was written over.
-func (w *World) checkValues(p *place) {
-	t := top(p)
-	for _, s := range w.things {
-		want := t.shown[s]
-		for _, n := range p.nodes[:len(p.group.Voters)] {
-			r, err := n.core.Read(s.kind, s.thing, "")
+func (w *World) checkValues(site *siteState) {
+	root := rootOf(site)
+	for _, subject := range w.subjects {
+		want := root.current[subject]
+		for _, n := range site.nodes[:len(site.definition.Voters)] {
+			result, err := n.core.Read(subject.kind, subject.name, "")
 			got := 0
-			if err == nil && r.Found {
-				got = numbered(r.Value)
+			if err == nil && result.Found {
+				got = writeNumber(result.Value)
 			}
 			if err != nil || want == nil && got != 0 || want != nil && got != want.number {
-				w.broken(fmt.Sprintf("%s holds w%d of %s %s, %s holds %s", n.name, got, s.kind, s.thing, t.name, want))
+				w.violation(fmt.Sprintf("%s holds w%d of %s %s, %s holds %s", n.name, got, subject.kind, subject.name, root.name, want))
 			}
 		}
 		for _, x := range w.writes {
-			if p == t && top(x.site) == t && x.subject == s && x.fate == "applied" && (want == nil || before(want, x)) {
-				w.broken(fmt.Sprintf("%s holds %s of %s %s, which w%d was written over", t.name, want, s.kind, s.thing, x.number))
+			if site == root && rootOf(x.site) == root && x.subject == subject && x.outcome == "applied" && (want == nil || overwritten(want, x)) {
+				w.violation(fmt.Sprintf("%s holds %s of %s %s, which w%d was written over", root.name, want, subject.kind, subject.name, x.number))
 			}
 		}
 	}
@@ -256,13 +256,13 @@
 
 // checkOrder checks that nothing came back at a site that had been written over by what was taken: it would have been
 // applied twice, or after what depends on it.
-func (w *World) checkOrder(p *place) {
-	for _, s := range w.things {
-		all := p.before[s]
-		for i, x := range all {
-			for _, y := range all[i+1:] {
-				if x != nil && x.fate == "applied" && (y == nil || before(y, x)) {
-					w.broken(fmt.Sprintf("%s held %s of %s %s again after %s, which was written over it", p.name, y, s.kind, s.thing, x))
+func (w *World) checkOrder(site *siteState) {
+	for _, subject := range w.subjects {
+		history := site.history[subject]
+		for i, x := range history {
+			for _, y := range history[i+1:] {
+				if x != nil && x.outcome == "applied" && (y == nil || overwritten(y, x)) {
+					w.violation(fmt.Sprintf("%s held %s of %s %s again after %s, which was written over it", site.name, y, subject.kind, subject.name, x))
 				}
 			}
 		}
--- a/rehearsal/province/faults.go
+++ b/rehearsal/province/faults.go
@@ -13,69 +13,69 @@
 // whichever way turns are given.
 
 // fault breaks something at a node, or mends it.
-func (w *World) fault() {
-	if w.calm {
+func (w *World) injectFault() {
+	if w.quiet {
 		return
 	}
-	w.after(upTo(w.plan, 10*time.Second/time.Duration(len(w.nodes))), w.fault)
-	n := w.nodes[w.plan.IntN(len(w.nodes))]
-	what, other, both := w.plan.IntN(7), w.plan.IntN(len(n.site.nodes)), w.plan.IntN(2) == 0
-	short, long := upTo(w.plan, 2*w.Lasts), upTo(w.plan, 4*w.Lasts)
-	switch what {
+	w.after(randomUpTo(w.planRNG, 10*time.Second/time.Duration(len(w.nodes))), w.injectFault)
+	n := w.nodes[w.planRNG.IntN(len(w.nodes))]
+	kind, peer, bothWays := w.planRNG.IntN(7), w.planRNG.IntN(len(n.site.nodes)), w.planRNG.IntN(2) == 0
+	short, long := randomUpTo(w.planRNG, 2*w.LeaseDuration), randomUpTo(w.planRNG, 4*w.LeaseDuration)
+	switch kind {
 	case 0: // cut off from all, both ways or one way
-		w.say(fmt.Sprint("cut ", n.name, " both ways ", both))
+		w.log(fmt.Sprint("cut ", n.name, " both ways ", bothWays))
 		for _, m := range n.site.nodes {
-			n.cut[m.name] = true
-			m.cut[n.name] = m.cut[n.name] || both
+			n.cutTo[m.name] = true
+			m.cutTo[n.name] = m.cutTo[n.name] || bothWays
 		}
 	case 1: // one link
-		n.cut[n.site.nodes[other].name] = true
+		n.cutTo[n.site.nodes[peer].name] = true
 	case 2, 3:
-		w.mend(n)
+		w.healLinks(n)
 	case 4:
 		if n.up && !n.paused {
-			w.say("stop " + n.name)
+			w.log("stop " + n.name)
 			n.paused = true
-			w.after(long, func() { w.goOn(n) })
+			w.after(long, func() { w.resume(n) })
 		}
 	case 5:
 		w.restart(n, short, false)
 	case 6: // the store of one that has no seat is lost
-		if !n.file.IsVoter {
+		if !n.config.IsVoter {
 			w.restart(n, short, true)
 		}
 	}
 }
 
 // siteFault breaks something between sites, or a whole council, for a while.
-func (w *World) siteFault() {
-	if w.calm || len(w.Levels) < 2 {
+func (w *World) injectSiteFault() {
+	if w.quiet || len(w.Levels) < 2 {
 		return
 	}
-	w.after(upTo(w.plan, 20*time.Second/time.Duration(len(w.sites))), w.siteFault)
-	p, q := w.sites[w.plan.IntN(len(w.sites))], w.sites[w.plan.IntN(len(w.sites))]
-	what, both, long := w.plan.IntN(4), w.plan.IntN(2) == 0, 2*time.Second+upTo(w.plan, 12*time.Second)
-	if p == q {
+	w.after(randomUpTo(w.planRNG, 20*time.Second/time.Duration(len(w.sites))), w.injectSiteFault)
+	site, other := w.sites[w.planRNG.IntN(len(w.sites))], w.sites[w.planRNG.IntN(len(w.sites))]
+	kind, bothWays, duration := w.planRNG.IntN(4), w.planRNG.IntN(2) == 0, 2*time.Second+randomUpTo(w.planRNG, 12*time.Second)
+	if site == other {
 		return
 	}
-	switch what {
+	switch kind {
 	case 0, 1: // two sites, one of them below the other wherever they are
-		if p.up != nil && what == 0 {
-			q = p.up
+		if site.parent != nil && kind == 0 {
+			other = site.parent
 		}
-		w.say(fmt.Sprint("cut ", p.name, " from ", q.name, " both ways ", both))
-		w.after(long, w.part(p, q, both))
+		w.log(fmt.Sprint("cut ", site.name, " from ", other.name, " both ways ", bothWays))
+		w.after(duration, w.partition(site, other, bothWays))
 	case 2: // one from all
-		w.say(fmt.Sprint("cut off ", p.name, " both ways ", both))
-		for _, q := range w.sites {
-			if q != p {
-				w.after(long, w.part(p, q, both))
+		w.log(fmt.Sprint("cut off ", site.name, " both ways ", bothWays))
+		for _, other := range w.sites {
+			if other != site {
+				w.after(duration, w.partition(site, other, bothWays))
 			}
 		}
 	case 3: // its whole council
-		if p.up != nil {
-			for _, n := range p.nodes[:len(p.group.Voters)] {
-				w.restart(n, long, false)
+		if site.parent != nil {
+			for _, n := range site.nodes[:len(site.definition.Voters)] {
+				w.restart(n, duration, false)
 			}
 		}
 	}
@@ -83,79 +83,79 @@
 
 // doom has one site, not a top, lose all its stores at some time. Nobody there remembers what the site was, so its council
 // is founded anew, and its writes begin another life.
-func (w *World) doom() {
+func (w *World) scheduleStoreLoss() {
 	if len(w.Levels) < 2 {
 		return
 	}
-	at := w.For/4 + upTo(w.plan, w.For/2)
-	p := w.sites[w.plan.IntN(len(w.sites))]
-	gone := time.Second + upTo(w.plan, 5*time.Second)
-	if p.up == nil || w.plan.IntN(2) == 0 {
+	at := w.FaultPhase/4 + randomUpTo(w.planRNG, w.FaultPhase/2)
+	site := w.sites[w.planRNG.IntN(len(w.sites))]
+	downtime := time.Second + randomUpTo(w.planRNG, 5*time.Second)
+	if site.parent == nil || w.planRNG.IntN(2) == 0 {
 		return
 	}
-	p.doomed = true
-	w.after(at, func() { w.lose(p, gone) })
+	site.losesStores = true
+	w.after(at, func() { w.loseStores(site, downtime) })
 }
 
 // lose ends all nodes of a site with their stores, for a while.
-func (w *World) lose(p *place, gone time.Duration) {
-	w.say("all stores of " + p.name + " are lost")
-	for _, n := range p.nodes {
-		w.restart(n, gone, true)
+func (w *World) loseStores(site *siteState, downtime time.Duration) {
+	w.log("all stores of " + site.name + " are lost")
+	for _, n := range site.nodes {
+		w.restart(n, downtime, true)
 	}
-	p.forget()
+	site.forgetState()
 	for _, x := range w.writes {
-		x.doomed = x.doomed || x.site == p
+		x.lostWithStores = x.lostWithStores || x.site == site
 	}
 }
 
 // restart ends a process and starts the next one after a while, with the store or with an empty one. One that is down
 // already comes back when it was going to.
-func (w *World) restart(n *node, after time.Duration, empty bool) {
+func (w *World) restart(n *node, downtime time.Duration, empty bool) {
 	if empty {
-		n.store, n.saved, n.kept, n.boot, n.life = consensus.StoredState{}, sendlease.Saved{}, control.Kept{}, 0, n.life+1
-		w.say("the store of " + n.name + " is lost")
+		n.store, n.savedLease, n.keptPolicies, n.openCount, n.incarnation = consensus.StoredState{}, sendlease.Saved{}, control.Kept{}, 0, n.incarnation+1
+		w.log("the store of " + n.name + " is lost")
 	}
 	if !n.up {
 		return
 	}
-	w.say("kill " + n.name)
-	n.up, n.run, n.taken, n.told, n.knows = false, 0, sendlease.Restrictions{AllAfterExpiry: true}, nil, false
-	for _, a := range n.site.asks {
-		if a.at == n {
-			a.lost()
+	w.log("kill " + n.name)
+	n.up, n.runID, n.restrictions, n.lockedHosts, n.hasLockList = false, 0, sendlease.Restrictions{AllAfterExpiry: true}, nil, false
+	for _, turn := range n.site.turns {
+		if turn.callee == n {
+			turn.connLost()
 		}
 	}
-	w.after(after, func() { w.start(n) })
+	w.after(downtime, func() { w.start(n) })
 }
 
-func (w *World) goOn(n *node) {
+func (w *World) resume(n *node) {
 	if !n.up || !n.paused {
 		return
 	}
-	w.say("go on " + n.name)
+	w.log("go on " + n.name)
 	n.paused = false
-	n.place() // the first thing that the loop does is what it was about to
-	late := n.late
-	n.late = nil
-	for _, f := range late {
+	n.sendToHost() // the first thing that the loop does is what it was about to
+	deferred := n.deferred
+	n.deferred = nil
+	for _, f := range deferred {
 		if n.up {
-			n.when(f)
+			n.runOrDefer(f)
 		}
 	}
 }
 
-func (w *World) mend(n *node) {
-	clear(n.cut)
+func (w *World) healLinks(n *node) {
+	clear(n.cutTo)
 	for _, m := range n.site.nodes {
-		delete(m.cut, n.name)
+		delete(m.cutTo, n.name)
 	}
 }
 
-func (w *World) heal() {
-	clear(w.apart)
+func (w *World) healAll() {
+	clear(w.partitions)
 	for _, n := range w.nodes {
-		w.mend(n)
-		w.goOn(n)
+		w.healLinks(n)
+		w.resume(n)
 	}
 }
--- a/rehearsal/province/leaders_test.go
+++ b/rehearsal/province/leaders_test.go
@@ -15,152 +15,152 @@
 )
 
 // aSite is one site that nothing breaks at but what the test breaks, once it is led.
-func aSite(t *testing.T, seed uint64) (w *World, p *place) {
-	o := small
-	o.Seed, o.Asks = seed, 0
-	w = build(o, teller(t))
-	w.begin()
-	w.until(5 * time.Second)
-	p = w.sites[0]
-	require.True(t, w.leads(p).core.Leading())
-	return w, p
+func oneSite(t *testing.T, seed uint64) (w *World, site *siteState) {
+	o := smallWorld
+	o.Seed, o.TurnRequests = seed, 0
+	w = newWorld(o, tracer(t))
+	w.startNodes()
+	w.runUntil(5 * time.Second)
+	site = w.sites[0]
+	require.True(t, w.leaderOf(site).core.Leading())
+	return w, site
 }
 
 // cutOff cuts all links of a node, both ways.
-func (w *World) cutOff(n *node) {
+func (w *World) cutAllLinks(n *node) {
 	for _, m := range n.site.nodes {
-		n.cut[m.name], m.cut[n.name] = true, true
+		n.cutTo[m.name], m.cutTo[n.name] = true, true
 	}
 }
 
 // within plays on until it holds, and returns how long that took.
-func (w *World) within(t *testing.T, most time.Duration, what string, holds func() bool) time.Duration {
+func (w *World) waitFor(t *testing.T, limit time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	from := w.now
-	for !holds() {
-		require.Less(t, w.now-from, most, what)
-		w.until(w.now + time.Millisecond)
+	for !condition() {
+		require.Less(t, w.now-from, limit, what)
+		w.runUntil(w.now + time.Millisecond)
 	}
 	return w.now - from
 }
 
-func askFor(i int) control.Call {
+func turnRequest(i int) control.Call {
 	id := fmt.Sprintf("t%d", i)
 	return control.Call{ID: id, Command: turns.Command{Request: &turns.Request{ID: id, Host: fmt.Sprintf("site00-g%02d", i), Duration: time.Second}}}
 }
 
 // A call that a leader took and that can come to nothing there is answered when that one leads no more: its caller has to call
 // another, and knows by then that it has to.
-func TestACallIsAnsweredWhenItsLeaderLeadsNoMore(t *testing.T) {
+func TestPendingCallFailsWhenItsLeaderStepsDown(t *testing.T) {
 	for seed := range uint64(5) {
-		w, p := aSite(t, seed)
-		old := w.leads(p)
-		w.cutOff(old)
+		w, site := oneSite(t, seed)
+		old := w.leaderOf(site)
+		w.cutAllLinks(old)
 		var err error
-		old.core.Submit(old.clock(), askFor(0), func(_ control.Reply, e error) { err = e })
+		old.core.Submit(old.clock(), turnRequest(0), func(_ control.Reply, e error) { err = e })
 		require.NoError(t, err)
-		w.within(t, 5*time.Second, "it steps down", func() bool { return !old.core.Leading() })
+		w.waitFor(t, 5*time.Second, "it steps down", func() bool { return !old.core.Leading() })
 		assert.ErrorAs(t, err, new(*control.OutcomeUnknownError))
 	}
 }
 
 // has says whether a node's loop goes by a right that runs.
-func (n *node) has() bool { return n.clock() < n.taken.LeaseEnd }
+func (n *node) hasLease() bool { return n.clock() < n.restrictions.LeaseEnd }
 
 // A node that was cut off for long has its right again with its first question that arrives: whichever seat that comes to knows
 // who leads.
-func TestANodeThatIsBackIsToldWhoLeads(t *testing.T) {
+func TestReconnectedNodeRenewsItsLeaseWithTheNextRequest(t *testing.T) {
 	for seed := range uint64(10) {
-		w, p := aSite(t, seed)
-		n := p.nodes[len(p.nodes)-1]
-		w.cutOff(n)
-		w.until(w.now + 4*w.Lasts + w.any(w.Lasts))
-		require.False(t, n.has())
-		w.mend(n)
-		w.within(t, w.Lasts/4+2*n.file.Tick, "a right, of the next question", n.has)
+		w, site := oneSite(t, seed)
+		n := site.nodes[len(site.nodes)-1]
+		w.cutAllLinks(n)
+		w.runUntil(w.now + 4*w.LeaseDuration + w.randomUpTo(w.LeaseDuration))
+		require.False(t, n.hasLease())
+		w.healLinks(n)
+		w.waitFor(t, w.LeaseDuration/4+2*n.config.Tick, "a right, of the next question", n.hasLease)
 	}
 }
 
 // Seats that find each other again, none of them with a leader, have one as soon as they have greeted each other.
-func TestSeatsWithoutALeaderDoNotWaitForTheirTime(t *testing.T) {
+func TestReconnectedReplicasElectALeaderAtOnce(t *testing.T) {
 	for seed := range uint64(10) {
-		w, p := aSite(t, seed)
-		for _, n := range p.nodes[:3] {
-			w.cutOff(n)
+		w, site := oneSite(t, seed)
+		for _, n := range site.nodes[:3] {
+			w.cutAllLinks(n)
 		}
-		w.within(t, 10*time.Second, "nobody leads", func() bool {
-			return !slices.ContainsFunc(p.nodes[:3], func(n *node) bool {
+		w.waitFor(t, 10*time.Second, "nobody leads", func() bool {
+			return !slices.ContainsFunc(site.nodes[:3], func(n *node) bool {
 				st, _ := n.core.ReplicaStatus()
 				return st.Leader != 0
 			})
 		})
-		w.until(w.now + w.any(w.Lasts))
-		w.heal()
-		w.within(t, 6*p.nodes[0].file.Tick, "a leader: a greeting every third tick, a tick, and some round trips", func() bool {
-			how, _ := p.council()
-			return how == led
+		w.runUntil(w.now + w.randomUpTo(w.LeaseDuration))
+		w.healAll()
+		w.waitFor(t, 6*site.nodes[0].config.Tick, "a leader: a greeting every third tick, a tick, and some round trips", func() bool {
+			state, _ := site.groupState()
+			return state == led
 		})
 	}
 }
 
 // election is how long a seat hears nothing of its leader before it may vote for another one; some more ticks have to be enough
 // for the rest: a greeting every third, one to stand at, and round trips.
-func (n *node) election(more int) time.Duration { return time.Duration(10+more) * n.file.Tick }
+func (n *node) electionTime(more int) time.Duration { return time.Duration(10+more) * n.config.Tick }
 
-func TestALeaderThatIsGoneIsFollowedByTheNextAfterAnElectionsTime(t *testing.T) {
+func TestNewLeaderWithinAnElectionTimeout(t *testing.T) {
 	for seed := range uint64(10) {
-		w, p := aSite(t, seed)
-		old := w.leads(p)
+		w, site := oneSite(t, seed)
+		old := w.leaderOf(site)
 		w.restart(old, time.Hour, false)
-		w.within(t, old.election(7), "the next leader", func() bool {
-			how, _ := p.council()
-			return how == led
+		w.waitFor(t, old.electionTime(7), "the next leader", func() bool {
+			state, _ := site.groupState()
+			return state == led
 		})
 	}
 }
 
 // A leader that is heard and hears nobody leads on until it finds out, which takes up to two elections' time; its followers do not
 // wait for another one then.
-func TestALeaderThatHearsNobodySaysThatItLeadsNoMore(t *testing.T) {
+func TestLeaderThatReceivesNothingStepsDown(t *testing.T) {
 	for seed := range uint64(10) {
-		w, p := aSite(t, seed)
-		old := w.leads(p)
-		for _, m := range p.nodes {
-			m.cut[old.name] = true
+		w, site := oneSite(t, seed)
+		old := w.leaderOf(site)
+		for _, m := range site.nodes {
+			m.cutTo[old.name] = true
 		}
-		w.within(t, 3*time.Second, "it leads no more", func() bool { return !old.core.Leading() })
-		w.within(t, 7*old.file.Tick, "the next leader", func() bool {
-			how, _ := p.council()
-			return how == led
+		w.waitFor(t, 3*time.Second, "it leads no more", func() bool { return !old.core.Leading() })
+		w.waitFor(t, 7*old.config.Tick, "the next leader", func() bool {
+			state, _ := site.groupState()
+			return state == led
 		})
 	}
 }
 
 // end ends a node's process, by a kill or as planned: once another seat leads, or an election's time is over.
-func (w *World) end(n *node, planned bool) {
-	over := func() { w.restart(n, time.Hour, false) }
+func (w *World) endProcess(n *node, planned bool) {
+	end := func() { w.restart(n, time.Hour, false) }
 	if !planned {
-		over()
+		end()
 		return
 	}
-	run := n.run
-	once := func() {
-		if n.run == run {
-			over()
+	runID := n.runID
+	endOnce := func() {
+		if n.runID == runID {
+			end()
 		}
 	}
-	w.after(n.election(0), once)
-	n.core.TransferLeadership(n.clock(), func() { w.after(0, once) })
+	w.after(n.electionTime(0), endOnce)
+	n.core.TransferLeadership(n.clock(), func() { w.after(0, endOnce) })
 }
 
-func TestALeaderThatEndsAsPlannedHandsOver(t *testing.T) {
+func TestPlannedShutdownTransfersLeadership(t *testing.T) {
 	for seed := range uint64(10) {
-		w, p := aSite(t, seed)
-		old := w.leads(p)
-		w.end(old, true)
-		w.within(t, old.file.Tick, "the next leader, after some round trips", func() bool {
-			how, leader := p.council()
-			return how == led && leader != old
+		w, site := oneSite(t, seed)
+		old := w.leaderOf(site)
+		w.endProcess(old, true)
+		w.waitFor(t, old.config.Tick, "the next leader, after some round trips", func() bool {
+			state, leader := site.groupState()
+			return state == led && leader != old
 		})
 		assert.True(t, !old.up || !old.core.Leading())
 	}
@@ -169,53 +169,53 @@
 // TestFromALeadersEndToTheNextWork measures it by kills and as planned, with nothing else broken:
 // go test ./rehearsal/province -run LeadersEnd -v -args -worlds 100 -figures
 func TestFromALeadersEndToTheNextWork(t *testing.T) {
-	skip(t)
+	requireFigures(t)
 	for _, planned := range []bool{false, true} {
-		var next, granted []time.Duration
+		var leaderTimes, grantTimes []time.Duration
 		for seed := *first; seed < *first+uint64(*worlds); seed++ {
-			w, p := aSite(t, seed)
-			old := w.leads(p)
-			soon := askFor(0) // all nodes know of it by then, the one that ends too
-			soon.Command.Request.NotBefore = old.clock() + w.Lasts
-			old.core.Submit(old.clock(), soon, func(_ control.Reply, err error) { require.NoError(t, err) })
-			w.until(w.now + w.Lasts - w.any(w.Lasts/4))
+			w, site := oneSite(t, seed)
+			old := w.leaderOf(site)
+			call := turnRequest(0) // all nodes know of it by then, the one that ends too
+			call.Command.Request.NotBefore = old.clock() + w.LeaseDuration
+			old.core.Submit(old.clock(), call, func(_ control.Reply, err error) { require.NoError(t, err) })
+			w.runUntil(w.now + w.LeaseDuration - w.randomUpTo(w.LeaseDuration/4))
 			ended := w.now
-			w.end(old, planned)
-			w.within(t, time.Minute, "the next leader", func() bool {
-				how, leader := p.council()
-				return how == led && leader != old
+			w.endProcess(old, planned)
+			w.waitFor(t, time.Minute, "the next leader", func() bool {
+				state, leader := site.groupState()
+				return state == led && leader != old
 			})
-			next = append(next, w.now-ended)
-			w.within(t, time.Minute, "the next work", func() bool {
-				turn, _ := w.leads(p).core.Schedule().Turn(soon.ID)
+			leaderTimes = append(leaderTimes, w.now-ended)
+			w.waitFor(t, time.Minute, "the next work", func() bool {
+				turn, _ := w.leaderOf(site).core.Schedule().Turn(call.ID)
 				return turn.Phase == turns.Granted
 			})
-			granted = append(granted, w.now-ended)
+			grantTimes = append(grantTimes, w.now-ended)
 		}
-		t.Logf("planned %v: the next leader after %v (median), %v (p99); the next work after %v, %v", planned, Quantile(next, 0.5),
-			Quantile(next, 0.99), Quantile(granted, 0.5), Quantile(granted, 0.99))
+		t.Logf("planned %v: the next leader after %v (median), %v (p99); the next work after %v, %v", planned, Quantile(leaderTimes, 0.5),
+			Quantile(leaderTimes, 0.99), Quantile(grantTimes, 0.5), Quantile(grantTimes, 0.99))
 	}
 }
 
 // A seat hears who leads; what another one takes for the leader may be old. Nodes without a seat have nothing else to go by.
-func TestASeatGoesByTheLeaderThatItHears(t *testing.T) {
-	w, p := aSite(t, 1)
-	leader := w.leads(p)
-	for _, n := range p.nodes {
-		old := p.nodes[0].name
-		if leader == p.nodes[0] {
-			old = p.nodes[1].name
+func TestReplicaTakesTheLeaderFromRaft(t *testing.T) {
+	w, site := oneSite(t, 1)
+	leader := w.leaderOf(site)
+	for _, n := range site.nodes {
+		old := site.nodes[0].name
+		if leader == site.nodes[0] {
+			old = site.nodes[1].name
 		}
 		if n == leader || n.name == old {
 			continue
 		}
 		n.core.HandleLeaseResponse(n.clock(), &peerpb.RenewReply{Refused: "this node does not lead the council", Leader: old})
-		if n.file.IsVoter {
+		if n.config.IsVoter {
 			assert.Equal(t, leader.name, n.core.Leader())
 		} else {
 			assert.Equal(t, old, n.core.Leader())
 		}
-		w.until(w.now + w.Lasts)
+		w.runUntil(w.now + w.LeaseDuration)
 		assert.Equal(t, leader.name, n.core.Leader())
 	}
 }
--- a/rehearsal/province/lost_test.go
+++ b/rehearsal/province/lost_test.go
@@ -12,81 +12,81 @@
 
 // TestALostStoreHoldsNobodyBack: a store is lost with a write that had not left, and a write elsewhere names it by a token.
 // That one is judged once all sites have called again.
-func TestALostStoreHoldsNobodyBack(t *testing.T) {
+func TestLostStoreBlocksNoWrite(t *testing.T) {
 	for seed := range uint64(4) { // lives are drawn: the later one may be the lower
-		lostStore(t, seed, []Level{{1, 1, 1}, {2, 1, 1}}, story{})
+		testLostStore(t, seed, []Level{{1, 1, 1}, {2, 1, 1}}, lossCase{})
 	}
 }
 
 // TestAnIdleSiteIsNotWaitedFor, though there is nothing that it has to send.
-func TestAnIdleSiteIsNotWaitedFor(t *testing.T) {
-	lostStore(t, 1, []Level{{1, 1, 1}, {3, 1, 1}}, story{})
+func TestIdleSiteBlocksNoWrite(t *testing.T) {
+	testLostStore(t, 1, []Level{{1, 1, 1}, {3, 1, 1}}, lossCase{})
 }
 
 // TestWhoWentRoundCallsOnceMore: a building called the province while its regency was cut off, and calls the regency since.
-func TestWhoWentRoundCallsOnceMore(t *testing.T) {
-	lostStore(t, 1, []Level{{1, 1, 1}, {2, 1, 1}, {1, 1, 1}}, story{round: true})
+func TestSiteThatBypassedItsParentReportsAgain(t *testing.T) {
+	testLostStore(t, 1, []Level{{1, 1, 1}, {2, 1, 1}, {1, 1, 1}}, lossCase{bypassed: true})
 }
 
 // TestALifeThatNobodyHeardOf: the store was lost before its site had called anybody, and only a token names it. Nothing is
 // written there since.
-func TestALifeThatNobodyHeardOf(t *testing.T) {
-	lostStore(t, 1, []Level{{1, 1, 1}, {2, 1, 1}, {1, 1, 1}}, story{unheard: true})
+func TestLostIncarnationThatNeverSynced(t *testing.T) {
+	testLostStore(t, 1, []Level{{1, 1, 1}, {2, 1, 1}, {1, 1, 1}}, lossCase{neverSynced: true})
 }
 
 // story is what is special about a lost store.
-type story struct {
-	round   bool // a building went round its regency before
-	unheard bool // it is a building's, which never called
+type lossCase struct {
+	bypassed    bool // a building went round its regency before
+	neverSynced bool // it is a building's, which never called
 }
 
-func lostStore(t *testing.T, seed uint64, levels []Level, s story) {
-	o := small
-	o.Seed, o.Levels, o.Hand, o.Writes, o.Asks = seed, levels, 1, 1, 0
-	w := build(o, teller(t))
-	w.begin()
-	var regencies []*place
-	for _, p := range w.sites {
-		if p.up == w.sites[0] {
-			regencies = append(regencies, p)
+func testLostStore(t *testing.T, seed uint64, levels []Level, scenario lossCase) {
+	o := smallWorld
+	o.Seed, o.Levels, o.SharedHosts, o.Writes, o.TurnRequests = seed, levels, 1, 1, 0
+	w := newWorld(o, tracer(t))
+	w.startNodes()
+	var regencies []*siteState
+	for _, site := range w.sites {
+		if site.parent == w.sites[0] {
+			regencies = append(regencies, site)
 		}
 	}
 	lost, other := regencies[0], regencies[1]
-	var mends []func()
-	cut := func(p, q *place) { mends = append(mends, w.part(p, q, true)) }
-	if s.unheard {
+	var heals []func()
+	cut := func(site, q *siteState) { heals = append(heals, w.partition(site, q, true)) }
+	if scenario.neverSynced {
 		lost = w.sites[2]
 		cut(lost, w.sites[0])
-		cut(lost, lost.up)
+		cut(lost, lost.parent)
 	}
-	writes := func(p, from *place) *write {
-		return w.write(p, p.nodes[0], subject{sitesync.Work, "work/0"}, sitesync.LocalWrite{Value: []byte("done")}, from, false)
+	writeAt := func(site, from *siteState) *write {
+		return w.write(site, site.nodes[0], subject{sitesync.Work, "work/0"}, sitesync.LocalWrite{Value: []byte("done")}, from, false)
 	}
-	w.until(5 * time.Second)
-	if s.round {
-		mend := w.part(w.sites[len(w.sites)-1], other, true)
-		w.until(45 * time.Second)
-		require.NotZero(t, w.tally.Round)
-		mend()
-		w.until(55 * time.Second)
+	w.runUntil(5 * time.Second)
+	if scenario.bypassed {
+		heal := w.partition(w.sites[len(w.sites)-1], other, true)
+		w.runUntil(45 * time.Second)
+		require.NotZero(t, w.tally.BypassReplies)
+		heal()
+		w.runUntil(55 * time.Second)
 	}
-	begun := w.now
+	lossAt := w.now
 	cut(lost, w.sites[0])
-	for _, p := range w.sites {
-		if p.up == lost { // it would have the write as well
-			cut(p, lost)
+	for _, site := range w.sites {
+		if site.parent == lost { // it would have the write as well
+			cut(site, lost)
 		}
 	}
-	writes(lost, nil)
-	w.until(begun + time.Second)
-	x := writes(other, lost)
-	w.until(begun + 2*time.Second)
-	w.lose(lost, time.Second)
-	w.until(begun + 5*time.Second)
-	for _, mend := range mends {
-		mend()
+	writeAt(lost, nil)
+	w.runUntil(lossAt + time.Second)
+	x := writeAt(other, lost)
+	w.runUntil(lossAt + 2*time.Second)
+	w.loseStores(lost, time.Second)
+	w.runUntil(lossAt + 5*time.Second)
+	for _, heal := range heals {
+		heal()
 	}
-	w.until(begun + 45*time.Second)
-	require.True(t, x.agreed)
-	assert.NotEmpty(t, w.receipt(other, w.reader(other), x), "seed %d", seed)
+	w.runUntil(lossAt + 45*time.Second)
+	require.True(t, x.committed)
+	assert.NotEmpty(t, w.readReceipt(other, w.reader(other), x), "seed %d", seed)
 }
--- a/rehearsal/province/network.go
+++ b/rehearsal/province/network.go
@@ -9,34 +9,34 @@
 )
 
 // SendRaft implements control.Env.
-func (n *node) SendRaft(seat string, q *peerpb.RaftRequest) {
-	run := n.run
-	n.send(seat, proto.Size(q), func(to *node) {
-		r := to.core.HandleRaft(to.clock(), q)
-		to.watch()
-		to.send(n.name, proto.Size(r), func(n *node) {
-			if n.run == run { // an answer goes to the process that asked
-				n.core.HandleRaftReply(n.clock(), r)
+func (n *node) SendRaft(to string, request *peerpb.RaftRequest) {
+	runID := n.runID
+	n.send(to, proto.Size(request), func(peer *node) {
+		reply := peer.core.HandleRaft(peer.clock(), request)
+		peer.countElections()
+		peer.send(n.name, proto.Size(reply), func(n *node) {
+			if n.runID == runID { // an answer goes to the process that asked
+				n.core.HandleRaftReply(n.clock(), reply)
 			}
 		}, nil)
 	}, nil)
 }
 
 // SendRenew implements control.Env.
-func (n *node) SendRenew(seat string, q *peerpb.RenewRequest) {
-	run, asked := n.run, n.w.now
-	n.send(seat, proto.Size(q), func(to *node) {
-		to.core.HandleLeaseRequest(to.clock(), q, func(r *peerpb.RenewReply) {
-			if r.Refused == "" {
-				n.w.hands(to)
+func (n *node) SendRenew(to string, request *peerpb.RenewRequest) {
+	runID, requestedAt := n.runID, n.w.now
+	n.send(to, proto.Size(request), func(peer *node) {
+		peer.core.HandleLeaseRequest(peer.clock(), request, func(reply *peerpb.RenewReply) {
+			if reply.Refused == "" {
+				n.w.readSharedHosts(peer)
 			}
-			to.send(n.name, proto.Size(r), func(n *node) {
-				if n.run != run {
+			peer.send(n.name, proto.Size(reply), func(n *node) {
+				if n.runID != runID {
 					return
 				}
-				n.core.HandleLeaseResponse(n.clock(), r)
-				if r.Refused == "" {
-					n.later(binding+1, func() { n.asked = max(n.asked, asked) })
+				n.core.HandleLeaseResponse(n.clock(), reply)
+				if reply.Refused == "" {
+					n.later(maxApplyDelay+1, func() { n.leaseRequestedAt = max(n.leaseRequestedAt, requestedAt) })
 				}
 			}, nil)
 		})
@@ -45,24 +45,24 @@
 
 // SendReplay implements control.Env. Where nobody listens the call fails at once, as a link does; what is cut or lost is
 // not answered.
-func (n *node) SendReplay(seat string, call uint64, _ time.Duration, q *peerpb.ReplayRequest) {
-	run := n.run
-	answer := func(r *peerpb.ReplayReply) func(*node) {
+func (n *node) SendReplay(to string, call uint64, _ time.Duration, request *peerpb.ReplayRequest) {
+	runID := n.runID
+	answer := func(reply *peerpb.ReplayReply) func(*node) {
 		return func(n *node) {
-			if n.run == run {
-				n.core.Replayed(n.clock(), call, r)
+			if n.runID == runID {
+				n.core.Replayed(n.clock(), call, reply)
 			}
 		}
 	}
-	n.send(seat, proto.Size(q), func(to *node) {
-		to.core.Replay(to.clock(), q, func(r *peerpb.ReplayReply) {
-			if r.Refused == "" && to.site != n.site.up {
-				n.w.tally.Round++
+	n.send(to, proto.Size(request), func(peer *node) {
+		peer.core.Replay(peer.clock(), request, func(reply *peerpb.ReplayReply) {
+			if reply.Refused == "" && peer.site != n.site.parent {
+				n.w.tally.BypassReplies++
 			}
-			if to.site.up == nil {
-				n.w.look(to.site) // also what holds there for a moment only
+			if peer.site.parent == nil {
+				n.w.readSite(peer.site) // also what holds there for a moment only
 			}
-			to.send(n.name, proto.Size(r), answer(r), nil)
+			peer.send(n.name, proto.Size(reply), answer(reply), nil)
 		})
 	}, func() { n.later(time.Millisecond, func() { answer(nil)(n) }) })
 }
@@ -70,34 +70,34 @@
 // send brings something to another node, unless it is lost: now and then late, now and then twice. What comes late may come
 // to a later process there, but not once the processes at both ends are gone. down is called where the other one does not
 // run; nil: nothing is.
-func (n *node) send(to string, bytes int, deliver func(*node), down func()) {
-	w, m := n.w, n.w.byName[to]
+func (n *node) send(to string, bytes int, deliver func(*node), refused func()) {
+	w, receiver := n.w, n.w.byName[to]
 	w.tally.Messages++
 	w.tally.Bytes += bytes
-	if m.site != n.site {
-		w.tally.Between++
+	if receiver.site != n.site {
+		w.tally.SiteMessages++
 	}
-	copies, from, at := 1, n.run, m.run
-	if w.Faults && !w.calm {
-		switch p := w.rng.Float64(); {
-		case p < 0.02:
+	copies, senderRunID, receiverRunID := 1, n.runID, receiver.runID
+	if w.Faults && !w.quiet {
+		switch chance := w.rng.Float64(); {
+		case chance < 0.02:
 			copies = 0
-		case p < 0.04:
+		case chance < 0.04:
 			copies = 2
 		}
 	}
 	for range copies {
-		d := time.Millisecond + w.any(4*time.Millisecond)
-		if w.Faults && !w.calm && w.rng.Float64() < 0.02 {
-			d += w.any(2 * w.Lasts)
+		delay := time.Millisecond + w.randomUpTo(4*time.Millisecond)
+		if w.Faults && !w.quiet && w.rng.Float64() < 0.02 {
+			delay += w.randomUpTo(2 * w.LeaseDuration)
 		}
-		w.after(d, func() {
+		w.after(delay, func() {
 			switch {
-			case n.run != from && m.run != at || n.cut[m.name] || w.apart[[2]*place{n.site, m.site}] > 0:
-			case m.up:
-				m.when(func() { deliver(m) })
-			case down != nil:
-				down()
+			case n.runID != senderRunID && receiver.runID != receiverRunID || n.cutTo[receiver.name] || w.partitions[[2]*siteState{n.site, receiver.site}] > 0:
+			case receiver.up:
+				receiver.runOrDefer(func() { deliver(receiver) })
+			case refused != nil:
+				refused()
 			}
 		})
 	}
@@ -105,20 +105,20 @@
 
 // part keeps what one site sends from another, and the other way round where both is set, until the function it returns is
 // called.
-func (w *World) part(p, q *place, both bool) (mend func()) {
-	ways := [][2]*place{{p, q}}
+func (w *World) partition(from, to *siteState, both bool) (heal func()) {
+	directions := [][2]*siteState{{from, to}}
 	if both {
-		ways = append(ways, [2]*place{q, p})
+		directions = append(directions, [2]*siteState{to, from})
 	}
-	for _, way := range ways {
-		w.apart[way]++
+	for _, direction := range directions {
+		w.partitions[direction]++
 	}
-	done := false
+	healed := false
 	return func() {
-		if !done {
-			done = true
-			for _, way := range ways {
-				w.apart[way]--
+		if !healed {
+			healed = true
+			for _, direction := range directions {
+				w.partitions[direction]--
 			}
 		}
 	}
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -16,120 +16,120 @@
 
 // node is one process with its store. It is its Core's control.Env: here and in network.go.
 type node struct {
-	w       *World
-	site    *place
-	file    *site.Site
-	name    string
-	rate    float64 // of its clock
-	core    *control.Core
-	life    uint64
-	boot    uint64
-	run     uint64
-	store   consensus.StoredState
-	saved   sendlease.Saved
-	kept    control.Kept
-	goes    control.Policy // that its loop goes by
-	up      bool
-	paused  bool
-	late    []func() // what came while it was stopped
-	cut     map[string]bool
-	taken   sendlease.Restrictions // by its loop
-	led     bool
-	ledAt   time.Duration // since when
-	number  int           // among those of its site
-	treated treated
-	asked   time.Duration // when the newest question was asked whose answer its loop goes by
-	told    []string      // the plain way: hosts that it was told to leave alone
-	knows   bool          // the plain way: it was told
-	logged  []int         // bytes of each entry that came to its store
-}
-
-func (w *World) add(p *place, name string, file *site.Site) *node {
-	n := &node{w: w, site: p, file: file, name: name, number: len(p.nodes), cut: map[string]bool{}, life: w.rng.Uint64() | 1}
-	p.nodes = append(p.nodes, n)
+	w                *World
+	site             *siteState
+	config           *site.Site
+	name             string
+	clockRate        float64 // of its clock
+	core             *control.Core
+	incarnation      uint64
+	openCount        uint64
+	runID            uint64
+	store            consensus.StoredState
+	savedLease       sendlease.Saved
+	keptPolicies     control.Kept
+	policy           control.Policy // that its loop goes by
+	up               bool
+	paused           bool
+	deferred         []func() // what came while it was stopped
+	cutTo            map[string]bool
+	restrictions     sendlease.Restrictions // by its loop
+	leading          bool
+	leadingSince     time.Duration // since when
+	index            int           // among those of its site
+	trialState       trialState
+	leaseRequestedAt time.Duration // when the newest question was asked whose answer its loop goes by
+	lockedHosts      []string      // the plain way: hosts that it was told to leave alone
+	hasLockList      bool          // the plain way: it was told
+	entrySizes       []int         // bytes of each entry that came to its store
+}
+
+func (w *World) addNode(site *siteState, name string, file *site.Site) *node {
+	n := &node{w: w, site: site, config: file, name: name, index: len(site.nodes), cutTo: map[string]bool{}, incarnation: w.rng.Uint64() | 1}
+	site.nodes = append(site.nodes, n)
 	w.nodes = append(w.nodes, n)
 	w.byName[name] = n
 	return n
 }
 
 // clock is the node's own time.
-func (n *node) clock() time.Duration { return base + time.Duration(float64(n.w.now)*n.rate) }
+func (n *node) clock() time.Duration { return base + time.Duration(float64(n.w.now)*n.clockRate) }
 
 // start starts a process of the node.
 func (w *World) start(n *node) {
-	n.boot++
-	n.run = w.rng.Uint64()
-	n.up, n.paused, n.late, n.led, n.asked = true, false, nil, false, 0
-	n.taken, n.goes = sendlease.Restrictions{AllAfterExpiry: true}, control.Policy{}
-	n.saved.Incarnation = n.life
-	if w.Plain {
-		n.repeat(0, n.listen)
-		n.repeat(w.any(60*time.Millisecond), n.placing)
+	n.openCount++
+	n.runID = w.rng.Uint64()
+	n.up, n.paused, n.deferred, n.leading, n.leaseRequestedAt = true, false, nil, false, 0
+	n.restrictions, n.policy = sendlease.Restrictions{AllAfterExpiry: true}, control.Policy{}
+	n.savedLease.Incarnation = n.incarnation
+	if w.FixedOrder {
+		n.repeat(0, n.fetchLockList)
+		n.repeat(w.randomUpTo(60*time.Millisecond), n.sendPeriodically)
 		return
 	}
-	core, err := control.New(n.clock(), control.Options{Site: n.file, StoreIncarnation: n.life, OpenCount: n.boot, RunID: n.run, StoreVerified: w.Witness,
-		StoredState: n.store, SavedLease: n.saved, KeptPolicies: n.kept, CheckPolicy: func(control.Policy) error { return nil }}, n)
+	core, err := control.New(n.clock(), control.Options{Site: n.config, StoreIncarnation: n.incarnation, OpenCount: n.openCount, RunID: n.runID, StoreVerified: w.VerifiedStores,
+		StoredState: n.store, SavedLease: n.savedLease, KeptPolicies: n.keptPolicies, CheckPolicy: func(control.Policy) error { return nil }}, n)
 	if err != nil {
-		w.broken(n.name + " does not start: " + err.Error())
+		w.violation(n.name + " does not start: " + err.Error())
 		n.up = false
 		return
 	}
 	n.core = core
-	n.repeat(w.any(n.file.Tick), func() time.Duration {
+	n.repeat(w.randomUpTo(n.config.Tick), func() time.Duration {
 		n.core.Tick(n.clock())
-		n.watch()
-		return time.Duration(float64(n.file.Tick) / n.rate)
+		n.countElections()
+		return time.Duration(float64(n.config.Tick) / n.clockRate)
 	})
-	n.repeat(w.any(100*time.Millisecond), func() time.Duration {
+	n.repeat(w.randomUpTo(100*time.Millisecond), func() time.Duration {
 		n.core.HandleLoopReport(n.clock(), n.report())
 		return 100 * time.Millisecond
 	})
-	n.repeat(w.any(60*time.Millisecond), n.placing)
+	n.repeat(w.randomUpTo(60*time.Millisecond), n.sendPeriodically)
 }
 
 // repeat does something again and again for as long as this process lives; it says after how long.
-func (n *node) repeat(first time.Duration, do func() time.Duration) {
-	var once func()
-	once = func() { n.later(do(), once) }
-	n.later(first, once)
+func (n *node) repeat(first time.Duration, task func() time.Duration) {
+	var run func()
+	run = func() { n.later(task(), run) }
+	n.later(first, run)
 }
 
 // later does something after a time if this process still lives; a stopped one does it when it goes on.
-func (n *node) later(d time.Duration, do func()) {
-	run := n.run
+func (n *node) later(d time.Duration, task func()) {
+	runID := n.runID
 	n.w.after(d, func() {
-		if n.run == run && n.up {
-			n.when(do)
+		if n.runID == runID && n.up {
+			n.runOrDefer(task)
 		}
 	})
 }
 
 // when does something now, or when the process goes on.
-func (n *node) when(f func()) {
+func (n *node) runOrDefer(task func()) {
 	if n.paused {
-		n.late = append(n.late, f)
+		n.deferred = append(n.deferred, task)
 		return
 	}
-	f()
+	task()
 }
 
 // SavePolicies implements control.Env.
 func (n *node) SavePolicies(k control.Kept) error {
-	n.kept = k
+	n.keptPolicies = k
 	return nil
 }
 
 // ApplyPolicy implements control.Env: the loop takes the policy a moment later.
 func (n *node) ApplyPolicy(p control.Policy) {
-	n.later(n.w.any(5*time.Millisecond), func() { n.goes = p })
+	n.later(n.w.randomUpTo(5*time.Millisecond), func() { n.policy = p })
 }
 
 // watch notes elections.
-func (n *node) watch() {
-	if leads := n.core.Leading(); leads != n.led {
-		n.led = leads
-		if n.ledAt = 0; leads {
-			n.ledAt = n.w.now
+func (n *node) countElections() {
+	if leads := n.core.Leading(); leads != n.leading {
+		n.leading = leads
+		if n.leadingSince = 0; leads {
+			n.leadingSince = n.w.now
 			n.w.tally.Elections++
 		}
 	}
@@ -137,25 +137,25 @@
 
 // report is what a loop tells. A stand-in has no attempts under way: what it has taken is in effect.
 func (n *node) report() control.Report {
-	r := control.Report{Restrictions: n.taken, ClearedHosts: n.taken.ExcludedHosts, Policy: n.goes.Hash, RequestedPolicy: n.goes.Hash}
+	r := control.Report{Restrictions: n.restrictions, ClearedHosts: n.restrictions.ExcludedHosts, Policy: n.policy.Hash, RequestedPolicy: n.policy.Hash}
 	if len(n.w.trials) > 0 {
-		r.Counted = n.count()
+		r.Counted = n.counts()
 	}
-	r.Observation = n.look()
+	r.Observation = n.observe()
 	return r
 }
 
-func (n *node) placing() time.Duration {
-	n.place()
-	return 20*time.Millisecond + n.w.any(60*time.Millisecond)
+func (n *node) sendPeriodically() time.Duration {
+	n.sendToHost()
+	return 20*time.Millisecond + n.w.randomUpTo(60*time.Millisecond)
 }
 
 // place sends something new to a host that the loop's verdict allows now.
-func (n *node) place() {
+func (n *node) sendToHost() {
 	var open []string
 	now := n.clock()
 	for _, id := range n.site.ids {
-		if n.w.Plain && n.knows && !slices.Contains(n.told, id) || !n.w.Plain && !n.taken.Excludes(id, now) {
+		if n.w.FixedOrder && n.hasLockList && !slices.Contains(n.lockedHosts, id) || !n.w.FixedOrder && !n.restrictions.Excludes(id, now) {
 			open = append(open, id)
 		}
 	}
@@ -165,62 +165,62 @@
 	h := n.site.hosts[open[n.w.rng.IntN(len(open))]]
 	n.w.tally.Sent++
 	if h.inWork {
-		n.w.broken(fmt.Sprintf("%s sent something new to %s, which is in work by %s", n.name, h.id, h.by))
+		n.w.violation(fmt.Sprintf("%s sent something new to %s, which is in work by %s", n.name, h.id, h.workTurn))
 	}
-	n.w.checkHand(n, h.id)
+	n.w.checkOutOfService(n, h.id)
 }
 
 // Save implements control.Env over memory.
-func (n *node) Save(s consensus.WriteBatch) error {
-	d := &n.store
-	if s.HardState != nil {
-		d.HardState = proto.CloneOf(s.HardState)
+func (n *node) Save(batch consensus.WriteBatch) error {
+	stored := &n.store
+	if batch.HardState != nil {
+		stored.HardState = proto.CloneOf(batch.HardState)
 	}
-	if s.Snapshot != nil {
-		d.Snapshot, d.Applied = proto.CloneOf(s.Snapshot), s.Snapshot.Metadata.GetIndex()
-		if s.Replace {
-			d.Entries = nil
+	if batch.Snapshot != nil {
+		stored.Snapshot, stored.Applied = proto.CloneOf(batch.Snapshot), batch.Snapshot.Metadata.GetIndex()
+		if batch.Replace {
+			stored.Entries = nil
 		}
 	}
-	for _, e := range s.Entries {
+	for _, e := range batch.Entries {
 		if len(e.GetData()) > 0 {
-			n.logged = append(n.logged, len(e.GetData()))
+			n.entrySizes = append(n.entrySizes, len(e.GetData()))
 		}
-		d.Entries = slices.DeleteFunc(d.Entries, func(old *raftpb.Entry) bool { return old.GetIndex() >= e.GetIndex() })
-		d.Entries = append(d.Entries, proto.CloneOf(e))
+		stored.Entries = slices.DeleteFunc(stored.Entries, func(old *raftpb.Entry) bool { return old.GetIndex() >= e.GetIndex() })
+		stored.Entries = append(stored.Entries, proto.CloneOf(e))
 	}
-	cut := max(s.CompactTo, 0)
-	if s.Snapshot != nil { // the store keeps what follows the snapshot
-		cut = max(cut, d.Applied)
+	compactTo := max(batch.CompactTo, 0)
+	if batch.Snapshot != nil { // the store keeps what follows the snapshot
+		compactTo = max(compactTo, stored.Applied)
 	}
-	d.Entries = slices.DeleteFunc(d.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= cut })
+	stored.Entries = slices.DeleteFunc(stored.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= compactTo })
 	return nil
 }
 
 // SaveLease implements control.Env.
 func (n *node) SaveLease(s sendlease.Saved) error {
-	n.saved = s
+	n.savedLease = s
 	return nil
 }
 
 // MarkRefused implements control.Env.
 func (n *node) MarkRefused(why string) error {
 	n.store.Refused = why
-	n.w.say(n.name + " is refused: " + why)
+	n.w.log(n.name + " is refused: " + why)
 	return nil
 }
 
 // ApplyRestrictions implements control.Env: the loop takes the verdict a moment later.
 func (n *node) ApplyRestrictions(v sendlease.Restrictions) {
-	n.later(n.w.any(binding), func() { n.taken = v })
+	n.later(n.w.randomUpTo(maxApplyDelay), func() { n.restrictions = v })
 }
 
 // binding is the longest that a loop takes to have a verdict.
-const binding = 5 * time.Millisecond
+const maxApplyDelay = 5 * time.Millisecond
 
 // Log implements control.Env.
 func (n *node) Log(event string, args ...any) {
 	if n.w.Trace != nil {
-		n.w.say(fmt.Sprintln(n.name, event, args))
+		n.w.log(fmt.Sprintln(n.name, event, args))
 	}
 }
--- a/rehearsal/province/plain.go
+++ b/rehearsal/province/plain.go
@@ -11,59 +11,59 @@
 // stopped or slow is not waited for. One that starts anew sends nothing before it has the list.
 
 // lockFor is how long a lock is held at most: much longer than work is said to last.
-const lockFor = 10 * time.Second
+const maxLockHold = 10 * time.Second
 
 // lock is the list of one site.
-type lock struct {
-	list []*work // who waits, first come, first served
-	held []grant
+type lockList struct {
+	waiting []*requestedTurn // who waits, first come, first served
+	held    []grant
 }
 
 type grant struct {
-	a     *work
-	until time.Duration
+	turn    *requestedTurn
+	expires time.Duration
 }
 
 // rounds is the pause between two fetches of the list.
-func (n *node) rounds() time.Duration { return n.w.Lasts / 4 }
+func (n *node) fetchInterval() time.Duration { return n.w.LeaseDuration / 4 }
 
 // listen fetches the list, and at the first node keeps it.
-func (n *node) listen() time.Duration {
+func (n *node) fetchLockList() time.Duration {
 	first := n.site.nodes[0]
 	if n == first {
-		n.site.turn(n.w, n)
+		n.site.updateLocks(n.w, n)
 	}
 	n.send(first.name, 64, func(first *node) {
-		var out []string
+		var hosts []string
 		for _, g := range first.site.lock.held {
-			out = append(out, g.a.host)
+			hosts = append(hosts, g.turn.host)
 		}
-		first.send(n.name, 64+16*len(out), func(n *node) { n.told, n.knows = out, true }, nil)
+		first.send(n.name, 64+16*len(hosts), func(n *node) { n.lockedHosts, n.hasLockList = hosts, true }, nil)
 	}, nil)
-	return n.rounds()
+	return n.fetchInterval()
 }
 
 // turn lets locks go that were given back or ran out, and gives them to the next.
-func (p *place) turn(w *World, n *node) {
-	l := &p.lock
-	l.held = slices.DeleteFunc(l.held, func(g grant) bool {
+func (p *siteState) updateLocks(w *World, n *node) {
+	locks := &p.lock
+	locks.held = slices.DeleteFunc(locks.held, func(g grant) bool {
 		switch {
-		case g.a.done:
-		case w.now > g.until:
-			w.say(g.a.id + " holds the lock for too long: it passes on")
+		case g.turn.done:
+		case w.now > g.expires:
+			w.log(g.turn.id + " holds the lock for too long: it passes on")
 		default:
 			return false
 		}
-		g.a.over = true
+		g.turn.ended = true
 		return true
 	})
-	for len(l.list) > 0 && len(l.held) < w.Limits.Site {
-		a := l.list[0]
-		l.list = l.list[1:]
-		l.held = append(l.held, grant{a, w.now + lockFor})
-		w.after(2*n.rounds(), func() {
-			w.count(a)
-			w.work(p, a)
+	for len(locks.waiting) > 0 && len(locks.held) < w.Limits.Site {
+		turn := locks.waiting[0]
+		locks.waiting = locks.waiting[1:]
+		locks.held = append(locks.held, grant{turn, w.now + maxLockHold})
+		w.after(2*n.fetchInterval(), func() {
+			w.countGrant(turn)
+			w.startWork(p, turn)
 		})
 	}
 }
--- a/rehearsal/province/province_test.go
+++ b/rehearsal/province/province_test.go
@@ -11,14 +11,14 @@
 	"lichenhitch/internal/choice/turns"
 )
 
-var small = Options{Seed: 1, Levels: []Level{{1, 5, 3}}, Hosts: 8, Asks: 6, Lasts: 3 * time.Second, Overrun: true,
-	Limits: turns.Limits{Site: 2, Lookahead: 2, AgeStep: time.Minute}, For: 60 * time.Second, Quiet: 120 * time.Second}
-
-func TestOneSiteGivesTurns(t *testing.T) {
-	got := Run(small, nil)
-	assert.Empty(t, got.Broken)
-	assert.Equal(t, small.Asks, got.Done)
-	assert.Equal(t, 2, got.MostOut, "as many as are allowed")
+var smallWorld = Options{Seed: 1, Levels: []Level{{1, 5, 3}}, Hosts: 8, TurnRequests: 6, LeaseDuration: 3 * time.Second, Overrun: true,
+	Limits: turns.Limits{Site: 2, Lookahead: 2, AgeStep: time.Minute}, FaultPhase: 60 * time.Second, QuietPhase: 120 * time.Second}
+
+func TestOneSiteGrantsTurns(t *testing.T) {
+	got := Run(smallWorld, nil)
+	assert.Empty(t, got.Violations)
+	assert.Equal(t, smallWorld.TurnRequests, got.Done)
+	assert.Equal(t, 2, got.MaxInWork, "as many as are allowed")
 }
 
 var (
@@ -28,7 +28,7 @@
 )
 
 // shapes are the provinces that are played, one after the other.
-var shapes = [][]Level{
+var provinceShapes = [][]Level{
 	{{1, 3, 3}, {2, 3, 3}},
 	{{1, 3, 1}, {2, 2, 1}, {2, 2, 1}},
 	{{1, 5, 5}, {2, 3, 3}, {1, 2, 1}},
@@ -36,16 +36,16 @@
 }
 
 // province is a world of sites above each other.
-func province(seed uint64) Options {
-	o := small
-	o.Seed, o.Faults, o.Levels = seed, true, shapes[seed%uint64(len(shapes))]
-	o.Hosts, o.Hand, o.Asks, o.Writes = 4, 2, 3, 12
+func provinceOptions(seed uint64) Options {
+	o := smallWorld
+	o.Seed, o.Faults, o.Levels = seed, true, provinceShapes[seed%uint64(len(provinceShapes))]
+	o.Hosts, o.SharedHosts, o.TurnRequests, o.Writes = 4, 2, 3, 12
 	o.Limits.Site = 3
-	o.For, o.Quiet = 50*time.Second, 80*time.Second
+	o.FaultPhase, o.QuietPhase = 50*time.Second, 80*time.Second
 	return o
 }
 
-func teller(t *testing.T) func(time.Duration, string) {
+func tracer(t *testing.T) func(time.Duration, string) {
 	if !*trace {
 		return nil
 	}
@@ -57,9 +57,9 @@
 func TestProvinceUnderFaults(t *testing.T) {
 	var all Tally
 	for seed := *first; seed < *first+uint64(*worlds); seed++ {
-		got := Run(province(seed), teller(t))
-		assert.Empty(t, got.Broken, "seed %d", seed)
-		assert.Zero(t, got.Undone, "seed %d", seed)
+		got := Run(provinceOptions(seed), tracer(t))
+		assert.Empty(t, got.Violations, "seed %d", seed)
+		assert.Zero(t, got.Unfinished, "seed %d", seed)
 		all.add(got)
 		if (seed+1)%20 == 0 {
 			t.Logf("up to seed %d", seed)
@@ -67,12 +67,12 @@
 	}
 	t.Logf("%d writes agreed, %d with their receipts, %d of those not taken, %d lost with their stores; "+
 		"%d answers from farther above; %d turns done, %d elections",
-		all.Written, all.Receipts, all.NotTaken, all.Lost, all.Round, all.Done, all.Elections)
+		all.Committed, all.Receipts, all.Rejected, all.LostWrites, all.BypassReplies, all.Done, all.Elections)
 }
 
 // TestASeedPlaysTheSame, so that a failure can be looked at again.
-func TestASeedPlaysTheSame(t *testing.T) {
-	o := province(*first + 1)
+func TestSeedIsReproducible(t *testing.T) {
+	o := provinceOptions(*first + 1)
 	assert.Equal(t, Run(o, nil), Run(o, nil))
 }
 
@@ -80,27 +80,27 @@
 // go test ./rehearsal/province -v -run Turns -args -worlds 1 -first SEED -trace
 func TestTurnsUnderFaults(t *testing.T) {
 	for seed := *first; seed < *first+uint64(*worlds); seed++ {
-		o := small
+		o := smallWorld
 		o.Seed, o.Faults = seed, true
-		got := Run(o, teller(t))
-		assert.Empty(t, got.Broken, "seed %d", seed)
-		assert.Zero(t, got.Undone, "seed %d", seed)
+		got := Run(o, tracer(t))
+		assert.Empty(t, got.Violations, "seed %d", seed)
+		assert.Zero(t, got.Unfinished, "seed %d", seed)
 	}
 }
 
 func (t *Tally) add(o Tally) {
-	t.Sent, t.Granted, t.Done, t.Undone = t.Sent+o.Sent, t.Granted+o.Granted, t.Done+o.Done, t.Undone+o.Undone
-	t.Elections, t.Written, t.Refused, t.Receipts = t.Elections+o.Elections, t.Written+o.Written, t.Refused+o.Refused, t.Receipts+o.Receipts
-	t.Broken, t.Waited = append(t.Broken, o.Broken...), append(t.Waited, o.Waited...)
-	t.NotTaken, t.Lost, t.Round = t.NotTaken+o.NotTaken, t.Lost+o.Lost, t.Round+o.Round
-	t.Council.merge(o.Council)
-	t.Without = append(t.Without, o.Without...)
-	t.Turns.merge(o.Turns)
+	t.Sent, t.Granted, t.Done, t.Unfinished = t.Sent+o.Sent, t.Granted+o.Granted, t.Done+o.Done, t.Unfinished+o.Unfinished
+	t.Elections, t.Committed, t.Refused, t.Receipts = t.Elections+o.Elections, t.Committed+o.Committed, t.Refused+o.Refused, t.Receipts+o.Receipts
+	t.Violations, t.GrantTimes = append(t.Violations, o.Violations...), append(t.GrantTimes, o.GrantTimes...)
+	t.Rejected, t.LostWrites, t.BypassReplies = t.Rejected+o.Rejected, t.LostWrites+o.LostWrites, t.BypassReplies+o.BypassReplies
+	t.GroupStates.merge(o.GroupStates)
+	t.LeaderlessTimes = append(t.LeaderlessTimes, o.LeaderlessTimes...)
+	t.TurnWaits.merge(o.TurnWaits)
 }
 
 // inWork is how often something was sent to a host in work.
-func (t *Tally) inWork() (n int) {
-	for _, b := range t.Broken {
+func (t *Tally) sentToHostsInWork() (n int) {
+	for _, b := range t.Violations {
 		if strings.Contains(b, "is in work") {
 			n++
 		}
@@ -109,37 +109,37 @@
 }
 
 // TestWhatWasWrittenIsKnownSoonAfterALinkIsBack, whatever call was out when it was cut, and when it came back.
-func TestWhatWasWrittenIsKnownSoonAfterALinkIsBack(t *testing.T) {
-	var all []time.Duration
+func TestWritesReachTheRootSoonAfterReconnect(t *testing.T) {
+	var times []time.Duration
 	for seed := range uint64(6) {
-		o := small
-		o.Levels, o.Hosts, o.Hand, o.Asks = []Level{{1, 3, 3}, {3, 3, 3}}, 2, 2, 0
+		o := smallWorld
+		o.Levels, o.Hosts, o.SharedHosts, o.TurnRequests = []Level{{1, 3, 3}, {3, 3, 3}}, 2, 2, 0
 		o.Seed = seed
-		known, _, _ := backAtOnce(o, 3, 1)
-		all = append(all, known...)
+		reconnects, _, _ := reconnectTimes(o, 3, 1)
+		times = append(times, reconnects...)
 	}
-	assert.Less(t, Quantile(all, 0.5), time.Second)
-	assert.Less(t, Quantile(all, 1), 3*time.Second, "no call is waited for that was cut: %v", all)
+	assert.Less(t, Quantile(times, 0.5), time.Second)
+	assert.Less(t, Quantile(times, 1), 3*time.Second, "no call is waited for that was cut: %v", times)
 }
 
 // TestAnIdleProvinceCommitsNothing once all is known everywhere: not what a site above tells though it is known, and nothing by time.
 func TestAnIdleProvinceCommitsNothing(t *testing.T) {
-	o := small
-	o.Levels, o.Hosts, o.Hand, o.Asks = []Level{{1, 3, 3}, {2, 3, 3}, {2, 3, 3}}, 2, 2, 0
-	w := build(o, nil)
-	w.begin()
-	w.until(40 * time.Second)
-	before := map[*place]int{}
-	for _, p := range w.sites {
-		before[p] = len(p.nodes[0].logged)
+	o := smallWorld
+	o.Levels, o.Hosts, o.SharedHosts, o.TurnRequests = []Level{{1, 3, 3}, {2, 3, 3}, {2, 3, 3}}, 2, 2, 0
+	w := newWorld(o, nil)
+	w.startNodes()
+	w.runUntil(40 * time.Second)
+	before := map[*siteState]int{}
+	for _, site := range w.sites {
+		before[site] = len(site.nodes[0].entrySizes)
 	}
-	w.until(100 * time.Second)
-	for _, p := range w.sites {
-		all, bytes := p.nodes[0].logged[before[p]:], 0
+	w.runUntil(100 * time.Second)
+	for _, site := range w.sites {
+		all, bytes := site.nodes[0].entrySizes[before[site]:], 0
 		for _, n := range all {
 			bytes += n
 		}
-		t.Logf("%s: %d entries of %d bytes in a minute", p.name, len(all), bytes)
-		assert.Empty(t, all, p.name)
+		t.Logf("%s: %d entries of %d bytes in a minute", site.name, len(all), bytes)
+		assert.Empty(t, all, site.name)
 	}
 }
--- a/rehearsal/province/where.go
+++ b/rehearsal/province/where.go
@@ -15,28 +15,28 @@
 // that a world plays the same with it and without.
 
 // lookEvery is the pause between two looks.
-const lookEvery = 20 * time.Millisecond
+const observeInterval = 20 * time.Millisecond
 
 // Spent is time by what it went into.
-type Spent map[string]time.Duration
+type TimeByCause map[string]time.Duration
 
-func (s *Spent) add(what string, d time.Duration) {
+func (s *TimeByCause) add(cause string, d time.Duration) {
 	if *s == nil {
-		*s = Spent{}
+		*s = TimeByCause{}
 	}
-	(*s)[what] += d
+	(*s)[cause] += d
 }
 
-func (s *Spent) merge(o Spent) {
-	for what, d := range o {
-		s.add(what, d)
+func (s *TimeByCause) merge(other TimeByCause) {
+	for cause, d := range other {
+		s.add(cause, d)
 	}
 }
 
 // Sum is the time of all that begins with these words.
-func (s Spent) Sum(prefix string) (sum time.Duration) {
-	for what, d := range s {
-		if strings.HasPrefix(what, prefix) {
+func (s TimeByCause) Sum(prefix string) (sum time.Duration) {
+	for cause, d := range s {
+		if strings.HasPrefix(cause, prefix) {
 			sum += d
 		}
 	}
@@ -44,75 +44,75 @@
 }
 
 // Table is one line for each, the names in their order, with the part of the whole.
-func (s Spent) Table() string {
+func (s TimeByCause) Table() string {
 	var b strings.Builder
-	for _, what := range slices.Sorted(maps.Keys(s)) {
-		fmt.Fprintf(&b, "\n  %7.1f s %5.1f %%  %s", s[what].Seconds(), 100*s[what].Seconds()/max(1e-9, s.Sum("").Seconds()), what)
+	for _, cause := range slices.Sorted(maps.Keys(s)) {
+		fmt.Fprintf(&b, "\n  %7.1f s %5.1f %%  %s", s[cause].Seconds(), 100*s[cause].Seconds()/max(1e-9, s.Sum("").Seconds()), cause)
 	}
 	return b.String()
 }
 
 // What a council does, and what a turn waits for.
 const (
-	noQuorum   = "b: no majority of seats runs and reaches one of them both ways"
-	awaitsWord = "f: one would, with seats that started anew and wait for others' word: "
-	founding   = "f: nobody belongs to a council yet"
-	leaderless = "a: no leader, though a majority could talk: "
-	led        = "led"
+	noQuorum             = "b: no majority of seats runs and reaches one of them both ways"
+	awaitingConfirmation = "f: one would, with seats that started anew and wait for others' word: "
+	notBootstrapped      = "f: nobody belongs to a council yet"
+	leaderless           = "a: no leader, though a majority could talk: "
+	led                  = "led"
 )
 
-func (n *node) runs() bool { return n.up && !n.paused && n.core != nil && n.core.StopCause() == nil }
+func (n *node) running() bool { return n.up && !n.paused && n.core != nil && n.core.StopCause() == nil }
 
 // linked says whether two nodes of a site run and reach each other both ways.
-func linked(a, b *node) bool {
-	return a.runs() && b.runs() && (a == b || !a.cut[b.name] && !b.cut[a.name])
+func connected(a, b *node) bool {
+	return a.running() && b.running() && (a == b || !a.cutTo[b.name] && !b.cutTo[a.name])
 }
 
 // carries says whether a seat could lead: it and others of a kind are a majority, each of them linked to it.
-func (p *place) carries(n *node, fit func(*node) bool) bool {
-	linked := func(m *node) bool { return m.file.IsVoter && fit(m) && linked(n, m) }
+func (p *siteState) canLead(n *node, eligible func(*node) bool) bool {
+	reachable := func(m *node) bool { return m.config.IsVoter && eligible(m) && connected(n, m) }
 	count := 0
 	for _, m := range p.nodes {
-		if linked(m) {
+		if reachable(m) {
 			count++
 		}
 	}
-	return linked(n) && count > len(p.group.Voters)/2
+	return reachable(n) && count > len(p.definition.Voters)/2
 }
 
-func anySeat(*node) bool { return true }
+func anyReplica(*node) bool { return true }
 
 // seated says whether a node's seat takes part.
-func seated(n *node) bool {
+func participating(n *node) bool {
 	st, ok := n.core.ReplicaStatus()
 	return ok && !st.Unconfirmed && st.Err == nil
 }
 
 // council returns how a site's council stands, and the node that leads it with a majority.
-func (p *place) council() (how string, leader *node) {
-	running, taking, stale, leads := false, false, false, 0
+func (p *siteState) groupState() (description string, leader *node) {
+	quorumRuns, quorumParticipates, claimed, claims := false, false, false, 0
 	for _, n := range p.nodes {
-		if !n.file.IsVoter {
+		if !n.config.IsVoter {
 			continue
 		}
-		running = running || p.carries(n, anySeat)
-		taking = taking || p.carries(n, func(m *node) bool { return m.runs() && seated(m) })
+		quorumRuns = quorumRuns || p.canLead(n, anyReplica)
+		quorumParticipates = quorumParticipates || p.canLead(n, func(m *node) bool { return m.running() && participating(m) })
 		if n.up && n.core != nil && n.core.Leading() {
-			leads++
-			stale = true
-			if p.carries(n, seated) {
+			claims++
+			claimed = true
+			if p.canLead(n, participating) {
 				leader = n
 			}
 		}
 	}
 	switch {
-	case !running:
+	case !quorumRuns:
 		return noQuorum, nil
-	case !taking:
-		return p.word(), nil
+	case !quorumParticipates:
+		return p.confirmationState(), nil
 	case leader != nil:
 		return led, leader
-	case stale:
+	case claimed:
 		return leaderless + "one that is cut off or stopped believes on", nil
 	}
 	return leaderless + "none believes it leads", nil
@@ -120,169 +120,169 @@
 
 // word says whether a majority of the seats could talk if one that waits for others' word had it from all that it reaches, or
 // from all that they reach.
-func (p *place) word() string {
-	begun := false
+func (p *siteState) confirmationState() string {
+	bootstrapped := false
 	for _, n := range p.nodes {
-		if !n.file.IsVoter || !n.runs() {
+		if !n.config.IsVoter || !n.running() {
 			continue
 		}
 		st, ok := n.core.ReplicaStatus()
-		begun = begun || ok
+		bootstrapped = bootstrapped || ok
 		if !ok || !st.Unconfirmed {
 			continue
 		}
-		reach, by := 0, 0
+		direct, indirect := 0, 0
 		for _, m := range p.nodes {
-			if !m.file.IsVoter || m == n {
+			if !m.config.IsVoter || m == n {
 				continue
 			}
-			if linked(n, m) {
-				reach++
-			} else if slices.ContainsFunc(p.nodes, func(k *node) bool { return k.file.IsVoter && linked(n, k) && linked(k, m) }) {
-				by++
+			if connected(n, m) {
+				direct++
+			} else if slices.ContainsFunc(p.nodes, func(k *node) bool { return k.config.IsVoter && connected(n, k) && connected(k, m) }) {
+				indirect++
 			}
 		}
-		all := len(p.group.Voters)
+		voters := len(p.definition.Voters)
 		switch {
-		case reach >= all-all/2:
-			return awaitsWord + "it reaches as many as it needs"
-		case reach+by >= all-all/2:
-			return awaitsWord + "it reaches as many as it needs through others"
+		case direct >= voters-voters/2:
+			return awaitingConfirmation + "it reaches as many as it needs"
+		case direct+indirect >= voters-voters/2:
+			return awaitingConfirmation + "it reaches as many as it needs through others"
 		}
 	}
-	if !begun {
-		return founding
+	if !bootstrapped {
+		return notBootstrapped
 	}
-	return awaitsWord + "it does not reach as many as it needs"
+	return awaitingConfirmation + "it does not reach as many as it needs"
 }
 
 // where adds up one look.
-func (w *World) where() {
-	w.after(lookEvery, w.where)
-	for _, p := range w.sites {
-		how, leader := p.council()
-		if !w.calm {
-			w.tally.Council.add(how, lookEvery)
-			w.lacks(p, how)
+func (w *World) observeWaits() {
+	w.after(observeInterval, w.observeWaits)
+	for _, site := range w.sites {
+		groupState, leader := site.groupState()
+		if !w.quiet {
+			w.tally.GroupStates.add(groupState, observeInterval)
+			w.recordLeaderless(site, groupState)
 		}
-		for _, a := range p.asks {
-			if a.asked > 0 && !a.counted && !a.over && !p.doomed {
-				what := how
+		for _, turn := range site.turns {
+			if turn.requestedAt > 0 && !turn.grantCounted && !turn.ended && !site.losesStores {
+				cause := groupState
 				if leader != nil {
-					what = w.waitsFor(p, a, leader)
+					cause = w.waitReason(site, turn, leader)
 				}
-				w.tally.Turns.add(what, lookEvery)
+				w.tally.TurnWaits.add(cause, observeInterval)
 			}
 		}
 	}
 }
 
 // lacks notes how long a site was without a leader at a stretch, while a majority could talk.
-func (w *World) lacks(p *place, how string) {
-	switch lacking := strings.HasPrefix(how, leaderless); {
-	case lacking && p.without == 0:
-		p.without = w.now
-		w.say(p.name + " has no leader, from " + p.was + " to " + how)
-	case !lacking && p.without > 0:
-		w.say(fmt.Sprint(p.name, " had no leader for ", w.now-p.without, ", and now: ", how))
-		w.tally.Without = append(w.tally.Without, w.now-p.without)
-		p.without = 0
+func (w *World) recordLeaderless(site *siteState, groupState string) {
+	switch leaderless := strings.HasPrefix(groupState, leaderless); {
+	case leaderless && site.leaderlessSince == 0:
+		site.leaderlessSince = w.now
+		w.log(site.name + " has no leader, from " + site.lastGroupState + " to " + groupState)
+	case !leaderless && site.leaderlessSince > 0:
+		w.log(fmt.Sprint(site.name, " had no leader for ", w.now-site.leaderlessSince, ", and now: ", groupState))
+		w.tally.LeaderlessTimes = append(w.tally.LeaderlessTimes, w.now-site.leaderlessSince)
+		site.leaderlessSince = 0
 	}
-	p.was = how
+	site.lastGroupState = groupState
 }
 
 // waitsFor says what a turn waits for at a site whose council is led.
-func (w *World) waitsFor(p *place, a *work, leader *node) string {
-	book := leader.core.Schedule()
-	t, known := book.Turn(a.id)
+func (w *World) waitReason(site *siteState, turn *requestedTurn, leader *node) string {
+	schedule := leader.core.Schedule()
+	t, known := schedule.Turn(turn.id)
 	switch {
 	case !known:
-		return "e: asked for: " + a.waitsOn(leader)
+		return "e: asked for: " + turn.callState(leader)
 	case t.Phase == turns.Requested:
-		return p.waitsForRoom(t, leader)
+		return site.requestedReason(t, leader)
 	case t.Phase == turns.Preparing:
-		return p.waitsForNodes(t, leader)
+		return site.preparingReason(t, leader)
 	}
-	return "e: granted: " + a.waitsOn(leader)
+	return "e: granted: " + turn.callState(leader)
 }
 
 // waitsOn says what an asker's call that is out waits on.
-func (a *work) waitsOn(leader *node) string {
+func (a *requestedTurn) callState(leader *node) string {
 	switch {
-	case a.at == nil:
+	case a.callee == nil:
 		return "its asker is between two calls"
-	case !a.at.up:
+	case !a.callee.up:
 		return "its asker waits on a node that is down"
-	case a.at.paused:
+	case a.callee.paused:
 		return "its asker waits on a node that is stopped"
-	case a.at != leader:
+	case a.callee != leader:
 		return "its asker waits on a node that does not lead any more"
 	}
 	return "the leader has its call"
 }
 
 // waitsForNodes says which kind of node a turn that is being prepared waits for, the worst of them.
-func (p *place) waitsForNodes(t turns.Turn, leader *node) string {
-	held := leader.core.Blockers(leader.clock(), t)
+func (p *siteState) preparingReason(t turns.Turn, leader *node) string {
+	blockers := leader.core.Blockers(leader.clock(), t)
 	worst := "d: nobody holds it up, and the grant is not agreed on"
-	away := false
-	for _, b := range held {
+	unreachable := false
+	for _, b := range blockers {
 		n := leader.w.byName[b.Node]
-		why := "has not confirmed"
+		reason := "has not confirmed"
 		switch {
 		case strings.Contains(b.Why, "lacks the host"), strings.Contains(b.Why, "no exclusion set"):
-			why = "has no horizon recorded that has the host"
+			reason = "has no horizon recorded that has the host"
 		case strings.Contains(b.Why, "has confirmed round"):
-			why = "has confirmed another round"
+			reason = "has confirmed another round"
 		}
 		switch {
-		case n != nil && !linked(n, leader):
-			if !away {
-				worst, away = "", true
+		case n != nil && !connected(n, leader):
+			if !unreachable {
+				worst, unreachable = "", true
 			}
-			worst = max(worst, "c: preparing, a node that is cut off or stopped "+why)
-		case !away:
-			worst = "d: preparing, a node that is linked " + why
+			worst = max(worst, "c: preparing, a node that is cut off or stopped "+reason)
+		case !unreachable:
+			worst = "d: preparing, a node that is linked " + reason
 		}
 	}
 	return worst
 }
 
 // waitsForRoom says what keeps a turn from being prepared: the turns that are out before it, or nothing but the leader.
-func (p *place) waitsForRoom(t turns.Turn, leader *node) string {
-	book := leader.core.Schedule()
-	if !slices.ContainsFunc(book.Hosts(), func(h turns.Host) bool { return h.ID == t.Host }) {
+func (p *siteState) requestedReason(t turns.Turn, leader *node) string {
+	schedule := leader.core.Schedule()
+	if !slices.ContainsFunc(schedule.Hosts(), func(h turns.Host) bool { return h.ID == t.Host }) {
 		return "d: the fleet is not known to the council yet"
 	}
 	count := map[turns.Phase]int{}
 	var preparing turns.Turn
-	for _, o := range book.Turns() {
-		if o.Phase.OutOfService() {
-			count[o.Phase]++
-			if o.Phase == turns.Preparing {
-				preparing = o
+	for _, other := range schedule.Turns() {
+		if other.Phase.OutOfService() {
+			count[other.Phase]++
+			if other.Phase == turns.Preparing {
+				preparing = other
 			}
 		}
 	}
-	out := count[turns.Preparing] + count[turns.Granted] + count[turns.Working] + count[turns.Returning]
+	outOfService := count[turns.Preparing] + count[turns.Granted] + count[turns.Working] + count[turns.Returning]
 	switch {
-	case out >= leader.w.Limits.Site && count[turns.Returning] > 0:
+	case outOfService >= leader.w.Limits.Site && count[turns.Returning] > 0:
 		return "d: no room, a host that returns is not seen warm"
 	case count[turns.Preparing] > 0:
-		return "behind another: " + p.waitsForNodes(preparing, leader)
-	case out >= leader.w.Limits.Site && count[turns.Granted] > 0:
-		for _, o := range book.Turns() {
-			for _, a := range p.asks {
-				if a.id == o.ID && o.Phase == turns.Granted {
-					return "behind another: e: granted and not begun: " + a.waitsOn(leader)
+		return "behind another: " + p.preparingReason(preparing, leader)
+	case outOfService >= leader.w.Limits.Site && count[turns.Granted] > 0:
+		for _, other := range schedule.Turns() {
+			for _, turn := range p.turns {
+				if turn.id == other.ID && other.Phase == turns.Granted {
+					return "behind another: e: granted and not begun: " + turn.callState(leader)
 				}
 			}
 		}
-	case out >= leader.w.Limits.Site:
-		for _, o := range book.Turns() {
-			for _, a := range p.asks {
-				if a.id == o.ID && o.Phase == turns.Working && a.done {
-					return "behind another: e: done and not reported: " + a.waitsOn(leader)
+	case outOfService >= leader.w.Limits.Site:
+		for _, other := range schedule.Turns() {
+			for _, turn := range p.turns {
+				if turn.id == other.ID && other.Phase == turns.Working && turn.done {
+					return "behind another: e: done and not reported: " + turn.callState(leader)
 				}
 			}
 		}
