--- a/rehearsal/province/check.go
+++ b/rehearsal/province/check.go
@@ -8,27 +8,27 @@
 	"lichenhitch/internal/choice/sitesync"
 )
 
-// What is checked of writes. What holds at a site is what its seat with the longest log answers to a reader; which write was
-// written over which, and what its writer had seen, this world knows by itself.
+// Checks of writes. The value of a subject at a site is the one that its replica with the highest applied index answers to a
+// reader. Which write overwrote which, and what its writer had read before, the simulation records by itself.
 
 const (
-	// settled is how long after the last fault every council has a leader and every node a right again: what was killed last
-	// may be down for 14 s more, and then there is an election.
+	// recoveryTime is the time after the last fault within which every consensus group has a leader and every node a send lease:
+	// a process that was killed last may be down for 14 s more, and an election follows.
 	recoveryTime = 30 * time.Second
-	// known is how long after a host is out by hand at a site every answer to a node there names it: the leader looks at its
-	// hosts once a second, and may have an entry under way for two.
+	// propagationTime is the time after which every lease response at a site names a host that an operator took out of service
+	// there: the leader checks its hosts once a second, and may have an entry pending for two seconds.
 	propagationTime = 4 * time.Second
 )
 
-// early is a write that held at a site before one that it depends on, as far as it could be seen.
+// orderSuspect is a write that was current at a site which, as far as could be read, did not have one that it depends on.
 type orderSuspect struct {
 	site              *siteState
 	write, dependency *write
-	current           *write // what held instead; nil: nothing
+	current           *write // of the dependency's subject, instead of the dependency; nil: none
 	at                time.Duration
 }
 
-// reader returns the seat of a site with the longest log, or nil where none of them runs.
+// reader returns the running node whose replica has the highest applied index of a site, nil if there is none.
 func (w *World) reader(site *siteState) (best *node) {
 	for _, n := range site.nodes[:len(site.definition.Voters)] {
 		if n.up && n.core != nil && n.core.AppliedIndex() > 0 && (best == nil || n.core.AppliedIndex() > best.core.AppliedIndex()) {
@@ -38,7 +38,7 @@
 	return best
 }
 
-// look reads what holds at a site, if more is applied there than was.
+// readSite reads the values of all subjects at a site, if more entries are applied there than at the last read.
 func (w *World) readSite(site *siteState) {
 	reader := w.reader(site)
 	if reader == nil || reader.core.AppliedIndex() <= site.readIndex {
@@ -56,7 +56,7 @@
 		if write != site.current[subject] {
 			site.current[subject] = write
 			site.history[subject] = append(site.history[subject], write)
-			w.log(fmt.Sprint(site.name, " holds ", write, " of ", subject.kind, " ", subject.name, " at ", reader.name, " from ", reader.core.AppliedIndex()))
+			w.log(fmt.Sprint(site.name, " has ", write, " of ", subject.kind, " ", subject.name, " at ", reader.name, ", applied index ", reader.core.AppliedIndex()))
 		}
 		if subject.kind == sitesync.Safety {
 			site.recordSharedHost(w, subject.name, result.Value)
@@ -77,7 +77,7 @@
 	}
 }
 
-// hands looks at the hosts that are written out, at a seat that answers a node.
+// readSharedHosts reads the state of the shared hosts from a replica that answers a lease request.
 func (w *World) readSharedHosts(replica *node) {
 	if replica.core.AppliedIndex() < replica.site.readIndex {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// hand takes in what holds of a host that may be out by hand.
+// recordSharedHost records whether an operator has a shared host out of service, by the value of its subject.
 func (p *siteState) recordSharedHost(w *World, name, value string) {
 	if !strings.HasPrefix(value, "out") {
 		delete(p.outSince, name)
@@ -98,7 +98,8 @@
 	}
 }
 
-// checkHand checks that a node that sends something to a host could not know that it is out by hand.
+// checkOutOfService checks a node that sends new work to a host: if an operator has the host out of service, the node must not
+// have been able to know.
 func (w *World) checkOutOfService(n *node, host string) {
 	name := "host/" + host
 	since, out := n.site.outSince[name]
@@ -108,11 +109,11 @@
 	}
 	w.readSite(n.site)
 	if sinceNow, out := n.site.outSince[name]; out && sinceNow == since {
-		w.violation(fmt.Sprintf("%s sent something new to %s, which is out by hand at %s since %v", n.name, host, n.site.name, since))
+		w.violation(fmt.Sprintf("%s sent new work to %s, which an operator has out of service at %s since %v", n.name, host, n.site.name, since))
 	}
 }
 
-// before says whether a write was written over, by another one or by one that that one was written over.
+// overwritten reports whether a write was overwritten by another one, or by one that this other one overwrote, directly or not.
 func overwritten(x, by *write) bool {
 	for y := by.overwrote; y != nil; y = y.overwrote {
 		if y == x {
@@ -122,7 +123,7 @@
 	return false
 }
 
-// sample reads the receipts of some of a site's writes: what was said once must not change.
+// sampleReceipts reads the receipts of some of a site's writes: once given, a receipt must not change.
 func (w *World) sampleReceipts(site *siteState) {
 	reader := w.reader(site)
 	if reader == nil || len(w.writes) == 0 {
@@ -135,32 +136,32 @@
 	}
 }
 
-// receipt reads what a seat says became of a write; "": nothing yet.
+// readReceipt returns the receipt that a replica gives of a write, "" if there is none yet.
 func (w *World) readReceipt(site *siteState, replica *node, write *write) string {
 	result, err := replica.core.Read(write.kind, "", write.id.String())
 	if err != nil || result.Receipt == "" {
 		return ""
 	}
 	if earlier := site.receipts[write.id]; earlier != "" && earlier != result.Receipt {
-		w.violation(fmt.Sprintf("%s says of w%d %s, and said %s", replica.name, write.number, result.Receipt, earlier))
+		w.violation(fmt.Sprintf("%s gives write w%d the receipt %s; earlier receipt: %s", replica.name, write.number, result.Receipt, earlier))
 	}
 	site.receipts[write.id] = result.Receipt
 	return result.Receipt
 }
 
-// atEnd checks what has to hold once all is whole and nobody writes any more.
+// checkAtEnd checks what has to hold once nothing is broken and nothing is written any more.
 func (w *World) checkAtEnd() {
 	for _, site := range w.sites {
 		for _, turn := range site.turns {
 			if !turn.ended {
 				w.tally.Unfinished++
-				w.log(site.name + ": not over: " + turn.id)
+				w.log(site.name + ": turn not ended: " + turn.id)
 				for _, n := range site.nodes {
 					if n.core == nil || !n.core.Leading() {
 						continue
 					}
 					t, known := n.core.Schedule().Turn(turn.id)
-					w.log(fmt.Sprint(n.name, " leads; known ", known, " ", t.Phase, " ", n.core.BlockerTexts(n.clock(), t)))
+					w.log(fmt.Sprint(n.name, " leads; turn known ", known, ", phase ", t.Phase, ", blockers ", n.core.BlockerTexts(n.clock(), t)))
 				}
 			}
 		}
@@ -170,7 +171,7 @@
 	}
 	for _, site := range w.sites {
 		if w.reader(site) == nil {
-			w.violation(site.name + " has no seat that runs")
+			w.violation(site.name + " has no running replica")
 			return
 		}
 		w.readSite(site)
@@ -182,13 +183,14 @@
 	}
 	for _, suspect := range w.suspects {
 		if suspect.dependency.outcome == "applied" && (suspect.current == nil || suspect.current.outcome == "applied") {
-			w.violation(fmt.Sprintf("%v: %s had w%d of %s, and not w%d of %s that its writer had seen", suspect.at, suspect.site.name, suspect.write.number,
+			w.violation(fmt.Sprintf("%v: %s had applied w%d of %s without its dependency w%d of %s", suspect.at, suspect.site.name, suspect.write.number,
 				suspect.write.name, suspect.dependency.number, suspect.dependency.name))
 		}
 	}
 }
 
-// fates reads what became of each write, at the top and at its own site.
+// checkReceipts reads the receipt of each committed write at the top site, and checks that all replicas of its own site give the
+// same one.
 func (w *World) checkReceipts() {
 	byID := map[sitesync.ID]*write{}
 	for _, x := range w.writes {
@@ -196,7 +198,7 @@
 			continue
 		}
 		if y := byID[x.id]; y != nil {
-			w.violation(fmt.Sprintf("w%d and w%d have one name, %s", y.number, x.number, x.id))
+			w.violation(fmt.Sprintf("w%d and w%d have the same ID %s", y.number, x.number, x.id))
 		}
 		byID[x.id] = x
 		root := rootOf(x.site)
@@ -207,7 +209,7 @@
 		}
 		for _, replica := range x.site.nodes[:len(x.site.definition.Voters)] {
 			if receipt := w.readReceipt(x.site, replica, x); receipt == "" || receipt != x.outcome {
-				w.violation(fmt.Sprintf("w%d (%s): %s has the receipt %q, the top %q", x.number, x.id, replica.name, receipt, x.outcome))
+				w.violation(fmt.Sprintf("w%d (%s): %s has the receipt %q, the top site %q", x.number, x.id, replica.name, receipt, x.outcome))
 			}
 		}
 		w.tally.Receipts++
@@ -217,6 +219,7 @@
 	}
 }
 
+// rootOf returns the top site above a site.
 func rootOf(site *siteState) *siteState {
 	for site.parent != nil {
 		site = site.parent
@@ -224,7 +227,8 @@
 	return site
 }
 
-// checkValues checks that all seats of a site hold what the top holds, and the top nothing that was written over.
+// checkValues checks that all replicas of a site have the top site's value of each subject, and that the top site has no value
+// that was overwritten.
 func (w *World) checkValues(site *siteState) {
 	root := rootOf(site)
 	for _, subject := range w.subjects {
@@ -236,12 +240,12 @@
 				got = writeNumber(result.Value)
 			}
 			if err != nil || want == nil && got != 0 || want != nil && got != want.number {
-				w.violation(fmt.Sprintf("%s holds w%d of %s %s, %s holds %s", n.name, got, subject.kind, subject.name, root.name, want))
+				w.violation(fmt.Sprintf("%s has w%d of %s %s, %s has %s", n.name, got, subject.kind, subject.name, root.name, want))
 			}
 		}
 		for _, x := range w.writes {
 			if site == root && rootOf(x.site) == root && x.subject == subject && x.outcome == "applied" && (want == nil || overwritten(want, x)) {
-				w.violation(fmt.Sprintf("%s holds %s of %s %s, which w%d was written over", root.name, want, subject.kind, subject.name, x.number))
+				w.violation(fmt.Sprintf("%s has %s of %s %s, which w%d overwrote", root.name, want, subject.kind, subject.name, x.number))
 			}
 		}
 	}
@@ -254,15 +258,15 @@
 	return fmt.Sprintf("w%d", x.number)
 }
 
-// checkOrder checks that nothing came back at a site that had been written over by what was taken: it would have been
-// applied twice, or after what depends on it.
+// checkOrder checks that no value returned at a site after a write that was applied had overwritten it: it would have been
+// applied twice, or after a write that depends on it.
 func (w *World) checkOrder(site *siteState) {
 	for _, subject := range w.subjects {
 		history := site.history[subject]
 		for i, x := range history {
 			for _, y := range history[i+1:] {
 				if x != nil && x.outcome == "applied" && (y == nil || overwritten(y, x)) {
-					w.violation(fmt.Sprintf("%s held %s of %s %s again after %s, which was written over it", site.name, y, subject.kind, subject.name, x))
+					w.violation(fmt.Sprintf("%s had %s of %s %s again after %s, which overwrote it", site.name, y, subject.kind, subject.name, x))
 				}
 			}
 		}
--- a/rehearsal/province/faults.go
+++ b/rehearsal/province/faults.go
@@ -9,10 +9,10 @@
 	"lichenhitch/internal/control"
 )
 
-// What breaks is drawn whole from the plan, whatever state it meets, so that a seed breaks the same things at the same times
-// whichever way turns are given.
+// Faults are drawn entirely from planRNG, whatever state they meet, so that a seed gives the same faults at the same times
+// however turns are granted.
 
-// fault breaks something at a node, or mends it.
+// injectFault injects a random fault at a random node, or heals its links, and schedules the next one.
 func (w *World) injectFault() {
 	if w.quiet {
 		return
@@ -22,32 +22,32 @@
 	kind, peer, bothWays := w.planRNG.IntN(7), w.planRNG.IntN(len(n.site.nodes)), w.planRNG.IntN(2) == 0
 	short, long := randomUpTo(w.planRNG, 2*w.LeaseDuration), randomUpTo(w.planRNG, 4*w.LeaseDuration)
 	switch kind {
-	case 0: // cut off from all, both ways or one way
+	case 0: // cut off from all nodes of the site, both ways or one way
 		w.log(fmt.Sprint("cut ", n.name, " both ways ", bothWays))
 		for _, m := range n.site.nodes {
 			n.cutTo[m.name] = true
 			m.cutTo[n.name] = m.cutTo[n.name] || bothWays
 		}
-	case 1: // one link
+	case 1: // one link, one way
 		n.cutTo[n.site.nodes[peer].name] = true
 	case 2, 3:
 		w.healLinks(n)
 	case 4:
 		if n.up && !n.paused {
-			w.log("stop " + n.name)
+			w.log("pause " + n.name)
 			n.paused = true
 			w.after(long, func() { w.resume(n) })
 		}
 	case 5:
 		w.restart(n, short, false)
-	case 6: // the store of one that has no seat is lost
+	case 6: // a node without a replica loses its store
 		if !n.config.IsVoter {
 			w.restart(n, short, true)
 		}
 	}
 }
 
-// siteFault breaks something between sites, or a whole council, for a while.
+// injectSiteFault injects a random fault between sites, or stops all replicas of a site, for a time, and schedules the next.
 func (w *World) injectSiteFault() {
 	if w.quiet || len(w.Levels) < 2 {
 		return
@@ -59,20 +59,20 @@
 		return
 	}
 	switch kind {
-	case 0, 1: // two sites, one of them below the other wherever they are
+	case 0, 1: // between two sites: a site and its parent (0), or any two
 		if site.parent != nil && kind == 0 {
 			other = site.parent
 		}
 		w.log(fmt.Sprint("cut ", site.name, " from ", other.name, " both ways ", bothWays))
 		w.after(duration, w.partition(site, other, bothWays))
-	case 2: // one from all
+	case 2: // one site from all others
 		w.log(fmt.Sprint("cut off ", site.name, " both ways ", bothWays))
 		for _, other := range w.sites {
 			if other != site {
 				w.after(duration, w.partition(site, other, bothWays))
 			}
 		}
-	case 3: // its whole council
+	case 3: // all replicas of the site
 		if site.parent != nil {
 			for _, n := range site.nodes[:len(site.definition.Voters)] {
 				w.restart(n, duration, false)
@@ -81,8 +81,8 @@
 	}
 }
 
-// doom has one site, not a top, lose all its stores at some time. Nobody there remembers what the site was, so its council
-// is founded anew, and its writes begin another life.
+// scheduleStoreLoss may schedule the loss of all stores of one site that is not a top site. No node there remembers the
+// site's state, so its consensus group is bootstrapped again and its writes start a new incarnation.
 func (w *World) scheduleStoreLoss() {
 	if len(w.Levels) < 2 {
 		return
@@ -97,7 +97,7 @@
 	w.after(at, func() { w.loseStores(site, downtime) })
 }
 
-// lose ends all nodes of a site with their stores, for a while.
+// loseStores kills all nodes of a site and restarts them later with empty stores.
 func (w *World) loseStores(site *siteState, downtime time.Duration) {
 	w.log("all stores of " + site.name + " are lost")
 	for _, n := range site.nodes {
@@ -109,8 +109,8 @@
 	}
 }
 
-// restart ends a process and starts the next one after a while, with the store or with an empty one. One that is down
-// already comes back when it was going to.
+// restart kills a process and starts the next one after downtime, with its store or with an empty one. A node that is
+// already down starts at the time scheduled before.
 func (w *World) restart(n *node, downtime time.Duration, empty bool) {
 	if empty {
 		n.store, n.savedLease, n.keptPolicies, n.openCount, n.incarnation = consensus.StoredState{}, sendlease.Saved{}, control.Kept{}, 0, n.incarnation+1
@@ -133,14 +133,14 @@
 	if !n.up || !n.paused {
 		return
 	}
-	w.log("go on " + n.name)
+	w.log("resume " + n.name)
 	n.paused = false
-	n.sendToHost() // the first thing that the loop does is what it was about to
+	n.sendToHost() // the traffic loop first finishes the send that the pause interrupted, with the restrictions from before it
 	deferred := n.deferred
 	n.deferred = nil
-	for _, f := range deferred {
+	for _, task := range deferred {
 		if n.up {
-			n.runOrDefer(f)
+			n.runOrDefer(task)
 		}
 	}
 }
--- a/rehearsal/province/figures_test.go
+++ b/rehearsal/province/figures_test.go
@@ -14,27 +14,27 @@
 	"lichenhitch/internal/control"
 )
 
-var figures = flag.Bool("figures", false, "measure what docs/design/affairs.md tells of many nodes; takes minutes")
+var figures = flag.Bool("figures", false, "run the measurements behind docs/design/affairs.md; takes minutes")
 
-// skip leaves a test out that measures.
+// requireFigures skips a measurement unless -figures is set.
 func requireFigures(t *testing.T) {
 	if !*figures {
-		t.Skip("-figures")
+		t.Skip("a measurement: needs -figures")
 	}
 }
 
-// large is 35 regencies below a province: 300 nodes, and 92 hosts, 20 of them common to all.
+// largeWorld is a province with 35 regencies: 300 nodes and 92 hosts, 20 of them shared by all sites.
 var largeWorld = Options{Seed: 1, Levels: []Level{{1, 20, 5}, {35, 8, 3}}, Hosts: 2, SharedHosts: 20, LeaseDuration: 3 * time.Second,
 	Limits: turns.Limits{Site: 1, Lookahead: 2, AgeStep: time.Minute}}
 
-// TestWhatManyNodesSay counts messages and bytes, and how long turns wait, with nothing broken:
+// TestControlTrafficOfManyNodes measures messages, bytes and the waiting times of turns, without faults:
 // go test ./rehearsal/province -run ManyNodes -v -args -figures
 func TestControlTrafficOfManyNodes(t *testing.T) {
 	requireFigures(t)
 	withWrites := largeWorld
 	withWrites.TurnRequests = 2
 	noWrites := withWrites
-	noWrites.SharedHosts = 0 // nothing is written
+	noWrites.SharedHosts = 0 // without shared hosts, and without writes
 	withWrites.Writes = 10
 	for _, o := range []Options{
 		noWrites, withWrites,
@@ -52,16 +52,17 @@
 			nodes += sites * l.Nodes
 		}
 		nodeSeconds := float64(nodes) * (o.FaultPhase + o.QuietPhase).Seconds()
-		t.Logf("%v: %.1f messages and %.0f bytes a second a node, %.2f messages of them between sites; agreed in %v (p99 %v), "+
-			"granted in %v (p99 %v); %d done, %d not; %d writes; %v",
+		t.Logf("%v: %.1f messages and %.0f bytes per second and node, %.2f of the messages between sites; requests committed in %v (p99 %v), "+
+			"granted in %v (p99 %v); %d turns done, %d not; %d writes; run time %v",
 			o.Levels, float64(got.Messages)/nodeSeconds, float64(got.Bytes)/nodeSeconds, float64(got.SiteMessages)/nodeSeconds, Quantile(got.CommitTimes, 0.5),
 			Quantile(got.CommitTimes, 0.99), Quantile(got.GrantTimes, 0.5), Quantile(got.GrantTimes, 0.99), got.Done, got.Unfinished, got.Committed, time.Since(began))
 		assert.Empty(t, got.Violations)
 	}
 }
 
-// TestBackAtOnce measures how long writes of sites that were cut off take to be known at the top, from when their links are
-// back, and how long the top's own take to be agreed on before that and in the 10 s after: go test ./rehearsal/province -run BackAtOnce -v -args -figures
+// TestBackAtOnce measures how long the writes of sites that were cut off take to reach the top site once all links are restored
+// at the same time, and how long the top site's own writes take to commit before that and in the 10 s after:
+// go test ./rehearsal/province -run BackAtOnce -v -args -figures
 func TestBackAtOnce(t *testing.T) {
 	requireFigures(t)
 	for _, c := range []struct{ sites, writes, worlds int }{{1, 1, 8}, {35, 1, 1}, {1, 100, 8}, {35, 100, 1}, {1, 1000, 2}, {35, 1000, 1}} {
@@ -73,14 +74,16 @@
 			a, u, th := reconnectTimes(o, c.sites, c.writes)
 			times, before, after = append(times, a...), append(before, u...), append(after, th...)
 		}
-		t.Logf("%d sites with %d writes each, %d worlds: known at the top after %v (median), %v (p99), the last one after %v; "+
-			"the top's own after %v (p99 of %d), and then %v (of %d); %v", c.sites, c.writes, c.worlds, Quantile(times, 0.5), Quantile(times, 0.99),
+		t.Logf("%d sites with %d writes each, %d worlds: judged at the top site after %v (median), %v (p99), the last one after %v; "+
+			"its own writes committed after %v (p99 of %d) before, %v (of %d) after the links are restored; run time %v", c.sites, c.writes, c.worlds, Quantile(times, 0.5), Quantile(times, 0.99),
 			slices.Max(times), Quantile(before, 0.99), len(before), Quantile(after, 0.99), len(after), time.Since(began))
 		assert.Len(t, times, c.sites*c.writes*c.worlds)
 	}
 }
 
-// backAtOnce cuts sites off at different times, has each write, and mends all links at once. The top writes five times a second.
+// reconnectTimes cuts sites off at different times, lets each write, and restores all links at once. The top site writes five
+// times a second. It returns the times until the sites' writes have a receipt at the top site, from when the links were restored,
+// and the commit times of the top site's own writes before and after that.
 func reconnectTimes(o Options, sites, writes int) (times, before, after []time.Duration) {
 	w := newWorld(o, nil)
 	w.startNodes()
@@ -133,7 +136,7 @@
 		w.runUntil(w.now + 20*time.Millisecond)
 		replica := w.reader(root)
 		for _, site := range w.sites[1 : 1+sites] {
-			for len(pending[site]) > 0 && w.readReceipt(root, replica, pending[site][0]) != "" { // in the order of their numbers
+			for len(pending[site]) > 0 && w.readReceipt(root, replica, pending[site][0]) != "" { // a site's writes get their receipts in order
 				times = append(times, w.now-healedAt)
 				pending[site] = pending[site][1:]
 				remaining--
@@ -145,7 +148,7 @@
 	return times, before, after
 }
 
-// leads returns the node that leads a site.
+// leaderOf returns the node that leads a site, or the first node if none does.
 func (w *World) leaderOf(site *siteState) *node {
 	for _, n := range site.nodes {
 		if n.up && n.core.Leading() {
@@ -155,7 +158,8 @@
 	return site.nodes[0]
 }
 
-// TestTurnsThePlainWay plays the same worlds with turns by the council and by a fixed order with a lock:
+// TestTurnsThePlainWay runs the same worlds with turns granted by the consensus group and by a fixed order with a lock
+// (Options.FixedOrder):
 // go test ./rehearsal/province -run PlainWay -v -args -worlds 100 -figures
 func TestTurnsThePlainWay(t *testing.T) {
 	faultCases, seeds := [][2]bool{{true, true}}, 2
@@ -171,16 +175,16 @@
 				sums[i].add(Run(o, nil))
 			}
 		}
-		for i, name := range []string{"by the council", "the plain way"} {
+		for i, name := range []string{"consensus group", "fixed order with a lock"} {
 			s := &sums[i]
-			t.Logf("faults %v, overruns %v, %s: %d lines to hosts in work, %d times too many in work, of %d lines; %d of %d done; "+
+			t.Logf("faults %v, overruns %v, %s: %d sends to hosts in work, %d times too many hosts in work, %d sends in total; %d of %d turns done; "+
 				"granted after %v (median), %v (p99)",
 				faultCase[0], faultCase[1], name, s.sentToHostsInWork(), len(s.Violations)-s.sentToHostsInWork(), s.Sent, s.Done, seeds*8, Quantile(s.GrantTimes, 0.5), Quantile(s.GrantTimes, 0.99))
 		}
 		assert.Empty(t, sums[0].Violations)
 		assert.Zero(t, sums[0].Unfinished)
 		if faultCase[0] {
-			assert.NotZero(t, sums[1].sentToHostsInWork(), "the faults show nothing")
+			assert.NotZero(t, sums[1].sentToHostsInWork(), "the faults cause no violation with the fixed order, so the comparison shows nothing")
 		}
 	}
 }
--- a/rehearsal/province/plain.go
+++ b/rehearsal/province/fixedorder.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// The plain way to give turns: a fixed order with a lock. One list a site, kept by its first node in a store that is never
-// lost; as many hold the lock at once as may be out; a lock that is not given back in time passes on. Nodes fetch who holds
-// it as often as they would ask for a right, and a holder waits for two such rounds before it begins; a node that is cut off,
-// stopped or slow is not waited for. One that starts anew sends nothing before it has the list.
+// A simple way to grant turns, for comparison: a fixed order with a lock. Each site has one list, kept by its first node in a
+// store that is never lost. As many turns hold a lock at the same time as hosts may be out of service, and a lock that is not
+// released in time expires. Nodes fetch the list of locked hosts as often as they would renew a send lease, and a holder waits
+// for two such intervals before it begins; it does not wait for a node that is cut off, paused or slow. A node that restarts
+// sends nothing before it has the list.
 
-// lockFor is how long a lock is held at most: much longer than work is said to last.
+// maxLockHold is the longest time for which a lock is held: much longer than the announced duration of a maintenance.
 const maxLockHold = 10 * time.Second
 
-// lock is the list of one site.
+// lockList is the list of one site.
 type lockList struct {
-	waiting []*requestedTurn // who waits, first come, first served
+	waiting []*requestedTurn // in order of arrival
 	held    []grant
 }
 
@@ -24,10 +25,11 @@
 	expires time.Duration
 }
 
-// rounds is the pause between two fetches of the list.
+// fetchInterval is the time between two fetches of the list.
 func (n *node) fetchInterval() time.Duration { return n.w.LeaseDuration / 4 }
 
-// listen fetches the list, and at the first node keeps it.
+// fetchLockList fetches the list. At the first node, which keeps it, it also updates the list first. It returns the delay until
+// the next fetch.
 func (n *node) fetchLockList() time.Duration {
 	first := n.site.nodes[0]
 	if n == first {
@@ -43,14 +45,14 @@
 	return n.fetchInterval()
 }
 
-// turn lets locks go that were given back or ran out, and gives them to the next.
+// updateLocks removes locks that were released or have expired, and grants free ones to the waiting turns in order.
 func (p *siteState) updateLocks(w *World, n *node) {
 	locks := &p.lock
 	locks.held = slices.DeleteFunc(locks.held, func(g grant) bool {
 		switch {
 		case g.turn.done:
 		case w.now > g.expires:
-			w.log(g.turn.id + " holds the lock for too long: it passes on")
+			w.log(g.turn.id + " held its lock for too long: the lock expires")
 		default:
 			return false
 		}
--- a/rehearsal/province/leaders_test.go
+++ b/rehearsal/province/leaders_test.go
@@ -14,7 +14,7 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// aSite is one site that nothing breaks at but what the test breaks, once it is led.
+// oneSite returns a world of one site that has a leader, without faults other than those of the test.
 func oneSite(t *testing.T, seed uint64) (w *World, site *siteState) {
 	o := smallWorld
 	o.Seed, o.TurnRequests = seed, 0
@@ -26,14 +26,14 @@
 	return w, site
 }
 
-// cutOff cuts all links of a node, both ways.
+// cutAllLinks cuts all links of a node, both ways.
 func (w *World) cutAllLinks(n *node) {
 	for _, m := range n.site.nodes {
 		n.cutTo[m.name], m.cutTo[n.name] = true, true
 	}
 }
 
-// within plays on until it holds, and returns how long that took.
+// waitFor runs the world until a condition holds, for less than limit, and returns how long that took.
 func (w *World) waitFor(t *testing.T, limit time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	from := w.now
@@ -49,8 +49,8 @@
 	return control.Call{ID: id, Command: turns.Command{Request: &turns.Request{ID: id, Host: fmt.Sprintf("site00-g%02d", i), Duration: time.Second}}}
 }
 
-// A call that a leader took and that can come to nothing there is answered when that one leads no more: its caller has to call
-// another, and knows by then that it has to.
+// A call that a leader has accepted, but can no longer commit, fails when that leader steps down. Without that answer its caller
+// would not know that it has to call another node.
 func TestPendingCallFailsWhenItsLeaderStepsDown(t *testing.T) {
 	for seed := range uint64(5) {
 		w, site := oneSite(t, seed)
@@ -59,16 +59,16 @@
 		var err error
 		old.core.Submit(old.clock(), turnRequest(0), func(_ control.Reply, e error) { err = e })
 		require.NoError(t, err)
-		w.waitFor(t, 5*time.Second, "it steps down", func() bool { return !old.core.Leading() })
+		w.waitFor(t, 5*time.Second, "the cut-off leader steps down", func() bool { return !old.core.Leading() })
 		assert.ErrorAs(t, err, new(*control.OutcomeUnknownError))
 	}
 }
 
-// has says whether a node's loop goes by a right that runs.
+// hasLease reports whether the node's traffic loop has a send lease that has not expired.
 func (n *node) hasLease() bool { return n.clock() < n.restrictions.LeaseEnd }
 
-// A node that was cut off for long has its right again with its first question that arrives: whichever seat that comes to knows
-// who leads.
+// A node that was cut off until its send lease expired gets a new one with the first request that arrives: whichever replica
+// receives it knows the leader.
 func TestReconnectedNodeRenewsItsLeaseWithTheNextRequest(t *testing.T) {
 	for seed := range uint64(10) {
 		w, site := oneSite(t, seed)
@@ -77,18 +77,19 @@
 		w.runUntil(w.now + 4*w.LeaseDuration + w.randomUpTo(w.LeaseDuration))
 		require.False(t, n.hasLease())
 		w.healLinks(n)
-		w.waitFor(t, w.LeaseDuration/4+2*n.config.Tick, "a right, of the next question", n.hasLease)
+		w.waitFor(t, w.LeaseDuration/4+2*n.config.Tick, "a send lease, by the next request", n.hasLease)
 	}
 }
 
-// Seats that find each other again, none of them with a leader, have one as soon as they have greeted each other.
+// Replicas without a leader that are connected again elect one as soon as they have exchanged greetings, without waiting for an
+// election timeout.
 func TestReconnectedReplicasElectALeaderAtOnce(t *testing.T) {
 	for seed := range uint64(10) {
 		w, site := oneSite(t, seed)
 		for _, n := range site.nodes[:3] {
 			w.cutAllLinks(n)
 		}
-		w.waitFor(t, 10*time.Second, "nobody leads", func() bool {
+		w.waitFor(t, 10*time.Second, "no replica has a leader", func() bool {
 			return !slices.ContainsFunc(site.nodes[:3], func(n *node) bool {
 				st, _ := n.core.ReplicaStatus()
 				return st.Leader != 0
@@ -96,15 +97,15 @@
 		})
 		w.runUntil(w.now + w.randomUpTo(w.LeaseDuration))
 		w.healAll()
-		w.waitFor(t, 6*site.nodes[0].config.Tick, "a leader: a greeting every third tick, a tick, and some round trips", func() bool {
+		w.waitFor(t, 6*site.nodes[0].config.Tick, "a leader within a greeting interval of three ticks, a tick and some round trips", func() bool {
 			state, _ := site.groupState()
 			return state == led
 		})
 	}
 }
 
-// election is how long a seat hears nothing of its leader before it may vote for another one; some more ticks have to be enough
-// for the rest: a greeting every third, one to stand at, and round trips.
+// electionTime is the time without messages from the leader after which a replica may vote for another one (10 ticks), and some
+// more ticks for the rest: a greeting every third tick, one tick to become a candidate, and round trips.
 func (n *node) electionTime(more int) time.Duration { return time.Duration(10+more) * n.config.Tick }
 
 func TestNewLeaderWithinAnElectionTimeout(t *testing.T) {
@@ -119,8 +120,8 @@
 	}
 }
 
-// A leader that is heard and hears nobody leads on until it finds out, which takes up to two elections' time; its followers do not
-// wait for another one then.
+// A leader whose messages arrive but that receives none leads until it notices, which takes up to two election timeouts. Its
+// followers do not wait for a further timeout then.
 func TestLeaderThatReceivesNothingStepsDown(t *testing.T) {
 	for seed := range uint64(10) {
 		w, site := oneSite(t, seed)
@@ -128,7 +129,7 @@
 		for _, m := range site.nodes {
 			m.cutTo[old.name] = true
 		}
-		w.waitFor(t, 3*time.Second, "it leads no more", func() bool { return !old.core.Leading() })
+		w.waitFor(t, 3*time.Second, "the leader steps down", func() bool { return !old.core.Leading() })
 		w.waitFor(t, 7*old.config.Tick, "the next leader", func() bool {
 			state, _ := site.groupState()
 			return state == led
@@ -136,7 +137,8 @@
 	}
 }
 
-// end ends a node's process, by a kill or as planned: once another seat leads, or an election's time is over.
+// endProcess ends a node's process, by a kill or as planned: after its leadership is transferred, or an election timeout at the
+// latest.
 func (w *World) endProcess(n *node, planned bool) {
 	end := func() { w.restart(n, time.Hour, false) }
 	if !planned {
@@ -166,7 +168,8 @@
 	}
 }
 
-// TestFromALeadersEndToTheNextWork measures it by kills and as planned, with nothing else broken:
+// TestFromALeadersEndToTheNextWork measures the time from the end of a leader's process to the next leader and to the next
+// granted turn, with kills and with planned ends, without other faults:
 // go test ./rehearsal/province -run LeadersEnd -v -args -worlds 100 -figures
 func TestFromALeadersEndToTheNextWork(t *testing.T) {
 	requireFigures(t)
@@ -175,7 +178,7 @@
 		for seed := *first; seed < *first+uint64(*worlds); seed++ {
 			w, site := oneSite(t, seed)
 			old := w.leaderOf(site)
-			call := turnRequest(0) // all nodes know of it by then, the one that ends too
+			call := turnRequest(0) // all nodes know of it before the leader ends, the leader too
 			call.Command.Request.NotBefore = old.clock() + w.LeaseDuration
 			old.core.Submit(old.clock(), call, func(_ control.Reply, err error) { require.NoError(t, err) })
 			w.runUntil(w.now + w.LeaseDuration - w.randomUpTo(w.LeaseDuration/4))
@@ -186,18 +189,19 @@
 				return state == led && leader != old
 			})
 			leaderTimes = append(leaderTimes, w.now-ended)
-			w.waitFor(t, time.Minute, "the next work", func() bool {
+			w.waitFor(t, time.Minute, "the next grant", func() bool {
 				turn, _ := w.leaderOf(site).core.Schedule().Turn(call.ID)
 				return turn.Phase == turns.Granted
 			})
 			grantTimes = append(grantTimes, w.now-ended)
 		}
-		t.Logf("planned %v: the next leader after %v (median), %v (p99); the next work after %v, %v", planned, Quantile(leaderTimes, 0.5),
+		t.Logf("planned %v: the next leader after %v (median), %v (p99); the next grant after %v, %v", planned, Quantile(leaderTimes, 0.5),
 			Quantile(leaderTimes, 0.99), Quantile(grantTimes, 0.5), Quantile(grantTimes, 0.99))
 	}
 }
 
-// A seat hears who leads; what another one takes for the leader may be old. Nodes without a seat have nothing else to go by.
+// A replica learns the leader from Raft; the leader that another replica reports may be outdated. Nodes without a replica have
+// only such reports.
 func TestReplicaTakesTheLeaderFromRaft(t *testing.T) {
 	w, site := oneSite(t, 1)
 	leader := w.leaderOf(site)
@@ -209,7 +213,7 @@
 		if n == leader || n.name == old {
 			continue
 		}
-		n.core.HandleLeaseResponse(n.clock(), &peerpb.RenewReply{Refused: "this node does not lead the council", Leader: old})
+		n.core.HandleLeaseResponse(n.clock(), &peerpb.RenewReply{Refused: "this node does not lead the site's consensus group", Leader: old})
 		if n.config.IsVoter {
 			assert.Equal(t, leader.name, n.core.Leader())
 		} else {
--- a/rehearsal/province/lists.go
+++ b/rehearsal/province/lists.go
@@ -7,35 +7,37 @@
 	"lichenhitch/internal/choice/hostview"
 )
 
-// Lists is how hosts stand in the lists of a world. The zero value: all are there and warm, whatever is done to them.
+// Lists describes the discovery lists of a world. With the zero value every list always contains every host, warm.
 type Lists struct {
-	RemoveDuringWork bool          // a host leaves the lists for its work, and comes back as one that has just started
-	LateNodes        int           // nodes of each site, fewer than half, whose lists are late
-	Delay            time.Duration // by so much
-	DeadNodes        int           // nodes of each site whose discovery answers no more from listsBreak on
-	AtLeader         bool          // not those that were drawn are so, but whoever leads
+	RemoveDuringWork bool // a host is not listed during its maintenance, and returns as just started
+	LateNodes        int  // nodes of each site, fewer than half, whose lists are late by Delay
+	Delay            time.Duration
+	DeadNodes        int  // nodes of each site whose discovery stops answering at discoveryFailsAt
+	AtLeader         bool // the list of whichever node leads is late or dead, instead of those of fixed nodes
 }
 
 const (
-	warmUp           = 2 * time.Second  // a host that has started is cold
-	staleAfter       = 6 * time.Second  // a dead discovery is noticed
-	discoveryFailsAt = 15 * time.Second // all have had a list by then
+	warmUp           = 2 * time.Second  // time for which a host is cold after its start
+	staleAfter       = 6 * time.Second  // time after which a node knows that its discovery does not answer
+	discoveryFailsAt = 15 * time.Second // every node has received a list by then
 )
 
-// state is how discovery has a host from some time on.
+// listState is the state of a host in discovery's lists from a point in time on.
 type listState struct {
 	since     time.Duration
 	present   bool
-	startedAt time.Duration // of the world's clock; 0: long ago
+	startedAt time.Duration // in virtual time; 0: long ago
 }
 
-// leaves and returns tell discovery of a host's work.
+// removeFromLists makes discovery stop listing a host, when its maintenance begins.
 func (h *host) removeFromLists(w *World) { h.listed = append(h.listed, listState{since: w.now}) }
+
+// returnToLists makes discovery list a host again, as just started.
 func (h *host) returnToLists(w *World) {
 	h.listed = append(h.listed, listState{since: w.now, present: true, startedAt: max(w.now, 1)})
 }
 
-// asOf returns how discovery had a host at a time.
+// asOf returns a host's state in discovery's lists at a time.
 func (h *host) asOf(at time.Duration) listState {
 	for i := len(h.listed) - 1; i >= 0; i-- {
 		if h.listed[i].since <= at {
@@ -45,7 +47,7 @@
 	return listState{present: true}
 }
 
-// listAt returns as of when this node has its list, and whether the node knows that it may be an old one.
+// listAt returns the time of which this node's list is, and whether the node knows that the list may be stale.
 func (n *node) listAt() (asOf time.Duration, stale bool) {
 	w := n.w
 	isLate, isDead := n.index < w.Lists.LateNodes, n.index < w.Lists.DeadNodes
@@ -61,7 +63,7 @@
 	return w.now, false
 }
 
-// look is what this node sees of its hosts.
+// observe returns what this node observes of its hosts.
 func (n *node) observe() *hostview.Observation {
 	observation := &hostview.Observation{}
 	var asOf time.Duration
@@ -78,12 +80,12 @@
 	return observation
 }
 
-// back checks that a host which is said to be back is in service and warm, but for how clocks differ.
+// checkReturned checks that a host whose turn has ended is listed and warm, allowing for the difference of clocks (0.5 %).
 func (w *World) checkReturned(site *siteState, turn *requestedTurn) {
 	h := site.hosts[turn.host]
 	s := h.asOf(w.now)
 	if w.Lists.RemoveDuringWork && turn.done && (!s.present || w.now+w.now/200 < s.startedAt+warmUp) {
-		w.violation(fmt.Sprintf("%s is said to be back, by %s, and is not warm", h.id, turn.id))
+		w.violation(fmt.Sprintf("%s is not listed as warm, but its turn %s has ended", h.id, turn.id))
 	}
 	w.tally.ReturnTimes = append(w.tally.ReturnTimes, w.now-turn.doneAt)
 	w.tally.TotalTimes = append(w.tally.TotalTimes, w.now-turn.requestedAt)
--- a/rehearsal/province/lists_test.go
+++ b/rehearsal/province/lists_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// ofLists are worlds whose hosts leave the lists for their work, with some lists late or dead.
+// listOptions returns a world whose hosts leave the lists during their maintenance, with some lists late or dead.
 func listOptions(seed uint64, l Lists, faults bool) Options {
 	o := smallWorld
 	l.RemoveDuringWork = true
@@ -22,13 +22,13 @@
 	{LateNodes: 1, Delay: 5 * time.Second, AtLeader: true}, {LateNodes: 1, Delay: 20 * time.Second, AtLeader: true}, {DeadNodes: 1, AtLeader: true},
 }
 
-// TestTurnsWithLateAndDeadLists: whichever lists are late or dead, the leader's too, turns end, and none before its host is
-// back; go test ./rehearsal/province -run DeadLists -v -args -worlds 100 -figures
+// TestTurnsWithLateAndDeadLists checks that with late or dead lists, also the leader's, every turn ends, and none before its host
+// is back in service: go test ./rehearsal/province -run DeadLists -v -args -worlds 100 -figures
 func TestTurnsWithLateAndDeadLists(t *testing.T) {
 	for _, l := range listCases {
 		for _, faults := range []bool{false, true} {
 			if faults && l.LateNodes > 1 {
-				continue // nodes that are cut off leave more than half of the lists that are heard late: see C4 of package hostview
+				continue // with some nodes cut off, more than half of the received lists would be late: see C4 of package hostview
 			}
 			n := uint64(3)
 			if *figures {
@@ -42,7 +42,7 @@
 				all.add(got)
 				all.ReturnTimes, all.TotalTimes = append(all.ReturnTimes, got.ReturnTimes...), append(all.TotalTimes, got.TotalTimes...)
 			}
-			t.Logf("%s: %d done, %d not, %d said to be back and not; work done to back %v (median), %v (p99); asked to back %v, %v",
+			t.Logf("%s: %d turns done, %d not, %d violations; end of work to end of turn %v (median), %v (p99); request to end of turn %v, %v",
 				fmt.Sprintf("%+v, faults %v", l, faults), all.Done, all.Unfinished, len(all.Violations), Quantile(all.ReturnTimes, 0.5).Round(time.Millisecond),
 				Quantile(all.ReturnTimes, 0.99).Round(time.Millisecond), Quantile(all.TotalTimes, 0.5).Round(time.Millisecond), Quantile(all.TotalTimes, 0.99).Round(time.Millisecond))
 		}
--- a/rehearsal/province/lost_test.go
+++ b/rehearsal/province/lost_test.go
@@ -10,36 +10,39 @@
 	"lichenhitch/internal/choice/sitesync"
 )
 
-// TestALostStoreHoldsNobodyBack: a store is lost with a write that had not left, and a write elsewhere names it by a token.
-// That one is judged once all sites have called again.
+// TestLostStoreBlocksNoWrite: a store is lost with a write that had not left its site, and a write at another site names that
+// write by a token. The second write is judged once all sites have synced again.
 func TestLostStoreBlocksNoWrite(t *testing.T) {
-	for seed := range uint64(4) { // lives are drawn: the later one may be the lower
+	for seed := range uint64(4) { // incarnations are random numbers: the later one may be the lower
 		testLostStore(t, seed, []Level{{1, 1, 1}, {2, 1, 1}}, lossCase{})
 	}
 }
 
-// TestAnIdleSiteIsNotWaitedFor, though there is nothing that it has to send.
+// TestIdleSiteBlocksNoWrite: the same with a third site that has nothing to send.
 func TestIdleSiteBlocksNoWrite(t *testing.T) {
 	testLostStore(t, 1, []Level{{1, 1, 1}, {3, 1, 1}}, lossCase{})
 }
 
-// TestWhoWentRoundCallsOnceMore: a building called the province while its regency was cut off, and calls the regency since.
+// TestSiteThatBypassedItsParentReportsAgain: the same with a building that synced with the province directly while its regency
+// was cut off, and has synced with the regency since.
 func TestSiteThatBypassedItsParentReportsAgain(t *testing.T) {
 	testLostStore(t, 1, []Level{{1, 1, 1}, {2, 1, 1}, {1, 1, 1}}, lossCase{bypassed: true})
 }
 
-// TestALifeThatNobodyHeardOf: the store was lost before its site had called anybody, and only a token names it. Nothing is
-// written there since.
+// TestLostIncarnationThatNeverSynced: the store is lost before its site has synced with any other, so that only a token names
+// its incarnation. Nothing is written at the site afterwards.
 func TestLostIncarnationThatNeverSynced(t *testing.T) {
 	testLostStore(t, 1, []Level{{1, 1, 1}, {2, 1, 1}, {1, 1, 1}}, lossCase{neverSynced: true})
 }
 
-// story is what is special about a lost store.
+// lossCase is a variant of testLostStore.
 type lossCase struct {
-	bypassed    bool // a building went round its regency before
-	neverSynced bool // it is a building's, which never called
+	bypassed    bool // before the loss, a building synced with the province directly, past its regency
+	neverSynced bool // the lost store is that of a building that never synced
 }
 
+// testLostStore loses the store of a site with a write that no other site has, but that a write at another site names by a
+// token, and requires that the second write is judged.
 func testLostStore(t *testing.T, seed uint64, levels []Level, scenario lossCase) {
 	o := smallWorld
 	o.Seed, o.Levels, o.SharedHosts, o.Writes, o.TurnRequests = seed, levels, 1, 1, 0
@@ -73,7 +76,7 @@
 	lossAt := w.now
 	cut(lost, w.sites[0])
 	for _, site := range w.sites {
-		if site.parent == lost { // it would have the write as well
+		if site.parent == lost { // otherwise it would receive the write too
 			cut(site, lost)
 		}
 	}
--- a/rehearsal/province/network.go
+++ b/rehearsal/province/network.go
@@ -15,7 +15,7 @@
 		reply := peer.core.HandleRaft(peer.clock(), request)
 		peer.countElections()
 		peer.send(n.name, proto.Size(reply), func(n *node) {
-			if n.runID == runID { // an answer goes to the process that asked
+			if n.runID == runID { // a reply is delivered only to the process that sent the request
 				n.core.HandleRaftReply(n.clock(), reply)
 			}
 		}, nil)
@@ -43,8 +43,8 @@
 	}, nil)
 }
 
-// SendReplay implements control.Env. Where nobody listens the call fails at once, as a link does; what is cut or lost is
-// not answered.
+// SendReplay implements control.Env. If the peer is down, the call fails at once, as a refused connection does. If the link
+// is cut or the message lost, there is no answer.
 func (n *node) SendReplay(to string, call uint64, _ time.Duration, request *peerpb.ReplayRequest) {
 	runID := n.runID
 	answer := func(reply *peerpb.ReplayReply) func(*node) {
@@ -60,16 +60,16 @@
 				n.w.tally.BypassReplies++
 			}
 			if peer.site.parent == nil {
-				n.w.readSite(peer.site) // also what holds there for a moment only
+				n.w.readSite(peer.site) // reads also values that are current only briefly
 			}
 			peer.send(n.name, proto.Size(reply), answer(reply), nil)
 		})
 	}, func() { n.later(time.Millisecond, func() { answer(nil)(n) }) })
 }
 
-// send brings something to another node, unless it is lost: now and then late, now and then twice. What comes late may come
-// to a later process there, but not once the processes at both ends are gone. down is called where the other one does not
-// run; nil: nothing is.
+// send delivers a message to another node. With faults, a message may be lost, late or duplicated. A late one may reach a
+// later process of the receiver, but is dropped once the processes at both ends have ended. If the receiver is down, refused
+// is called, unless it is nil.
 func (n *node) send(to string, bytes int, deliver func(*node), refused func()) {
 	w, receiver := n.w, n.w.byName[to]
 	w.tally.Messages++
@@ -103,8 +103,7 @@
 	}
 }
 
-// part keeps what one site sends from another, and the other way round where both is set, until the function it returns is
-// called.
+// partition blocks messages from one site to another, and the other way round if both is set, until heal is called.
 func (w *World) partition(from, to *siteState, both bool) (heal func()) {
 	directions := [][2]*siteState{{from, to}}
 	if both {
--- a/rehearsal/province/node.go
+++ b/rehearsal/province/node.go
@@ -14,45 +14,45 @@
 	"lichenhitch/internal/site"
 )
 
-// node is one process with its store. It is its Core's control.Env: here and in network.go.
+// node is one simulated process with its store. It implements control.Env for its Core, here and in network.go.
 type node struct {
 	w                *World
 	site             *siteState
 	config           *site.Site
 	name             string
-	clockRate        float64 // of its clock
+	clockRate        float64 // of its clock, relative to virtual time
 	core             *control.Core
-	incarnation      uint64
-	openCount        uint64
-	runID            uint64
+	incarnation      uint64 // of its store
+	openCount        uint64 // of its store
+	runID            uint64 // of its process; 0: it is down
 	store            consensus.StoredState
 	savedLease       sendlease.Saved
 	keptPolicies     control.Kept
-	policy           control.Policy // that its loop goes by
+	policy           control.Policy // that its traffic loop applies
 	up               bool
 	paused           bool
-	deferred         []func() // what came while it was stopped
-	cutTo            map[string]bool
-	restrictions     sendlease.Restrictions // by its loop
-	leading          bool
-	leadingSince     time.Duration // since when
-	index            int           // among those of its site
+	deferred         []func()               // events that arrived while it was paused
+	cutTo            map[string]bool        // nodes of its site that its messages do not reach
+	restrictions     sendlease.Restrictions // that its traffic loop applies
+	leading          bool                   // as last observed
+	leadingSince     time.Duration          // 0: it does not lead
+	index            int                    // among the nodes of its site
 	trialState       trialState
-	leaseRequestedAt time.Duration // when the newest question was asked whose answer its loop goes by
-	lockedHosts      []string      // the plain way: hosts that it was told to leave alone
-	hasLockList      bool          // the plain way: it was told
-	entrySizes       []int         // bytes of each entry that came to its store
+	leaseRequestedAt time.Duration // when the newest lease request was sent whose response the traffic loop applies
+	lockedHosts      []string      // with Options.FixedOrder: hosts to which it sends nothing
+	hasLockList      bool          // with Options.FixedOrder: lockedHosts has been received
+	entrySizes       []int         // bytes of each entry saved in its store, in order
 }
 
-func (w *World) addNode(site *siteState, name string, file *site.Site) *node {
-	n := &node{w: w, site: site, config: file, name: name, index: len(site.nodes), cutTo: map[string]bool{}, incarnation: w.rng.Uint64() | 1}
+func (w *World) addNode(site *siteState, name string, config *site.Site) *node {
+	n := &node{w: w, site: site, config: config, name: name, index: len(site.nodes), cutTo: map[string]bool{}, incarnation: w.rng.Uint64() | 1}
 	site.nodes = append(site.nodes, n)
 	w.nodes = append(w.nodes, n)
 	w.byName[name] = n
 	return n
 }
 
-// clock is the node's own time.
+// clock returns the time of the node's own clock.
 func (n *node) clock() time.Duration { return base + time.Duration(float64(n.w.now)*n.clockRate) }
 
 // start starts a process of the node.
@@ -87,14 +87,14 @@
 	n.repeat(w.randomUpTo(60*time.Millisecond), n.sendPeriodically)
 }
 
-// repeat does something again and again for as long as this process lives; it says after how long.
+// repeat runs a task repeatedly while this process lives. The task returns the delay until its next run.
 func (n *node) repeat(first time.Duration, task func() time.Duration) {
 	var run func()
 	run = func() { n.later(task(), run) }
 	n.later(first, run)
 }
 
-// later does something after a time if this process still lives; a stopped one does it when it goes on.
+// later runs a task after a delay if this process still lives; a paused process runs it when it resumes.
 func (n *node) later(d time.Duration, task func()) {
 	runID := n.runID
 	n.w.after(d, func() {
@@ -104,7 +104,7 @@
 	})
 }
 
-// when does something now, or when the process goes on.
+// runOrDefer runs a task now, or when the process resumes if it is paused.
 func (n *node) runOrDefer(task func()) {
 	if n.paused {
 		n.deferred = append(n.deferred, task)
@@ -119,12 +119,12 @@
 	return nil
 }
 
-// ApplyPolicy implements control.Env: the loop takes the policy a moment later.
+// ApplyPolicy implements control.Env. The traffic loop applies the policy after a short delay.
 func (n *node) ApplyPolicy(p control.Policy) {
 	n.later(n.w.randomUpTo(5*time.Millisecond), func() { n.policy = p })
 }
 
-// watch notes elections.
+// countElections counts the transitions of this node to leader.
 func (n *node) countElections() {
 	if leads := n.core.Leading(); leads != n.leading {
 		n.leading = leads
@@ -135,7 +135,8 @@
 	}
 }
 
-// report is what a loop tells. A stand-in has no attempts under way: what it has taken is in effect.
+// report returns the traffic loop's report. The simulated loop has no attempts in flight, so its restrictions take effect
+// immediately and every excluded host is clear.
 func (n *node) report() control.Report {
 	r := control.Report{Restrictions: n.restrictions, ClearedHosts: n.restrictions.ExcludedHosts, Policy: n.policy.Hash, RequestedPolicy: n.policy.Hash}
 	if len(n.w.trials) > 0 {
@@ -150,7 +151,7 @@
 	return 20*time.Millisecond + n.w.randomUpTo(60*time.Millisecond)
 }
 
-// place sends something new to a host that the loop's verdict allows now.
+// sendToHost sends new work to a random host that the traffic loop's restrictions allow now.
 func (n *node) sendToHost() {
 	var open []string
 	now := n.clock()
@@ -165,12 +166,12 @@
 	h := n.site.hosts[open[n.w.rng.IntN(len(open))]]
 	n.w.tally.Sent++
 	if h.inWork {
-		n.w.violation(fmt.Sprintf("%s sent something new to %s, which is in work by %s", n.name, h.id, h.workTurn))
+		n.w.violation(fmt.Sprintf("%s sent new work to %s, which is in work for turn %s", n.name, h.id, h.workTurn))
 	}
 	n.w.checkOutOfService(n, h.id)
 }
 
-// Save implements control.Env over memory.
+// Save implements control.Env in memory.
 func (n *node) Save(batch consensus.WriteBatch) error {
 	stored := &n.store
 	if batch.HardState != nil {
@@ -190,7 +191,7 @@
 		stored.Entries = append(stored.Entries, proto.CloneOf(e))
 	}
 	compactTo := max(batch.CompactTo, 0)
-	if batch.Snapshot != nil { // the store keeps what follows the snapshot
+	if batch.Snapshot != nil { // entries after the snapshot are kept
 		compactTo = max(compactTo, stored.Applied)
 	}
 	stored.Entries = slices.DeleteFunc(stored.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= compactTo })
@@ -206,16 +207,16 @@
 // MarkRefused implements control.Env.
 func (n *node) MarkRefused(why string) error {
 	n.store.Refused = why
-	n.w.log(n.name + " is refused: " + why)
+	n.w.log(n.name + ": the replica is refused: " + why)
 	return nil
 }
 
-// ApplyRestrictions implements control.Env: the loop takes the verdict a moment later.
+// ApplyRestrictions implements control.Env. The traffic loop applies the restrictions after a short delay.
 func (n *node) ApplyRestrictions(v sendlease.Restrictions) {
 	n.later(n.w.randomUpTo(maxApplyDelay), func() { n.restrictions = v })
 }
 
-// binding is the longest that a loop takes to have a verdict.
+// maxApplyDelay is the longest delay until the traffic loop applies restrictions.
 const maxApplyDelay = 5 * time.Millisecond
 
 // Log implements control.Env.
--- a/rehearsal/province/policies.go
+++ b/rehearsal/province/policies.go
@@ -10,35 +10,37 @@
 	"lichenhitch/internal/control"
 )
 
-// This file has operators start policies at the top, halt them anywhere, resume and force them, while all that breaks breaks.
-// Traffic is made up: what a node counts depends on the policy that its loop goes by. The promises:
+// Simulated operators start rollouts of policies at the top site, halt them at any site, resume them and force stages, while
+// faults are injected. Traffic is synthetic: the counts of a node depend on the policy that its traffic loop applies. Checked:
 //
-//   - no loop goes by a trial that the top has not assigned to its node for longer than the lease, counted from the node's
-//     last start if that is later;
-//   - a policy that loses a quarter of its requests does not become the good one, unless somebody forces a stage;
-//   - at the end, with nothing broken any more, every rollout is over and every loop goes by the top's good policy.
+//   - No traffic loop applies a policy on trial for longer than the trial lease after the top site last had it assigned to the
+//     node, counted from the node's last resumption from a pause if that is later.
+//   - A policy that loses a quarter of its requests does not become the good policy, unless an operator forces a stage.
+//   - At the end, after the phase without faults, every rollout is over and every traffic loop applies the top site's good
+//     policy.
 
-// stages are the limits of the rollouts here: what takes days takes seconds.
+// stageLimits are the limits of the rollouts: stages that take days in operation take seconds here.
 var stageLimits = rollout.Limits{Alpha: 0.05, Beta: 0.3, Margin: 0.1, MinRequests: 10, MaxHold: 30 * time.Second, TrialLease: 8 * time.Second, MaxCrashes: 3,
 	Slice: 2 * time.Second, WindowSlices: 1, BaselineWindows: 2, Settle: time.Second, MaxStageTime: 60 * time.Second, SlowMargin: 0.3, Coverage: 0.5}
 
-// slack is what the end of a lease may be late at a node: its tick, and the way to its loop.
+// leaseSlack is how late the end of a trial lease may take effect at a node: its tick, and the delay to its traffic loop.
 const leaseSlack = time.Second
 
-// trial is one policy on its way.
+// trial is one policy in a rollout.
 type trial struct {
 	id      string
 	policy  rollout.Policy
-	harmful bool // it loses a quarter of all requests
-	forced  bool
+	harmful bool // loses a quarter of all requests
+	forced  bool // an operator has forced a stage
 }
 
-// treated is what is known of a node for the first promise.
+// trialState is the state of a node for the check of the trial lease.
 type trialState struct {
-	lastAssigned time.Duration // when the top last had it go by a trial, as its log says
-	runningSince time.Duration // since when it is not stopped
+	lastAssigned time.Duration // when the top site last had a trial assigned to the node
+	runningSince time.Duration // when it was last observed paused
 }
 
+// setUpRollouts configures the nodes for rollouts and schedules the rollouts and the operators' actions.
 func (w *World) setUpRollouts() {
 	if w.Rollouts == 0 {
 		return
@@ -58,7 +60,7 @@
 		text := fmt.Sprintf(`{"permissions":{"max_attempts":%d}}`, i+2)
 		policy, err := rollout.Parse([]byte(text))
 		if err != nil {
-			panic(err) // the text is made here
+			panic(err) // the text is fixed above
 		}
 		trial := &trial{id: fmt.Sprint("r", i), policy: policy, harmful: w.planRNG.IntN(2) == 0}
 		w.trials = append(w.trials, trial)
@@ -71,16 +73,16 @@
 	w.after(time.Second, w.checkTrials)
 }
 
-// starts has an operator start a rollout, again and again until it stands in the log.
+// startRollout makes an operator start a rollout, repeatedly until the top site's log contains it.
 func (w *World) startRollout(trial *trial) {
 	if root := w.rootState(); root != nil && root.Plan().Rollout(trial.id) != nil || w.quiet {
 		return
 	}
-	w.submitCommand(w.sites[0], trial, rollout.Command{Start: &rollout.Start{ID: trial.id, Policy: trial.policy.Text(), By: "desk", Why: "a trial"}})
+	w.submitCommand(w.sites[0], trial, rollout.Command{Start: &rollout.Start{ID: trial.id, Policy: trial.policy.Text(), By: "test", Why: "a trial"}})
 	w.after(3*time.Second, func() { w.startRollout(trial) })
 }
 
-// meddle has an operator force a stage, halt a rollout at a site, or resume it.
+// operatorAction makes an operator force a stage, halt a rollout at a site, or resume it.
 func (w *World) operatorAction(trial *trial, action int, site *siteState) {
 	root := w.rootState()
 	started := (*rollout.Rollout)(nil)
@@ -90,18 +92,18 @@
 	switch {
 	case started == nil:
 	case action == 0:
-		w.submitCommand(w.sites[0], trial, rollout.Command{Force: &rollout.OperatorAction{ID: trial.id, Stage: started.Stage, By: "desk", Why: "known"}})
+		w.submitCommand(w.sites[0], trial, rollout.Command{Force: &rollout.OperatorAction{ID: trial.id, Stage: started.Stage, By: "test", Why: "valid"}})
 	case action == 1:
-		w.submitCommand(site, trial, rollout.Command{Halt: &rollout.Halt{ID: trial.id, Cause: rollout.Operator, By: "desk", Why: "a doubt"}})
+		w.submitCommand(site, trial, rollout.Command{Halt: &rollout.Halt{ID: trial.id, Cause: rollout.Operator, By: "test", Why: "suspect"}})
 	default:
-		w.submitCommand(w.sites[0], trial, rollout.Command{Resume: &rollout.OperatorAction{ID: trial.id, By: "desk", Why: "no doubt"}})
+		w.submitCommand(w.sites[0], trial, rollout.Command{Resume: &rollout.OperatorAction{ID: trial.id, By: "test", Why: "resolved"}})
 	}
 }
 
-// operate brings an operator's call before a site's council through any of its nodes, which passes it on once.
+// submitCommand makes an operator's call at a random node of a site, which forwards it to the leader at most once.
 func (w *World) submitCommand(site *siteState, trial *trial, cmd rollout.Command) {
 	n := site.nodes[w.rng.IntN(len(site.nodes))]
-	trial.forced = trial.forced || cmd.Force != nil // it may be agreed whatever is answered
+	trial.forced = trial.forced || cmd.Force != nil // it may be committed whatever the reply is
 	var call func(n *node, forwarded bool)
 	call = func(n *node, forwarded bool) {
 		if !n.up || n.paused || n.core == nil {
@@ -136,7 +138,7 @@
 	return "resume"
 }
 
-// newest is what the top's log says, at the seat that has applied most of it.
+// rootState returns the rollout state of the top site, from the replica that has applied most of the log; nil if there is none.
 func (w *World) rootState() (newest *rollout.RootState) {
 	most := uint64(0)
 	for _, n := range w.sites[0].nodes {
@@ -147,7 +149,7 @@
 	return newest
 }
 
-// polled looks several times a second whether any loop goes by a trial for too long.
+// checkTrials checks five times a second that no traffic loop has applied a trial for too long.
 func (w *World) checkTrials() {
 	w.after(200*time.Millisecond, w.checkTrials)
 	root := w.rootState()
@@ -171,12 +173,12 @@
 		}
 		w.tally.TrialObservations++
 		if since := w.now - max(state.lastAssigned, state.runningSince); since > stageLimits.TrialLease+stageLimits.TrialLease/50+leaseSlack {
-			w.violation(fmt.Sprintf("%s goes by a trial %v after the top had it do so", n.name, since))
+			w.violation(fmt.Sprintf("%s applies a trial %v after the top site last assigned one to it", n.name, since))
 		}
 	}
 }
 
-// tries says whether a node's loop goes by a trial.
+// appliesTrial reports whether a node's traffic loop applies a policy on trial.
 func (w *World) appliesTrial(n *node) bool {
 	root := w.rootState()
 	return slices.ContainsFunc(w.trials, func(x *trial) bool {
@@ -184,7 +186,7 @@
 	})
 }
 
-// count makes up what a node's loop has counted since its last report.
+// counts returns synthetic counts of a node's traffic loop since its last report.
 func (n *node) counts() []control.Counted {
 	c := rollout.Counts{Class: "chat", Offered: 10}
 	for range c.Offered {
@@ -200,7 +202,7 @@
 	return []control.Counted{{Under: n.policy.Hash, Counts: []rollout.Counts{c}}}
 }
 
-// settled looks at the end whether all is over.
+// checkRollouts checks at the end that every rollout is over and every node applies the good policy.
 func (w *World) checkRollouts() {
 	root := w.rootState()
 	if w.Rollouts == 0 || root == nil {
@@ -209,11 +211,11 @@
 	for _, r := range root.Plan().Rollouts() {
 		w.tally.RolloutOutcomes = append(w.tally.RolloutOutcomes, r.Phase.String()+" "+r.Cause.String())
 		if r.Phase.Active() {
-			w.violation(fmt.Sprintf("%s is still %v in stage %v: %s", r.ID, r.Phase, r.Stage, r.Missing))
+			w.violation(fmt.Sprintf("%s is still %v in stage %v, missing: %s", r.ID, r.Phase, r.Stage, r.Missing))
 		}
 		index := slices.IndexFunc(w.trials, func(x *trial) bool { return x.id == r.ID })
 		if x := w.trials[index]; x.harmful && !x.forced && r.Phase == rollout.Done {
-			w.violation(r.ID + " loses a quarter of all requests and is good")
+			w.violation(r.ID + " loses a quarter of all requests and became the good policy")
 		}
 	}
 	good := root.Plan().Good()
@@ -223,7 +225,7 @@
 			policy = rollout.EmptyPolicy().Hash()
 		}
 		if n.up && policy != good {
-			w.violation(fmt.Sprintf("%s goes by %q, the good policy is %q", n.name, n.policy.Hash, good))
+			w.violation(fmt.Sprintf("%s applies policy %q, the good policy is %q", n.name, n.policy.Hash, good))
 		}
 	}
 }
--- a/rehearsal/province/policies_test.go
+++ b/rehearsal/province/policies_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// policies is a province in which two policies are on their way.
+// policyOptions returns a province with two rollouts.
 func policyOptions(seed uint64) Options {
 	o := provinceOptions(seed)
 	o.TurnRequests, o.Writes, o.Rollouts = 1, 2, 2
@@ -15,12 +15,12 @@
 	return o
 }
 
-// TestPoliciesUnderFaults plays provinces from some seeds; a failure names its seed, which plays it again:
+// TestPoliciesUnderFaults runs provinces from several seeds. A failure names its seed, which reproduces it:
 // go test ./rehearsal/province -v -run Policies -args -worlds 1 -first SEED -trace
 func TestPoliciesUnderFaults(t *testing.T) {
 	var observations int
 	outcomes := map[string]int{}
-	for seed := *first; seed < *first+uint64(*worlds+4)/5; seed++ { // each takes as long as several of the others
+	for seed := *first; seed < *first+uint64(*worlds+4)/5; seed++ { // fewer seeds, because a run takes several times as long as that of other tests
 		got := Run(policyOptions(seed), tracer(t))
 		assert.Empty(t, got.Violations, "seed %d", seed)
 		observations += got.TrialObservations
@@ -28,6 +28,6 @@
 			outcomes[outcome]++
 		}
 	}
-	t.Logf("%d looks at nodes under a trial; rollouts: %v", observations, outcomes)
+	t.Logf("%d observations of nodes that apply a trial; rollouts: %v", observations, outcomes)
 	assert.Positive(t, observations)
 }
--- a/rehearsal/province/province_test.go
+++ b/rehearsal/province/province_test.go
@@ -18,16 +18,16 @@
 	got := Run(smallWorld, nil)
 	assert.Empty(t, got.Violations)
 	assert.Equal(t, smallWorld.TurnRequests, got.Done)
-	assert.Equal(t, 2, got.MaxInWork, "as many as are allowed")
+	assert.Equal(t, 2, got.MaxInWork, "hosts in work at the same time: the limit is used and not exceeded")
 }
 
 var (
-	worlds = flag.Int("worlds", 12, "how many worlds with faults are played")
-	first  = flag.Uint64("first", 0, "the seed of the first one")
-	trace  = flag.Bool("trace", false, "tell what happens in each")
+	worlds = flag.Int("worlds", 12, "number of worlds with faults to run")
+	first  = flag.Uint64("first", 0, "seed of the first world")
+	trace  = flag.Bool("trace", false, "log the events of each world")
 )
 
-// shapes are the provinces that are played, one after the other.
+// provinceShapes are the provinces that are run, in turn.
 var provinceShapes = [][]Level{
 	{{1, 3, 3}, {2, 3, 3}},
 	{{1, 3, 1}, {2, 2, 1}, {2, 2, 1}},
@@ -35,7 +35,7 @@
 	{{1, 4, 3}, {1, 4, 3}, {2, 3, 3}},
 }
 
-// province is a world of sites above each other.
+// provinceOptions returns a world with sites of several levels.
 func provinceOptions(seed uint64) Options {
 	o := smallWorld
 	o.Seed, o.Faults, o.Levels = seed, true, provinceShapes[seed%uint64(len(provinceShapes))]
@@ -45,6 +45,7 @@
 	return o
 }
 
+// tracer returns a function that logs events of a world, nil without -trace.
 func tracer(t *testing.T) func(time.Duration, string) {
 	if !*trace {
 		return nil
@@ -52,7 +53,7 @@
 	return func(at time.Duration, text string) { t.Log(at, text) }
 }
 
-// TestProvinceUnderFaults plays provinces from some seeds; a failure names its seed, which plays it again:
+// TestProvinceUnderFaults runs provinces from several seeds. A failure names its seed, which reproduces it:
 // go test ./rehearsal/province -v -run Province -args -worlds 1 -first SEED -trace
 func TestProvinceUnderFaults(t *testing.T) {
 	var all Tally
@@ -65,18 +66,18 @@
 			t.Logf("up to seed %d", seed)
 		}
 	}
-	t.Logf("%d writes agreed, %d with their receipts, %d of those not taken, %d lost with their stores; "+
-		"%d answers from farther above; %d turns done, %d elections",
+	t.Logf("%d writes committed, %d with their receipts, %d of those rejected, %d lost with their stores; "+
+		"%d answers from sites above the parent; %d turns done, %d elections",
 		all.Committed, all.Receipts, all.Rejected, all.LostWrites, all.BypassReplies, all.Done, all.Elections)
 }
 
-// TestASeedPlaysTheSame, so that a failure can be looked at again.
+// TestSeedIsReproducible checks that a seed gives the same run again, so that a failure can be reproduced.
 func TestSeedIsReproducible(t *testing.T) {
 	o := provinceOptions(*first + 1)
 	assert.Equal(t, Run(o, nil), Run(o, nil))
 }
 
-// TestTurnsUnderFaults plays worlds from some seeds; a failure names its seed, which plays it again:
+// TestTurnsUnderFaults runs worlds of one site from several seeds. A failure names its seed, which reproduces it:
 // go test ./rehearsal/province -v -run Turns -args -worlds 1 -first SEED -trace
 func TestTurnsUnderFaults(t *testing.T) {
 	for seed := *first; seed < *first+uint64(*worlds); seed++ {
@@ -98,7 +99,7 @@
 	t.TurnWaits.merge(o.TurnWaits)
 }
 
-// inWork is how often something was sent to a host in work.
+// sentToHostsInWork returns how often new work was sent to a host in work.
 func (t *Tally) sentToHostsInWork() (n int) {
 	for _, b := range t.Violations {
 		if strings.Contains(b, "is in work") {
@@ -108,7 +109,8 @@
 	return n
 }
 
-// TestWhatWasWrittenIsKnownSoonAfterALinkIsBack, whatever call was out when it was cut, and when it came back.
+// TestWritesReachTheRootSoonAfterReconnect checks that a site's writes reach the top site soon after its link is restored,
+// whatever call was pending when the link was cut and when it was restored.
 func TestWritesReachTheRootSoonAfterReconnect(t *testing.T) {
 	var times []time.Duration
 	for seed := range uint64(6) {
@@ -119,10 +121,11 @@
 		times = append(times, reconnects...)
 	}
 	assert.Less(t, Quantile(times, 0.5), time.Second)
-	assert.Less(t, Quantile(times, 1), 3*time.Second, "no call is waited for that was cut: %v", times)
+	assert.Less(t, Quantile(times, 1), 3*time.Second, "a call that was cut must not delay the next one: %v", times)
 }
 
-// TestAnIdleProvinceCommitsNothing once all is known everywhere: not what a site above tells though it is known, and nothing by time.
+// TestAnIdleProvinceCommitsNothing checks that sites commit nothing once all of them know everything: neither repeated state from
+// the site above, nor anything at intervals.
 func TestAnIdleProvinceCommitsNothing(t *testing.T) {
 	o := smallWorld
 	o.Levels, o.Hosts, o.SharedHosts, o.TurnRequests = []Level{{1, 3, 3}, {2, 3, 3}, {2, 3, 3}}, 2, 2, 0
@@ -139,7 +142,7 @@
 		for _, n := range all {
 			bytes += n
 		}
-		t.Logf("%s: %d entries of %d bytes in a minute", site.name, len(all), bytes)
+		t.Logf("%s: %d entries with %d bytes in a minute", site.name, len(all), bytes)
 		assert.Empty(t, all, site.name)
 	}
 }
--- a/rehearsal/province/askers.go
+++ b/rehearsal/province/requesters.go
@@ -10,7 +10,7 @@
 	"lichenhitch/internal/control"
 )
 
-// ask follows one turn from its asking to its end, through whichever node answers.
+// requestTurn requests a turn and follows it to its end, by calls to random nodes of the site.
 func (w *World) requestTurn(site *siteState, turn *requestedTurn) {
 	turn.requestedAt = w.now
 	if site.losesStores {
@@ -24,13 +24,14 @@
 	w.call(site, turn, turns.Command{Request: &turns.Request{ID: turn.id, Host: turn.host, Duration: 2 * time.Second, Requester: "staff"}})
 }
 
-// call brings a command before the council, through any node, and then looks again and again.
+// call submits a command through a random node of the site. The next step follows after its reply or its timeout.
 func (w *World) call(site *siteState, turn *requestedTurn, cmd turns.Command) {
 	if !turn.ended {
 		w.callAt(site, turn, cmd, site.nodes[w.rng.IntN(len(site.nodes))])
 	}
 }
 
+// callAt submits a command through one node, and follows a redirect to the leader.
 func (w *World) callAt(site *siteState, turn *requestedTurn, cmd turns.Command, n *node) {
 	answered := false
 	turn.callee = n
@@ -41,7 +42,7 @@
 		}
 	}
 	w.after(5*time.Second, func() { proceed(0) })
-	if !n.up { // nobody listens there: the call fails at once, as others do
+	if !n.up { // connection refused: the call fails at once, and the next attempt follows after the usual pause
 		proceed(100 * time.Millisecond)
 		return
 	}
@@ -67,7 +68,7 @@
 	})
 }
 
-// learn takes in what the asker was told. Only what it was told of its own call counts as done.
+// handleReply records the state of a turn that a reply reports to its requester. Only replies to its own calls count.
 func (w *World) handleReply(site *siteState, turn *requestedTurn, cmd turns.Command, status turns.Turn, err error) {
 	if !turn.committed {
 		turn.committed = true
@@ -77,7 +78,7 @@
 		turn.granted = true
 		w.countGrant(turn)
 	}
-	if status.Phase == turns.Working && !turn.begun { // nobody else begins it
+	if status.Phase == turns.Working && !turn.begun { // only this requester begins it
 		w.startWork(site, turn)
 	}
 	if status.Phase == turns.Over && !turn.ended {
@@ -89,7 +90,7 @@
 	}
 }
 
-// count notes that a turn was given for the first time.
+// countGrant counts a turn at its first grant.
 func (w *World) countGrant(turn *requestedTurn) {
 	if !turn.grantCounted {
 		turn.grantCounted = true
@@ -98,14 +99,14 @@
 	}
 }
 
-// overrun is by how much work now and then takes longer than was said.
+// overrunTime is by how much maintenance with an overrun takes longer.
 const overrunTime = 10 * time.Second
 
-// work begins work, and ends it when it is done.
+// startWork begins the maintenance of a turn and schedules its end.
 func (w *World) startWork(site *siteState, turn *requestedTurn) {
 	host := site.hosts[turn.host]
 	turn.begun, host.inWork, host.workTurn = true, true, turn.id
-	w.log(turn.id + " begins at " + host.id)
+	w.log(turn.id + ": work begins at " + host.id)
 	if w.Lists.RemoveDuringWork {
 		host.removeFromLists(w)
 	}
@@ -117,7 +118,7 @@
 	}
 	w.tally.MaxInWork = max(w.tally.MaxInWork, inWork)
 	if inWork > w.Limits.Site {
-		w.violation(fmt.Sprintf("%d hosts of %s are in work, %d allowed", inWork, site.name, w.Limits.Site))
+		w.violation(fmt.Sprintf("%d hosts of %s are in work at the same time, %d allowed", inWork, site.name, w.Limits.Site))
 	}
 	w.after(turn.duration, func() {
 		turn.done, turn.doneAt, host.inWork = true, w.now, false
@@ -127,12 +128,12 @@
 		if w.FixedOrder {
 			w.tally.Done++
 		}
-		w.log(turn.id + " is done at " + host.id)
+		w.log(turn.id + ": work is done at " + host.id)
 	})
 }
 
-// step does what an asker does next: it asks once more, which has no second effect and tells how the turn stands; it
-// begins what is granted, and reports what is done.
+// nextStep makes a requester's next call: it reports work that is done, begins a turn that is granted, and otherwise repeats
+// its request, which has no second effect and returns the state of the turn.
 func (w *World) nextStep(site *siteState, turn *requestedTurn) {
 	switch {
 	case turn.done:
@@ -140,7 +141,7 @@
 	case turn.begun:
 		w.after(200*time.Millisecond, func() { w.nextStep(site, turn) })
 	case turn.granted:
-		turn.granted = false // it may be called back before the work begins
+		turn.granted = false // the turn may be revoked before the work begins
 		w.call(site, turn, turns.Command{Begin: &turns.Ref{ID: turn.id}})
 	default:
 		w.call(site, turn, turns.Command{Request: &turns.Request{ID: turn.id, Host: turn.host, Duration: 2 * time.Second, Requester: "staff"}})
--- a/rehearsal/province/where.go
+++ b/rehearsal/province/waits.go
@@ -10,14 +10,14 @@
 	"lichenhitch/internal/choice/turns"
 )
 
-// Where the time goes: a few times a second each site's council is looked at from outside, with what only the world knows
-// (which links are cut, who is stopped), and each turn that was asked for and not granted yet. Nothing is drawn for it, so
-// that a world plays the same with it and without.
+// Measurement of what turns wait for. Every observeInterval it records the state of each site's consensus group, using what only
+// the simulation knows (which links are cut, which nodes are paused), and of each turn that is requested and not granted yet.
+// It draws no random numbers, so a seed gives the same run with and without it.
 
-// lookEvery is the pause between two looks.
+// observeInterval is the time between two observations.
 const observeInterval = 20 * time.Millisecond
 
-// Spent is time by what it went into.
+// TimeByCause is time by what it was spent on.
 type TimeByCause map[string]time.Duration
 
 func (s *TimeByCause) add(cause string, d time.Duration) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// Sum is the time of all that begins with these words.
+// Sum returns the total time of the causes with a prefix.
 func (s TimeByCause) Sum(prefix string) (sum time.Duration) {
 	for cause, d := range s {
 		if strings.HasPrefix(cause, prefix) {
@@ -43,7 +43,7 @@
 	return sum
 }
 
-// Table is one line for each, the names in their order, with the part of the whole.
+// Table returns a line for each cause, sorted by name, with its time and its share of the total.
 func (s TimeByCause) Table() string {
 	var b strings.Builder
 	for _, cause := range slices.Sorted(maps.Keys(s)) {
@@ -52,23 +52,25 @@
 	return b.String()
 }
 
-// What a council does, and what a turn waits for.
+// States of a consensus group. A turn at a site whose group is not led waits for the group. The letters group the causes: see
+// Sum.
 const (
-	noQuorum             = "b: no majority of seats runs and reaches one of them both ways"
-	awaitingConfirmation = "f: one would, with seats that started anew and wait for others' word: "
-	notBootstrapped      = "f: nobody belongs to a council yet"
-	leaderless           = "a: no leader, though a majority could talk: "
+	noQuorum             = "b: no quorum: no majority of the replicas runs with links both ways to one of them"
+	awaitingConfirmation = "f: a quorum runs, but needs replicas that wait for confirmation of their stores: "
+	notBootstrapped      = "f: no consensus group yet"
+	leaderless           = "a: no leader, although a majority is connected: "
 	led                  = "led"
 )
 
+// running reports whether the node's process runs and its control has not stopped.
 func (n *node) running() bool { return n.up && !n.paused && n.core != nil && n.core.StopCause() == nil }
 
-// linked says whether two nodes of a site run and reach each other both ways.
+// connected reports whether two nodes of a site run and reach each other both ways.
 func connected(a, b *node) bool {
 	return a.running() && b.running() && (a == b || !a.cutTo[b.name] && !b.cutTo[a.name])
 }
 
-// carries says whether a seat could lead: it and others of a kind are a majority, each of them linked to it.
+// canLead reports whether a replica could lead: it and the other eligible replicas connected to it are a majority.
 func (p *siteState) canLead(n *node, eligible func(*node) bool) bool {
 	reachable := func(m *node) bool { return m.config.IsVoter && eligible(m) && connected(n, m) }
 	count := 0
@@ -82,13 +84,13 @@
 
 func anyReplica(*node) bool { return true }
 
-// seated says whether a node's seat takes part.
+// participating reports whether a node's replica takes part in the consensus group.
 func participating(n *node) bool {
 	st, ok := n.core.ReplicaStatus()
 	return ok && !st.Unconfirmed && st.Err == nil
 }
 
-// council returns how a site's council stands, and the node that leads it with a majority.
+// groupState returns the state of a site's consensus group, and the node that leads it with a majority.
 func (p *siteState) groupState() (description string, leader *node) {
 	quorumRuns, quorumParticipates, claimed, claims := false, false, false, 0
 	for _, n := range p.nodes {
@@ -113,13 +115,13 @@
 	case leader != nil:
 		return led, leader
 	case claimed:
-		return leaderless + "one that is cut off or stopped believes on", nil
+		return leaderless + "one that is cut off or paused still considers itself leader", nil
 	}
-	return leaderless + "none believes it leads", nil
+	return leaderless + "no replica considers itself leader", nil
 }
 
-// word says whether a majority of the seats could talk if one that waits for others' word had it from all that it reaches, or
-// from all that they reach.
+// confirmationState returns whether a replica that waits for confirmation of its store is connected to as many replicas as have
+// to confirm it (all but a majority, plus one), directly or through others.
 func (p *siteState) confirmationState() string {
 	bootstrapped := false
 	for _, n := range p.nodes {
@@ -145,18 +147,18 @@
 		voters := len(p.definition.Voters)
 		switch {
 		case direct >= voters-voters/2:
-			return awaitingConfirmation + "it reaches as many as it needs"
+			return awaitingConfirmation + "one reaches enough others"
 		case direct+indirect >= voters-voters/2:
-			return awaitingConfirmation + "it reaches as many as it needs through others"
+			return awaitingConfirmation + "one reaches enough others indirectly"
 		}
 	}
 	if !bootstrapped {
 		return notBootstrapped
 	}
-	return awaitingConfirmation + "it does not reach as many as it needs"
+	return awaitingConfirmation + "none reaches enough others"
 }
 
-// where adds up one look.
+// observeWaits records one observation and schedules the next.
 func (w *World) observeWaits() {
 	w.after(observeInterval, w.observeWaits)
 	for _, site := range w.sites {
@@ -177,27 +179,27 @@
 	}
 }
 
-// lacks notes how long a site was without a leader at a stretch, while a majority could talk.
+// recordLeaderless records each period in which a site had no leader although a majority was connected.
 func (w *World) recordLeaderless(site *siteState, groupState string) {
-	switch leaderless := strings.HasPrefix(groupState, leaderless); {
-	case leaderless && site.leaderlessSince == 0:
+	switch missing := strings.HasPrefix(groupState, leaderless); {
+	case missing && site.leaderlessSince == 0:
 		site.leaderlessSince = w.now
-		w.log(site.name + " has no leader, from " + site.lastGroupState + " to " + groupState)
-	case !leaderless && site.leaderlessSince > 0:
-		w.log(fmt.Sprint(site.name, " had no leader for ", w.now-site.leaderlessSince, ", and now: ", groupState))
+		w.log(site.name + " has no leader; group state before: " + site.lastGroupState + "; now: " + groupState)
+	case !missing && site.leaderlessSince > 0:
+		w.log(fmt.Sprint(site.name, " had no leader for ", w.now-site.leaderlessSince, "; now: ", groupState))
 		w.tally.LeaderlessTimes = append(w.tally.LeaderlessTimes, w.now-site.leaderlessSince)
 		site.leaderlessSince = 0
 	}
 	site.lastGroupState = groupState
 }
 
-// waitsFor says what a turn waits for at a site whose council is led.
+// waitReason returns what a turn waits for at a site whose consensus group is led.
 func (w *World) waitReason(site *siteState, turn *requestedTurn, leader *node) string {
 	schedule := leader.core.Schedule()
 	t, known := schedule.Turn(turn.id)
 	switch {
 	case !known:
-		return "e: asked for: " + turn.callState(leader)
+		return "e: requested, not known to the leader: " + turn.callState(leader)
 	case t.Phase == turns.Requested:
 		return site.requestedReason(t, leader)
 	case t.Phase == turns.Preparing:
@@ -206,32 +208,33 @@
 	return "e: granted: " + turn.callState(leader)
 }
 
-// waitsOn says what an asker's call that is out waits on.
+// callState returns what the pending call of a turn's requester waits for.
 func (a *requestedTurn) callState(leader *node) string {
 	switch {
 	case a.callee == nil:
-		return "its asker is between two calls"
+		return "its requester is between two calls"
 	case !a.callee.up:
-		return "its asker waits on a node that is down"
+		return "its requester waits for a node that is down"
 	case a.callee.paused:
-		return "its asker waits on a node that is stopped"
+		return "its requester waits for a node that is paused"
 	case a.callee != leader:
-		return "its asker waits on a node that does not lead any more"
+		return "its requester waits for a node that does not lead"
 	}
-	return "the leader has its call"
+	return "the leader has its requester's call"
 }
 
-// waitsForNodes says which kind of node a turn that is being prepared waits for, the worst of them.
+// preparingReason returns which kind of node blocks a turn in Preparing: the worst kind, where nodes that are cut off or paused
+// are worse than others.
 func (p *siteState) preparingReason(t turns.Turn, leader *node) string {
 	blockers := leader.core.Blockers(leader.clock(), t)
-	worst := "d: nobody holds it up, and the grant is not agreed on"
+	worst := "d: preparing, no node blocks it, and the grant is not committed"
 	unreachable := false
 	for _, b := range blockers {
 		n := leader.w.byName[b.Node]
 		reason := "has not confirmed"
 		switch {
 		case strings.Contains(b.Why, "lacks the host"), strings.Contains(b.Why, "no exclusion set"):
-			reason = "has no horizon recorded that has the host"
+			reason = "has no recorded exclusion set that contains the host"
 		case strings.Contains(b.Why, "has confirmed round"):
 			reason = "has confirmed another round"
 		}
@@ -240,19 +243,19 @@
 			if !unreachable {
 				worst, unreachable = "", true
 			}
-			worst = max(worst, "c: preparing, a node that is cut off or stopped "+reason)
+			worst = max(worst, "c: preparing, a node that is cut off or paused "+reason)
 		case !unreachable:
-			worst = "d: preparing, a node that is linked " + reason
+			worst = "d: preparing, a node that is connected " + reason
 		}
 	}
 	return worst
 }
 
-// waitsForRoom says what keeps a turn from being prepared: the turns that are out before it, or nothing but the leader.
+// requestedReason returns what keeps a turn in Requested: hosts that earlier turns have out of service, or only the leader.
 func (p *siteState) requestedReason(t turns.Turn, leader *node) string {
 	schedule := leader.core.Schedule()
 	if !slices.ContainsFunc(schedule.Hosts(), func(h turns.Host) bool { return h.ID == t.Host }) {
-		return "d: the fleet is not known to the council yet"
+		return "d: the group does not know the host yet"
 	}
 	count := map[turns.Phase]int{}
 	var preparing turns.Turn
@@ -267,14 +270,14 @@
 	outOfService := count[turns.Preparing] + count[turns.Granted] + count[turns.Working] + count[turns.Returning]
 	switch {
 	case outOfService >= leader.w.Limits.Site && count[turns.Returning] > 0:
-		return "d: no room, a host that returns is not seen warm"
+		return "d: the limit is reached, a returning host is not observed warm"
 	case count[turns.Preparing] > 0:
-		return "behind another: " + p.preparingReason(preparing, leader)
+		return "behind another turn: " + p.preparingReason(preparing, leader)
 	case outOfService >= leader.w.Limits.Site && count[turns.Granted] > 0:
 		for _, other := range schedule.Turns() {
 			for _, turn := range p.turns {
 				if turn.id == other.ID && other.Phase == turns.Granted {
-					return "behind another: e: granted and not begun: " + turn.callState(leader)
+					return "behind another turn: e: granted and not begun: " + turn.callState(leader)
 				}
 			}
 		}
@@ -282,11 +285,11 @@
 		for _, other := range schedule.Turns() {
 			for _, turn := range p.turns {
 				if turn.id == other.ID && other.Phase == turns.Working && turn.done {
-					return "behind another: e: done and not reported: " + turn.callState(leader)
+					return "behind another turn: e: done and not reported: " + turn.callState(leader)
 				}
 			}
 		}
-		return "behind another: in work"
+		return "behind another turn: work in progress"
 	}
-	return "d: there is room, and the leader has not proposed it"
+	return "d: the limit is not reached, and the leader has not proposed it"
 }
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -1,10 +1,11 @@
-// Package province runs the control of many nodes in virtual time: the same control.Core as in the process, with a stand-in
-// for the loop, the store and the network, faults drawn from a seed, askers that take hosts out for work and writers that
-// write at sites which stand above each other. Nothing a node says of itself counts for the promises on hosts: a host in work
-// knows that it is, and what is sent to it then is a broken promise. What holds of a thing is read as any operator would.
+// Package province simulates the control planes of many nodes in virtual time: the same control.Core as in the process, with
+// a simulated traffic loop, store and network, faults drawn from a seed, requesters that take hosts out of service for
+// maintenance, and writers at sites of up to three levels. The checks on hosts use nothing that a node reports of itself: a
+// simulated host records whether maintenance on it is in progress, and new work sent to it then is a violation. The values of
+// subjects are read through the interface that operators use.
 //
-// One world runs at a time in a process: raft draws the jitter of its elections from crypto/rand, whose reader is replaced
-// by the seed's for as long as the world runs.
+// Only one world may run at a time in a process: raft draws the jitter of its elections from crypto/rand, whose reader is
+// replaced by a seeded one while the world runs.
 package province
 
 import (
@@ -22,87 +23,87 @@
 	"lichenhitch/internal/site"
 )
 
-// Level is the sites of one level.
+// Level describes the sites of one level.
 type Level struct {
 	Sites    int // below each site of the level above
 	Nodes    int // of each site
-	Replicas int // of them, in the site's council
+	Replicas int // nodes among these with a replica of the site's consensus group
 }
 
-// Options is the shape of a world.
+// Options describes a world.
 type Options struct {
 	Seed           uint64
-	Levels         []Level // the top first
-	Hosts          int     // of each site, for work
-	SharedHosts    int     // hosts that all sites send to, written out and back by hand
-	TurnRequests   int     // of each site: turns that are asked for, at random times
-	Writes         int     // of each site, at random times
-	Rollouts       int     // policies that are started at the top, the first of them, at random times
+	Levels         []Level // from the top level down
+	Hosts          int     // of each site, to do maintenance on
+	SharedHosts    int     // hosts that all sites send to, taken out of service and back by operators' writes
+	TurnRequests   int     // turns (permissions to do maintenance on a host) requested at each site, at random times
+	Writes         int     // at each site, at random times
+	Rollouts       int     // policies started at the first top site, at random times
 	LeaseDuration  time.Duration
 	Limits         turns.Limits
-	Faults         bool // cut, stop, kill and restart nodes and sites
+	Faults         bool // cut links between nodes and between sites, pause nodes, kill and restart them, lose stores
 	Lists          Lists
-	Overrun        bool // one work of ten takes much longer than was said
-	FixedOrder     bool // turns the plain way: see plain.go
-	VerifiedStores bool // processes are killed on machines that go on, which proves their stores (control.Options.StoreVerified)
-	MeasureWaits   bool // count where the time of turns goes: see where.go
+	Overrun        bool // one maintenance in ten takes much longer than announced
+	FixedOrder     bool // grant turns by a fixed order with a lock: see fixedorder.go
+	VerifiedStores bool // a restart is that of a process on a machine that keeps running, which verifies its store (control.Options.StoreVerified)
+	MeasureWaits   bool // measure what turns wait for: see waits.go
 	FaultPhase     time.Duration
-	QuietPhase     time.Duration // at the end, with nothing broken any more: what was asked for has to be done by then
+	QuietPhase     time.Duration // follows FaultPhase, without faults; every requested turn must end within it
 }
 
-// Tally is what came of a run. Times are virtual.
+// Tally is the result of a run. Times are virtual.
 type Tally struct {
-	Violations        []string // promises that did not hold, in the order of their times
+	Violations        []string // violated properties, in order of time
 	Sent              int
 	Granted           int
 	Done              int
-	Unfinished        int             // turns that were asked for and are not over at the end
-	CommitTimes       []time.Duration // from asked to agreed on
-	GrantTimes        []time.Duration // from asked to granted
-	ReturnTimes       []time.Duration // from the end of the work to the end of the turn
-	TotalTimes        []time.Duration // from asked to the end of the turn
+	Unfinished        int             // turns that were requested and have not ended at the end of the run
+	CommitTimes       []time.Duration // of turns, from request to commit
+	GrantTimes        []time.Duration // from request to grant
+	ReturnTimes       []time.Duration // from the end of the maintenance to the end of the turn
+	TotalTimes        []time.Duration // from request to the end of the turn
 	Messages          int
 	Bytes             int
-	SiteMessages      int // messages from site to site, of these
+	SiteMessages      int // messages among these from one site to another
 	Elections         int
-	MaxInWork         int             // hosts in work at one time, at one site
-	Committed         int             // writes that their writer was told are agreed
-	Refused           int             // writes that their writer was told are not taken
-	Receipts          int             // of those that were agreed
-	Rejected          int             // receipts that say refused or orphaned
-	LostWrites        int             // agreed writes that had not left when their site's stores were lost
-	BypassReplies     int             // answers that a site had from farther above than its parent
-	TrialObservations int             // looks at a node that went by a trial
-	RolloutOutcomes   []string        // how each rollout ended
-	GroupStates       TimeByCause     // the time of sites while things break, by how their councils stood
-	LeaderlessTimes   []time.Duration // stretches without a leader though a majority could talk
-	TurnWaits         TimeByCause     // the time of turns from asked to granted, by what they waited for
+	MaxInWork         int             // most hosts of one site under maintenance at the same time
+	Committed         int             // writes reported to their writer as committed
+	Refused           int             // writes reported to their writer as refused
+	Receipts          int             // committed writes with a receipt
+	Rejected          int             // receipts that are not "applied"
+	LostWrites        int             // committed writes that had not left their site when its stores were lost
+	BypassReplies     int             // answers that a site received from a site above its parent
+	TrialObservations int             // observations of a node that applied a policy on trial
+	RolloutOutcomes   []string        // phase and cause of each rollout at the end
+	GroupStates       TimeByCause     // time of sites in the fault phase, by the state of their consensus group
+	LeaderlessTimes   []time.Duration // periods without a leader although a majority was connected
+	TurnWaits         TimeByCause     // time of turns from request to grant, by what they waited for
 }
 
-// World is one run.
+// World is one simulation run.
 type World struct {
 	Options
-	rng        *mrand.Rand    // of the network and the loops
-	planRNG    *mrand.Rand    // of faults, askers and writers: the same whatever the nodes do
-	cryptoRand *mrand.ChaCha8 // in the place of crypto/rand
+	rng        *mrand.Rand    // for the network and the traffic loops
+	planRNG    *mrand.Rand    // for faults, requesters and writers: draws the same values whatever the nodes do
+	cryptoRand *mrand.ChaCha8 // replaces crypto/rand
 	now        time.Duration
 	queue      eventQueue
 	seq        int
 	sites      []*siteState
 	nodes      []*node
 	byName     map[string]*node
-	partitions map[[2]*siteState]int // how many faults keep what the first sends from the second
+	partitions map[[2]*siteState]int // number of faults that block messages from the first site to the second
 	tally      Tally
-	quiet      bool // no more faults
+	quiet      bool // no more faults are injected
 	healedAt   time.Duration
 	Trace      func(at time.Duration, text string)
 	writes     []*write
 	subjects   []subject
-	suspects   []orderSuspect // may have been applied too early
+	suspects   []orderSuspect // writes that may have been applied before one they depend on
 	trials     []*trial
 }
 
-// event is something to come.
+// event is a scheduled call.
 type event struct {
 	at  time.Duration
 	seq int
@@ -124,41 +125,41 @@
 	return e
 }
 
-// place is one site with its hosts.
+// siteState is one simulated site with its hosts.
 type siteState struct {
 	name        string
-	parent      *siteState // the site above; nil for a top
+	parent      *siteState // nil for a top site
 	definition  site.Definition
 	nodes       []*node
-	hosts       map[string]*host // those that all sites have in common too
-	ids         []string         // of the hosts, sorted
+	hosts       map[string]*host // by ID; includes the shared hosts
+	ids         []string         // IDs of the hosts, sorted
 	turns       []*requestedTurn
-	losesStores bool     // its stores are lost some time; no turns are asked for there, since nobody would know of them
-	lock        lockList // the plain way
+	losesStores bool     // all its stores are lost during the run; no turns are requested here, since no node would remember them
+	lock        lockList // used if Options.FixedOrder
 
-	lastGroupState  string        // how its council stood at the last look
-	leaderlessSince time.Duration // since when it has had no leader though a majority could talk; 0: it has one, or could not
+	lastGroupState  string        // at the last observation
+	leaderlessSince time.Duration // start of the period without a leader although a majority is connected; 0: no such period
 
-	readIndex uint64                   // how far the log was applied where it was looked at last
-	current   map[subject]*write       // what holds there, as last looked at
-	history   map[subject][]*write     // what held there, in order; empty again after a loss
-	outSince  map[string]time.Duration // since when a host is out by hand there
-	receipts  map[sitesync.ID]string   // that were read there
-	tokenUsed bool                     // a token was used there, or above: see sitesync's U1
+	readIndex uint64                   // applied index of the replica that was read last
+	current   map[subject]*write       // the write that holds the value of each subject, as last read
+	history   map[subject][]*write     // values of current over time, in order; emptied when the stores are lost
+	outSince  map[string]time.Duration // start of the period in which an operator has a host out of service here
+	receipts  map[sitesync.ID]string   // as read here, by write
+	tokenUsed bool                     // a write here or at a site above carried a token: see U1 of package sitesync
 }
 
-// host knows whether it is in work.
+// host is one simulated host, which records whether maintenance on it is in progress.
 type host struct {
 	id       string
 	inWork   bool
-	workTurn string
-	listed   []listState // to discovery, in the order of their times
+	workTurn string      // ID of the turn of that maintenance
+	listed   []listState // its states in discovery's lists, in order of time
 }
 
-// work is one turn as its asker sees it.
+// requestedTurn is one turn as its requester knows it.
 type requestedTurn struct {
 	id, host     string
-	duration     time.Duration // as it turns out
+	duration     time.Duration // actual duration of the maintenance
 	requestedAt  time.Duration
 	doneAt       time.Duration
 	committed    bool
@@ -167,20 +168,20 @@
 	done         bool
 	ended        bool
 	grantCounted bool
-	callee       *node  // that its asker's call is out to
-	connLost     func() // that call's link is gone
+	callee       *node  // node with a pending call of the requester; nil: none
+	connLost     func() // reports the loss of that call's connection
 }
 
-// base is where all clocks begin: some time in 1970, so that no time is 0.
+// base is the time at which all clocks start: in 1970 but not 0, because a time of 0 means unset.
 const base = 1000 * time.Hour
 
-// Run plays a world out.
+// Run simulates a world to its end and returns its tally.
 func Run(o Options, trace func(time.Duration, string)) Tally {
 	w := newWorld(o, trace)
 	return w.run()
 }
 
-// build makes a world that has not begun.
+// newWorld returns a world whose nodes have not been started.
 func newWorld(o Options, trace func(time.Duration, string)) *World {
 	w := &World{Options: o, rng: mrand.New(mrand.NewPCG(o.Seed, 1)), planRNG: mrand.New(mrand.NewPCG(o.Seed, 2)), Trace: trace,
 		byName: map[string]*node{}, partitions: map[[2]*siteState]int{}}
@@ -190,7 +191,7 @@
 	return w
 }
 
-// run plays it out.
+// run simulates the world to its end.
 func (w *World) run() Tally {
 	o := w.Options
 	w.startNodes()
@@ -214,14 +215,13 @@
 	return w.tally
 }
 
-// begin starts all nodes.
 func (w *World) startNodes() {
 	for _, n := range w.nodes {
 		w.start(n)
 	}
 }
 
-// until plays up to a time.
+// runUntil runs all events before a time.
 func (w *World) runUntil(end time.Duration) {
 	before := rand.Reader
 	rand.Reader = w.cryptoRand
@@ -245,14 +245,14 @@
 	heap.Push(&w.queue, event{w.now + d, w.seq, do})
 }
 
-// any is up to d, evenly; of the network's draws.
+// randomUpTo returns a duration of at most d, uniformly distributed, drawn from w.rng.
 func (w *World) randomUpTo(d time.Duration) time.Duration { return randomUpTo(w.rng, d) }
 
 func randomUpTo(r *mrand.Rand, d time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(d) + 1))
 }
 
-// below builds the sites below one, or the tops.
+// addSites adds the sites below parent, down to the lowest level, or all sites if parent is nil.
 func (w *World) addSites(parent *siteState, level int) {
 	if level == len(w.Levels) {
 		return
@@ -266,7 +266,7 @@
 	}
 }
 
-// site builds one site.
+// addSite adds one site with its nodes and hosts, and schedules its requests for turns.
 func (w *World) addSite(name string, parent *siteState, level int) *siteState {
 	added := &siteState{name: name, parent: parent, hosts: map[string]*host{}, receipts: map[sitesync.ID]string{}}
 	added.forgetState()
@@ -302,13 +302,13 @@
 	}
 	hostOrder := w.planRNG.Perm(w.Hosts)
 	for i := range w.TurnRequests {
-		a := &requestedTurn{id: fmt.Sprintf("%s-t%d", name, i), host: fmt.Sprintf("%s-g%02d", name, hostOrder[i%w.Hosts]),
+		turn := &requestedTurn{id: fmt.Sprintf("%s-t%d", name, i), host: fmt.Sprintf("%s-g%02d", name, hostOrder[i%w.Hosts]),
 			duration: 2*time.Second + randomUpTo(w.planRNG, 3*time.Second)}
 		if w.planRNG.IntN(10) == 0 && w.Overrun {
-			a.duration += overrunTime
+			turn.duration += overrunTime
 		}
-		added.turns = append(added.turns, a)
-		w.after(3*time.Second+randomUpTo(w.planRNG, w.FaultPhase/2), func() { w.requestTurn(added, a) })
+		added.turns = append(added.turns, turn)
+		w.after(3*time.Second+randomUpTo(w.planRNG, w.FaultPhase/2), func() { w.requestTurn(added, turn) })
 	}
 	return added
 }
@@ -319,18 +319,18 @@
 	slices.Sort(p.ids)
 }
 
-// forget lets go of what was seen to hold at a site, since its stores are lost.
+// forgetState drops what was read at a site, when its stores are lost.
 func (p *siteState) forgetState() {
 	p.current, p.history, p.outSince = map[subject]*write{}, map[subject][]*write{}, map[string]time.Duration{}
 	p.readIndex = 0
 }
 
 func (w *World) violation(text string) {
-	w.log("BROKEN: " + text)
+	w.log("VIOLATION: " + text)
 	w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("%v: %s", w.now, text))
 }
 
-// Quantile returns the value below which a part of the times lies.
+// Quantile returns the q-quantile of the times, 0 if there are none.
 func Quantile(all []time.Duration, q float64) time.Duration {
 	if len(all) == 0 {
 		return 0
--- a/rehearsal/province/writers.go
+++ b/rehearsal/province/writers.go
@@ -12,28 +12,28 @@
 	"lichenhitch/internal/control"
 )
 
-// subject is something that is written about.
+// subject is what a write is about, such as a host.
 type subject struct {
 	kind sitesync.Kind
 	name string
 }
 
-// write is one write as its writer sees it.
+// write is one write as its writer knows it.
 type write struct {
-	number int // in this world, from 1; it stands at the end of the value
+	number int // from 1, unique in the world; the value ends with it
 	site   *siteState
 	subject
 	localWrite     sitesync.LocalWrite
-	overwrote      *write // what held of its thing there when it was written
-	dependencies   []*write
-	committed      bool // its writer was told so
+	overwrote      *write   // current value of its subject at the site when it was written
+	dependencies   []*write // what its writer had read, as far as it depends on it
+	committed      bool     // as reported to its writer
 	committedAt    time.Duration
 	id             sitesync.ID
-	lostWithStores bool   // its site's stores were lost since
-	outcome        string // what the top said of it, read at the end
+	lostWithStores bool   // its site's stores were lost afterwards
+	outcome        string // the top site's receipt, read at the end
 }
 
-// subjects are few, so that writes meet.
+// addSubjects adds the subjects of writes: few, so that concurrent writes concern the same ones.
 func (w *World) addSubjects() {
 	for i := range w.SharedHosts {
 		w.subjects = append(w.subjects, subject{sitesync.Safety, fmt.Sprintf("host/hand-g%02d", i)})
@@ -47,13 +47,13 @@
 	}
 }
 
-// writers has every site write at random times, and looks at what holds.
+// scheduleWriters schedules writes at random times at every site, and polls of the values.
 func (w *World) scheduleWriters() {
 	for _, site := range w.sites {
 		for range w.Writes {
 			w.after(5*time.Second+randomUpTo(w.planRNG, w.FaultPhase-5*time.Second), w.randomWrite(site))
 		}
-		if site.parent == nil && w.Writes > 0 { // one thing is closed for good, whatever is written below
+		if site.parent == nil && w.Writes > 0 { // one subject is closed for good, whatever is written below
 			w.after(w.FaultPhase/2+randomUpTo(w.planRNG, w.FaultPhase/2), func() { w.closeSubject(site) })
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// writer draws one write.
+// randomWrite draws one write and returns the function that submits it.
 func (w *World) randomWrite(site *siteState) func() {
 	subject, node := w.subjects[w.planRNG.IntN(len(w.subjects))], site.nodes[w.planRNG.IntN(len(site.nodes))]
 	verbs := sitesync.Rules[subject.kind].Words
@@ -74,13 +74,13 @@
 	from := w.sites[w.planRNG.IntN(len(w.sites))]
 	return func() {
 		if !token || from == site || w.reader(from) == nil || site.parent == nil && w.Seed%2 == 0 {
-			from = nil // at a top in every other world only: what is below it may then hold what it names too early
+			from = nil // a top site uses tokens only in every other world: sites below may then apply the write before those that its token names
 		}
 		w.write(site, node, subject, sitesync.LocalWrite{Value: []byte(verb), Urgent: urgent}, from, withNeeds)
 	}
 }
 
-// closing ends a thing for good, until the top has agreed to it.
+// closeSubject writes that a subject is closed for good, repeatedly until the write is committed at the top site.
 func (w *World) closeSubject(site *siteState) {
 	node := site.nodes[w.rng.IntN(len(site.nodes))]
 	subject := subject{sitesync.Policy, "policy/0"}
@@ -92,7 +92,7 @@
 	})
 }
 
-// write hands a write in at a node, which passes it on to the leader it knows, once, as the desk does.
+// write submits a write at a node, which forwards it once to the leader that it knows, as the operator API does.
 func (w *World) write(site *siteState, n *node, subject subject, localWrite sitesync.LocalWrite, from *siteState, withNeeds bool) *write {
 	w.readSite(site)
 	write := &write{number: len(w.writes) + 1, site: site, subject: subject, overwrote: site.current[subject]}
@@ -106,8 +106,8 @@
 	}
 	if from != nil {
 		w.readSite(from)
-		subject := w.reader(from)
-		if r, err := subject.core.Read(sitesync.Note, "", ""); err == nil && subject.core.AppliedIndex() == from.readIndex { // else its log is behind
+		reader := w.reader(from)
+		if r, err := reader.core.Read(sitesync.Note, "", ""); err == nil && reader.core.AppliedIndex() == from.readIndex { // otherwise its log is behind what was read
 			localWrite.Token = r.Token
 			write.addDependencies(w, from)
 			for _, q := range w.sites {
@@ -119,11 +119,12 @@
 		localWrite.Needs = []sitesync.ID{last.id}
 	}
 	write.localWrite = localWrite
-	w.log(fmt.Sprintf("%s writes %s of %s at %s; urgent %v, token %v", site.name, localWrite.Value, localWrite.Subject, n.name, localWrite.Urgent, from != nil))
+	w.log(fmt.Sprintf("%s writes %s to %s at %s; urgent %v, token %v", site.name, localWrite.Value, localWrite.Subject, n.name, localWrite.Urgent, from != nil))
 	w.submitWrite(write, n, false)
 	return write
 }
 
+// addDependencies makes a write depend on the current values of all subjects at a site.
 func (x *write) addDependencies(w *World, site *siteState) {
 	for _, s := range w.subjects {
 		if y := site.current[s]; y != nil {
@@ -132,7 +133,7 @@
 	}
 }
 
-// lastOf returns the last write that a site's writers were told of.
+// lastCommitted returns the last write of a site that was reported to its writer as committed, nil if there is none.
 func (w *World) lastCommitted(site *siteState) *write {
 	for _, write := range slices.Backward(w.writes) {
 		if write.site == site && write.committed && !write.lostWithStores {
@@ -142,11 +143,12 @@
 	return nil
 }
 
-// seen says whether a write is known to be applied at a site.
+// isCurrent reports whether a write holds the value of its subject at a site, as last read.
 func (w *World) isCurrent(site *siteState, x *write) bool {
 	return slices.ContainsFunc(w.subjects, func(s subject) bool { return site.current[s] == x })
 }
 
+// submitWrite submits a write at a node and follows a redirect to the leader once.
 func (w *World) submitWrite(write *write, n *node, forwarded bool) {
 	if !n.up || n.paused || n.core == nil {
 		return
@@ -161,14 +163,14 @@
 			w.log(fmt.Sprintf("w%d: %v", write.number, err))
 		case err != nil:
 			w.tally.Refused++
-			w.log(fmt.Sprintf("w%d is not taken: %v", write.number, err))
+			w.log(fmt.Sprintf("w%d is refused: %v", write.number, err))
 		default:
 			w.markCommitted(write, reply)
 		}
 	})
 }
 
-// agreed notes that a writer was told that its write is agreed on.
+// markCommitted records that a write was reported to its writer as committed, with its ID.
 func (w *World) markCommitted(write *write, reply control.Reply) {
 	for _, effect := range reply.Effects {
 		if effect.Write != nil && effect.Kind == sitesync.EffectApplied && effect.Write.Subject == write.name && writeNumber(string(effect.Write.Value)) == write.number {
@@ -176,31 +178,31 @@
 		}
 	}
 	if !write.committed {
-		w.violation(fmt.Sprintf("w%d: agreed, and no name came with it", write.number))
+		w.violation(fmt.Sprintf("w%d: committed, but the reply has no ID of the write", write.number))
 		return
 	}
-	w.log(fmt.Sprintf("w%d is %s", write.number, write.id))
+	w.log(fmt.Sprintf("w%d has the ID %s", write.number, write.id))
 	w.tally.Committed++
 }
 
-// below says whether a site is below another.
-func isBelow(site, q *siteState) bool {
+// isBelow reports whether a site is below another, at any distance.
+func isBelow(site, other *siteState) bool {
 	for a := site.parent; a != nil; a = a.parent {
-		if a == q {
+		if a == other {
 			return true
 		}
 	}
 	return false
 }
 
-// numbered reads a write's number off its value; 0: there is none.
+// writeNumber returns the number of a write from its value, 0 if there is none.
 func writeNumber(value string) int {
 	n, _ := strconv.Atoi(value[strings.LastIndex(value, " w")+2:])
 	return n
 }
 
-// polls looks at all sites once a second, and once all is whole has what is out by hand written back at the top, so that
-// turns find their allowance.
+// pollSites reads all sites once a second. After the fault phase it also writes shared hosts that operators took out of service
+// back at the top sites, so that turns are not blocked by the limit of hosts out of service.
 func (w *World) pollSites() {
 	w.after(time.Second, w.pollSites)
 	for _, site := range w.sites {
