--- a/rehearsal/province/lists.go
+++ b/rehearsal/province/lists.go
@@ -9,11 +9,11 @@
 
 // Lists describes the discovery lists of a world. With the zero value every list always contains every host, warm.
 type Lists struct {
-	RemoveDuringWork bool // a host is not listed during its maintenance, and returns as just started
-	LateNodes        int  // nodes of each site, fewer than half, whose lists are late by Delay
-	Delay            time.Duration
-	DeadNodes        int  // nodes of each site whose discovery stops answering at discoveryFailsAt
-	AtLeader         bool // the list of whichever node leads is late or dead, instead of those of fixed nodes
+	RemoveDuringWork bool          // a host is not listed during its maintenance, and returns as just started
+	LateNodes        int           // nodes of each site, fewer than half, whose lists are late by Delay
+	Delay            time.Duration // of the lists of LateNodes
+	DeadNodes        int           // nodes of each site whose discovery stops answering at discoveryFailsAt
+	AtLeader         bool          // the list of whichever node leads is late or dead, instead of those of fixed nodes
 }
 
 const (
--- a/rehearsal/province/lost_test.go
+++ b/rehearsal/province/lost_test.go
@@ -56,7 +56,7 @@
 	}
 	lost, other := regencies[0], regencies[1]
 	var heals []func()
-	cut := func(site, q *siteState) { heals = append(heals, w.partition(site, q, true)) }
+	cut := func(from, to *siteState) { heals = append(heals, w.partition(from, to, true)) }
 	if scenario.neverSynced {
 		lost = w.sites[2]
 		cut(lost, w.sites[0])
@@ -73,7 +73,7 @@
 		heal()
 		w.runUntil(55 * time.Second)
 	}
-	lossAt := w.now
+	started := w.now
 	cut(lost, w.sites[0])
 	for _, site := range w.sites {
 		if site.parent == lost { // otherwise it would receive the write too
@@ -81,15 +81,15 @@
 		}
 	}
 	writeAt(lost, nil)
-	w.runUntil(lossAt + time.Second)
+	w.runUntil(started + time.Second)
 	x := writeAt(other, lost)
-	w.runUntil(lossAt + 2*time.Second)
+	w.runUntil(started + 2*time.Second)
 	w.loseStores(lost, time.Second)
-	w.runUntil(lossAt + 5*time.Second)
+	w.runUntil(started + 5*time.Second)
 	for _, heal := range heals {
 		heal()
 	}
-	w.runUntil(lossAt + 45*time.Second)
+	w.runUntil(started + 45*time.Second)
 	require.True(t, x.committed)
 	assert.NotEmpty(t, w.readReceipt(other, w.reader(other), x), "seed %d", seed)
 }
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -298,7 +298,7 @@
 		added.addHost(fmt.Sprintf("%s-g%02d", name, i))
 	}
 	for i := range w.SharedHosts {
-		added.addHost(fmt.Sprintf("hand-g%02d", i))
+		added.addHost(fmt.Sprintf("pool-g%02d", i))
 	}
 	hostOrder := w.planRNG.Perm(w.Hosts)
 	for i := range w.TurnRequests {
