--- a/rehearsal/province/policies.go
+++ b/rehearsal/province/policies.go
@@ -78,7 +78,7 @@
 	if root := w.rootState(); root != nil && root.Plan().Rollout(trial.id) != nil || w.quiet {
 		return
 	}
-	w.submitCommand(w.sites[0], trial, rollout.Command{Start: &rollout.Start{ID: trial.id, Policy: trial.policy.Text(), By: "test", Why: "a trial"}})
+	w.submitCommand(w.sites[0], trial, rollout.Command{Start: &rollout.Start{ID: trial.id, Policy: trial.policy.Text(), By: "desk", Why: "a trial"}})
 	w.after(3*time.Second, func() { w.startRollout(trial) })
 }
 
@@ -92,11 +92,11 @@
 	switch {
 	case started == nil:
 	case action == 0:
-		w.submitCommand(w.sites[0], trial, rollout.Command{Force: &rollout.OperatorAction{ID: trial.id, Stage: started.Stage, By: "test", Why: "valid"}})
+		w.submitCommand(w.sites[0], trial, rollout.Command{Force: &rollout.OperatorAction{ID: trial.id, Stage: started.Stage, By: "desk", Why: "known"}})
 	case action == 1:
-		w.submitCommand(site, trial, rollout.Command{Halt: &rollout.Halt{ID: trial.id, Cause: rollout.Operator, By: "test", Why: "suspect"}})
+		w.submitCommand(site, trial, rollout.Command{Halt: &rollout.Halt{ID: trial.id, Cause: rollout.Operator, By: "desk", Why: "a doubt"}})
 	default:
-		w.submitCommand(w.sites[0], trial, rollout.Command{Resume: &rollout.OperatorAction{ID: trial.id, By: "test", Why: "resolved"}})
+		w.submitCommand(w.sites[0], trial, rollout.Command{Resume: &rollout.OperatorAction{ID: trial.id, By: "desk", Why: "no doubt"}})
 	}
 }
 
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -297,8 +297,8 @@
 	for i := range w.Hosts {
 		added.addHost(fmt.Sprintf("%s-g%02d", name, i))
 	}
-	for i := range w.SharedHosts {
-		added.addHost(fmt.Sprintf("pool-g%02d", i))
+	for i := range w.SharedHosts { // "hand": taken out of service by hand, by an operator
+		added.addHost(fmt.Sprintf("hand-g%02d", i))
 	}
 	hostOrder := w.planRNG.Perm(w.Hosts)
 	for i := range w.TurnRequests {
@@ -326,7 +326,7 @@
 }
 
 func (w *World) violation(text string) {
-	w.log("VIOLATION: " + text)
+	w.log("BROKEN: " + text)
 	w.tally.Violations = append(w.tally.Violations, fmt.Sprintf("%v: %s", w.now, text))
 }
 
--- a/rehearsal/province/writers.go
+++ b/rehearsal/province/writers.go
@@ -36,7 +36,7 @@
 // addSubjects adds the subjects of writes: few, so that concurrent writes concern the same ones.
 func (w *World) addSubjects() {
 	for i := range w.SharedHosts {
-		w.subjects = append(w.subjects, subject{sitesync.Safety, fmt.Sprintf("host/pool-g%02d", i)})
+		w.subjects = append(w.subjects, subject{sitesync.Safety, fmt.Sprintf("host/hand-g%02d", i)})
 	}
 	if w.Writes == 0 {
 		return
