--- a/rehearsal/province/policies.go
+++ b/rehearsal/province/policies.go
@@ -10,47 +10,49 @@
 	"lichenhitch/internal/control"
 )
 
-// This file has operators start policies at the top, halt them anywhere, resume and force them, while all that breaks breaks.
-// Traffic is made up: what a node counts depends on the policy that its loop goes by. The promises:
+// Simulated operators start rollouts of policies at the top site, halt them at any site, resume them and force stages, while
+// faults are injected. Traffic is synthetic: the counts of a node depend on the policy that its traffic loop applies. Checked:
 //
-//   - no loop goes by a trial that the top has not assigned to its node for longer than the lease, counted from the node's
-//     last start if that is later;
-//   - a policy that loses a quarter of its requests does not become the good one, unless somebody forces a stage;
-//   - at the end, with nothing broken any more, every rollout is over and every loop goes by the top's good policy.
-
-// stages are the limits of the rollouts here: what takes days takes seconds.
-var stages = rollout.Limits{Alpha: 0.05, Beta: 0.3, Margin: 0.1, MinRequests: 10, MaxHold: 30 * time.Second, TrialLease: 8 * time.Second, MaxCrashes: 3,
+//   - No traffic loop applies a policy on trial for longer than the trial lease after the top site last had it assigned to the
+//     node, counted from the node's last resumption from a pause if that is later.
+//   - A policy that loses a quarter of its requests does not become the good policy, unless an operator forces a stage.
+//   - At the end, after the phase without faults, every rollout is over and every traffic loop applies the top site's good
+//     policy.
+
+// stageLimits are the limits of the rollouts: stages that take days in operation take seconds here.
+var stageLimits = rollout.Limits{Alpha: 0.05, Beta: 0.3, Margin: 0.1, MinRequests: 10, MaxHold: 30 * time.Second, TrialLease: 8 * time.Second, MaxCrashes: 3,
 	Slice: 2 * time.Second, WindowSlices: 1, BaselineWindows: 2, Settle: time.Second, MaxStageTime: 60 * time.Second, SlowMargin: 0.3, Coverage: 0.5}
 
-// slack is what the end of a lease may be late at a node: its tick, and the way to its loop.
-const slack = time.Second
+// leaseSlack is how late the end of a trial lease may take effect at a node: its tick, and the delay to its traffic loop.
+const leaseSlack = time.Second
 
-// trial is one policy on its way.
+// trial is one policy in a rollout.
 type trial struct {
-	id     string
-	policy rollout.Policy
-	bad    bool // it loses a quarter of all requests
-	forced bool
+	id      string
+	policy  rollout.Policy
+	harmful bool // loses a quarter of all requests
+	forced  bool // an operator has forced a stage
 }
 
-// treated is what is known of a node for the first promise.
-type treated struct {
-	assigned time.Duration // when the top last had it go by a trial, as its log says
-	awake    time.Duration // since when it is not stopped
+// trialState is the state of a node for the check of the trial lease.
+type trialState struct {
+	lastAssigned time.Duration // when the top site last had a trial assigned to the node
+	runningSince time.Duration // when it was last observed paused
 }
 
-func (w *World) rollouts() {
+// setUpRollouts configures the nodes for rollouts and schedules the rollouts and the operators' actions.
+func (w *World) setUpRollouts() {
 	if w.Rollouts == 0 {
 		return
 	}
 	for _, n := range w.nodes {
-		n.file.Rollout = stages
-		if n.site.up != nil {
+		n.config.Rollout = stageLimits
+		if n.site.parent != nil {
 			continue
 		}
-		for _, p := range w.sites {
-			if below(p, n.site) {
-				n.file.Descendants = append(n.file.Descendants, p.group)
+		for _, site := range w.sites {
+			if isBelow(site, n.site) {
+				n.config.Descendants = append(n.config.Descendants, site.definition)
 			}
 		}
 	}
@@ -58,67 +60,67 @@
 		text := fmt.Sprintf(`{"permissions":{"max_attempts":%d}}`, i+2)
 		policy, err := rollout.Parse([]byte(text))
 		if err != nil {
-			panic(err) // the text is made here
+			panic(err) // the text is fixed above
 		}
-		x := &trial{id: fmt.Sprint("r", i), policy: policy, bad: w.plan.IntN(2) == 0}
-		w.trials = append(w.trials, x)
-		w.after(12*time.Second+upTo(w.plan, w.For/3), func() { w.starts(x) })
-		for range w.plan.IntN(3) {
-			what, p := w.plan.IntN(3), w.sites[w.plan.IntN(len(w.sites))]
-			w.after(20*time.Second+upTo(w.plan, w.For-20*time.Second), func() { w.meddle(x, what, p) })
+		trial := &trial{id: fmt.Sprint("r", i), policy: policy, harmful: w.planRNG.IntN(2) == 0}
+		w.trials = append(w.trials, trial)
+		w.after(12*time.Second+randomUpTo(w.planRNG, w.FaultPhase/3), func() { w.startRollout(trial) })
+		for range w.planRNG.IntN(3) {
+			action, site := w.planRNG.IntN(3), w.sites[w.planRNG.IntN(len(w.sites))]
+			w.after(20*time.Second+randomUpTo(w.planRNG, w.FaultPhase-20*time.Second), func() { w.operatorAction(trial, action, site) })
 		}
 	}
-	w.after(time.Second, w.polled)
+	w.after(time.Second, w.checkTrials)
 }
 
-// starts has an operator start a rollout, again and again until it stands in the log.
-func (w *World) starts(x *trial) {
-	if top := w.newest(); top != nil && top.Plan().Rollout(x.id) != nil || w.calm {
+// startRollout makes an operator start a rollout, repeatedly until the top site's log contains it.
+func (w *World) startRollout(trial *trial) {
+	if root := w.rootState(); root != nil && root.Plan().Rollout(trial.id) != nil || w.quiet {
 		return
 	}
-	w.operate(w.sites[0], x, rollout.Command{Start: &rollout.Start{ID: x.id, Policy: x.policy.Text(), By: "desk", Why: "a trial"}})
-	w.after(3*time.Second, func() { w.starts(x) })
+	w.submitCommand(w.sites[0], trial, rollout.Command{Start: &rollout.Start{ID: trial.id, Policy: trial.policy.Text(), By: "desk", Why: "a trial"}})
+	w.after(3*time.Second, func() { w.startRollout(trial) })
 }
 
-// meddle has an operator force a stage, halt a rollout at a site, or resume it.
-func (w *World) meddle(x *trial, what int, p *place) {
-	top := w.newest()
-	r := (*rollout.Rollout)(nil)
-	if top != nil {
-		r = top.Plan().Rollout(x.id)
+// operatorAction makes an operator force a stage, halt a rollout at a site, or resume it.
+func (w *World) operatorAction(trial *trial, action int, site *siteState) {
+	root := w.rootState()
+	started := (*rollout.Rollout)(nil)
+	if root != nil {
+		started = root.Plan().Rollout(trial.id)
 	}
 	switch {
-	case r == nil:
-	case what == 0:
-		w.operate(w.sites[0], x, rollout.Command{Force: &rollout.OperatorAction{ID: x.id, Stage: r.Stage, By: "desk", Why: "known"}})
-	case what == 1:
-		w.operate(p, x, rollout.Command{Halt: &rollout.Halt{ID: x.id, Cause: rollout.Operator, By: "desk", Why: "a doubt"}})
+	case started == nil:
+	case action == 0:
+		w.submitCommand(w.sites[0], trial, rollout.Command{Force: &rollout.OperatorAction{ID: trial.id, Stage: started.Stage, By: "desk", Why: "known"}})
+	case action == 1:
+		w.submitCommand(site, trial, rollout.Command{Halt: &rollout.Halt{ID: trial.id, Cause: rollout.Operator, By: "desk", Why: "a doubt"}})
 	default:
-		w.operate(w.sites[0], x, rollout.Command{Resume: &rollout.OperatorAction{ID: x.id, By: "desk", Why: "no doubt"}})
+		w.submitCommand(w.sites[0], trial, rollout.Command{Resume: &rollout.OperatorAction{ID: trial.id, By: "desk", Why: "no doubt"}})
 	}
 }
 
-// operate brings an operator's call before a site's council through any of its nodes, which passes it on once.
-func (w *World) operate(p *place, x *trial, cmd rollout.Command) {
-	n := p.nodes[w.rng.IntN(len(p.nodes))]
-	x.forced = x.forced || cmd.Force != nil // it may be agreed whatever is answered
-	var call func(n *node, passed bool)
-	call = func(n *node, passed bool) {
+// submitCommand makes an operator's call at a random node of a site, which forwards it to the leader at most once.
+func (w *World) submitCommand(site *siteState, trial *trial, cmd rollout.Command) {
+	n := site.nodes[w.rng.IntN(len(site.nodes))]
+	trial.forced = trial.forced || cmd.Force != nil // it may be committed whatever the reply is
+	var call func(n *node, forwarded bool)
+	call = func(n *node, forwarded bool) {
 		if !n.up || n.paused || n.core == nil {
 			return
 		}
 		done := func(_ control.Reply, err error) {
-			var elsewhere *control.NotLeaderError
-			if errors.As(err, &elsewhere) && !passed {
-				w.after(time.Millisecond, func() { call(w.byName[elsewhere.Leader], true) })
+			var notLeader *control.NotLeaderError
+			if errors.As(err, &notLeader) && !forwarded {
+				w.after(time.Millisecond, func() { call(w.byName[notLeader.Leader], true) })
 				return
 			}
-			w.say(fmt.Sprint("at ", n.name, " ", describe(cmd), " ", x.id, ": ", err))
+			w.log(fmt.Sprint("at ", n.name, " ", describe(cmd), " ", trial.id, ": ", err))
 		}
 		if h := cmd.Halt; h != nil {
 			n.core.Halt(n.clock(), h.ID, h.By, h.Why, done)
 		} else {
-			n.core.Plan(n.clock(), x.id, cmd, done)
+			n.core.Plan(n.clock(), trial.id, cmd, done)
 		}
 	}
 	call(n, false)
@@ -136,56 +138,56 @@
 	return "resume"
 }
 
-// newest is what the top's log says, at the seat that has applied most of it.
-func (w *World) newest() (top *rollout.RootState) {
+// rootState returns the rollout state of the top site, from the replica that has applied most of the log; nil if there is none.
+func (w *World) rootState() (newest *rollout.RootState) {
 	most := uint64(0)
 	for _, n := range w.sites[0].nodes {
 		if n.core != nil && n.core.RootState() != nil && n.core.AppliedIndex() >= most {
-			most, top = n.core.AppliedIndex(), n.core.RootState()
+			most, newest = n.core.AppliedIndex(), n.core.RootState()
 		}
 	}
-	return top
+	return newest
 }
 
-// polled looks several times a second whether any loop goes by a trial for too long.
-func (w *World) polled() {
-	w.after(200*time.Millisecond, w.polled)
-	top := w.newest()
-	if top == nil {
+// checkTrials checks five times a second that no traffic loop has applied a trial for too long.
+func (w *World) checkTrials() {
+	w.after(200*time.Millisecond, w.checkTrials)
+	root := w.rootState()
+	if root == nil {
 		return
 	}
 	for _, n := range w.nodes {
-		k := &n.treated
-		if top.Plan().Assigned(n.name).Trial {
-			k.assigned = w.now
+		state := &n.trialState
+		if root.Plan().Assigned(n.name).Trial {
+			state.lastAssigned = w.now
 		}
 		if !n.up {
 			continue
 		}
 		if n.paused {
-			k.awake = w.now
+			state.runningSince = w.now
 			continue
 		}
-		if !w.tries(n) {
+		if !w.appliesTrial(n) {
 			continue
 		}
-		w.tally.Tried++
-		if since := w.now - max(k.assigned, k.awake); since > stages.TrialLease+stages.TrialLease/50+slack {
-			w.broken(fmt.Sprintf("%s goes by a trial %v after the top had it do so", n.name, since))
+		w.tally.TrialObservations++
+		if since := w.now - max(state.lastAssigned, state.runningSince); since > stageLimits.TrialLease+stageLimits.TrialLease/50+leaseSlack {
+			w.violation(fmt.Sprintf("%s applies a trial %v after the top site last assigned one to it", n.name, since))
 		}
 	}
 }
 
-// tries says whether a node's loop goes by a trial.
-func (w *World) tries(n *node) bool {
-	top := w.newest()
+// appliesTrial reports whether a node's traffic loop applies a policy on trial.
+func (w *World) appliesTrial(n *node) bool {
+	root := w.rootState()
 	return slices.ContainsFunc(w.trials, func(x *trial) bool {
-		return n.goes.Hash == x.policy.Hash() && top.Plan().Good() != x.policy.Hash() && n.goes.LeaseEnd > 0
+		return n.policy.Hash == x.policy.Hash() && root.Plan().Good() != x.policy.Hash() && n.policy.LeaseEnd > 0
 	})
 }
 
-// count makes up what a node's loop has counted since its last report.
-func (n *node) count() []control.PolicyCounts {
+// counts returns synthetic counts of a node's traffic loop since its last report.
+func (n *node) counts() []control.PolicyCounts {
 	c := rollout.Counts{Class: "chat", Offered: 10}
 	for range c.Offered {
 		if n.w.rng.IntN(50) > 0 {
@@ -193,37 +195,37 @@
 		}
 	}
 	for _, x := range n.w.trials {
-		if x.bad && n.goes.Hash == x.policy.Hash() {
+		if x.harmful && n.policy.Hash == x.policy.Hash() {
 			c.Served -= min(c.Served, c.Offered/4)
 		}
 	}
-	return []control.PolicyCounts{{Policy: n.goes.Hash, Counts: []rollout.Counts{c}}}
+	return []control.PolicyCounts{{Policy: n.policy.Hash, Counts: []rollout.Counts{c}}}
 }
 
-// settled looks at the end whether all is over.
-func (w *World) settled() {
-	top := w.newest()
-	if w.Rollouts == 0 || top == nil {
+// checkRollouts checks at the end that every rollout is over and every node applies the good policy.
+func (w *World) checkRollouts() {
+	root := w.rootState()
+	if w.Rollouts == 0 || root == nil {
 		return
 	}
-	for _, r := range top.Plan().Rollouts() {
-		w.tally.Over = append(w.tally.Over, r.Phase.String()+" "+r.Cause.String())
+	for _, r := range root.Plan().Rollouts() {
+		w.tally.RolloutOutcomes = append(w.tally.RolloutOutcomes, r.Phase.String()+" "+r.Cause.String())
 		if r.Phase.Active() {
-			w.broken(fmt.Sprintf("%s is still %v in stage %v: %s", r.ID, r.Phase, r.Stage, r.Missing))
+			w.violation(fmt.Sprintf("%s is still %v in stage %v, missing: %s", r.ID, r.Phase, r.Stage, r.Missing))
 		}
-		i := slices.IndexFunc(w.trials, func(x *trial) bool { return x.id == r.ID })
-		if x := w.trials[i]; x.bad && !x.forced && r.Phase == rollout.Done {
-			w.broken(r.ID + " loses a quarter of all requests and is good")
+		index := slices.IndexFunc(w.trials, func(x *trial) bool { return x.id == r.ID })
+		if x := w.trials[index]; x.harmful && !x.forced && r.Phase == rollout.Done {
+			w.violation(r.ID + " loses a quarter of all requests and became the good policy")
 		}
 	}
-	good := top.Plan().Good()
+	good := root.Plan().Good()
 	for _, n := range w.nodes {
-		goes := n.goes.Hash
-		if goes == "" {
-			goes = rollout.EmptyPolicy().Hash()
+		policy := n.policy.Hash
+		if policy == "" {
+			policy = rollout.EmptyPolicy().Hash()
 		}
-		if n.up && goes != good {
-			w.broken(fmt.Sprintf("%s goes by %q, the good policy is %q", n.name, n.goes.Hash, good))
+		if n.up && policy != good {
+			w.violation(fmt.Sprintf("%s applies policy %q, the good policy is %q", n.name, n.policy.Hash, good))
 		}
 	}
 }
