--- a/rehearsal/processes/check.go
+++ b/rehearsal/processes/check.go
@@ -9,7 +9,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Allowance limits how many hosts of a site may be in work at the same time; 0 means no limit.
+// Allowance limits how many hosts of a site may be under maintenance at the same time; 0 means no limit.
 type Allowance struct{ Site, Zone, Kind int }
 
 // Grant is a turn whose work has begun, as its requester observed it: from Observed to EndCalled the host was certainly
@@ -109,7 +109,7 @@
 	return out
 }
 
-// grantsOverAllowance returns a violation for each grant that exceeded the number of hosts allowed in work.
+// grantsOverAllowance returns a violation for each grant that exceeded the allowance.
 func grantsOverAllowance(grants []Grant, hosts []HostPlan, allowed Allowance) (out []Violation) {
 	planOf := func(id string) HostPlan {
 		i := slices.IndexFunc(hosts, func(h HostPlan) bool { return h.ID == id })
@@ -133,12 +133,12 @@
 			}
 		}
 		for _, c := range []struct {
-			of       string
+			scope    string
 			n, bound int
 		}{{"the site", site, allowed.Site}, {"zone " + hostPlan.Zone, zone, allowed.Zone}, {"kind " + hostPlan.Kind, kind, allowed.Kind}} {
 			if c.bound > 0 && c.n > c.bound {
 				out = append(out, Violation{Host: g.Host, At: g.Observed, What: fmt.Sprintf(
-					"with turn %s of host %s, %d hosts of %s are granted; the limit is %d", g.ID, g.Host, c.n, c.of, c.bound)})
+					"with turn %s of host %s, %d hosts of %s are granted; the limit is %d", g.ID, g.Host, c.n, c.scope, c.bound)})
 			}
 		}
 	}
@@ -205,13 +205,13 @@
 
 // partition splits a history by host, in the order of the hosts' first operations.
 func partition(history []porcupine.Operation) (parts [][]porcupine.Operation) {
-	at := make(map[string]int)
+	indexOf := make(map[string]int)
 	for _, op := range history {
 		host := op.Input.(Step).Host
-		i, ok := at[host]
+		i, ok := indexOf[host]
 		if !ok {
 			i = len(parts)
-			at[host], parts = i, append(parts, nil)
+			indexOf[host], parts = i, append(parts, nil)
 		}
 		parts[i] = append(parts[i], op)
 	}
--- a/rehearsal/processes/clients.go
+++ b/rehearsal/processes/clients.go
@@ -24,7 +24,7 @@
 	HoldTime      time.Duration // average time for which a client keeps its connection; 500 ms
 	LineInterval  time.Duration // interval between two lines of a client; 100 ms
 	Deadline      time.Duration // for the UP line; 3 s
-	MaxReconnects int           // how often a client connects again after MOVE, BUSY or a broken connection; 5
+	MaxReconnects int           // how often a client connects again after MOVE, BUSY, no answer or a failed connection; 5
 	Class         string        // request class; "chat"
 	Value         float64       // value of a request served within its deadline; 1
 	Group         string        // group of all clients; by default they are spread over several groups
@@ -52,7 +52,7 @@
 	Failed        int // answered with any other line
 	Unanswered    int // no answer: the connection ended, or nothing had arrived one second after the deadline
 	ConnectFailed int // connections that could not be opened, or broke before the OPEN line was sent: no request
-	Moved         int // of those served: told to MOVE
+	Moved         int // of those served: sent MOVE by the node
 	Broken        int // of those served: the connection ended without MOVE or BYE
 	Completed     int // of those served: ended by the client and confirmed with BYE
 	Skipped       int // clients that were not started because MaxConcurrent was reached
@@ -72,13 +72,15 @@
 	w.t.Helper()
 	load.PerSecond, load.MaxConcurrent = orDefault(load.PerSecond, 20), orDefault(load.MaxConcurrent, 50)
 	load.HoldTime, load.LineInterval = orDefault(load.HoldTime, 500*time.Millisecond), orDefault(load.LineInterval, 100*time.Millisecond)
-	load.Deadline, load.MaxReconnects, load.Class, load.Value = orDefault(load.Deadline, 3*time.Second), orDefault(load.MaxReconnects, 5), orDefault(load.Class, "chat"), orDefault(load.Value, 1)
+	load.Deadline, load.MaxReconnects, load.Class, load.Value = orDefault(load.Deadline, 3*time.Second), orDefault(load.MaxReconnects, 5),
+		orDefault(load.Class, "chat"), orDefault(load.Value, 1)
 	if load.Nodes == nil {
 		load.Nodes = w.nodeNames
 	}
 	sketch, err := ddsketch.NewDefaultDDSketch(0.01)
 	require.NoError(w.t, err)
-	c := &Clients{w: w, load: load, stop: make(chan struct{}), report: Report{Latency: sketch, ServedByNode: make(map[string]int), UnservedByNode: make(map[string]int)}}
+	c := &Clients{w: w, load: load, stop: make(chan struct{}),
+		report: Report{Latency: sketch, ServedByNode: make(map[string]int), UnservedByNode: make(map[string]int)}}
 	w.mu.Lock()
 	w.clients = append(w.clients, c)
 	stream := uint64(len(w.clients))
@@ -129,8 +131,9 @@
 }
 
 func (r Report) String() string {
-	return fmt.Sprintf("requests %d, served %d, busy %d, failed %d, unanswered %d, connect failed %d; of the served moved %d, broken %d, completed %d; "+
-		"value %g, p50 %.1f ms, p99 %.1f ms", r.Requests, r.Served, r.Busy, r.Failed, r.Unanswered, r.ConnectFailed, r.Moved, r.Broken, r.Completed,
+	return fmt.Sprintf("requests %d, served %d, busy %d, failed %d, unanswered %d, connect failed %d; "+
+		"of the served moved %d, broken %d, completed %d; value %g, p50 %.1f ms, p99 %.1f ms",
+		r.Requests, r.Served, r.Busy, r.Failed, r.Unanswered, r.ConnectFailed, r.Moved, r.Broken, r.Completed,
 		r.Value, 1000*r.LatencyQuantile(0.5), 1000*r.LatencyQuantile(0.99))
 }
 
@@ -182,7 +185,7 @@
 	return waitChange(c.w.done, c.stop, duration) && c.w.ctx.Err() == nil
 }
 
-// runClient runs one client: it connects, and connects again to the next node when it is turned away.
+// runClient runs one client: it connects, and connects again to the next node if request says so.
 func (c *Clients) runClient(number int, holdTime time.Duration) {
 	for attempt := range c.load.MaxReconnects + 1 {
 		node := c.load.Nodes[(number+attempt)%len(c.load.Nodes)]
@@ -240,7 +243,7 @@
 		c.update(func(rep *Report) { rep.Unanswered++; rep.countUnserved(node) })
 		return true, reconnectDelay
 	case strings.HasPrefix(response, "UP "):
-		if receiptID, _ := c.w.upLines.Load(response); receiptID != id {
+		if requestID, _ := c.w.upLines.Load(response); requestID != id {
 			c.reportViolation("%s sent %q to request %s, which no host has sent to it", node, response, id)
 		}
 		c.update(func(rep *Report) {
@@ -309,7 +312,7 @@
 			c.update(func(rep *Report) { rep.Broken++ })
 			return true, reconnectDelay
 		case received != sent:
-			c.reportViolation("%s passed %q to request %s, which had sent %q", node, received, id, sent)
+			c.reportViolation("%s passed %q to the client of request %s, which had sent %q", node, received, id, sent)
 			return false, 0
 		}
 		if !c.sleep(min(c.load.LineInterval, max(time.Millisecond, time.Until(holdUntil)))) {
--- a/rehearsal/processes/clients_test.go
+++ b/rehearsal/processes/clients_test.go
@@ -14,14 +14,14 @@
 // The clients report responses that a node must not send, and count each request under exactly one outcome.
 func TestClientsDetectInvalidResponses(t *testing.T) {
 	for name, tc := range map[string]struct {
-		says  string // response to the first line
-		found string // part of the violation; "" if the response is valid
-		count func(Report) int
+		response string // to the first line
+		found    string // part of the violation; "" if the response is valid
+		count    func(Report) int
 	}{
 		"a receipt of no host":    {"UP h0.1\r\n", "which no host has sent", func(r Report) int { return r.Served }},
 		"two final answers":       {"BUSY 1\r\nBUSY\r\n", "after its final", func(r Report) int { return r.Busy }},
 		"served after an error":   {"ERR\r\nUP h0.1\r\n", "after its final", func(r Report) int { return r.Failed }},
-		"a line that nobody sent": {"UP h1.1\r\nM 7\r\n", "which had sent", func(r Report) int { return r.Served }},
+		"an echo of another line": {"UP h1.1\r\nM 7\r\n", "which had sent", func(r Report) int { return r.Served }},
 		"busy":                    {"BUSY 1\r\n", "", func(r Report) int { return r.Busy }},
 		"an error":                {"ERR no\r\n", "", func(r Report) int { return r.Failed }},
 		"nothing":                 {"", "", func(r Report) int { return r.Unanswered }},
@@ -40,10 +40,10 @@
 						return
 					}
 					line, _ := bufio.NewReader(c).ReadString('\n')
-					if strings.Contains(tc.says, "h1.1") { // this receipt is valid
+					if strings.Contains(tc.response, "h1.1") { // this receipt is valid
 						w.upLines.Store("UP h1.1", strings.Fields(line + " - -")[1])
 					}
-					_, _ = c.Write([]byte(tc.says))
+					_, _ = c.Write([]byte(tc.response))
 					_ = c.(*net.TCPConn).CloseWrite()
 				}
 			}()
--- a/rehearsal/processes/stall.go
+++ b/rehearsal/processes/failure.go
@@ -105,7 +105,8 @@
 	}
 	replica := turns.GetSeat()
 	fmt.Fprintf(&b, "role=%s term=%d committed=%d applied=%d leader=%q replicas=%q lease=%dms unreached=%q stopped=%q",
-		replica.GetRole(), replica.GetTerm(), replica.GetCommitted(), replica.GetApplied(), turns.Leader, turns.Seats, replica.GetRightMs(), replica.GetUnreached(), replica.GetStopped())
+		replica.GetRole(), replica.GetTerm(), replica.GetCommitted(), replica.GetApplied(), turns.Leader, turns.Seats,
+		replica.GetRightMs(), replica.GetUnreached(), replica.GetStopped())
 	for _, t := range turns.Turns {
 		if t.Phase != "over" {
 			fmt.Fprintf(&b, "\n  turn %s of %s is %s, waits for %q", t.Id, t.Host, t.Phase, t.WaitsFor)
@@ -113,7 +114,7 @@
 	}
 	var policies peerpb.PoliciesReply
 	if err := n.callLocal(ctx, "Policies", &policies); err != nil {
-		return b.String() // it applies no policy of a rollout, or is not a node of the top site
+		return b.String() // refused by a node that does not follow its group's log, such as one without a replica
 	}
 	for _, r := range policies.Rollouts {
 		fmt.Fprintf(&b, "\n  policy %s is %s, stage %s, cause %q", r.Id, r.Phase, r.Stage, r.Cause)
@@ -135,12 +136,12 @@
 // dumpStacks makes a process write the stacks of all its goroutines to its log, which ends it.
 func (n *Node) dumpStacks() string {
 	n.mu.Lock()
-	present, mark := n.current, len(n.lines)
+	current, mark := n.current, len(n.lines)
 	n.mu.Unlock()
-	_ = present.cmd.Process.Signal(syscall.SIGQUIT)
-	_ = present.cmd.Process.Signal(syscall.SIGCONT) // a process that was stopped from outside handles no other signal
+	_ = current.cmd.Process.Signal(syscall.SIGQUIT)
+	_ = current.cmd.Process.Signal(syscall.SIGCONT) // a process that was stopped from outside handles no other signal
 	select {
-	case <-present.exited:
+	case <-current.exited:
 	case <-time.After(stackDumpTimeout):
 		return fmt.Sprintf("the process has not ended within %s of SIGQUIT", stackDumpTimeout)
 	}
--- a/rehearsal/processes/stall_test.go
+++ b/rehearsal/processes/failure_test.go
@@ -32,10 +32,10 @@
 	require.NoError(t, err)
 	cmd := exec.Command(self, "-test.run", "^TestAStallIsReported$", "-test.timeout", "40s")
 	cmd.Env = append(os.Environ(), stalledScenarioEnv+"=1", logsFolderEnv+"="+t.TempDir())
-	said, err := cmd.CombinedOutput()
+	output, err := cmd.CombinedOutput()
 	require.Error(t, err)
-	text := string(said)
-	for _, want := range []string{"a turn that nobody requested is granted", "not in ",
+	text := string(output)
+	for _, want := range []string{"a turn that was never requested is granted", "not in ",
 		"n0: role=follower term=", "lease=0ms", "turn t1 of h1 is asked", "policy p1 is running, stage one-node",
 		"n1: it does not answer", "SIGQUIT: quit", "goroutine ", "n2: no process runs", "the last lines of n0"} {
 		assert.Contains(t, text, want)
@@ -48,10 +48,11 @@
 	assert.Contains(t, string(log), "goroutine ")
 	pids := regexp.MustCompile(`processes: ([\d ]+)`).FindStringSubmatch(text)
 	require.NotNil(t, pids, text)
-	for _, word := range strings.Fields(pids[1]) {
-		pid, err := strconv.Atoi(word)
+	for _, pidText := range strings.Fields(pids[1]) {
+		pid, err := strconv.Atoi(pidText)
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return syscall.Kill(pid, 0) == syscall.ESRCH }, EventTimeout, time.Millisecond, "process %d still runs", pid)
+		require.Eventually(t, func() bool { return syscall.Kill(pid, 0) == syscall.ESRCH }, EventTimeout, time.Millisecond,
+			"process %d still runs", pid)
 	}
 }
 
@@ -65,7 +66,8 @@
 	t.Logf("processes: %s", strings.Join(pids, " "))
 	requestTurn(w, "n0", "t1", "h1", time.Hour)
 	w.Await("a policy is started", func() bool {
-		_, err := w.Requester("chief").CallPolicy("n0", "StartPolicy", map[string]any{"id": "p1", "why": "a test scenario", "policy": harmlessPolicy})
+		_, err := w.Requester("chief").CallPolicy("n0", "StartPolicy",
+			map[string]any{"id": "p1", "why": "a test scenario", "policy": harmlessPolicy})
 		return err == nil
 	})
 	w.Await("n0 reports both", func() bool {
@@ -78,5 +80,5 @@
 		status := w.Node("n0").status()
 		return strings.Contains(status, "role=follower") && strings.Contains(status, "lease=0ms")
 	})
-	w.Await("a turn that nobody requested is granted", func() bool { return false })
+	w.Await("a turn that was never requested is granted", func() bool { return false })
 }
--- a/rehearsal/processes/faults.go
+++ b/rehearsal/processes/faults.go
@@ -62,7 +62,7 @@
 }
 
 // RandomFaults returns a sequence of faults for a duration, the same for the same seed, in the order of their starts. At
-// most one process is killed or paused at a time; faults of one link or process do not overlap; at most one store is
+// most one process is killed, paused or upgraded at a time; faults of one link or process do not overlap; at most one store is
 // emptied, torn or replaced by an older copy; and all faults end within the duration.
 func RandomFaults(seed uint64, nodes []string, duration time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0x6c696368656e))
@@ -128,8 +128,8 @@
 func (w *World) RunFaults(faults []Fault) {
 	w.t.Helper()
 	type event struct {
-		at time.Duration
-		do func()
+		at  time.Duration
+		run func()
 	}
 	var events []event
 	staleStores := make(map[string]string)
@@ -149,7 +149,7 @@
 		if !w.sleep(max(0, e.at-time.Since(startedAt))) {
 			return
 		}
-		e.do()
+		e.run()
 	}
 	w.Heal()
 	w.upgrades.Wait()
@@ -222,12 +222,12 @@
 	}
 }
 
-// withProcess does something to a node's process while holding the lock for processes. down tells whether the process is
-// stopped by a fault from then on.
-func (w *World) withProcess(node string, down bool, do func()) {
+// withProcess acts on a node's process while it holds processMu. down says whether a fault has stopped the process from
+// then on.
+func (w *World) withProcess(node string, down bool, action func()) {
 	w.processMu.Lock()
 	defer w.processMu.Unlock()
-	do()
+	action()
 	w.faulted[node] = down
 }
 
@@ -241,26 +241,26 @@
 // completeUpgrade asks the previous process to stop once the newer one serves and is open to peers, and returns once the
 // previous one has ended. If the newer one has ended, the previous one continues to serve.
 func (n *Node) completeUpgrade() {
-	f := n.upgradedFrom
-	if n.upgradedFrom = nil; f == nil {
+	predecessor := n.upgradedFrom
+	if n.upgradedFrom = nil; predecessor == nil {
 		return
 	}
 	n.w.waitUntil(func() bool {
-		return n.isCurrent(f) || len(n.linesWith("msg=serving")) > 0 && (n.w.Plan.NoSiteFile || len(n.linesWith("open to peers")) > 0)
+		return n.isCurrent(predecessor) || len(n.linesWith("msg=serving")) > 0 && (n.w.Plan.NoSiteFile || len(n.linesWith("open to peers")) > 0)
 	})
-	if n.isCurrent(f) {
+	if n.isCurrent(predecessor) {
 		return
 	}
-	_ = f.cmd.Process.Signal(syscall.SIGTERM)
+	_ = predecessor.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-f.exited:
+	case <-predecessor.exited:
 	case <-n.w.done:
 	}
 }
 
 // abortUpgrade kills the newer process of a pending upgrade; the previous one continues to serve.
 func (n *Node) abortUpgrade() {
-	if f := n.upgradedFrom; f != nil && !n.isCurrent(f) {
+	if predecessor := n.upgradedFrom; predecessor != nil && !n.isCurrent(predecessor) {
 		n.Kill()
 	}
 	n.upgradedFrom = nil
@@ -278,10 +278,10 @@
 }
 
 // isCurrent reports whether a previous process is the node's current process again.
-func (n *Node) isCurrent(f *Predecessor) bool {
+func (n *Node) isCurrent(p *Predecessor) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.current == f.process
+	return n.current == p.process
 }
 
 // linesWith returns the lines of the current process's log that contain a text.
@@ -309,7 +309,8 @@
 	case DiscoveryDown:
 		w.Discovery.SetDown(false)
 	case Kill, KillStaleStore, KillEmptyStore, KillTornStore:
-		store := map[FaultKind]StoreChange{Kill: KeepStore, KillStaleStore: StaleStore(staleStore), KillEmptyStore: EmptyStore, KillTornStore: truncateLongerFiles(int64(f.Amount))}[f.Kind]
+		store := map[FaultKind]StoreChange{Kill: KeepStore, KillStaleStore: StaleStore(staleStore), KillEmptyStore: EmptyStore,
+			KillTornStore: truncateLongerFiles(int64(f.Amount))}[f.Kind]
 		w.withProcess(f.Node, false, func() {
 			if losesStore(f.Kind) {
 				delete(w.newReplica, f.Node) // a replica that it had, now with another store
--- a/rehearsal/processes/storm.go
+++ b/rehearsal/processes/faultsequence.go
@@ -11,8 +11,9 @@
 	"lichenhitch/internal/peer/peerpb"
 )
 
-// This file holds what takes part in a fault sequence besides the faults: an operator, a policy that breaks
-// the links of a node, writers, and readers that check what was written.
+// This file holds the parts of a fault sequence other than the random faults: an operator, a policy that
+// breaks the links of a node, writers, readers that check what was written, and the faults of stores and
+// replicas.
 
 // Operator follows the nodes' logs. It does what docs/operate and the log lines themselves advise after the
 // loss of a store, and nothing else.
@@ -36,7 +37,8 @@
 
 // replaceStoreTexts are the log texts after which a node is to be stopped, its store moved away, and the node
 // started with an empty one.
-var replaceStoreTexts = []string{"is damaged", "control has stopped, and nothing is sent", "this site's writes are older than what it told before",
+var replaceStoreTexts = []string{"is damaged", "control has stopped, and nothing is sent",
+	"this site's writes are older than what it told before",
 	"stop it, put its store aside and start it with an empty one"}
 
 // Round checks each node once, except those that a fault has stopped.
@@ -86,7 +88,7 @@
 }
 
 // addReplica makes the group add the new replica of a node, unless the group has added it since the node's
-// present process started.
+// current process started.
 func (o *Operator) addReplica(name string) {
 	o.w.processMu.Lock()
 	site := *o.w.siteOf[name]
@@ -280,14 +282,15 @@
 		r.logStart, r.step, r.confirmed = logStart, 0, 0
 	}
 	if step < r.step || confirmed < r.confirmed || step < confirmed {
-		r.w.addViolation("%s reports step %d with step %d confirmed of %s, after steps %d and %d", r.node, step, confirmed, r.chain.Name, r.step, r.confirmed)
+		r.w.addViolation("%s reports step %d with step %d confirmed of %s, after steps %d and %d",
+			r.node, step, confirmed, r.chain.Name, r.step, r.confirmed)
 	}
 	r.step, r.confirmed = max(step, r.step), max(confirmed, r.confirmed)
 }
 
 // readStep reads a number, or returns -1 without a reply. The request is marked as forwarded, because a
-// replica that cannot answer from its own state would otherwise ask the leader, and its own state may be
-// behind that later.
+// replica that cannot answer from its own state would otherwise ask the leader, and a later answer from its
+// own state may be behind the leader's.
 func (r *ChainReader) readStep(prefix string) int {
 	out := &peerpb.ReadReply{}
 	if r.requester.call(Op{Node: r.node, Kind: "Read"}, map[string]any{"kind": "work", "thing": prefix + r.chain.Name,
@@ -300,24 +303,24 @@
 	return stepOf(out.Value)
 }
 
-// currentLogStart returns where the log of the present process begins.
+// currentLogStart returns where the log of the current process begins.
 func (n *Node) currentLogStart() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.logStart
 }
 
-// storeFaults replaces the store faults of a plan by its own: one of one replica of one site or, with each
-// third seed, one at each of both sites, in different parts of the plan. It leaves out what a group cannot
+// storeFaults replaces the store faults of a sequence by its own: one of one replica of one site or, with each
+// third seed, one at each of both sites, in different parts of the sequence. It leaves out what a group cannot
 // recover from unless an operator confirms a store, which the Operator of these tests does not do: a
 // restarted replica waits for the confirmation of the others, so that of three replicas none may restart
 // while the store of another one is lost and that replica has not been added yet. Restarts of the other
 // replicas of that site therefore become pauses, earlier ones too, because it is not known how long a replica
 // waits. A store must not be replaced by a stale copy (docs/design/affairs.md): at a node without a replica
-// nothing corrects that, and a replica sends by its old exclusion set until another one refuses it. So
-// clients do not reach a node that has one.
-func storeFaults(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
-	for _, f := range plan {
+// nothing corrects that, and a replica applies its old exclusion set until another one refuses it. So clients
+// do not reach a node with a stale copy.
+func storeFaults(faults []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
+	for _, f := range faults {
 		if losesStore(f.Kind) {
 			f.Kind = Kill
 		}
@@ -348,14 +351,14 @@
 	return out
 }
 
-// replicaChanges adds faults that change the replicas to those of a plan: every second upgrade is aborted,
+// replicaChanges adds faults that change the replicas to a sequence: every second upgrade is aborted,
 // and at each site a replica moves for a while to the node without one. It is not the replica of a node that
-// loses its store: no other node remembers the state of the store of a node without a replica, so that a
+// loses its store: no other node has recorded the state of the store of a node without a replica, so that a
 // stale one is not refused (docs/design/affairs.md). Where a store is lost at a site, the replicas of that
 // site change before or after that.
-func replicaChanges(plan []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
+func replicaChanges(faults []Fault, seed uint64, sites []Site, duration time.Duration) (out []Fault) {
 	upgrades := 0
-	for _, f := range plan {
+	for _, f := range faults {
 		if f.Kind == Upgrade {
 			if upgrades++; upgrades%2 == 0 {
 				f.Kind = AbortedUpgrade
@@ -374,7 +377,8 @@
 			}
 		}
 		candidates := slices.DeleteFunc(slices.Clone(s.Nodes[:s.Replicas]), func(n string) bool { return n == storeLost })
-		out = append(out, Fault{Kind: MoveReplica, Node: candidates[(int(seed)+i)%len(candidates)], Peer: s.Nodes[len(s.Nodes)-1], At: at, Duration: duration * 3 / 10})
+		out = append(out, Fault{Kind: MoveReplica, Node: candidates[(int(seed)+i)%len(candidates)], Peer: s.Nodes[len(s.Nodes)-1],
+			At: at, Duration: duration * 3 / 10})
 	}
 	slices.SortStableFunc(out, func(a, b Fault) int { return int(a.At - b.At) })
 	return out
@@ -387,8 +391,8 @@
 
 // withoutLinkFaultsDuring leaves out the faults whose end would heal the cut between the sites while it
 // lasts.
-func withoutLinkFaultsDuring(plan []Fault, cut span, siteOf map[string]*Site) []Fault {
-	return slices.DeleteFunc(plan, func(f Fault) bool {
+func withoutLinkFaultsDuring(faults []Fault, cut span, siteOf map[string]*Site) []Fault {
+	return slices.DeleteFunc(faults, func(f Fault) bool {
 		crosses := f.Kind == Isolate || f.Kind < Isolate && siteOf[f.Node] != siteOf[f.Peer]
 		return crosses && f.At < cut.to && cut.from < f.At+f.Duration
 	})
--- a/rehearsal/processes/storm_test.go
+++ b/rehearsal/processes/faultsequence_test.go
@@ -34,7 +34,7 @@
 	// operator checks every node, and ten more of 160 clients a second are served, so that 400 rounds take at
 	// least 25 s. The longest chain of waits that the settings allow is 23 s: a call of a requester to a
 	// process that was stopped (callTimeout, 8 s), one more that a leader without a quorum answers late
-	// (peer.Limits.Within, 5 s), an election of twice ten ticks (1 s), the former send leases, which a new
+	// (peer.Limits.CallTimeout, 5 s), an election of twice ten ticks (1 s), the former send leases, which a new
 	// leader must assume to be valid (1 s), and a host that counts as out of service until it is warm
 	// (cold_us, 8 s). Some 30 rounds are usual.
 	maxSettleRounds = 400
@@ -51,7 +51,8 @@
 			f.Council = &sitepb.Council{TickMs: 50}
 			f.Turns = &sitepb.Turns{Site: 2, Horizon: 2, Failed: 3}
 			f.Rollout = &sitepb.Rollout{Alpha: 0.49, Beta: 0.3, Margin: 0.2, Slow: 0.49, Cover: 0.5, Least: 3, HoldS: 600,
-				LeaseS: uint32(trialLease / time.Second), SliceS: 1, Spell: 1, Watch: 2, SettleS: uint32(settleTime / time.Second), Disturb: disruptionBudget}
+				LeaseS: uint32(trialLease / time.Second), SliceS: 1, Spell: 1, Watch: 2,
+				SettleS: uint32(settleTime / time.Second), Disturb: disruptionBudget}
 		}}
 	for i, h := range Fleet(12) {
 		h.Site = p.Sites[i/6].Name
@@ -69,19 +70,20 @@
 	runSeeds(t, *firstFaultSeed, *faultSeeds, false)
 }
 
-// The same, while replicas change by the site files, upgrades are aborted, stores are lost or leaders are
-// killed. Once the faults are over, the replicas must also be those of the files.
+// As TestTurnsWritesAndPoliciesUnderFaultsFromASeed, while the site files also move replicas and every second
+// upgrade is aborted: replicas change while stores are lost or leaders are killed. Once the faults are over,
+// the replicas must also be those of the files.
 func TestSeatsChangeUnderFaultsFromASeed(t *testing.T) {
 	t.Parallel()
 	runSeeds(t, *firstReplicaSeed, *replicaSeeds, true)
 }
 
 // runSeeds runs the fault sequences of the seeds, each as a subtest.
-func runSeeds(t *testing.T, first uint64, seeds int, changeReplicas bool) {
+func runSeeds(t *testing.T, first uint64, seeds int, withReplicaChanges bool) {
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runFaultSequence(t, seed, changeReplicas)
+			runFaultSequence(t, seed, withReplicaChanges)
 		})
 	}
 }
@@ -108,10 +110,10 @@
 var trialTargets = map[string]int{"p1": TrialTarget, "p2": SingleAttempt}
 
 // spawn starts a participant.
-func (g *faultRun) spawn(do func() error) {
+func (g *faultRun) spawn(run func() error) {
 	ended := make(chan error, 1)
 	g.results = append(g.results, ended)
-	go func() { ended <- do() }()
+	go func() { ended <- run() }()
 }
 
 // running waits and then reports whether the fault sequence still runs.
@@ -145,7 +147,8 @@
 				}
 			}
 			if n%6 == 1 {
-				for withdrawn := false; !withdrawn && g.sleep(pollInterval); { // also once the fault sequence is over, because a forgotten turn keeps its place in the schedule
+				// Continues once the fault sequence is over, because a forgotten turn keeps its place in the schedule.
+				for withdrawn := false; !withdrawn && g.sleep(pollInterval); {
 					if node := present.randomNode(); node != "" {
 						_, _ = leaving.Ask(node, id, host, 1, nil) // it may be unknown whether the request was accepted
 						_, err := present.Withdraw(node, id)
@@ -185,7 +188,7 @@
 		}
 		p1, p2 := g.poller.Rollout("p1"), g.poller.Rollout("p2")
 		// p2 starts first, and the harmless p1 only once hosts have observed p2 at a node: otherwise p1 might
-		// end first and p2 be halted as overtaken.
+		// end first and p2 be halted as superseded (cause "overtaken").
 		if p2 == nil {
 			_ = g.callPolicy(node, "StartPolicy", "p2", map[string]any{"policy": `{"permissions":{"max_attempts":1}}`})
 			continue
@@ -211,8 +214,8 @@
 	}
 }
 
-// runWriters starts the writers of a site, with and without a chain (what is done at a host, and that the
-// host is out or back), and the readers.
+// runWriters starts two writers of a site, one that writes a causal chain (ChainWriter) and one that writes in
+// turns that a host is out of service and back, and the readers of the chain.
 func (g *faultRun) runWriters(i int, site Site) {
 	writer, chain := g.Requester(fmt.Sprint("staff of h", 5+6*i)), g.NewChainWriter(site)
 	writer.Nodes = site.Nodes
@@ -247,11 +250,12 @@
 }
 
 // runFaultSequence runs the fault sequence of a seed, with or without replica changes.
-func runFaultSequence(t *testing.T, seed uint64, changeReplicas bool) {
+func runFaultSequence(t *testing.T, seed uint64, withReplicaChanges bool) {
 	worldSlots <- struct{}{}
 	t.Cleanup(func() { <-worldSlots })
 	w := New(t, faultPlan(seed))
-	run := &faultRun{World: w, t: t, seed: seed, provinceNodes: w.Plan.Sites[0].Nodes, buildingNodes: w.Plan.Sites[1].Nodes, faultsDone: make(chan struct{}),
+	run := &faultRun{World: w, t: t, seed: seed, provinceNodes: w.Plan.Sites[0].Nodes, buildingNodes: w.Plan.Sites[1].Nodes,
+		faultsDone:     make(chan struct{}),
 		policyOperator: w.Requester("chief"), operator: w.NewOperator(), breaker: w.NewLinkBreaker([]int{0, SingleAttempt}[seed%2]),
 		rng: rand.New(rand.NewPCG(seed, 7)), workDone: make([]int, 6)}
 	run.policyOperator.Nodes = run.provinceNodes
@@ -259,13 +263,14 @@
 	for _, h := range w.Hosts() {
 		h.Refuse(0.3, "ERR")
 	}
-	clients := w.StartClients(Load{PerSecond: 160, MaxConcurrent: 800, Total: 1 << 20, HoldTime: 100 * time.Millisecond, Deadline: TrialDeadline,
-		Nodes: slices.Concat(run.provinceNodes, run.buildingNodes, run.buildingNodes)}) // a rollout begins where most clients connect: at the site that will be cut off
+	// A rollout begins where most clients connect: at the building, which will be cut off.
+	clients := w.StartClients(Load{PerSecond: 160, MaxConcurrent: 800, Total: 1 << 20, HoldTime: 100 * time.Millisecond,
+		Deadline: TrialDeadline, Nodes: slices.Concat(run.provinceNodes, run.buildingNodes, run.buildingNodes)})
 	awaitServed(clients, w.Names()...)
 	awaitLeader(w, "p3")
 	awaitLeader(w, "b3")
 	for _, n := range run.buildingNodes {
-		clients.AwaitServed(60, n) // by then the top site has received data of them too
+		clients.AwaitServed(60, n) // by then the root site has received data of them too
 	}
 	run.poller = w.PollPolicies(run.provinceNodes...)
 	run.spawn(func() error {
@@ -275,7 +280,9 @@
 		return nil
 	})
 	run.spawn(func() error { run.driveRollouts(); return nil })
-	w.Await("both trial policies are observed", func() bool { return len(w.everObserved(TrialTarget)) > 0 && len(w.everObserved(SingleAttempt)) > 0 })
+	w.Await("both trial policies are observed", func() bool {
+		return len(w.everObserved(TrialTarget)) > 0 && len(w.everObserved(SingleAttempt)) > 0
+	})
 	for i := range run.workDone {
 		run.runStaff(i)
 	}
@@ -292,18 +299,20 @@
 	// The building is cut off for half of the time, in addition to all other faults.
 	cutPlan := span{from: faultDuration * 3 / 10, to: faultDuration * 8 / 10}
 	var cut span
-	faults := withoutLinkFaultsDuring(storeFaults(RandomFaults(seed, w.Names(), faultDuration), seed, w.Plan.Sites, faultDuration), cutPlan, w.siteOf)
-	if changeReplicas {
+	faults := withoutLinkFaultsDuring(
+		storeFaults(RandomFaults(seed, w.Names(), faultDuration), seed, w.Plan.Sites, faultDuration), cutPlan, w.siteOf)
+	if withReplicaChanges {
 		faults = replicaChanges(faults, seed, w.Plan.Sites, faultDuration)
 	}
 	t.Logf("%s: the faults begin", w.Now().Round(time.Millisecond))
-	w.RunFaults(append(faults, Fault{Kind: CustomFault, At: cutPlan.from, Duration: cutPlan.to - cutPlan.from, Node: "the building", Begin: func() {
-		run.breaker.Partition(run.buildingNodes...)
-		cut.from = w.Now()
-	}, End: func() {
-		cut.to = w.Now()
-		run.breaker.Partition()
-	}}))
+	w.RunFaults(append(faults, Fault{Kind: CustomFault, At: cutPlan.from, Duration: cutPlan.to - cutPlan.from, Node: "the building",
+		Begin: func() {
+			run.breaker.Partition(run.buildingNodes...)
+			cut.from = w.Now()
+		}, End: func() {
+			cut.to = w.Now()
+			run.breaker.Partition()
+		}}))
 	close(run.faultsDone)
 	t.Logf("%s: the faults are over", w.Now().Round(time.Millisecond))
 
@@ -329,14 +338,16 @@
 		totalReads += r.Reads
 	}
 	t.Logf("seed %d: maintenance jobs %v, steps %d and %d, %d reads; %s observed at %v and %v, links broken %d times; operator %q; settled in %d rounds; clients %s",
-		seed, run.workDone, provinceStep, buildingStep, totalReads, outcomes, w.everObserved(TrialTarget), w.everObserved(SingleAttempt), run.breaker.BreakCount,
-		run.operator.Actions, rounds, clients.Report())
-	fmt.Printf("fault sequence of seed %d, replica changes %t: settled in %d rounds of %d\n", seed, changeReplicas, rounds, maxSettleRounds)
+		seed, run.workDone, provinceStep, buildingStep, totalReads, outcomes, w.everObserved(TrialTarget), w.everObserved(SingleAttempt),
+		run.breaker.BreakCount, run.operator.Actions, rounds, clients.Report())
+	fmt.Printf("fault sequence of seed %d, replica changes %t: settled in %d rounds of %d\n",
+		seed, withReplicaChanges, rounds, maxSettleRounds)
 	for i, n := range run.workDone {
 		assert.Positive(t, n, "staff%d must have finished a job", i)
 	}
 	assert.Empty(t, w.usedAfterLease(cut, trialLease, targets, run.buildingNodes))
-	assert.Empty(t, w.budgetExceeded(run.poller, trialTargets, run.provinceNodes, disruptionBudget, settleTime-2*time.Second), "disruption budget of the top site exceeded")
+	assert.Empty(t, w.budgetExceeded(run.poller, trialTargets, run.provinceNodes, disruptionBudget, settleTime-2*time.Second),
+		"disruption budget of the root site exceeded")
 	w.RequireNoViolations(twoPerSite)
 }
 
@@ -410,7 +421,8 @@
 	}
 	for _, n := range g.Names() {
 		observed := g.Observations(n, since)
-		if len(observed) < minConsecutive || slices.ContainsFunc(observed[len(observed)-minConsecutive:], func(s PolicyObservation) bool { return s.LatencyTarget != good }) {
+		if len(observed) < minConsecutive ||
+			slices.ContainsFunc(observed[len(observed)-minConsecutive:], func(s PolicyObservation) bool { return s.LatencyTarget != good }) {
 			missing = append(missing, n+" does not apply the good policy")
 		}
 	}
--- a/rehearsal/processes/figures_test.go
+++ b/rehearsal/processes/figures_test.go
@@ -25,10 +25,10 @@
 	var sums [2][2]float64
 	const rounds = 5
 	for range rounds {
-		for on, alone := range []bool{true, false} {
+		for on, noSiteFile := range []bool{true, false} {
 			p := buildingPlan(nil)
-			p.NoSiteFile = alone
-			t.Run(map[bool]string{true: "off", false: "on"}[alone], func(t *testing.T) {
+			p.NoSiteFile = noSiteFile
+			t.Run(map[bool]string{true: "off", false: "on"}[noSiteFile], func(t *testing.T) {
 				w := New(t, p)
 				w.Start()
 				c := w.StartClients(Load{PerSecond: 300, MaxConcurrent: 200, HoldTime: 100 * time.Millisecond})
@@ -61,7 +61,8 @@
 	var lost []float64
 	for i := range rounds {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			r := newRolloutTest(t, Plan{Sites: singleSite("n0", "n1", "n2", "n3")}, func(f *sitepb.File) { f.Rollout.Alpha, f.Rollout.Beta = 0.01, 0.05 })
+			r := newRolloutTest(t, Plan{Sites: singleSite("n0", "n1", "n2", "n3")},
+				func(f *sitepb.File) { f.Rollout.Alpha, f.Rollout.Beta = 0.01, 0.05 })
 			for _, h := range r.Hosts() {
 				h.Refuse(0.3, "ERR")
 			}
@@ -74,21 +75,23 @@
 			unservedTrial, requestsTrial, unservedOthers, requestsOthers := 0, 0, 0, 0
 			for _, n := range r.Names() {
 				unserved := reportAfter.UnservedByNode[n] - reportBefore.UnservedByNode[n]
-				asked := unserved + reportAfter.ServedByNode[n] - reportBefore.ServedByNode[n]
+				requests := unserved + reportAfter.ServedByNode[n] - reportBefore.ServedByNode[n]
 				if n == first {
-					unservedTrial, requestsTrial = unserved, asked
+					unservedTrial, requestsTrial = unserved, requests
 				} else {
-					unservedOthers, requestsOthers = unservedOthers+unserved, requestsOthers+asked
+					unservedOthers, requestsOthers = unservedOthers+unserved, requestsOthers+requests
 				}
 			}
 			halts, reversions = append(halts, haltedAt-appliedAt), append(reversions, revertedAt-appliedAt)
 			lost = append(lost, float64(unservedTrial)-float64(requestsTrial*unservedOthers)/float64(max(requestsOthers, 1)))
-			t.Logf("halted after %v, all reverted after %v; %.1f of %d requests lost", haltedAt-appliedAt, revertedAt-appliedAt, lost[len(lost)-1], requestsTrial)
+			t.Logf("halted after %v, all reverted after %v; %.1f of %d requests lost",
+				haltedAt-appliedAt, revertedAt-appliedAt, lost[len(lost)-1], requestsTrial)
 		})
 	}
 	slices.Sort(halts)
 	slices.Sort(reversions)
 	slices.Sort(lost)
 	assert.Len(t, lost, rounds)
-	t.Logf("medians of %d: halted after %v, all reverted after %v, %.1f requests lost", rounds, halts[len(halts)/2], reversions[len(reversions)/2], lost[len(lost)/2])
+	t.Logf("medians of %d: halted after %v, all reverted after %v, %.1f requests lost",
+		rounds, halts[len(halts)/2], reversions[len(reversions)/2], lost[len(lost)/2])
 }
--- a/rehearsal/processes/host.go
+++ b/rehearsal/processes/host.go
@@ -36,7 +36,7 @@
 	mu           sync.Mutex
 	conns        map[*net.TCPConn]bool
 	lines        []FirstLine
-	workSpans    []span // periods during which it was in work
+	workSpans    []span // periods during which it was under maintenance
 	state        string // state as discovery lists it
 	running      bool
 	draining     bool
@@ -175,7 +175,7 @@
 	}
 }
 
-// InWork reports whether the host is in work.
+// InWork reports whether the host is under maintenance.
 func (h *Host) InWork() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -203,7 +203,7 @@
 	return len(h.conns)
 }
 
-// Violations returns a violation for each first line that arrived while the host was in work.
+// Violations returns a violation for each first line that arrived while the host was under maintenance.
 func (h *Host) Violations() []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,7 +214,7 @@
 	for _, l := range lines {
 		for _, s := range spans {
 			if l.At > s.from && (s.to == 0 || l.At < s.to) {
-				out = append(out, Violation{At: l.At, What: fmt.Sprintf("a first line of %s reached %s, in work since %s: %s",
+				out = append(out, Violation{At: l.At, What: fmt.Sprintf("a first line of %s reached %s, under maintenance since %s: %s",
 					l.Node, l.Host, s.from, l.Line)})
 			}
 		}
@@ -306,15 +306,16 @@
 			send("SYNTAX")
 			return
 		}
-		first := FirstLine{Host: h.ID, Node: node, ID: fields[1], Line: line, At: stampedConn.lastByteAt, Concurrent: h.w.attempts.begin(fields[1], c)}
+		first := FirstLine{Host: h.ID, Node: node, ID: fields[1], Line: line, At: stampedConn.lastByteAt,
+			Concurrent: h.w.attempts.begin(fields[1], c)}
 		h.mu.Lock()
 		number := len(h.lines)
 		h.lines = append(h.lines, first)
 		h.lastReceipt++
-		up, refusal := fmt.Sprintf("UP %s.%d", h.ID, h.lastReceipt), h.refusalFor(fields[1])
+		receipt, refusal := fmt.Sprintf("UP %s.%d", h.ID, h.lastReceipt), h.refusalFor(fields[1])
 		h.mu.Unlock()
 		if refusal == "" {
-			h.w.upLines.Store(up, fields[1])
+			h.w.upLines.Store(receipt, fields[1])
 		}
 		sentAt, _ := h.w.sentAt.Load(fields[1])
 		at, _ := sentAt.(time.Duration)
@@ -323,12 +324,12 @@
 		if !h.awaitResponsive(node) {
 			return
 		}
-		h.recordResponse(number, orDefault(refusal, up)) // before the node can receive the response
+		h.recordResponse(number, orDefault(refusal, receipt)) // before the node can receive the response
 		if refusal == ResetConnection {
 			reset(c)
 			return
 		}
-		if _, err := io.WriteString(c, orDefault(refusal, up)+"\r\n"); err != nil || refusal != "" {
+		if _, err := io.WriteString(c, orDefault(refusal, receipt)+"\r\n"); err != nil || refusal != "" {
 			return
 		}
 		established = true
--- a/rehearsal/processes/hosts_test.go
+++ b/rehearsal/processes/hosts_test.go
@@ -33,7 +33,7 @@
 }
 
 // The leader's own host list shows only that the host was removed for its work; then the leader's discovery stops
-// responding. That the host is back, the leader learns only from the other nodes. The turn must complete nevertheless.
+// responding. That the host is back it learns only from the other nodes. The turn must complete nevertheless.
 func TestATurnCompletesWhileTheLeadersDiscoveryIsUnresponsive(t *testing.T) {
 	p := buildingPlan(func(_ string, f *sitepb.File) { f.Council.TickMs = 200 }) // no new election after a short delay
 	p.Settings = shortWarmUpSettings()
@@ -58,7 +58,7 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// Two preferred hosts of a group are never in work at the same time, though the allowance permits it: with three hosts each
+// Two preferred hosts of a group are never under maintenance at the same time, though the allowance permits it: with three hosts each
 // one is a preferred host.
 func TestTwoPreferredHostsOfAGroupAreNeverInWorkAtOnce(t *testing.T) {
 	p := buildingPlan(nil)
--- a/rehearsal/processes/link.go
+++ b/rehearsal/processes/link.go
@@ -98,13 +98,13 @@
 // Cut drops all bytes in these directions, or in both if none is given; open connections stay open and receive nothing.
 // Heal resets those that have lost bytes.
 func (l *Link) Cut(directions ...Direction) {
-	l.updateDirections(directions, func(w *directionState) { w.cut = true })
+	l.updateDirections(directions, func(state *directionState) { state.cut = true })
 }
 
 // Stall holds back all bytes in these directions, or in both if none is given, without closing any connection; Heal
 // delivers them, and resets connections that were opened during the stall.
 func (l *Link) Stall(directions ...Direction) {
-	l.updateDirections(directions, func(w *directionState) { w.stalled = true })
+	l.updateDirections(directions, func(state *directionState) { state.stalled = true })
 }
 
 // Delay delays each byte of a direction.
--- a/rehearsal/processes/news.go
+++ b/rehearsal/processes/notifier.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// EventTimeout is how long a test waits for an event: far longer than expected even on a loaded machine. See waitLimit.
+// EventTimeout is the longest time that a test waits for an event: far longer than an event takes even on a loaded machine.
+// See waitLimit.
 const EventTimeout = 5 * time.Minute
 
 // notifier wakes all goroutines that wait for a change.
--- a/rehearsal/processes/older.go
+++ b/rehearsal/processes/older.go
@@ -29,7 +29,8 @@
 }
 
 func (k storedState) String() string {
-	return fmt.Sprintf("term %d, vote %x, committed %d, last index %d", k.hardState.GetTerm(), k.hardState.GetVote(), k.hardState.GetCommit(), k.lastIndex)
+	return fmt.Sprintf("term %d, vote %x, committed %d, last index %d",
+		k.hardState.GetTerm(), k.hardState.GetVote(), k.hardState.GetCommit(), k.lastIndex)
 }
 
 // readStore reads a store of this node from a copy, so that the store itself does not change.
@@ -54,7 +55,7 @@
 type storeGap uint8
 
 const (
-	missingNothing storeGap = iota // the copy equals the store
+	missingNothing storeGap = iota // the copy equals the store in all that storedState holds
 	// missingConfirmation: the copy lacks a newer state of the node's send lease, a newer commit index, or a term in which
 	// it did not vote. The node may not have reported any of these to others, so that they need not refuse the copy; the
 	// leader's first response makes the node current again.
--- a/rehearsal/processes/policies.go
+++ b/rehearsal/processes/policies.go
@@ -14,7 +14,7 @@
 // PolicyObservation is what a host observed of the policy that a node applies. The first attempt of a request
 // carries as its allowed time (d=) twice the latency target of the request's class, or all of the remaining
 // time if it is the only attempt. So, with clients whose deadline is TrialDeadline, the policies with the
-// targets below are told apart without asking the node. The targets lie so far apart that a stalled machine
+// targets below are distinguished without asking the node. The targets lie so far apart that a stalled machine
 // does not make one look like another: the allowed time shrinks by the set-up time of the connection, and
 // where connections are slow to set up it is at least twice the expected set-up time.
 type PolicyObservation struct {
@@ -120,7 +120,8 @@
 	w.Await(strings.Join(nodes, ", ")+" apply a latency target in ms of "+strconv.Itoa(target), func() bool {
 		return !slices.ContainsFunc(nodes, func(n string) bool {
 			observed := w.Observations(n, start)
-			return len(observed) < minConsecutive || slices.ContainsFunc(observed[len(observed)-minConsecutive:], func(s PolicyObservation) bool { return s.LatencyTarget != target })
+			return len(observed) < minConsecutive ||
+				slices.ContainsFunc(observed[len(observed)-minConsecutive:], func(s PolicyObservation) bool { return s.LatencyTarget != target })
 		})
 	})
 }
@@ -144,11 +145,12 @@
 	earliest, latest time.Duration
 }
 
-// budgetExceeded returns the times at which more nodes of one site had certainly switched to a trial within
-// the period, and hosts were granted, than the budget allows. targets maps each rollout to its latency
+// budgetExceeded returns the times at which the nodes of one site that had certainly switched to a trial
+// within the period, together with the hosts that were granted, exceeded the budget. targets maps each rollout to its latency
 // target. A node switched after the last snapshot that did not list it in the treatment group, and before
 // hosts observed the trial at it.
-func (w *World) budgetExceeded(poller *PolicyPoller, targets map[string]int, nodes []string, budget int, within time.Duration) (found []string) {
+func (w *World) budgetExceeded(poller *PolicyPoller, targets map[string]int, nodes []string, budget int,
+	within time.Duration) (found []string) {
 	var switches []policySwitch
 	snapshots := poller.Snapshots()
 	for id, target := range targets {
@@ -174,7 +176,8 @@
 			}
 		}
 		for _, g := range Grants(w.History.Ops()) {
-			if site := w.Host(g.Host).Site; (site == "" || site == w.siteOf[last.node].Name) && g.Observed < last.earliest && last.latest < g.EndCalled {
+			if site := w.Host(g.Host).Site; (site == "" || site == w.siteOf[last.node].Name) &&
+				g.Observed < last.earliest && last.latest < g.EndCalled {
 				disrupted = append(disrupted, g.Host)
 			}
 		}
@@ -185,15 +188,15 @@
 	return found
 }
 
-// usedAfterLease returns the observations of a trial at nodes that were cut off from the top site, for
+// usedAfterLease returns the observations of a trial at nodes that were cut off from the root site, for
 // requests that clients sent after the trial lease had expired.
 func (w *World) usedAfterLease(cut span, lease time.Duration, targets []int, nodes []string) (out []Violation) {
 	for _, n := range nodes {
 		for _, target := range targets {
 			for _, s := range w.ObservationsOf(target, n, cut.from) {
 				if s.SentAt > cut.from+lease && s.At < cut.to {
-					out = append(out, Violation{At: s.At, What: fmt.Sprintf("%s, cut off since %v, applies a trial policy with a lease of %v: latency target %d ms",
-						n, cut.from, lease, target)})
+					out = append(out, Violation{At: s.At, What: fmt.Sprintf(
+						"%s, cut off since %v, applies a trial policy with a lease of %v: latency target %d ms", n, cut.from, lease, target)})
 				}
 			}
 		}
--- a/rehearsal/processes/process.go
+++ b/rehearsal/processes/process.go
@@ -109,7 +109,7 @@
 	n.launch(listen)
 }
 
-// launch starts a process that becomes the node's present one.
+// launch starts a process that becomes the node's current process.
 func (n *Node) launch(listen string) {
 	n.t.Helper()
 	cmd := exec.Command(n.path)
@@ -194,31 +194,31 @@
 	return !n.ended
 }
 
-// signal sends a signal to the present process, if one runs.
+// signal sends a signal to the current process, if one runs.
 func (n *Node) signal(s syscall.Signal) {
 	n.mu.Lock()
-	present, ended := n.current, n.ended
+	current, ended := n.current, n.ended
 	n.mu.Unlock()
 	if ended {
 		return
 	}
-	if err := present.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
+	if err := current.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		n.t.Errorf("sending %v to %s: %v", s, n.Name, err)
 	}
 }
 
-// Kill kills the present process with SIGKILL and returns once its end has been handled.
+// Kill kills the current process with SIGKILL and returns once its end has been handled.
 func (n *Node) Kill() {
 	n.mu.Lock()
-	present := n.current
+	current := n.current
 	n.mu.Unlock()
 	n.signal(syscall.SIGKILL)
-	if present != nil {
-		<-present.exited
+	if current != nil {
+		<-current.exited
 	}
 }
 
-// PID returns the process ID of the present process, or of the last one.
+// PID returns the process ID of the current process, or of the last one.
 func (n *Node) PID() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -251,7 +251,7 @@
 func (n *Node) Pause() {
 	n.signal(syscall.SIGSTOP)
 	n.mu.Lock()
-	present, ended := n.current, n.ended
+	current, ended := n.current, n.ended
 	n.paused = !ended
 	n.mu.Unlock()
 	if ended {
@@ -259,7 +259,7 @@
 	}
 	var info unix.Siginfo
 	for { // WNOWAIT leaves the exit status to cmd.Wait
-		err := unix.Waitid(unix.P_PID, present.pid(), &info, unix.WSTOPPED|unix.WEXITED|unix.WNOWAIT, nil)
+		err := unix.Waitid(unix.P_PID, current.pid(), &info, unix.WSTOPPED|unix.WEXITED|unix.WNOWAIT, nil)
 		if !errors.Is(err, unix.EINTR) {
 			return
 		}
--- a/rehearsal/processes/seats_test.go
+++ b/rehearsal/processes/replicas_test.go
@@ -344,7 +344,7 @@
 	w.Node(survivor).AwaitLogged("has founded the council anew", "n0 n1 n2", "by=operator", "why=fire")
 	assert.Contains(t, w.Node(other).AwaitLogged("control has stopped, and nothing is sent"), "before it was founded anew")
 
-	// The disk of one replica was not lost: that replica is refused and is not told which hosts are excluded.
+	// The disk of one replica was not lost: that replica is refused, and the excluded hosts are not reported to it.
 	w.Node("n0").Restart(StaleStore(copies[0]))
 	assert.Contains(t, w.Node("n0").AwaitLogged("control has stopped, and nothing is sent"), "put its store aside")
 	before := len(firstLinesFrom(w, "n0"))
--- a/rehearsal/processes/asker.go
+++ b/rehearsal/processes/requester.go
@@ -84,7 +84,8 @@
 }
 
 const (
-	// A node replies within peer.Limits.Within (5 s), if only to report its own timeout; callTimeout leaves time for that reply.
+	// A node replies within peer.Limits.CallTimeout (5 s), if only to report its own timeout; callTimeout leaves
+	// time for that reply.
 	callTimeout      = 8 * time.Second
 	pollInterval     = 20 * time.Millisecond // between two requests for the state of a turn
 	maxResponseBytes = 8 << 20
@@ -144,15 +145,15 @@
 	return &out, err
 }
 
-// DeclareDead declares a node permanently dead. No process of that node may still run.
+// DeclareDead asks a node to declare another one permanently dead. No process of that node may still run.
 func (a *Requester) DeclareDead(node, dead, why string) error {
 	return a.call(Op{Node: node, Kind: "DeclareDead", ID: dead}, map[string]any{"node": dead, "by": a.Name, "why": why,
 		"i_know_that_it_may_still_send": true}, &peerpb.DeclareReply{}, nil)
 }
 
-// TakeIn readmits a node that was declared dead.
-func (a *Requester) TakeIn(node, dead, why string) error {
-	return a.call(Op{Node: node, Kind: "TakeIn", ID: dead}, map[string]any{"node": dead, "by": a.Name, "why": why},
+// TakeIn asks a node to make its group admit a node again that was declared dead, or whose store was lost.
+func (a *Requester) TakeIn(node, admitted, why string) error {
+	return a.call(Op{Node: node, Kind: "TakeIn", ID: admitted}, map[string]any{"node": admitted, "by": a.Name, "why": why},
 		&peerpb.DeclareReply{}, nil)
 }
 
@@ -234,9 +235,9 @@
 }
 
 // Work requests a turn, runs the work once the turn is granted and begun, and reports that it is done. If a node does not
-// reply, it tries another one. It gives up when ctx or the time limit of the test (see waitLimit) is reached. While the work runs, the host reports
-// every first line it receives as a violation.
-func (a *Requester) Work(ctx context.Context, id, host string, minutes int, do func()) error {
+// reply, it tries another one. It gives up when ctx has ended or the time limit of the test is reached (see waitLimit).
+// While the work runs, the host reports every first line it receives as a violation.
+func (a *Requester) Work(ctx context.Context, id, host string, minutes int, work func()) error {
 	ctx, cancel := context.WithTimeout(ctx, waitLimit(a.w.t, 2*EventTimeout))
 	defer cancel()
 	var lastErr error
@@ -282,7 +283,7 @@
 	}
 	h := a.w.Host(host)
 	h.BeginWork()
-	do()
+	work()
 	h.EndWork()
 	for {
 		if node := a.randomNode(); node != "" {
--- a/rehearsal/processes/asker_test.go
+++ b/rehearsal/processes/requester_test.go
@@ -76,12 +76,13 @@
 	t.Cleanup(func() { n1.ended = true }) // there is no process to kill at cleanup
 	h, worked := w.Host("h0"), false
 	require.NoError(t, a.Work(t.Context(), "t", "h0", 5, func() { worked = h.InWork() }))
-	assert.True(t, worked, "the host knows that it is in work")
+	assert.True(t, worked, "the host must be marked as under maintenance")
 	assert.False(t, h.InWork())
 	grants := Grants(w.History.Ops())
 	require.Len(t, grants, 1)
 	g := grants[0]
-	assert.Equal(t, Grant{ID: "t", Host: "h0", Round: 3, Requested: g.Requested, Observed: g.Observed, EndCalled: g.EndCalled, EndConfirmed: g.EndConfirmed}, g)
+	assert.Equal(t, Grant{ID: "t", Host: "h0", Round: 3, Requested: g.Requested, Observed: g.Observed, EndCalled: g.EndCalled,
+		EndConfirmed: g.EndConfirmed}, g)
 	assert.True(t, g.Requested < g.Observed && g.Observed < g.EndCalled && g.EndCalled < g.EndConfirmed && g.EndConfirmed < forever, "%+v", g)
 	var apiErr *APIError
 	_, err = a.Turns("n1")
--- a/rehearsal/processes/rollouts_test.go
+++ b/rehearsal/processes/rollouts_test.go
@@ -29,7 +29,7 @@
 // endOnEvidence lets stages end on evidence.
 func endOnEvidence(f *sitepb.File) { f.Rollout.Beta = betaLoosest }
 
-// singleSite is a single site whose group is also the top one, where policies are started.
+// singleSite is a single site, which is also the root site, where policies are started.
 func singleSite(nodes ...string) []Site {
 	return []Site{{Name: "b", Level: sitepb.Level_PROVINCE, Nodes: nodes, Replicas: 3}}
 }
@@ -49,7 +49,7 @@
 	t              *testing.T
 	clients        *Clients
 	poller         *PolicyPoller
-	topNodes       []string // nodes of the site where policies are started
+	rootNodes      []string // nodes of the site where policies are started
 	policyOperator *Requester
 }
 
@@ -78,18 +78,18 @@
 			tune(f)
 		}
 	}
-	r := &rolloutTest{World: New(t, p), t: t, topNodes: p.Sites[0].Nodes}
+	r := &rolloutTest{World: New(t, p), t: t, rootNodes: p.Sites[0].Nodes}
 	r.policyOperator = r.Requester("chief")
 	r.Start()
 	for _, s := range p.Sites {
 		awaitLeader(r.World, s.Nodes[0])
 	}
 	r.clients = r.startClients()
-	r.poller = r.PollPolicies(r.topNodes...)
+	r.poller = r.PollPolicies(r.rootNodes...)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("clients: %v; served by node %v, not served %v\nrollout: %v", r.clients.Report(), r.clients.Report().ServedByNode, r.clients.Report().UnservedByNode,
-				r.poller.Rollout("p1"))
+			t.Logf("clients: %v; served by node %v, not served %v\nrollout: %v",
+				r.clients.Report(), r.clients.Report().ServedByNode, r.clients.Report().UnservedByNode, r.poller.Rollout("p1"))
 		}
 	})
 	return r
@@ -101,7 +101,7 @@
 		Deadline: TrialDeadline})
 }
 
-// callPolicy makes an operator's call, trying the nodes of the top site in turn until one accepts it.
+// callPolicy makes an operator's call, trying the nodes of the root site in turn until one accepts it.
 func (r *rolloutTest) callPolicy(kind, id string, fields map[string]any) {
 	r.t.Helper()
 	in := map[string]any{"id": id, "why": "a test scenario"}
@@ -116,7 +116,7 @@
 	}()
 	r.Await(kind+" "+id+" is accepted", func() bool {
 		attempt++
-		_, lastErr = r.policyOperator.CallPolicy(r.topNodes[attempt%len(r.topNodes)], kind, in)
+		_, lastErr = r.policyOperator.CallPolicy(r.rootNodes[attempt%len(r.rootNodes)], kind, in)
 		return lastErr == nil
 	})
 }
@@ -146,7 +146,7 @@
 	return treated
 }
 
-// awaitRollout waits until the rollout, as the top site reports it, satisfies cond.
+// awaitRollout waits until the rollout, as the root site reports it, satisfies cond.
 func (r *rolloutTest) awaitRollout(what string, cond func(*peerpb.Rollout) bool) {
 	r.t.Helper()
 	r.Await("the rollout "+what, func() bool {
@@ -260,12 +260,13 @@
 	crashed := r.Now()
 	r.Node(first).Restart(KeepStore)
 	r.AwaitTarget(GoodTarget, first)
-	assert.Empty(t, r.ObservationsOf(TrialTarget, first, crashed), "it applies the good policy from its start on, without a message from another node")
+	assert.Empty(t, r.ObservationsOf(TrialTarget, first, crashed),
+		"it applies the good policy from its start on, without a message from another node")
 	assert.Equal(t, "running", r.poller.Rollout("p1").Phase)
 	r.Heal()
 	r.awaitHalted("guard")
 	assert.Equal(t, []string{first}, r.everObserved(TrialTarget))
-	_, err := r.policyOperator.CallPolicy(r.topNodes[0], "ResumePolicy", map[string]any{"id": "p1", "why": "probably a false alarm"})
+	_, err := r.policyOperator.CallPolicy(r.rootNodes[0], "ResumePolicy", map[string]any{"id": "p1", "why": "probably a false alarm"})
 	assert.ErrorContains(t, err, "what to do", "a halt by a guard cannot be resumed")
 	r.RequireNoViolations(Allowance{})
 }
@@ -299,7 +300,7 @@
 	r.RequireNoViolations(Allowance{})
 }
 
-// A trial lease counts from the last contact with the top site, not from the start of a process.
+// A trial lease counts from the last contact with the root site, not from the start of a process.
 func TestTrialExpiresOnTimeAfterANodeRestart(t *testing.T) {
 	const lease = 8 * time.Second
 	r := newParallelRolloutTest(t, Plan{Sites: twoBuildings()}, func(f *sitepb.File) { f.Rollout.LeaseS = uint32(lease / time.Second) })
@@ -319,7 +320,7 @@
 }
 
 // A node that starts after its trial lease has expired applies the good policy from the beginning and the
-// trial policy again once it has contact with the top site. The stage waits.
+// trial policy again once it has contact with the root site. The stage waits.
 func TestRestartAfterTheTrialLeaseDoesNotHaltTheRollout(t *testing.T) {
 	const lease = 8 * time.Second
 	r := newParallelRolloutTest(t, Plan{Sites: twoBuildings()}, func(f *sitepb.File) { f.Rollout.LeaseS = uint32(lease / time.Second) })
@@ -342,11 +343,11 @@
 	r.RequireNoViolations(Allowance{})
 }
 
-func TestNoStageIsSkippedWhenLeadersOfTheTopAreKilled(t *testing.T) {
+func TestNoStageIsSkippedWhenLeadersOfTheRootSiteAreKilled(t *testing.T) {
 	r := newParallelRolloutTest(t, Plan{Sites: []Site{{Name: "p", Level: sitepb.Level_PROVINCE, Nodes: []string{"p0", "p1", "p2"}},
 		{Name: "b", Parent: "p", Level: sitepb.Level_BUILDING, Nodes: []string{"b0", "b1", "b2"}}}}, nil)
 	kill := func() string {
-		leading := awaitLeader(r.World, r.topNodes[0])
+		leading := awaitLeader(r.World, r.rootNodes[0])
 		r.Node(leading).Kill()
 		return leading
 	}
@@ -364,7 +365,8 @@
 	assert.ElementsMatch(t, treated, r.everObserved(TrialTarget))
 	second, _ := r.loggedAt("ended")
 	for _, n := range treated[1:] {
-		assert.Greater(t, r.ObservationsOf(TrialTarget, n, 0)[0].At, second-time.Millisecond, "%s applies the trial only after the end of the first stage", n)
+		assert.Greater(t, r.ObservationsOf(TrialTarget, n, 0)[0].At, second-time.Millisecond,
+			"%s applies the trial only after the end of the first stage", n)
 	}
 
 	r.callPolicy("HaltPolicy", "p1", nil)
@@ -437,7 +439,8 @@
 }
 
 func TestNodesWithoutTrafficAreNoEvidence(t *testing.T) {
-	r := newParallelRolloutTest(t, Plan{Sites: singleSite("n0", "n1", "n2", "n3")}, func(f *sitepb.File) { f.Rollout.Beta, f.Rollout.HoldS = betaLoosest, 20 })
+	r := newParallelRolloutTest(t, Plan{Sites: singleSite("n0", "n1", "n2", "n3")},
+		func(f *sitepb.File) { f.Rollout.Beta, f.Rollout.HoldS = betaLoosest, 20 })
 	first := r.startPolicy(harmlessPolicy, TrialTarget)
 	r.clients.Stop()
 	r.awaitRollout("is halted", func(p *peerpb.Rollout) bool { return p.Phase == "halted" })
@@ -484,7 +487,7 @@
 	})
 	first := r.startPolicy(harmlessPolicy, TrialTarget)
 	r.awaitRollout("compares the nodes", func(p *peerpb.Rollout) bool { return p.Missing == "" })
-	r.awaitServingAfter(r.Now()+10*time.Second, first) // by then all other nodes were watched too
+	r.awaitServingAfter(r.Now()+10*time.Second, first) // by then all other nodes have been observed for long enough too
 	// While a host of its zone is under maintenance, what a node counts is no evidence.
 	require.NoError(t, r.Requester("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		nothing := func(p *peerpb.Rollout) bool { return strings.Contains(p.Missing, "nothing to compare") }
@@ -521,9 +524,11 @@
 	r := newParallelRolloutTest(t, p, nil)
 	r.callPolicy("StartPolicy", "p1", map[string]any{
 		"policy": `{"request_classes":{"chat":{"aim_us":5000000},"file":{"aim_us":500000}}}`})
-	for _, stage := range []string{"one-node", "building", "regency", "part", "all"} { // one of the stages has n2, or n2 is held back until the last one
+	// One of the stages has n2, or n2 is held back until the last one.
+	for _, stage := range []string{"one-node", "building", "regency", "part", "all"} {
 		r.awaitRollout("treats "+stage, func(p *peerpb.Rollout) bool { return p.Stage == stage && len(p.Treated) > 0 || p.Phase != "running" })
-		_, _ = r.policyOperator.CallPolicy("n0", "ForcePolicy", map[string]any{"id": "p1", "stage": stage, "why": "a test scenario"}) // refused if the rollout has halted
+		// The call is refused if the rollout has halted.
+		_, _ = r.policyOperator.CallPolicy("n0", "ForcePolicy", map[string]any{"id": "p1", "stage": stage, "why": "a test scenario"})
 	}
 	r.awaitHalted("guard")
 	assert.NotContains(t, r.everObserved(TrialTarget), "n2")
--- a/rehearsal/processes/stores_test.go
+++ b/rehearsal/processes/stores_test.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// replaceStore does what an operator is advised to do after the loss of a store, and checks that the replica
-// takes part again.
+// replaceStore does what an operator is advised to do after the loss of a store, and checks that the node
+// serves and a turn is granted again.
 func replaceStore(w *World, c *Clients, node string) {
 	w.t.Helper()
 	w.Node(node).Restart(EmptyStore)
@@ -70,9 +70,9 @@
 	w.RequireNoViolations(twoPerSite)
 }
 
-// A stale store: since the copy was made, the replica has voted and acknowledged entries, and the copy does
-// not know of a host that is to be out of service. The leader cannot hear the replica and another replica
-// refuses it, so that it does not learn about the host from them either.
+// A stale store: since the copy was made, the replica has voted and acknowledged entries, and the copy lacks
+// a host that is to be out of service. The replica's calls do not reach the leader, and another replica
+// refuses it, so that it learns about the host from neither.
 func TestReplicaWithAStaleStoreIsRefusedAndSendsNothing(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -104,24 +104,25 @@
 	replaceStore(w, c, node)
 }
 
-// Two processes run with the same store: the copy is refused, and neither counts nor sends.
+// Two processes run with the same store: the one with the copy is refused. It does not count as a replica, and
+// sends nothing.
 func TestCopyOfAStoreIsRefusedWhileTheOriginalRuns(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
 	node := follower(w)
 	requestUpcomingTurn(w, node, "t1", "h1")
-	double := w.Node(node).Duplicate()
-	double.Start()
+	duplicate := w.Node(node).Duplicate()
+	duplicate.Start()
 	// As a stale store, or as one of two processes with the same store; in that case the other one is refused
 	// too.
-	assert.Contains(t, double.AwaitLogged("control has stopped, and nothing is sent"), "put its store aside")
-	w.ClientLink(node).SetTarget(double.ClientAddr())
+	assert.Contains(t, duplicate.AwaitLogged("control has stopped, and nothing is sent"), "put its store aside")
+	w.ClientLink(node).SetTarget(duplicate.ClientAddr())
 	workOn(w, c, "t1", "h1", otherNodes(w, node)...)
 	before := len(firstLinesFrom(w, node))
 	c.AwaitServed(20, "")
 	assert.Len(t, firstLinesFrom(w, node), before, "the copy must not send")
 
-	double.Stop()
+	duplicate.Stop()
 	replaceStore(w, c, node)
 }
 
@@ -168,11 +169,11 @@
 }
 
 // The store of the leader is replaced by a copy that was made after its election. The copy has the term and
-// the vote, and a leader acknowledges nothing to other replicas, so that none of them remembered more of it.
+// the vote, and a leader acknowledges nothing to other replicas, so that none of them had recorded more about it.
 // It was not refused and continued as a replica with the exclusion set of a send lease that the group had
 // long superseded: "open to peers ... boot=2" and no refusal in three of seventeen runs of fault sequence 2,
-// those in which b1 was leader when the copy was made. Now the others remember with every exchange what a
-// replica reports about its log.
+// those in which b1 was leader when the copy was made. Now the others record at every exchange what a replica
+// reports about its log.
 func TestLeaderWithAStaleStoreIsRefused(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
@@ -187,8 +188,8 @@
 	replaceStore(w, c, node)
 }
 
-// A replica that was cut off since before the copy was made has told the others nothing since then, and none
-// of them refuses the copy. It is accepted, and follows the group.
+// A replica that was cut off since before the copy was made has reported nothing to the others since then, and
+// none of them refuses the copy. It is accepted, and follows the group.
 func TestCopyThatLacksNothingIsAccepted(t *testing.T) {
 	t.Parallel()
 	w, c := startBuilding(t, buildingPlan(nil))
--- a/rehearsal/processes/turns_test.go
+++ b/rehearsal/processes/turns_test.go
@@ -152,13 +152,14 @@
 	requestTurn(w, first, "t1", "h1", 3*time.Second)
 	awaitExclusionSet(w, first, "h1")
 	w.Node(first).Terminate()
-	left := w.Now()
+	terminated := w.Now()
 	assert.Zero(t, w.Node(first).AwaitEnd())
 	ended := w.Now()
 	assert.True(t, anyLogged(w, "leads the council no more", first), "another replica must have taken over before it ended")
 	rest := otherNodes(w, first)
 	workOn(w, c, "t1", "h1", rest...)
-	t.Logf("the leader's process ended after %v; SIGTERM to end of the work: %v; end of the process to end of the work: %v", ended-left, w.Now()-left, w.Now()-ended)
+	t.Logf("the leader's process ended after %v; SIGTERM to end of the work: %v; end of the process to end of the work: %v",
+		ended-terminated, w.Now()-terminated, w.Now()-ended)
 	w.RequireNoViolations(twoPerSite)
 }
 
--- a/rehearsal/processes/beside.go
+++ b/rehearsal/processes/upgrade.go
@@ -30,18 +30,18 @@
 }
 
 // Leave asks the process to stop, as Node.Terminate does.
-func (f *Predecessor) Leave() { require.NoError(f.node.t, f.cmd.Process.Signal(syscall.SIGTERM)) }
+func (p *Predecessor) Leave() { require.NoError(p.node.t, p.cmd.Process.Signal(syscall.SIGTERM)) }
 
 // Kill kills the process and returns once it has ended.
-func (f *Predecessor) Kill() {
-	_ = f.cmd.Process.Signal(syscall.SIGKILL) // it may have ended already
-	<-f.exited
+func (p *Predecessor) Kill() {
+	_ = p.cmd.Process.Signal(syscall.SIGKILL) // it may have ended already
+	<-p.exited
 }
 
 // IsRunning reports whether the process runs; its end may not have been noticed yet.
-func (f *Predecessor) IsRunning() bool {
+func (p *Predecessor) IsRunning() bool {
 	select {
-	case <-f.exited:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -49,17 +49,17 @@
 }
 
 // AwaitEnd waits until the process has ended and returns its exit code.
-func (f *Predecessor) AwaitEnd() int {
-	f.node.t.Helper()
-	f.node.w.Await(f.node.Name+"'s previous process ends", func() bool {
+func (p *Predecessor) AwaitEnd() int {
+	p.node.t.Helper()
+	p.node.w.Await(p.node.Name+"'s previous process ends", func() bool {
 		select {
-		case <-f.exited:
+		case <-p.exited:
 			return true
 		default:
 			return false
 		}
 	})
-	return f.cmd.ProcessState.ExitCode()
+	return p.cmd.ProcessState.ExitCode()
 }
 
 // Duplicate returns another node of the same name that is not started yet, as on another machine with a copy of this node's
--- a/rehearsal/processes/upgrade_test.go
+++ b/rehearsal/processes/upgrade_test.go
@@ -21,7 +21,7 @@
 	return w, c
 }
 
-// awaitUpgraded waits until a new process of a node takes part in its site's control and serves clients.
+// awaitUpgraded waits until a new process of a node is open to peers and serves clients.
 func awaitUpgraded(w *World, c *Clients, node string, mark int) {
 	w.t.Helper()
 	w.Node(node).AwaitLoggedSince(mark, "msg=serving")
@@ -39,10 +39,10 @@
 	apiAddr, clientAddr := n.OperatorAddr(), n.ClientAddr()
 	require.NoError(t, w.Requester("staff").Work(context.Background(), "t1", "h1", 1, func() {
 		mark := n.Mark()
-		former := n.Upgrade()
+		predecessor := n.Upgrade()
 		awaitUpgraded(w, c, node, mark)
-		former.Leave()
-		assert.Zero(t, former.AwaitEnd())
+		predecessor.Leave()
+		assert.Zero(t, predecessor.AwaitEnd())
 		awaitServed(c, w.Names()...)
 	}))
 	assert.Equal(t, []string{apiAddr, clientAddr}, []string{n.OperatorAddr(), n.ClientAddr()})
--- a/rehearsal/processes/world.go
+++ b/rehearsal/processes/world.go
@@ -31,7 +31,7 @@
 	Name, Parent string
 	Level        sitepb.Level
 	Nodes        []string
-	Replicas     int // the first Replicas nodes have a replica; 0: all of up to three nodes
+	Replicas     int // the first Replicas nodes have a replica; 0: the first three nodes, or all if there are fewer
 }
 
 // HostPlan describes a fake backend host.
@@ -84,7 +84,7 @@
 
 	sentAt sync.Map // time at which clients sent each request, by id
 
-	processMu       sync.Mutex      // held to start and end processes while a plan of faults runs
+	processMu       sync.Mutex      // held to start and end processes while a sequence of faults runs
 	faulted         map[string]bool // nodes that a fault has stopped
 	closedToClients map[string]bool // nodes that clients cannot reach: see Fault.BlockClients
 	// closedUntilLease holds those of closedToClients whose store is not refused: they are reopened once
@@ -202,13 +202,13 @@
 // DiscoveryLink returns the link through which a node calls discovery.
 func (w *World) DiscoveryLink(node string) *Link { return w.discoveryLinks[node] }
 
-// Partition cuts all links, in both directions, between the nodes of one side and all others. With silence it
-// holds the traffic back instead.
-func (w *World) Partition(silence bool, side ...string) {
+// Partition cuts all links, in both directions, between the nodes of one side and all others. If stall is set,
+// it stalls the links instead.
+func (w *World) Partition(stall bool, side ...string) {
 	for _, n := range w.nodeNames {
 		for _, m := range w.nodeNames {
 			if n != m && slices.Contains(side, n) != slices.Contains(side, m) {
-				if silence {
+				if stall {
 					w.Link(n, m).Stall()
 				} else {
 					w.Link(n, m).Cut()
@@ -218,8 +218,8 @@
 	}
 }
 
-// Heal restores all links except to nodes closed to clients, lets all hosts and discovery answer again, and
-// continues paused nodes.
+// Heal restores all links except those from clients to nodes that are closed to them, lets all hosts and
+// discovery answer again, and continues paused nodes.
 func (w *World) Heal() {
 	for _, n := range w.nodeNames {
 		w.nodes[n].Continue()
--- a/rehearsal/processes/world_test.go
+++ b/rehearsal/processes/world_test.go
@@ -29,7 +29,7 @@
 }
 
 // Clients are served at the other nodes while one node is killed, one is paused or one is cut off from
-// discovery. Each node serves again afterwards, and hosts know which node sent them each line.
+// discovery. Each node serves again afterwards, and hosts record which node sent each line.
 func TestNodesAreKilledPausedAndCutOff(t *testing.T) {
 	t.Parallel()
 	w := New(t, threeNodePlan())
@@ -48,9 +48,9 @@
 	n0 := w.Node("n0")
 	n0.Kill()
 	require.False(t, n0.Runs())
-	unmet := c.Report().ConnectFailed
+	connectFailed := c.Report().ConnectFailed
 	c.AwaitServed(10, "n1")
-	w.Await("clients of the killed node are refused", func() bool { return c.Report().ConnectFailed > unmet })
+	w.Await("clients of the killed node are refused", func() bool { return c.Report().ConnectFailed > connectFailed })
 	n0.Restart(KeepStore)
 	c.AwaitServed(5, "n0")
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// A host under maintenance detects a first line by itself. A killed host gets no line until it has started
-// again.
+// A host under maintenance reports each first line that reaches it as a violation. A killed host gets no line
+// until it has started again.
 func TestHostsUnderMaintenanceAndCrashed(t *testing.T) {
 	t.Parallel()
 	w := New(t, threeNodePlan())
@@ -155,7 +155,8 @@
 	for _, tc := range []struct {
 		store StoreChange
 		want  string
-	}{{KeepStore, "newer"}, {TornStore("", 3), "new"}, {StaleStore(copied), "older"}, {TornStore("a", 1), "o"}, {EmptyStore, syscall.ENOENT.Error()}} {
+	}{{KeepStore, "newer"}, {TornStore("", 3), "new"}, {StaleStore(copied), "older"}, {TornStore("a", 1), "o"},
+		{EmptyStore, syscall.ENOENT.Error()}} {
 		n.Restart(tc.store)
 		assert.Equal(t, tc.want, read())
 		n.AwaitLogged("msg=serving", "discovery=")
@@ -226,8 +227,8 @@
 	assert.Equal(t, "UP h0.22\r\n", answer("n1"), "and this node after healing")
 }
 
-// A plan of faults runs while clients connect: there are no violations, and all nodes serve in the end.
-func TestPlanOfFaultsRuns(t *testing.T) {
+// Random faults run while clients connect: there are no violations, and all nodes serve in the end.
+func TestRandomFaultsRun(t *testing.T) {
 	t.Parallel()
 	w := New(t, threeNodePlan())
 	w.Start()
--- a/rehearsal/processes/writes_test.go
+++ b/rehearsal/processes/writes_test.go
@@ -103,7 +103,7 @@
 	out := writeTo(w, "b1", "safety", "host/h1", "out", "")
 	awaitValue(w, "host/h1", "out", buildingNodes...)
 	awaitNoTraffic(w, c, "h1", buildingNodes...)
-	awaitTraffic(w, "h1", "p0", "r0") // the sites above do not know of it
+	awaitTraffic(w, "h1", "p0", "r0") // the sites above have not received the write
 	assert.Empty(t, readFrom(w, "b0", "", "", out.Id).Receipt)
 	w.Heal()
 	healed := w.Now()
@@ -124,7 +124,9 @@
 	w.Await("the first has its receipt", func() bool { return readFrom(w, "b0", "", "", first.Id).Receipt == "applied" })
 	w.Node("r0").Kill()
 	second := writeTo(w, "b0", "work", "host/h2", "begun patch", "")
-	w.Await("the second bypasses the parent and has its receipt", func() bool { return readFrom(w, "b0", "", "", second.Id).Receipt == "applied" })
+	w.Await("the second bypasses the parent and has its receipt", func() bool {
+		return readFrom(w, "b0", "", "", second.Id).Receipt == "applied"
+	})
 	assert.Equal(t, "begun patch", readFrom(w, "p0", "work", "host/h2", "").Value)
 	w.Node("r0").Restart(KeepStore)
 	third := writeTo(w, "b0", "work", "host/h2", "done patch", "")
@@ -165,7 +167,7 @@
 	w, _ := startSiteLine(t)
 	w.Partition(false, buildingNodes...)
 	out := writeTo(w, "b0", "safety", "host/h1", "out", "")
-	// Somebody goes from the building to the province, which does not know of the write yet, and puts the
+	// An operator goes from the building to the province, which has not received the write yet, and puts the
 	// host back into service there.
 	back := writeTo(w, "p0", "safety", "host/h1", "back", out.Token)
 	w.Heal()
