--- a/rehearsal/soak/client.go
+++ b/rehearsal/soak/client.go
@@ -45,8 +45,7 @@
 	maxHostSilence = 7 * time.Second
 )
 
-// frontEnd stands for the load balancer in front of the nodes: it distributes clients over the nodes that are open to
-// them.
+// frontEnd simulates the front end of the protocol pages: it distributes clients over the nodes that are open to them.
 type frontEnd struct {
 	mu     sync.Mutex
 	nodes  []string
@@ -112,8 +111,8 @@
 }
 
 // pause waits for the given time and reports whether the clients continue.
-func (c *clientPool) pause(long time.Duration) bool {
-	timer := time.NewTimer(long)
+func (c *clientPool) pause(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/rehearsal/soak/judge.go
+++ b/rehearsal/soak/judge.go
@@ -22,8 +22,8 @@
 	// maxStartAfterLeave: no attempt begins more than 0.1 s after its client has left (the operators' acceptance
 	// test).
 	maxStartAfterLeave = 100*time.Millisecond + socketSlack
-	// listPropagation: a change in discovery counts as known to a node at the latest 6 s after discovery became
-	// reachable (PROTOCOL, STANDING).
+	// listPropagation: a change in discovery counts as known to a node at the latest 6 s after it or, if discovery was
+	// not reachable then, 6 s after discovery became reachable (PROTOCOL, STANDING).
 	listPropagation = 6 * time.Second
 	// maxLineAfterDrain: nothing new goes to a draining host once the grace period of the settings has passed since
 	// the node learned of the drain (PROTOCOL).
@@ -191,7 +191,8 @@
 	}
 	for _, l := range r.HostLines {
 		if q, gone := left[l.ID]; gone {
-			t.add(l.At-q.EndedAt-r.longestStall(q.EndedAt-time.Second, l.At), "%s left %s at %s, a line reached %s at %s", l.ID, q.Node, q.EndedAt, l.Host, l.At)
+			t.add(l.At-q.EndedAt-r.longestStall(q.EndedAt-time.Second, l.At),
+				"%s left %s at %s, a line reached %s at %s", l.ID, q.Node, q.EndedAt, l.Host, l.At)
 		}
 	}
 	return t.RuleResult
@@ -203,7 +204,8 @@
 	for _, s := range r.Connections {
 		exempt := s.Ending != CutOff || r.crashedDuring(s.Node, s.Began, s.Ended) ||
 			r.Plan.PassThrough && r.wasStopping(s.Node, s.Ended) ||
-			anyOverlaps(r.Downtimes[s.Host], s.Ended-maxOpenAfterHostEnd, s.Ended) || anyOverlaps(r.Hangs[s.Host], s.Ended-maxOpenAfterHostEnd, s.Ended)
+			anyOverlaps(r.Downtimes[s.Host], s.Ended-maxOpenAfterHostEnd, s.Ended) ||
+			anyOverlaps(r.Hangs[s.Host], s.Ended-maxOpenAfterHostEnd, s.Ended)
 		c.add(!exempt, "%s of %s at %s, established from %s to %s", s.ID, s.Node, s.Host, s.Began, s.Ended)
 	}
 	return c
@@ -339,7 +341,8 @@
 		killed := p.KillAt > 0 && !r.Plan.PassThrough
 		// Before a process handles signals, SIGTERM ends it at once.
 		failed := p.KillAt == 0 && p.Ready > 0 && !p.ExitedCleanly
-		c.add(killed || failed, "%s, started at %s, SIGTERM at %s, killed at %s, clean %t", p.Node, p.Started, p.TermAt, p.KillAt, p.ExitedCleanly)
+		c.add(killed || failed, "%s, started at %s, SIGTERM at %s, killed at %s, clean %t",
+			p.Node, p.Started, p.TermAt, p.KillAt, p.ExitedCleanly)
 	}
 	return c
 }
--- a/rehearsal/soak/liveness.go
+++ b/rehearsal/soak/liveness.go
@@ -59,15 +59,15 @@
 	}
 	worst := 1.0
 	for _, name := range []string{"the run", "third 1", "third 2", "third 3", "class chat", "class print"} {
-		up := 0
+		served := 0
 		for _, q := range parts[name] {
 			if q.Outcome == Up {
-				up++
+				served++
 			}
 		}
-		part := float64(up) / float64(max(1, len(parts[name])))
-		worst = min(worst, part)
-		c.add(part < minServed, "%s: %d of %d", name, up, len(parts[name]))
+		fraction := float64(served) / float64(max(1, len(parts[name])))
+		worst = min(worst, fraction)
+		c.add(fraction < minServed, "%s: %d of %d", name, served, len(parts[name]))
 	}
 	c.Worst = fmt.Sprintf("%.2f", worst)
 	return c
@@ -84,18 +84,18 @@
 		if p.Ready == 0 || until-p.Ready < serveGrace {
 			continue
 		}
-		requests, up := 0, 0
+		requests, served := 0, 0
 		for _, q := range all {
 			if q.Node != p.Node || q.Sent < p.Ready || q.EndedAt > until {
 				continue
 			}
 			requests++
 			if q.Outcome == Up {
-				up++
+				served++
 			}
 		}
 		if requests >= minSample {
-			c.add(up == 0, "%s, ready at %s, until %s: %d requests", p.Node, p.Ready, until, requests)
+			c.add(served == 0, "%s, ready at %s, until %s: %d requests", p.Node, p.Ready, until, requests)
 		}
 	}
 	return c
--- a/rehearsal/soak/plan.go
+++ b/rehearsal/soak/plan.go
@@ -93,10 +93,10 @@
 }
 
 const (
-	// The front end keeps sending new connections for so long after SIGTERM (PROTOCOL, Figures: 0.2 to 0.4 s).
+	// The front end keeps sending new connections for a time between these after SIGTERM (PROTOCOL, Figures: 0.2 to 0.4 s).
 	minClientsAfterTerm, maxClientsAfterTerm = 200 * time.Millisecond, 400 * time.Millisecond
-	// SIGKILL comes at the earliest killMargin later after SIGTERM than the longest deadline, of which at most
-	// countedDeadline counts (PROTOCOL, Figures).
+	// After SIGTERM a process has the longest deadline, counted as at most countedDeadline, plus killMargin: SIGKILL comes
+	// no earlier (PROTOCOL, Figures).
 	killMargin      = 700 * time.Millisecond
 	countedDeadline = 3 * time.Second
 	// recoveryTime is how long a node has no fault after its process was started again.
@@ -126,8 +126,8 @@
 // GeneratePlan returns the plan of a seed.
 func GeneratePlan(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
-	p := Plan{Seed: seed, Hosts: 6 + rng.IntN(6), LongestDeadline: time.Duration(1500+rng.IntN(2500)) * time.Millisecond, Sockets: maxSockets,
-		Duration: faultDuration}
+	p := Plan{Seed: seed, Hosts: 6 + rng.IntN(6), LongestDeadline: time.Duration(1500+rng.IntN(2500)) * time.Millisecond,
+		Sockets: maxSockets, Duration: faultDuration}
 	for i := range 3 + rng.IntN(6) {
 		p.Nodes = append(p.Nodes, fmt.Sprint("n", i))
 	}
@@ -153,14 +153,15 @@
 		}
 		return n
 	}
-	randomBetween := func(least, most time.Duration) time.Duration {
-		return (least + time.Duration(rng.Int64N(int64(most-least)))).Truncate(time.Millisecond)
+	randomBetween := func(shortest, longest time.Duration) time.Duration {
+		return (shortest + time.Duration(rng.Int64N(int64(longest-shortest)))).Truncate(time.Millisecond)
 	}
 	for at := randomBetween(0, time.Second); at < p.Duration; at += randomBetween(100*time.Millisecond, 900*time.Millisecond) {
 		e := Event{At: at, Kind: Kind(rng.IntN(int(kindCount))), Signals: Signals(rng.IntN(int(signalsCount))),
 			ClientsAfterTerm: randomBetween(minClientsAfterTerm, maxClientsAfterTerm),
-			DiscoveryFault:   processes.DiscoveryFault(1 + rng.IntN(int(processes.DiscoveryEndless))), Duration: randomBetween(time.Second, 4*time.Second),
-			Response: failureResponses[rng.IntN(len(failureResponses))]}
+			DiscoveryFault:   processes.DiscoveryFault(1 + rng.IntN(int(processes.DiscoveryEndless))),
+			Duration:         randomBetween(time.Second, 4*time.Second),
+			Response:         failureResponses[rng.IntN(len(failureResponses))]}
 		node, host := p.Nodes[rng.IntN(len(p.Nodes))], fmt.Sprint("h", rng.IntN(p.Hosts))
 		key := node
 		switch e.Kind {
--- a/rehearsal/soak/plants_test.go
+++ b/rehearsal/soak/plants_test.go
@@ -23,8 +23,8 @@
 }
 
 var injectedBugs = []injectedBug{
-	{"every request is refused", "balance/balance.go", "if left <= b.settings.Tick || len(r.attempts) >= r.settings.MaxAttempts {", "if left > 0 {",
-		"a part of the requests served"},
+	{"every request is refused", "balance/balance.go", "if left <= b.settings.Tick || len(r.attempts) >= r.settings.MaxAttempts {",
+		"if left > 0 {", "a part of the requests served"},
 	{"no request is tried again", "balance/balance.go", "len(r.attempts) >= r.settings.MaxAttempts", "len(r.attempts) >= 1", retriedRule},
 	{"BUSY names too long a time", "internal/clientconn/acceptor.go", "min(fullRetryAfter, set.MaxRetryAfter)", "2 * set.MaxRetryAfter",
 		"the time that BUSY names"},
@@ -55,13 +55,15 @@
 	scratch := filepath.Join(t.TempDir(), "module")
 	require.NoError(t, exec.Command("git", "clone", "--quiet", root, scratch).Run())
 	require.NoError(t, os.WriteFile(filepath.Join(scratch, p.file), []byte(changed), 0o600))
-	cmd := exec.Command("go", "test", "-count", "1", "./rehearsal/soak", "-run", "TestSoak", "-args", "-seeds", "3", "-first", "740119", "-beside", "3")
+	cmd := exec.Command("go", "test", "-count", "1", "./rehearsal/soak", "-run", "TestSoak",
+		"-args", "-seeds", "3", "-first", "740119", "-beside", "3")
 	cmd.Dir = scratch
 	out, err := cmd.CombinedOutput()
 	assert.Error(t, err, "the soak test passes with the injected bug")
 	detected := false
 	for line := range strings.Lines(string(out)) {
-		detected = detected || strings.Contains(line, p.rule) && strings.Contains(line, "BROKEN") || strings.Contains(line, "no request was tried again")
+		detected = detected || strings.Contains(line, p.rule) && strings.Contains(line, "BROKEN") ||
+			strings.Contains(line, "no request was tried again")
 	}
 	assert.True(t, detected, "rule %q does not detect the injected bug", p.rule)
 	for line := range strings.Lines(string(out)) {
--- a/rehearsal/soak/report.go
+++ b/rehearsal/soak/report.go
@@ -30,8 +30,8 @@
 	}
 	return fmt.Sprintf(
 		"seed %d, load %s, %s, %d nodes, %d hosts, %d idle clients per node, %d events, %d requests, %d established, longest stall of the test %s: %s (%s)",
-		r.Plan.Seed, loadAverage(), mode, len(r.Plan.Nodes), r.Plan.Hosts, r.Plan.IdleClients, len(r.Plan.Events), len(r.Requests), len(r.Connections),
-		stalled.Round(time.Millisecond), verdict, strings.Join(worst, "; "))
+		r.Plan.Seed, loadAverage(), mode, len(r.Plan.Nodes), r.Plan.Hosts, r.Plan.IdleClients, len(r.Plan.Events),
+		len(r.Requests), len(r.Connections), stalled.Round(time.Millisecond), verdict, strings.Join(worst, "; "))
 }
 
 // Tally sums the number of cases of each rule over runs. It is not safe for concurrent use.
--- a/rehearsal/soak/run.go
+++ b/rehearsal/soak/run.go
@@ -178,8 +178,8 @@
 }
 
 // pause waits for the given time and reports whether the test continues.
-func (g *runner) pause(long time.Duration) bool {
-	timer := time.NewTimer(long)
+func (g *runner) pause(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -241,7 +241,8 @@
 		g.Node(e.Node).Reload()
 		g.Node(e.Node).Reload()
 	case Discovery:
-		g.recordSpan(e, func() { g.Discovery.SetFault(e.DiscoveryFault) }, func(r *Record, s Span) { r.DiscoveryFaults = append(r.DiscoveryFaults, s) })
+		g.recordSpan(e, func() { g.Discovery.SetFault(e.DiscoveryFault) },
+			func(r *Record, s Span) { r.DiscoveryFaults = append(r.DiscoveryFaults, s) })
 		g.Discovery.SetFault(processes.DiscoveryHealthy)
 	case HostDrains:
 		h := g.Host(e.Host)
@@ -258,12 +259,12 @@
 }
 
 // recordSpan begins a fault, waits for its duration and records when it began and ended.
-func (g *runner) recordSpan(e Event, begin func(), note func(*Record, Span)) {
+func (g *runner) recordSpan(e Event, begin func(), record func(*Record, Span)) {
 	s := Span{From: g.Now()}
 	begin()
 	g.pause(e.Duration)
 	s.To = g.Now()
-	g.rec.update(func(r *Record) { note(r, s) })
+	g.rec.update(func(r *Record) { record(r, s) })
 }
 
 func (g *runner) setUnresponsive(host string, on bool) {
@@ -299,8 +300,8 @@
 }
 
 // awaitEndOrKill waits until a process has ended, and kills it if it has not ended by the given time.
-func (g *runner) awaitEndOrKill(process int, at time.Duration, runs func() bool, kill func(), status func() int) {
-	for runs() && g.Now() < at && g.pause(min(stallCheckInterval, at-g.Now())) {
+func (g *runner) awaitEndOrKill(process int, killAt time.Duration, runs func() bool, kill func(), status func() int) {
+	for runs() && g.Now() < killAt && g.pause(min(stallCheckInterval, killAt-g.Now())) {
 	}
 	if runs() {
 		g.updateProcess(process, func(p *Process) { p.KillAt = g.Now() })
