--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -32,10 +32,10 @@
 type Env interface {
 	Save(consensus.WriteBatch) error
 	SaveLease(sendlease.Saved) error
-	MarkRefused(why string) error                  // records in the store that its replica takes no part any more
+	MarkRefused(why string) error                  // records in the store that its replica was refused for good
 	SendRaft(node string, q *peerpb.RaftRequest)   // answered by Core.HandleRaftReply, or never
 	SendRenew(node string, q *peerpb.RenewRequest) // answered by Core.HandleLeaseResponse, or never
-	// SendReplay is answered by Core.Replayed. A call without an answer within the given time is abandoned.
+	// SendReplay is answered by Core.HandleReplayReply. A call without an answer within the given time is abandoned.
 	SendReplay(node string, call uint64, timeout time.Duration, q *peerpb.ReplayRequest)
 	SavePolicies(PolicyState) error           // returns once they are durable
 	ApplyRestrictions(sendlease.Restrictions) // of the traffic loop
@@ -78,7 +78,7 @@
 	SavedLease       sendlease.Saved       // state of the node's send lease in the store
 	KeptPolicies     PolicyState           // state of the node's policies in the store
 	CheckPolicy      func(Policy) error    // whether a policy is valid with the node's settings; see Traffic
-	LeaseWait        time.Duration         // before the first lease request: an earlier process of the node may still use its send lease for this long
+	LeaseWait        time.Duration         // before the first lease request; for as long, an earlier process of the node may use its lease
 }
 
 const (
@@ -180,7 +180,8 @@
 	c := &Core{Options: o, env: env, leaseHolder: sendlease.NewHolder(o.Site.SendLease, o.Site.Node, o.SavedLease),
 		leaseTable: sendlease.NewTable(o.Site.SendLease), schedule: turns.New(), pendingProposals: map[uint64]time.Duration{},
 		proposedAcks: map[string]turns.Ack{}, readRequests: map[uint64][]pendingRequest{}, pendingCalls: map[uint64]pendingCall{},
-		hostView: newHostViewState(now), peers: map[string]*peerReplica{}, chunkTransfers: map[string]*chunkStreams{}, firstRequestAt: now + o.LeaseWait, nextRequestAt: now + o.LeaseWait,
+		hostView: newHostViewState(now), peers: map[string]*peerReplica{}, chunkTransfers: map[string]*chunkStreams{},
+		firstRequestAt: now + o.LeaseWait, nextRequestAt: now + o.LeaseWait,
 		reachability: newReachability(0)}
 	if err := c.openReplica(); err != nil {
 		return nil, err
@@ -195,8 +196,8 @@
 			c.fail(st.Err)
 		case st.Unconfirmed:
 			c.wasUnconfirmed = true
-			env.Log("the seat waits for other seats' word that its store is not an older one", "wanted", len(st.Voters)-len(st.Voters)/2,
-				"action", "if other nodes are down, start them: this replica takes no part until so many have answered")
+			env.Log("the seat waits until other seats have confirmed that its store is not a stale one", "wanted", len(st.Voters)-len(st.Voters)/2,
+				"action", "if other nodes are down, start them: this replica stays inactive until so many have answered")
 		}
 	}
 	return c, nil
@@ -301,7 +302,7 @@
 	c.processReady(now)
 }
 
-// endsReplica reports whether an error means that the replica whose messages were refused can take no part any more.
+// endsReplica reports whether an error means that the replica whose messages were refused must stay inactive for good.
 func endsReplica(err error) bool {
 	var stale *consensus.StaleStoreError
 	var copied *consensus.CopiedStoreError
@@ -451,10 +452,10 @@
 func (c *Core) fail(err error) {
 	stopped := &StoppedError{Cause: err}
 	c.stopCause = stopped
-	message := "control has stopped; the traffic goes on, and the right to send runs out"
+	message := "control has stopped; the traffic goes on, and the send lease expires"
 	var refused *consensus.RefusedError
 	if errors.As(err, &refused) {
-		message = "control has stopped, and nothing is sent: the store does not tell what is out"
+		message = "control has stopped, and nothing is sent: the store may lack hosts that are to be excluded"
 		c.env.ApplyRestrictions(sendlease.Restrictions{AllAfterExpiry: true})
 	}
 	c.env.Log(message, "error", err, "action", stopped.Action())
@@ -508,7 +509,8 @@
 	for _, o := range request.Holds {
 		confirmed = append(confirmed, sendlease.ExcludedHost{Host: o.Host, Round: o.Round})
 	}
-	c.leaseTable.RecordConfirmed(now, sendlease.LeaseRequest{Node: request.Node, Incarnation: request.Life, Seq: request.Seq, Acked: request.Acked, Confirmed: confirmed})
+	c.leaseTable.RecordConfirmed(now, sendlease.LeaseRequest{Node: request.Node, Incarnation: request.Life, Seq: request.Seq,
+		Acked: request.Acked, Confirmed: confirmed})
 	c.leaseTable.RecordAnswered(now, request.Node)
 	ack := turns.Ack{Node: request.Node, Incarnation: request.Life, Version: request.Acked}
 	previous := c.schedule.Acked(request.Node)
@@ -555,7 +557,7 @@
 			return
 		}
 		if output.Save.Replace && len(output.Snapshot) > 0 {
-			c.env.Log("was far behind, and has the council's whole state from its leader", "bytes", len(output.Snapshot))
+			c.env.Log("was far behind, and has received the group's whole state from its leader", "bytes", len(output.Snapshot))
 		}
 	}
 	for _, e := range output.Apply {
@@ -600,7 +602,8 @@
 // applyEntry applies one entry of the log.
 func (c *Core) applyEntry(now time.Duration, e consensus.Entry) {
 	var decoded entry
-	if err := json.Unmarshal(e.Data, &decoded); err != nil || decoded.Turns == nil && decoded.Writes == nil && decoded.Policies == nil && decoded.Replicas == nil {
+	if err := json.Unmarshal(e.Data, &decoded); err != nil ||
+		decoded.Turns == nil && decoded.Writes == nil && decoded.Policies == nil && decoded.Replicas == nil {
 		c.env.Log("log entry skipped: it is of a later version, or invalid", "index", e.Index, "error", err)
 		return
 	}
--- a/internal/control/core_test.go
+++ b/internal/control/core_test.go
@@ -66,8 +66,8 @@
 // start starts the node, which waits before its first lease request.
 func start(t *testing.T, wait time.Duration) *soleVoter {
 	a := &soleVoter{t: t, now: 1000 * time.Hour, hosts: []hostview.Host{{ID: "a", Warm: true}, {ID: "b", Warm: true}}}
-	o := Options{LeaseWait: wait, StoreIncarnation: 1, OpenCount: 1, RunID: 7, SavedLease: sendlease.Saved{Incarnation: 1}, Site: &site.Site{Node: "n1", Own: site.Definition{Name: "s"},
-		Voters: []string{"n1"}, Members: []string{"n1", "n2"}, IsVoter: true, SendLease: sendlease.Terms{Duration: leaseDuration, Drift: 0.1},
+	o := Options{LeaseWait: wait, StoreIncarnation: 1, OpenCount: 1, RunID: 7, SavedLease: sendlease.Saved{Incarnation: 1}, Site: &site.Site{
+		Node: "n1", Own: site.Definition{Name: "s"}, Voters: []string{"n1"}, Members: []string{"n1", "n2"}, IsVoter: true, SendLease: sendlease.Terms{Duration: leaseDuration, Drift: 0.1},
 		Turns: turns.Limits{Site: 1, Lookahead: 2}, Tick: time.Second, SnapshotEvery: 1000,
 		SiteSync: sitesync.Limits{Number: 100, Bytes: 1 << 20, Batch: 10, Held: 10, Age: time.Hour}}}
 	var err error
@@ -86,15 +86,15 @@
 }
 
 func (a *soleVoter) reportLoop() {
-	a.core.HandleLoopReport(a.now, Report{Restrictions: a.restrictions, ClearedHosts: a.restrictions.ExcludedHosts, Observation: &hostview.Observation{Hosts: a.hosts, Groups: a.groups, Stale: a.stale,
-		Values: map[string]float64{"a": 2, "b": 2}}})
+	a.core.HandleLoopReport(a.now, Report{Restrictions: a.restrictions, ClearedHosts: a.restrictions.ExcludedHosts,
+		Observation: &hostview.Observation{Hosts: a.hosts, Groups: a.groups, Stale: a.stale, Values: map[string]float64{"a": 2, "b": 2}}})
 }
 
 // requestLease requests a send lease for n2.
-func (a *soleVoter) requestLease(life, acked uint64, change ...func(*peerpb.RenewRequest)) (r *peerpb.RenewReply) {
+func (a *soleVoter) requestLease(incarnation, acked uint64, change ...func(*peerpb.RenewRequest)) (r *peerpb.RenewReply) {
 	a.t.Helper()
 	a.seq++
-	q := &peerpb.RenewRequest{Node: "n2", Life: life, Seq: a.seq, Acked: acked, Run: 8, LastsUs: uint64(leaseDuration / time.Microsecond)}
+	q := &peerpb.RenewRequest{Node: "n2", Life: incarnation, Seq: a.seq, Acked: acked, Run: 8, LastsUs: uint64(leaseDuration / time.Microsecond)}
 	for _, f := range change {
 		f(q)
 	}
@@ -213,7 +213,8 @@
 	a.requestTurn("t", "a")
 	require.GreaterOrEqual(t, len(a.calls), 3)
 	first := a.calls[:3]
-	assert.Equal(t, []string{"apply restrictions", "save lease", "apply restrictions"}, first, "the exclusion set in the loop, then in the store, then the send lease")
+	assert.Equal(t, []string{"apply restrictions", "save lease", "apply restrictions"}, first,
+		"the exclusion set in the loop, then in the store, then the send lease")
 	a.storeErr = errors.New("no space")
 	before := a.core.leaseHolder.Restrictions().LeaseEnd
 	a.requestTurn("u", "b") // changes the exclusion set
--- a/internal/control/errors_test.go
+++ b/internal/control/errors_test.go
@@ -70,7 +70,7 @@
 		{&NotLeaderError{Leader: "n1"}, "n1", "call n1"},
 		{&StoppedError{Cause: &NoReplicaError{Node: "n1"}}, "n1 has no seat", "compare the site files"},
 		{&TooFewDescriptorsError{Missing: 7}, "7 too low", "by 7"},
-		{&SupersededGroupError{Node: "n1", Site: "b"}, "n1 goes by the council of site b", "start it with an empty one"},
+		{&SupersededGroupError{Node: "n1", Site: "b"}, "n1 uses the consensus group of site b", "start it with an empty one"},
 		{&ForeignGroupError{Node: "n1", Site: "b"}, "another consensus group", "which of the two"},
 		{&NoAnswerError{Node: "n1"}, "n1 is to get a seat", "addresses"},
 		{&SiteFileMismatchError{Node: "n1"}, "names other seats", "have it reload"},
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -13,9 +13,9 @@
 )
 
 // reportHosts sends n2's lease request with a full report on its hosts and with its confirmations.
-func (a *soleVoter) reportHosts(seen uint64, holds []*peerpb.Out, hosts ...*peerpb.SeenHost) *peerpb.RenewReply {
+func (a *soleVoter) reportHosts(appliedIndex uint64, confirmed []*peerpb.Out, hosts ...*peerpb.SeenHost) *peerpb.RenewReply {
 	return a.requestLease(1, a.core.Schedule().ExclusionSet().Version, func(q *peerpb.RenewRequest) {
-		q.Holds, q.Census = holds, &peerpb.Census{Version: a.seq, Seen: seen, Hosts: hosts}
+		q.Holds, q.Census = confirmed, &peerpb.Census{Version: a.seq, Seen: appliedIndex, Hosts: hosts}
 	})
 }
 
@@ -81,13 +81,13 @@
 	a.hosts = append(a.hosts, hostview.Host{ID: "c", Warm: true, Zone: "z", Kind: "m", Start: time.Hour})
 	a.groups = []hostview.Group{{Name: "room", Value: 3, Homes: []string{"a", "b"}}}
 	a.advance(10 * time.Second)
-	var homes []string
+	var preferred []string
 	for _, h := range a.core.Schedule().Hosts() {
 		if len(h.Groups) > 0 {
-			homes = append(homes, h.ID)
+			preferred = append(preferred, h.ID)
 		}
 	}
-	require.Equal(t, []string{"a", "b"}, homes)
+	require.Equal(t, []string{"a", "b"}, preferred)
 	a.core.hostView.reporter.Acknowledge(0) // as if another leader were elected
 	p := a.core.hostReport()
 	require.Len(t, p.Hosts, 3)
@@ -117,9 +117,9 @@
 }
 
 // reportGroups sends n2's lease request with the groups that prefer both hosts, and with its confirmations.
-func (a *soleVoter) reportGroups(holds []*peerpb.Out, unknown bool, groups ...string) *peerpb.RenewReply {
+func (a *soleVoter) reportGroups(confirmed []*peerpb.Out, unknown bool, groups ...string) *peerpb.RenewReply {
 	return a.requestLease(1, a.core.Schedule().ExclusionSet().Version, func(q *peerpb.RenewRequest) {
-		q.Holds, q.Census = holds, &peerpb.Census{Version: a.seq, GroupsUnknown: unknown, Hosts: []*peerpb.SeenHost{
+		q.Holds, q.Census = confirmed, &peerpb.Census{Version: a.seq, GroupsUnknown: unknown, Hosts: []*peerpb.SeenHost{
 			{Id: "a", Warm: true, Groups: groups}, {Id: "b", Warm: true, Groups: groups}}}
 	})
 }
@@ -138,7 +138,7 @@
 }
 
 // A group that is reported together with the last confirmation keeps its second preferred host: that host's turn is revoked
-// before its worker is told to begin.
+// before its worker may begin.
 func TestGroupReportedWithLastConfirmationKeepsSecondHost(t *testing.T) {
 	a := newSoleVoter(t)
 	a.requestTwoTurns(false)
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -9,7 +9,7 @@
 // This file converts the end of a trial lease for the node's store: to a clock that continues across restarts of the process,
 // since a restart must not make the node's last information look younger.
 
-// storedPolicies is Kept in its stored form.
+// storedPolicies is PolicyState in its stored form.
 type storedPolicies struct {
 	PolicyState
 	LeaseEnd boottime.Moment `json:"lease_end"`
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -52,7 +52,7 @@
 	Why          string                         `json:"why,omitempty"`
 }
 
-// membershipState is what a node knows of its group's replicas, besides its own replica and Core.others.
+// membershipState is what a node knows of its group's replicas, besides its own replica and Core.peers.
 type membershipState struct {
 	unappliedNames   map[consensus.ReplicaID]string // names of replicas in stored entries that are not applied yet
 	membership       membership
@@ -145,7 +145,7 @@
 	return names
 }
 
-// ---- Telling groups apart ----
+// ---- Relations between groups ----
 
 // lineage is the relation of one group's bootstrap IDs to another's.
 type lineage uint8
@@ -378,13 +378,13 @@
 			return admitted, c.replacedReplicas(st, name), "", ""
 		}
 	}
-	has := map[string]bool{}
+	present := map[string]bool{}
 	for _, id := range st.Voters {
-		has[c.replicaName(id)] = true
+		present[c.replicaName(id)] = true
 	}
 	var missing []string
 	for _, name := range c.Site.Voters {
-		if !has[name] {
+		if !present[name] {
 			missing = append(missing, name)
 		}
 	}
@@ -527,8 +527,9 @@
 	}
 }
 
-// deactivate stops this replica's messages. It keeps its store, and resumes if it is added again.
-func (c *Core) deactivate(at uint64) {
+// deactivate stops this replica's messages, since it is removed as of a log index. It keeps its store, and resumes if it
+// is added again.
+func (c *Core) deactivate(index uint64) {
 	if c.removedAt == 0 {
 		action := "nothing: its site file does not name it either"
 		if c.Site.IsVoter {
@@ -536,7 +537,7 @@
 		}
 		c.env.Log("the council has taken this node's seat out", "seat", c.Site.Node, "action", action)
 	}
-	c.removedAt = max(at, 1)
+	c.removedAt = max(index, 1)
 }
 
 // ---- The site file ----
@@ -601,7 +602,7 @@
 	if err := c.replica.ConfirmStore(); err != nil {
 		return err
 	}
-	c.env.Log("an operator vouches for the store of this seat; it waits for nobody", "seat", q.Node, "by", q.By, "why", q.Why)
+	c.env.Log("an operator vouches for the store of this seat; it no longer waits for other seats", "seat", q.Node, "by", q.By, "why", q.Why)
 	c.processReady(now)
 	return nil
 }
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -79,20 +79,20 @@
 	a := newSoleVoter(t)
 	a.core.leaseBootstrapIDs = []uint64{1, 2}
 	for _, c := range []struct {
-		foundings []uint64
-		taken     bool
+		bootstrapIDs []uint64
+		accepted     bool
 	}{{[]uint64{1}, false}, {nil, false}, {[]uint64{1, 2}, true}, {[]uint64{1, 2, 3}, true}, {[]uint64{1, 2}, false}, {[]uint64{8}, true}} {
 		a.core.leader = ""
-		a.core.HandleLeaseResponse(a.now, &peerpb.RenewReply{Leader: "n2", Foundings: c.foundings})
-		assert.Equal(t, c.taken, a.core.leader == "n2", "%v", c.foundings)
+		a.core.HandleLeaseResponse(a.now, &peerpb.RenewReply{Leader: "n2", Foundings: c.bootstrapIDs})
+		assert.Equal(t, c.accepted, a.core.leader == "n2", "%v", c.bootstrapIDs)
 	}
 }
 
 // A replica that is being removed may lead when a new one is added: its site file does not name it any more, and yet
 // the new one, whose store is empty, has to receive the log from it. A node that is not in the site file is refused.
 func TestNewReplicaAcceptsHelloOfLeaderBeingRemoved(t *testing.T) {
-	c, err := New(0, Options{StoreIncarnation: 1, OpenCount: 1, RunID: 7, Site: &site.Site{Node: "n3", Own: site.Definition{Name: "s"}, Voters: []string{"n1", "n2", "n3"},
-		Members: []string{"n0", "n1", "n2", "n3"}, IsVoter: true, Tick: time.Second, SnapshotEvery: 1000}}, &soleVoter{t: t})
+	c, err := New(0, Options{StoreIncarnation: 1, OpenCount: 1, RunID: 7, Site: &site.Site{Node: "n3", Own: site.Definition{Name: "s"},
+		Voters: []string{"n1", "n2", "n3"}, Members: []string{"n0", "n1", "n2", "n3"}, IsVoter: true, Tick: time.Second, SnapshotEvery: 1000}}, &soleVoter{t: t})
 	require.NoError(t, err)
 	hello := func(node string, founded bool) *peerpb.RaftReply {
 		h := &peerpb.Hello{Node: node, Life: 5, Founded: founded, Seats: []string{"n0", "n1", "n2"}}
@@ -152,17 +152,17 @@
 				if err := answer(); c.answers {
 					assert.NoError(t, err, what)
 				} else {
-					var elsewhere *NotLeaderError
-					require.ErrorAs(t, err, &elsewhere, what)
-					assert.Equal(t, "n2", elsewhere.Leader)
+					var notLeader *NotLeaderError
+					require.ErrorAs(t, err, &notLeader, what)
+					assert.Equal(t, "n2", notLeader.Leader)
 				}
 			}
 		})
 	}
 }
 
-// A replica that was added since is heard by one that is behind and whose site file does not name it: it may lead,
-// and no other one reports it.
+// A replica that is behind accepts the hello of one that was added since and that its site file does not name: the added
+// one may lead, and no other one reports it.
 func TestReplicaAddedSinceIsHeard(t *testing.T) {
 	a := newSoleVoter(t)
 	id, self := consensus.ReplicaIDOf("s/n2", 5), uint64(a.core.replicaID)
--- a/internal/control/policies.go
+++ b/internal/control/policies.go
@@ -23,8 +23,8 @@
 // against a trial's lease. Records travel up, one per node, as evidence that the node's site writes. An operator's
 // halt takes effect at the operator's own site at once, and travels up as a write.
 
-// Traffic is what the control plane tells the traffic loop to do, and asks of the node. Unless stated otherwise, it
-// is called on the loop.
+// Traffic is the traffic loop as the control plane uses it. Unless stated otherwise, its methods are called on the
+// loop.
 type Traffic interface {
 	// ApplyRestrictions applies the group's latest restrictions on hosts.
 	ApplyRestrictions(sendlease.Restrictions)
@@ -90,7 +90,7 @@
 	reporter        *rollout.Reporter
 	sentAt          map[uint64]time.Duration // when lease requests were sent
 	slice           time.Duration            // time slice by which evidence is counted; 0: not known yet
-	requested       rollout.Hash             // the policy that the loop was told to apply, and until when
+	requested       rollout.Hash             // the policy last passed to the loop, and until when it applies
 	requestedUntil  time.Duration
 	settingsChanged bool // the settings as read have changed since the last tick
 }
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// applyPolicy tells the loop which policy to apply and until when, unless it was told so already.
+// applyPolicy passes the policy to apply, and until when, to the loop, unless they are the ones passed last.
 func (c *Core) applyPolicy() {
 	p := &c.policies
 	stored, until := p.nodePolicy.Stored(), p.nodePolicy.LeaseEnd()
@@ -302,7 +302,7 @@
 	p := &c.policies
 	sequence, known := p.recordSeq[node]
 	if !known {
-		if v, any := c.siteSync.Value(sitesync.Evidence, rollout.NodeKey(node)); any {
+		if v, found := c.siteSync.Value(sitesync.Evidence, rollout.NodeKey(node)); found {
 			if decoded, err := rollout.ParseRecord(v.Value); err == nil {
 				sequence = decoded.Sequence
 			}
@@ -335,8 +335,8 @@
 	if c.siteSync == nil {
 		return rollout.SitePolicies{}, false
 	}
-	v, any := c.siteSync.Value(sitesync.Policy, rollout.SitePoliciesKey(c.Site.Own.Name))
-	if !any {
+	v, found := c.siteSync.Value(sitesync.Policy, rollout.SitePoliciesKey(c.Site.Own.Name))
+	if !found {
 		return rollout.SitePolicies{}, false
 	}
 	if p := &c.policies; v.Write.ID != p.sitePoliciesID {
@@ -352,15 +352,15 @@
 
 // isHalted reports whether a rollout is halted at this site, by a write that is in effect here.
 func (c *Core) isHalted(id string) bool {
-	v, any := c.siteSync.Value(sitesync.Policy, rollout.HaltKey(id))
-	return any && strings.HasPrefix(string(v.Value), haltPrefix)
+	v, found := c.siteSync.Value(sitesync.Policy, rollout.HaltKey(id))
+	return found && strings.HasPrefix(string(v.Value), haltPrefix)
 }
 
 // assignment returns what a node of this site is to apply, nil if that is not known. A site that has not heard from
 // the root site while this node leads keeps no trial alive.
 func (c *Core) assignment(now time.Duration, node string, texts []string) *peerpb.Assignment {
-	policies, any := c.sitePolicies()
-	if !any {
+	policies, found := c.sitePolicies()
+	if !found {
 		return nil
 	}
 	assigned := policies.Assigned(node, c.isHalted)
@@ -368,9 +368,9 @@
 	if assigned.Trial && !known {
 		return nil
 	}
-	reply := &peerpb.Assignment{Round: assigned.Round, Policy: string(assigned.Policy), Good: string(assigned.Good), Trial: assigned.Trial,
-		LeaseUs: uint64(assigned.Lease / time.Microsecond), AgeUs: uint64(age / time.Microsecond), SliceUs: uint64(policies.Slice / time.Microsecond),
-		Crashes: uint32(policies.MaxCrashes), Texts: map[string][]byte{}}
+	reply := &peerpb.Assignment{Round: assigned.Round, Policy: string(assigned.Policy), Good: string(assigned.Good),
+		Trial: assigned.Trial, LeaseUs: uint64(assigned.Lease / time.Microsecond), AgeUs: uint64(age / time.Microsecond),
+		SliceUs: uint64(policies.Slice / time.Microsecond), Crashes: uint32(policies.MaxCrashes), Texts: map[string][]byte{}}
 	for _, h := range []rollout.Hash{assigned.Policy, assigned.Good} {
 		if !slices.Contains(texts, string(h)) {
 			reply.Texts[string(h)] = policies.Text(h)
@@ -399,15 +399,15 @@
 }
 
 func (c *Core) readConfirmed(ctx uint64) {
-	if at, any := c.policies.readRounds[ctx]; any {
-		c.noteRootHeard(at)
+	if began, found := c.policies.readRounds[ctx]; found {
+		c.noteRootHeard(began)
 		delete(c.policies.readRounds, ctx)
 	}
 }
 
 // noteRootHeard records that the root site's decisions as of a moment, or later, are applied here.
-func (c *Core) noteRootHeard(at time.Duration) {
-	c.policies.rootHeardAt = max(c.policies.rootHeardAt, at)
+func (c *Core) noteRootHeard(asOf time.Duration) {
+	c.policies.rootHeardAt = max(c.policies.rootHeardAt, asOf)
 }
 
 // ---- The root site ----
@@ -448,8 +448,8 @@
 			}
 		}
 		id, match := strings.CutPrefix(write.Subject, rollout.HaltKey(""))
-		if why, halts := strings.CutPrefix(string(write.Value), haltPrefix); match && halts && write.Kind == sitesync.Policy && c.policies.root != nil &&
-			write.ID.Origin.Site != c.Site.Own.Name {
+		if why, halts := strings.CutPrefix(string(write.Value), haltPrefix); match && halts && write.Kind == sitesync.Policy &&
+			c.policies.root != nil && write.ID.Origin.Site != c.Site.Own.Name {
 			c.reportEffects(c.policies.root.Apply(index, rollout.Command{At: at, Halt: &rollout.Halt{ID: id, Cause: rollout.Operator,
 				By: write.By + " at " + write.ID.Origin.Site, Why: why}}))
 		}
@@ -480,7 +480,7 @@
 		}
 		policies := c.policies.root.SitePolicies(name)
 		key, value := rollout.SitePoliciesKey(name), append([]byte(documentPrefix), policies.Bytes()...)
-		if v, any := c.siteSync.Value(sitesync.Policy, key); any && string(v.Value) == string(value) {
+		if v, found := c.siteSync.Value(sitesync.Policy, key); found && string(v.Value) == string(value) {
 			continue
 		}
 		for _, effect := range c.siteSync.Apply(at, sitesync.Command{Write: &sitesync.LocalWrite{Kind: sitesync.Policy, Subject: key, Value: value,
@@ -530,13 +530,13 @@
 	if cmd.Prepare == nil || limit == 0 {
 		return true
 	}
-	policies, any := c.sitePolicies()
-	return !any || len(c.schedule.ExcludedHosts())+policies.Disrupted(max(c.lastStamp, now)) < limit
+	policies, found := c.sitePolicies()
+	return !found || len(c.schedule.ExcludedHosts())+policies.Disrupted(max(c.lastStamp, now)) < limit
 }
 
 // ---- Calls ----
 
-// Plan proposes an operator's command about a rollout at the root site. done is called once, with an *ElsewhereError
+// Plan proposes an operator's command about a rollout at the root site. done is called once, with a *NotLeaderError
 // if another node leads.
 func (c *Core) Plan(now time.Duration, id string, cmd rollout.Command, done func(Reply, error)) {
 	switch {
@@ -594,7 +594,7 @@
 }
 
 // Policies returns what this site's nodes apply, and at the root site the state of rollouts. A node without an
-// up-to-date replica returns an *ElsewhereError, so that the leader is asked.
+// up-to-date replica returns a *NotLeaderError, so that the call is forwarded to the leader.
 func (c *Core) Policies(now time.Duration) (*peerpb.PoliciesReply, error) {
 	if !c.followsLog() || c.siteSync == nil {
 		return nil, c.notLeaderError()
@@ -604,8 +604,8 @@
 		ms := uint64(age / time.Millisecond)
 		reply.AgeMs = &ms
 	}
-	policies, any := c.sitePolicies()
-	if !any {
+	policies, found := c.sitePolicies()
+	if !found {
 		return reply, nil
 	}
 	reply.Good = string(policies.Good)
@@ -615,7 +615,7 @@
 		if assigned.Trial {
 			listed.Rollout = policies.Nodes[node].Rollout
 		}
-		if v, any := c.siteSync.Value(sitesync.Evidence, rollout.NodeKey(node)); any {
+		if v, found := c.siteSync.Value(sitesync.Evidence, rollout.NodeKey(node)); found {
 			if record, err := rollout.ParseRecord(v.Value); err == nil {
 				listed.Seen = string(record.Status.Policy)
 				if record.Status.Fallback != rollout.NoFallback {
--- a/internal/control/replicaerrors.go
+++ b/internal/control/replicaerrors.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// SupersededGroupError reports that a node uses a group that was replaced by a bootstrapped one, since most of its
-// stores were lost.
+// SupersededGroupError reports that a node uses a group that was replaced by a re-bootstrapped one, since most of
+// its stores were lost.
 type SupersededGroupError struct{ Node, Site string }
 
 func (e *SupersededGroupError) Error() string {
-	return fmt.Sprintf("%s goes by the council of site %s from before it was founded anew", e.Node, e.Site)
+	return fmt.Sprintf("%s uses the consensus group of site %s from before it was founded anew", e.Node, e.Site)
 }
 
 // Action implements Actioner.
@@ -49,7 +49,8 @@
 
 // Action implements Actioner.
 func (e *SiteFileMismatchError) Action() string {
-	return "give it the site file of the others and have it reload; if that does not help and its store is of a replica that was removed, start it with an empty one"
+	return "give it the site file of the others and have it reload; if that does not help and its store is of a replica that was removed, " +
+		"start it with an empty one"
 }
 
 // ReplicaRiskError reports the risk of an operator's command about replicas that came without accepting it.
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -89,8 +89,8 @@
 		return nil, err
 	}
 	identity := t.store.Identity()
-	t.core, err = New(loop.Now(), Options{Site: s, StoreIncarnation: identity.ReplicaIncarnation, OpenCount: identity.OpenCount, RunID: identity.RunID, StoreVerified: identity.Verified,
-		StoredState: stored, SavedLease: saved, KeptPolicies: kept, CheckPolicy: traffic.Check, LeaseWait: wait}, t)
+	t.core, err = New(loop.Now(), Options{Site: s, StoreIncarnation: identity.ReplicaIncarnation, OpenCount: identity.OpenCount,
+		RunID: identity.RunID, StoreVerified: identity.Verified, StoredState: stored, SavedLease: saved, KeptPolicies: kept, CheckPolicy: traffic.Check, LeaseWait: wait}, t)
 	if err != nil {
 		t.store.Close()
 		return nil, err
@@ -435,9 +435,9 @@
 
 // leaderClient returns the client of the leader to which a failed call must be forwarded, or nil if it must not be forwarded.
 func (d operatorAPI) leaderClient(err error, forwarded bool) *peer.Client {
-	var elsewhere *NotLeaderError
-	if !forwarded && errors.As(err, &elsewhere) {
-		return d.peers[elsewhere.Leader]
+	var notLeader *NotLeaderError
+	if !forwarded && errors.As(err, &notLeader) {
+		return d.peers[notLeader.Leader]
 	}
 	return nil
 }
@@ -566,11 +566,11 @@
 }
 
 // onNode carries out an operator's command about a node's replica on that node.
-func (d operatorAPI) onNode(node string, forwarded bool, done func(*peerpb.SeatReply, error), do func() error, forward func(*peer.Client)) {
+func (d operatorAPI) onNode(node string, forwarded bool, done func(*peerpb.SeatReply, error), command func() error, forward func(*peer.Client)) {
 	if !d.Do(func() {
 		switch p := d.peers[node]; {
 		case node == d.site.Node:
-			if err := do(); err != nil {
+			if err := command(); err != nil {
 				done(nil, err)
 				return
 			}
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -148,7 +148,7 @@
 		case sitesync.EffectIncarnationEnded:
 			c.env.Log("a site has lost its store; writes that it had not sent are lost", "last known write", effect.ID.String())
 		case sitesync.EffectStaleStore:
-			c.env.Log("this site's writes are older than what it told before: an old store was put back", "known above", effect.ID.String())
+			c.env.Log("this site's writes are older than what it told before: its store was restored from an old copy", "known above", effect.ID.String())
 		}
 	}
 	return effects, err
@@ -167,13 +167,13 @@
 	}
 }
 
-// Write commits a write of this site. done is called once, with an *ElsewhereError if another node leads.
-func (c *Core) Write(now time.Duration, l sitesync.LocalWrite, done func(Reply, error)) {
+// Write commits a write of this site. done is called once, with a *NotLeaderError if another node leads.
+func (c *Core) Write(now time.Duration, write sitesync.LocalWrite, done func(Reply, error)) {
 	switch {
 	case c.stopCause != nil:
 		done(Reply{}, c.stopCause)
 	case c.leading && c.siteSync != nil:
-		cmd := sitesync.Command{Write: &l}
+		cmd := sitesync.Command{Write: &write}
 		if err := c.siteSync.Check(cmd); err != nil {
 			done(Reply{}, err)
 			return
@@ -210,9 +210,9 @@
 		if errors.As(err, &actioner) {
 			r.Action = actioner.Action()
 		}
-		var elsewhere *NotLeaderError
-		if errors.As(err, &elsewhere) {
-			r.Leader = elsewhere.Leader
+		var notLeader *NotLeaderError
+		if errors.As(err, &notLeader) {
+			r.Leader = notLeader.Leader
 		}
 		done(r)
 	}
@@ -254,10 +254,10 @@
 		return
 	}
 	c.knownCallers[caller] = true
-	taking := c.pendingBatches
-	taking[caller.Site]++
+	pending := c.pendingBatches
+	pending[caller.Site]++
 	c.proposeWrite(now, writeEntry{Command: &sitesync.Command{Batch: batch}}, func(_ Reply, err error) {
-		taking[caller.Site]--
+		pending[caller.Site]--
 		if err != nil {
 			refuse(err)
 			return
@@ -294,9 +294,10 @@
 			continue
 		}
 		c.callNumber++
-		within := c.forwarder.CallTimeout()
-		c.callTarget, c.callStartedAt, c.callDeadline = to, now, now+within
-		c.env.SendReplay(g.Voters[c.ancestorReplica[to]%len(g.Voters)], c.callNumber, within, &peerpb.ReplayRequest{Site: c.Site.Own.Name, Batch: batch.Bytes()})
+		timeout := c.forwarder.CallTimeout()
+		c.callTarget, c.callStartedAt, c.callDeadline = to, now, now+timeout
+		c.env.SendReplay(g.Voters[c.ancestorReplica[to]%len(g.Voters)], c.callNumber, timeout, &peerpb.ReplayRequest{
+			Site: c.Site.Own.Name, Batch: batch.Bytes()})
 		return
 	}
 }
@@ -330,8 +331,8 @@
 	c.callTarget = ""
 	noteRoot := func() {}
 	if r.AgeUs != nil && answer.Down != nil && answer.Down.Last {
-		at := c.callStartedAt - time.Duration(*r.AgeUs)*time.Microsecond
-		noteRoot = func() { c.noteRootHeard(at) }
+		asOf := c.callStartedAt - time.Duration(*r.AgeUs)*time.Microsecond
+		noteRoot = func() { c.noteRootHeard(asOf) }
 	}
 	if cmd := c.forwarder.Answered(now, answer); cmd != nil {
 		c.proposeWrite(now, writeEntry{Command: cmd}, func(_ Reply, err error) {
@@ -384,8 +385,8 @@
 	if c.siteSync == nil {
 		return false
 	}
-	v, any := c.siteSync.Value(sitesync.Safety, "host/"+host)
-	return any && strings.HasPrefix(string(v.Value), "out")
+	v, found := c.siteSync.Value(sitesync.Safety, "host/"+host)
+	return found && strings.HasPrefix(string(v.Value), "out")
 }
 
 // Read returns the value of a subject at this site, and the outcome of a write.
@@ -397,7 +398,7 @@
 	own, others := c.siteSync.Waiting()
 	r.Waiting = int32(own + others)
 	if subject != "" {
-		if v, any := c.siteSync.Value(kind, subject); any {
+		if v, found := c.siteSync.Value(kind, subject); found {
 			r.Found, r.Value, r.By, r.Origin = true, string(v.Value), v.Write.By, v.Write.ID.Origin.Site
 		}
 	}
