--- a/internal/consensus/chunks.go
+++ b/internal/consensus/chunks.go
@@ -9,10 +9,10 @@
 
 const (
 	// MaxCallBytes limits the total size of the messages in one RPC, and so of a message that is not split. A peer
-	// accepts 1 MiB per RPC (peer.Limits.Body); a quarter of that is left for the replicas' reports.
+	// accepts 1 MiB per RPC (peer.Limits.MaxBody); a quarter of that is left for the replicas' reports.
 	MaxCallBytes = 768 << 10
-	// chunkBytes is the size of a chunk. It must arrive within peer.ClientLimits.Quick, 1 s, which it does above 2
-	// Mbit/s.
+	// chunkBytes is the size of a chunk. It must arrive within peer.ClientLimits.ShortTimeout, 1 s, which it does above
+	// 2 Mbit/s.
 	chunkBytes = 256 << 10
 	// maxMessageBytes is the longest message that is reassembled: a state with 3,000 records of 60 KiB, base64-encoded
 	// twice, is 312 MiB.
@@ -51,7 +51,7 @@
 }
 
 // NewChunkSender returns a sender for the process with this ID.
-func NewChunkSender(run uint64) *ChunkSender { return &ChunkSender{runID: run} }
+func NewChunkSender(runID uint64) *ChunkSender { return &ChunkSender{runID: runID} }
 
 // Enqueue adds a message to send.
 func (c *ChunkSender) Enqueue(raw []byte) {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -113,7 +113,8 @@
 func (cl *cluster) start(id ReplicaID, store *memoryStore, initialVoters []ReplicaID, verified bool) *process {
 	cl.runs++
 	store.openCount++
-	s, err := New(Options{Self: id, InitialVoters: initialVoters, SnapshotEvery: cl.snapshotEvery, OpenCount: store.openCount, RunID: cl.runs, StoreVerified: verified}, store.state)
+	s, err := New(Options{Self: id, InitialVoters: initialVoters, SnapshotEvery: cl.snapshotEvery, OpenCount: store.openCount,
+		RunID: cl.runs, StoreVerified: verified}, store.state)
 	require.NoError(cl.t, err)
 	p := &process{id: id, replica: s, store: store, reads: map[uint64]uint64{}}
 	cl.processes = append(cl.processes, p)
@@ -211,7 +212,8 @@
 	if st.Leading {
 		for term, last := range cl.lastCommitted {
 			if term < st.Term && last > st.Applied {
-				require.Failf(cl.t, "leader before it applied all earlier entries", "replica %d leads term %d with %d applied: entry %d of term %d is committed", p.id, st.Term, st.Applied, last, term)
+				require.Failf(cl.t, "leader before it applied all earlier entries",
+					"replica %d leads term %d with %d applied: entry %d of term %d is committed", p.id, st.Term, st.Applied, last, term)
 			}
 		}
 	}
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -14,7 +14,7 @@
 //	}
 //
 // raft takes its election jitter from crypto/rand, so a seed does not determine who wins an election in virtual time.
-// Options therefore has no seed, and tests check what must hold whoever wins.
+// Options therefore has no seed, and tests check what must hold whichever replica wins.
 package consensus
 
 import (
@@ -60,7 +60,7 @@
 	Snapshot  *raftpb.Snapshot
 	Entries   []*raftpb.Entry // follow the snapshot without gaps
 	Applied   uint64          // the snapshot's index; later entries are applied again
-	Refused   string          // why the other replicas refused this store, if they did; the replica then no longer takes part
+	Refused   string          // why the other replicas refused this store, if they did; the replica then stays stopped
 }
 
 // WriteBatch must be made durable atomically before the messages of the same Output are sent.
@@ -114,7 +114,7 @@
 	SnapshotDue bool        // a snapshot is due: call Compact(Applied, state)
 	Unconfirmed bool        // waiting for the other replicas to confirm that its store is not stale
 	Behind      bool        // its log has not caught up with theirs yet: it does not campaign, and votes only for replicas that have caught up
-	Err         error       // why it no longer takes part
+	Err         error       // why the replica has stopped for good
 }
 
 // Replica is one member of the consensus group. It is not safe for concurrent use.
@@ -147,8 +147,8 @@
 // ElectionTicks is the default for Options.ElectionTicks: how many ticks pass without a leader before an election.
 const ElectionTicks = 10
 
-// Log entries kept behind a snapshot, as a fraction (1/4) of SnapshotEvery: a replica that lags a little needs no
-// snapshot.
+// keepFraction sets how many log entries are kept behind a snapshot, SnapshotEvery/keepFraction: a replica that lags a
+// little needs no snapshot.
 const keepFraction = 4
 
 // New starts a replica. Without a store and without InitialVoters it belongs to no group yet and accepts what a leader
@@ -166,7 +166,8 @@
 	if opts.SnapshotEvery == 0 {
 		opts.SnapshotEvery = 1000
 	}
-	s := &Replica{opts: opts, storage: raft.NewMemoryStorage(), confState: &raftpb.ConfState{}, hardState: &raftpb.HardState{}, leaderless: map[ReplicaID]int{}}
+	s := &Replica{opts: opts, storage: raft.NewMemoryStorage(), confState: &raftpb.ConfState{}, hardState: &raftpb.HardState{},
+		leaderless: map[ReplicaID]int{}}
 	s.peers = NewPeerTable(opts.Self, opts.RunID)
 	if stored.Refused != "" {
 		s.err = &RefusedError{Why: stored.Refused}
@@ -199,7 +200,8 @@
 		s.hardState.Commit = new(s.snapshotIndex) // a snapshot holds only committed entries
 	}
 	if s.hardState.GetCommit() > next {
-		return nil, fmt.Errorf("consensus: the stored log goes from %d to %d, but entries up to %d are committed", s.snapshotIndex, next, s.hardState.GetCommit())
+		return nil, fmt.Errorf("consensus: the stored log goes from %d to %d, but entries up to %d are committed",
+			s.snapshotIndex, next, s.hardState.GetCommit())
 	}
 	if err := s.storage.Append(stored.Entries); err != nil {
 		return nil, fmt.Errorf("consensus: cannot load the stored log: %w", err)
@@ -302,8 +304,8 @@
 	s.pendingSnapshots = pending
 }
 
-// SnapshotProgress records that part of what was sent to a replica has arrived, so that a snapshot on its way is not
-// taken for lost.
+// SnapshotProgress records that part of what was sent to a replica has arrived, so that a snapshot in transit is not
+// considered lost.
 func (s *Replica) SnapshotProgress(to ReplicaID) { delete(s.pendingSnapshots, uint64(to)) }
 
 // Unreachable records that a message to a replica was not delivered.
@@ -362,7 +364,7 @@
 	return nil
 }
 
-// Propose submits data for agreement. A nil error promises nothing: the entry is committed when it appears in
+// Propose submits data for agreement. A nil error guarantees nothing: the entry is committed when it appears in
 // Output.Apply, and may be lost with the leader. Only the leader accepts proposals.
 func (s *Replica) Propose(data []byte) (err error) {
 	if err := s.checkLeader(); err != nil {
@@ -568,7 +570,8 @@
 }
 
 func (s *Replica) Status() Status {
-	st := Status{Term: s.hardState.GetTerm(), Committed: s.hardState.GetCommit(), Applied: s.applied, Err: s.err, Unconfirmed: s.confirming != nil, Behind: s.catchingUp()}
+	st := Status{Term: s.hardState.GetTerm(), Committed: s.hardState.GetCommit(), Applied: s.applied, Err: s.err,
+		Unconfirmed: s.confirming != nil, Behind: s.catchingUp()}
 	for _, id := range s.confState.GetVoters() {
 		st.Voters = append(st.Voters, ReplicaID(id))
 	}
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -206,8 +206,9 @@
 			}
 			cl.awaitConverged()
 			n := 200 * batch
-			t.Logf("three replicas, entries of 100 bytes, %d at a time: for each entry %.1f requests with %.0f bytes of messages (heartbeats among them), %.2f syncs on all replicas, %.1f ticks",
-				batch, float64(cl.sent-sent)/float64(n), float64(cl.bytes-bytes)/float64(n), float64(cl.syncs-syncs)/float64(n), float64(cl.now-from)/float64(n))
+			t.Logf("three replicas, entries of 100 bytes, %d at a time: for each entry %.1f requests with %.0f bytes of messages "+
+				"(heartbeats among them), %.2f syncs on all replicas, %.1f ticks", batch, float64(cl.sent-sent)/float64(n),
+				float64(cl.bytes-bytes)/float64(n), float64(cl.syncs-syncs)/float64(n), float64(cl.now-from)/float64(n))
 			assert.LessOrEqual(t, cl.syncs-syncs, 3*200+10, "one sync on each replica, however many entries")
 		}
 	})
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -38,7 +38,7 @@
 	return "check that only nodes of this site call the peer address, and that all run the same release"
 }
 
-// InvalidStateError says that raft found its own state to be inconsistent. The replica no longer takes part.
+// InvalidStateError says that raft found its own state to be inconsistent. The replica stops for good.
 type InvalidStateError struct{ What string }
 
 func (e *InvalidStateError) Error() string { return "consensus: raft state is inconsistent: " + e.What }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -94,7 +94,7 @@
 }
 
 // rebootstrapIndexGap is how far the log index jumps when a group is re-bootstrapped: above every index that the lost
-// stores may have reported, so that whoever follows the newest index follows the new group.
+// stores may have reported, so that a node that follows the newest index follows the new group.
 const rebootstrapIndexGap = 1 << 32
 
 // Rebootstrap makes this replica the only member of a new group that starts with state: its own state with all of
--- a/internal/consensus/membership_test.go
+++ b/internal/consensus/membership_test.go
@@ -104,7 +104,8 @@
 				}
 				cl.injectFault(removed)
 				// A replica with an empty store loses it: the node's next store makes another replica.
-				if i := cl.rng.IntN(len(target)); cl.rng.IntN(60) == 0 && cl.processOf(target[i]) != nil && len(cl.processOf(target[i]).replica.Status().Voters) == 0 {
+				if i := cl.rng.IntN(len(target)); cl.rng.IntN(60) == 0 && cl.processOf(target[i]) != nil &&
+					len(cl.processOf(target[i]).replica.Status().Voters) == 0 {
 					cl.kill(cl.processOf(target[i]))
 					removed[target[i]] = true
 					newest++
@@ -120,7 +121,7 @@
 			})
 			want = target
 		}
-		for _, p := range slices.Clone(cl.processes) { // removed replicas keep running until here and must disturb nobody
+		for _, p := range slices.Clone(cl.processes) { // removed replicas keep running until here and must cause no election
 			if !slices.Contains(want, p.id) {
 				cl.kill(p)
 			}
@@ -381,6 +382,7 @@
 		}
 	}
 	assert.Equal(t, added, leader(), "it alone has the most advanced log")
-	assert.Equal(t, uint64(13), replicas[behind].lastPosition().Index, "it has the log by now, and the first entry of its leader, and so knows the added replica")
+	assert.Equal(t, uint64(13), replicas[behind].lastPosition().Index,
+		"it has the log by now, and the first entry of its leader, and so knows the added replica")
 	assert.Contains(t, replicas[behind].Status().Voters, added)
 }
--- a/internal/consensus/peertable.go
+++ b/internal/consensus/peertable.go
@@ -21,7 +21,7 @@
 // opened, its process, its highest term, its vote in that term, how far its log reaches (as it reported, and as it
 // acknowledged to this replica), and its commit index. A replica that restarts with less is refused with a
 // *StaleStoreError; two processes that use the same store are refused with a *CopiedStoreError. A refused replica
-// records that in its store and no longer takes part.
+// records that in its store and stops for good.
 //
 // The PeerTable is held in memory only. So that its contents outlive the one process that observed them, a leader, and
 // any replica that knows of no leader, relays to the others what it remembers about each replica (SelfReport.Relayed).
@@ -38,7 +38,7 @@
 //     campaign.
 //
 // So even a stale store that no other replica remembers does no harm. All replicas may restart at once: each answers
-// while it is unconfirmed, and one round later all take part. A process that restarts while its machine keeps running
+// while it is unconfirmed, and one round later all are confirmed. A process that restarts while its machine keeps running
 // needs no confirmation: a witness file in memory verifies its store (Options.StoreVerified, package store). If a
 // machine reboots while one of three replicas is down, its replica waits for that one, or until an operator confirms
 // that the store is current (ConfirmStore).
@@ -99,8 +99,8 @@
 }
 
 // NewPeerTable returns an empty table for a replica and the ID of its process.
-func NewPeerTable(self ReplicaID, run uint64) *PeerTable {
-	return &PeerTable{self: self, runID: run, replicas: map[ReplicaID]*peerState{}, lastRelayed: map[[2]ReplicaID]PeerRecord{}}
+func NewPeerTable(self ReplicaID, runID uint64) *PeerTable {
+	return &PeerTable{self: self, runID: runID, replicas: map[ReplicaID]*peerState{}, lastRelayed: map[[2]ReplicaID]PeerRecord{}}
 }
 
 // Observe processes a report. After an error, nothing that came with the report may be used. A *StaleStoreError or
@@ -219,7 +219,7 @@
 }
 
 // Observe processes the report that came with a request or reply. After an error, nothing else that came with it may be
-// used. Return a *StaleStoreError or *CopiedStoreError to the sender, which then stops taking part (MarkRefused).
+// used. Return a *StaleStoreError or *CopiedStoreError to the sender, which then stops for good (MarkRefused).
 func (s *Replica) Observe(report SelfReport) error {
 	if s.err != nil {
 		return s.err
@@ -266,7 +266,7 @@
 // campaignEarly starts an election before the election timeout if a majority, including this replica, is known to have
 // no leader: there is nothing to wait for then. To avoid competing candidates, the replica with the most advanced log
 // campaigns, or the one with the lowest ID among equals. If it cannot win, the election timeout decides as usual. With
-// PreVote it asks for votes before it raises its term, so a needless candidate disturbs nobody. It waits half an
+// PreVote it asks for votes before it raises its term, so a needless candidate causes no election. It waits half an
 // election timeout after it has seen an election: a new candidate in the middle of an election would unseat its winner.
 func (s *Replica) campaignEarly() {
 	voters, half := s.confState.GetVoters(), max(1, s.opts.ElectionTicks/2)
@@ -275,7 +275,7 @@
 	}
 	status := s.node.BasicStatus()
 	if status.RaftState == raft.StateFollower && status.Lead != 0 && s.ticks-s.leaderSeenAt >= s.opts.ElectionTicks {
-		// A leader silent for this long has lost its authority. raft lets this replica vote from now on, and campaign
+		// A leader that has sent nothing for this long has lost its authority. raft lets this replica vote from now on, and campaign
 		// after at most twice this time.
 		s.forgetLeader()
 		status = s.node.BasicStatus()
@@ -287,8 +287,8 @@
 		return
 	}
 	supporters := 1
-	for id, at := range s.leaderless {
-		if s.ticks-at <= half && slices.Contains(voters, uint64(id)) {
+	for id, reportedAt := range s.leaderless {
+		if s.ticks-reportedAt <= half && slices.Contains(voters, uint64(id)) {
 			supporters++
 		}
 	}
@@ -315,8 +315,8 @@
 			newest = report
 		}
 		term = max(term, report.Term)
-		if at := (position{Term: report.LastTerm, Index: report.LastIndex}); last.before(at) {
-			last = at
+		if end := (position{Term: report.LastTerm, Index: report.LastIndex}); last.before(end) {
+			last = end
 		}
 	}
 	if newest.Commit > s.hardState.GetCommit() && len(newest.Voters) > 0 {
@@ -378,7 +378,7 @@
 	return s.resume(s.hardState)
 }
 
-// MarkRefused makes this replica stop taking part: another replica has refused its store. The driver must record the
+// MarkRefused stops this replica for good: another replica has refused its store. The driver must record the
 // refusal in the store.
 func (s *Replica) MarkRefused(why string) {
 	if s.err == nil {
--- a/internal/consensus/peertable_test.go
+++ b/internal/consensus/peertable_test.go
@@ -172,7 +172,8 @@
 		require.NoError(t, err)
 		for id := ReplicaID(2); id <= 3; id++ {
 			require.True(t, s.Status().Unconfirmed)
-			require.NoError(t, s.Observe(SelfReport{Replica: id, OpenCount: 1, RunID: 1, Sequence: 1, Term: max(3, highest*uint64(id-2)), LastTerm: 3, LastIndex: 7, EchoRunID: 9, Echo: 1}))
+			require.NoError(t, s.Observe(SelfReport{Replica: id, OpenCount: 1, RunID: 1, Sequence: 1,
+				Term: max(3, highest*uint64(id-2)), LastTerm: 3, LastIndex: 7, EchoRunID: 9, Echo: 1}))
 		}
 		require.False(t, s.Status().Unconfirmed)
 		vote, err := proto.Marshal(&raftpb.Message{Type: raftpb.MessageType_MsgVote.Enum(), To: new(uint64(1)), From: new(uint64(3)),
@@ -224,7 +225,8 @@
 	require.NoError(t, r.Observe(SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Sequence: 2}))
 	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 2, OpenCount: 2, RunID: 6, Sequence: 9}), new(*StaleStoreError))
 	r.sequence = 6
-	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 2, OpenCount: 3, RunID: 7, Sequence: 10, Echo: 6, EchoRunID: 100}), new(*CopiedStoreError), "it received a report sent after its successor was heard from")
+	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 2, OpenCount: 3, RunID: 7, Sequence: 10, Echo: 6, EchoRunID: 100}), new(*CopiedStoreError),
+		"it received a report sent after its successor was heard from")
 	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 2, OpenCount: 4, RunID: 8, Sequence: 3}), new(*CopiedStoreError))
 	assert.ErrorAs(t, r.Observe(SelfReport{Replica: 1, OpenCount: 4, RunID: 8, Sequence: 3}), new(*CopiedStoreError), "another process reports as this replica")
 }
--- a/internal/consensus/stalestore_test.go
+++ b/internal/consensus/stalestore_test.go
@@ -40,7 +40,8 @@
 	if !f.wasLeader {
 		id = id%3 + 1
 	}
-	others := map[string][]ReplicaID{noReplica: nil, nextReplica: {id%3 + 1}, lastReplica: {(id+1)%3 + 1}, oneByOne: {id%3 + 1, (id+1)%3 + 1}, allAtOnce: {id%3 + 1, (id+1)%3 + 1}}
+	others := map[string][]ReplicaID{noReplica: nil, nextReplica: {id%3 + 1}, lastReplica: {(id+1)%3 + 1},
+		oneByOne: {id%3 + 1, (id+1)%3 + 1}, allAtOnce: {id%3 + 1, (id+1)%3 + 1}}
 	restart := func(when string) {
 		if f.restartAt != when {
 			return
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -234,9 +234,9 @@
 		return &WriteError{Path: path, Err: err}
 	}
 	var expected, newest, pageSize uint64
-	meta := func(at int64) bool {
+	meta := func(offset int64) bool {
 		var b [pageHeader + checksumAt + 8]byte
-		if _, err := f.ReadAt(b[:], at); err != nil {
+		if _, err := f.ReadAt(b[:], offset); err != nil {
 			return false
 		}
 		m := b[pageHeader:]
@@ -283,7 +283,7 @@
 	}
 }
 
-// rebuild writes the records to a new file and replaces the store by it. So pages that are damaged, but do not affect
+// rebuild writes the records to a new file and replaces the store by it. Thus pages that are damaged, but do not affect
 // the records yet, are never written to again, and the file is as small as possible.
 func rebuild(path string, records []record, count uint64) error {
 	temp := path + ".new"
