--- a/internal/backend/connector.go
+++ b/internal/backend/connector.go
@@ -14,7 +14,7 @@
 // Opener is implemented by clients of this protocol in addition to query.Client: it provides the first line that
 // the client sent. The core does not handle lines, so the attempt gets it from the client.
 type Opener interface {
-	OpenLine(to []byte, within time.Duration) []byte
+	OpenLine(to []byte, timeLeft time.Duration) []byte
 }
 
 // Connector connects to hosts, for attempts and for probes.
--- a/internal/clientconn/acceptor.go
+++ b/internal/clientconn/acceptor.go
@@ -128,7 +128,7 @@
 	case a.tenants != nil && o.Tenant != "" && !a.tenants[o.Tenant]:
 		return errTenant
 	case a.openIDs[o.ID]:
-		return errIDInUse // the request that has this id goes on
+		return errIDInUse // the request that has this id continues
 	}
 	return nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -25,7 +25,7 @@
 var (
 	errTimeout   = errors.New("no answer in time")
 	errOutdated  = errors.New("the answer has changes to an older list than the one held")
-	errNoList    = errors.New("the answer has only changes, but the whole list was requested")
+	errNoList    = errors.New("the answer has only changes, but the full list was requested")
 	errCallEnded = errors.New("the connection has ended")
 )
 
@@ -52,15 +52,15 @@
 // the calls.
 func New(log *slog.Logger, loop *evloop.Loop, core *query.Core, address string, set balance.Settings, seed uint64) *Client {
 	return &Client{log: log, loop: loop, core: core, address: address, hosts: make(map[balance.ServerID]string),
-		watch: watch.Watch{Settings: termsOf(set)}, random: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
+		watch: watch.Watch{Settings: watchSettings(set)}, random: rand.New(rand.NewPCG(seed, uint64(set.Self)))}
 }
 
-func termsOf(set balance.Settings) watch.Settings {
+func watchSettings(set balance.Settings) watch.Settings {
 	return watch.Settings{Push: !set.ListOnRequest, PollInterval: set.Safety.ListRefreshInterval, Grace: set.Safety.DrainGrace}
 }
 
 // ApplySettings applies new settings from the next call on.
-func (c *Client) ApplySettings(set balance.Settings) { c.watch.Settings = termsOf(set) }
+func (c *Client) ApplySettings(set balance.Settings) { c.watch.Settings = watchSettings(set) }
 
 // Endpoint returns a host's address, or "" if the host is not listed.
 func (c *Client) Endpoint(server balance.ServerID) string { return c.hosts[server] }
@@ -104,7 +104,7 @@
 // Subscribe implements query.Group. It does nothing, since the client watches discovery anyway.
 func (c *Client) Subscribe() {}
 
-// Relocate switches to discovery at another address and requests the whole list at once, since its revisions may
+// Relocate switches to discovery at another address and requests the full list at once, since its revisions may
 // be counted differently. The known hosts stay until it answers. If the address is the same, nothing changes.
 func (c *Client) Relocate(address string) {
 	if address != c.address {
@@ -113,18 +113,18 @@
 	}
 }
 
-// step applies an event to the watch and carries out its order.
+// step applies an event to the watch and carries out its action.
 func (c *Client) step(kind watch.Kind) {
-	var order watch.Action
-	c.watch, order = c.watch.Step(watch.Event{Kind: kind, Now: c.loop.Now(), Random: c.random.Float64()})
-	if order.Drop {
+	var action watch.Action
+	c.watch, action = c.watch.Step(watch.Event{Kind: kind, Now: c.loop.Now(), Random: c.random.Float64()})
+	if action.Drop {
 		c.drop()
 	}
-	if order.Wake > 0 {
+	if action.Wake > 0 {
 		c.timer.Stop()
-		c.timer = c.loop.After(order.Wake-c.loop.Now(), c.timerFired)
+		c.timer = c.loop.After(action.Wake-c.loop.Now(), c.timerFired)
 	}
-	if order.Call {
+	if action.Call {
 		c.call()
 	}
 }
--- a/internal/handover/pass.go
+++ b/internal/handover/pass.go
@@ -22,7 +22,7 @@
 // maxPacket is the maximum size of a packet, in bytes: two incomplete lines and the metadata of the connection.
 const maxPacket = 32 << 10
 
-// Passed is a connection that is handed over from one process to another. Whoever holds it owns its descriptors.
+// Passed is a connection that is handed over from one process to another. Its holder owns the descriptors and must close them.
 type Passed struct {
 	ID           string // given by the client
 	Arrival      balance.Arrival
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -42,45 +42,45 @@
 func TestEveryStepIsConsistent(t *testing.T) {
 	forEachStep(func(s State, e Event) {
 		next, f := Step(s, e)
-		at := fmt.Sprintf("%+v %s/%d -> %+v: %s", s, e.Kind, e.Attempt, next, f)
+		transition := fmt.Sprintf("%+v %s/%d -> %+v: %s", s, e.Kind, e.Attempt, next, f)
 		answers, notified := 0, false
 		for i := range f.Len() {
 			if f.At(i).Answers() {
 				answers++
 			}
 			notifies := f.At(i) >= NotifyArrival && f.At(i) <= NotifyOver
-			require.False(t, notified && !notifies, "the balancer is notified before the other effects: %s", at)
+			require.False(t, notified && !notifies, "the balancer is notified before the other effects: %s", transition)
 			notified = notified || notifies
 		}
 		switch {
 		case s.AwaitsAnswer() && !next.AwaitsAnswer() && e.Kind != ClientGone:
-			require.Equal(t, 1, answers, "exactly one final answer: %s", at)
+			require.Equal(t, 1, answers, "exactly one final answer: %s", transition)
 		default:
-			require.Zero(t, answers, "an answer to a client that does not wait for one: %s", at)
+			require.Zero(t, answers, "an answer to a client that does not wait for one: %s", transition)
 		}
-		require.Equal(t, next.AwaitsAnswer() && !s.AwaitsAnswer(), f.Has(StartDeadline), "StartDeadline: %s", at)
-		require.Equal(t, s.AwaitsAnswer() && !next.AwaitsAnswer() && e.Kind != Deadline, f.Has(StopDeadline), "StopDeadline: %s", at)
-		require.Equal(t, f.Has(SendAttempt), next.Phase == Trying && (s.Phase != Trying || next.Attempts != s.Attempts), at)
+		require.Equal(t, next.AwaitsAnswer() && !s.AwaitsAnswer(), f.Has(StartDeadline), "StartDeadline: %s", transition)
+		require.Equal(t, s.AwaitsAnswer() && !next.AwaitsAnswer() && e.Kind != Deadline, f.Has(StopDeadline), "StopDeadline: %s", transition)
+		require.Equal(t, f.Has(SendAttempt), next.Phase == Trying && (s.Phase != Trying || next.Attempts != s.Attempts), transition)
 		if f.Has(SendAttempt) {
-			require.False(t, s.HasHostConn(), "two attempts at once: %s", at)
-			require.Equal(t, s.Attempts+1, next.Attempts, at)
+			require.False(t, s.HasHostConn(), "two attempts at once: %s", transition)
+			require.Equal(t, s.Attempts+1, next.Attempts, transition)
 		} else {
-			require.Equal(t, s.Attempts+map[bool]uint16{true: 1}[s.Phase == NotArrived && e.Kind == Adopt], next.Attempts, at)
+			require.Equal(t, s.Attempts+map[bool]uint16{true: 1}[s.Phase == NotArrived && e.Kind == Adopt], next.Attempts, transition)
 		}
 		closes := f.Has(CloseAttempt) || f.Has(EndAttempt)
 		notByNode := e.Kind == HostEnded || e.Kind == HostServed || e.Kind == HandOver
-		require.Equal(t, s.HasHostConn() && !next.HasHostConn() && !notByNode, closes, "the node closes the connection to the host: %s", at)
+		require.Equal(t, s.HasHostConn() && !next.HasHostConn() && !notByNode, closes, "the node closes the connection to the host: %s", transition)
 		require.Equal(t, s.Phase == Trying && next.Phase != Trying || s.Phase == Waiting && s.Inherited && next.Phase == Finished,
-			f.Has(StopTimer), "StopTimer: %s", at)
+			f.Has(StopTimer), "StopTimer: %s", transition)
 		known := s.HasHostConn() && !next.HasHostConn() && (!s.Inherited || s.Phase == Established)
-		require.Equal(t, known, f.Has(NotifyEnded) || f.Has(NotifyOver), "the balancer is notified of the end: %s", at)
-		require.Equal(t, next.Phase == Finished && s.Phase != Finished, f.Has(Forget), at)
+		require.Equal(t, known, f.Has(NotifyEnded) || f.Has(NotifyOver), "the balancer is notified of the end: %s", transition)
+		require.Equal(t, next.Phase == Finished && s.Phase != Finished, f.Has(Forget), transition)
 		if s.Phase == Finished {
-			require.Equal(t, s, next, "Finished is final: %s", at)
+			require.Equal(t, s, next, "Finished is final: %s", transition)
 		}
 		if e.Kind.ofAttempt() && e.Attempt != s.Attempts {
-			require.Equal(t, s, next, at)
-			require.Zero(t, f.Len(), "an event of another attempt has no effect: %s", at)
+			require.Equal(t, s, next, transition)
+			require.Zero(t, f.Len(), "an event of another attempt has no effect: %s", transition)
 		}
 	})
 }
--- a/internal/lifecycle/service_test.go
+++ b/internal/lifecycle/service_test.go
@@ -12,7 +12,7 @@
 	const ms = time.Millisecond
 	type event struct {
 		now         time.Duration
-		operation   string // "" for a step; "succeeded" and "alone" for SetSuperseded
+		operation   string // "" for a step; "superseded" and "alone" for SetSuperseded
 		waiting     int
 		established int
 		serving     bool
@@ -63,7 +63,7 @@
 			{now: 2800 * ms},
 		}},
 		"a superseded process stops accepting at once and stays until its clients are gone": {pass: true, steps: []event{
-			{now: 1000 * ms, operation: "succeeded", serving: true},
+			{now: 1000 * ms, operation: "superseded", serving: true},
 			{now: 1001 * ms, waiting: 1, serving: true, command: StopAccepting},
 			{now: 1002 * ms, established: 3, serving: true},
 			{now: 2000 * ms, operation: "depart", serving: true},
@@ -73,18 +73,18 @@
 			{now: 4600 * ms, established: 3, serving: true, command: CloseAll},
 		}},
 		"a process accepts again when the one that superseded it dies": {steps: []event{
-			{now: 1000 * ms, operation: "succeeded", serving: true},
+			{now: 1000 * ms, operation: "superseded", serving: true},
 			{now: 1001 * ms, established: 60, serving: true, command: StopAccepting},
 			{now: 1021 * ms, established: 60, serving: true, command: MoveSome, count: 3},
 			{now: 1040 * ms, operation: "alone", serving: true},
 			{now: 1041 * ms, established: 57, serving: true, command: ResumeAccepting},
 			{now: 1200 * ms, established: 57, serving: true},
-			{now: 5000 * ms, operation: "succeeded", serving: true},
+			{now: 5000 * ms, operation: "superseded", serving: true},
 			{now: 5001 * ms, established: 30, serving: true, command: StopAccepting},
 			{now: 5021 * ms, established: 30, serving: true, command: MoveSome, count: 2},
 		}},
 		"a process that shuts down does not accept again": {pass: true, steps: []event{
-			{now: 1000 * ms, operation: "succeeded", serving: true},
+			{now: 1000 * ms, operation: "superseded", serving: true},
 			{now: 1001 * ms, waiting: 1, serving: true, command: StopAccepting},
 			{now: 1100 * ms, operation: "depart", serving: true},
 			{now: 1200 * ms, operation: "alone"},
@@ -93,7 +93,7 @@
 		}},
 		"superseded during a drain": {pass: true, steps: []event{
 			{now: 1000 * ms, operation: "drain"},
-			{now: 1500 * ms, operation: "succeeded"},
+			{now: 1500 * ms, operation: "superseded"},
 			{now: 1500 * ms, established: 1, command: StopAccepting},
 			{now: 1600 * ms, operation: "activate", serving: true},
 		}},
@@ -106,8 +106,8 @@
 				switch a.operation {
 				case "":
 					s, command, count = s.Step(a.now, a.waiting, a.established)
-				case "succeeded", "alone":
-					s = s.SetSuperseded(a.operation == "succeeded", a.now)
+				case "superseded", "alone":
+					s = s.SetSuperseded(a.operation == "superseded", a.now)
 				default:
 					s = s.Apply(operations[a.operation], a.now)
 				}
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -34,8 +34,8 @@
 func (o Command) String() string { return commandNames[o] }
 
 // Shutdown is the state of a node from SIGTERM to its exit. In pass-through mode, where established connections can
-// continue on another node, this one keeps serving them until the front has taken them there, or until MaxStay. If there
-// is no other node, they would stall from its exit until it is back.
+// continue on another node, this one keeps serving them until the front load balancer has moved them there, or until
+// MaxStay. If there is no other node, they would stall from its exit until it is back.
 type Shutdown struct {
 	PassThrough   bool
 	MaxStay       time.Duration // after SIGTERM; see the function MaxStay
--- a/internal/query/count.go
+++ b/internal/query/count.go
@@ -30,7 +30,7 @@
 //	Served    those whose connection was established, or that a host served completely at once.
 //	TimedOut  those not served that were answered when their answer was due or later, whatever the answer was.
 //	Refused   those throttled before that.
-//	Failed    those answered before that that they were not served.
+//	Failed    those answered before that with a failure.
 //	Breaks    connections counted as served, at any time, that did not end well: the host ended them without BYE or MOVE,
 //	          or stopped responding. Counted when that happens, so they may be counted as served in an earlier set.
 //	Moves     connections counted as served, at any time, whose client was told to reconnect: by the host, by the
--- a/internal/query/count_test.go
+++ b/internal/query/count_test.go
@@ -81,7 +81,7 @@
 		},
 			want: refused},
 		"throttled by the acceptor": {run: func(f countFixture) { f.core.CountThrottled("chat", "kota") }, want: refused},
-		"refused as the node stops": {run: func(f countFixture) { f.core.balancer = silentBalancer{}; f.arrive(""); f.core.Shutdown(true) },
+		"refused as the node stops": {run: func(f countFixture) { f.core.balancer = passiveBalancer{}; f.arrive(""); f.core.Shutdown(true) },
 			want: refused},
 		"failed": {run: func(f countFixture) {
 			f.arrive("")
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -105,8 +105,8 @@
 	// answerMargin is how long before the client's deadline its answer is due, so that the answer can travel and
 	// be read in time.
 	answerMargin = 10 * time.Millisecond
-	// deadlineTimerDelay is how long after that the deadline timer answers a request that the balancer still
-	// holds. The balancer must be able to answer first: the last attempt may run until the answer is due, and only
+	// deadlineTimerDelay is how long after the answer was due the deadline timer answers a request that the
+	// balancer still holds. The balancer must be able to answer first: the last attempt may run until the answer is due, and only
 	// the balancer knows whether a refusal is harmless then.
 	deadlineTimerDelay = answerMargin / 2
 	// inheritedRetryInterval is the pause between attempts at the host of an inherited connection.
@@ -235,7 +235,8 @@
 
 // Adopt takes over a connection that another process of the node had established to a server. It calls attach with
 // the AttemptRef for the connection to the host.
-func (c *Core) Adopt(client Client, a balance.Arrival, server balance.ServerID, attempt Attempt, attach func(AttemptRef)) *Request {
+func (c *Core) Adopt(client Client, a balance.Arrival, server balance.ServerID, attempt Attempt,
+	attach func(AttemptRef)) *Request {
 	c.lastID++
 	a.Request = c.lastID
 	r := &Request{core: c, client: client, arrival: a, inheritedHost: server, server: server, attempt: attempt,
@@ -694,7 +695,7 @@
 }
 
 // ClientFaulty reports that the client sent a line at the wrong time, or one that cannot be passed on. A client
-// that waits is told why it is not served; one that is served is moved.
+// that waits gets the reason why it is not served; one that is served is moved.
 func (r *Request) ClientFaulty(reason error) {
 	r.step(lifecycle.Event{Kind: lifecycle.ClientFaulty}, &eventData{outcome: balance.Cancelled, reason: reason})
 }
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -108,8 +108,8 @@
 	return env, c
 }
 
-func (env *testEnv) arrive(c *Core, at balance.ServerID) *Request {
-	return c.Arrive(env, balance.Arrival{Class: "chat"}, at, 2*time.Second)
+func (env *testEnv) arrive(c *Core, inheritedHost balance.ServerID) *Request {
+	return c.Arrive(env, balance.Arrival{Class: "chat"}, inheritedHost, 2*time.Second)
 }
 
 func TestHeldRequestIsAnsweredOnceAndBeforeItsDeadline(t *testing.T) {
@@ -305,12 +305,12 @@
 	assert.Equal(t, balance.Probed{Server: "a", Outcome: balance.OK, Took: time.Second, Report: report}, balancer.lastEvent())
 }
 
-// A client whose request the balancer leaves unanswered until the deadline is told when to try again. The time
+// A client whose request the balancer leaves unanswered until the deadline gets the time after which to try again. It
 // must not exceed Settings.MaxRetryAfter, since clients ignore a longer one.
 func TestDeadlineTimerSaysWhenToTryAgain(t *testing.T) {
 	env, c, _, _ := newRecorded()
 	client := &recordingClient{}
-	c.balancer = silentBalancer{}
+	c.balancer = passiveBalancer{}
 	c.Arrive(client, balance.Arrival{Class: "chat"}, "", 2*time.Second)
 	env.advance(1994 * time.Millisecond)
 	assert.Zero(t, client.after)
@@ -318,9 +318,10 @@
 	assert.Equal(t, 400*time.Millisecond, client.after)
 }
 
-type silentBalancer struct{}
+// passiveBalancer is a balancer that decides nothing.
+type passiveBalancer struct{}
 
-func (silentBalancer) Handle(time.Duration, balance.Event) []balance.Action { return nil }
+func (passiveBalancer) Handle(time.Duration, balance.Event) []balance.Action { return nil }
 
 // The drain grace comes from the settings, which differ between deployments, less graceMargin. It starts when the
 // drain is first reported.
--- a/internal/query/restrictions.go
+++ b/internal/query/restrictions.go
@@ -119,20 +119,21 @@
 func (c *Core) Restrictions() sendlease.Restrictions { return c.restrictions.current }
 
 // ObserveHosts returns what this node observes of the hosts in the list, for the site's consensus group. stale
-// says that discovery does not answer. A host that drains, or that started less than coldFor ago, is not warm.
-// Worth sums up the value of the established connections for each host.
-func (c *Core) ObserveHosts(coldFor time.Duration, value func(class string) float64, stale bool) *hostview.Observation {
-	look := &hostview.Observation{Hosts: make([]hostview.Host, 0, len(c.hosts)), Values: map[string]float64{}, Failing: c.ejectedHosts(), Stale: stale}
+// says that discovery does not answer. A host that drains, or that started less than warmUp ago, is not warm.
+// Values has the sum of the values of the established connections for each host.
+func (c *Core) ObserveHosts(warmUp time.Duration, value func(class string) float64, stale bool) *hostview.Observation {
+	observation := &hostview.Observation{Hosts: make([]hostview.Host, 0, len(c.hosts)), Values: map[string]float64{},
+		Failing: c.ejectedHosts(), Stale: stale}
 	for _, server := range sortedKeys(c.hosts) {
 		if entry := c.hosts[server]; entry.listed {
-			look.Hosts = append(look.Hosts, hostview.Host{ID: string(server), Zone: entry.zone, Kind: entry.kind, Start: entry.started, Draining: !entry.ready,
-				Warm: entry.ready && c.clock.Now()-entry.started >= coldFor})
+			observation.Hosts = append(observation.Hosts, hostview.Host{ID: string(server), Zone: entry.zone, Kind: entry.kind,
+				Start: entry.started, Draining: !entry.ready, Warm: entry.ready && c.clock.Now()-entry.started >= warmUp})
 		}
 	}
 	groups, sizes := map[string]float64{}, map[string]int{}
 	for _, r := range c.requests {
 		if r.state.Phase == lifecycle.Established {
-			look.Values[string(r.server)] += value(r.arrival.Class)
+			observation.Values[string(r.server)] += value(r.arrival.Class)
 			if r.arrival.Group != "" {
 				groups[r.arrival.Group] += value(r.arrival.Class)
 				sizes[r.arrival.Group]++
@@ -140,13 +141,13 @@
 		}
 	}
 	maps.DeleteFunc(groups, func(group string, _ float64) bool { return sizes[group] < 2 }) // a group of one connection needs no common host
-	look.Groups = c.topGroups(groups)
-	return look
+	observation.Groups = c.topGroups(groups)
+	return observation
 }
 
 // topGroups returns the groups of the highest value with their preferred hosts, at most twice hostview.MaxGroups.
 func (c *Core) topGroups(values map[string]float64) (all []hostview.Group) {
-	b, ok := c.balancer.(interface {
+	chooser, ok := c.balancer.(interface {
 		PreferredServers(group string) []balance.ServerID
 	})
 	if !ok {
@@ -155,10 +156,10 @@
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		all = append(all, hostview.Group{Name: name, Value: values[name]})
 	}
-	slices.SortStableFunc(all, func(x, y hostview.Group) int { return cmp.Compare(y.Value, x.Value) })
+	slices.SortStableFunc(all, func(a, b hostview.Group) int { return cmp.Compare(b.Value, a.Value) })
 	all = all[:min(len(all), 2*hostview.MaxGroups)]
 	for i := range all {
-		for _, server := range b.PreferredServers(all[i].Name) {
+		for _, server := range chooser.PreferredServers(all[i].Name) {
 			all[i].Homes = append(all[i].Homes, string(server))
 		}
 	}
--- a/internal/query/restrictions_test.go
+++ b/internal/query/restrictions_test.go
@@ -80,13 +80,17 @@
 	excluded := sendlease.Restrictions{ExcludedHosts: []sendlease.ExcludedHost{{Host: "a", Round: 1}}, LeaseEnd: 2 * time.Hour}
 	notExcluded := sendlease.Restrictions{LeaseEnd: 2 * time.Hour}
 	for name, steps := range map[string][4]func(*Core, time.Duration){
-		"ban, turn, ban ends, turn ends": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) },
+		"ban, turn, ban ends, turn ends": {
+			func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) },
 			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(notExcluded) }},
-		"ban, turn, turn ends, ban ends": {func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) },
+		"ban, turn, turn ends, ban ends": {
+			func(c *Core, now time.Duration) { c.Suspend("a", now) }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) },
 			func(c *Core, _ time.Duration) { c.ApplyRestrictions(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
-		"turn, ban, ban ends, turn ends": {func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
+		"turn, ban, ban ends, turn ends": {
+			func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
 			func(c *Core, _ time.Duration) { c.Resume("a") }, func(c *Core, _ time.Duration) { c.ApplyRestrictions(notExcluded) }},
-		"turn, ban, turn ends, ban ends": {func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
+		"turn, ban, turn ends, ban ends": {
+			func(c *Core, _ time.Duration) { c.ApplyRestrictions(excluded) }, func(c *Core, now time.Duration) { c.Suspend("a", now) },
 			func(c *Core, _ time.Duration) { c.ApplyRestrictions(notExcluded) }, func(c *Core, _ time.Duration) { c.Resume("a") }},
 	} {
 		env, c := newCore("a", "b")
@@ -110,19 +114,19 @@
 		assert.NotEmpty(t, r.server)
 	}
 	c.List(balance.ListChanges, []balance.Listing{{Server: "d", State: balance.Draining, Started: env.now}})
-	look := c.ObserveHosts(time.Second, func(string) float64 { return 2 }, true)
-	assert.True(t, look.Stale)
-	assert.Len(t, look.Hosts, 4)
-	assert.Equal(t, []bool{true, false}, []bool{look.Hosts[3].Draining, look.Hosts[3].Warm})
-	assert.Equal(t, env.now, look.Hosts[3].Start)
+	observation := c.ObserveHosts(time.Second, func(string) float64 { return 2 }, true)
+	assert.True(t, observation.Stale)
+	assert.Len(t, observation.Hosts, 4)
+	assert.Equal(t, []bool{true, false}, []bool{observation.Hosts[3].Draining, observation.Hosts[3].Warm})
+	assert.Equal(t, env.now, observation.Hosts[3].Start)
 	sum := 0.0
-	for _, value := range look.Values {
+	for _, value := range observation.Values {
 		sum += value
 	}
 	assert.Equal(t, 8.0, sum)
-	if assert.Len(t, look.Groups, 1, "a group of one connection is not reported") {
-		assert.Equal(t, "room", look.Groups[0].Name)
-		assert.Equal(t, 4.0, look.Groups[0].Value)
-		assert.Len(t, look.Groups[0].Homes, 3)
+	if assert.Len(t, observation.Groups, 1, "a group of one connection is not reported") {
+		assert.Equal(t, "room", observation.Groups[0].Name)
+		assert.Equal(t, 4.0, observation.Groups[0].Value)
+		assert.Len(t, observation.Groups[0].Homes, 3)
 	}
 }
