--- a/cmd/lichenhitch/control.go
+++ b/cmd/lichenhitch/control.go
@@ -27,9 +27,9 @@
 	storePollInterval = 50 * time.Millisecond
 )
 
-var errNoLease = errors.New("the node was never told what is out: it waits for its first right to send")
+var errNoLease = errors.New("the node does not know yet which hosts are excluded: it waits for its first send lease")
 
-// startSiteControl starts to take part in the control of the node's site. Until control sets the first restrictions,
+// startSiteControl joins the control plane of the node's site. Until control sets the first restrictions,
 // no request is sent to a host.
 func (n *node) startSiteControl() error {
 	if n.cfg.SiteFile == "" {
--- a/cmd/lichenhitch/descriptors_test.go
+++ b/cmd/lichenhitch/descriptors_test.go
@@ -53,7 +53,7 @@
 // All nodes start at once while discovery is slow to answer: they are ready without it.
 func TestNodesThatStartAtOnceAreReadyWhileDiscoveryIsSlow(t *testing.T) {
 	const nodes = 12
-	d := newDiscovery(t) // answers nobody during the test
+	d := newDiscovery(t) // answers no call during the test
 	h := newHost(t, "a", echo)
 	for range nodes {
 		n := startConfig(t, testConfig(t, d, list(1, true, targetsOf(h)...)))
--- a/cmd/lichenhitch/handover.go
+++ b/cmd/lichenhitch/handover.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	if passed.Client, passed.ClientUnread, ok = client.Detach(); !ok {
-		_ = unix.Close(passed.Host) // the client is notified through the end of the host's side
+		_ = unix.Close(passed.Host) // ends the connection to the host; Move notifies the client
 		client.Move()
 		return true
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// sendMove tells a client that its connection is over. Only whole lines have been forwarded to a detached client, so
+// sendMove sends MOVE to a client, after which its connection is closed. Only whole lines have been forwarded to a detached client, so
 // MOVE starts a line of its own.
 func sendMove(client int) { _, _ = unix.Write(client, []byte("MOVE\r\n")) }
 
--- a/cmd/lichenhitch/main.go
+++ b/cmd/lichenhitch/main.go
@@ -111,7 +111,7 @@
 	sharedState            handover.State   // as this process has applied it last
 	service                lifecycle.Service
 	stepping               bool               // a call of step is scheduled
-	ready                  bool               // the other processes know that this one accepts clients and has a host list
+	ready                  bool               // it accepts clients and has a host list, and the shared state says so
 	connSender             *connSender        // hands connections over to a successor; nil without one
 	receiver               *handover.Receiver // of connections from an earlier process
 	controlThread          *control.Thread    // nil without a site file, or while an earlier process has the store
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,7 +38,7 @@
 	Settings    balance.Settings
 	RawSettings []byte // the settings as written in the file
 	Keys        Keys   // the keys that the file contains
-	SiteFile    string // path of the site file; "" if the node takes no part in a site's control plane
+	SiteFile    string // path of the site file; "" if the node belongs to no site
 	SharedDir   string // directory of the state shared by the processes of one node
 }
 
--- a/internal/consensus/chunks_test.go
+++ b/internal/consensus/chunks_test.go
@@ -159,7 +159,7 @@
 	assert.Equal(t, 3*chunkBytes-7, n)
 }
 
-// raft restarts a snapshot transfer of which no progress is reported, but not one that progresses.
+// A snapshot transfer of which no progress is reported is restarted, but not one that progresses.
 func TestASnapshotInProgressIsNotRestarted(t *testing.T) {
 	for _, progressing := range []bool{false, true} {
 		forEachSeed(t, 5, func(t *testing.T, seed uint64) {
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -135,7 +135,7 @@
 	confirming        *confirmation
 	catchUpTo         position
 	ticks             int
-	leaderless        map[ReplicaID]int // replicas without a known leader and with a log no newer than this one's, with the tick of their last report
+	leaderless        map[ReplicaID]int // tick of the last report, of replicas that know no leader and whose log is no newer
 	campaignFrom      int               // tick before which it starts no early election
 	reportsSent       uint64            // sequence number of its last report at the end of the last completed half election timeout
 	reportsSentBefore uint64            // the same for the half election timeout before
@@ -147,8 +147,8 @@
 // ElectionTicks is the default for Options.ElectionTicks: how many ticks pass without a leader before an election.
 const ElectionTicks = 10
 
-// keepFraction sets how many log entries are kept behind a snapshot, SnapshotEvery/keepFraction: a replica that lags a
-// little needs no snapshot.
+// keepFraction sets how many log entries are kept behind a snapshot, 1/4 of SnapshotEvery: a replica that lags a little
+// needs no snapshot.
 const keepFraction = 4
 
 // New starts a replica. Without a store and without InitialVoters it belongs to no group yet and accepts what a leader
@@ -240,7 +240,8 @@
 	}
 	s.hardState = &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
 	s.snapshotIndex, s.applied, s.appliedTerm = 1, 1, 1
-	s.initial = &Output{Save: WriteBatch{HardState: proto.CloneOf(s.hardState), Snapshot: snapshot, Replace: true}, MustSync: true, Snapshot: []byte{}}
+	s.initial = &Output{Save: WriteBatch{HardState: proto.CloneOf(s.hardState), Snapshot: snapshot, Replace: true},
+		MustSync: true, Snapshot: []byte{}}
 	return nil
 }
 
--- a/internal/consensus/membership_test.go
+++ b/internal/consensus/membership_test.go
@@ -73,7 +73,7 @@
 			want = append(want, id)
 		}
 		for range 4 {
-			// Two voters more or fewer, or some replaced: if any replica is added, a majority stays.
+			// More or fewer voters, or some replaced: if any replica is added, a majority stays.
 			size := []int{1, 3, 5}[cl.rng.IntN(3)]
 			cl.rng.Shuffle(len(want), func(i, j int) { want[i], want[j] = want[j], want[i] })
 			keep := min(len(want), size)
--- a/internal/consensus/peerrecord.go
+++ b/internal/consensus/peerrecord.go
@@ -8,8 +8,8 @@
 // This file holds what a replica remembers about another one. It relays these records to third replicas, which refuse a
 // stale store on their evidence.
 
-// relayAgainEvery is the interval, in relayed records, at which an unchanged record is relayed again: one may have been
-// lost.
+// relayAgainEvery is the interval, in records chosen by nextRelayed, at which an unchanged record is relayed again: it
+// may have been lost.
 const relayAgainEvery = 16
 
 // PeerRecord is what a replica remembers about another one; peerpb.Remembered is its wire form. The zero value means
--- a/internal/consensus/peertable.go
+++ b/internal/consensus/peertable.go
@@ -44,9 +44,9 @@
 // that the store is current (ConfirmStore).
 //
 // Cases that remain open:
-//   - A vote or acknowledgement that was in flight when the replica stopped, and that is counted by a replica it did not
-//     hear from after the store was restored. With three replicas, all others are asked; with five, it takes a candidate
-//     or leader that none of the replicas asked knows of.
+//   - A vote or acknowledgement that was in flight when the replica stopped, and that is counted later by a replica that
+//     it did not hear from after the store was restored. With three replicas, all others are asked; with five, it takes a
+//     candidate or leader that none of the replicas asked knows of.
 //   - Two stores restored at once in a group of three: the majority has forgotten, and no replica is left that knows.
 //   - Copies of one running store: until the counting replica has heard from the second copy, both are one replica to it.
 //     This is detected, not prevented.
@@ -94,7 +94,7 @@
 	runID       uint64
 	sequence    uint64
 	replicas    map[ReplicaID]*peerState
-	relayTurn   int                         // counts the relayed records
+	relayTurn   int                         // counts the calls of nextRelayed that had a record to choose
 	lastRelayed map[[2]ReplicaID]PeerRecord // the record last relayed, by addressee and third replica
 }
 
--- a/internal/control/bootstrap.go
+++ b/internal/control/bootstrap.go
@@ -139,9 +139,9 @@
 	if h == nil || h.Node == c.Site.Node {
 		return &NoReplicaError{Node: h.GetNode()}
 	}
-	o := &peerReplica{id: consensus.ReplicaIDOf(c.Site.Own.Name+"/"+h.Node, h.Life), incarnation: h.Life, bootstrapped: h.Founded, heardAt: c.ticks,
-		siteVoters: h.Seats, bootstrapIDs: h.Foundings, lastTerm: h.GetClaim().GetLastTerm(), lastIndex: h.GetClaim().GetLast(),
-		committed: h.GetClaim().GetCommit()}
+	o := &peerReplica{id: consensus.ReplicaIDOf(c.Site.Own.Name+"/"+h.Node, h.Life), incarnation: h.Life,
+		bootstrapped: h.Founded, heardAt: c.ticks, siteVoters: h.Seats, bootstrapIDs: h.Foundings,
+		lastTerm: h.GetClaim().GetLastTerm(), lastIndex: h.GetClaim().GetLast(), committed: h.GetClaim().GetCommit()}
 	for _, s := range h.GetClaim().GetSeats() {
 		o.voters = append(o.voters, consensus.ReplicaID(s))
 	}
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -196,8 +196,9 @@
 			c.fail(st.Err)
 		case st.Unconfirmed:
 			c.wasUnconfirmed = true
-			env.Log("the seat waits until other seats have confirmed that its store is not a stale one", "wanted", len(st.Voters)-len(st.Voters)/2,
-				"action", "if other nodes are down, start them: this replica stays inactive until so many have answered")
+			env.Log("the seat waits until other seats have confirmed that its store is not a stale one",
+				"wanted", len(st.Voters)-len(st.Voters)/2, "action",
+				"if other nodes are down, start them: this replica stays inactive until so many have answered")
 		}
 	}
 	return c, nil
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -20,7 +20,8 @@
 
 // Action implements Actioner.
 func (e *NoLeaderError) Action() string {
-	return "call again in some seconds, or call another node; if this persists, check that more than half of the nodes with a seat run and reach each other"
+	return "call again in some seconds, or call another node; if this persists, " +
+		"check that more than half of the nodes with a seat run and reach each other"
 }
 
 // NotLeaderError says that another node leads the site's consensus group.
@@ -94,7 +95,8 @@
 type DeadNodeRiskError struct{ Node string }
 
 func (e *DeadNodeRiskError) Error() string {
-	return fmt.Sprintf("a node that is declared dead but still runs continues to send to hosts that are granted for maintenance; %s may be one", e.Node)
+	return fmt.Sprintf("a node that is declared dead but still runs continues to send to hosts that are granted for maintenance; "+
+		"%s may be one", e.Node)
 }
 
 // Action implements Actioner.
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -95,8 +95,8 @@
 	if q == nil || request.Node == c.Site.Node { // mergeFleet takes this node's own report
 		return 0
 	}
-	p := hostview.Report{Process: hostview.Process{Incarnation: request.Life, OpenCount: q.Boot}, Seq: request.Seq, Version: q.Version, Since: q.Since,
-		AppliedIndex: q.Seen, Stale: q.Stale, Removed: q.Gone, GroupsUnknown: q.GroupsUnknown}
+	p := hostview.Report{Process: hostview.Process{Incarnation: request.Life, OpenCount: q.Boot}, Seq: request.Seq, Version: q.Version,
+		Since: q.Since, AppliedIndex: q.Seen, Stale: q.Stale, Removed: q.Gone, GroupsUnknown: q.GroupsUnknown}
 	for _, h := range q.Hosts {
 		p.Hosts = append(p.Hosts, hostview.Host{ID: h.Id, Zone: h.Zone, Kind: h.Kind, Start: time.Duration(h.StartUs) * time.Microsecond,
 			Draining: h.Draining, Warm: h.Warm, Failing: h.Failing, Value: float64(h.Worth), Groups: h.Groups})
@@ -127,8 +127,8 @@
 		p.Process, p.Seq = hostview.Process{Incarnation: c.leaseHolder.Saved().Incarnation, OpenCount: c.OpenCount}, state.ownReports
 		state.reporter.Acknowledge(state.aggregator.Record(now, c.Site.Node, p))
 	}
-	params := hostview.MergeParams{MaxAge: reportMaxAgeLeases * c.Site.SendLease.Duration, LeaderWait: c.Site.SendLease.Duration, Previous: c.schedule.Hosts(),
-		Returning: map[string]uint64{}}
+	params := hostview.MergeParams{MaxAge: reportMaxAgeLeases * c.Site.SendLease.Duration, LeaderWait: c.Site.SendLease.Duration,
+		Previous: c.schedule.Hosts(), Returning: map[string]uint64{}}
 	for _, node := range c.schedule.Members() {
 		if !c.schedule.Dead(node) {
 			params.Members = append(params.Members, node)
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -171,8 +171,8 @@
 	return newerLineage
 }
 
-// checkLineage returns an error if what a replica reports must not be used: it has a log, and that is of another
-// group.
+// checkLineage returns an error if what a replica reports must not be used: both replicas have a log, and the other one's
+// is of another group. If that group has replaced this one, this replica is refused for good.
 func (c *Core) checkLineage(h *peerpb.Hello) error {
 	own, theirs := c.replica != nil && c.hasLog(), h.Founded && h.Claim.GetLast() > 0
 	if !own || !theirs {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -55,7 +55,7 @@
 	return roleFollower
 }
 
-// reachability is which replicas respond to this one's calls. A replica whose own calls arrive may still be
+// reachability records which replicas respond to this one's calls. A replica whose own calls arrive may still be
 // unreachable: then it does not receive the log.
 type reachability struct {
 	lastReply map[string]uint64 // tick of the last reply, by node
--- a/internal/control/thread.go
+++ b/internal/control/thread.go
@@ -90,7 +90,8 @@
 	}
 	identity := t.store.Identity()
 	t.core, err = New(loop.Now(), Options{Site: s, StoreIncarnation: identity.ReplicaIncarnation, OpenCount: identity.OpenCount,
-		RunID: identity.RunID, StoreVerified: identity.Verified, StoredState: stored, SavedLease: saved, KeptPolicies: kept, CheckPolicy: traffic.Check, LeaseWait: wait}, t)
+		RunID: identity.RunID, StoreVerified: identity.Verified, StoredState: stored, SavedLease: saved, KeptPolicies: kept,
+		CheckPolicy: traffic.Check, LeaseWait: wait}, t)
 	if err != nil {
 		t.store.Close()
 		return nil, err
--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -142,13 +142,14 @@
 			err = effect.Err
 		case sitesync.EffectReceipt:
 			if receipt := effect.Receipt; c.leading && receipt.Outcome != sitesync.Applied {
-				c.env.Log("a write of this site had another outcome than applied", "write", receipt.ID.String(), "outcome", receipt.Outcome.String(),
-					"why", receipt.Why, "by", receipt.Site)
+				c.env.Log("a write of this site had another outcome than applied", "write", receipt.ID.String(),
+					"outcome", receipt.Outcome.String(), "why", receipt.Why, "by", receipt.Site)
 			}
 		case sitesync.EffectIncarnationEnded:
 			c.env.Log("a site has lost its store; writes that it had not sent are lost", "last known write", effect.ID.String())
 		case sitesync.EffectStaleStore:
-			c.env.Log("this site's writes are older than what it told before: its store was restored from an old copy", "known above", effect.ID.String())
+			c.env.Log("this site's writes are older than what it told before: its store was restored from an old copy",
+				"known above", effect.ID.String())
 		}
 	}
 	return effects, err
@@ -197,7 +198,8 @@
 // ensureScheduler returns the leader's credit scheduler, which it creates if needed.
 func (c *Core) ensureScheduler() *sitesync.CreditScheduler {
 	if c.creditScheduler == nil {
-		c.creditScheduler, c.knownCallers, c.pendingBatches = sitesync.NewCreditScheduler(creditBudget), map[sitesync.SiteIncarnation]bool{}, map[string]int{}
+		c.creditScheduler, c.knownCallers, c.pendingBatches = sitesync.NewCreditScheduler(creditBudget),
+			map[sitesync.SiteIncarnation]bool{}, map[string]int{}
 	}
 	return c.creditScheduler
 }
@@ -226,7 +228,7 @@
 		return
 	}
 	if c.ensureScheduler().Admit(batch) != nil {
-		batch.Writes = nil // another leader granted its credit: it gets an answer, and sends them again
+		batch.Writes = nil // another leader granted the credit: the site gets an answer, and sends the writes again
 	}
 	if batch.Probe {
 		answer := c.siteSync.Answer(batch, 0, 0)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -67,43 +67,43 @@
 // eachChunk calls take with each chunk of a body and returns the encoded size of the body with its trailers, or 0 while it
 // is incomplete.
 func eachChunk(data []byte, take func([]byte)) (int, error) {
-	at, total := 0, 0
+	pos, total := 0, 0
 	for {
-		end := bytes.Index(data[at:], []byte("\r\n"))
+		end := bytes.Index(data[pos:], []byte("\r\n"))
 		if end < 0 {
 			return 0, nil
 		}
-		digits, _, _ := bytes.Cut(data[at:at+end], []byte(";"))
+		digits, _, _ := bytes.Cut(data[pos:pos+end], []byte(";"))
 		size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
 		if err != nil {
 			return 0, ErrChunk
 		}
-		at += end + 2
+		pos += end + 2
 		if total += int(size); total > bodyMax {
 			return 0, ErrBodyTooLong
 		}
 		if size == 0 {
-			return trailersEnd(data, at), nil
+			return trailersEnd(data, pos), nil
 		}
-		if len(data) < at+int(size)+2 {
+		if len(data) < pos+int(size)+2 {
 			return 0, nil
 		}
-		take(data[at : at+int(size)])
-		if at += int(size); !bytes.HasPrefix(data[at:], []byte("\r\n")) {
+		take(data[pos : pos+int(size)])
+		if pos += int(size); !bytes.HasPrefix(data[pos:], []byte("\r\n")) {
 			return 0, ErrChunk
 		}
-		at += 2
+		pos += 2
 	}
 }
 
-// trailersEnd returns the end of the trailers that begin at index at, or 0 while they are incomplete. An empty line ends
+// trailersEnd returns the end of the trailers that begin at index pos, or 0 while they are incomplete. An empty line ends
 // them.
-func trailersEnd(data []byte, at int) int {
-	if bytes.HasPrefix(data[at:], []byte("\r\n")) {
-		return at + 2
+func trailersEnd(data []byte, pos int) int {
+	if bytes.HasPrefix(data[pos:], []byte("\r\n")) {
+		return pos + 2
 	}
-	if end := bytes.Index(data[at:], []byte("\r\n\r\n")); end >= 0 {
-		return at + end + 4
+	if end := bytes.Index(data[pos:], []byte("\r\n\r\n")); end >= 0 {
+		return pos + end + 4
 	}
 	return 0
 }
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -86,7 +86,7 @@
 		return Open{}, fmt.Errorf("%w: an id, a key and a list are wanted", ErrMalformed)
 	}
 	o := Open{ID: string(id), Key: string(key), text: bytes.Clone(text)}
-	at := len(text) - len(list)
+	offset := len(text) - len(list)
 	for len(list) > 0 {
 		pair, rest, _ := bytes.Cut(list, []byte(","))
 		name, value, ok := bytes.Cut(pair, []byte("="))
@@ -97,9 +97,9 @@
 			return Open{}, err
 		}
 		if string(name) == "d" {
-			o.waitStart, o.waitEnd = at+len(name)+1, at+len(pair)
+			o.waitStart, o.waitEnd = offset+len(name)+1, offset+len(pair)
 		}
-		at += len(pair) + 1
+		offset += len(pair) + 1
 		list = rest
 	}
 	if o.Class == "" {
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -155,7 +155,7 @@
 }
 
 // post has the node execute a call and answers when it has taken effect.
-func (c *caller) post(call http1.Request, do func(done func(error))) {
+func (c *caller) post(call http1.Request, execute func(done func(error))) {
 	if !c.requireMethod(call, "POST") {
 		return
 	}
@@ -163,7 +163,7 @@
 	c.conn.SetEvictable(false)
 	c.timer.Stop()
 	c.timer = c.api.loop.After(answerTimeout, func() { c.done(call, errTimeout) })
-	do(func(err error) { c.done(call, err) })
+	execute(func(err error) { c.done(call, err) })
 }
 
 func (c *caller) done(call http1.Request, err error) {
--- a/internal/peer/lane.go
+++ b/internal/peer/lane.go
@@ -41,7 +41,8 @@
 		return
 	case len(l.queue) < capacity:
 	case dropOldest:
-		go l.remove(0).fail(&Error{Kind: Dropped, Message: fmt.Sprintf("dropped from the full queue: %d newer calls are queued", capacity), Remedy: remedyCheckNode})
+		go l.remove(0).fail(&Error{Kind: Dropped, Message: fmt.Sprintf("dropped from the full queue: %d newer calls are queued", capacity),
+			Remedy: remedyCheckNode})
 	default:
 		go w.fail(&Error{Kind: Busy, Message: fmt.Sprintf("%d calls are queued already", capacity), Remedy: remedyCheckNode})
 		return
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -75,10 +75,10 @@
 	}
 }
 
-// Replay is answered, except for the site "nobody".
+// Replay is answered, except for the site "unanswered".
 func (n *scripted) Replay(q *peerpb.ReplayRequest, done func(*peerpb.ReplayReply, error)) {
 	n.asked <- "replay " + q.Site
-	if q.Site != "nobody" {
+	if q.Site != "unanswered" {
 		done(&peerpb.ReplayReply{}, nil)
 	}
 }
@@ -585,7 +585,7 @@
 	require.NoError(t, (<-answer).err, "a replay must skip the backoff")
 	<-n.asked
 	began := time.Now()
-	c.ReplayWithTimeout(30*time.Millisecond, &peerpb.ReplayRequest{Site: "nobody"}, done)
+	c.ReplayWithTimeout(30*time.Millisecond, &peerpb.ReplayRequest{Site: "unanswered"}, done)
 	assert.Equal(t, TimedOut, kindOf(t, (<-answer).err))
 	assert.Less(t, time.Since(began), 30*time.Second)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -66,7 +66,8 @@
 func (l Limits) orDefaults() Limits {
 	return Limits{
 		MaxConns: cmp.Or(l.MaxConns, ServerConns), MaxCalls: cmp.Or(l.MaxCalls, 32), MaxBody: cmp.Or(l.MaxBody, 1<<20),
-		CallTimeout: cmp.Or(l.CallTimeout, 5*time.Second), HeaderTimeout: cmp.Or(l.HeaderTimeout, 2*time.Second), IdleTimeout: cmp.Or(l.IdleTimeout, time.Minute),
+		CallTimeout: cmp.Or(l.CallTimeout, 5*time.Second), HeaderTimeout: cmp.Or(l.HeaderTimeout, 2*time.Second),
+		IdleTimeout: cmp.Or(l.IdleTimeout, time.Minute),
 	}
 }
 
@@ -110,7 +111,8 @@
 	s.register(mux, peerpbconnect.CouncilName, councilHandler)
 	s.register(mux, peerpbconnect.DeskName, deskHandler)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		refuse(w, r, &Error{Kind: Unknown, Message: "no such path", Remedy: "POST to a path such as /lichenhitch.peer.Desk/Ask or /lichenhitch.peer.Desk/Turns"})
+		refuse(w, r, &Error{Kind: Unknown, Message: "no such path",
+			Remedy: "POST to a path such as /lichenhitch.peer.Desk/Ask or /lichenhitch.peer.Desk/Turns"})
 	})
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -162,7 +164,8 @@
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		default:
-			refuse(w, r, &Error{Kind: Busy, Message: fmt.Sprintf("%d calls are pending already", s.limits.MaxCalls), Remedy: "call again shortly, or " + remedyOtherNode})
+			refuse(w, r, &Error{Kind: Busy, Message: fmt.Sprintf("%d calls are pending already", s.limits.MaxCalls),
+				Remedy: "call again shortly, or " + remedyOtherNode})
 			return
 		}
 		kind, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type"))
@@ -260,7 +263,8 @@
 // callHandler hands the requests decoded by connect to the Node.
 type callHandler struct{ *Server }
 
-func dispatch[Q, A any](ctx context.Context, s *Server, name string, req *connect.Request[Q], do func(*Q, func(*A, error))) (*connect.Response[A], error) {
+func dispatch[Q, A any](ctx context.Context, s *Server, name string, req *connect.Request[Q],
+	call func(*Q, func(*A, error))) (*connect.Response[A], error) {
 	type answer struct {
 		reply *A
 		err   error
@@ -268,7 +272,7 @@
 	result := make(chan answer, 1)
 	timer := time.NewTimer(s.limits.CallTimeout)
 	defer timer.Stop()
-	do(req.Msg, func(reply *A, err error) {
+	call(req.Msg, func(reply *A, err error) {
 		select {
 		case result <- answer{reply, err}:
 		default: // done was called twice
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -55,7 +55,7 @@
 }
 
 // Each required key is removed, and set out of range, in the settings of both deployments. The fault: missing keys had defaults
-// that suited one deployment; the drain grace was two seconds, and a host without settings was never treated as cold.
+// that suited one deployment: the drain grace was two seconds, and without the keys for cold hosts no host was ever cold.
 func TestMissingAndOutOfRangeKeysAreNamed(t *testing.T) {
 	assertNamed := func(raw []byte, key string, missing bool) {
 		t.Helper()
--- a/internal/site/check.go
+++ b/internal/site/check.go
@@ -86,8 +86,8 @@
 		c.report(path, "missing", "give it a name")
 	case !c.checkNameChars(path, name):
 	case duplicate:
-		at := c.source.fault(first, "", "")
-		c.report(path, fmt.Sprintf("%s is in use already, at %d:%d", quote(name), at.Line, at.Column),
+		position := c.source.fault(first, "", "")
+		c.report(path, fmt.Sprintf("%s is in use already, at %d:%d", quote(name), position.Line, position.Column),
 			"give each a unique name, or remove one of the two")
 	default:
 		seen[name] = path
@@ -118,10 +118,10 @@
 		}
 		g := Definition{Name: s.GetName(), Level: int(s.GetLevel()) - 1, Parent: s.GetParent(), Zones: map[string]string{}}
 		for j, n := range s.GetNodes() {
-			at := fmt.Sprintf("%s.nodes[%d]", path, j)
-			c.checkName(at+".name", n.GetName(), nodes)
+			nodePath := fmt.Sprintf("%s.nodes[%d]", path, j)
+			c.checkName(nodePath+".name", n.GetName(), nodes)
 			g.Nodes = append(g.Nodes, n.GetName())
-			if zone := n.GetZone(); zone != "" && c.checkNameChars(at+".zone", zone) {
+			if zone := n.GetZone(); zone != "" && c.checkNameChars(nodePath+".zone", zone) {
 				g.Zones[n.GetName()] = zone
 			}
 			if n.GetSeat() {
@@ -225,15 +225,18 @@
 			continue
 		}
 		if a.Addr().IsUnspecified() {
-			c.report(path+".address", quote(p.GetAddress())+" is an unspecified address, which cannot be dialled", "give the address at which this node reaches the peer")
+			c.report(path+".address", quote(p.GetAddress())+" is an unspecified address, which cannot be dialled",
+				"give the address at which this node reaches the peer")
 		}
 		switch {
 		case p.GetNode() == c.node:
 			continue
 		case listenValid && a == listen:
-			c.report(path+".address", quote(p.GetAddress())+" is the listen address of this node", "give the peer's own address, or correct listen")
+			c.report(path+".address", quote(p.GetAddress())+" is the listen address of this node",
+				"give the peer's own address, or correct listen")
 		case usedBy[a] != "":
-			c.report(path+".address", quote(p.GetAddress())+" is the address of "+quote(usedBy[a])+" as well", "give each peer its own")
+			c.report(path+".address", quote(p.GetAddress())+" is the address of "+quote(usedBy[a])+" as well",
+				"give each peer its own")
 		default:
 			usedBy[a] = p.GetNode()
 		}
@@ -271,7 +274,8 @@
 	case c.checkDisk:
 		var fs unix.Statfs_t
 		if err := unix.Statfs(filepath.Dir(s.Witness), &fs); err != nil {
-			c.report("witness", fmt.Sprintf("its directory %s: %v", filepath.Dir(s.Witness), err), "create the directory at each boot of the machine"+orOmit)
+			c.report("witness", fmt.Sprintf("its directory %s: %v", filepath.Dir(s.Witness), err),
+				"create the directory at each boot of the machine"+orOmit)
 		} else if fs.Type != unix.TMPFS_MAGIC {
 			c.report("witness", quote(s.Witness)+" is not on an in-memory file system (tmpfs): a restored copy of the disk would contain it too",
 				"name a file under /run or /dev/shm"+orOmit)
@@ -319,7 +323,7 @@
 	return int(value)
 }
 
-// inclusive tells which bounds of a range belong to it.
+// inclusive says which bounds of a range belong to it.
 type inclusive struct{ lower, upper bool }
 
 // fractionOption returns an option that is a fraction, or its default if it is not set.
--- a/internal/site/faults.go
+++ b/internal/site/faults.go
@@ -135,7 +135,8 @@
 		parts = append(parts, "with longer rights or more drift, change all seats before any other node; with shorter ones, change all seats last")
 	}
 	if len(e.VoterChanges) > 0 {
-		parts = append(parts, "change the seats in parts ("+e.voterChangeList()+"): first load a file in which more than half of the present seats remain, and the next one once Turns lists its seats")
+		parts = append(parts, "change the seats in parts ("+e.voterChangeList()+"): first load a file in which more than half of the present "+
+			"seats remain, and the next one once Turns lists its seats")
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -109,7 +109,8 @@
 			e.Restart = append(e.Restart, f.name)
 		}
 	}
-	if changes := PlanVoterChanges(s.Voters, next.Voters); s.Own.Name == next.Own.Name && slices.ContainsFunc(changes, func(t VoterChange) bool { return t.Add }) {
+	if changes := PlanVoterChanges(s.Voters, next.Voters); s.Own.Name == next.Own.Name &&
+		slices.ContainsFunc(changes, func(t VoterChange) bool { return t.Add }) {
 		// If all voters of the file are new, they bootstrap a new consensus group. They do not as long as one of the remaining
 		// voters has its store. So more than half of the present voters must remain.
 		staying := 0
--- a/internal/site/text.go
+++ b/internal/site/text.go
@@ -80,19 +80,19 @@
 
 // fault returns a fault at the position of a field or, if the field is missing, of the message that should contain it.
 func (t *scanner) fault(path, message, remedy string) *Fault {
-	at, ok := 0, false
+	offset, ok := 0, false
 	for p := path; !ok && p != ""; {
-		if at, ok = t.offsets[p]; !ok {
+		if offset, ok = t.offsets[p]; !ok {
 			p = p[:max(strings.LastIndexByte(p, '.'), 0)]
 		}
 	}
-	f := t.faultAt(at, message, remedy)
+	f := t.faultAt(offset, message, remedy)
 	f.Field = path
 	return f
 }
 
-func (t *scanner) faultAt(at int, message, remedy string) *Fault {
-	before := t.raw[:at]
+func (t *scanner) faultAt(offset int, message, remedy string) *Fault {
+	before := t.raw[:offset]
 	line := bytes.Count(before, []byte("\n")) + 1
 	column := utf8.RuneCount(before[bytes.LastIndexByte(before, '\n')+1:]) + 1
 	return &Fault{Line: line, Column: column, Message: message, Remedy: remedy}
@@ -226,7 +226,7 @@
 }
 
 func (t *scanner) parseField(depth int) ([]*field, error) {
-	at := t.pos
+	offset := t.pos
 	name := t.readWord()
 	if name == "" && t.skipSpace() == '[' { // the name of an extension; a site file has none
 		if n := bytes.IndexByte(t.raw[t.pos:], ']'); n > 0 {
@@ -241,7 +241,7 @@
 		t.pos++
 	}
 	if t.skipSpace() != '[' {
-		f, err := t.parseValue(name, at, depth)
+		f, err := t.parseValue(name, offset, depth)
 		return []*field{f}, err
 	}
 	var list []*field
@@ -261,8 +261,8 @@
 	}
 }
 
-func (t *scanner) parseValue(name string, at, depth int) (*field, error) {
-	f := &field{name: name, offset: at}
+func (t *scanner) parseValue(name string, offset, depth int) (*field, error) {
+	f := &field{name: name, offset: offset}
 	var err error
 	switch c := t.skipSpace(); c {
 	case '{', '<':
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -211,7 +211,7 @@
 		"mark": decodeMark, "commit": decodeCommit, "start": decodeStart, "power_off": decodeStop,
 		"targets": decodeServerList, "arrival": decodeArrival, "open": decodeInherited, "established": decodeEstablished,
 		"progress": decodeProgress, "completed": decodeEnded, "lapsed": decodeDeparted,
-		"tick_due": decodeWoken, "pong": decodeProbed, "datagram": decodePeerMessage,
+		"tick_due": decodeTimerFired, "pong": decodeProbed, "datagram": decodePeerMessage,
 	}
 }
 
@@ -321,8 +321,8 @@
 
 // The values of the field "what" of a progress message.
 const (
-	noteLoadChanged  = 1
-	noteMessagesSlow = 2
+	noteLoadChanged    = 1
+	noteMessageLatency = 2
 )
 
 func decodeProgress(f *fields, m *Message) error {
@@ -332,7 +332,7 @@
 	switch id := balance.RequestID(*f.Request); *f.Note {
 	case noteLoadChanged:
 		m.Event = balance.LoadChanged{Request: id, Load: *f.Amount}
-	case noteMessagesSlow:
+	case noteMessageLatency:
 		m.Event = balance.MessageLatency{Request: id, Took: time.Duration(*f.Amount * float64(time.Millisecond))}
 	default:
 		return fmt.Errorf("unknown note %d", *f.Note)
@@ -369,7 +369,7 @@
 	return nil
 }
 
-func decodeWoken(f *fields, m *Message) error {
+func decodeTimerFired(f *fields, m *Message) error {
 	if f.Token == nil {
 		return missing("label")
 	}
