--- a/internal/control/bootstrap.go
+++ b/internal/control/bootstrap.go
@@ -67,18 +67,18 @@
 	}
 	ids, allUnbootstrapped, hasOtherGroup := []consensus.ReplicaID{c.replicaID}, true, false
 	for _, name := range c.Site.Voters {
-		o := c.peers[name]
+		other := c.peers[name]
 		switch {
 		case name == c.Site.Node:
-		case o == nil:
+		case other == nil:
 			allUnbootstrapped = false
-		case o.bootstrapped && slices.Contains(o.voters, c.replicaID):
-			c.startNewGroup(o.voters)
+		case other.bootstrapped && slices.Contains(other.voters, c.replicaID):
+			c.startNewGroup(other.voters)
 			return
-		case o.bootstrapped:
-			allUnbootstrapped, hasOtherGroup = false, hasOtherGroup || len(o.voters) > 0
+		case other.bootstrapped:
+			allUnbootstrapped, hasOtherGroup = false, hasOtherGroup || len(other.voters) > 0
 		default:
-			ids = append(ids, o.id)
+			ids = append(ids, other.id)
 		}
 	}
 	if hasOtherGroup { // it accepts a leader's messages once it is added
@@ -139,26 +139,26 @@
 	if h == nil || h.Node == c.Site.Node {
 		return &NoReplicaError{Node: h.GetNode()}
 	}
-	o := &peerReplica{id: consensus.ReplicaIDOf(c.Site.Own.Name+"/"+h.Node, h.Life), incarnation: h.Life,
+	other := &peerReplica{id: consensus.ReplicaIDOf(c.Site.Own.Name+"/"+h.Node, h.Life), incarnation: h.Life,
 		bootstrapped: h.Founded, heardAt: c.ticks, siteVoters: h.Seats, bootstrapIDs: h.Foundings,
 		lastTerm: h.GetClaim().GetLastTerm(), lastIndex: h.GetClaim().GetLast(), committed: h.GetClaim().GetCommit()}
 	for _, s := range h.GetClaim().GetSeats() {
-		o.voters = append(o.voters, consensus.ReplicaID(s))
+		other.voters = append(other.voters, consensus.ReplicaID(s))
 	}
-	if !slices.Contains(c.contacts, h.Node) && !c.isUnlistedReplica(h.Node, o) {
+	if !slices.Contains(c.contacts, h.Node) && !c.isUnlistedReplica(h.Node, other) {
 		return &NoReplicaError{Node: h.Node}
 	}
 	if err := c.checkLineage(h); err != nil {
 		return err
 	}
 	if claim := h.Claim; h.Founded && claim != nil {
-		if o.id != consensus.ReplicaID(claim.Seat) {
+		if other.id != consensus.ReplicaID(claim.Seat) {
 			return &NoReplicaError{Node: h.Node}
 		}
-		report := consensus.SelfReport{Replica: o.id, OpenCount: claim.Boot, RunID: claim.Run, Sequence: claim.Sent,
+		report := consensus.SelfReport{Replica: other.id, OpenCount: claim.Boot, RunID: claim.Run, Sequence: claim.Sent,
 			Echo: claim.Echo, EchoRunID: claim.EchoRun,
 			Term: claim.Term, Vote: consensus.ReplicaID(claim.Vote), LastTerm: claim.LastTerm, LastIndex: claim.Last, Commit: claim.Commit,
-			Leader: consensus.ReplicaID(claim.Leader), Unconfirmed: claim.Waiting, Voters: o.voters}
+			Leader: consensus.ReplicaID(claim.Leader), Unconfirmed: claim.Waiting, Voters: other.voters}
 		if relayed := claim.Of; relayed != nil {
 			report.Relayed = consensus.PeerRecord{Replica: consensus.ReplicaID(relayed.Seat), OpenCount: relayed.Boot,
 				RunID: relayed.Run, Term: relayed.Term,
@@ -171,7 +171,7 @@
 			c.noteReportedRemoval(report)
 		}
 	}
-	c.peers[h.Node] = o
+	c.peers[h.Node] = other
 	c.updateContacts()
 	c.bootstrap()
 	return nil
@@ -198,17 +198,17 @@
 // one nevertheless. Either this replica's group counts it; or this store is still empty, and a leader that is being
 // removed may be the one to replicate the log to it; or it was added since (addedSince), and may be the only one that
 // this replica can learn that from.
-func (c *Core) isUnlistedReplica(node string, o *peerReplica) bool {
-	if !o.bootstrapped || !slices.Contains(c.Site.Members, node) {
+func (c *Core) isUnlistedReplica(node string, other *peerReplica) bool {
+	if !other.bootstrapped || !slices.Contains(c.Site.Members, node) {
 		return false
 	}
-	return c.replica == nil || !c.hasLog() || slices.Contains(c.replica.Status().Voters, o.id) || c.addedSince(o)
+	return c.replica == nil || !c.hasLog() || slices.Contains(c.replica.Status().Voters, other.id) || c.addedSince(other)
 }
 
 // addedSince reports whether another replica reports a group in which both vote, with a higher commit index than this
 // replica's.
-func (c *Core) addedSince(o *peerReplica) bool {
-	return o.committed > c.replica.Status().Committed && slices.Contains(o.voters, o.id) && slices.Contains(o.voters, c.replicaID)
+func (c *Core) addedSince(other *peerReplica) bool {
+	return other.committed > c.replica.Status().Committed && slices.Contains(other.voters, other.id) && slices.Contains(other.voters, c.replicaID)
 }
 
 // sendHellos sends a hello to all other replicas while some of them are unknown, this replica is unconfirmed, or no
@@ -246,7 +246,7 @@
 		return c.Site.Node
 	}
 	for _, name := range c.contacts {
-		if o := c.peers[name]; o != nil && o.id == id {
+		if other := c.peers[name]; other != nil && other.id == id {
 			return name
 		}
 	}
@@ -266,7 +266,7 @@
 			batch, remaining = nil, consensus.MaxCallBytes
 		}
 		for _, m := range messages {
-			if o := c.peers[name]; o == nil || o.id != m.To {
+			if other := c.peers[name]; other == nil || other.id != m.To {
 				continue
 			}
 			if len(m.Raw) > consensus.MaxCallBytes {
@@ -308,8 +308,8 @@
 	if lost > 0 {
 		c.env.Log("a long message did not reach another replica, and is created again", "seat", name, "bytes", lost,
 			"action", "if this is logged repeatedly, check the link to it: it must carry 256 KiB per second")
-		if o := c.peers[name]; o != nil && c.replica != nil {
-			c.replica.Unreachable(o.id)
+		if other := c.peers[name]; other != nil && c.replica != nil {
+			c.replica.Unreachable(other.id)
 		}
 	}
 	if chunk != nil {
@@ -337,10 +337,10 @@
 // handleChunkAck continues a message in chunks after another replica's reply.
 func (c *Core) handleChunkAck(now time.Duration, r *peerpb.RaftReply) {
 	name := r.GetHello().GetNode()
-	o := c.peers[name]
-	if ack := r.Has; ack != nil && o != nil && c.replica != nil {
+	other := c.peers[name]
+	if ack := r.Has; ack != nil && other != nil && c.replica != nil {
 		if c.chunksFor(name).sender.Ack(consensus.ChunkAck{RunID: ack.Run, MessageID: ack.Of, Received: ack.Number}) {
-			c.replica.SnapshotProgress(o.id)
+			c.replica.SnapshotProgress(other.id)
 		}
 		c.sendChunk(now, name)
 	}
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -144,7 +144,7 @@
 	for i := range f.Hosts {
 		f.Hosts[i].Banned = c.isBanned(f.Hosts[i].ID)
 	}
-	isUnsure := func(host string) bool { _, is := slices.BinarySearch(f.Unsure, host); return is }
+	isUnsure := func(host string) bool { _, found := slices.BinarySearch(f.Unsure, host); return found }
 	changed := !slices.EqualFunc(f.Hosts, slices.DeleteFunc(params.Previous, func(h turns.Host) bool { return h.Gone }),
 		func(a, b turns.Host) bool { return equalHosts(a, b, isUnsure(a.ID)) })
 	for _, h := range f.Hosts {
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -89,8 +89,8 @@
 // updateContacts recomputes the contacts.
 func (c *Core) updateContacts() {
 	c.contacts = slices.Concat(c.Site.Voters, slices.Collect(maps.Values(c.membership.Names)))
-	for name, o := range c.peers {
-		if c.isUnlistedReplica(name, o) {
+	for name, other := range c.peers {
+		if c.isUnlistedReplica(name, other) {
 			c.contacts = append(c.contacts, name)
 		}
 	}
@@ -125,8 +125,8 @@
 	if id == c.replicaID {
 		return true
 	}
-	o := c.peers[c.nodeOf(id)]
-	return o != nil && o.id == id && c.ticks-o.heardAt < reportTTLTicks
+	other := c.peers[c.nodeOf(id)]
+	return other != nil && other.id == id && c.ticks-other.heardAt < reportTTLTicks
 }
 
 // Voters returns the nodes of the group's voters, as far as this replica knows, sorted.
@@ -364,8 +364,8 @@
 
 // hasNewStore reports whether the node of a replica has another store by now.
 func (c *Core) hasNewStore(id consensus.ReplicaID) bool {
-	o := c.peers[c.replicaName(id)]
-	return o != nil && o.id != id
+	other := c.peers[c.replicaName(id)]
+	return other != nil && other.id != id
 }
 
 // planVoterChange returns the replica to add next and all to remove, the local one last; or why none can be added.
@@ -406,17 +406,17 @@
 		}
 	}
 	for _, name := range missing {
-		o := c.peers[name]
+		other := c.peers[name]
 		var err Actioner
 		switch {
-		case o == nil || c.ticks-o.heardAt >= reportTTLTicks:
+		case other == nil || c.ticks-other.heardAt >= reportTTLTicks:
 			err = &NoAnswerError{Node: name}
-		case !o.bootstrapped || !slices.Equal(o.siteVoters, c.Site.Voters):
+		case !other.bootstrapped || !slices.Equal(other.siteVoters, c.Site.Voters):
 			err = &SiteFileMismatchError{Node: name}
-		case o.lastIndex > 0 && compareLineage(c.membership.BootstrapIDs, o.bootstrapIDs) != sameLineage:
+		case other.lastIndex > 0 && compareLineage(c.membership.BootstrapIDs, other.bootstrapIDs) != sameLineage:
 			err = &ForeignGroupError{Node: name, Site: c.Site.Own.Name}
 		default:
-			return o.id, remove, "", ""
+			return other.id, remove, "", ""
 		}
 		why, action = err.Error(), err.Action()
 	}
@@ -455,8 +455,8 @@
 // known.
 func (c *Core) differingSiteFiles(st consensus.Status) (names []string) {
 	for _, id := range st.Voters {
-		o := c.peers[c.nodeOf(id)]
-		if id != c.replicaID && (!c.heardRecently(id) || !slices.Equal(o.siteVoters, c.Site.Voters)) {
+		other := c.peers[c.nodeOf(id)]
+		if id != c.replicaID && (!c.heardRecently(id) || !slices.Equal(other.siteVoters, c.Site.Voters)) {
 			names = append(names, c.replicaName(id))
 		}
 	}
@@ -636,7 +636,7 @@
 		if name == "" {
 			name = fmt.Sprintf("%016x", uint64(id))
 		}
-		o := c.peers[c.nodeOf(id)]
+		other := c.peers[c.nodeOf(id)]
 		switch {
 		case id == c.replicaID:
 		case slices.Contains(q.Lost, name) && c.heardRecently(id):
@@ -645,7 +645,7 @@
 			lost = append(lost, name)
 		case !c.heardRecently(id):
 			unresponsive = append(unresponsive, name)
-		case o.lastTerm > ownReport.LastTerm || o.lastTerm == ownReport.LastTerm && o.lastIndex > ownReport.LastIndex:
+		case other.lastTerm > ownReport.LastTerm || other.lastTerm == ownReport.LastTerm && other.lastIndex > ownReport.LastIndex:
 			return &LongerLogError{Node: name}
 		}
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -91,7 +91,7 @@
 		}
 		c.reachability.logged[name] = true
 		reports := "no"
-		if o := c.peers[name]; o != nil && c.ticks-o.heardAt < reportTTLTicks {
+		if other := c.peers[name]; other != nil && c.ticks-other.heardAt < reportTTLTicks {
 			reports = "yes"
 		}
 		c.env.Log("a seat does not answer its leader's calls", "seat", name, "its own calls come", reports,
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -176,7 +176,7 @@
 	var out balance.Report
 	for pair := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, _ := bytes.Cut(pair, []byte("="))
-		to, has := metricField(&out, string(name))
+		to, metric := metricField(&out, string(name))
 		if to == nil {
 			continue
 		}
@@ -185,7 +185,7 @@
 			return balance.Report{}
 		}
 		*to = v
-		out.Known |= has
+		out.Known |= metric
 	}
 	return out
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -102,10 +102,10 @@
 
 func (r report) balance() balance.Report {
 	var out balance.Report
-	set := func(to *float64, from *float64, has balance.Metric) {
+	set := func(to *float64, from *float64, metric balance.Metric) {
 		if from != nil {
 			*to = *from
-			out.Known |= has
+			out.Known |= metric
 		}
 	}
 	set(&out.Ratio, r.X0, balance.HasRatio)
