--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -52,7 +52,7 @@
 	Why          string                         `json:"why,omitempty"`
 }
 
-// membershipState is what a node knows of its group's replicas, besides its own replica and Core.others.
+// membershipState is what a node knows of its group's replicas, besides its own replica and Core.peers.
 type membershipState struct {
 	unappliedNames   map[consensus.ReplicaID]string // names of replicas in stored entries that are not applied yet
 	membership       membership
@@ -89,8 +89,8 @@
 // updateContacts recomputes the contacts.
 func (c *Core) updateContacts() {
 	c.contacts = slices.Concat(c.Site.Voters, slices.Collect(maps.Values(c.membership.Names)))
-	for name, o := range c.peers {
-		if c.isUnlistedReplica(name, o) {
+	for name, other := range c.peers {
+		if c.isUnlistedReplica(name, other) {
 			c.contacts = append(c.contacts, name)
 		}
 	}
@@ -125,8 +125,8 @@
 	if id == c.replicaID {
 		return true
 	}
-	o := c.peers[c.nodeOf(id)]
-	return o != nil && o.id == id && c.ticks-o.heardAt < reportTTLTicks
+	other := c.peers[c.nodeOf(id)]
+	return other != nil && other.id == id && c.ticks-other.heardAt < reportTTLTicks
 }
 
 // Voters returns the nodes of the group's voters, as far as this replica knows, sorted.
@@ -145,7 +145,7 @@
 	return names
 }
 
-// ---- Telling groups apart ----
+// ---- Relations between groups ----
 
 // lineage is the relation of one group's bootstrap IDs to another's.
 type lineage uint8
@@ -171,8 +171,8 @@
 	return newerLineage
 }
 
-// checkLineage returns an error if what a replica reports must not be used: it has a log, and that is of another
-// group.
+// checkLineage returns an error if what a replica reports must not be used: both replicas have a log, and the other one's
+// is of another group. If that group has replaced this one, this replica is refused for good.
 func (c *Core) checkLineage(h *peerpb.Hello) error {
 	own, theirs := c.replica != nil && c.hasLog(), h.Founded && h.Claim.GetLast() > 0
 	if !own || !theirs {
@@ -364,8 +364,8 @@
 
 // hasNewStore reports whether the node of a replica has another store by now.
 func (c *Core) hasNewStore(id consensus.ReplicaID) bool {
-	o := c.peers[c.replicaName(id)]
-	return o != nil && o.id != id
+	other := c.peers[c.replicaName(id)]
+	return other != nil && other.id != id
 }
 
 // planVoterChange returns the replica to add next and all to remove, the local one last; or why none can be added.
@@ -378,13 +378,13 @@
 			return admitted, c.replacedReplicas(st, name), "", ""
 		}
 	}
-	has := map[string]bool{}
+	present := map[string]bool{}
 	for _, id := range st.Voters {
-		has[c.replicaName(id)] = true
+		present[c.replicaName(id)] = true
 	}
 	var missing []string
 	for _, name := range c.Site.Voters {
-		if !has[name] {
+		if !present[name] {
 			missing = append(missing, name)
 		}
 	}
@@ -406,17 +406,17 @@
 		}
 	}
 	for _, name := range missing {
-		o := c.peers[name]
+		other := c.peers[name]
 		var err Actioner
 		switch {
-		case o == nil || c.ticks-o.heardAt >= reportTTLTicks:
+		case other == nil || c.ticks-other.heardAt >= reportTTLTicks:
 			err = &NoAnswerError{Node: name}
-		case !o.bootstrapped || !slices.Equal(o.siteVoters, c.Site.Voters):
+		case !other.bootstrapped || !slices.Equal(other.siteVoters, c.Site.Voters):
 			err = &SiteFileMismatchError{Node: name}
-		case o.lastIndex > 0 && compareLineage(c.membership.BootstrapIDs, o.bootstrapIDs) != sameLineage:
+		case other.lastIndex > 0 && compareLineage(c.membership.BootstrapIDs, other.bootstrapIDs) != sameLineage:
 			err = &ForeignGroupError{Node: name, Site: c.Site.Own.Name}
 		default:
-			return o.id, remove, "", ""
+			return other.id, remove, "", ""
 		}
 		why, action = err.Error(), err.Action()
 	}
@@ -455,8 +455,8 @@
 // known.
 func (c *Core) differingSiteFiles(st consensus.Status) (names []string) {
 	for _, id := range st.Voters {
-		o := c.peers[c.nodeOf(id)]
-		if id != c.replicaID && (!c.heardRecently(id) || !slices.Equal(o.siteVoters, c.Site.Voters)) {
+		other := c.peers[c.nodeOf(id)]
+		if id != c.replicaID && (!c.heardRecently(id) || !slices.Equal(other.siteVoters, c.Site.Voters)) {
 			names = append(names, c.replicaName(id))
 		}
 	}
@@ -527,8 +527,9 @@
 	}
 }
 
-// deactivate stops this replica's messages. It keeps its store, and resumes if it is added again.
-func (c *Core) deactivate(at uint64) {
+// deactivate stops this replica's messages, since it is removed as of a log index. It keeps its store, and resumes if it
+// is added again.
+func (c *Core) deactivate(index uint64) {
 	if c.removedAt == 0 {
 		action := "nothing: its site file does not name it either"
 		if c.Site.IsVoter {
@@ -536,7 +537,7 @@
 		}
 		c.env.Log("the council has taken this node's seat out", "seat", c.Site.Node, "action", action)
 	}
-	c.removedAt = max(at, 1)
+	c.removedAt = max(index, 1)
 }
 
 // ---- The site file ----
@@ -601,7 +602,7 @@
 	if err := c.replica.ConfirmStore(); err != nil {
 		return err
 	}
-	c.env.Log("an operator vouches for the store of this seat; it waits for nobody", "seat", q.Node, "by", q.By, "why", q.Why)
+	c.env.Log("an operator vouches for the store of this seat; it no longer waits for other seats", "seat", q.Node, "by", q.By, "why", q.Why)
 	c.processReady(now)
 	return nil
 }
@@ -635,7 +636,7 @@
 		if name == "" {
 			name = fmt.Sprintf("%016x", uint64(id))
 		}
-		o := c.peers[c.nodeOf(id)]
+		other := c.peers[c.nodeOf(id)]
 		switch {
 		case id == c.replicaID:
 		case slices.Contains(q.Lost, name) && c.heardRecently(id):
@@ -644,7 +645,7 @@
 			lost = append(lost, name)
 		case !c.heardRecently(id):
 			unresponsive = append(unresponsive, name)
-		case o.lastTerm > ownReport.LastTerm || o.lastTerm == ownReport.LastTerm && o.lastIndex > ownReport.LastIndex:
+		case other.lastTerm > ownReport.LastTerm || other.lastTerm == ownReport.LastTerm && other.lastIndex > ownReport.LastIndex:
 			return &LongerLogError{Node: name}
 		}
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -55,7 +55,7 @@
 	return roleFollower
 }
 
-// reachability is which replicas respond to this one's calls. A replica whose own calls arrive may still be
+// reachability records which replicas respond to this one's calls. A replica whose own calls arrive may still be
 // unreachable: then it does not receive the log.
 type reachability struct {
 	lastReply map[string]uint64 // tick of the last reply, by node
@@ -91,7 +91,7 @@
 		}
 		c.reachability.logged[name] = true
 		reports := "no"
-		if o := c.peers[name]; o != nil && c.ticks-o.heardAt < reportTTLTicks {
+		if other := c.peers[name]; other != nil && c.ticks-other.heardAt < reportTTLTicks {
 			reports = "yes"
 		}
 		c.env.Log("a seat does not answer its leader's calls", "seat", name, "its own calls come", reports,
