--- a/balance/balance.go
+++ b/balance/balance.go
@@ -50,14 +50,14 @@
 	minPreferredServers     = 3
 	preferredServersDivisor = 7
 	groupOddsServers        = 12
-	// minMoveFraction is the fraction of its connections that a balancer moves off a slow server at a
-	// time when no report shows the excess.
+	// minMoveFraction is the least fraction of its connections that a balancer moves off a slow server at a
+	// time: that without a report which shows the excess.
 	minMoveFraction = 0.2
 	// backlogMoveMaxRatio is the mean ratio of the fleet up to which more connections are moved to drain
 	// a server's backlog: in a fuller fleet, they would only overload the next server.
 	backlogMoveMaxRatio = 0.6
 	// throttleWindow is the time over which failed and established attempts are compared: several rounds
-	// of attempts, so that a single burst does not decide.
+	// of attempts, so that a single burst has little effect.
 	throttleWindow = 3 * reportTTL
 	// defaultSetUpLimit is how many connections may wait for their set-up at a server of unknown speed.
 	defaultSetUpLimit = 8
@@ -288,8 +288,8 @@
 
 // ---- Ratio estimate ----
 
-// updateFleetStats computes the statistics of the whole fleet and all estimates, unless that was done
-// within the last fiftieth of reportTTL: changes in between update the estimate of their own server.
+// updateFleetStats computes the statistics of the whole fleet and all estimates, unless that was done less
+// than reportTTL/50 ago: changes in between update the estimate of their own server.
 func (b *Balancer) updateFleetStats() {
 	if b.fleetStatsAt > 0 && b.now-b.fleetStatsAt < reportTTL/50 {
 		return
@@ -442,8 +442,9 @@
 }
 
 // checkServers probes the servers that hold connections of this balancer and were not probed for
-// reportTTL, unless MessageLatency events report the latency of messages, and moves connections off
-// draining servers. It guards against a server that slows down while no arrivals have it probed.
+// reportTTL, unless MessageLatency events report the latency of messages or no class has a target for it.
+// It probes ejected servers once their ejection time is over, and moves connections off draining ones. It
+// guards against a server that slows down while no arrivals have it probed.
 func (b *Balancer) checkServers() {
 	b.setTimer(reportTTL/2, 0, timerServerCheck)
 	for _, s := range b.servers {
@@ -788,9 +789,9 @@
 }
 
 // countError counts the first error that a request meets against the server, which is ejected once nearly
-// all its requests end so. A server with occasional errors costs a moment and an attempt, and its
-// capacity is needed. Later errors do not count: a bad request, which every server answers with an error,
-// must not eject one server after the other.
+// all its requests end so. A server with occasional errors stays: an error costs a moment and an attempt,
+// and the server's capacity is needed. Later errors do not count: a bad request, which every server
+// answers with an error, must not eject one server after the other.
 func (b *Balancer) countError(r *request, s *server) {
 	if r.errorCounted {
 		return
@@ -935,9 +936,9 @@
 // coldServerAdmits reports whether a server that has just started may get one more connection of the
 // given weight from this balancer. It guards against all balancers together overloading it: each keeps to
 // its share of a cautious budget. The budget accrues from the time the server became known, with nothing
-// for the time before, and starts at a random value; it is spent once it covers a connection. So the sum
-// over all balancers is right, however many arrivals each has. Budget not used within a window lapses. A
-// connection heavier than the budget of all balancers goes elsewhere.
+// for the time before, and starts at a random value; a connection may be sent once the budget covers one.
+// So the sum over all balancers is right, however many arrivals each has. Budget not used within a window
+// expires. A connection heavier than the budget of all balancers goes elsewhere.
 func (b *Balancer) coldServerAdmits(s *server, weight float64) bool {
 	age, first := b.now-s.Started, s.senderFraction == 0
 	if s.senderFraction = 1; s.Started <= 0 || age >= b.settings.Safety.WarmUp {
@@ -1019,10 +1020,10 @@
 	return len(r.attempts) == 0 && b.spareCapacity < arrivals && b.rng.Float64()*arrivals > b.spareCapacity
 }
 
-// throttled rejects a random part of the attempts while more of them fail slowly than are established, so
-// that at most about twice as many are made as succeed. It guards against the overload of something
-// behind all servers: ejecting one server after the other does not help there, and every further attempt
-// adds to the load that makes the others fail.
+// throttled reports whether an attempt is to be rejected: a random part of them, while more fail slowly
+// than are established, so that at most about twice as many are made as succeed. It guards against the
+// overload of something behind all servers: ejecting one server after the other does not help there, and
+// every further attempt adds to the load that makes the others fail.
 func (b *Balancer) throttled() bool {
 	failed, established := b.failedAttempts.value(b.now, throttleWindow),
 		b.establishedAttempts.value(b.now, throttleWindow)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -281,7 +281,7 @@
 	pending := d.arrive(1, "safe", 700*ms) // no server is known
 	deadline := d.now + 700*ms
 	for d.now < deadline && answer(pending) == "" {
-		pending = d.wait(wakeAfter(t, pending), pending)
+		pending = d.wait(timerDelay(t, pending), pending)
 	}
 	if answer(d.all) == "" {
 		t.Fatal("no answer for a request held without any server")
@@ -313,7 +313,7 @@
 	d.fleet(0.3, 0.4)
 	p := d.arrive(1, "safe", 2*sec)[0].(balance.Place)
 	if p.Timeout > sec || p.Timeout < 500*ms {
-		t.Errorf("time-out %v of 2 s, want the aim at least and half at most", p.Timeout)
+		t.Errorf("time-out %v of 2 s, want the latency target at least and half of the time left at most", p.Timeout)
 	}
 }
 
@@ -366,12 +366,12 @@
 	pending := d.do(balance.ServerList{Kind: balance.ListSaved, Entries: []balance.Listing{listing("a", "here", 0)}})
 	var last time.Duration
 	for range 8 {
-		acts := d.wait(wakeAfter(t, pending), pending)
+		acts := d.wait(timerDelay(t, pending), pending)
 		if len(acts) != 1 || acts[0] != (balance.Action(balance.Subscribe{})) {
 			t.Fatalf("got %#v, want one Subscribe", acts)
 		}
 		pending = d.do(balance.ServerList{Kind: balance.ListFailed})
-		last = wakeAfter(t, pending)
+		last = timerDelay(t, pending)
 		if last > set.Safety.ListRefreshInterval/2 {
 			t.Fatalf("subscribes again after %v, too late for a list refresh interval of %v", last, set.Safety.ListRefreshInterval)
 		}
@@ -385,14 +385,14 @@
 	}
 }
 
-func wakeAfter(t *testing.T, acts []balance.Action) time.Duration {
+func timerDelay(t *testing.T, acts []balance.Action) time.Duration {
 	t.Helper()
 	for _, a := range acts {
 		if w, ok := a.(balance.SetTimer); ok {
 			return w.After
 		}
 	}
-	t.Fatalf("no Wake in %#v", acts)
+	t.Fatalf("no SetTimer in %#v", acts)
 	return 0
 }
 
@@ -473,7 +473,7 @@
 		t.Fatalf("got %#v, want one refusal", acts)
 	}
 	if r, ok := acts[0].(balance.Refuse); !ok || r.RetryAfter <= 0 || r.RetryAfter > sec {
-		t.Errorf("got %#v, want a refusal with advice", acts[0])
+		t.Errorf("got %#v, want a refusal with a retry-after of at most 1 s", acts[0])
 	}
 	d = drive(t, set, 1)
 	d.fleet(1.2, 0.4, 1.1)
--- a/balance/state.go
+++ b/balance/state.go
@@ -11,9 +11,9 @@
 
 // The kinds of timers, in the lowest bits of a timer token. The request ID is in the bits above.
 const (
-	timerHold        = 1 // an arrival has waited long enough for probes, or its deadline is near
-	timerSubscribe   = 2 // time to renew the subscription
-	timerServerCheck = 3 // time to check the servers that hold connections
+	timerHold        = 1 // time to place a held arrival: its wait for probes or for room is over
+	timerSubscribe   = 2 // time to subscribe to the server list, unless subscribed
+	timerServerCheck = 3 // time for checkServers
 	timerKindBits    = 2
 )
 
@@ -485,9 +485,9 @@
 	return ratio, ratio >= 0 && !math.IsInf(ratio, 0)
 }
 
-// turnoverTime is the time within which a server's load can change completely: that of several reports, or the warm-up
-// time of the settings if that is longer. A warm-up of less than a second does not mean a faster turnover of
-// connections.
+// turnoverTime is the time within which a server's load can change completely: the time of several reports, or the
+// warm-up time of the settings if that is longer. A warm-up of less than a second does not mean a faster
+// turnover of connections.
 func (b *Balancer) turnoverTime() time.Duration { return max(b.settings.Safety.WarmUp, 8*reportTTL) }
 
 func (b *Balancer) decay(age time.Duration) float64 {
@@ -495,7 +495,7 @@
 }
 
 // expectedCapacity is how many connections fill one of n servers before reports are known: its part of the tenants'
-// quotas, which add up to the fleet's capacity, or a few dozen.
+// quotas, which add up to the fleet's capacity, or defaultCapacity without quotas.
 func (b *Balancer) expectedCapacity(n float64) float64 {
 	if b.quotaSum > 0 {
 		return b.quotaSum / n
@@ -549,8 +549,8 @@
 		return
 	}
 	r.loadCounted = true
-	of := b.classLoads[r.Class]
-	b.classLoads[r.Class] = loadSum{of.count + 1, of.sum + e.Load}
+	loads := b.classLoads[r.Class]
+	b.classLoads[r.Class] = loadSum{loads.count + 1, loads.sum + e.Load}
 }
 
 // valuePerLoad is the value of a class's connections relative to their load, as a multiple of the same for all classes
@@ -558,12 +558,12 @@
 func (b *Balancer) valuePerLoad(c Class) float64 {
 	var value, sum float64
 	for _, each := range b.settings.Classes {
-		of := b.classLoads[each.Name]
-		value, sum = value+of.count*each.Value, sum+of.sum
+		loads := b.classLoads[each.Name]
+		value, sum = value+loads.count*each.Value, sum+loads.sum
 	}
-	of := b.classLoads[c.Name]
-	if of.count < minLoadSamples || value == 0 {
+	loads := b.classLoads[c.Name]
+	if loads.count < minLoadSamples || value == 0 {
 		return 1
 	}
-	return of.count * c.Value / of.sum * sum / value
+	return loads.count * c.Value / loads.sum * sum / value
 }
