--- a/internal/choice/hostview/hostview.go
+++ b/internal/choice/hostview/hostview.go
@@ -10,24 +10,24 @@
 //	C1  What the leader holds of a node is one complete observation of that node, and never an earlier one than it held
 //	    before: calls may be lost, late, repeated and overtake each other, the process and the leader may change. Changes
 //	    relative to an observation apply only while exactly that observation is held.
-//	C2  A node counts if it is a member and was heard within MergeParams.MaxAge. A node whose list is stale (its discovery
+//	C2  A node counts if it is a member and its last report is at most MergeParams.MaxAge old. A node whose list is stale (its discovery
 //	    does not answer) reports so: its list counts for nothing, neither the hosts in it nor those missing; what its own
 //	    traffic shows (failing hosts, value, groups) does count. While no counted node has a current list, no host comes,
 //	    goes, fails by the lists or comes back.
 //	C3  Leaving service takes a majority: a host is gone or draining only if more than half of the counted nodes report so,
-//	    warm only if more than half of them do, and failed only if more than half of all fresh nodes have set it aside for its
-//	    failures. So no single list, the leader's included, takes a host out of service or keeps it out.
+//	    warm only if more than half of them do, and failed only if more than half of all nodes with a recent report have
+//	    ejected it for its failures. So no single list, the leader's included, takes a host out of service or keeps it out.
 //	C4  The latest start wins: reports of an earlier start of a host are ignored, whichever node sends them, while a current
-//	    list has a later one. So late lists mislead only where they are more than half of those heard.
+//	    list has a later one. So late lists mislead only where they are more than half of the current ones.
 //	C5  A host whose turn is Returning is reported in service, and warm, only by nodes that observed it after they knew of the
 //	    Done (Report.AppliedIndex): the others report its state before the work. Until those are more than half of the current
 //	    lists, and while half of the lists lack the host, it is not considered back.
-//	C6  A new leader treats no list as current before it has heard more than half of the members, or MergeParams.LeaderWait
-//	    has passed.
+//	C6  A new leader treats no list as current before more than half of the members have reported to it, or
+//	    MergeParams.LeaderWait has passed.
 //	C7  Insignificant changes make no log entry: a value changes when it has doubled or halved, the recorded groups stay while
 //	    any node names them.
-//	C8  A node that does not report takes no group from its homes: what a member named last counts until it reports otherwise
-//	    or is no longer a member, and while a member has reported nothing to this leader, the groups recorded before stay.
+//	C8  A node that does not report takes no group from its preferred hosts: what a member named last counts until it reports
+//	    otherwise or is no longer a member, and while a member has reported nothing to this leader, the groups recorded before stay.
 package hostview
 
 import (
@@ -40,8 +40,8 @@
 )
 
 const (
-	// MaxGroups is how many groups a node names, and how many a host is recorded as a home of: at most 8 names of 13 bytes each
-	// for a host in the Raft log. The names are hashes: clients may choose group names of any length.
+	// MaxGroups is how many groups a node names, and how many are recorded as preferring a host: at most 8 names of 13 bytes
+	// each for a host in the Raft log. The names are hashes: clients may choose group names of any length.
 	MaxGroups = 8
 	// keptRemoved is how many removed hosts a node remembers for its reports; a leader with an older version gets a full report.
 	keptRemoved = 256
@@ -53,9 +53,9 @@
 	Start          time.Duration // from the list; 0: long ago
 	Draining       bool          // in the list, but takes no new requests
 	Warm           bool          // takes new requests at full capacity
-	Failing        bool          // the node has set it aside for its failures
+	Failing        bool          // the node has ejected it for its failures
 	Value          float64       // value per second of this node's connections there; a power of two, or 0
-	Groups         []string      // groups that have the host as a home, sorted
+	Groups         []string      // groups that prefer the host, sorted
 }
 
 // Equal reports whether two hosts are reported alike.
@@ -82,7 +82,7 @@
 	Stale        bool   // discovery does not answer
 	Hosts        []Host
 
-	GroupsUnknown bool     // too few observations to know which groups have homes here
+	GroupsUnknown bool     // too few observations to know which groups prefer the hosts here
 	Removed       []string // since that version, sorted
 }
 
@@ -119,7 +119,7 @@
 
 // Record records a node's report and returns the version that is held of its process, 0 for none: the next report has to be
 // relative to that.
-func (c *Aggregator) Record(now time.Duration, node string, r Report) (has uint64) {
+func (c *Aggregator) Record(now time.Duration, node string, r Report) (held uint64) {
 	v := c.nodes[node]
 	switch {
 	case v != nil && r.Process.before(v.process):
@@ -151,8 +151,8 @@
 	return v.version
 }
 
-// GroupsKnown reports whether a node has reported to this leader which groups have homes at its hosts, after enough observations
-// to know.
+// GroupsKnown reports whether a node has reported to this leader which groups prefer its hosts, after enough observations to
+// know.
 func (c *Aggregator) GroupsKnown(node string) bool {
 	v := c.nodes[node]
 	return v != nil && !v.groupsUnknown
--- a/internal/choice/hostview/merge.go
+++ b/internal/choice/hostview/merge.go
@@ -15,7 +15,7 @@
 	Unsure []string     // sorted subset: those that are Returning and not yet observed since by enough nodes that count (C5)
 }
 
-// Merge returns the hosts as seen by the nodes heard recently. While too little is known, they are as recorded before, except for
+// Merge returns the hosts as seen by the nodes that reported recently. While too little is known, they are as recorded before, except for
 // what nodes know from their own traffic.
 func (c *Aggregator) Merge(now time.Duration, t MergeParams) Fleet {
 	maps.DeleteFunc(c.nodes, func(node string, _ *view) bool {
@@ -42,7 +42,7 @@
 			before[h.ID] = h
 		}
 	}
-	allHeard := len(views) == len(t.Members)
+	allReported := len(views) == len(t.Members)
 	var f Fleet
 	for _, id := range listed(current, before) {
 		h := before[id]
@@ -63,7 +63,7 @@
 		h.Failed = h.Failed || unsure || 2*failing > len(fresh)
 		h.Warm = h.Warm && !h.Failed
 		if len(fresh) > 0 {
-			h.Value, h.Groups = stableValue(before[id].Value, value), groups(before[id].Groups, id, views, allHeard)
+			h.Value, h.Groups = stableValue(before[id].Value, value), groups(before[id].Groups, id, views, allReported)
 		}
 		f.Hosts = append(f.Hosts, h)
 	}
@@ -97,11 +97,11 @@
 	zones, kinds := map[string]int{}, map[string]int{}
 	counted, draining, cold, lack := 0, 0, 0, 0
 	for _, v := range current {
-		reported, has := v.hosts[id]
-		if !has {
+		reported, found := v.hosts[id]
+		if !found {
 			lack++
 		}
-		if !has || reported.Start != latestStart {
+		if !found || reported.Start != latestStart {
 			continue
 		}
 		zones[reported.Zone]++
@@ -131,9 +131,9 @@
 	return best
 }
 
-// groups returns the groups that have a host as a home: first those recorded before that a node still names, or that a member not
-// heard yet may name, then those that the most nodes name; at most MaxGroups.
-func groups(before []string, id string, views []*view, allHeard bool) []string {
+// groups returns the groups that prefer a host: first those recorded before that a node still names, or that a member which has
+// not reported yet may name, then those that the most nodes name; at most MaxGroups.
+func groups(before []string, id string, views []*view, allReported bool) []string {
 	named := map[string]int{}
 	for _, v := range views {
 		for _, g := range v.hosts[id].Groups {
@@ -141,7 +141,7 @@
 		}
 	}
 	for _, g := range before {
-		if named[g] > 0 || !allHeard {
+		if named[g] > 0 || !allReported {
 			named[g] += len(views)
 		}
 	}
--- a/internal/choice/hostview/reporter.go
+++ b/internal/choice/hostview/reporter.go
@@ -21,9 +21,9 @@
 
 // Group is what a node's traffic shows of a group of connections.
 type Group struct {
-	Name  string // as named by clients
-	Value float64
-	Homes []string // hosts where it gathers
+	Name           string // as named by clients
+	Value          float64
+	PreferredHosts []string // hosts on which its connections are concentrated
 }
 
 // Observation is what a node sees of its hosts. Failing, Value and Groups of a host come from the other fields.
@@ -42,7 +42,7 @@
 	appliedIndex uint64
 	stale        bool
 	hosts        map[string]reportedHost
-	removed      map[string]uint64 // by the version that removed the host
+	removed      map[string]uint64 // by host: the version that removed it
 	removedFloor uint64            // removals since versions below this one are not known any more
 	leaderHas    uint64            // version the leader has, as far as is known
 	groups       map[string]*group
@@ -52,9 +52,9 @@
 
 // group is a group that has connections here, or had some a few observations ago.
 type group struct {
-	smoothed float64 // value averaged over about window observations
-	homes    []string
-	named    bool
+	smoothed  float64 // value averaged over about window observations
+	preferred []string
+	named     bool
 }
 
 // reportedHost is a host as reported, and since which version.
@@ -82,7 +82,7 @@
 		r.total = total
 	}
 	r.total += (total - r.total) / window
-	homes, here := r.homes(l.Groups, total), map[string]bool{}
+	groupsByHost, here := r.groupsByHost(l.Groups, total), map[string]bool{}
 	for _, h := range l.Hosts {
 		if !validName(h.ID) {
 			continue
@@ -93,7 +93,7 @@
 		if known {
 			smoothed = old.smoothed + (smoothed-old.smoothed)/window
 		}
-		h.Failing, h.Value, h.Groups = slices.Contains(l.Failing, h.ID), 0, homes[h.ID]
+		h.Failing, h.Value, h.Groups = slices.Contains(l.Failing, h.ID), 0, groupsByHost[h.ID]
 		h = sanitized(h)
 		h.Value = stableValue(old.Value, smoothed)
 		if known && old.Equal(h) {
@@ -127,10 +127,10 @@
 	}
 }
 
-// homes returns the groups to name, by host, sorted: those that have had a large share of what this node holds for some
+// groupsByHost returns the groups to name, by host, sorted: those that have had a large share of what this node holds for some
 // observations. A group that is not named yet needs that share of the current total too: after a start the smoothed total is
 // still far below it.
-func (r *Reporter) homes(all []Group, current float64) map[string][]string {
+func (r *Reporter) groupsByHost(all []Group, current float64) map[string][]string {
 	for _, g := range r.groups {
 		g.smoothed -= g.smoothed / window
 	}
@@ -144,7 +144,7 @@
 			r.groups[g.Name] = known
 		}
 		known.smoothed += g.Value / window
-		known.homes = slices.Clone(g.Homes)
+		known.preferred = slices.Clone(g.PreferredHosts)
 	}
 	maps.DeleteFunc(r.groups, func(_ string, g *group) bool { return g.smoothed < keepShare/window*r.total || r.total == 0 })
 	names := slices.Sorted(maps.Keys(r.groups))
@@ -157,7 +157,7 @@
 			continue
 		}
 		n++
-		for _, id := range g.homes {
+		for _, id := range g.preferred {
 			byHost[id] = append(byHost[id], shortName(name))
 		}
 	}
@@ -174,11 +174,11 @@
 	return strconv.FormatUint(h.Sum64(), 36)
 }
 
-// Acknowledge records the version that the leader reports to have, and returns whether the node should send another request at
-// once: a new leader has nothing of it.
-func (r *Reporter) Acknowledge(has uint64) (again bool) {
-	again = has == 0 && r.leaderHas > 0
-	r.leaderHas = has
+// Acknowledge records the version that the leader reports to hold, and returns whether the node should send another request at
+// once: a new leader holds nothing of the node.
+func (r *Reporter) Acknowledge(held uint64) (again bool) {
+	again = held == 0 && r.leaderHas > 0
+	r.leaderHas = held
 	return again
 }
 
--- a/internal/choice/hostview/walk_test.go
+++ b/internal/choice/hostview/walk_test.go
@@ -44,24 +44,21 @@
 // held identifies an observation.
 type held struct {
 	Process
-	version, seen uint64
+	version, appliedIndex uint64
 }
 
 type observed struct {
 	hosts map[string]reportedHost
 	heads map[[2]any]bool // AppliedIndex and Stale of the observations that had this version
-
 }
 
 func (w *walk) observe(n *simulatedNode) {
 	l := Observation{AppliedIndex: n.known, Stale: n.late > 1, Values: map[string]float64{}}
-
 	for _, id := range []string{"a", "b", "c"} {
 		all := w.hosts[id]
 		if h := all[max(0, len(all)-1-n.late)]; h.ID != "" {
 			l.Hosts = append(l.Hosts, h)
 			l.Values[id] = float64(w.r.IntN(50))
-
 		}
 	}
 	n.r.Observe(l)
@@ -98,7 +95,7 @@
 				delete(w.c.nodes, n.name)
 			}
 		}
-		has, process, index := w.c.Record(w.now, n.name, p), n.p, w.index
+		version, process, index := w.c.Record(w.now, n.name, p), n.p, w.index
 		if w.bug == "head" && v != nil {
 			v.appliedIndex, v.stale = p.AppliedIndex, p.Stale
 		}
@@ -106,7 +103,7 @@
 		w.send(func() {
 			if n.p == process {
 				n.known = max(n.known, index)
-				n.r.Acknowledge(has)
+				n.r.Acknowledge(version)
 			}
 		})
 	}
@@ -138,7 +135,7 @@
 	switch {
 	case !known || !was.heads[[2]any{v.appliedIndex, v.stale}]:
 		w.fail("%s never observed version %d of %v like this", n.name, v.version, v.process)
-	case v.process.before(n.held.Process) || v.process == n.held.Process && (v.version < n.held.version || v.appliedIndex < n.held.seen):
+	case v.process.before(n.held.Process) || v.process == n.held.Process && (v.version < n.held.version || v.appliedIndex < n.held.appliedIndex):
 		w.fail("%s: an earlier observation is held again", n.name)
 	case len(was.hosts) != len(v.hosts):
 		w.fail("%s: %d hosts held, %d observed", n.name, len(v.hosts), len(was.hosts))
@@ -153,8 +150,8 @@
 
 // merge merges at the leader and checks C2 to C6 against the nodes' held observations.
 func (w *walk) merge() {
-	t := MergeParams{MaxAge: 20 * time.Second, LeaderWait: 5 * time.Second, Members: []string{"n0", "n1", "n2", "n3", "n4"}, Previous: w.merged,
-		Returning: w.doneIndexes}
+	t := MergeParams{MaxAge: 20 * time.Second, LeaderWait: 5 * time.Second, Members: []string{"n0", "n1", "n2", "n3", "n4"},
+		Previous: w.merged, Returning: w.doneIndexes}
 	c, buggy := w.c, &Aggregator{since: w.c.since, nodes: map[string]*view{}}
 	if w.bug != "" {
 		for name, v := range w.c.nodes {
@@ -195,7 +192,7 @@
 	lacks, latestStart := map[string]int{}, map[string]time.Duration{}
 	for _, id := range []string{"a", "b", "c"} {
 		for _, v := range current {
-			if h, has := v.hosts[id]; !has {
+			if h, found := v.hosts[id]; !found {
 				lacks[id]++
 			} else {
 				latestStart[id] = max(latestStart[id], h.Start)
@@ -213,15 +210,15 @@
 		if h.Failed || !returning {
 			continue
 		}
-		knows, so := 0, false // nodes that observed it since, and whether one of them reports this state
+		knowing, confirmed := 0, false // nodes that observed it since, and whether one of them reports this state
 		for _, v := range current {
-			if seen, has := v.hosts[h.ID]; has && v.appliedIndex >= doneIndex && seen.Start == latestStart[h.ID] {
-				knows++
-				so = so || !seen.Draining && (seen.Warm || !h.Warm)
+			if seen, found := v.hosts[h.ID]; found && v.appliedIndex >= doneIndex && seen.Start == latestStart[h.ID] {
+				knowing++
+				confirmed = confirmed || !seen.Draining && (seen.Warm || !h.Warm)
 			}
 		}
-		if quiet || !so || 2*knows <= len(current) {
-			w.fail("%s is reported back, but only %d of %d lists know", h.ID, knows, len(current))
+		if quiet || !confirmed || 2*knowing <= len(current) {
+			w.fail("%s is reported back, but only %d of %d current lists observed it since its work", h.ID, knowing, len(current))
 		}
 		if h.Warm {
 			delete(w.doneIndexes, h.ID)
@@ -287,7 +284,8 @@
 			w.hosts[id] = []Host{{ID: id, Start: 1, Warm: true}}
 		}
 		for i := range 5 {
-			w.nodes = append(w.nodes, &simulatedNode{name: fmt.Sprint("n", i), p: Process{1, 1}, r: NewReporter(), observations: map[held]observed{}})
+			w.nodes = append(w.nodes, &simulatedNode{name: fmt.Sprint("n", i), p: Process{1, 1}, r: NewReporter(),
+				observations: map[held]observed{}})
 		}
 		for i := 0; i < 4000 && w.wrong == ""; i++ {
 			w.step()
@@ -318,7 +316,7 @@
 		r.Observe(Observation{Hosts: []Host{{ID: "a", Warm: true}, {ID: "\xff"}}, Values: map[string]float64{"a": value}, Groups: groups})
 		return r.version
 	}
-	g := func(value float64) Group { return Group{Name: "g", Value: value, Homes: []string{"a"}} }
+	g := func(value float64) Group { return Group{Name: "g", Value: value, PreferredHosts: []string{"a"}} }
 	first := observe(100, g(13))
 	p, any := r.Report()
 	require.True(t, any)
@@ -349,7 +347,7 @@
 	for i, sum := range held {
 		l := Observation{Hosts: []Host{{ID: "a", Warm: true}}, Values: map[string]float64{"a": sum}}
 		if i == pair {
-			l.Groups = []Group{{Name: "g", Value: 2, Homes: []string{"a"}}}
+			l.Groups = []Group{{Name: "g", Value: 2, PreferredHosts: []string{"a"}}}
 		}
 		r.Observe(l)
 		p, _ := r.Report()
@@ -363,7 +361,7 @@
 	r := NewReporter()
 	for range window {
 		r.Observe(Observation{Hosts: []Host{{ID: "a", Warm: true}}, Values: map[string]float64{"a": 6},
-			Groups: []Group{{Name: "g", Value: 2, Homes: []string{"a"}}}})
+			Groups: []Group{{Name: "g", Value: 2, PreferredHosts: []string{"a"}}}})
 	}
 	p, _ := r.Report()
 	assert.Len(t, p.Hosts[0].Groups, 1)
@@ -372,11 +370,11 @@
 
 // TestGroupStaysWhileItsNodeIsNotHeard covers a new leader, and a node that was cut off.
 func TestGroupStaysWhileItsNodeIsNotHeard(t *testing.T) {
-	terms := MergeParams{MaxAge: time.Second, Members: []string{"n0", "n1"}, Previous: []turns.Host{{ID: "a", Groups: []string{"g"}}}}
+	params := MergeParams{MaxAge: time.Second, Members: []string{"n0", "n1"}, Previous: []turns.Host{{ID: "a", Groups: []string{"g"}}}}
 	report := func(groups ...string) Report {
 		return Report{Process: Process{1, 1}, Version: 1, Hosts: []Host{{ID: "a", Groups: groups}}}
 	}
-	groups := func(c *Aggregator, now time.Duration) []string { return c.Merge(now, terms).Hosts[0].Groups }
+	groups := func(c *Aggregator, now time.Duration) []string { return c.Merge(now, params).Hosts[0].Groups }
 	c := New(0)
 	c.Record(0, "n0", report())
 	assert.Equal(t, []string{"g"}, groups(c, 0), "n1 may still name it")
--- a/internal/choice/turns/blockers.go
+++ b/internal/choice/turns/blockers.go
@@ -75,7 +75,7 @@
 
 // RevokeBlocked returns a revocation of a turn that has been in Preparing for longer than patience because of a node that is cut
 // off and whose exclusion set lacks the host, if another turn could go instead that no such node blocks; false if there is none.
-// Twice the duration of a send lease is a suitable patience.
+// Twice the duration of a send lease is a suitable value for patience.
 func (b *Schedule) RevokeBlocked(now time.Duration, views []NodeView, patience time.Duration) (Command, bool) {
 	now = max(now, b.at)
 	var cutOff []uint64 // exclusion sets of the members that are cut off
--- a/internal/choice/turns/edges_test.go
+++ b/internal/choice/turns/edges_test.go
@@ -87,13 +87,13 @@
 	c.settle("n2") // it has acknowledged h0
 	c.request("t2", "h0")
 	views := []NodeView{{Node: "n1"}, {Node: "n2", LeaseExpired: true}}
-	_, stuck := c.b.RevokeBlocked(c.now+time.Minute, views, time.Minute)
-	assert.False(t, stuck)
-	_, stuck = c.b.RevokeBlocked(c.now+time.Minute+1, views, time.Minute)
-	assert.True(t, stuck)
+	_, revokes := c.b.RevokeBlocked(c.now+time.Minute, views, time.Minute)
+	assert.False(t, revokes)
+	_, revokes = c.b.RevokeBlocked(c.now+time.Minute+1, views, time.Minute)
+	assert.True(t, revokes)
 	c.do(dead("n2"))
-	_, stuck = c.b.RevokeBlocked(c.now+time.Hour, views, time.Minute)
-	assert.False(t, stuck, "it blocks nothing any more")
+	_, revokes = c.b.RevokeBlocked(c.now+time.Hour, views, time.Minute)
+	assert.False(t, revokes, "it blocks nothing any more")
 }
 
 func TestValueLeavesItsStepByAThird(t *testing.T) {
--- a/internal/choice/turns/order.go
+++ b/internal/choice/turns/order.go
@@ -101,7 +101,7 @@
 	site   int
 	zone   map[string]int
 	kind   map[string]int
-	group  map[string]int // homes of each group that are out
+	group  map[string]int // preferred hosts of each group that are out
 	failed int            // hosts that failed on their own: not those whose work is under way
 }
 
@@ -118,11 +118,11 @@
 		}
 	}
 	for _, e := range b.hosts {
-		phase, has := out[e.ID]
+		phase, hasTurn := out[e.ID]
 		if e.Failed && phase < Working {
 			u.failed++
 		}
-		if has && turns || e.Failed && phase < Working || e.Banned {
+		if hasTurn && turns || e.Failed && phase < Working || e.Banned {
 			u.add(e, 1)
 		}
 	}
@@ -152,7 +152,8 @@
 // outWithoutTurn reports whether a host is out by a failure or a ban, whatever its turn.
 func (e entry) outWithoutTurn() bool { return e.Failed || e.Banned }
 
-// fits returns whether a waiting turn may be prepared in addition to the hosts that are out; it does not check T3.
+// fits returns Accepted if a waiting turn may be prepared in addition to the hosts that are out, else why not; it does not check
+// T3.
 func (b *Schedule) fits(u *usage, t *Turn, at time.Duration) Reason {
 	e, known := b.host(t.Host)
 	switch {
@@ -170,7 +171,7 @@
 	if b.limits.exceeded(u, e) {
 		reason = NoRoom
 	} else if slices.ContainsFunc(e.Groups, func(g string) bool { return u.group[g] > 1 }) {
-		reason = GroupHomeOut
+		reason = PreferredHostOut
 	}
 	u.add(e, -n)
 	return reason
@@ -224,7 +225,7 @@
 }
 
 // turnToRevoke returns the latest turn that has to be revoked: any while too many hosts have failed, else one whose revocation
-// frees an exceeded limit.
+// relieves an exceeded limit, or a group of which several preferred hosts are out.
 func (b *Schedule) turnToRevoke(u *usage) (Ref, bool) {
 	var latest *Turn
 	why := ""
@@ -239,7 +240,7 @@
 		case !e.outWithoutTurn() && b.limits.exceeded(u, e):
 			latest, why = t, "more hosts are out than the limits allow"
 		case !e.outWithoutTurn() && slices.ContainsFunc(e.Groups, func(g string) bool { return u.group[g] > 1 }):
-			latest, why = t, "another home of one of its groups is out"
+			latest, why = t, "another preferred host of one of its groups is out"
 		}
 	}
 	if latest == nil {
@@ -291,7 +292,7 @@
 			if fallback == nil {
 				fallback = p.Turn
 			}
-		case NoRoom, GroupHomeOut:
+		case NoRoom, PreferredHostOut:
 			if !reserved && p.ageSteps > 0 {
 				if withoutTurns := b.usageOf(false); b.fits(&withoutTurns, p.Turn, now) == Accepted {
 					e, _ := b.host(p.Host)
@@ -335,22 +336,22 @@
 // NextChange returns the next moment after now at which Next, the order or a notice could change by time alone.
 func (b *Schedule) NextChange(now time.Duration) (due time.Duration, ok bool) {
 	ageStep := cmp.Or(b.limits.AgeStep, defaultAgeStep)
-	at := func(moment time.Duration) {
+	consider := func(moment time.Duration) {
 		if moment > now && (!ok || moment < due) {
 			due, ok = moment, true
 		}
 	}
 	for _, t := range b.turns {
 		if t.Phase <= Granted && t.FinishBy != 0 {
-			at(t.FinishBy - t.Duration + 1)
+			consider(t.FinishBy - t.Duration + 1)
 		}
 		switch {
 		case t.Phase == Requested && t.NotBefore > now:
-			at(t.NotBefore)
+			consider(t.NotBefore)
 		case t.Phase == Requested:
-			at(t.eligibleSince() + (max(0, now-t.eligibleSince())/ageStep+1)*ageStep)
+			consider(t.eligibleSince() + (max(0, now-t.eligibleSince())/ageStep+1)*ageStep)
 		case (t.Phase == Granted || t.Phase == Working) && !t.Overrun:
-			at(t.Since + t.Duration + 1)
+			consider(t.Since + t.Duration + 1)
 		}
 	}
 	return due, ok
--- a/internal/choice/turns/refused.go
+++ b/internal/choice/turns/refused.go
@@ -26,7 +26,7 @@
 	TooEarly                   // NotBefore has not passed
 	TooManyFailed              // T3
 	NoRoom                     // T1
-	GroupHomeOut               // T4: another home of one of the host's groups is out
+	PreferredHostOut           // T4: another preferred host of one of the host's groups is out
 	OldIncarnation             // of a node's store that a newer one has replaced
 	DeclaredDead               // the node has to be admitted again first
 	LacksExcludedHost          // an exclusion set without a host that is out, or not newer than the last
@@ -38,14 +38,14 @@
 	Turn   string // may be empty, as may Host and Node
 	Host   string
 	Node   string
-	Detail string // particulars
+	Detail string // more about the reason; may be empty
 }
 
 var reasonTexts = [...]string{"accepted", "the command is invalid", "no such turn", "no such host in the fleet",
 	"no such node at this site", "no such exclusion set", "the host has a turn already", "the turn's ID is in use for another host",
 	"the work would last too long", "it cannot be finished in time", "too many turns wait", "the turn is in another phase",
 	"the turn is in another round", "it is too early", "too many hosts have failed", "no more hosts may be out",
-	"another home of a group is out", "the node has a newer store", "the node is declared dead",
+	"another preferred host of a group is out", "the node has a newer store", "the node is declared dead",
 	"the exclusion set lacks a host that is out, or is not newer than the last"}
 
 func (r Reason) String() string { return reasonTexts[r] }
@@ -84,7 +84,7 @@
 		return "withdraw turns that are not needed, or request it later"
 	case WrongPhase, WrongRound:
 		return "check the turn: begin only a granted one, report done only one that has begun, withdraw only one that has not"
-	case TooEarly, NoRoom, GroupHomeOut:
+	case TooEarly, NoRoom, PreferredHostOut:
 		return "wait: the turn is prepared without further action"
 	case TooManyFailed:
 		return "repair the hosts that have failed, or raise the limit of failed hosts"
--- a/internal/choice/turns/schedule.go
+++ b/internal/choice/turns/schedule.go
@@ -191,7 +191,7 @@
 	return (t.Phase == Granted || t.Phase == Working) && !t.Overrun && at-t.Since > t.Duration
 }
 
-// pass advances the time and handles turns that expire or overrun.
+// pass handles the turns that have expired or overrun at the given time. It does not set the schedule's time.
 func (b *Schedule) pass(at time.Duration) (notices []Notice) {
 	for _, t := range slices.Clone(b.turns) {
 		switch next := *t; {
@@ -214,13 +214,13 @@
 	return notices
 }
 
-// check returns why a command is refused at a time that was passed already.
+// check returns why a command is refused at a time, once pass was called for that time.
 func (b *Schedule) check(c Command, at time.Duration) *RefusedError {
 	set := 0
-	for _, is := range [...]bool{c.Limits != nil, c.Fleet != nil, c.Members != nil, c.Request != nil, c.Withdraw != nil,
+	for _, isSet := range [...]bool{c.Limits != nil, c.Fleet != nil, c.Members != nil, c.Request != nil, c.Withdraw != nil,
 		c.Prepare != nil, c.Grant != nil, c.Revoke != nil, c.Begin != nil, c.Done != nil, c.ExclusionSet != nil,
 		c.Ack != nil, c.Dead != nil, c.Alive != nil} {
-		if is {
+		if isSet {
 			set++
 		}
 	}
@@ -401,7 +401,8 @@
 	return nil
 }
 
-// checkExclusionSet refuses one without a host that is out: a node that acknowledges it and is then cut off would send there.
+// checkExclusionSet refuses an exclusion set that lacks a host that is out: a node that acknowledges the set and is then cut off
+// would send to that host.
 func (b *Schedule) checkExclusionSet(w ExclusionSetUpdate) *RefusedError {
 	if !validNames(w.Hosts) {
 		return &RefusedError{Reason: Malformed, Detail: "the hosts are not a sorted list of names"}
@@ -500,7 +501,8 @@
 			b.enter(t, Returning)
 		}
 	case c.ExclusionSet != nil:
-		b.exclusionSets = append(b.exclusionSets, sendlease.ExclusionSet{Version: c.ExclusionSet.Version, Hosts: list(c.ExclusionSet.Hosts)})
+		b.exclusionSets = append(b.exclusionSets,
+			sendlease.ExclusionSet{Version: c.ExclusionSet.Version, Hosts: list(c.ExclusionSet.Hosts)})
 		b.pruneExclusionSets()
 	case c.Ack != nil:
 		b.setAck(*c.Ack)
@@ -640,7 +642,8 @@
 }
 
 func searchExcluded(excluded []sendlease.ExcludedHost, host string) (int, bool) {
-	return slices.BinarySearchFunc(excluded, host, func(o sendlease.ExcludedHost, host string) int { return strings.Compare(o.Host, host) })
+	return slices.BinarySearchFunc(excluded, host,
+		func(o sendlease.ExcludedHost, host string) int { return strings.Compare(o.Host, host) })
 }
 
 // host returns a host by its id.
@@ -670,7 +673,8 @@
 
 // exclusionSet returns one by its version.
 func (b *Schedule) exclusionSet(version uint64) (sendlease.ExclusionSet, bool) {
-	i, found := slices.BinarySearchFunc(b.exclusionSets, version, func(h sendlease.ExclusionSet, v uint64) int { return cmp.Compare(h.Version, v) })
+	i, found := slices.BinarySearchFunc(b.exclusionSets, version,
+		func(h sendlease.ExclusionSet, v uint64) int { return cmp.Compare(h.Version, v) })
 	if !found {
 		return sendlease.ExclusionSet{}, false
 	}
--- a/internal/choice/turns/turns.go
+++ b/internal/choice/turns/turns.go
@@ -4,19 +4,19 @@
 //
 // The properties:
 //
-//	T1  The number of hosts that are out never exceeds the limits of the site, of a zone and of a kind of machine. A host
-//	    counts from Prepare until its work is reported done and it is in service again and warm. Hosts that failed on their
-//	    own count too.
+//	T1  The number of hosts that are out of service (short: out) never exceeds the limits of the site, of a zone and of a
+//	    kind of machine. A host counts from Prepare until its work is reported done and it is in service again and warm.
+//	    Hosts that failed on their own count too.
 //	T2  A host is Granted only once every node that could send it anything has confirmed that it sends it no new work in this
 //	    round, or has lost its send lease after it had acknowledged an exclusion set that contains the host, or was declared
 //	    dead.
 //	T3  While more hosts have failed than Limits.Failed, no turn is given, and turns whose work has not begun are revoked, the
 //	    latest first, until the limits hold.
 //	T4  The order depends on the schedule alone: urgency, then how close the latest start for FinishBy is, then the lowest
-//	    value disrupted; waiting turns gain urgency with time, so that none starves; no two homes of one group are out
-//	    together.
-//	T5  A turn is not forgotten: its requester may be gone, the leader may change; work that overruns goes on counting and is
-//	    reported to operators.
+//	    value disrupted; waiting turns gain urgency with time, so that none starves; no two preferred hosts of one
+//	    group are out together.
+//	T5  A turn is not forgotten: its requester may be gone, the leader may change; a host whose work
+//	    overruns goes on counting, and the overrun is reported to operators.
 //	T6  An operator's ban and a turn on one host, in either order, keep the host out of service until both are over.
 //
 // What is counted: a host is out if it has a turn from Preparing to Returning, is banned, or has failed on its own, and it counts
@@ -65,7 +65,7 @@
 	ID     string   `json:"id"`
 	Zone   string   `json:"zone,omitempty"`
 	Kind   string   `json:"kind,omitempty"`
-	Groups []string `json:"groups,omitempty"` // groups that have the host as a home, sorted
+	Groups []string `json:"groups,omitempty"` // groups that prefer the host, sorted
 	Value  float64  `json:"worth,omitempty"`  // value per second of the connections it holds, disrupted when it is drained
 	Failed bool     `json:"failed,omitempty"` // out of service on its own
 	Warm   bool     `json:"warm,omitempty"`   // in service at full capacity
--- a/internal/choice/turns/turns_test.go
+++ b/internal/choice/turns/turns_test.go
@@ -139,7 +139,7 @@
 	return string(raw)
 }
 
-func TestT1Allowances(t *testing.T) {
+func TestT1Limits(t *testing.T) {
 	for name, test := range map[string]struct {
 		limits Limits
 		change func(hosts []Host)
@@ -200,10 +200,10 @@
 	c.phases([]Phase{Over, Preparing}, "t0", "t1")
 }
 
-func TestT2Clear(t *testing.T) {
+func TestT2Blockers(t *testing.T) {
 	for name, test := range map[string]struct {
 		cmds   []Command
-		change func(v *NodeView) // of n2; it has none where this is nil
+		change func(v *NodeView) // of n2; without it the leader has no view of n2
 		blocks bool
 	}{
 		"all confirmed":            {nil, func(*NodeView) {}, false},
@@ -216,8 +216,8 @@
 		"admitted again":           {[]Command{dead("n2"), alive("n2")}, nil, true},
 		"dead and re-added":        {[]Command{dead("n2"), members("n1"), members("n1", "n2")}, nil, true},
 		"new store, lease expired": {[]Command{ack("n2", 2, 0)}, func(v *NodeView) { v.LeaseExpired, v.Confirmed = true, nil }, true},
-		"new store, holds":         {[]Command{ack("n2", 2, 0)}, func(*NodeView) {}, true},
-		"old store, holds":         {[]Command{ack("n2", 2, 1)}, func(*NodeView) {}, true},
+		"new store, confirmed":     {[]Command{ack("n2", 2, 0)}, func(*NodeView) {}, true},
+		"old store, confirmed":     {[]Command{ack("n2", 2, 1)}, func(*NodeView) {}, true},
 		"new node":                 {[]Command{members("n1", "n2", "n3")}, func(*NodeView) {}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -297,10 +297,10 @@
 	c.phases([]Phase{Preparing}, "t1") // nothing in the exclusion set of n2 waits
 	views[0].Confirmed = map[string]uint64{"h1": c.turn("t1").Round}
 	require.Len(t, c.b.Blockers("t1", views), 1)
-	stuck := func(after time.Duration) bool { _, ok := c.b.RevokeBlocked(c.now+after, views, time.Minute); return ok }
-	assert.False(t, stuck(time.Hour), "no other turn could go: t3 is outside the exclusion set too")
+	revokes := func(after time.Duration) bool { _, ok := c.b.RevokeBlocked(c.now+after, views, time.Minute); return ok }
+	assert.False(t, revokes(time.Hour), "no other turn could go: t3 is outside the exclusion set too")
 	c.request("t2", "h0")
-	assert.False(t, stuck(time.Second), "too early")
+	assert.False(t, revokes(time.Second), "too early")
 	back, ok := c.b.RevokeBlocked(c.now+time.Hour, views, time.Minute)
 	require.True(t, ok)
 	assert.Equal(t, "t1", back.Revoke.ID)
@@ -308,7 +308,7 @@
 	c.settle("n2") // the turn in the exclusion set of n2 goes, although t1 is first in order
 	c.phases([]Phase{Requested, Preparing}, "t1", "t2")
 	c.request("t4", "h2")
-	assert.False(t, stuck(time.Hour), "t2 is in the exclusion set: another node blocks it")
+	assert.False(t, revokes(time.Hour), "t2 is in the exclusion set: another node blocks it")
 	c.do(Command{Limits: &Limits{Site: 4, Lookahead: 1}})
 	c.settle("n2")
 	c.phases([]Phase{Preparing, Requested, Preparing}, "t1", "t3", "t4") // one outside the exclusion set at a time
@@ -393,7 +393,7 @@
 	assert.Equal(t, []string{"t1", "t0"}, c.b.Order(c.now))
 }
 
-func TestT4HomesOfOneGroup(t *testing.T) {
+func TestT4PreferredHostsOfOneGroup(t *testing.T) {
 	c := newFixture(t, Limits{Site: 4, Failed: 1, Lookahead: 4})
 	c.hosts[0].Groups, c.hosts[2].Groups = []string{"g", "x"}, []string{"g"}
 	c.fleet()
@@ -402,16 +402,16 @@
 	}
 	c.settle()
 	c.phases([]Phase{Preparing, Preparing, Requested}, "t0", "t1", "t2")
-	c.refused(GroupHomeOut, prepare("t2"))
-	c.hosts[2].Failed = true // the other home fails: this turn is revoked
+	c.refused(PreferredHostOut, prepare("t2"))
+	c.hosts[2].Failed = true // the other preferred host fails: this turn is revoked
 	c.fleet()
 	require.Len(t, c.settle(), 1)
 	c.phases([]Phase{Requested, Preparing}, "t0", "t2")
 }
 
-// TestT4NobodyStarves: t0 needs both the zone and the kind that others hold alternately, so that both are never free at once.
+// TestT4NoTurnStarves: t0 needs both the zone and the kind that other turns use alternately, so that both are never free at once.
 // Capacity is reserved for it once it has waited for long, unless a failed host blocks it.
-func TestT4NobodyStarves(t *testing.T) {
+func TestT4NoTurnStarves(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		c := newFixture(t, Limits{Site: 4, Failed: 1, Zone: 1, Kind: 1, Lookahead: 4, AgeStep: time.Hour})
 		c.hosts = append(c.hosts, Host{ID: "h4", Zone: "c", Kind: "k", Failed: failed})
--- a/internal/choice/turns/walk_test.go
+++ b/internal/choice/turns/walk_test.go
@@ -122,7 +122,7 @@
 	w.accepted, w.past = w.accepted+1, append(w.past, w.b.Clone())[max(0, len(w.past)-8):]
 }
 
-// allowed checks T1, T3 and the homes of T4 when a turn is prepared or granted, independently of how the schedule counts.
+// allowed checks T1, T3 and the preferred hosts of T4 when a turn is prepared or granted, independently of how the schedule counts.
 func (w *walk) allowed(c Command, text string) {
 	if c.Prepare == nil && c.Grant == nil {
 		return
@@ -143,8 +143,8 @@
 	if c.Prepare == nil {
 		return
 	}
-	count := func(like func(h Host) bool) (n int) {
-		return len(slices.DeleteFunc(slices.Clone(all), func(h Host) bool { return !like(h) }))
+	count := func(matches func(h Host) bool) (n int) {
+		return len(slices.DeleteFunc(slices.Clone(all), func(h Host) bool { return !matches(h) }))
 	}
 	mine, _ := w.b.host(w.turn(c.Prepare.ID).Host)
 	require.LessOrEqual(w.t, len(all), l.Site, "T1 %s", text)
--- a/internal/control/hosts_test.go
+++ b/internal/control/hosts_test.go
@@ -79,7 +79,7 @@
 	s.Turns.Site = 2
 	a.core.ApplySiteFile(&s)
 	a.hosts = append(a.hosts, hostview.Host{ID: "c", Warm: true, Zone: "z", Kind: "m", Start: time.Hour})
-	a.groups = []hostview.Group{{Name: "room", Value: 3, Homes: []string{"a", "b"}}}
+	a.groups = []hostview.Group{{Name: "room", Value: 3, PreferredHosts: []string{"a", "b"}}}
 	a.advance(10 * time.Second)
 	var homes []string
 	for _, h := range a.core.Schedule().Hosts() {
@@ -148,5 +148,5 @@
 	a.reportGroups(nil, false) // its exclusion set is recorded
 	a.reportGroups(outs, false, "room")
 	assert.Equal(t, []turns.Phase{turns.Granted, turns.Requested}, []turns.Phase{a.phase("t-a"), a.phase("t-b")})
-	assert.Equal(t, "another home of one of its groups is out", a.turn("t-b").Why)
+	assert.Equal(t, "another preferred host of one of its groups is out", a.turn("t-b").Why)
 }
--- a/internal/query/restrictions.go
+++ b/internal/query/restrictions.go
@@ -159,7 +159,7 @@
 	all = all[:min(len(all), 2*hostview.MaxGroups)]
 	for i := range all {
 		for _, server := range b.PreferredServers(all[i].Name) {
-			all[i].Homes = append(all[i].Homes, string(server))
+			all[i].PreferredHosts = append(all[i].PreferredHosts, string(server))
 		}
 	}
 	return all
--- a/internal/query/restrictions_test.go
+++ b/internal/query/restrictions_test.go
@@ -123,6 +123,6 @@
 	if assert.Len(t, look.Groups, 1, "a group of one connection is not reported") {
 		assert.Equal(t, "room", look.Groups[0].Name)
 		assert.Equal(t, 4.0, look.Groups[0].Value)
-		assert.Len(t, look.Groups[0].Homes, 3)
+		assert.Len(t, look.Groups[0].PreferredHosts, 3)
 	}
 }
