--- a/internal/choice/sendlease/holder.go
+++ b/internal/choice/sendlease/holder.go
@@ -9,31 +9,31 @@
 // Saved is what a node's store holds.
 type Saved struct {
 	Incarnation   uint64         `json:"Life"`     // set by the caller when it creates the store, higher than earlier ones; 0: no store yet
-	ExclusionSets []ExclusionSet `json:"Horizons"` // that the Raft group may rely on, by version; version 0: none. Empty: never answered
+	ExclusionSets []ExclusionSet `json:"Horizons"` // that the Raft group may rely on, by version; version 0: none. Empty: never had a response
 	Recorded      uint64         // the newest version that the Raft group is known to have recorded
 	ExcludedHosts []ExcludedHost `json:"Outs"` // sorted by host
-	Applied       uint64         // log index of the answer; may be lower than that of the last answer if that one changed nothing
+	Applied       uint64         // log index of the response; may be lower than that of the last response if that one changed nothing
 }
 
-// hasAnswer reports whether the Raft group ever answered this store.
-func (s *Saved) hasAnswer() bool { return len(s.ExclusionSets) > 0 }
+// hasResponse reports whether this store ever held a response of the Raft group.
+func (s *Saved) hasResponse() bool { return len(s.ExclusionSets) > 0 }
 
 // coversRecorded reports whether the store holds every exclusion set that the Raft group may rely on: the recorded one and all
 // later ones.
 func (s *Saved) coversRecorded() bool {
-	return s.hasAnswer() && s.ExclusionSets[0].Version <= s.Recorded
+	return s.hasResponse() && s.ExclusionSets[0].Version <= s.Recorded
 }
 
 // newest returns the newest version held.
 func (s *Saved) newest() uint64 {
-	if !s.hasAnswer() {
+	if !s.hasResponse() {
 		return 0
 	}
 	return s.ExclusionSets[len(s.ExclusionSets)-1].Version
 }
 
-// equal reports whether two stores exclude the same hosts. A change of Applied alone needs no write: a host that is excluded in
-// the same round in two answers was excluded in between.
+// equal reports whether two stores hold the same, apart from Applied. A change of Applied alone needs no write: a host that is
+// excluded in the same round in two responses was excluded in between.
 func (s *Saved) equal(o *Saved) bool {
 	return s.Incarnation == o.Incarnation && s.Recorded == o.Recorded && slices.Equal(s.ExcludedHosts, o.ExcludedHosts) &&
 		slices.EqualFunc(s.ExclusionSets, o.ExclusionSets, func(a, b ExclusionSet) bool {
@@ -48,7 +48,7 @@
 	return c
 }
 
-// pendingRequest is a request whose answer may still bring a lease.
+// pendingRequest is a request whose response may still bring a lease.
 type pendingRequest struct {
 	seq uint64
 	at  time.Duration
@@ -56,23 +56,23 @@
 
 // Holder is the node's side of its send lease. It is not safe for concurrent use.
 //
-// The contents of an answer take three paths at different speeds: to the event loop at once, into the store, and from both back
+// The contents of a response take three paths at different speeds: to the event loop at once, into the store, and from both back
 // to the Raft group. Holder keeps what is durable apart from what is known. The event loop applies what is known: it contains
 // every exclusion set that the Raft group may rely on, and what it has dropped was dropped by the group before. The lease that
-// came with an answer is used, and its contents are confirmed, only once they are durable.
+// came with a response is used, and its contents are confirmed, only once they are durable.
 type Holder struct {
 	terms   Terms
 	node    string
 	durable Saved // contents of the store
-	known   Saved // contents of the last answer
+	known   Saved // contents of the last response
 	written Saved // what Saved returned last, being written to the store
 
 	seq      uint64           // of the last request
-	answered uint64           // of the last accepted answer
+	answered uint64           // of the last accepted response
 	pending  []pendingRequest // ascending
 
 	leaseEnd   time.Duration // end of the lease in use
-	pendingEnd time.Duration // end of the lease of the last answer, which is used once known is durable
+	pendingEnd time.Duration // end of the lease of the last response, which is used once known is durable
 	writtenEnd time.Duration // the same for written
 
 	confirmed []ExcludedHost // the event loop sends these no new work
@@ -100,7 +100,8 @@
 // HasNews reports whether a request would acknowledge a newer exclusion set than the given one, or confirm hosts that it did not.
 func (h *Holder) HasNews(before LeaseRequest) bool {
 	q := h.request()
-	return q.Acked > before.Acked || slices.ContainsFunc(q.Confirmed, func(o ExcludedHost) bool { return !slices.Contains(before.Confirmed, o) })
+	return q.Acked > before.Acked ||
+		slices.ContainsFunc(q.Confirmed, func(o ExcludedHost) bool { return !slices.Contains(before.Confirmed, o) })
 }
 
 // request returns the contents of a request sent now.
@@ -142,7 +143,7 @@
 	s.Applied = a.Applied
 	s.ExcludedHosts = slices.Clone(a.ExcludedHosts)
 	slices.SortFunc(s.ExcludedHosts, func(x, y ExcludedHost) int { return cmp.Compare(x.Host, y.Host) })
-	if !s.hasAnswer() || a.ExclusionSet.Version > s.newest() {
+	if !s.hasResponse() || a.ExclusionSet.Version > s.newest() {
 		hosts := slices.Clone(a.ExclusionSet.Hosts)
 		slices.Sort(hosts)
 		s.ExclusionSets = append(slices.Clone(s.ExclusionSets), ExclusionSet{a.ExclusionSet.Version, hosts})
@@ -201,7 +202,7 @@
 
 // Excludes reports whether no new work may be sent to a host, at a time of the node's own clock.
 func (v Restrictions) Excludes(host string, now time.Duration) bool {
-	if has(v.ExcludedHosts, host) {
+	if containsHost(v.ExcludedHosts, host) {
 		return true
 	}
 	if now < v.LeaseEnd {
@@ -217,8 +218,8 @@
 		slices.Equal(v.ExcludedAfterExpiry, o.ExcludedAfterExpiry)
 }
 
-// has reports whether a host is among excluded hosts, which are sorted.
-func has(excluded []ExcludedHost, host string) bool {
+// containsHost reports whether a host is among excluded hosts, which are sorted.
+func containsHost(excluded []ExcludedHost, host string) bool {
 	_, found := slices.BinarySearchFunc(excluded, host, func(o ExcludedHost, h string) int { return cmp.Compare(o.Host, h) })
 	return found
 }
--- a/internal/choice/sendlease/property_test.go
+++ b/internal/choice/sendlease/property_test.go
@@ -66,6 +66,7 @@
 	trace             []string
 }
 
+// node and at return the time by the clock of the node, and by that of a replica.
 func (w *world) node() time.Duration { return time.Duration(float64(w.now) * w.rate[0]) }
 func (w *world) at(s int) time.Duration {
 	return time.Duration(float64(w.now) * w.rate[1+s])
@@ -109,9 +110,10 @@
 		for _, o := range q.Confirmed {
 			require.Contains(w.t, w.durable.ExcludedHosts, o, "R5: confirmed, not in the store")
 			require.Contains(w.t, w.h.Restrictions().ExcludedHosts, o, "confirmed, not excluded")
-			require.True(w.t, has(w.loop.ExcludedHosts, o.Host), "R5: confirmed, not excluded at the loop")
+			require.True(w.t, containsHost(w.loop.ExcludedHosts, o.Host), "R5: confirmed, not excluded at the loop")
 		}
-		require.True(w.t, q.Acked == 0 || slices.ContainsFunc(w.durable.ExclusionSets, func(z ExclusionSet) bool { return z.Version == q.Acked }), "R5: acknowledged, not stored")
+		require.True(w.t, q.Acked == 0 || slices.ContainsFunc(w.durable.ExclusionSets,
+			func(z ExclusionSet) bool { return z.Version == q.Acked }), "R5: acknowledged, not stored")
 		require.LessOrEqual(w.t, q.Acked, w.loop.ExclusionSetVersion, "R5: acknowledged, not in effect")
 		return fmt.Sprint("requests ", q)
 	case k < 12: // a request arrives; only a leader that a quorum then confirms may answer it
@@ -204,7 +206,7 @@
 		return fmt.Sprint("leads now: ", w.lead)
 	case k == 35 || k == 36: // a host is excluded or is back
 		top, host := w.top(), hosts[w.IntN(3)]
-		if has(top.excluded, host) {
+		if containsHost(top.excluded, host) {
 			top.excluded = slices.DeleteFunc(slices.Clone(top.excluded), func(o ExcludedHost) bool { return o.Host == host })
 			delete(w.free, host)
 		} else {
@@ -231,7 +233,7 @@
 	now, top := w.node(), w.top()
 	if u := w.h.Restrictions().LeaseEnd; u != w.leaseEnd {
 		w.leaseEnd = u
-		stored := false // the contents of an answer that brought this lease
+		stored := false // the contents of a response that brought this lease
 		for seq, a := range w.responses {
 			stored = stored || w.sentAt[seq]+terms.Duration == u && (w.durable.Applied >= a.Applied ||
 				slices.Equal(a.ExcludedHosts, w.durable.ExcludedHosts) && a.ExclusionSet.Version == w.durable.newest())
@@ -262,9 +264,10 @@
 		}
 		view := w.log[s.view]
 		for _, o := range view.excluded {
-			byExclusionSet := s.table.LeaseState(w.at(i), "n") == Expired && view.acked > 0 && slices.ContainsFunc(w.log, func(e entry) bool {
-				return e.exclusionSet.Version == view.acked && slices.Contains(e.exclusionSet.Hosts, o.Host)
-			})
+			byExclusionSet := s.table.LeaseState(w.at(i), "n") == Expired && view.acked > 0 &&
+				slices.ContainsFunc(w.log, func(e entry) bool {
+					return e.exclusionSet.Version == view.acked && slices.Contains(e.exclusionSet.Hosts, o.Host)
+				})
 			confirmed := s.table.Confirmed("n")[o.Host] == o.Round
 			if (byExclusionSet || confirmed) && slices.Contains(top.excluded, o) {
 				w.free[o.Host] = o.Round
--- a/internal/choice/sendlease/sendlease.go
+++ b/internal/choice/sendlease/sendlease.go
@@ -1,6 +1,7 @@
 // Package sendlease decides which nodes may send new work to hosts: a node needs a send lease from its site's Raft group. Holder
-// is the node's side of the lease, Table is the side of the group's leader. Both are pure: they take an event and a time of the
-// caller's own monotonic clock and return a new state and what to do; no I/O, no clock, no goroutines.
+// is the node's side of the lease, Table is the side of the group's leader. Both are pure state machines: each call takes an
+// event and a time of the caller's own monotonic clock, changes the state and returns what to do; no I/O, no clock, no
+// goroutines.
 //
 // The properties that the two ensure together, whatever is lost, late, repeated, stopped or restarted, as long as no two clocks
 // drift apart by more than Terms.Drift:
@@ -9,11 +10,11 @@
 //	    considers the host free of new work from that node (Table.LeaseState with the node's acknowledged exclusion set, or a
 //	    confirmation of the host's round; see turns.Schedule.Blockers).
 //	R2  A node without a send lease sends to no host of any exclusion set that the Raft group may believe it has acknowledged.
-//	R3  A node that never had an answer (no send lease, empty store) sends to no host. The same holds for one without a send
+//	R3  A node that never had a response (no send lease, empty store) sends to no host. The same holds for one without a send
 //	    lease that does not know which exclusion set the Raft group relies on: its store is new, or was restored from an older
 //	    copy.
 //	R4  A send lease counts from when the node requested it, by the node's own clock, and lasts Terms.Duration. The Raft group
-//	    counts it from its answer, for Terms.Duration plus the drift. A new leader counts every node's lease as running for
+//	    counts it from its response, for Terms.Duration plus the drift. A new leader counts every node's lease as running for
 //	    that long from when it became leader.
 //	R5  New exclusions take effect before they are confirmed and before the lease that came with them is used; what is
 //	    acknowledged to the Raft group is first in the node's store and in effect at its event loop.
@@ -21,13 +22,13 @@
 // Requirements on the callers:
 //
 //   - The caller's clock advances while the process is stopped and while the machine sleeps.
-//   - An answer is delivered to the process that sent the request, never to a later process of the same node.
+//   - A response is delivered to the process that sent the request, never to a later process of the same node.
 //   - A leader answers only once a quorum has confirmed that it leads, in a round that began after the request arrived, and from
 //     a log applied at least up to the commit index of then.
 //   - The exclusion set recorded for a node never goes back to an older version, only to none. Incarnations rise from one store
 //     of a node to the next, so that a late request of an old incarnation has no effect (turns.Ack).
 //   - The store returns what was last made durable, or nothing. A store that returns something older violates R2 until the
-//     node's next answer: copies of a node's store must not be restored.
+//     node's next response: copies of a node's store must not be restored.
 //   - The event loop places no requests before it has its first Restrictions.
 package sendlease
 
@@ -39,7 +40,7 @@
 	Drift    float64       // how much faster one node's clock may run than another's, as a fraction: 0.01 is 1%
 }
 
-// CountedDuration is how long the Raft group counts a lease after its answer.
+// CountedDuration is how long the Raft group counts a lease after its response.
 func (t Terms) CountedDuration() time.Duration {
 	return t.Duration + time.Duration(float64(t.Duration)*t.Drift) + time.Millisecond
 }
--- a/internal/choice/sendlease/sendlease_test.go
+++ b/internal/choice/sendlease/sendlease_test.go
@@ -22,7 +22,7 @@
 	return v
 }
 
-func TestNodeWithoutAnswerExcludesAll(t *testing.T) {
+func TestNodeWithoutResponseExcludesAll(t *testing.T) {
 	h := NewHolder(terms, "n1", Saved{Incarnation: 7})
 	assert.True(t, h.Restrictions().Excludes("a", 0))
 	q := h.NextRequest(1 * s)
@@ -42,11 +42,13 @@
 	assert.True(t, v.Excludes("a", 0))
 	assert.False(t, v.Excludes("b", 0), "without a lease it still uses the hosts outside its exclusion set")
 	h.NextRequest(1 * s)
-	save, changed := h.HandleResponse(9*s, LeaseResponse{Seq: 1, Applied: 8, ExcludedHosts: []ExcludedHost{{"b", 7}}, ExclusionSet: ExclusionSet{2, []string{"c"}}, Recorded: 1})
+	save, changed := h.HandleResponse(9*s, LeaseResponse{Seq: 1, Applied: 8, ExcludedHosts: []ExcludedHost{{"b", 7}},
+		ExclusionSet: ExclusionSet{2, []string{"c"}}, Recorded: 1})
 	assert.True(t, save)
 	assert.True(t, changed)
 	v = h.Restrictions()
-	assert.Equal(t, Restrictions{ExcludedHosts: []ExcludedHost{{"b", 7}}, ExcludedAfterExpiry: []string{"a", "c"}, ExclusionSetVersion: 2}, v, "more hosts excluded at once, no lease yet")
+	assert.Equal(t, Restrictions{ExcludedHosts: []ExcludedHost{{"b", 7}}, ExcludedAfterExpiry: []string{"a", "c"}, ExclusionSetVersion: 2}, v,
+		"more hosts excluded at once, no lease yet")
 	h.MarkInEffect(v)
 	q := h.NextRequest(9 * s)
 	assert.Empty(t, q.Confirmed, "not durable")
@@ -61,7 +63,8 @@
 	assert.Equal(t, []ExcludedHost{{"b", 7}}, q.Confirmed)
 	assert.EqualValues(t, 2, q.Acked)
 
-	save, changed = h.HandleResponse(30*s, LeaseResponse{Seq: 3, Applied: 8, ExcludedHosts: []ExcludedHost{{"b", 7}}, ExclusionSet: ExclusionSet{2, []string{"c"}}, Recorded: 1})
+	save, changed = h.HandleResponse(30*s, LeaseResponse{Seq: 3, Applied: 8, ExcludedHosts: []ExcludedHost{{"b", 7}},
+		ExclusionSet: ExclusionSet{2, []string{"c"}}, Recorded: 1})
 	assert.False(t, save)
 	assert.True(t, changed, "its lease has expired, but still ends later than the last one")
 	save, changed = h.HandleResponse(30*s, LeaseResponse{Seq: 2, Applied: 9})
@@ -71,10 +74,12 @@
 	assert.False(t, save || changed, "an older log")
 	save, _ = h.HandleResponse(30*s, LeaseResponse{Seq: 5, Applied: 9})
 	assert.False(t, save, "no such request was sent")
-	assert.Equal(t, []string{"c"}, apply(h, 31*s, LeaseResponse{Seq: 4, Applied: 9, ExclusionSet: ExclusionSet{2, nil}, Recorded: 2}).ExcludedAfterExpiry)
+	assert.Equal(t, []string{"c"},
+		apply(h, 31*s, LeaseResponse{Seq: 4, Applied: 9, ExclusionSet: ExclusionSet{2, nil}, Recorded: 2}).ExcludedAfterExpiry)
 	h.NextRequest(32 * s)
 	h.NextRequest(41 * s)
-	save, _ = h.HandleResponse(41*s, LeaseResponse{Seq: 5, Applied: 10, ExcludedHosts: []ExcludedHost{{"d", 9}}, ExclusionSet: ExclusionSet{2, nil}})
+	save, _ = h.HandleResponse(41*s, LeaseResponse{Seq: 5, Applied: 10, ExcludedHosts: []ExcludedHost{{"d", 9}},
+		ExclusionSet: ExclusionSet{2, nil}})
 	assert.True(t, save, "one more excluded host")
 	assert.False(t, h.Restrictions().AllAfterExpiry, "a recorded version stays recorded")
 	h.Saved()
@@ -86,10 +91,12 @@
 	h := NewHolder(terms, "n1", Saved{Incarnation: 7, ExclusionSets: []ExclusionSet{{1, nil}}, Recorded: 1})
 	h.NextRequest(0)
 	h.NextRequest(5 * s)
-	save, _ := h.HandleResponse(6*s, LeaseResponse{Seq: 1, Applied: 2, ExcludedHosts: []ExcludedHost{{"b", 2}}, ExclusionSet: ExclusionSet{1, nil}, Recorded: 1})
+	save, _ := h.HandleResponse(6*s, LeaseResponse{Seq: 1, Applied: 2, ExcludedHosts: []ExcludedHost{{"b", 2}},
+		ExclusionSet: ExclusionSet{1, nil}, Recorded: 1})
 	assert.True(t, save)
 	h.Saved()
-	save, _ = h.HandleResponse(7*s, LeaseResponse{Seq: 2, Applied: 3, ExclusionSet: ExclusionSet{1, nil}, Recorded: 1}) // b is back: the same as the store holds
+	// b is back: the same as the store holds.
+	save, _ = h.HandleResponse(7*s, LeaseResponse{Seq: 2, Applied: 3, ExclusionSet: ExclusionSet{1, nil}, Recorded: 1})
 	assert.False(t, save)
 	h.MarkStored()
 	assert.Equal(t, 15*s, h.Restrictions().LeaseEnd)
--- a/internal/choice/sendlease/table.go
+++ b/internal/choice/sendlease/table.go
@@ -18,7 +18,7 @@
 // NewTable returns the table of a replica that does not lead.
 func NewTable(terms Terms) *Table { return &Table{terms: terms} }
 
-// BecomeLeader records that this replica has become leader: every node's lease counts as running from now. Any answer of another
+// BecomeLeader records that this replica has become leader: every node's lease counts as running from now. Any response of another
 // leader was confirmed by a quorum before that quorum elected this one, and its request was older still.
 func (t *Table) BecomeLeader(now time.Duration) {
 	t.leads, t.since = true, now
@@ -28,7 +28,7 @@
 // Resign records that this replica no longer leads: it knows nothing of any lease.
 func (t *Table) Resign() { t.leads, t.answered, t.confirmed = false, nil, nil }
 
-// RecordAnswered records that an answer to a node is about to be sent. A quorum has confirmed, after the request arrived, that
+// RecordAnswered records that a response to a node is about to be sent. A quorum has confirmed, after the request arrived, that
 // this replica leads.
 func (t *Table) RecordAnswered(now time.Duration, node string) {
 	if t.leads {
@@ -38,8 +38,8 @@
 
 // RecordConfirmed adds the confirmations of a request to the earlier ones, in whichever order requests arrive: a confirmation
 // stays true for as long as the host is excluded in that round. The node had the host in its store as excluded before it
-// confirmed, so it excludes it after a restart too; only an answer sent after the turn is over removes it. If the node loses its
-// store, it has no lease and excludes all hosts until an answer names the host as excluded. A host that is excluded again has a
+// confirmed, so it excludes it after a restart too; only a response sent after the turn is over removes it. If the node loses its
+// store, it has no lease and excludes all hosts until a response names the host as excluded. A host that is excluded again has a
 // later round, and rounds only rise.
 func (t *Table) RecordConfirmed(_ time.Duration, q LeaseRequest) {
 	if !t.leads || len(q.Confirmed) == 0 {
--- a/internal/choice/watch/property_test.go
+++ b/internal/choice/watch/property_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// failureMode is what a call meets while discovery cannot be reached.
+// failureMode is how a call fails while discovery cannot be reached.
 type failureMode int
 
 const (
@@ -118,13 +118,13 @@
 	if w.rng.IntN(3) == 0 {
 		random = maxRandom
 	}
-	var o Action
-	w.watch, o = w.watch.Step(Event{Kind: k, Now: w.now, Random: random})
-	if o.Wake > 0 {
-		w.wake, w.end = o.Wake, never
+	var action Action
+	w.watch, action = w.watch.Step(Event{Kind: k, Now: w.now, Random: random})
+	if action.Wake > 0 {
+		w.wake, w.end = action.Wake, never
 	}
-	if o.Call {
-		w.startCall(o.Form)
+	if action.Call {
+		w.startCall(action.Form)
 	}
 }
 
@@ -182,8 +182,8 @@
 	assert.Greater(t, worst, ListWithin-Reserve-Spread, "the worst case is among them")
 }
 
-// Term 2, W2: a change that an unresponsive watch misses is there 6 s after it stopped responding, or 2 s after the change was
-// made if that is later.
+// Term 2, W2: a change that an unresponsive watch misses is in the node's list 6 s after the watch stopped responding, or 2 s
+// after the change was made if that is later.
 func TestChangeMissedByUnresponsiveWatchIsThereWithinSixSeconds(t *testing.T) {
 	for seed := range uint64(seeds) {
 		w := newWorld(seed, polled)
--- a/internal/choice/watch/watch.go
+++ b/internal/choice/watch/watch.go
@@ -5,8 +5,8 @@
 // Properties, which hold from any moment on:
 //
 //	W1  Once discovery can be reached and answers each call within CallWithin, the node has its list within ListWithin.
-//	W2  A change that an unresponsive watch misses is there ListWithin after it stopped responding, or CallWithin after the
-//	    change was made, whichever is later.
+//	W2  A change that an unresponsive watch misses is in the node's list ListWithin after the watch stopped responding, or
+//	    CallWithin after the change was made, whichever is later.
 //	W3  With Settings.Push, a failed call is followed by the next one within AgentRetry, and a call without a hold is given up
 //	    after half of the drain grace period, except for every fourth in a row.
 //	W4  After discovery's address has changed, two calls have their full time within RelocateWithin.
@@ -126,15 +126,15 @@
 	MovedAt    time.Duration // when the address of discovery changed, until it has answered there
 }
 
-// Step handles an event. An event that does not apply in the phase changes nothing and orders no action, for example the late end
+// Step handles an event. An event that does not apply in the phase changes nothing and gives no action, for example the late end
 // of a call that was given up.
 func (w Watch) Step(e Event) (Watch, Action) {
 	switch e.Kind {
 	case AddressChanged:
 		w.HasList, w.Failures, w.Unanswered, w.Resume, w.MovedAt = false, 0, 0, false, e.Now
-		w, o := w.call(e.Now)
-		o.Drop = true
-		return w, o
+		w, action := w.call(e.Now)
+		action.Drop = true
+		return w, action
 	case Start:
 		if w.Phase == Idle {
 			return w.start(e)
--- a/internal/choice/watch/watch_test.go
+++ b/internal/choice/watch/watch_test.go
@@ -122,9 +122,9 @@
 			if p.Phase == Idle {
 				kind = Start
 			}
-			_, o := p.Step(Event{Kind: kind, Now: p.now, Random: float64(i) / 100})
-			seen[o.Wake-p.now] = true
-			assert.Less(t, o.Wake-p.now, Spread)
+			_, action := p.Step(Event{Kind: kind, Now: p.now, Random: float64(i) / 100})
+			seen[action.Wake-p.now] = true
+			assert.Less(t, action.Wake-p.now, Spread)
 		}
 		assert.Len(t, seen, 100)
 	}
@@ -177,8 +177,8 @@
 	}
 }
 
-// After SIGHUP the new address is asked immediately for the full list, and again so soon that two calls have their time within 4
-// s, whatever was in progress: a call, a pause, another change of address.
+// After SIGHUP the full list is requested from the new address immediately, and again so soon that two calls have their time
+// within 4 s, whatever was in progress: a call, a pause, another change of address.
 func TestAddressChangeIsFollowedAtOnce(t *testing.T) {
 	for name, p := range map[string]*fixture{"a watch": watching(polled), "an agent": watching(pushed), "a call": begin(polled, true),
 		"a pause": watching(polled), "many failures": watching(polled), "another change": watching(polled)} {
@@ -249,9 +249,9 @@
 		{calling.Watch, []Kind{Start}},
 	} {
 		for _, k := range c.kinds {
-			after, o := c.w.Step(Event{Kind: k, Now: 2 * time.Hour})
+			after, action := c.w.Step(Event{Kind: k, Now: 2 * time.Hour})
 			assert.Equal(t, c.w, after)
-			assert.Equal(t, Action{}, o)
+			assert.Equal(t, Action{}, action)
 		}
 	}
 }
