--- a/internal/choice/sitesync/errors.go
+++ b/internal/choice/sitesync/errors.go
@@ -5,13 +5,13 @@
 // QueueFullError reports that the queue has no room for a write of this kind.
 type QueueFullError struct {
 	Kind                Kind
-	Number              int // writes of this site that the top has not judged yet
+	Number              int // writes of this site that the root site has not judged yet
 	Bytes               int
 	MaxNumber, MaxBytes int // limits for the kind
 }
 
 func (e *QueueFullError) Error() string {
-	return fmt.Sprintf("%d writes of %d bytes are not yet judged by the top site; the limit for a write of kind %s is %d writes and %d bytes",
+	return fmt.Sprintf("%d writes of %d bytes are not yet judged by the root site; the limit for a write of kind %s is %d writes and %d bytes",
 		e.Number, e.Bytes, e.Kind, e.MaxNumber, e.MaxBytes)
 }
 
--- a/internal/choice/sitesync/forwarder.go
+++ b/internal/choice/sitesync/forwarder.go
@@ -111,7 +111,8 @@
 	}
 	to = c.ancestors[c.current]
 	for i, name := range c.ancestors { // at intervals a nearer one, or a farther one that waits for this site's call
-		if r := c.routes[name]; now-r.lastCall >= c.timing.ReturnInterval && now >= r.notBefore && (i < c.current || i > c.current && c.site().awaitedBy(name)) {
+		if r := c.routes[name]; now-r.lastCall >= c.timing.ReturnInterval && now >= r.notBefore &&
+			(i < c.current || i > c.current && c.site().awaitedBy(name)) {
 			to = name
 			break
 		}
@@ -130,10 +131,10 @@
 	return to, b, 0
 }
 
-// CallTimeout returns how long to wait for the answer to the call in progress. A cut link is told from a slow one not
-// by waiting longer but by a probe (Batch.Probe), which is small in both directions and needs no commit. The timeout of
-// a probe is based on the answer times of probes, that of a call on those of calls, doubled for each call that was lost
-// although probes were answered.
+// CallTimeout returns how long to wait for the answer to the call in progress. A cut link is distinguished from a
+// slow one not by waiting longer but by a probe (Batch.Probe), which is small in both directions and needs no commit.
+// The timeout of a probe is based on the answer times of probes, that of a call on those of calls, doubled for each call
+// that was lost although probes were answered.
 func (c *Forwarder) CallTimeout() time.Duration {
 	r := c.routes[c.callee]
 	switch {
@@ -149,17 +150,17 @@
 // show if every probe were given up too early. So every fourth one is waited for as if nothing had been measured, and
 // from the 64th on, each time the number of unanswered ones has doubled, one is waited for as long as possible.
 func (r *route) probeTimeout(p Timing) time.Duration {
-	usual := r.probeTime.timeout(p)
+	typical := r.probeTime.timeout(p)
 	if r.probeTime.mean == 0 { // a probe takes no longer than a call
-		usual = min(r.callTime.timeout(p), p.InitialTimeout)
+		typical = min(r.callTime.timeout(p), p.InitialTimeout)
 	}
 	switch n := r.lostProbes + 1; {
 	case n >= 64 && n&(n-1) == 0:
 		return p.MaxTimeout
 	case n%4 == 0:
-		return max(usual, p.InitialTimeout)
+		return max(typical, p.InitialTimeout)
 	}
-	return usual
+	return typical
 }
 
 // batch builds a call: as many writes as credit and size allow, urgent ones and their dependencies first, evidence
@@ -224,7 +225,7 @@
 
 // sendableUpTo returns the number up to which an origin's writes may be sent.
 func (s *Site) sendableUpTo(o Origin) uint64 {
-	if s.isTop() || !s.isOwn(o) {
+	if s.isRoot() || !s.isOwn(o) {
 		return math.MaxUint64
 	}
 	return s.offered[o.lane()]
@@ -302,7 +303,8 @@
 			if !p.emit(m.Origin, m.Number, take) {
 				return false
 			}
-			unknown = unknown || p.outOfOrder && (m.Number > p.seen[m.Origin] || p.uncertainFrom[m.Origin] > 0 && m.Number >= p.uncertainFrom[m.Origin])
+			unknown = unknown || p.outOfOrder && (m.Number > p.seen[m.Origin] ||
+				p.uncertainFrom[m.Origin] > 0 && m.Number >= p.uncertainFrom[m.Origin])
 		}
 		if !unknown {
 			if !take(w) {
@@ -328,7 +330,8 @@
 	}
 	c.reachable = true
 	if r.incarnation != a.Incarnation {
-		*r = route{incarnation: a.Incarnation, known: vector{}, lastCall: r.lastCall, callLost: r.callLost, slowCalls: r.slowCalls, callTime: r.callTime, probeTime: r.probeTime}
+		*r = route{incarnation: a.Incarnation, known: vector{}, lastCall: r.lastCall, callLost: r.callLost, slowCalls: r.slowCalls,
+			callTime: r.callTime, probeTime: r.probeTime}
 	}
 	probe := c.probing
 	r.redirected = false
@@ -414,7 +417,8 @@
 	if len(update.Judged) == 0 {
 		return nil
 	}
-	return &Command{Down: &StateUpdate{From: update.From, Incarnation: update.Incarnation, To: update.To, Judged: update.Judged, Refused: update.Refused}}
+	return &Command{Down: &StateUpdate{From: update.From, Incarnation: update.Incarnation, To: update.To, Judged: update.Judged,
+		Refused: update.Refused}}
 }
 
 // Failed records that the call in progress brought no answer, or a refusal.
@@ -447,8 +451,8 @@
 }
 
 // backoff returns how long to wait after the given number of calls without progress.
-func (c *Forwarder) backoff(bad int) time.Duration {
-	return Jitter(min(c.timing.MaxRetryDelay, c.timing.RetryDelay<<min(bad, 16)), c.site().self.Site, c.attempt)
+func (c *Forwarder) backoff(failures int) time.Duration {
+	return Jitter(min(c.timing.MaxRetryDelay, c.timing.RetryDelay<<min(failures, 16)), c.site().self.Site, c.attempt)
 }
 
 // countFailure counts a call without progress; after MaxFailures of them the next site above is used.
@@ -519,7 +523,7 @@
 	switch {
 	case wanted <= 0 && b.Waiting > 0: // no room
 		return 0, Jitter(t.budget.MaxAhead, site, t.calls[site])
-	case wanted <= 0: // a write may come up before the next call
+	case wanted <= 0: // a write may be made before the next call
 		credit = min(t.budget.UrgentBatch, room)
 	case b.Urgent > 0 && ahead > 0:
 		credit = min(wanted, b.Urgent, t.budget.UrgentBatch)
--- a/internal/choice/sitesync/forwarder_test.go
+++ b/internal/choice/sitesync/forwarder_test.go
@@ -19,8 +19,8 @@
 
 func TestForwarderUsesNearestReachableSite(t *testing.T) {
 	s := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
-	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 2,
-		ReturnInterval: time.Minute})
+	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: time.Second,
+		MaxRetryDelay: 8 * time.Second, MaxFailures: 2, ReturnInterval: time.Minute})
 	now := time.Duration(0)
 	next := func() string {
 		to, _, wait := c.Next(now)
@@ -190,7 +190,8 @@
 // TestProbeChangesNothing: a probe carries no vector, which must not be taken as proof that its site has seen nothing.
 func TestProbeChangesNothing(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
-	for _, place := range []Place{{Site: "a", Incarnation: 1, StoreCreated: 1}, {Site: "b", Incarnation: 1, StoreCreated: 1}, {Site: "a", Incarnation: 2, StoreCreated: 2}} {
+	for _, place := range []Place{{Site: "a", Incarnation: 1, StoreCreated: 1}, {Site: "b", Incarnation: 1, StoreCreated: 1},
+		{Site: "a", Incarnation: 2, StoreCreated: 2}} {
 		p.Apply(0, Command{Batch: &Batch{From: place}})
 	}
 	lost := incarnation{"a", 1}
@@ -295,8 +296,8 @@
 	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
 	piece := func(after, until uint64, last bool) *Command {
 		c.Next(0)
-		return c.Answered(0, &Answer{From: "p", Incarnation: 2, Down: &StateUpdate{From: "p", Incarnation: 2, To: 1, After: after, Until: until, Last: last,
-			Seen: VersionVector{{Origin{Site: "p", Incarnation: 1}, until}}}})
+		return c.Answered(0, &Answer{From: "p", Incarnation: 2, Down: &StateUpdate{From: "p", Incarnation: 2, To: 1, After: after,
+			Until: until, Last: last, Seen: VersionVector{{Origin{Site: "p", Incarnation: 1}, until}}}})
 	}
 	cursor := func() Cursor {
 		_, call, _ := c.Next(0)
@@ -328,13 +329,13 @@
 	assert.True(t, dependent.Dependencies.Has(second), "it depends on the write that it needs")
 	assert.True(t, safety(b, "3", false).Dependencies.Has(second))
 
-	top := New(Place{Site: "q", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
-	top.Apply(1, Command{Batch: &Batch{From: b.Self(), Writes: []Write{*dependent}}})
-	require.Equal(t, 1, top.Held())
-	top.Apply(1+testLimits.Age, Command{})
-	assert.Equal(t, 1, top.Held())
-	top.Apply(2+testLimits.Age, Command{})
-	assert.Zero(t, top.Held(), "dropped after the age limit; its sender still has it")
+	q := New(Place{Site: "q", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	q.Apply(1, Command{Batch: &Batch{From: b.Self(), Writes: []Write{*dependent}}})
+	require.Equal(t, 1, q.Held())
+	q.Apply(1+testLimits.Age, Command{})
+	assert.Equal(t, 1, q.Held())
+	q.Apply(2+testLimits.Age, Command{})
+	assert.Zero(t, q.Held(), "dropped after the age limit; its sender still has it")
 }
 
 // TestWritesWithUnknownDependenciesAreSentLast: a write that depends on one unknown here would only be held at the site
--- a/internal/choice/sitesync/site.go
+++ b/internal/choice/sitesync/site.go
@@ -31,7 +31,7 @@
 	key subjectKey
 }
 
-// refusal is a write that the top site did not accept.
+// refusal is a write that the root site did not accept.
 type refusal struct {
 	At      uint64  `json:"at"` // sequence number of the refusal at this site
 	Receipt Receipt `json:"receipt"`
@@ -80,7 +80,7 @@
 	self         Place
 	limits       Limits
 	merge        Merge
-	retain       func([]byte) []byte // the part of judged evidence that the top site keeps; nil: all of it
+	retain       func([]byte) []byte // the part of judged evidence that the root site keeps; nil: all of it
 	now          time.Duration
 	seq          uint64
 	number       [lanes]uint64 // number of the last own write, by lane
@@ -92,7 +92,7 @@
 	refused      map[ID]*refusal
 	refusalLog   []*refusal // in order of sequence numbers
 	log          pendingLog
-	outOfOrder   bool // a write in log may stand before one that it depends on: a token named a write that arrived later
+	outOfOrder   bool // a write in log may precede one that it depends on: a token named a write that arrived later
 	subjects     map[subjectKey]*subject
 	changes      []change
 	held         []heldWrite
@@ -163,7 +163,8 @@
 func New(self Place, limits Limits) *Site {
 	return &Site{self: self, limits: limits, merge: MergeSketches, named: [lanes]vector{{}, {}, {}}, known: vector{}, seen: vector{},
 		judged: vector{}, refused: map[ID]*refusal{}, subjects: map[subjectKey]*subject{}, incarnations: map[string]latestIncarnation{},
-		log: pendingLog{}, callers: map[string]bool{}, ending: map[incarnation]*closing{}, closed: map[incarnation]bool{}, cursors: map[string]Cursor{}}
+		log: pendingLog{}, callers: map[string]bool{}, ending: map[incarnation]*closing{}, closed: map[incarnation]bool{},
+		cursors: map[string]Cursor{}}
 }
 
 // WithMerge sets how evidence is merged. It must be the same at all sites.
@@ -172,7 +173,7 @@
 	return s
 }
 
-// WithRetention sets which part of a piece of evidence the top site stores, of the newest that each origin wrote on a
+// WithRetention sets which part of a piece of evidence the root site stores, of the newest that each origin wrote on a
 // subject; the effect still has the whole piece. The result must itself be evidence, since it is merged with later
 // pieces. It must be the same on all replicas.
 func (s *Site) WithRetention(retain func([]byte) []byte) *Site {
@@ -208,8 +209,8 @@
 // Self returns the site's place.
 func (s *Site) Self() Place { return s.self }
 
-// isTop reports whether this site judges writes.
-func (s *Site) isTop() bool { return len(s.self.Ancestors) == 0 }
+// isRoot reports whether this site judges writes.
+func (s *Site) isRoot() bool { return len(s.self.Ancestors) == 0 }
 
 // ownOrigin returns the origin of a lane of this site.
 func (s *Site) ownOrigin(lane int) Origin {
@@ -224,7 +225,7 @@
 // Seen returns the vector of the writes applied here.
 func (s *Site) Seen() VersionVector { return s.seen.list() }
 
-// Judged returns the vector of the writes that are known here to be judged by the top site.
+// Judged returns the vector of the writes that are known here to be judged by the root site.
 func (s *Site) Judged() VersionVector { return s.judged.list() }
 
 // Refusal returns the receipt of a write that was not accepted, if it is known here.
@@ -238,7 +239,7 @@
 // Token returns the writes known to this site as a text that a person can take to another site.
 func (s *Site) Token() string { return s.known.list().Encode() }
 
-// Waiting returns how many writes of this site, and of others, wait to be judged by the top site.
+// Waiting returns how many writes of this site, and of others, wait to be judged by the root site.
 func (s *Site) Waiting() (own, others int) { return s.own.number, s.others.number }
 
 // Held returns how many writes wait for their dependencies.
@@ -283,8 +284,9 @@
 		return c.Batch.check()
 	case c.Down != nil:
 		return c.Down.check()
-	case c.Place != nil && (c.Place.Site != s.self.Site || c.Place.Incarnation != s.self.Incarnation || s.isTop() != (len(c.Place.Ancestors) == 0)):
-		return &WriteError{"place", "a site's name and incarnation cannot change, nor whether it is the top site"}
+	case c.Place != nil && (c.Place.Site != s.self.Site || c.Place.Incarnation != s.self.Incarnation ||
+		s.isRoot() != (len(c.Place.Ancestors) == 0)):
+		return &WriteError{"place", "a site's name and incarnation cannot change, nor whether it is the root site"}
 	case c.Limits != nil && (c.Limits.Number <= 0 || c.Limits.Bytes <= 0 || c.Limits.Batch <= 0):
 		return &WriteError{"limits", "number, bytes and batch must be above 0"}
 	}
@@ -296,8 +298,8 @@
 		return err
 	}
 	switch {
-	case local.Closes && !s.isTop():
-		return &WriteError{"closes", "a subject can only be closed at the top site"}
+	case local.Closes && !s.isRoot():
+		return &WriteError{"closes", "a subject can only be closed at the root site"}
 	case local.Urgent && local.Kind == Evidence:
 		return &WriteError{"urgent", "evidence cannot be urgent"}
 	case local.Kind == Evidence && !local.Closes:
@@ -318,7 +320,7 @@
 	if closedBy := s.closingWrite(subjectKey{local.Kind, local.Subject}); closedBy != nil {
 		return &ClosedError{local.Subject, closedBy.ID, string(closedBy.Value)}
 	}
-	if s.mergeable(local) != nil || s.isTop() {
+	if s.mergeable(local) != nil || s.isRoot() {
 		return nil
 	}
 	room := Rules[local.Kind].QueuePercent
@@ -361,7 +363,7 @@
 
 // mergeable returns this site's evidence on the same subject if it has not been offered yet.
 func (s *Site) mergeable(local *LocalWrite) *item {
-	if local.Kind != Evidence || local.Closes || len(local.Needs) > 0 || local.Token != "" || s.isTop() {
+	if local.Kind != Evidence || local.Closes || len(local.Needs) > 0 || local.Token != "" || s.isRoot() {
 		return nil
 	}
 	if it := s.lastOwn(subjectKey{Evidence, local.Subject}); it != nil && s.notOffered(it.Write.ID) {
@@ -414,7 +416,7 @@
 // Unoffered returns the command that a leader commits before it sends this site's writes up, or shows them in an
 // answer. It is nil if all of them may have left already.
 func (s *Site) Unoffered() *Command {
-	if s.isTop() || s.offered == s.number {
+	if s.isRoot() || s.offered == s.number {
 		return nil
 	}
 	return &Command{Offer: &Offer{s.number[0], s.number[1], s.number[2]}}
@@ -437,8 +439,8 @@
 	}
 }
 
-// emptyCovered empties the waiting earlier evidence of the same origin on the same subject: by covers it and may be
-// sent.
+// emptyCovered empties the waiting earlier evidence of the same origin on the same subject, which a newer piece covers,
+// once that piece may be sent.
 func (s *Site) emptyCovered(newer *Write) {
 	if newer.Kind != Evidence || newer.Subject == "" || s.notOffered(newer.ID) {
 		return
@@ -453,12 +455,13 @@
 
 // emptied returns what remains of evidence that was dropped, or that a later piece of its origin covers.
 func emptied(w *Write, into uint64) *Write {
-	return &Write{ID: w.ID, Dependencies: w.Dependencies, Kind: Evidence, Level: w.Level, At: w.At, StoreCreated: w.StoreCreated, MergedInto: into}
+	return &Write{ID: w.ID, Dependencies: w.Dependencies, Kind: Evidence, Level: w.Level, At: w.At, StoreCreated: w.StoreCreated,
+		MergedInto: into}
 }
 
 // notOffered reports whether a write is one of this site's that may not be sent yet.
 func (s *Site) notOffered(d ID) bool {
-	return !s.isTop() && s.isOwn(d.Origin) && d.Number > s.offered[d.Origin.lane()]
+	return !s.isRoot() && s.isOwn(d.Origin) && d.Number > s.offered[d.Origin.lane()]
 }
 
 // write applies a write submitted at this site.
@@ -472,8 +475,8 @@
 	}
 	lane := Origin{Urgent: local.Urgent, Evidence: local.Kind == Evidence}.lane()
 	key := subjectKey{local.Kind, local.Subject}
-	w := &Write{ID: ID{s.ownOrigin(lane), s.number[lane] + 1}, Kind: local.Kind, Level: s.self.Level, Subject: local.Subject, Value: local.Value,
-		At: s.now, By: local.By, Closes: local.Closes, Needs: append([]ID(nil), local.Needs...)}
+	w := &Write{ID: ID{s.ownOrigin(lane), s.number[lane] + 1}, Kind: local.Kind, Level: s.self.Level, Subject: local.Subject,
+		Value: local.Value, At: s.now, By: local.By, Closes: local.Closes, Needs: append([]ID(nil), local.Needs...)}
 	if w.ID.Number == 1 {
 		w.StoreCreated = s.self.StoreCreated
 	}
@@ -575,7 +578,7 @@
 	}
 }
 
-// apply applies the next write of its origin. Lacking means that some of its dependencies will never arrive.
+// apply applies the next write of its origin; lacking means that some of its dependencies will never arrive.
 func (s *Site) apply(w *Write, lacking bool, effects *[]Effect) {
 	o := w.ID.Origin
 	s.seen.raise(o, w.ID.Number)
@@ -590,7 +593,7 @@
 	}
 	s.seq++
 	it := &item{s.seq, w}
-	if !s.isTop() {
+	if !s.isRoot() {
 		s.log.add(it)
 		s.usage(w).add(w, 1)
 		s.place(it)
@@ -619,7 +622,7 @@
 	}
 }
 
-// judge decides on a write at the top site.
+// judge decides on a write at the root site.
 func (s *Site) judge(w *Write, lacking bool) (Outcome, string) {
 	if w.Subject == "" {
 		return Applied, ""
@@ -676,7 +679,7 @@
 			return false
 		}
 		w := it.Write
-		if s.refused[w.ID] != nil || w.Subject == "" || w.Kind == Evidence && !s.isTop() && !s.isOwn(w.ID.Origin) {
+		if s.refused[w.ID] != nil || w.Subject == "" || w.Kind == Evidence && !s.isRoot() && !s.isOwn(w.ID.Origin) {
 			return true
 		}
 		return slices.ContainsFunc(items, func(by *item) bool {
@@ -726,11 +729,12 @@
 	s.release(effects)
 }
 
-// HasNews reports whether a call must be committed even if it brings no writes: it tells of an incarnation that is not
-// known here, or an ended incarnation waits for this call to be closed.
+// HasNews reports whether a call must be committed even if it brings no writes: it names an incarnation that is not known
+// here, or an ended incarnation waits for this call to be closed.
 func (s *Site) HasNews(b *Batch) bool {
 	for _, h := range b.Incarnations {
-		if inc := (incarnation{h.Site, h.Incarnation}); s.incarnations[h.Site].Incarnation != h.Incarnation && s.ending[inc] == nil && !s.closed[inc] {
+		if inc := (incarnation{h.Site, h.Incarnation}); s.incarnations[h.Site].Incarnation != h.Incarnation &&
+			s.ending[inc] == nil && !s.closed[inc] {
 			return true
 		}
 	}
@@ -764,12 +768,12 @@
 	if w.Kind == Evidence {
 		percent = percent * Rules[Evidence].QueuePercent / 100
 	}
-	return s.isTop() || s.others.number < s.limits.Number*percent/100 && s.others.bytes+w.size() <= s.limits.Bytes*percent/100
+	return s.isRoot() || s.others.number < s.limits.Number*percent/100 && s.others.bytes+w.size() <= s.limits.Bytes*percent/100
 }
 
 // Room returns how many more writes of other sites fit into the queue.
 func (s *Site) Room() int {
-	if s.isTop() {
+	if s.isRoot() {
 		return 1 << 30
 	}
 	return max(0, s.limits.Number*relayedPercent/100-s.others.number)
@@ -806,7 +810,8 @@
 	*effects = append(*effects, Effect{Kind: EffectHeld, ID: w.ID})
 }
 
-// release applies held writes that are ready now, and drops those that were applied already or have waited too long.
+// release applies held writes that are ready now. It drops those that were applied already, have waited too long, or follow a
+// gap of a closed incarnation.
 func (s *Site) release(effects *[]Effect) {
 	for again := true; again; {
 		again = false
@@ -883,7 +888,7 @@
 
 // finishClosings closes incarnations from which nothing more can arrive.
 func (s *Site) finishClosings(effects *[]Effect) {
-	if !s.isTop() {
+	if !s.isRoot() {
 		return
 	}
 	for _, h := range s.held { // may name an incarnation that was never seen, of a site that has a later one
@@ -892,7 +897,7 @@
 			s.closeIfNeverSeen(m, effects)
 		}
 	}
-	for inc, entry := range s.ending { // the iteration order has no effect: each is judged by itself
+	for inc, entry := range s.ending { // the iteration order has no effect: each is decided by itself
 		if len(entry.Waits) == 0 || s.limits.Age > 0 && s.now-entry.Since > s.limits.Age {
 			delete(s.ending, inc)
 			s.closed[inc] = true
@@ -958,7 +963,8 @@
 		for i := range writes {
 			w := &writes[i].Write
 			k := subjectKey{w.Kind, w.Subject}
-			if s.seen.has(w.ID) || !slices.Contains(counting[k], w.ID) || slices.ContainsFunc(s.itemsOf(k), func(it *item) bool { return it.Write.ID == w.ID }) {
+			if s.seen.has(w.ID) || !slices.Contains(counting[k], w.ID) ||
+				slices.ContainsFunc(s.itemsOf(k), func(it *item) bool { return it.Write.ID == w.ID }) {
 				continue
 			}
 			s.seq++
@@ -999,7 +1005,8 @@
 	switch {
 	case update.To != s.self.Incarnation:
 		return false
-	case len(update.Subjects)+len(update.Writes)+len(update.Refused) > 0, !s.seen.covers(update.Seen), !s.known.covers(update.Seen), !s.judged.covers(update.Judged):
+	case len(update.Subjects)+len(update.Writes)+len(update.Refused) > 0,
+		!s.seen.covers(update.Seen), !s.known.covers(update.Seen), !s.judged.covers(update.Judged):
 		return true
 	}
 	return slices.ContainsFunc(update.Closed, func(h SiteIncarnation) bool { return !s.closed[incarnation{h.Site, h.Incarnation}] }) ||
--- a/internal/choice/sitesync/site_test.go
+++ b/internal/choice/sitesync/site_test.go
@@ -41,7 +41,7 @@
 	written      []ID
 	evidenceSums map[string]map[string]byte // of the evidence that a site wrote in its current incarnation, by subject
 	lostSums     map[string]byte            // of the incarnation that was lost
-	comparedSums int                        // sums compared at the top site
+	comparedSums int                        // sums compared at the root site
 	delayedCalls []delayedCall
 	emptyAnswers int // answers that gave nothing to commit
 }
@@ -223,7 +223,7 @@
 
 // requireConverged checks that all sites hold the same state.
 func (l *topology) requireConverged() {
-	top := l.sites["p"]
+	root := l.sites["p"]
 	defer func() {
 		if l.t.Failed() {
 			l.dump()
@@ -231,34 +231,34 @@
 	}()
 	for _, n := range l.names {
 		s := l.sites[n]
-		require.Equal(l.t, top.Seen(), s.Seen(), "%s has seen other writes than the top site", n)
-		require.Equal(l.t, top.Judged(), s.Judged(), n)
+		require.Equal(l.t, root.Seen(), s.Seen(), "%s has seen other writes than the root site", n)
+		require.Equal(l.t, root.Judged(), s.Judged(), n)
 		own, others := s.Waiting()
 		require.Zero(l.t, own+others+s.Held(), "%s still has writes queued or held", n)
 		for k := range Kind(Kinds) {
 			if k == Evidence {
 				continue
 			}
-			require.Equal(l.t, top.Subjects(k), s.Subjects(k), "%s %s %d", n, k, l.seed)
-			for _, name := range top.Subjects(k) {
-				want, _ := top.Value(k, name)
+			require.Equal(l.t, root.Subjects(k), s.Subjects(k), "%s %s %d", n, k, l.seed)
+			for _, name := range root.Subjects(k) {
+				want, _ := root.Value(k, name)
 				got, _ := s.Value(k, name)
-				require.Equal(l.t, want, got, "%s has another value of %s %s than the top site", n, k, name)
+				require.Equal(l.t, want, got, "%s has another value of %s %s than the root site", n, k, name)
 			}
 		}
 	}
 }
 
-// requireEvidence checks that every site but the top holds its own evidence only, the newest piece of each subject, and
-// that the top site has the sum of all.
+// requireEvidence checks that every site but the root holds its own evidence only, the newest piece of each subject, and
+// that the root site has the sum of all.
 func (l *topology) requireEvidence() {
-	refused := map[string]bool{} // sites with evidence that the top site refused
+	refused := map[string]bool{} // sites with evidence that the root site refused
 	for _, id := range l.written {
 		for _, r := range l.receipts[id] {
 			refused[id.Origin.Site] = refused[id.Origin.Site] || id.Origin.Evidence && r.Outcome >= Refused
 		}
 	}
-	top := l.sites["p"]
+	root := l.sites["p"]
 	for _, subject := range []string{"t0", "t1", "t2"} {
 		sum, maxLost := byte(0), l.lostSums[subject]
 		complete := true
@@ -276,7 +276,7 @@
 				require.Equal(l.t, n, v.Write.ID.Origin.Site)
 			}
 		}
-		v, any := top.Value(Evidence, subject)
+		v, any := root.Value(Evidence, subject)
 		if !complete || v.Closed || !any {
 			continue
 		}
@@ -290,7 +290,7 @@
 	for _, n := range l.names {
 		for k, t := range l.sites[n].subjects {
 			require.True(l.t, k.Kind != Evidence || len(t.items) <= 1 || n == "p", "%s keeps old evidence of %q", n, k.Subject)
-			require.True(l.t, k.Kind != Evidence || len(t.items) <= 5, "the top keeps old evidence of %q", k.Subject)
+			require.True(l.t, k.Kind != Evidence || len(t.items) <= 5, "the root site keeps old evidence of %q", k.Subject)
 		}
 	}
 }
@@ -606,7 +606,7 @@
 	f = old.Apply(6, note("3"))
 	assert.Equal(t, uint64(3), f[0].ID.Number)
 	var we *WriteError
-	assert.ErrorAs(t, old.Check(Command{Place: &Place{Site: "r", Incarnation: 1}}), &we, "it would become the top site")
+	assert.ErrorAs(t, old.Check(Command{Place: &Place{Site: "r", Incarnation: 1}}), &we, "it would become the root site")
 	assert.NoError(t, old.Check(Command{Place: &Place{Site: "r", Incarnation: 1, Ancestors: []string{"q", "p"}}}))
 }
 
@@ -700,7 +700,7 @@
 	assert.Len(t, cmd.Down.Subjects, 2)
 }
 
-// TestOnlyNewestEvidenceIsQueued, at its site and at the one above it, while the top site is unreachable; no other site
+// TestOnlyNewestEvidenceIsQueued, at its site and at the one above it, while the root site is unreachable; no other site
 // receives it.
 func TestOnlyNewestEvidenceIsQueued(t *testing.T) {
 	site := func(name string, level int, above ...string) *Site {
@@ -741,7 +741,7 @@
 	send(other, r, NewForwarderTo(func() *Site { return other }, Timing{MaxFailures: 9}, "r"))
 	assert.Zero(t, other.seen[own])
 	send(r, p, NewForwarder(func() *Site { return r }, Timing{MaxFailures: 9}))
-	assert.Empty(t, r.Subjects(Evidence), "the top site has it")
+	assert.Empty(t, r.Subjects(Evidence), "the root site has it")
 	receipts := 0
 	for _, e := range send(b, p, NewForwarderTo(func() *Site { return b }, Timing{MaxFailures: 9}, "p")) {
 		if e.Kind == EffectReceipt && e.Receipt.Outcome == Applied {
@@ -805,7 +805,7 @@
 	assert.True(t, any && v.Closed, "the subject is closed before the receipt of the overwriting write has come")
 }
 
-// TestIncarnationThatHasYetToCallIsNotClosed: a token names a building's new incarnation while the top site knows only
+// TestIncarnationThatHasYetToCallIsNotClosed: a token names a building's new incarnation while the root site knows only
 // the old one.
 func TestIncarnationThatHasYetToCallIsNotClosed(t *testing.T) {
 	place := func(site string, incarnation uint64) *Site {
@@ -823,7 +823,7 @@
 		return s.Apply(0, Command{Write: &LocalWrite{Kind: Work, Subject: "1", Value: []byte("done"), Token: token}})
 	}
 	r := place("r", 1)
-	p.Apply(0, Command{Batch: &Batch{From: r.Self(), Incarnations: []SiteIncarnation{{"b", 1, 1}}}}) // it has heard of no later one
+	p.Apply(0, Command{Batch: &Batch{From: r.Self(), Incarnations: []SiteIncarnation{{"b", 1, 1}}}}) // it knows of no later one
 	b := place("b", 2)
 	named := write(b, "")
 	naming := write(a, b.Token())
--- a/internal/choice/sitesync/sitesync.go
+++ b/internal/choice/sitesync/sitesync.go
@@ -1,10 +1,10 @@
-// Package sitesync replicates the writes of a site to the sites above it, and brings the decisions of the top site back
+// Package sitesync replicates the writes of a site to the sites above it, and brings the decisions of the root site back
 // down. Site is the state machine that a site's consensus group replicates: commands in, effects out, the same on every
 // replica, without I/O and without a clock. The time is the one that the group's leader stamped on the command.
 //
-// Terms: the sites of a line (building, regency, province) each have a parent, up to the top site. A write is about a
-// subject, such as a host. A site that loses its store starts a new incarnation. The top site judges each write: it
-// accepts or refuses it.
+// Terms: the sites of a line (building, regency, province) each have a parent, up to the root site, which has none. A
+// write is about a subject, such as a host. A site that loses its store starts a new incarnation. The root site judges
+// each write: it accepts or refuses it.
 //
 // The properties:
 //
@@ -13,7 +13,7 @@
 //	    arrived takes effect at once at its origin, and at the sites below that receive the origin's state; the named
 //	    writes rank behind it when they arrive.
 //	U2  Once links heal and writing stops, every site of a line has applied the same writes and holds the same value of
-//	    every subject, whatever the order of arrival. Evidence goes up and does not come down: the top site holds that of
+//	    every subject, whatever the order of arrival. Evidence goes up and does not come down: the root site holds that of
 //	    all sites (as much of it as WithRetention keeps), and every other site holds its own.
 //	U3  No write is dropped without a receipt that reaches its origin: applied, or refused with the cause.
 //	U4  A write that depends on a refused one is judged by the rule of its kind (Rules), the same at all sites.
@@ -23,16 +23,16 @@
 //	    overtake what it depends on.
 //	U7  A parent accepts no more writes than it granted credit for; its own writes go first.
 //
-// How it works. Every site keeps every write that the top site has not judged yet, in the order in which it applied them,
+// How it works. Every site keeps every write that the root site has not judged yet, in the order in which it applied them,
 // and can therefore send any of them to any site above, whoever wrote it; writes that the other site has are left out.
-// The top site judges a write when it applies it. The result is a version vector of the judged writes and a list of the
+// The root site judges a write when it applies it. The result is a version vector of the judged writes and a list of the
 // refused ones. Both come down and serve as the receipts: an origin issues each receipt once, when the vector passes the
 // write's number.
 //
 // Evidence has its own numbering and is outside the causal order: nothing waits for it unless a write names it as needed,
-// so a site can do without the evidence of others. A site between the origin and the top keeps it until the top has judged
-// it. Waiting evidence that a later piece of the same origin covers is emptied (Write.MergedInto): of each subject only
-// the newest is carried.
+// so a site can do without the evidence of others. A site between the origin and the root site keeps it until the root
+// site has judged it. Waiting evidence that a later piece of the same origin covers is emptied (Write.MergedInto): of each
+// subject only the newest is carried.
 //
 // What comes down is state, not a log: for each subject the writes that still count. A write that no longer counts is
 // dropped only when the write that overwrote it is judged and accepted. Two states can therefore be joined by their
@@ -60,7 +60,7 @@
 	Level        int           `json:"level"`           // 0 is the province
 	Incarnation  uint64        `json:"life"`            // of the store; higher than all earlier ones, never 0
 	StoreCreated time.Duration `json:"born"`            // Unix time at which the store was made: of two incarnations the later one is current
-	Ancestors    []string      `json:"above,omitempty"` // the parent first; empty at the top
+	Ancestors    []string      `json:"above,omitempty"` // the parent first; empty at the root site
 }
 
 // ID identifies a write. Numbers count up from 1 within an origin, without gaps.
@@ -98,9 +98,11 @@
 
 // Write is a write made at a site.
 type Write struct {
-	ID           ID            `json:"id"`
-	Dependencies VersionVector `json:"after,omitempty"` // writes to apply before this one; without those that an earlier write of the origin names
-	Overwrites   VersionVector `json:"over,omitempty"`  // the part of Dependencies that this write overwrites: the writes on its subject up to these numbers
+	ID ID `json:"id"`
+	// Dependencies are the writes to apply before this one, without those that an earlier write of the origin names.
+	Dependencies VersionVector `json:"after,omitempty"`
+	// Overwrites is the part of Dependencies that this write overwrites: the writes on its subject up to these numbers.
+	Overwrites   VersionVector `json:"over,omitempty"`
 	Needs        []ID          `json:"needs,omitempty"` // writes whose refusal this write shares, if its kind's rule says so
 	Kind         Kind          `json:"kind"`
 	Level        int           `json:"level"` // of the origin: 0 is the province
@@ -110,10 +112,10 @@
 	By           string        `json:"by,omitempty"`
 	Closes       bool          `json:"closes,omitempty"` // closes the subject for good: a write that had not seen it is refused
 	StoreCreated time.Duration `json:"born,omitempty"`   // in the first write of an origin: when its store was made
-	MergedInto   uint64        `json:"into,omitempty"`   // set in emptied evidence: the number of the later piece of the same origin that covers it
+	MergedInto   uint64        `json:"into,omitempty"`   // in emptied evidence: the number of the later piece of its origin that covers it
 }
 
-// Outcome is the top site's result for a write.
+// Outcome is the root site's result for a write.
 type Outcome uint8
 
 // The outcomes.
@@ -133,13 +135,15 @@
 	Site    string  `json:"site"` // the site that issued it
 }
 
-// Limits bounds the queue of writes that the top site has not judged yet.
+// Limits bounds the queue of writes that the root site has not judged yet.
 type Limits struct {
 	Bytes  int
 	Number int
-	Age    time.Duration // unsent evidence older than this is dropped with a receipt; bounds also the wait for dependencies and for ended incarnations
-	Batch  int           // writes in one call
-	Held   int           // writes kept although they arrived before their dependencies; others are dropped, and the sender sends them again
+	// Age is the age beyond which unsent evidence is dropped with a receipt. It also limits the wait for dependencies and for
+	// ended incarnations.
+	Age   time.Duration
+	Batch int // writes in one call
+	Held  int // writes kept although they arrived before their dependencies; the sender sends the others again
 }
 
 // LocalWrite is a write as submitted at its own site.
@@ -149,7 +153,7 @@
 	Value   []byte `json:"value,omitempty"`
 	By      string `json:"by,omitempty"`
 	Urgent  bool   `json:"urgent,omitempty"` // sent before all that it does not depend on; it depends on its subject, Needs and Token
-	Closes  bool   `json:"closes,omitempty"` // accepted at the top site only
+	Closes  bool   `json:"closes,omitempty"` // accepted at the root site only
 	Needs   []ID   `json:"needs,omitempty"`
 	Token   string `json:"token,omitempty"` // from another site: see Site.Token
 }
--- a/internal/choice/sitesync/wire.go
+++ b/internal/choice/sitesync/wire.go
@@ -23,12 +23,12 @@
 		Seen         VersionVector     `json:"seen,omitempty"`   // writes applied at the caller, which need not be sent down
 		Judged       VersionVector     `json:"judged,omitempty"` // the caller's own writes whose receipts it has
 		Incarnations []SiteIncarnation `json:"lives,omitempty"`  // the latest known incarnation of each other site
-		Queries      []Origin          `json:"asks,omitempty"`   // origins of the writes that the caller has to send: it asks how far they are known
+		Queries      []Origin          `json:"asks,omitempty"`   // origins of the writes to send; Answer.Seen is for these
 		Cursor       Cursor            `json:"cursor"`           // how much of the answering site's state the caller has
 		Writes       []Write           `json:"writes,omitempty"` // in an order in which they can be applied
 		Waiting      int               `json:"waiting"`          // writes to send that are not in this batch
 		Urgent       int               `json:"urgent"`           // how many of those are urgent or needed by urgent ones
-		Probe        bool              `json:"probe,omitempty"`  // only asks whether the link works and how far Queries are known; changes nothing
+		Probe        bool              `json:"probe,omitempty"`  // only checks the link and how far Queries are known; changes nothing
 	}
 	// Answer is the reply to a batch.
 	Answer struct {
@@ -50,7 +50,7 @@
 		After       uint64            `json:"after"` // the cursor that it continues from
 		Until       uint64            `json:"until"`
 		Last        bool              `json:"last,omitempty"`
-		OutOfOrder  bool              `json:"tangled,omitempty"` // Writes may stand before what they depend on
+		OutOfOrder  bool              `json:"tangled,omitempty"` // Writes may precede what they depend on
 		Seen        VersionVector     `json:"seen,omitempty"`    // of the whole state; in the last piece
 		Judged      VersionVector     `json:"judged,omitempty"`  // of the whole state in the last piece, else of the caller's writes
 		Refused     []Receipt         `json:"refused,omitempty"`
@@ -182,8 +182,8 @@
 }
 
 // stateUpdate returns what the caller does not have: for each subject that changed after its cursor, which writes still
-// count, and those of them that it has not seen. A long update is split into pieces, each as large as fits into room
-// bytes.
+// count, and those of them that it has not seen. A long update is split into pieces, each as large as fits into
+// bytesLeft.
 func (s *Site) stateUpdate(b *Batch, bytesLeft int) *StateUpdate {
 	from := cursorPosition(b.Cursor, s.self.Incarnation)
 	update := &StateUpdate{From: s.self.Site, Incarnation: s.self.Incarnation, To: b.From.Incarnation, After: from, Until: from, Last: true}
@@ -237,8 +237,8 @@
 	if update.Last {
 		update.OutOfOrder = s.outOfOrder
 		update.Until, update.Seen, update.Judged = s.seq, s.sendableSeen(), s.judged.list()
-		for l := range s.closed {
-			update.Closed = append(update.Closed, SiteIncarnation{Site: l.Site, Incarnation: l.Incarnation})
+		for inc := range s.closed {
+			update.Closed = append(update.Closed, SiteIncarnation{Site: inc.Site, Incarnation: inc.Incarnation})
 		}
 		slices.SortFunc(update.Closed, func(a, b SiteIncarnation) int {
 			return incarnation{a.Site, a.Incarnation}.compare(incarnation{b.Site, b.Incarnation})
@@ -249,9 +249,9 @@
 	return update
 }
 
-// awaitedCalls returns the sites whose calls the top site waits for.
+// awaitedCalls returns the sites whose calls the root site waits for.
 func (s *Site) awaitedCalls() []AwaitedCalls {
-	if !s.isTop() {
+	if !s.isRoot() {
 		return s.awaits
 	}
 	all := map[string]bool{}
@@ -278,7 +278,7 @@
 	return slices.DeleteFunc(v, func(m VectorEntry) bool { return m.Number == 0 || m.Origin.Evidence })
 }
 
-// FullState returns the whole state of this site, for a top site that lost its store and has no site above to restore
+// FullState returns the whole state of this site, for a root site that lost its store and has no site above to restore
 // it from. An operator must have confirmed that the old store is gone for good. To is the new incarnation of that site.
 func (s *Site) FullState(incarnation uint64) *StateUpdate {
 	all := *s
@@ -286,7 +286,7 @@
 	return all.stateUpdate(&Batch{From: Place{Site: "-", Incarnation: incarnation}}, math.MaxInt)
 }
 
-// addReceipts adds the top site's results for the caller's own writes.
+// addReceipts adds the root site's results for the caller's own writes.
 func (update *StateUpdate) addReceipts(s *Site, b *Batch) {
 	for lane := range lanes {
 		o := incarnation{b.From.Site, b.From.Incarnation}.laneOrigin(lane)
@@ -324,7 +324,7 @@
 	Items      []*item              `json:"items"`
 	Changes    []storedChange       `json:"changes"`
 	Held       []heldWrite          `json:"held"`
-	Homes      []storedIncarnation  `json:"homes"`
+	Latest     []storedIncarnation  `json:"homes"` // incarnations by site
 	Callers    []string             `json:"callers"`
 	Ending     []storedClosing      `json:"ending"`
 	Closed     []incarnation        `json:"closed"`
@@ -355,7 +355,8 @@
 // Encode returns the state as bytes. Equal states give equal bytes.
 func (s *Site) Encode() []byte {
 	state := stored{Self: s.self, Limits: s.limits, Now: s.now, Seq: s.seq, Number: s.number, Offered: s.offered, OutOfOrder: s.outOfOrder,
-		Named: [lanes]VersionVector{s.named[0].list(), s.named[1].list(), s.named[2].list()}, Known: s.known.list(), Seen: s.seen.list(), Judged: s.judged.list(),
+		Named: [lanes]VersionVector{s.named[0].list(), s.named[1].list(), s.named[2].list()},
+		Known: s.known.list(), Seen: s.seen.list(), Judged: s.judged.list(),
 		Refused: append([]*refusal(nil), s.refusalLog...), Held: append([]heldWrite(nil), s.held...), Awaits: s.awaits}
 	for k, subj := range s.subjects {
 		state.Items = append(state.Items, subj.items...)
@@ -364,7 +365,7 @@
 	slices.SortFunc(state.Items, func(a, b *item) int { return cmp.Compare(a.Seq, b.Seq) })
 	slices.SortFunc(state.Changes, func(a, b storedChange) int { return cmp.Compare(a.At, b.At) })
 	for _, site := range sorted(s.incarnations) {
-		state.Homes = append(state.Homes, storedIncarnation{site, s.incarnations[site]})
+		state.Latest = append(state.Latest, storedIncarnation{site, s.incarnations[site]})
 	}
 	state.Callers = sorted(s.callers)
 	for inc, e := range s.ending {
@@ -413,7 +414,8 @@
 	for _, p := range [3 + lanes]struct {
 		v vector
 		s VersionVector
-	}{{s.named[0], state.Named[0]}, {s.named[1], state.Named[1]}, {s.named[2], state.Named[2]}, {s.known, state.Known}, {s.seen, state.Seen}, {s.judged, state.Judged}} {
+	}{{s.named[0], state.Named[0]}, {s.named[1], state.Named[1]}, {s.named[2], state.Named[2]},
+		{s.known, state.Known}, {s.seen, state.Seen}, {s.judged, state.Judged}} {
 		if !p.s.valid() {
 			return nil, &StateError{"a version vector is invalid"}
 		}
@@ -442,7 +444,7 @@
 			s.usage(it.Write).add(it.Write, 1)
 		}
 	}
-	for _, h := range state.Homes {
+	for _, h := range state.Latest {
 		s.incarnations[h.Site] = h.latestIncarnation
 	}
 	for _, c := range state.Callers {
