--- a/internal/choice/rollout/eprocess_test.go
+++ b/internal/choice/rollout/eprocess_test.go
@@ -30,30 +30,30 @@
 	return pairs
 }
 
-// TestTheBetsKeepTheirErrorRates inspects the tests after every window and measures how often each null hypothesis is rejected
+// TestEProcessesKeepTheirErrorRates inspects the tests after every window and measures how often each null hypothesis is rejected
 // when it is true, and when it is false.
 func TestEProcessesKeepTheirErrorRates(t *testing.T) {
 	const runs, windows, margin, scale, alpha = 1000, 200, 0.02, 0.02, 0.05
-	rate := func(treatedCount, controlCount int, loss float64, rejects func(w, f *EProcess) bool) float64 {
+	rate := func(treatedCount, controlCount int, loss float64, rejects func(inferior, nonInferior *EProcess) bool) float64 {
 		rng := rand.New(rand.NewPCG(9, uint64(treatedCount)))
 		hit := 0
 		for range runs {
-			var w, f EProcess
+			var inferior, nonInferior EProcess
 			for range windows {
 				x, y, any := payoffs(drawPairs(rng, treatedCount, controlCount, loss), margin, scale)
 				if any {
-					w.Update(x)
-					f.Update(y)
+					inferior.Update(x)
+					nonInferior.Update(y)
 				}
 			}
-			if rejects(&w, &f) {
+			if rejects(&inferior, &nonInferior) {
 				hit++
 			}
 		}
 		return float64(hit) / runs
 	}
-	isInferior := func(w, _ *EProcess) bool { return w.Rejects(alpha) }
-	isNonInferior := func(_, f *EProcess) bool { return f.Rejects(alpha) }
+	isInferior := func(inferior, _ *EProcess) bool { return inferior.Rejects(alpha) }
+	isNonInferior := func(_, nonInferior *EProcess) bool { return nonInferior.Rejects(alpha) }
 	const bound = alpha + 0.02 // three standard deviations of the rate over 1000 runs
 	for _, sizes := range [][2]int{{1, 1}, {1, 4}, {6, 2}} {
 		falseInferior, falseNonInferior := rate(sizes[0], sizes[1], slackPart*margin, isInferior),
--- a/internal/choice/rollout/evidence.go
+++ b/internal/choice/rollout/evidence.go
@@ -431,8 +431,8 @@
 	}
 }
 
-func (h coverage) reaches(least float64) bool {
-	return float64(h.observed) >= float64(float64(h.expected)*least)
+func (h coverage) reaches(fraction float64) bool {
+	return float64(h.observed) >= float64(float64(h.expected)*fraction)
 }
 
 func (h coverage) String() string {
@@ -440,7 +440,7 @@
 }
 
 // proven reports whether a stage may end: no evidence is missing, and for each class with enough requests separately the
-// treated nodes are shown not to be worse by the margin. The last stage also waits for older rollouts to end.
+// treated nodes are shown not to be worse by the margin. The stage before the last ends only once all older rollouts have ended.
 func (p *Plan) proven(r *Rollout) bool {
 	if r.Phase != Running || r.Missing != "" {
 		return false
@@ -467,7 +467,7 @@
 	return true
 }
 
-// add adds the value of a window to a baseline and keeps only the newest ones, up to size.
+// add adds the value of a window to a baseline and keeps the newest size values.
 func (b *baseline) add(v float64, size int) {
 	b.Recent = append(b.Recent, v)
 	if len(b.Recent) > size {
@@ -482,7 +482,7 @@
 // it. While a rollout treats any node, baselines that are complete stay frozen.
 func (t *transition) updateBaselines(w *window) {
 	frozen := slices.ContainsFunc(t.s.Rollouts, func(r *Rollout) bool { return r.Phase.Active() && len(r.Treated) > 0 })
-	least := float64(t.s.Limits.MinRequests)
+	minRequests := float64(t.s.Limits.MinRequests)
 	values, names := map[string][]float64{}, []string{}
 	for _, name := range slices.Sorted(maps.Keys(w.Nodes)) {
 		tally := t.usableTally(w, name, t.s.Good)
@@ -491,7 +491,7 @@
 		}
 		names = append(names, name)
 		for _, cell := range tally.cells() {
-			if v, count := tally.value(cell); count >= least {
+			if v, count := tally.value(cell); count >= minRequests {
 				values[cell] = append(values[cell], v)
 			}
 		}
@@ -507,7 +507,7 @@
 				baselines[cell] = b
 			}
 			offset := 0.0
-			if count >= least {
+			if count >= minRequests {
 				offset = v - median(values[cell])
 				if b.Windows >= min(t.s.Limits.BaselineWindows, 4) {
 					distances[cell] = append(distances[cell], max(offset-b.Median, b.Median-offset))
@@ -516,7 +516,7 @@
 			if frozen && b.Windows >= t.s.Limits.BaselineWindows {
 				continue
 			}
-			if count >= least {
+			if count >= minRequests {
 				b.add(offset, max(baselineSize, t.s.Limits.BaselineWindows))
 			}
 			if b.MeanRequests == 0 {
--- a/internal/choice/rollout/nodepolicy.go
+++ b/internal/choice/rollout/nodepolicy.go
@@ -20,10 +20,12 @@
 
 // Stored is the part of a NodePolicy that the node persists: before it applies a trial and at each start of the process.
 type Stored struct {
-	Good          Hash     `json:"good"`
-	Trial         Hash     `json:"trial,omitempty"`
-	Round         uint64   `json:"round,omitempty"`  // round in which the trial was assigned
-	Starts        int      `json:"starts"`           // of the process under the trial, kept for RejectedTrial after a lease expiry; operators' restarts count too
+	Good  Hash   `json:"good"`
+	Trial Hash   `json:"trial,omitempty"`
+	Round uint64 `json:"round,omitempty"` // round in which the trial was assigned
+	// Starts counts the starts of the process under the trial, restarts by operators included. After a lease expiry the count is
+	// kept for RejectedTrial.
+	Starts        int      `json:"starts"`
 	RejectedTrial Hash     `json:"refuse,omitempty"` // the trial that this node fell back from in RejectedRound
 	Fallback      Fallback `json:"fell,omitempty"`
 	RejectedRound uint64   `json:"of,omitempty"` // round in which RejectedTrial was assigned
--- a/internal/choice/rollout/plan.go
+++ b/internal/choice/rollout/plan.go
@@ -209,7 +209,7 @@
 	Stage      Stage         `json:"stage"`
 	Attempt    int           `json:"attempt"`
 	StageBegan time.Duration `json:"begun"` // start of the present stage
-	HeldSince  time.Duration `json:"held"`  // since when evidence has been missing, or the last time when none was
+	HeldSince  time.Duration `json:"held"`  // when a hold began: the last time that no evidence was missing, the stage began or nodes switched
 	Missing    string        `json:"missing"`
 	Cause      Cause         `json:"cause"`
 	Log        []LogEntry    `json:"log"`
@@ -648,7 +648,8 @@
 	}
 	want := t.Assigned(c.Node)
 	n.Confirmed = n.Confirmed || c.Policy == want.Policy
-	if r := t.Rollout(n.Rollout); want.Trial && r != nil && r.Phase < Halting && (c.Fallback == TooManyCrashes || c.Fallback == InvalidTrial) {
+	if r := t.Rollout(n.Rollout); want.Trial && r != nil && r.Phase < Halting &&
+		(c.Fallback == TooManyCrashes || c.Fallback == InvalidTrial) {
 		t.halt(r, Guard, "", c.Node+" fell back by itself: "+c.Fallback.String())
 	}
 }
@@ -659,7 +660,8 @@
 	}
 }
 
-// disruptionBudget returns how many more nodes may be disrupted now, with out hosts and nodes out of service for maintenance.
+// disruptionBudget returns how many more nodes may be disrupted now, if outOfService hosts and nodes are out of service for
+// maintenance.
 func (p *Plan) disruptionBudget(at time.Duration, outOfService int) int {
 	if p.s.Limits.MaxDisrupted == 0 {
 		return len(p.s.Nodes)
@@ -732,8 +734,8 @@
 	return last, ok
 }
 
-// rollbackConfirmed reports whether every node that was rolled back is known to apply the good policy: it has confirmed this, it
-// is unreachable, or its trial lease has run out since.
+// rollbackConfirmed reports whether every node that was rolled back is taken to apply the good policy: it has confirmed this, it
+// is unreachable, or a trial lease has expired since the rollback.
 func (p *Plan) rollbackConfirmed(r *Rollout, at time.Duration) bool {
 	for _, tr := range r.Treated {
 		n := p.s.Nodes[tr.Node]
@@ -744,7 +746,7 @@
 	return true
 }
 
-// completionConfirmed reports whether every node has switched and is known to apply the trial: it has confirmed this, it is
+// completionConfirmed reports whether every node has switched and is taken to apply the trial: it has confirmed this, it is
 // unreachable, or it had the time of a lease to report why it does not.
 func (p *Plan) completionConfirmed(r *Rollout, at time.Duration) bool {
 	for _, tr := range r.Treated {
@@ -848,7 +850,7 @@
 	return None, ""
 }
 
-// Next returns what the leader has to propose now, if anything. out is the number of hosts and nodes out of service for
+// Next returns what the leader has to propose now, if anything. outOfService is the number of hosts and nodes out of service for
 // maintenance. The result depends only on the plan and the arguments, so that a new leader continues where the last one
 // stopped.
 func (p *Plan) Next(now time.Duration, outOfService int) (Command, bool) {
--- a/internal/choice/rollout/record.go
+++ b/internal/choice/rollout/record.go
@@ -137,7 +137,8 @@
 }
 
 func (f FiredGuard) compare(o FiredGuard) int {
-	return cmp.Or(cmp.Compare(f.Slice, o.Slice), cmp.Compare(f.Round, o.Round), cmp.Compare(f.Policy, o.Policy), cmp.Compare(f.Guard, o.Guard))
+	return cmp.Or(cmp.Compare(f.Slice, o.Slice), cmp.Compare(f.Round, o.Round), cmp.Compare(f.Policy, o.Policy),
+		cmp.Compare(f.Guard, o.Guard))
 }
 
 // trimToSize drops evidence that does not fit: histograms first, then the cells with the fewest requests.
--- a/internal/choice/rollout/reporter.go
+++ b/internal/choice/rollout/reporter.go
@@ -33,7 +33,7 @@
 	setUps *SetUps
 }
 
-// earlyGuard is a guard that fired before the slice length or the node's status was known.
+// earlyGuard is a guard that is not in a record yet. Guards wait while the slice length or the node's status is unknown.
 type earlyGuard struct {
 	at     time.Duration
 	policy Hash
--- a/internal/choice/rollout/rollout.go
+++ b/internal/choice/rollout/rollout.go
@@ -33,10 +33,10 @@
 	Alpha        float64       // probability of a halt without a regression, over a whole rollout
 	Beta         float64       // probability that a stage ends although one class is worse by Margin
 	Margin       float64       // decrease in the fraction of served requests that has to be detected
-	MinRequests  uint64        `json:"Least"`   // requests of a class at a node in a window needed to compare it
+	MinRequests  uint64        `json:"Least"`   // requests of a class that a node needs in a window to be compared
 	MaxHold      time.Duration `json:"Hold"`    // longest time for which missing evidence may hold a stage
 	TrialLease   time.Duration `json:"Lease"`   // lease of a trial policy at a node
-	MaxCrashes   int           `json:"Crashes"` // crashes of one node under a trial policy after which it falls back on its own
+	MaxCrashes   int           `json:"Crashes"` // crashes under a trial policy after which a node falls back on its own
 	MaxDisrupted int           `json:"Disturb"` // nodes and hosts that rollouts and maintenance may disrupt at once; 0: no limit
 
 	Slice           time.Duration // length of the time slices in which evidence is counted
@@ -44,7 +44,7 @@
 	BaselineWindows int           `json:"Watch"` // windows of a node on the good policy before it is compared
 	Settle          time.Duration // how long a change of policy disrupts a node
 	MaxStageTime    time.Duration `json:"Longest"` // longest stage, after which an undecided one is halted as unproven; 0: no limit
-	SlowMargin      float64       `json:"Slow"`    // like Margin, for the fraction of connections slower to establish than the slow threshold
+	SlowMargin      float64       `json:"Slow"`    // like Margin, for the fraction of connections above the slow threshold
 	Coverage        float64       `json:"Cover"`   // fraction of a stage's nodes that must have given usable evidence before it ends
 }
 
--- a/internal/choice/rollout/rootstate.go
+++ b/internal/choice/rollout/rootstate.go
@@ -9,8 +9,8 @@
 )
 
 // RootState is the state about policies that the consensus group of the root site replicates: the plan, and which parts of
-// each node's records have been ingested. It does no I/O and has no clock; at is the time with which the leader stamped a
-// command.
+// each node's records have been ingested. It does no I/O and has no clock: the parameter at is the time with which the leader
+// stamped a command.
 //
 //	T1  A slice's evidence and a guard count once, however often and by whichever route their record arrives, and a node's
 //	    status is never replaced by an older one.
@@ -135,7 +135,8 @@
 		return &Refusal{fmt.Sprintf("%d rollouts are active, which is the maximum", active), "wait for the end of one, or halt one"}
 	}
 	if total > maxPolicyBytesTotal {
-		return &Refusal{fmt.Sprintf("the good policy and those of the active rollouts have %d bytes, %d at most", total, maxPolicyBytesTotal),
+		return &Refusal{
+			fmt.Sprintf("the good policy and those of the active rollouts have %d bytes, %d at most", total, maxPolicyBytesTotal),
 			"wait for the end of one, or change fewer keys in it"}
 	}
 	return nil
