--- a/internal/choice/hostview/walk_test.go
+++ b/internal/choice/hostview/walk_test.go
@@ -135,7 +135,8 @@
 	switch {
 	case !known || !was.heads[[2]any{v.appliedIndex, v.stale}]:
 		w.fail("%s never observed version %d of %v like this", n.name, v.version, v.process)
-	case v.process.before(n.held.Process) || v.process == n.held.Process && (v.version < n.held.version || v.appliedIndex < n.held.appliedIndex):
+	case v.process.before(n.held.Process) ||
+		v.process == n.held.Process && (v.version < n.held.version || v.appliedIndex < n.held.appliedIndex):
 		w.fail("%s: an earlier observation is held again", n.name)
 	case len(was.hosts) != len(v.hosts):
 		w.fail("%s: %d hosts held, %d observed", n.name, len(v.hosts), len(was.hosts))
--- a/internal/choice/rollout/eprocess_test.go
+++ b/internal/choice/rollout/eprocess_test.go
@@ -89,8 +89,8 @@
 	for known := range 5 {
 		sum := 0.0
 		for attempt := 1; attempt <= 40; attempt++ {
-			for place := range 2000 {
-				sum += float64(Stages) * alphaShare(0.01, attempt, known, place)
+			for position := range 2000 {
+				sum += float64(Stages) * alphaShare(0.01, attempt, known, position)
 			}
 		}
 		assert.LessOrEqual(t, sum, 0.01+1e-12)
--- a/internal/choice/rollout/nodepolicy_test.go
+++ b/internal/choice/rollout/nodepolicy_test.go
@@ -49,7 +49,8 @@
 	h := NewNodePolicy(stored, 3, time.Minute, 0)
 	trial := Assignment{Round: 4, Policy: "t", Good: "g", Trial: true, Lease: time.Minute}
 	h.HandleAssignment(trial, time.Second, acceptAny)
-	assert.Equal(t, NodeStatus{Node: "n", Round: 4, Policy: "g", Fallback: TooManyCrashes}, h.Status("n"), "the same round is not tried again")
+	assert.Equal(t, NodeStatus{Node: "n", Round: 4, Policy: "g", Fallback: TooManyCrashes}, h.Status("n"),
+		"the same round is not tried again")
 	trial.Round = 9
 	h.HandleAssignment(trial, 2*time.Second, func(Hash) error { return errors.New("faulty") })
 	assert.Equal(t, NodeStatus{Node: "n", Round: 9, Policy: "g", Fallback: InvalidTrial}, h.Status("n"))
--- a/internal/choice/rollout/plan.go
+++ b/internal/choice/rollout/plan.go
@@ -209,7 +209,7 @@
 	Stage      Stage         `json:"stage"`
 	Attempt    int           `json:"attempt"`
 	StageBegan time.Duration `json:"begun"` // start of the present stage
-	HeldSince  time.Duration `json:"held"`  // when a hold began: the last time that no evidence was missing, the stage began or nodes switched
+	HeldSince  time.Duration `json:"held"`  // start of a hold: the last time that no evidence was missing, the stage began or nodes switched
 	Missing    string        `json:"missing"`
 	Cause      Cause         `json:"cause"`
 	Log        []LogEntry    `json:"log"`
--- a/internal/choice/rollout/plan_test.go
+++ b/internal/choice/rollout/plan_test.go
@@ -206,12 +206,13 @@
 	}
 	assert.Equal(t, []Stage{OneRegency, OneBuilding, OneNode}, order)
 	assert.Equal(t, Halted, r.Phase, "unreachable nodes do not delay the rollback")
-	assert.Equal(t, b.p.Good(), b.p.Assigned(last).Policy, "and is rolled back when it returns")
+	assert.Equal(t, b.p.Good(), b.p.Assigned(last).Policy, "an unreachable node is rolled back when it returns")
 	for _, c := range []Command{{Force: &OperatorAction{ID: "x", Stage: r.Stage, By: "desk", Why: "no"}},
 		{Resume: &OperatorAction{ID: "x", By: "desk", Why: "no"}},
 		{Halt: &Halt{ID: "x", Cause: Operator, By: "desk", Why: "no"}},
 		{Start: &Start{ID: "y", Policy: []byte(`{}`), By: "d", Why: "w"}},
-		{Start: &Start{ID: "y", Policy: []byte(`{"me":1}`), By: "d", Why: "w"}}, {Force: &OperatorAction{ID: "none", By: "desk", Why: "no"}},
+		{Start: &Start{ID: "y", Policy: []byte(`{"me":1}`), By: "d", Why: "w"}},
+		{Force: &OperatorAction{ID: "none", By: "desk", Why: "no"}},
 		{Start: &Start{ID: "x", Policy: []byte(`{"round_us":1}`), By: "d", Why: "w"}}, {Limits: &Limits{}}} {
 		e := b.apply(c)
 		require.Len(t, e, 1, "%+v", c)
@@ -259,10 +260,12 @@
 					Slice:  uint64(b.now/b.p.s.Limits.Slice) - uint64(rng.IntN(9)),
 					Counts: []Counts{{Class: "c", Offered: 900, Served: uint64(rng.IntN(1000)), SetUp: []byte("x")}}}},
 					{Start: &Start{id, []byte(fmt.Sprintf(`{"round_us":%d}`, rng.IntN(3))), "d", "w"}},
-					{Halt: &Halt{ID: id, Cause: Cause(rng.IntN(int(causeCount))), By: "d", Why: "w"}}, {Force: &OperatorAction{id, st, "d", "w"}},
+					{Halt: &Halt{ID: id, Cause: Cause(rng.IntN(int(causeCount))), By: "d", Why: "w"}},
+					{Force: &OperatorAction{id, st, "d", "w"}},
 					{Resume: &OperatorAction{ID: id, By: "d", Why: "w"}}, {Unreachable: &NodeName{n}}, {Reachable: &NodeName{n}},
 					{Close: &Close{rng.Uint64N(3000)}},
-					{Treat: &Treat{id, st, []string{n}, 0}}, {Advance: &StageRef{id, st}}, {RollBack: &StageRef{id, st}}, {Finish: &StageRef{id, st}},
+					{Treat: &Treat{id, st, []string{n}, 0}}, {Advance: &StageRef{id, st}},
+					{RollBack: &StageRef{id, st}}, {Finish: &StageRef{id, st}},
 					{Maintenance: &Maintenance{[]string{"b1", "b0"}[:rng.IntN(3)]}},
 					{Status: &NodeStatus{n, b.p.Assigned(n).Round, b.p.Good(), Fallback(rng.IntN(3))}}}[rng.IntN(14)]
 			}
@@ -451,14 +454,14 @@
 		l.Coverage, l.MaxHold = coverage, 200*hour
 		b.apply(Command{Limits: &l})
 		r := b.start()
-		silent := map[string]bool{}
+		withoutEvidence := map[string]bool{}
 		for _, names := range r.Targets[PartOfProvince : All+1] {
 			for _, name := range names {
-				silent[name] = coverage < 0.5 || len(silent) == 0
+				withoutEvidence[name] = coverage < 0.5 || len(withoutEvidence) == 0
 			}
 		}
 		b.countsOf = func(name string, trial bool) Counts {
-			if trial && silent[name] {
+			if trial && withoutEvidence[name] {
 				return Counts{Class: "c"}
 			}
 			return steadyCounts(name, trial)
@@ -497,7 +500,8 @@
 	r := b.start()
 	for _, c := range []Command{{Start: &Start{ID: "y", Policy: []byte(`{"round_us":7}`), By: "desk"}},
 		{Force: &OperatorAction{ID: "x", Why: "w"}},
-		{Start: &Start{ID: "z", Policy: []byte(trialText), By: "desk", Why: "twice"}}, {Force: &OperatorAction{"x", OneBuilding, "desk", "w"}},
+		{Start: &Start{ID: "z", Policy: []byte(trialText), By: "desk", Why: "twice"}},
+		{Force: &OperatorAction{"x", OneBuilding, "desk", "w"}},
 		{Halt: &Halt{ID: "x", Cause: Operator, Why: "w"}}, {Resume: &OperatorAction{ID: "x", By: "desk", Why: "it runs"}}} {
 		e := b.apply(c)
 		require.Len(t, e, 1, "%+v", c)
--- a/internal/choice/rollout/rollout.go
+++ b/internal/choice/rollout/rollout.go
@@ -50,8 +50,8 @@
 
 // Defaults returns the limits of a site that configures none.
 func Defaults() Limits {
-	return Limits{Alpha: 0.01, Beta: 0.05, Margin: 0.02, MinRequests: 100, MaxHold: 2 * time.Hour, TrialLease: 5 * time.Minute, MaxCrashes: 3,
-		Slice: 5 * time.Minute, WindowSlices: 6, BaselineWindows: 12, Settle: time.Minute, MaxStageTime: 72 * time.Hour,
+	return Limits{Alpha: 0.01, Beta: 0.05, Margin: 0.02, MinRequests: 100, MaxHold: 2 * time.Hour, TrialLease: 5 * time.Minute,
+		MaxCrashes: 3, Slice: 5 * time.Minute, WindowSlices: 6, BaselineWindows: 12, Settle: time.Minute, MaxStageTime: 72 * time.Hour,
 		SlowMargin: 0.05, Coverage: 0.9}
 }
 
--- a/internal/choice/rollout/rootstate_test.go
+++ b/internal/choice/rollout/rootstate_test.go
@@ -347,8 +347,8 @@
 	assert.Equal(t, []int{1, 0}, []int{d.Disrupted(changed), d.Disrupted(changed + d.Settle)})
 
 	for i := range 300 { // each node switched alone
-		d.Nodes[fmt.Sprintf("regency-07/building-%03d", i)] = NodeEntry{uint64(i+1)<<28 + 1, assigned.Policy, strings.Repeat("x", maxIDBytes),
-			2000000*hour + time.Duration(i)}
+		d.Nodes[fmt.Sprintf("regency-07/building-%03d", i)] = NodeEntry{uint64(i+1)<<28 + 1, assigned.Policy,
+			strings.Repeat("x", maxIDBytes), 2000000*hour + time.Duration(i)}
 	}
 	assert.Less(t, len(d.Bytes())+maxPolicyBytesTotal, 60<<10, "including the texts")
 	assert.Equal(t, string(d.Bytes()), string(d.Bytes()))
--- a/internal/choice/sendlease/holder.go
+++ b/internal/choice/sendlease/holder.go
@@ -9,7 +9,7 @@
 // Saved is what a node's store holds.
 type Saved struct {
 	Incarnation   uint64         `json:"Life"`     // set by the caller when it creates the store, higher than earlier ones; 0: no store yet
-	ExclusionSets []ExclusionSet `json:"Horizons"` // that the Raft group may rely on, by version; version 0: none. Empty: never had a response
+	ExclusionSets []ExclusionSet `json:"Horizons"` // that the Raft group may rely on, by version; 0: none. Empty: never had a response
 	Recorded      uint64         // the newest version that the Raft group is known to have recorded
 	ExcludedHosts []ExcludedHost `json:"Outs"` // sorted by host
 	Applied       uint64         // log index of the response; may be lower than that of the last response if that one changed nothing
--- a/internal/choice/sendlease/sendlease_test.go
+++ b/internal/choice/sendlease/sendlease_test.go
@@ -47,8 +47,8 @@
 	assert.True(t, save)
 	assert.True(t, changed)
 	v = h.Restrictions()
-	assert.Equal(t, Restrictions{ExcludedHosts: []ExcludedHost{{"b", 7}}, ExcludedAfterExpiry: []string{"a", "c"}, ExclusionSetVersion: 2}, v,
-		"more hosts excluded at once, no lease yet")
+	assert.Equal(t, Restrictions{ExcludedHosts: []ExcludedHost{{"b", 7}}, ExcludedAfterExpiry: []string{"a", "c"}, ExclusionSetVersion: 2},
+		v, "more hosts excluded at once, no lease yet")
 	h.MarkInEffect(v)
 	q := h.NextRequest(9 * s)
 	assert.Empty(t, q.Confirmed, "not durable")
--- a/internal/choice/sitesync/bench_test.go
+++ b/internal/choice/sitesync/bench_test.go
@@ -9,7 +9,8 @@
 // 32, and a function that adds writes. One write in a thousand is urgent; with outOfOrder, one in a hundred names by a
 // token a write that has not arrived.
 func newQueuedSite(n int, outOfOrder bool) (*Site, *Forwarder, func(int)) {
-	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 30, Number: 1 << 20, Batch: 32, Held: 4})
+	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}},
+		Limits{Bytes: 1 << 30, Number: 1 << 20, Batch: 32, Held: 4})
 	written := 0
 	write := func(n int) {
 		for range n {
--- a/internal/choice/sitesync/forwarder_test.go
+++ b/internal/choice/sitesync/forwarder_test.go
@@ -46,7 +46,8 @@
 	require.Equal(t, "r", next(), "and is used once it answers")
 	c.Failed(now)
 
-	alone := NewForwarderTo(func() *Site { return s }, Timing{RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 20}, "p")
+	alone := NewForwarderTo(func() *Site { return s },
+		Timing{RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 20}, "p")
 	for _, whole := range []time.Duration{1, 2, 4, 8, 8, 8} {
 		to, _, _ := alone.Next(now)
 		require.Equal(t, "p", to)
@@ -89,8 +90,8 @@
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x")}})
 	s.Apply(0, *s.Unoffered())
-	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms, MaxRetryDelay: time.Second, MaxFailures: 3,
-		MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
+	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms,
+		MaxRetryDelay: time.Second, MaxFailures: 3, MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
 	now := time.Duration(0)
 	next := func() *Batch {
 		to, b, wait := c.Next(now)
@@ -157,8 +158,8 @@
 	const ms = time.Millisecond
 	for took, most := range map[time.Duration]time.Duration{700 * ms: 10 * time.Second, 3 * time.Second: 2 * time.Minute} {
 		s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
-		c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms, MaxRetryDelay: time.Second, MaxFailures: 3,
-			MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
+		c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms,
+			MaxRetryDelay: time.Second, MaxFailures: 3, MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
 		now := time.Duration(0)
 		call := func(took time.Duration) int {
 			_, b, wait := c.Next(now)
--- a/internal/choice/sitesync/rules.go
+++ b/internal/choice/sitesync/rules.go
@@ -38,8 +38,9 @@
 	Evidence: {Coexist: true, Cascades: []string{""}, QueuePercent: 50},
 	Note:     {Coexist: true, QueuePercent: 60},
 	Work:     {Words: []string{"begun", "asked", "done", "withdrawn"}, Cascades: []string{""}, QueuePercent: 75},
-	Policy:   {Words: []string{"halt", "force", "resume", "begin"}, ByLevel: true, Cascades: []string{"force", "resume", "begin"}, QueuePercent: 90},
-	Safety:   {Words: []string{"out", "back"}, Cascades: []string{"back"}, QueuePercent: 100},
+	Policy: {Words: []string{"halt", "force", "resume", "begin"}, ByLevel: true, Cascades: []string{"force", "resume", "begin"},
+		QueuePercent: 90},
+	Safety: {Words: []string{"out", "back"}, Cascades: []string{"back"}, QueuePercent: 100},
 }
 
 // relayedPercent is the percentage of the queue that writes of other sites may fill: the rest is for the site's own
--- a/internal/choice/sitesync/site.go
+++ b/internal/choice/sitesync/site.go
@@ -198,7 +198,8 @@
 	for k, t := range s.subjects {
 		c.subjects[k] = &subject{slices.Clone(t.items), t.changed}
 	}
-	c.incarnations, c.callers, c.closed, c.cursors = maps.Clone(s.incarnations), maps.Clone(s.callers), maps.Clone(s.closed), maps.Clone(s.cursors)
+	c.incarnations, c.callers, c.closed, c.cursors =
+		maps.Clone(s.incarnations), maps.Clone(s.callers), maps.Clone(s.closed), maps.Clone(s.cursors)
 	c.ending = make(map[incarnation]*closing, len(s.ending))
 	for inc, e := range s.ending {
 		c.ending[inc] = &closing{e.Since, slices.Clone(e.Waits)}
--- a/internal/choice/sitesync/site_test.go
+++ b/internal/choice/sitesync/site_test.go
@@ -54,7 +54,8 @@
 
 func newTopology(t *testing.T, seed uint64) *topology {
 	l := &topology{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), sites: map[string]*Site{}, forwarders: map[string]*Forwarder{},
-		applied: map[string]map[ID]bool{}, receipts: map[ID][]Receipt{}, evidenceSums: map[string]map[string]byte{}, names: []string{"a", "b", "r", "p"}}
+		applied: map[string]map[ID]bool{}, receipts: map[ID][]Receipt{}, evidenceSums: map[string]map[string]byte{},
+		names: []string{"a", "b", "r", "p"}}
 	for _, n := range l.names {
 		l.start(n, 1)
 	}
@@ -151,11 +152,11 @@
 	}
 	a, err := ParseAnswer(l.sites[to].Answer(b, 1+l.rand.IntN(8), 0).Bytes())
 	require.NoError(l.t, err)
-	stage := c.routes[to].pieces
+	pieces := c.routes[to].pieces
 	switch cmd := c.Answered(l.now, a); {
 	case cmd != nil:
 		l.apply(name, *cmd)
-	case a.Down != nil && a.Down.Last && stage == nil: // an update that gives nothing to commit must change nothing but the cursor
+	case a.Down != nil && a.Down.Last && pieces == nil: // an update that gives nothing to commit must change nothing but the cursor
 		s := l.sites[name].Clone()
 		require.Empty(l.t, s.Apply(s.now, Command{Down: a.Down}))
 		s.cursors = l.sites[name].cursors
@@ -373,8 +374,10 @@
 	}{
 		{"out takes precedence over back at any level", []*Write{w("a", 2, Safety, "out smoke"), w("p", 0, Safety, "back")}, "out smoke"},
 		{"a policy write of a higher level takes precedence", []*Write{w("a", 2, Policy, "halt"), w("p", 0, Policy, "resume")}, "resume"},
-		{"on one level a halt takes precedence", []*Write{w("a", 2, Policy, "begin"), w("b", 2, Policy, "halt"), w("c", 2, Policy, "force")}, "halt"},
-		{"work that has begun takes precedence", []*Write{w("a", 2, Work, "done"), w("b", 2, Work, "begun"), w("p", 0, Work, "asked")}, "begun"},
+		{"on one level a halt takes precedence",
+			[]*Write{w("a", 2, Policy, "begin"), w("b", 2, Policy, "halt"), w("c", 2, Policy, "force")}, "halt"},
+		{"work that has begun takes precedence",
+			[]*Write{w("a", 2, Work, "done"), w("b", 2, Work, "begun"), w("p", 0, Work, "asked")}, "begun"},
 		{"evidence adds up", []*Write{w("a", 2, Evidence, "\x01"), w("b", 2, Evidence, "\x02"), w("c", 2, Evidence, "\x04")}, "\x07"},
 	} {
 		for i := range 2 * len(c.set) {
@@ -389,7 +392,8 @@
 }
 
 func TestQueueRefusesByKindAndMergesEvidence(t *testing.T) {
-	s := New(Place{Site: "a", Level: 2, Incarnation: 1, Ancestors: []string{"p"}}, Limits{Bytes: 1 << 20, Number: 20, Batch: 4, Age: time.Minute})
+	s := New(Place{Site: "a", Level: 2, Incarnation: 1, Ancestors: []string{"p"}},
+		Limits{Bytes: 1 << 20, Number: 20, Batch: 4, Age: time.Minute})
 	s.WithMerge(mergeOneByte)
 	accepted := [Kinds]int{}
 	for _, k := range []Kind{Evidence, Note, Work, Policy, Safety} {
@@ -683,8 +687,8 @@
 	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
 	piece := func(after, until uint64, last bool) *Answer {
 		id := ID{Origin{Site: "a", Incarnation: 1}, until}
-		return &Answer{From: "p", Incarnation: 1, Down: &StateUpdate{From: "p", Incarnation: 1, To: 1, After: after, Until: until, Last: last,
-			Refused: []Receipt{{ID: id, Outcome: Refused}}, Subjects: []SubjectWrites{{Kind: Note, Subject: id.String()}}}}
+		return &Answer{From: "p", Incarnation: 1, Down: &StateUpdate{From: "p", Incarnation: 1, To: 1, After: after, Until: until,
+			Last: last, Refused: []Receipt{{ID: id, Outcome: Refused}}, Subjects: []SubjectWrites{{Kind: Note, Subject: id.String()}}}}
 	}
 	c.Next(0)
 	require.Nil(t, c.Answered(0, piece(0, 3, false)))
@@ -703,8 +707,8 @@
 // TestOnlyNewestEvidenceIsQueued, at its site and at the one above it, while the root site is unreachable; no other site
 // receives it.
 func TestOnlyNewestEvidenceIsQueued(t *testing.T) {
-	site := func(name string, level int, above ...string) *Site {
-		return New(Place{Site: name, Level: level, Incarnation: 1, Ancestors: above}, testLimits).WithMerge(mergeOneByte)
+	site := func(name string, level int, ancestors ...string) *Site {
+		return New(Place{Site: name, Level: level, Incarnation: 1, Ancestors: ancestors}, testLimits).WithMerge(mergeOneByte)
 	}
 	b, other, r, p := site("b", 2, "r", "p"), site("c", 2, "r", "p"), site("r", 1, "p"), site("p", 0)
 	own := Origin{Site: "b", Incarnation: 1, Evidence: true}
@@ -809,7 +813,8 @@
 // the old one.
 func TestIncarnationThatHasYetToCallIsNotClosed(t *testing.T) {
 	place := func(site string, incarnation uint64) *Site {
-		return New(Place{Site: site, Level: 1, Incarnation: incarnation, StoreCreated: time.Duration(incarnation), Ancestors: []string{"p"}}, testLimits)
+		return New(Place{Site: site, Level: 1, Incarnation: incarnation, StoreCreated: time.Duration(incarnation),
+			Ancestors: []string{"p"}}, testLimits)
 	}
 	p, a := New(Place{Site: "p", Incarnation: 1}, testLimits), place("a", 1)
 	call := func(s *Site, f []Effect) {
--- a/internal/choice/sitesync/sitesync.go
+++ b/internal/choice/sitesync/sitesync.go
@@ -59,7 +59,7 @@
 	Site         string        `json:"site"`
 	Level        int           `json:"level"`           // 0 is the province
 	Incarnation  uint64        `json:"life"`            // of the store; higher than all earlier ones, never 0
-	StoreCreated time.Duration `json:"born"`            // Unix time at which the store was made: of two incarnations the later one is current
+	StoreCreated time.Duration `json:"born"`            // Unix time at which the store was made: the later of two incarnations is current
 	Ancestors    []string      `json:"above,omitempty"` // the parent first; empty at the root site
 }
 
--- a/internal/choice/turns/turns_test.go
+++ b/internal/choice/turns/turns_test.go
@@ -256,7 +256,8 @@
 	cmd, _ := c.b.Next(c.now)
 	require.Equal(t, &ExclusionSetUpdate{Version: 1, Hosts: []string{"h0"}}, cmd.ExclusionSet)
 	c.settle()
-	assert.Equal(t, []sendlease.ExcludedHost{{Host: "h0", Round: c.turn("t0").Round}, {Host: "h1", Round: c.turn("t1").Round}}, c.b.ExcludedHosts())
+	assert.Equal(t, []sendlease.ExcludedHost{{Host: "h0", Round: c.turn("t0").Round}, {Host: "h1", Round: c.turn("t1").Round}},
+		c.b.ExcludedHosts())
 	last := c.b.ExclusionSet()
 	assert.Equal(t, []string{"h0", "h1"}, last.Hosts)
 	c.refused(LacksExcludedHost, exclusionSet(last.Version+1, []string{"h0", "h2"}))
@@ -557,7 +558,8 @@
 	}{
 		{UnknownHost, request(func(a *Request) { a.Host = "h9" })}, {HasTurn, request(func(a *Request) { a.Host = "h0" })},
 		{OtherHost, request(func(a *Request) { a.ID = "t0" })}, {Malformed, request(func(a *Request) { a.Duration = 0 })},
-		{TooLong, request(func(a *Request) { a.Duration = MaxDuration + 1 })}, {TooLate, request(func(a *Request) { a.FinishBy = c.now + time.Minute })},
+		{TooLong, request(func(a *Request) { a.Duration = MaxDuration + 1 })},
+		{TooLate, request(func(a *Request) { a.FinishBy = c.now + time.Minute })},
 		{TooLate, request(func(a *Request) { a.FinishBy, a.NotBefore = c.now+2*time.Hour, c.now+2*time.Hour })},
 		{Malformed, request(func(a *Request) { a.Urgency = math.MaxInt })}, {Malformed, request(func(a *Request) { a.ID = "\xff" })},
 		{Malformed, request(func(a *Request) { a.Requester = long })}, {UnknownTurn, withdraw(long)}, {WrongPhase, revoke("t0")},
--- a/internal/choice/turns/walk_test.go
+++ b/internal/choice/turns/walk_test.go
@@ -202,7 +202,8 @@
 		w := &walk{fixture: newFixture(t, Limits{Site: 3, Failed: 2, Lookahead: 2}), r: rand.New(rand.NewPCG(seed, 1)),
 			leaseExpired: map[string]bool{}, exempt: map[string]bool{}}
 		for i := 4; i < 9; i++ {
-			w.hosts = append(w.hosts, Host{ID: fmt.Sprint("h", i), Zone: "c", Kind: "k", Groups: []string{fmt.Sprint("g", i/2)}, Warm: true})
+			w.hosts = append(w.hosts,
+				Host{ID: fmt.Sprint("h", i), Zone: "c", Kind: "k", Groups: []string{fmt.Sprint("g", i/2)}, Warm: true})
 		}
 		w.fleet()
 		w.twin, w.past, w.index = w.b.Clone(), []*Schedule{w.b.Clone()}, 10
@@ -275,7 +276,8 @@
 		require.Len(bench, c.b.ExcludedHosts(), 6)
 		last := c.b.Order(c.now)[size[1]-7]
 		for name, run := range map[string]func(){
-			"next": func() { c.b.Next(c.now) }, "order": func() { c.b.Order(c.now) }, "outs": func() { c.b.ExcludedHosts() }, "due": func() { c.b.NextChange(c.now) },
+			"next": func() { c.b.Next(c.now) }, "order": func() { c.b.Order(c.now) },
+			"outs": func() { c.b.ExcludedHosts() }, "due": func() { c.b.NextChange(c.now) },
 			"clone": func() { c.b.Clone() }, "encode": func() { _, _ = c.b.Encode() }, "fleet": func() { c.fleet() },
 			"ack": func() { c.apply(ack("n07", 1, c.b.ExclusionSet().Version)) },
 			"request and withdraw": func() {
