--- a/internal/choice/sitesync/forwarder_test.go
+++ b/internal/choice/sitesync/forwarder_test.go
@@ -19,8 +19,8 @@
 
 func TestForwarderUsesNearestReachableSite(t *testing.T) {
 	s := New(Place{Site: "b", Level: 2, Incarnation: 1, Ancestors: []string{"r", "p"}}, testLimits)
-	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 2,
-		ReturnInterval: time.Minute})
+	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: time.Second,
+		MaxRetryDelay: 8 * time.Second, MaxFailures: 2, ReturnInterval: time.Minute})
 	now := time.Duration(0)
 	next := func() string {
 		to, _, wait := c.Next(now)
@@ -46,7 +46,8 @@
 	require.Equal(t, "r", next(), "and is used once it answers")
 	c.Failed(now)
 
-	alone := NewForwarderTo(func() *Site { return s }, Timing{RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 20}, "p")
+	alone := NewForwarderTo(func() *Site { return s },
+		Timing{RetryDelay: time.Second, MaxRetryDelay: 8 * time.Second, MaxFailures: 20}, "p")
 	for _, whole := range []time.Duration{1, 2, 4, 8, 8, 8} {
 		to, _, _ := alone.Next(now)
 		require.Equal(t, "p", to)
@@ -89,8 +90,8 @@
 	s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
 	s.Apply(0, Command{Write: &LocalWrite{Kind: Note, Subject: "x", Value: []byte("x")}})
 	s.Apply(0, *s.Unoffered())
-	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms, MaxRetryDelay: time.Second, MaxFailures: 3,
-		MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
+	c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms,
+		MaxRetryDelay: time.Second, MaxFailures: 3, MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
 	now := time.Duration(0)
 	next := func() *Batch {
 		to, b, wait := c.Next(now)
@@ -157,8 +158,8 @@
 	const ms = time.Millisecond
 	for took, most := range map[time.Duration]time.Duration{700 * ms: 10 * time.Second, 3 * time.Second: 2 * time.Minute} {
 		s := New(Place{Site: "b", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
-		c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms, MaxRetryDelay: time.Second, MaxFailures: 3,
-			MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
+		c := NewForwarder(func() *Site { return s }, Timing{PollInterval: time.Second, RetryDelay: 200 * ms,
+			MaxRetryDelay: time.Second, MaxFailures: 3, MinTimeout: 100 * ms, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second})
 		now := time.Duration(0)
 		call := func(took time.Duration) int {
 			_, b, wait := c.Next(now)
@@ -190,7 +191,8 @@
 // TestProbeChangesNothing: a probe carries no vector, which must not be taken as proof that its site has seen nothing.
 func TestProbeChangesNothing(t *testing.T) {
 	p := New(Place{Site: "p", Incarnation: 1}, testLimits)
-	for _, place := range []Place{{Site: "a", Incarnation: 1, StoreCreated: 1}, {Site: "b", Incarnation: 1, StoreCreated: 1}, {Site: "a", Incarnation: 2, StoreCreated: 2}} {
+	for _, place := range []Place{{Site: "a", Incarnation: 1, StoreCreated: 1}, {Site: "b", Incarnation: 1, StoreCreated: 1},
+		{Site: "a", Incarnation: 2, StoreCreated: 2}} {
 		p.Apply(0, Command{Batch: &Batch{From: place}})
 	}
 	lost := incarnation{"a", 1}
@@ -295,8 +297,8 @@
 	c := NewForwarder(func() *Site { return b }, Timing{MaxFailures: 9})
 	piece := func(after, until uint64, last bool) *Command {
 		c.Next(0)
-		return c.Answered(0, &Answer{From: "p", Incarnation: 2, Down: &StateUpdate{From: "p", Incarnation: 2, To: 1, After: after, Until: until, Last: last,
-			Seen: VersionVector{{Origin{Site: "p", Incarnation: 1}, until}}}})
+		return c.Answered(0, &Answer{From: "p", Incarnation: 2, Down: &StateUpdate{From: "p", Incarnation: 2, To: 1, After: after,
+			Until: until, Last: last, Seen: VersionVector{{Origin{Site: "p", Incarnation: 1}, until}}}})
 	}
 	cursor := func() Cursor {
 		_, call, _ := c.Next(0)
@@ -328,13 +330,13 @@
 	assert.True(t, dependent.Dependencies.Has(second), "it depends on the write that it needs")
 	assert.True(t, safety(b, "3", false).Dependencies.Has(second))
 
-	top := New(Place{Site: "q", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
-	top.Apply(1, Command{Batch: &Batch{From: b.Self(), Writes: []Write{*dependent}}})
-	require.Equal(t, 1, top.Held())
-	top.Apply(1+testLimits.Age, Command{})
-	assert.Equal(t, 1, top.Held())
-	top.Apply(2+testLimits.Age, Command{})
-	assert.Zero(t, top.Held(), "dropped after the age limit; its sender still has it")
+	q := New(Place{Site: "q", Level: 1, Incarnation: 1, Ancestors: []string{"p"}}, testLimits)
+	q.Apply(1, Command{Batch: &Batch{From: b.Self(), Writes: []Write{*dependent}}})
+	require.Equal(t, 1, q.Held())
+	q.Apply(1+testLimits.Age, Command{})
+	assert.Equal(t, 1, q.Held())
+	q.Apply(2+testLimits.Age, Command{})
+	assert.Zero(t, q.Held(), "dropped after the age limit; its sender still has it")
 }
 
 // TestWritesWithUnknownDependenciesAreSentLast: a write that depends on one unknown here would only be held at the site
--- a/internal/choice/turns/walk_test.go
+++ b/internal/choice/turns/walk_test.go
@@ -122,7 +122,7 @@
 	w.accepted, w.past = w.accepted+1, append(w.past, w.b.Clone())[max(0, len(w.past)-8):]
 }
 
-// allowed checks T1, T3 and the homes of T4 when a turn is prepared or granted, independently of how the schedule counts.
+// allowed checks T1, T3 and the preferred hosts of T4 when a turn is prepared or granted, independently of how the schedule counts.
 func (w *walk) allowed(c Command, text string) {
 	if c.Prepare == nil && c.Grant == nil {
 		return
@@ -143,8 +143,8 @@
 	if c.Prepare == nil {
 		return
 	}
-	count := func(like func(h Host) bool) (n int) {
-		return len(slices.DeleteFunc(slices.Clone(all), func(h Host) bool { return !like(h) }))
+	count := func(matches func(h Host) bool) (n int) {
+		return len(slices.DeleteFunc(slices.Clone(all), func(h Host) bool { return !matches(h) }))
 	}
 	mine, _ := w.b.host(w.turn(c.Prepare.ID).Host)
 	require.LessOrEqual(w.t, len(all), l.Site, "T1 %s", text)
@@ -202,7 +202,8 @@
 		w := &walk{fixture: newFixture(t, Limits{Site: 3, Failed: 2, Lookahead: 2}), r: rand.New(rand.NewPCG(seed, 1)),
 			leaseExpired: map[string]bool{}, exempt: map[string]bool{}}
 		for i := 4; i < 9; i++ {
-			w.hosts = append(w.hosts, Host{ID: fmt.Sprint("h", i), Zone: "c", Kind: "k", Groups: []string{fmt.Sprint("g", i/2)}, Warm: true})
+			w.hosts = append(w.hosts,
+				Host{ID: fmt.Sprint("h", i), Zone: "c", Kind: "k", Groups: []string{fmt.Sprint("g", i/2)}, Warm: true})
 		}
 		w.fleet()
 		w.twin, w.past, w.index = w.b.Clone(), []*Schedule{w.b.Clone()}, 10
@@ -275,7 +276,8 @@
 		require.Len(bench, c.b.ExcludedHosts(), 6)
 		last := c.b.Order(c.now)[size[1]-7]
 		for name, run := range map[string]func(){
-			"next": func() { c.b.Next(c.now) }, "order": func() { c.b.Order(c.now) }, "outs": func() { c.b.ExcludedHosts() }, "due": func() { c.b.NextChange(c.now) },
+			"next": func() { c.b.Next(c.now) }, "order": func() { c.b.Order(c.now) },
+			"outs": func() { c.b.ExcludedHosts() }, "due": func() { c.b.NextChange(c.now) },
 			"clone": func() { c.b.Clone() }, "encode": func() { _, _ = c.b.Encode() }, "fleet": func() { c.fleet() },
 			"ack": func() { c.apply(ack("n07", 1, c.b.ExclusionSet().Version)) },
 			"request and withdraw": func() {
--- a/internal/query/restrictions_test.go
+++ b/internal/query/restrictions_test.go
@@ -127,6 +127,6 @@
 	if assert.Len(t, observation.Groups, 1, "a group of one connection is not reported") {
 		assert.Equal(t, "room", observation.Groups[0].Name)
 		assert.Equal(t, 4.0, observation.Groups[0].Value)
-		assert.Len(t, observation.Groups[0].Homes, 3)
+		assert.Len(t, observation.Groups[0].PreferredHosts, 3)
 	}
 }
