--- a/rehearsal/coremodel/bugs.go
+++ b/rehearsal/coremodel/bugs.go
@@ -13,16 +13,17 @@
 // the actual rule of the request lifecycle; the code itself contains none.
 type InjectedBug struct{ Name, About string }
 
-type deciderBug struct {
+// balancerBug is an injected bug that wraps the balancer.
+type balancerBug struct {
 	InjectedBug
-	decider func(query.Balancer) query.Balancer
+	wrap func(query.Balancer) query.Balancer
 }
 
-// InjectedBugs returns the bugs that can be injected: those in deciderBugs, and those of package lifemodel that change
+// InjectedBugs returns the bugs that can be injected: those in balancerBugs, and those of package lifemodel that change
 // the rule.
 func InjectedBugs() []InjectedBug {
 	var list []InjectedBug
-	for _, p := range deciderBugs {
+	for _, p := range balancerBugs {
 		list = append(list, p.InjectedBug)
 	}
 	for _, p := range lifemodel.InjectedBugs() {
@@ -54,9 +55,9 @@
 
 // injectBug puts the named bug into the configuration.
 func (c *Config) injectBug() error {
-	for _, p := range deciderBugs {
+	for _, p := range balancerBugs {
 		if p.Name == c.Bug {
-			c.Decider = p.decider
+			c.WrapBalancer = p.wrap
 			return nil
 		}
 	}
@@ -72,15 +73,15 @@
 	return nil
 }
 
-// buggyDecider changes the events that a balancer gets and the actions that it returns.
-type buggyDecider struct {
+// buggyBalancer changes the events that a balancer gets and the actions that it returns.
+type buggyBalancer struct {
 	inner query.Balancer
 	in    func(balance.Event) []balance.Event
 	out   func([]balance.Action) []balance.Action
 }
 
 // Handle implements query.Balancer.
-func (d *buggyDecider) Handle(now time.Duration, ev balance.Event) []balance.Action {
+func (d *buggyBalancer) Handle(now time.Duration, ev balance.Event) []balance.Action {
 	events := []balance.Event{ev}
 	if d.in != nil {
 		events = d.in(ev)
@@ -96,10 +97,10 @@
 }
 
 func filterEvents(f func(balance.Event) []balance.Event) func(query.Balancer) query.Balancer {
-	return func(inner query.Balancer) query.Balancer { return &buggyDecider{inner: inner, in: f} }
+	return func(inner query.Balancer) query.Balancer { return &buggyBalancer{inner: inner, in: f} }
 }
 
-var deciderBugs = []deciderBug{
+var balancerBugs = []balancerBug{
 	{InjectedBug{"drain-unheard", "the balancer is never notified that a gateway drains"},
 		filterEvents(func(ev balance.Event) []balance.Event {
 			if l, ok := ev.(balance.ServerList); ok {
@@ -119,7 +120,8 @@
 			}
 			return []balance.Event{ev}
 		})},
-	{InjectedBug{"late-taken-for-unsent", "the balancer takes an attempt that was sent and has timed out for one that was not sent"},
+	{InjectedBug{"late-taken-for-unsent",
+		"the balancer takes an attempt that was sent and has timed out for one that was not sent"},
 		filterEvents(func(ev balance.Event) []balance.Event {
 			if e, ok := ev.(balance.Ended); ok && e.Outcome == balance.TimedOut {
 				e.Outcome = balance.Unreachable
@@ -136,7 +138,7 @@
 		})},
 	{InjectedBug{"answer-withheld", "the balancer's answers are lost"},
 		func(inner query.Balancer) query.Balancer {
-			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
+			return &buggyBalancer{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					switch a.(type) {
 					case balance.Refuse, balance.Fail:
@@ -149,7 +151,7 @@
 		}},
 	{InjectedBug{"placed-twice", "each placement of the balancer is carried out twice"},
 		func(inner query.Balancer) query.Balancer {
-			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
+			return &buggyBalancer{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					rest = append(rest, a)
 					if p, ok := a.(balance.Place); ok {
@@ -161,7 +163,7 @@
 		}},
 	{InjectedBug{"all-refused", "requests that the balancer fails are refused instead"},
 		func(inner query.Balancer) query.Balancer {
-			return &buggyDecider{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
+			return &buggyBalancer{inner: inner, out: func(acts []balance.Action) (rest []balance.Action) {
 				for _, a := range acts {
 					if f, ok := a.(balance.Fail); ok {
 						a = balance.Refuse{Request: f.Request}
--- a/rehearsal/coremodel/connection.go
+++ b/rehearsal/coremodel/connection.go
@@ -34,7 +34,7 @@
 func (m *Model) setUpConnections(seed uint64, midFlow bool) []model.Step {
 	w := m.world(seed)
 	var steps []model.Step
-	do := func(o lifemodel.Op, c, g, arg int) {
+	take := func(o lifemodel.Op, c, g, arg int) {
 		s := lifemodel.Code(o, c, g, arg)
 		if err := w.Do(s); err != nil {
 			panic("coremodel: " + err.Error())
@@ -46,10 +46,10 @@
 		if midFlow {
 			class = script.MidFlow
 		}
-		do(lifemodel.Ask, c, 0, class)
+		take(lifemodel.Ask, c, 0, class)
 		_, _, _, g := w.State(c)
-		do(lifemodel.Connect, c, g, 0)
-		do(lifemodel.HostUp, c, g, 0)
+		take(lifemodel.Connect, c, g, 0)
+		take(lifemodel.HostUp, c, g, 0)
 	}
 	return steps
 }
--- a/rehearsal/coremodel/model.go
+++ b/rehearsal/coremodel/model.go
@@ -20,16 +20,16 @@
 	"lichenhitch/rehearsal/script"
 )
 
-// Config says what is explored.
+// Config selects what is explored.
 type Config struct {
-	Gateways int
-	Clients  int
-	Attempts int
-	Notices  int // of discovery, in one run
-	Seeds    int // of the balancer's random choices: 1 to this
-	Bug      string
-	Decider  func(query.Balancer) query.Balancer // wraps the balancer, to inject bugs; may be nil
-	Rule     query.StepFunc                      // nil: the actual rule
+	Gateways     int
+	Clients      int
+	Attempts     int
+	Notices      int // of discovery, in one run
+	Seeds        int // of the balancer's random choices: 1 to this
+	Bug          string
+	WrapBalancer func(query.Balancer) query.Balancer // wraps the balancer, to inject bugs; may be nil
+	Rule         query.StepFunc                      // nil: the actual rule
 }
 
 const (
@@ -101,7 +101,7 @@
 	if c.Notices < 0 {
 		return nil, fmt.Errorf("notices: %d is negative", c.Notices)
 	}
-	if c.Bug != "" && c.Decider == nil && c.Rule == nil {
+	if c.Bug != "" && c.WrapBalancer == nil && c.Rule == nil {
 		if err := c.injectBug(); err != nil {
 			return nil, err
 		}
@@ -185,12 +185,12 @@
 func (m *Model) CoverageGoals() []string {
 	return []string{
 		coverServed:               "a client is served",
-		coverLastAttempt:          "the last attempt is out",
-		coverNoticeDuringAttempt:  "a notice comes while an attempt is out",
-		coverLateAnswer:           "a gateway speaks of an attempt that is over",
-		coverInheritedRetry:       "an inherited connection is tried again",
-		coverStopWhileWaiting:     "the node stops while a query waits",
-		coverRestartDuringAttempt: "a gateway starts anew while an attempt is out there",
+		coverLastAttempt:          "the last possible attempt is pending",
+		coverNoticeDuringAttempt:  "a notice arrives about a gateway with an open connection",
+		coverLateAnswer:           "a gateway may still report on an attempt that is over while the request awaits its answer",
+		coverInheritedRetry:       "an inherited connection has a further attempt",
+		coverStopWhileWaiting:     "the node stops while a client waits or is served",
+		coverRestartDuringAttempt: "a restart is reported of a gateway with an open connection",
 	}
 }
 
@@ -269,8 +269,8 @@
 	if cfg.Rule == nil {
 		cfg.Rule = lifecycle.Step
 	}
-	if m.cfg.Decider != nil {
-		cfg.Balancer = m.cfg.Decider(balance.New(m.settings, seed))
+	if m.cfg.WrapBalancer != nil {
+		cfg.Balancer = m.cfg.WrapBalancer(balance.New(m.settings, seed))
 		cfg.ReadyOnly = true
 	}
 	return script.New(cfg)
@@ -338,7 +338,7 @@
 		o, c, g, _ := lifemodel.Decode(d)
 		switch o {
 		case lifemodel.DeadlineFires:
-			if q, _, _, _ := w.State(c); !q.Inherited { // the balancer takes no part in inherited requests
+			if q, _, _, _ := w.State(c); !q.Inherited { // the balancer does not place inherited requests
 				r.violated |= 1 << badDeadlineFired
 			}
 		case lifemodel.RetryInherited:
@@ -371,7 +371,7 @@
 }
 
 // choices returns the steps that are possible next. Once no client waits, the model explores only the end of the
-// established connections, and the clock stands still.
+// established connections, and the clock does not advance.
 func (m *Model) choices(w *script.World, r *run) (list []model.Step) {
 	add := func(o lifemodel.Op, c, g, arg int) { list = append(list, lifemodel.Code(o, c, g, arg)) }
 	if w.Stopped() {
@@ -584,7 +584,7 @@
 		}
 		if modelClient.Lifecycle.Phase != state.Phase || modelClient.View != view || modelClient.Conn != conn || modelGateway != g ||
 			!finished && (modelClient.Lifecycle.Attempts != attempts || modelClient.Lifecycle.Inherited != state.Inherited) {
-			f.err = fmt.Sprintf("client %d is at %+v, seen %d, link %d to %d; the model has %+v, seen %d, link %d to %d",
+			f.err = fmt.Sprintf("client %d: request %+v, client view %d, connection state %d, gateway index %d; the model has %+v, %d, %d, %d",
 				c+1, state, view, conn, g, modelClient.Lifecycle, modelClient.View, modelClient.Conn, modelGateway)
 			return
 		}
--- a/rehearsal/lifemodel/bugs.go
+++ b/rehearsal/lifemodel/bugs.go
@@ -68,10 +68,10 @@
 
 // ruleWithoutEffect returns the rule without one effect in the steps of some events, or of all events if none are
 // named.
-func ruleWithoutEffect(f lifecycle.Effect, of ...lifecycle.Kind) rule {
+func ruleWithoutEffect(f lifecycle.Effect, kinds ...lifecycle.Kind) rule {
 	return func(s lifecycle.State, e lifecycle.Event) (lifecycle.State, lifecycle.Effects) {
 		next, todo := lifecycle.Step(s, e)
-		if len(of) == 0 || slices.Contains(of, e.Kind) {
+		if len(kinds) == 0 || slices.Contains(kinds, e.Kind) {
 			todo = removeEffect(todo, f)
 		}
 		return next, todo
@@ -155,7 +155,7 @@
 		}},
 	{name: "cut-without-move", about: "a client is disconnected without MOVE when its host does not read its data",
 		rule: ruleWithoutEffect(lifecycle.MoveClient, lifecycle.HostNotReading)},
-	{name: "end-without-word", about: "the client is not told that the host has ended the connection",
+	{name: "end-without-word", about: "the client is not notified that the host has ended the connection",
 		rule: ruleWithoutEffect(lifecycle.EndClient)},
 	{name: "left-unanswered", about: "a node that stops leaves a waiting client without an answer",
 		rule: ruleWithoutEffect(lifecycle.AnswerFail, lifecycle.NodeStopping)},
--- a/rehearsal/lifemodel/model.go
+++ b/rehearsal/lifemodel/model.go
@@ -72,17 +72,17 @@
 	return []string{
 		coverServed:                  "a client is served",
 		coverOtherAnswer:             "a client is answered otherwise",
-		coverLastAttempt:             "the last attempt is out",
-		coverDrainDuringAttempt:      "a drain is told while an attempt is out at the gateway",
-		coverDrainExpiredDialing:     "the limit after a drain passes while a dial is under way",
-		coverWithdrawnAttempt:        "an attempt was withdrawn while its gateway may still speak of it",
-		coverRestartDuringConn:       "a gateway has started again with a connection of its old life",
-		coverRemovedDuringAttempt:    "a gateway leaves the list while an attempt is out there",
-		coverUnresponsiveEstablished: "a gateway that holds a connection falls silent",
-		coverTermWhileWaiting:        "SIGTERM comes while a query waits",
+		coverLastAttempt:             "the last allowed attempt is pending",
+		coverDrainDuringAttempt:      "a drain is reported of a gateway with an open connection on which a request was sent",
+		coverDrainExpiredDialing:     "the deadline after a drain notice passes while a connection is being established",
+		coverWithdrawnAttempt:        "a gateway may still answer a closed attempt while the request awaits its answer",
+		coverRestartDuringConn:       "a gateway with an open connection has restarted, and discovery has not reported it yet",
+		coverRemovedDuringAttempt:    "a gateway is off the list while an attempt is pending there",
+		coverUnresponsiveEstablished: "a gateway with an established connection is unresponsive",
+		coverTermWhileWaiting:        "the node is shutting down while a request awaits its answer",
 		coverConnOutlivesNode:        "a connection outlives the node where packets pass through",
-		coverInheritedRetry:          "an inherited connection pauses between two tries",
-		coverTriedGatewayBack:        "a gateway that was tried is back under its name while the query goes on",
+		coverInheritedRetry:          "an inherited connection pauses between two attempts",
+		coverTriedGatewayBack:        "a gateway that was tried is listed with a new start while the request goes on",
 	}
 }
 
--- a/rehearsal/lifemodel/model_test.go
+++ b/rehearsal/lifemodel/model_test.go
@@ -9,9 +9,9 @@
 	"lichenhitch/rehearsal/model"
 )
 
-func check(t *testing.T, gateways, clients, attempts int, plant string) *model.Result[State] {
+func check(t *testing.T, gateways, clients, attempts int, bugName string) *model.Result[State] {
 	t.Helper()
-	m, err := New(gateways, clients, attempts, plant)
+	m, err := New(gateways, clients, attempts, bugName)
 	require.NoError(t, err)
 	res, err := model.Check[State](m, model.Options{})
 	require.NoError(t, err)
--- a/rehearsal/lifemodel/scenario.go
+++ b/rehearsal/lifemodel/scenario.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Scenario is a hard case on its own: the model restricted to the steps that take part in it, in every order.
+// Scenario is a hard case on its own: the model restricted to the steps that occur in it, in every order.
 type Scenario struct {
 	Name, About string
 	ops         []Op
--- a/rehearsal/lifemodel/state.go
+++ b/rehearsal/lifemodel/state.go
@@ -22,7 +22,7 @@
 
 const (
 	Healthy      Condition = iota // it may answer in any way
-	Unresponsive                  // the machine has vanished: connections stay open and bring nothing
+	Unresponsive                  // the machine has vanished: connections stay open and deliver nothing
 	Crashed                       // the process has ended: connections are refused
 )
 
@@ -73,8 +73,8 @@
 const (
 	Absent ClientView = iota // it has sent no request yet
 	Asking
-	Served         // it was told that its connection is established
-	Finished       // it got another answer, or was told that its connection ends
+	Served         // it was notified that its connection is established
+	Finished       // it got another answer, or was notified that its connection ends
 	ClientLeft     // it left on its own
 	ClientTimedOut // its time limit passed without an answer
 )
@@ -88,7 +88,7 @@
 	RequestSent           // the request line is written
 )
 
-// BalancerView is what the balancer has been told about a request.
+// BalancerView is what the balancer has been notified of about a request.
 type BalancerView uint8
 
 const (
@@ -142,9 +142,9 @@
 	return -1
 }
 
-func bit[T ~uint16 | ~uint32 | ~uint64](b bool, at int) T {
+func bit[T ~uint16 | ~uint32 | ~uint64](b bool, position int) T {
 	if b {
-		return T(1) << at
+		return T(1) << position
 	}
 	return 0
 }
--- a/rehearsal/lifemodel/steps.go
+++ b/rehearsal/lifemodel/steps.go
@@ -46,7 +46,7 @@
 	DrainExpires // the deadline after a drain notice passes
 	Terminate
 	StopAccepting
-	StopNode // the node closes all connections and stops; the argument says whether its maximum stay was reached
+	StopNode // the node closes all connections and stops; the argument says whether it did so only at its MaxStay
 	opCount  = int(StopNode) + 1
 )
 
@@ -327,7 +327,7 @@
 	}
 }
 
-// moveBalancerView changes what the balancer knows, and records a violation if that is not at from.
+// moveBalancerView changes what the balancer knows, and records a violation if that was not from.
 func (r *transition) moveBalancerView(to, from BalancerView) {
 	q := &r.s.Clients[r.c]
 	if q.BalancerView != from {
@@ -393,7 +393,7 @@
 	q.Conn = NoConn
 }
 
-// querySteps yields the steps of one client's request.
+// requestSteps yields the steps of one client's request.
 func (m *Model) requestSteps(s *State, c int, yield func(model.Step, State)) {
 	q := &s.Clients[c]
 	if q.View == Absent {
--- a/rehearsal/model/explore.go
+++ b/rehearsal/model/explore.go
@@ -360,9 +360,9 @@
 	} else {
 		w.succs = append(w.succs, succ[S]{})
 	}
-	x := &w.succs[n]
-	x.state = w.c.m.Canonical(next)
-	x.step, x.pending, x.fp = step, w.c.m.Pending(x.state), w.fingerprint(x.state)
+	added := &w.succs[n]
+	added.state = w.c.m.Canonical(next)
+	added.step, added.pending, added.fp = step, w.c.m.Pending(added.state), w.fingerprint(added.state)
 }
 
 // visit adds a state to the store. It checks a new state and queues it for the next depth. It returns false if the
--- a/rehearsal/model/liveness.go
+++ b/rehearsal/model/liveness.go
@@ -55,16 +55,16 @@
 
 // list returns the edge list of a state, or nil if none was kept.
 func (g *graph) list(id uint32) (*edgeList, *edges) {
-	at := g.location[id]
-	if at == 0 {
+	location := g.location[id]
+	if location == 0 {
 		return nil, nil
 	}
-	e := g.edges[at>>40]
-	return &e.from[at&(1<<40-1)-1], e
+	e := g.edges[location>>40]
+	return &e.from[location&(1<<40-1)-1], e
 }
 
-// checkLiveness looks, property by property, for an infinite fair run in which the property stays pending, or a final
-// state in which it is pending. It decides weak fairness on strongly connected components. If some class is enabled in
+// checkLiveness looks, for each property, for an infinite fair run in which the property stays pending, or a final state
+// in which it is pending. It decides weak fairness on strongly connected components. If some class is enabled in
 // all states of a component and no edge within the component is of that class, no run that stays in any part of the
 // component is fair, because the class is enabled throughout that part as well. Otherwise the run that goes round the
 // whole component is fair. The check is therefore exact.
@@ -126,24 +126,24 @@
 			id := f.id
 			calls = calls[:len(calls)-1]
 			if len(calls) > 0 {
-				up := calls[len(calls)-1].id
-				low[up] = min(low[up], low[id])
+				caller := calls[len(calls)-1].id
+				low[caller] = min(low[caller], low[id])
 			}
 			if low[id] != index[id] {
 				continue
 			}
-			at := len(stack) - 1
-			for stack[at] != id {
-				at--
+			bottom := len(stack) - 1
+			for stack[bottom] != id {
+				bottom--
 			}
-			component := stack[at:]
+			component := stack[bottom:]
 			if t := c.fairRunIn(g, component, members); t != nil {
 				return t
 			}
 			for _, member := range component {
 				low[member] = noState
 			}
-			stack = stack[:at]
+			stack = stack[:bottom]
 		}
 	}
 	return nil
--- a/rehearsal/model/model.go
+++ b/rehearsal/model/model.go
@@ -65,7 +65,7 @@
 type Verdict int
 
 const (
-	Holds    Verdict = iota // in every state that was visited
+	Holds    Verdict = iota // checked in full: no counterexample exists
 	Violated                // a counterexample was found
 	Unknown                 // not checked, or not in full
 )
--- a/rehearsal/model/store.go
+++ b/rehearsal/model/store.go
@@ -93,8 +93,8 @@
 	for i := range list {
 		fp := max(list[i].fp, 1)
 		t := s.shard[fp>>(64-shardBits)].table.Load()
-		at := homeSlot(fp) & uint64(len(t.keys)-1)
-		sum += atomic.LoadUint64(&t.keys[at]) + uint64(atomic.LoadUint32(&t.ids[at]))
+		slot := homeSlot(fp) & uint64(len(t.keys)-1)
+		sum += atomic.LoadUint64(&t.keys[slot]) + uint64(atomic.LoadUint32(&t.ids[slot]))
 	}
 	return sum
 }
@@ -104,7 +104,7 @@
 func homeSlot(fp uint64) uint64 { return fp * 0x9e3779b97f4a7c15 >> 20 }
 
 // find returns the slot of a fingerprint, or the empty slot where it belongs.
-func (t *table) find(fp uint64) (at int, found bool) {
+func (t *table) find(fp uint64) (slot int, found bool) {
 	mask := uint64(len(t.keys) - 1)
 	for i := homeSlot(fp) & mask; ; i = (i + 1) & mask {
 		switch atomic.LoadUint64(&t.keys[i]) {
