--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -55,7 +55,8 @@
 		args []string
 		want []string
 	}{
-		{exitHolds, []string{"turns", "--scenario", "two-nodes"}, []string{"model turns, scenario two-nodes\n", "holds     T2: ", "\ncomplete\n"}},
+		{exitHolds, []string{"turns", "--scenario", "two-nodes"},
+			[]string{"model turns, scenario two-nodes\n", "holds     T2: ", "\ncomplete\n"}},
 		{exitViolated, []string{"turns", "--plant", "one-horizon-for-all"}, []string{"scenario two-nodes, planted", "VIOLATED: R1: ",
 			"   1  n1 asks and is answered", "trace written to " + trace + "\n"}},
 		{exitHolds, []string{"upstream", "--scenario", "pieces"}, []string{"model upstream, scenario pieces\n", "holds     U5 ", "\ncomplete\n"}},
--- a/cmd/rehearse/model.go
+++ b/cmd/rehearse/model.go
@@ -119,11 +119,12 @@
 
 func progressLine(p model.Progress) string {
 	if p.Phase == "liveness" {
-		return fmt.Sprintf("%7.1fs  %s states; checking the liveness properties, %d MiB", p.Elapsed.Seconds(), withSeparators(p.States), p.Bytes>>20)
+		return fmt.Sprintf("%7.1fs  %s states; checking the liveness properties, %d MiB", p.Elapsed.Seconds(),
+			withSeparators(p.States), p.Bytes>>20)
 	}
-	return fmt.Sprintf("%7.1fs  depth %d, %s states (%s/s), %s steps, %s not yet expanded at this depth, %s found at the next, %d MiB", p.Elapsed.Seconds(),
-		p.Depth, withSeparators(p.States), withSeparators(uint64(float64(p.States)/p.Elapsed.Seconds())), withSeparators(p.Transitions),
-		withSeparators(p.Unexpanded), withSeparators(p.Frontier), p.Bytes>>20)
+	return fmt.Sprintf("%7.1fs  depth %d, %s states (%s/s), %s steps, %s not yet expanded at this depth, %s found at the next, %d MiB",
+		p.Elapsed.Seconds(), p.Depth, withSeparators(p.States), withSeparators(uint64(float64(p.States)/p.Elapsed.Seconds())),
+		withSeparators(p.Transitions), withSeparators(p.Unexpanded), withSeparators(p.Frontier), p.Bytes>>20)
 }
 
 // withSeparators formats a number with commas between thousands.
--- a/rehearsal/catalog/catalog.go
+++ b/rehearsal/catalog/catalog.go
@@ -20,7 +20,7 @@
 	"lichenhitch/rehearsal/upstreammodel"
 )
 
-// Config says which model to check, and for what fleet.
+// Config selects the model to check, and its bounds.
 type Config struct {
 	Model      string `json:"model"`
 	Gateways   int    `json:"gateways"`
@@ -40,7 +40,7 @@
 // InjectedBug is a bug that can be injected into a model.
 type InjectedBug struct {
 	Named
-	Scenario string // the one that finds it; empty: the model without a scenario does
+	Scenario string // the scenario that finds it; empty: the model without a scenario finds it
 }
 
 // Entry is a model of the catalog.
@@ -108,7 +108,7 @@
 	return []Entry{lifeEntry(), coreEntry(), connectionEntry(), turnsEntry(), upstreamEntry()}
 }
 
-// Replays says whether a model's traces can be replayed on the running code.
+// Replays reports whether a model's traces can be replayed on the running code.
 func Replays(name string) bool {
 	return slices.ContainsFunc(Entries(), func(e Entry) bool { return e.Name == name && e.Replays })
 }
@@ -167,7 +167,8 @@
 }
 
 func turnsEntry() Entry {
-	e := Entry{Named: Named{"turns", "send leases and turns (permissions to do maintenance on a host), the real code of nodes and replicas, by scenarios"},
+	e := Entry{Named: Named{"turns",
+		"send leases and turns (permissions to do maintenance on a host), the real code of nodes and replicas, by scenarios"},
 		defaults: Config{Scenario: "three-nodes"}, prepare: func(c Config) (Job, error) {
 			w, err := turnsmodel.Named(c.Scenario)
 			if err != nil {
@@ -250,7 +251,8 @@
 const connectionsDuration = 6 * time.Second
 
 func connectionEntry() Entry {
-	e := Entry{Named: Named{"connection", "the running code with established connections: lines, unresponsive hosts, drains, moves, both sides closing"},
+	e := Entry{Named: Named{"connection",
+		"the running code with established connections: lines, unresponsive hosts, drains, moves, both sides closing"},
 		Replays: true, defaults: Config{Gateways: 1, Clients: 2, Attempts: 2, Seeds: 1, Lines: 1}, prepare: prepareConnection}
 	for _, p := range coremodel.ConnectionBugs() {
 		e.Bugs = append(e.Bugs, InjectedBug{Named: Named(p)})
--- a/rehearsal/crowd/crowd.go
+++ b/rehearsal/crowd/crowd.go
@@ -138,16 +138,16 @@
 // eventQueue is a heap of events, ordered by time, and at the same time by the order in which they were scheduled.
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventQueue) Pop() any {
-	last := len(*a) - 1
-	e := (*a)[last]
-	*a = (*a)[:last]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	e := (*q)[last]
+	*q = (*q)[:last]
 	return e
 }
 
@@ -203,7 +203,8 @@
 func (w *world) setUpFleet() {
 	const ms = time.Millisecond
 	class := func(name string, value float64, latencyTarget, deadline, message time.Duration) balance.Class {
-		return balance.Class{Name: name, LatencyTarget: latencyTarget, Deadline: deadline, Streamed: true, MessageLatencyTarget: message, Value: value}
+		return balance.Class{Name: name, LatencyTarget: latencyTarget, Deadline: deadline, Streamed: true,
+			MessageLatencyTarget: message, Value: value}
 	}
 	w.classes = []clientClass{
 		{class("a", 3, 300*ms, 1200*ms, 250*ms), 0.31, 1, 1},
@@ -241,10 +242,12 @@
 		list = append(list, balance.Listing{Server: h.id, Zone: "here", Cell: i / 6, Weight: weight, State: balance.Ready})
 		w.schedule(w.uniform(reportInterval), func() { w.report(h) })
 	}
-	settings.Tenants = []balance.Tenant{{Name: "k", Share: 0.55, Quota: 0.506 * w.capacity}, {Name: "l", Share: 0.45, Quota: 0.414 * w.capacity}}
+	settings.Tenants = []balance.Tenant{{Name: "k", Share: 0.55, Quota: 0.506 * w.capacity},
+		{Name: "l", Share: 0.45, Quota: 0.414 * w.capacity}}
 	for i := range w.plan.Nodes {
 		settings.Self = i
-		n := &node{balancer: balance.New(settings, w.plan.Seed*1000+uint64(i)), clients: map[balance.RequestID]*client{}, slowReportedAt: map[*host]time.Duration{}}
+		n := &node{balancer: balance.New(settings, w.plan.Seed*1000+uint64(i)), clients: map[balance.RequestID]*client{},
+			slowReportedAt: map[*host]time.Duration{}}
 		w.nodes = append(w.nodes, n)
 		w.handle(n, balance.ServerList{Kind: balance.ListFull, Entries: list})
 	}
@@ -285,8 +288,8 @@
 	for _, k := range w.classes {
 		total += weight(k)
 	}
-	at, chosen := w.rng.Float64()*total, 0
-	for at -= weight(w.classes[0]); at > 0 && chosen+1 < len(w.classes); at -= weight(w.classes[chosen]) {
+	rest, chosen := w.rng.Float64()*total, 0
+	for rest -= weight(w.classes[0]); rest > 0 && chosen+1 < len(w.classes); rest -= weight(w.classes[chosen]) {
 		chosen++
 	}
 	k := w.classes[chosen]
@@ -482,7 +485,8 @@
 		value := class.settings.Value * step.Seconds()
 		served := 0.0
 		if h := c.host; h != nil && h.backlog < class.settings.MessageLatencyTarget.Seconds() {
-			served = value * (1 - min(1, h.ratio())*math.Exp(-max(0, 1-h.ratio())*float64(class.settings.MessageLatencyTarget)/float64(messageServiceTime)))
+			served = value * (1 - min(1, h.ratio())*
+				math.Exp(-max(0, 1-h.ratio())*float64(class.settings.MessageLatencyTarget)/float64(messageServiceTime)))
 		}
 		w.totalWanted, w.wantedValue[c.classIndex] = w.totalWanted+value, w.wantedValue[c.classIndex]+value
 		w.totalServed, w.servedValue[c.classIndex] = w.totalServed+served, w.servedValue[c.classIndex]+served
--- a/rehearsal/rolloutsim/check.go
+++ b/rehearsal/rolloutsim/check.go
@@ -97,15 +97,15 @@
 
 // checkPhases checks the changes of phase of all rollouts.
 func (c *check) checkPhases(resumed bool) {
-	b := c.s.replicas[0]
-	for _, r := range b.Plan().Rollouts() {
+	root := c.s.replicas[0]
+	for _, r := range root.Plan().Rollouts() {
 		c.checkLog(r)
 		was, known := c.phase[r.ID]
 		if known && was != r.Phase && r.Phase == rollout.Running && !resumed {
 			c.report("P7", "%s runs again although no operator resumed it", r.ID)
 		}
 		if was != r.Phase && r.Phase == rollout.Halted {
-			c.checkHalted(r, b)
+			c.checkHalted(r, root)
 		}
 		c.phase[r.ID] = r.Phase
 	}
@@ -162,9 +162,9 @@
 // checkRecord checks P2 on a record: a guard that fired or a fallback halts at once if it belongs to the current
 // treatment.
 func (c *check) checkRecord(s *simulation, r rollout.Record) {
-	b := s.replicas[0]
-	site, assigned := c.s.nodeByNumber(r.Node).site, b.Plan().Assigned(r.Node)
-	trial := b.Plan().Rollout(trialID)
+	root := s.replicas[0]
+	site, assigned := c.s.nodeByNumber(r.Node).site, root.Plan().Assigned(r.Node)
+	trial := root.Plan().Rollout(trialID)
 	trialContinues := func(round uint64, policy rollout.Hash) bool {
 		return assigned.Trial && round == assigned.Round && policy == assigned.Policy && policy == trialHash && trial.Phase < rollout.Halting
 	}
@@ -187,7 +187,7 @@
 	}
 	for _, e := range r.Slices {
 		if c.received[r.Node].add(e.Slice) {
-			c.countEvidence(e, b)
+			c.countEvidence(e, root)
 		}
 	}
 	if len(r.Fired) > 0 || r.Status.Fallback > rollout.LeaseExpired {
@@ -196,7 +196,7 @@
 }
 
 // countEvidence counts the evidence that may be judged.
-func (c *check) countEvidence(e rollout.Evidence, b rootReplica) {
+func (c *check) countEvidence(e rollout.Evidence, root rootReplica) {
 	windowNumber := e.Slice / uint64(c.s.o.Limits.WindowSlices)
 	if len(e.Counts) > 0 && c.s.o.Nodes <= maxInspectedNodes {
 		c.offered[nodeWindow{e.Node, windowNumber}] += float64(e.Counts[0].Offered)
@@ -215,7 +215,7 @@
 		return
 	}
 	c.openWindows[windowNumber][e.Node]++
-	if r := b.Plan().Rollout(trialID); r != nil {
+	if r := root.Plan().Rollout(trialID); r != nil {
 		if c.usableSlices[r.ID] == nil {
 			c.usableSlices[r.ID] = map[string]int{}
 		}
@@ -285,7 +285,7 @@
 	if r.ID != trialID {
 		return
 	}
-	const minWindows = 5 // windows that the e-process needs to reach 20 at a factor of 1.9 per window, rounded
+	const minWindows = 5 // windows that the e-process needs to reach 20 at a factor of 1.9 per window, rounded up
 	l := c.s.o.Limits
 	if c.s.now-c.stageStart[r.ID] < minWindows*time.Duration(l.WindowSlices)*l.Slice {
 		c.report("P1", "stage %d ends after %v", e.Stage, c.s.now-c.stageStart[r.ID])
@@ -321,9 +321,9 @@
 
 // checkHalted checks P2: after a halt every node is assigned the good policy, an unreachable node too, and applies it
 // once it is reachable.
-func (c *check) checkHalted(r *rollout.Rollout, b rootReplica) {
+func (c *check) checkHalted(r *rollout.Rollout, root rootReplica) {
 	for _, n := range c.s.nodes {
-		if a := b.SitePolicies(c.s.world.siteNames[n.site]).Assigned(n.name, nil); a.Policy == r.Policy {
+		if a := root.SitePolicies(c.s.world.siteNames[n.site]).Assigned(n.name, nil); a.Policy == r.Policy {
 			c.report("P2", "%s is halted, and %s is assigned its policy", r.ID, n.name)
 			return
 		}
--- a/rehearsal/rolloutsim/run.go
+++ b/rehearsal/rolloutsim/run.go
@@ -99,7 +99,7 @@
 	policy         *rollout.NodePolicy
 	stored         rollout.Stored
 	reporter       *rollout.Reporter
-	rootAnsweredAt time.Duration // when the root answered the site that answered this node last
+	rootAnsweredAt time.Duration // time of the root's answer to the site on which the site's last answer to this node is based
 	starts         int           // starts under its current policy, counted by the simulation
 	appliedPolicy  rollout.Hash
 }
@@ -196,11 +196,11 @@
 		s.bug = injectedBugs[i]
 	}
 	for range max(o.Replicas, 1) {
-		var b rootReplica = rollout.NewRootState()
+		var replica rootReplica = rollout.NewRootState()
 		if s.bug.newReplica != nil {
-			b = s.bug.newReplica(rollout.NewRootState())
+			replica = s.bug.newReplica(rollout.NewRootState())
 		}
-		s.replicas = append(s.replicas, b)
+		s.replicas = append(s.replicas, replica)
 	}
 	for _, name := range s.world.siteNames {
 		s.sites = append(s.sites, &siteState{name: name, halted: map[string]bool{}, pending: map[string]rollout.Record{}})
@@ -226,8 +226,8 @@
 func (s *simulation) propose(c rollout.Command) {
 	c.At = s.now
 	s.index++
-	for i, b := range s.replicas {
-		effects := b.Apply(s.index, c)
+	for i, replica := range s.replicas {
+		effects := replica.Apply(s.index, c)
 		if i == 0 {
 			s.check.checkCommand(s, c, effects)
 		}
@@ -239,8 +239,8 @@
 	if s.recordCount++; s.recordCount%4 == 0 {
 		s.index++
 	}
-	for i, b := range s.replicas {
-		b.Record(s.index, s.now, r)
+	for i, replica := range s.replicas {
+		replica.Record(s.index, s.now, r)
 		if i == 0 {
 			s.check.checkRecord(s, r)
 		}
@@ -257,7 +257,7 @@
 	}
 	first := s.nodeNamed(r.Targets[0][0])
 	slice := s.o.Limits.Slice
-	do := func(step int, when bool, f func()) {
+	runStep := func(step int, when bool, f func()) {
 		if s.scriptStep == step && when {
 			s.scriptStep++
 			s.stepAt = s.now
@@ -266,54 +266,54 @@
 	}
 	switch s.o.Scenario {
 	case Silent:
-		do(0, true, func() {
+		runStep(0, true, func() {
 			for _, n := range s.nodes {
 				n.noonRequests = 0
 			}
 		})
 	case Shy:
-		do(0, r.Stage == rollout.OneBuilding && len(r.Treated) > 1, func() {
+		runStep(0, r.Stage == rollout.OneBuilding && len(r.Treated) > 1, func() {
 			for _, name := range r.Targets[rollout.OneBuilding] {
 				s.nodeNamed(name).noonRequests = 0
 			}
 		})
 	case ZoneLost:
-		do(0, r.Phase == rollout.Running && len(r.Treated) > 0, func() {
+		runStep(0, r.Phase == rollout.Running && len(r.Treated) > 0, func() {
 			s.world.zoneTrouble[first.site] = append(s.world.zoneTrouble[first.site], event{s.now + 4*slice, s.now + 8*time.Hour, 0.6})
 		})
 	case Worked:
-		do(0, true, func() {
+		runStep(0, true, func() {
 			s.world.maintenance[first.site] = append(s.world.maintenance[first.site], event{s.now, s.now + 1000*time.Hour, 0.01})
 		})
 	case CutHalt:
-		do(0, r.Stage >= rollout.OneBuilding && len(r.Treated) > 1, func() {
+		runStep(0, r.Stage >= rollout.OneBuilding && len(r.Treated) > 1, func() {
 			at := event{from: s.now, to: s.now + 5*time.Hour}
 			s.world.cutOff[first.regency] = append(s.world.cutOff[first.regency], at)
 		})
-		do(1, s.now >= s.stepAt+2*slice, func() {
+		runStep(1, s.now >= s.stepAt+2*slice, func() {
 			s.propose(rollout.Command{Halt: &rollout.Halt{ID: trialID, Cause: rollout.Operator, By: "desk", Why: "enough"}})
 		})
-		do(2, s.now >= s.stepAt+8*time.Hour, func() {})
+		runStep(2, s.now >= s.stepAt+8*time.Hour, func() {})
 	case HaltBelow:
-		do(0, r.Stage >= rollout.OneBuilding && len(r.Treated) > 1, func() { s.sites[first.site].halted[trialID] = true })
-		do(1, s.now >= s.stepAt+8*slice, func() {
+		runStep(0, r.Stage >= rollout.OneBuilding && len(r.Treated) > 1, func() { s.sites[first.site].halted[trialID] = true })
+		runStep(1, s.now >= s.stepAt+8*slice, func() {
 			s.propose(rollout.Command{Halt: &rollout.Halt{ID: trialID, Cause: rollout.Operator, By: "desk below", Why: "enough"}})
 		})
 	case Operator:
-		do(0, len(r.Treated) > 0, func() {
+		runStep(0, len(r.Treated) > 0, func() {
 			s.propose(rollout.Command{Force: &rollout.OperatorAction{ID: trialID, Stage: r.Stage, By: "desk", Why: "known to be good"}})
 		})
-		do(1, r.Stage == rollout.OneBuilding && s.now >= s.stepAt+4*slice, func() {
+		runStep(1, r.Stage == rollout.OneBuilding && s.now >= s.stepAt+4*slice, func() {
 			s.propose(rollout.Command{Halt: &rollout.Halt{ID: trialID, Cause: rollout.Operator, By: "desk", Why: "a doubt"}})
 			s.fireGuard(first, "too late") // reaches the root only after the rollout is resumed
 			s.lateRecords = append(s.lateRecords, lateRecord{s.now + 14*slice, first.reporter.Newest()})
 			first.reporter = rollout.NewReporter(first.name, s.world.siteNames[first.site])
 		})
-		do(2, r.Phase == rollout.Halted && s.now >= s.stepAt+6*slice, func() {
+		runStep(2, r.Phase == rollout.Halted && s.now >= s.stepAt+6*slice, func() {
 			s.check.resumedAt = s.now
 			s.propose(rollout.Command{Resume: &rollout.OperatorAction{ID: trialID, By: "desk", Why: "the doubt is cleared"}})
 		})
-		do(3, first.appliedPolicy == trialHash && r.Attempt == 2 && s.now >= s.stepAt+12*slice, func() {
+		runStep(3, first.appliedPolicy == trialHash && r.Attempt == 2 && s.now >= s.stepAt+12*slice, func() {
 			s.fireGuard(first, "rule")
 			s.applyRecord(first.reporter.Newest())
 			s.propose(rollout.Command{Force: &rollout.OperatorAction{ID: trialID, Stage: r.Stage, By: "desk", Why: "in spite of it"}})
@@ -344,27 +344,27 @@
 // distributePolicies lets each site poll the root and each node poll its site. A node's lease counts from the time at
 // which the root answered the site.
 func (s *simulation) distributePolicies() {
-	for i, c := range s.sites {
+	for i, site := range s.sites {
 		if s.bug.forgetHalts && s.rng.Float64() < s.o.LeaderDeaths {
-			clear(c.halted)
+			clear(site.halted)
 		}
-		if c.unreachable = anyAt(s.world.cutOff[s.world.siteRegency[i]], s.now); !c.unreachable &&
-			(c.rootAnsweredAt == 0 || s.rng.Float64() >= s.o.RecordLoss) {
-			c.policies, c.rootAnsweredAt = s.replicas[s.leader].SitePolicies(c.name), s.now
+		if site.unreachable = anyAt(s.world.cutOff[s.world.siteRegency[i]], s.now); !site.unreachable &&
+			(site.rootAnsweredAt == 0 || s.rng.Float64() >= s.o.RecordLoss) {
+			site.policies, site.rootAnsweredAt = s.replicas[s.leader].SitePolicies(site.name), s.now
 			if s.rng.IntN(256) == 0 {
-				if c.policies, s.err = rollout.ParseSitePolicies(c.policies.Bytes()); s.err != nil {
+				if site.policies, s.err = rollout.ParseSitePolicies(site.policies.Bytes()); s.err != nil {
 					return
 				}
 			}
 		}
 	}
 	for _, n := range s.nodes {
-		if c := s.sites[n.site]; c.rootAnsweredAt > 0 && !s.isCutOffByTrial(n) {
-			answeredAt := c.rootAnsweredAt
+		if site := s.sites[n.site]; site.rootAnsweredAt > 0 && !s.isCutOffByTrial(n) {
+			answeredAt := site.rootAnsweredAt
 			if n.rootAnsweredAt = answeredAt; s.bug.alwaysFresh {
 				answeredAt = s.now
 			}
-			a := c.policies.Assigned(n.name, func(id string) bool { return c.halted[id] })
+			a := site.policies.Assigned(n.name, func(id string) bool { return site.halted[id] })
 			n.policy.HandleAssignment(a, answeredAt, func(rollout.Hash) error { return nil })
 		}
 		if !s.bug.noLeaseExpiry {
@@ -410,7 +410,7 @@
 	}
 	s.lateRecords = slices.DeleteFunc(s.lateRecords, func(late lateRecord) bool { return late.due == 1<<62 })
 	for _, n := range s.nodes {
-		c := s.sites[n.site]
+		site := s.sites[n.site]
 		if r := n.reporter.Newest(); n.reporter.HasPending() && !s.isCutOffByTrial(n) {
 			if s.rng.IntN(256) == 0 {
 				if r, s.err = rollout.ParseRecord(n.reporter.Pending()); s.err != nil {
@@ -418,13 +418,13 @@
 				}
 			}
 			n.reporter.Acknowledge(r.Sequence)
-			if earlier, found := c.pending[n.name]; found {
+			if earlier, found := site.pending[n.name]; found {
 				r = earlier.Merge(r)
 			}
-			c.pending[n.name] = r
+			site.pending[n.name] = r
 		}
-		r, found := c.pending[n.name]
-		if !found || c.unreachable || drawLoss() {
+		r, found := site.pending[n.name]
+		if !found || site.unreachable || drawLoss() {
 			continue
 		}
 		s.applyRecord(r)
@@ -432,7 +432,7 @@
 			s.lateRecords = append(s.lateRecords, lateRecord{s.now + time.Duration(s.rng.IntN(40))*s.o.Limits.Slice, r})
 		}
 		if !drawLoss() { // otherwise the confirmation is lost, and the record is sent again
-			delete(c.pending, n.name)
+			delete(site.pending, n.name)
 		}
 	}
 }
--- a/rehearsal/rolloutsim/sim_test.go
+++ b/rehearsal/rolloutsim/sim_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, r := range rows {
 		require.Positive(t, r.Runs)
-		if r.Way != "evidence" {
+		if r.Method != "evidence" {
 			continue
 		}
 		if r.ExtraLoss == 0 {
--- a/rehearsal/rolloutsim/table.go
+++ b/rehearsal/rolloutsim/table.go
@@ -11,10 +11,10 @@
 	"lichenhitch/internal/choice/rollout"
 )
 
-// Row summarizes the rollouts with one regression in one way.
+// Row summarizes the rollouts with one regression under one method: statistical evidence, or the clock with a threshold.
 type Row struct {
 	ExtraLoss  float64
-	Way        string
+	Method     string
 	Runs       int
 	Halted     int // because of a regression
 	Unproven   int // rolled back because nothing was proven
@@ -25,7 +25,7 @@
 	Violations []string
 }
 
-// Table runs rollouts with each of the regressions, each in all ways in the same world, with the given number of
+// Table runs rollouts with each of the regressions, each under all methods in the same world, with the given number of
 // workers. Seeds count up from o.Seed; the class with the regression is each of the three in turn.
 func Table(o Options, regressions []float64, runs, workers int) []Row {
 	var rows []Row
@@ -33,22 +33,23 @@
 		clock := func(at float64) func(Options) (Outcome, error) {
 			return func(o Options) (Outcome, error) { return RunByClock(o, at) }
 		}
-		ways := []func(Options) (Outcome, error){Run, clock(o.Limits.Margin), clock(5 * o.Limits.Margin)}
-		group := []Row{{ExtraLoss: extraLoss, Way: "evidence"}, {ExtraLoss: extraLoss, Way: "clock 2%"}, {ExtraLoss: extraLoss, Way: "clock 10%"}}
+		methods := []func(Options) (Outcome, error){Run, clock(o.Limits.Margin), clock(5 * o.Limits.Margin)}
+		group := []Row{{ExtraLoss: extraLoss, Method: "evidence"}, {ExtraLoss: extraLoss, Method: "clock 2%"},
+			{ExtraLoss: extraLoss, Method: "clock 10%"}}
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		queue := make(chan int)
 		for range max(1, workers) {
 			wg.Go(func() {
 				for i := range queue {
-					for w, way := range ways {
+					for j, method := range methods {
 						options := o
 						options.Seed += uint64(i)
 						options.ExtraLoss = [3]float64{}
 						options.ExtraLoss[i%3] = extraLoss
-						out, err := way(options)
+						out, err := method(options)
 						mu.Lock()
-						group[w].add(options.Seed, out, err)
+						group[j].add(options.Seed, out, err)
 						mu.Unlock()
 					}
 				}
@@ -97,7 +98,7 @@
 
 // String returns the row as a line of the table.
 func (r Row) String() string {
-	return fmt.Sprintf("%4.0f%%  %-9s %5d  %6d  %8d  %5d  %5d  %v  %5.1f  %5.1f", 100*r.ExtraLoss, r.Way,
+	return fmt.Sprintf("%4.0f%%  %-9s %5d  %6d  %8d  %5d  %5d  %v  %5.1f  %5.1f", 100*r.ExtraLoss, r.Method,
 		r.Runs, r.Halted, r.Unproven, r.Done, r.Other, r.Stages, r.Quantile(0.5), r.Quantile(0.95))
 }
 
--- a/rehearsal/rules/rules.go
+++ b/rehearsal/rules/rules.go
@@ -224,7 +224,8 @@
 	switch {
 	case req.class.Effect == balance.Unsafe:
 		c.report(now, "request %d, class %s, is repeated although an attempt may have run", id+1, req.class.Name)
-	case req.class.Group == balance.GroupZone && repeated.zone != first.zone, req.class.Group == balance.GroupCell && repeated.cell != first.cell:
+	case req.class.Group == balance.GroupZone && repeated.zone != first.zone,
+		req.class.Group == balance.GroupCell && repeated.cell != first.cell:
 		c.report(now, "request %d, class %s, is repeated outside the group of its first attempt", id+1, req.class.Name)
 	case now > first.begunAt+req.class.Window:
 		c.report(now, "request %d, class %s, is repeated after its window", id+1, req.class.Name)
--- a/rehearsal/script/do.go
+++ b/rehearsal/script/do.go
@@ -495,11 +495,13 @@
 			"no pause between two attempts runs"},
 	} {
 		if check.is != check.should {
-			w.Rules.AddViolation(w.now, fmt.Sprintf("request %d is %s, and %s", cl.id+1, state.Phase, map[bool]string{true: check.yes, false: check.no}[check.is]))
+			w.Rules.AddViolation(w.now, fmt.Sprintf("request %d is %s, and %s", cl.id+1, state.Phase,
+				map[bool]string{true: check.yes, false: check.no}[check.is]))
 		}
 	}
 	if record := w.tap.records[balance.RequestID(cl.id+1)]; record != nil && record.pending != state.HasHostConn() {
-		w.Rules.AddViolation(w.now, fmt.Sprintf("request %d is %s, and for the balancer an attempt is pending: %v", cl.id+1, state.Phase, record.pending))
+		w.Rules.AddViolation(w.now, fmt.Sprintf("request %d is %s, and for the balancer an attempt is pending: %v", cl.id+1, state.Phase,
+			record.pending))
 	}
 }
 
--- a/rehearsal/script/print.go
+++ b/rehearsal/script/print.go
@@ -137,12 +137,12 @@
 	case v.Type() == loggerType, v.Type() == worldType:
 		return
 	}
-	at := v.Pointer()
-	if n, met := p.seen[at]; met {
+	address := v.Pointer()
+	if n, met := p.seen[address]; met {
 		p.uint(n + 2)
 		return
 	}
-	p.seen[at] = uint64(len(p.seen))
+	p.seen[address] = uint64(len(p.seen))
 	p.buf = append(p.buf, 1)
 	switch v.Type() {
 	case timerType: // Fingerprint encodes the rest with the list of timers
--- a/rehearsal/script/world.go
+++ b/rehearsal/script/world.go
@@ -157,7 +157,7 @@
 	records map[balance.RequestID]*requestRecord
 }
 
-// requestRecord is what the balancer knows of a request from the events that it got.
+// requestRecord is what the balancer must know of a request from the events that it got.
 type requestRecord struct {
 	attempts int  // started so far
 	pending  bool // an attempt is pending or its connection is established
@@ -315,7 +315,8 @@
 // that host.
 func (w *World) hostUnresponsive(cl *client) bool {
 	for _, other := range w.clients {
-		if other.unansweredSince > 0 && other.server == cl.server && w.now-other.unansweredSince >= lifecycle.UnresponsiveAfter && w.lastLineAt[other.server] < other.unansweredSince {
+		if other.unansweredSince > 0 && other.server == cl.server && w.now-other.unansweredSince >= lifecycle.UnresponsiveAfter &&
+			w.lastLineAt[other.server] < other.unansweredSince {
 			return true
 		}
 	}
@@ -384,7 +385,7 @@
 func (conn *hostConn) Sent() bool { return conn.sent }
 
 // EndReceived implements query.Attempt. The simulated hosts send no final line before they close.
-func (l *hostConn) EndReceived() bool { return false }
+func (conn *hostConn) EndReceived() bool { return false }
 
 func (conn *hostConn) markClosed() {
 	conn.open = false
--- a/rehearsal/walk/deployments_test.go
+++ b/rehearsal/walk/deployments_test.go
@@ -49,7 +49,8 @@
 // deployedConfig returns the configuration of a world with one node and the settings that both deployments have in common.
 // Zones is the number of zones that the hosts are in.
 func deployedConfig(deployment balance.Settings, zones int, seed uint64) script.Config {
-	deployment.Tick, deployment.ConnectTimeout, deployment.Probes, deployment.ListOnRequest, deployment.WeightsNominal = 5*ms, 250*ms, true, true, true
+	deployment.Tick, deployment.ConnectTimeout, deployment.Probes, deployment.ListOnRequest, deployment.WeightsNominal =
+		5*ms, 250*ms, true, true, true
 	deployment.Safety.ListRefreshInterval, deployment.Safety.AnswerSlack = 10*time.Second, 20*ms
 	cfg := config(0, seed)
 	cfg.Settings, cfg.Classes, cfg.ClientTimeout = deployment, nil, 0
--- a/rehearsal/walk/walk_test.go
+++ b/rehearsal/walk/walk_test.go
@@ -67,7 +67,7 @@
 			panic(fmt.Sprintf("%v, after the steps %v", p, taken))
 		}
 	}()
-	do := func(s model.Step) error {
+	takeStep := func(s model.Step) error {
 		taken = append(taken, s)
 		if err := w.Do(s); err != nil {
 			return fmt.Errorf("step %d: %w", len(taken), err)
@@ -80,14 +80,14 @@
 		return nil
 	}
 	for range steps {
-		if err := do(w.RandomStep(clients, draw)); err != nil {
+		if err := takeStep(w.RandomStep(clients, draw)); err != nil {
 			return err
 		}
 	}
 	// Without further events, all waiting clients must get their answers within 50 s, those of inherited connections
 	// included. Then the node stops.
 	for range 100 {
-		if err := do(lifemodel.Code(script.Pass, 0, 0, 5)); err != nil {
+		if err := takeStep(lifemodel.Code(script.Pass, 0, 0, 5)); err != nil {
 			return err
 		}
 	}
@@ -95,9 +95,10 @@
 		return fmt.Errorf("a request was never answered, after the steps %v", taken)
 	}
 	if inCore, inBalancer := w.Retained(); inCore != w.LiveRequests() || inBalancer > w.LiveRequests() {
-		return fmt.Errorf("the core holds %d requests and the balancer %d, and %d are live, after the steps %v", inCore, inBalancer, w.LiveRequests(), taken)
+		return fmt.Errorf("the core holds %d requests and the balancer %d, and %d are live, after the steps %v", inCore, inBalancer,
+			w.LiveRequests(), taken)
 	}
-	return do(lifemodel.Code(lifemodel.StopNode, 0, 0, 1))
+	return takeStep(lifemodel.Code(lifemodel.StopNode, 0, 0, 1))
 }
 
 // TestRandomWalksOfALargeFleet takes random walks with three nodes, each with its own list, clients and random choices.
@@ -121,7 +122,8 @@
 		w := world(0, seed)
 		w.OnEvent(func(l string) {
 			for _, what := range []string{"answered UP", "answered BUSY", "answered FAIL", "answered ERR", "answered BYE",
-				"out: true", "out: false", "MOVE: true", "MOVE: false", "speaks of an attempt", "tell-restart", "tell-drain", "the limit of", "times out"} {
+				"out: true", "out: false", "MOVE: true", "MOVE: false", "speaks of an attempt", "tell-restart", "tell-drain",
+				"the limit of", "times out"} {
 				if strings.Contains(l, what) {
 					seen[what]++
 				}
@@ -159,7 +161,7 @@
 	return acts
 }
 
-// TestForgottenBanIsDetected injects that bug: the walks must reach it and the rules must report it.
+// TestForgottenBanIsDetected injects forgetfulBalancer: the walks must reach its bug and the rules must report it.
 func TestForgottenBanIsDetected(t *testing.T) {
 	for seed := range uint64(20) {
 		cfg := config(0, seed)
--- a/tools/testgate/verdict/judge_test.go
+++ b/tools/testgate/verdict/judge_test.go
@@ -62,11 +62,14 @@
 	v := judge(1, testEvents("TestA", Fail), testEvents("TestB", Pass), failedEnd())
 	assert.True(t, v.OK())
 	assert.Equal(t, []Outcome{{listed[0], Failed}}, v.Outcomes)
-	assert.Equal(t, "\nKnown red, by KNOWN-RED.txt:\n    m/a TestA: failed | go test ./a | seed none | late | #29\n\n1 passed, 1 failed, 0 skipped\n", v.Text())
+	assert.Equal(t,
+		"\nKnown red, by KNOWN-RED.txt:\n    m/a TestA: failed | go test ./a | seed none | late | #29\n\n1 passed, 1 failed, 0 skipped\n",
+		v.Text())
 }
 
 func TestListedFailureIsToleratedWithItsSubtests(t *testing.T) {
-	v := judge(1, []Event{eventOf("TestA", Run)}, testEvents("TestA/x", Fail), testEvents("TestA/y", Pass), []Event{eventOf("TestA", Fail)}, failedEnd())
+	v := judge(1, []Event{eventOf("TestA", Run)}, testEvents("TestA/x", Fail), testEvents("TestA/y", Pass),
+		[]Event{eventOf("TestA", Fail)}, failedEnd())
 	assert.True(t, v.OK())
 	assert.Equal(t, 1, v.Failed)
 }
@@ -110,28 +113,31 @@
 		"a subtest alone": {1, [][]Event{{eventOf("TestA", Run)}, testEvents("TestA/x", Fail), {eventOf("TestA", Pass)}, failedEnd()},
 			[]Fault{{Reason: TestFailed, Package: "m/a", Test: "TestA/x"}, {Reason: NoTestFailed, Package: "m/a"}}, 1},
 		"a race in a listed test": {1, [][]Event{race, failedEnd()}, []Fault{{Reason: DataRace, Package: "m/a"}}, 1},
-		"a race that the testing package tells": {1, [][]Event{{eventOf("TestA", Run),
+		"a race that the testing package reports": {1, [][]Event{{eventOf("TestA", Run),
 			outputOf("TestA", "    testing.go:1712: race detected during execution of test\n"), eventOf("TestA", Fail)}, failedEnd()},
 			[]Fault{{Reason: DataRace, Package: "m/a"}}, 1},
-		"a race beside a listed failure, told in pieces": {1, [][]Event{testEvents("TestA", Fail),
+		"a race beside a listed failure, reported in pieces": {1, [][]Event{testEvents("TestA", Fail),
 			{outputOf("", "WARNING: DA"), outputOf("", "TA RACE\n")}, failedEnd()}, []Fault{{Reason: DataRace, Package: "m/a"}}, 1},
-		"a race after all tests": {1, [][]Event{testEvents("TestA", Pass), {outputOf("", "PASS\n"), outputOf("", "WARNING: DATA RACE\n"), eventOf("", Fail)}},
+		"a race after all tests": {1, [][]Event{testEvents("TestA", Pass),
+			{outputOf("", "PASS\n"), outputOf("", "WARNING: DATA RACE\n"), eventOf("", Fail)}},
 			[]Fault{{Reason: NoTestFailed, Package: "m/a"}, {Reason: DataRace, Package: "m/a"}}, 1},
 		"a panic in a listed test": {1, [][]Event{{eventOf("TestB", Run), eventOf("TestB", "pause")}, testEvents("TestA", Fail),
 			{outputOf("", "FAIL\tm/a\t0.1s\n"), eventOf("", Fail)}},
 			[]Fault{{Reason: TestUnfinished, Package: "m/a", Test: "TestB"}, {Reason: EndedEarly, Package: "m/a"}}, 2},
-		"a panic in a listed test, others not begun": {1, [][]Event{testEvents("TestA", Fail), {outputOf("", "FAIL\tm/a\t0.1s\n"), eventOf("", Fail)}},
+		"a panic in a listed test, others not started": {1,
+			[][]Event{testEvents("TestA", Fail), {outputOf("", "FAIL\tm/a\t0.1s\n"), eventOf("", Fail)}},
 			[]Fault{{Reason: EndedEarly, Package: "m/a"}}, 1},
 		"os.Exit or a time-out in a listed test": {1, [][]Event{{eventOf("TestA", Run)}, {outputOf("", "FAIL\tm/a\t0.1s\n"), eventOf("", Fail)}},
 			[]Fault{{Reason: TestUnfinished, Package: "m/a", Test: "TestA"}, {Reason: EndedEarly, Package: "m/a"}}, 1},
-		"a complaint after a listed failure": {1, [][]Event{testEvents("TestA", Fail),
+		"output after a listed failure": {1, [][]Event{testEvents("TestA", Fail),
 			{outputOf("", "FAIL\n"), outputOf("", "left over\n"), outputOf("", "FAIL\tm/a\t0.1s\n"), eventOf("", Fail)}},
 			[]Fault{{Reason: EndedEarly, Package: "m/a"}}, 1},
 		"a package without a failed test": {1, [][]Event{testEvents("TestA", Pass), {outputOf("", "PASS\n"), eventOf("", Fail)}},
 			[]Fault{{Reason: NoTestFailed, Package: "m/a"}}, 1},
-		"a build": {1, [][]Event{testEvents("TestA", Fail), failedEnd(), {{Action: BuildOutput, ImportPath: "m/b"}, {Action: BuildFail, ImportPath: "m/b"},
-			{Action: Fail, Package: "m/b", FailedBuild: "m/b"}}}, []Fault{{Reason: BuildFailed, Package: "m/b"}}, 2},
-		"a build that no package tells of": {1, [][]Event{testEvents("TestA", Fail), failedEnd(), {{Action: BuildFail, ImportPath: "m/b"}}},
+		"a build": {1, [][]Event{testEvents("TestA", Fail), failedEnd(),
+			{{Action: BuildOutput, ImportPath: "m/b"}, {Action: BuildFail, ImportPath: "m/b"},
+				{Action: Fail, Package: "m/b", FailedBuild: "m/b"}}}, []Fault{{Reason: BuildFailed, Package: "m/b"}}, 2},
+		"a build that no package reports": {1, [][]Event{testEvents("TestA", Fail), failedEnd(), {{Action: BuildFail, ImportPath: "m/b"}}},
 			[]Fault{{Reason: BuildFailed, Package: "m/b"}}, 2},
 		"a package without an end": {1, [][]Event{testEvents("TestA", Pass)}, []Fault{{Reason: PackageUnfinished, Package: "m/a"}}, 1},
 		"go test itself": {1, [][]Event{testEvents("TestA", Pass), passedEnd()},
--- a/tools/testgate/verdict/text_test.go
+++ b/tools/testgate/verdict/text_test.go
@@ -26,12 +26,14 @@
 }
 
 func TestAllIsPrintedOfAPackageThatEndsEarly(t *testing.T) {
-	text := textOf(testEvents("TestB", Pass), []Event{eventOf("TestA", Run), outputOf("TestA", "panic: no\n"), outputOf("", "FAIL\tm/a\t0.1s\n"), eventOf("", Fail)})
+	text := textOf(testEvents("TestB", Pass), []Event{eventOf("TestA", Run), outputOf("TestA", "panic: no\n"),
+		outputOf("", "FAIL\tm/a\t0.1s\n"), eventOf("", Fail)})
 	assert.Equal(t, "=== RUN   TestB\nsaid by TestB\npanic: no\nFAIL\tm/a\t0.1s\n", text)
 }
 
 func TestBuildOutputIsPrintedOnce(t *testing.T) {
-	s := suiteOf(1, []Event{{Action: BuildOutput, ImportPath: "m/c", Output: "c.go:1: "}, {Action: BuildOutput, ImportPath: "m/c", Output: "no\n"},
+	s := suiteOf(1, []Event{{Action: BuildOutput, ImportPath: "m/c", Output: "c.go:1: "},
+		{Action: BuildOutput, ImportPath: "m/c", Output: "no\n"},
 		{Action: BuildOutput, ImportPath: "m/d", Output: "a warning\n"}, {Action: BuildFail, ImportPath: "m/c"},
 		{Action: Output, Package: "m/a", Output: "FAIL\tm/a [build failed]\n"}, {Action: Fail, Package: "m/a", FailedBuild: "m/c"},
 		{Action: Output, Package: "m/b", Output: "FAIL\tm/b [build failed]\n"}, {Action: Fail, Package: "m/b", FailedBuild: "m/c"}})
