--- a/internal/consensus/peertable.go
+++ b/internal/consensus/peertable.go
@@ -53,8 +53,8 @@
 //   - ConfirmStore trusts its operator. The witness assumes that memory and disk of a machine are not restored together,
 //     as happens with a saved virtual machine state.
 
-// SelfReport is what a replica reports about itself in every exchange, in requests and replies alike; peerpb.Hello is
-// its wire form. Create it with Replica.SelfReport.
+// SelfReport is what a replica reports about itself in every exchange, in requests and replies alike; peerpb.Claim,
+// which peerpb.Hello carries, is its wire form. Create it with Replica.SelfReport.
 type SelfReport struct {
 	Replica   ReplicaID
 	OpenCount uint64 // how often its store has been opened
