--- a/rehearsal/province/check.go
+++ b/rehearsal/province/check.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// checkReceipts reads the receipt of each committed write at the top site, and checks that all replicas of its own site give the
+// checkReceipts reads the receipt of each committed write at the root site, and checks that all replicas of its own site give the
 // same one.
 func (w *World) checkReceipts() {
 	byID := map[sitesync.ID]*write{}
@@ -209,7 +209,7 @@
 		}
 		for _, replica := range x.site.nodes[:len(x.site.definition.Voters)] {
 			if receipt := w.readReceipt(x.site, replica, x); receipt == "" || receipt != x.outcome {
-				w.violation(fmt.Sprintf("w%d (%s): %s has the receipt %q, the top site %q", x.number, x.id, replica.name, receipt, x.outcome))
+				w.violation(fmt.Sprintf("w%d (%s): %s has the receipt %q, the root site %q", x.number, x.id, replica.name, receipt, x.outcome))
 			}
 		}
 		w.tally.Receipts++
@@ -219,7 +219,7 @@
 	}
 }
 
-// rootOf returns the top site above a site.
+// rootOf returns the root site above a site.
 func rootOf(site *siteState) *siteState {
 	for site.parent != nil {
 		site = site.parent
@@ -227,7 +227,7 @@
 	return site
 }
 
-// checkValues checks that all replicas of a site have the top site's value of each subject, and that the top site has no value
+// checkValues checks that all replicas of a site have the root site's value of each subject, and that the root site has no value
 // that was overwritten.
 func (w *World) checkValues(site *siteState) {
 	root := rootOf(site)
--- a/rehearsal/province/faults.go
+++ b/rehearsal/province/faults.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// scheduleStoreLoss may schedule the loss of all stores of one site that is not a top site. No node there remembers the
+// scheduleStoreLoss may schedule the loss of all stores of one site that is not a root site. No node there remembers the
 // site's state, so its consensus group is bootstrapped again and its writes start a new incarnation.
 func (w *World) scheduleStoreLoss() {
 	if len(w.Levels) < 2 {
--- a/rehearsal/province/figures_test.go
+++ b/rehearsal/province/figures_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestBackAtOnce measures how long the writes of sites that were cut off take to reach the top site once all links are restored
-// at the same time, and how long the top site's own writes take to commit before that and in the 10 s after:
+// TestBackAtOnce measures how long the writes of sites that were cut off take to reach the root site once all links are restored
+// at the same time, and how long the root site's own writes take to commit before that and in the 10 s after:
 // go test ./rehearsal/province -run BackAtOnce -v -args -figures
 func TestBackAtOnce(t *testing.T) {
 	requireFigures(t)
@@ -74,16 +74,16 @@
 			a, u, th := reconnectTimes(o, c.sites, c.writes)
 			times, before, after = append(times, a...), append(before, u...), append(after, th...)
 		}
-		t.Logf("%d sites with %d writes each, %d worlds: judged at the top site after %v (median), %v (p99), the last one after %v; "+
+		t.Logf("%d sites with %d writes each, %d worlds: judged at the root site after %v (median), %v (p99), the last one after %v; "+
 			"its own writes committed after %v (p99 of %d) before, %v (of %d) after the links are restored; run time %v", c.sites, c.writes, c.worlds, Quantile(times, 0.5), Quantile(times, 0.99),
 			slices.Max(times), Quantile(before, 0.99), len(before), Quantile(after, 0.99), len(after), time.Since(began))
 		assert.Len(t, times, c.sites*c.writes*c.worlds)
 	}
 }
 
-// reconnectTimes cuts sites off at different times, lets each write, and restores all links at once. The top site writes five
-// times a second. It returns the times until the sites' writes have a receipt at the top site, from when the links were restored,
-// and the commit times of the top site's own writes before and after that.
+// reconnectTimes cuts sites off at different times, lets each write, and restores all links at once. The root site writes five
+// times a second. It returns the times until the sites' writes have a receipt at the root site, from when the links were restored,
+// and the commit times of the root site's own writes before and after that.
 func reconnectTimes(o Options, sites, writes int) (times, before, after []time.Duration) {
 	w := newWorld(o, nil)
 	w.startNodes()
--- a/rehearsal/province/policies.go
+++ b/rehearsal/province/policies.go
@@ -10,13 +10,13 @@
 	"lichenhitch/internal/control"
 )
 
-// Simulated operators start rollouts of policies at the top site, halt them at any site, resume them and force stages, while
+// Simulated operators start rollouts of policies at the root site, halt them at any site, resume them and force stages, while
 // faults are injected. Traffic is synthetic: the counts of a node depend on the policy that its traffic loop applies. Checked:
 //
-//   - No traffic loop applies a policy on trial for longer than the trial lease after the top site last had it assigned to the
+//   - No traffic loop applies a policy on trial for longer than the trial lease after the root site last had it assigned to the
 //     node, counted from the node's last resumption from a pause if that is later.
 //   - A policy that loses a quarter of its requests does not become the good policy, unless an operator forces a stage.
-//   - At the end, after the phase without faults, every rollout is over and every traffic loop applies the top site's good
+//   - At the end, after the phase without faults, every rollout is over and every traffic loop applies the root site's good
 //     policy.
 
 // stageLimits are the limits of the rollouts: stages that take days in operation take seconds here.
@@ -36,7 +36,7 @@
 
 // trialState is the state of a node for the check of the trial lease.
 type trialState struct {
-	lastAssigned time.Duration // when the top site last had a trial assigned to the node
+	lastAssigned time.Duration // when the root site last had a trial assigned to the node
 	runningSince time.Duration // when it was last observed paused
 }
 
@@ -73,7 +73,7 @@
 	w.after(time.Second, w.checkTrials)
 }
 
-// startRollout makes an operator start a rollout, repeatedly until the top site's log contains it.
+// startRollout makes an operator start a rollout, repeatedly until the root site's log contains it.
 func (w *World) startRollout(trial *trial) {
 	if root := w.rootState(); root != nil && root.Plan().Rollout(trial.id) != nil || w.quiet {
 		return
@@ -138,7 +138,7 @@
 	return "resume"
 }
 
-// rootState returns the rollout state of the top site, from the replica that has applied most of the log; nil if there is none.
+// rootState returns the rollout state of the root site, from the replica that has applied most of the log; nil if there is none.
 func (w *World) rootState() (newest *rollout.RootState) {
 	most := uint64(0)
 	for _, n := range w.sites[0].nodes {
@@ -173,7 +173,7 @@
 		}
 		w.tally.TrialObservations++
 		if since := w.now - max(state.lastAssigned, state.runningSince); since > stageLimits.TrialLease+stageLimits.TrialLease/50+leaseSlack {
-			w.violation(fmt.Sprintf("%s applies a trial %v after the top site last assigned one to it", n.name, since))
+			w.violation(fmt.Sprintf("%s applies a trial %v after the root site last assigned one to it", n.name, since))
 		}
 	}
 }
--- a/rehearsal/province/province_test.go
+++ b/rehearsal/province/province_test.go
@@ -109,7 +109,7 @@
 	return n
 }
 
-// TestWritesReachTheRootSoonAfterReconnect checks that a site's writes reach the top site soon after its link is restored,
+// TestWritesReachTheRootSoonAfterReconnect checks that a site's writes reach the root site soon after its link is restored,
 // whatever call was pending when the link was cut and when it was restored.
 func TestWritesReachTheRootSoonAfterReconnect(t *testing.T) {
 	var times []time.Duration
--- a/rehearsal/province/world.go
+++ b/rehearsal/province/world.go
@@ -38,7 +38,7 @@
 	SharedHosts    int     // hosts that all sites send to, taken out of service and back by operators' writes
 	TurnRequests   int     // turns (permissions to do maintenance on a host) requested at each site, at random times
 	Writes         int     // at each site, at random times
-	Rollouts       int     // policies started at the first top site, at random times
+	Rollouts       int     // policies started at the first root site, at random times
 	LeaseDuration  time.Duration
 	Limits         turns.Limits
 	Faults         bool // cut links between nodes and between sites, pause nodes, kill and restart them, lose stores
@@ -128,7 +128,7 @@
 // siteState is one simulated site with its hosts.
 type siteState struct {
 	name        string
-	parent      *siteState // nil for a top site
+	parent      *siteState // nil for a root site
 	definition  site.Definition
 	nodes       []*node
 	hosts       map[string]*host // by ID; includes the shared hosts
--- a/rehearsal/province/writers.go
+++ b/rehearsal/province/writers.go
@@ -30,7 +30,7 @@
 	committedAt    time.Duration
 	id             sitesync.ID
 	lostWithStores bool   // its site's stores were lost afterwards
-	outcome        string // the top site's receipt, read at the end
+	outcome        string // the root site's receipt, read at the end
 }
 
 // addSubjects adds the subjects of writes: few, so that concurrent writes concern the same ones.
@@ -74,13 +74,13 @@
 	from := w.sites[w.planRNG.IntN(len(w.sites))]
 	return func() {
 		if !token || from == site || w.reader(from) == nil || site.parent == nil && w.Seed%2 == 0 {
-			from = nil // a top site uses tokens only in every other world: sites below may then apply the write before those that its token names
+			from = nil // a root site uses tokens only in every other world: sites below may then apply the write before those that its token names
 		}
 		w.write(site, node, subject, sitesync.LocalWrite{Value: []byte(verb), Urgent: urgent}, from, withNeeds)
 	}
 }
 
-// closeSubject writes that a subject is closed for good, repeatedly until the write is committed at the top site.
+// closeSubject writes that a subject is closed for good, repeatedly until the write is committed at the root site.
 func (w *World) closeSubject(site *siteState) {
 	node := site.nodes[w.rng.IntN(len(site.nodes))]
 	subject := subject{sitesync.Policy, "policy/0"}
@@ -202,7 +202,7 @@
 }
 
 // pollSites reads all sites once a second. After the fault phase it also writes shared hosts that operators took out of service
-// back at the top sites, so that turns are not blocked by the limit of hosts out of service.
+// back at the root sites, so that turns are not blocked by the limit of hosts out of service.
 func (w *World) pollSites() {
 	w.after(time.Second, w.pollSites)
 	for _, site := range w.sites {
