--- a/internal/control/writes.go
+++ b/internal/control/writes.go
@@ -26,8 +26,8 @@
 	// peer takes to answer any call (peer.Limits.CallTimeout) and that its client waits.
 	forwarderTiming = sitesync.Timing{PollInterval: time.Second, RetryDelay: 200 * time.Millisecond, MaxRetryDelay: 5 * time.Second, MaxFailures: 3,
 		ReturnInterval: 2 * time.Second, InitialTimeout: time.Second, MaxTimeout: 8 * time.Second}
-	// creditBudget limits what a leader accepts from the sites below; docs/design/upstream.md describes the reconnect
-	// storm that it was measured with.
+	// creditBudget limits what a leader accepts from the sites below. It is sized for the reconnect storm that
+	// docs/design/upstream.md describes.
 	creditBudget = sitesync.Budget{Rate: 8000, Batch: 256, MaxAhead: time.Second, UrgentBatch: 8, LocalCost: 256}
 )
 
